--- a/crates/corianderstand_control/tests/marks.rs
+++ b/crates/corianderstand_control/tests/marks.rs
@@ -58,7 +58,7 @@
     announce(&mut snapshot, 2);
     assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "announced anew");
     let old = fold(&mut snapshot, "router-1", 3, marks[0].clone());
-    assert!(matches!(old, Outcome::Void(_)), "the mark was of the former announcement");
+    assert!(matches!(old, Outcome::Rejected(_)), "the mark was of the former announcement");
 
     show(&mut snapshot, &[], &["host-1"]);
     let again = duty::marks(&snapshot);
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -11,7 +11,7 @@
 use corianderstand_schema::records::{Body, Change};
 use corianderstand_state::{
     checkpoint,
-    fold::{Outcome, Void},
+    fold::{Outcome, Rejection},
     history::MAX_ENTRIES,
     view,
 };
@@ -130,8 +130,12 @@
     };
     match decided.outcome {
         Outcome::Applied => Ok(json!({ "version": decided.offset, "ticket": ticket })),
-        Outcome::Void(void @ Void::Conflict { .. }) => Err(Problem::Conflict(void.to_string())),
-        Outcome::Void(Void::Late { .. }) => Err(Problem::LogDown("it took the change too late")),
+        Outcome::Rejected(rejection @ Rejection::Conflict { .. }) => {
+            Err(Problem::Conflict(rejection.to_string()))
+        }
+        Outcome::Rejected(Rejection::Late { .. }) => {
+            Err(Problem::LogDown("it took the change too late"))
+        }
         _ => Err(Problem::Undecided(ticket)),
     }
 }
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -5,7 +5,7 @@
 //! has claimed, and keeps anybody from claiming it later. Nothing ever leaves an outcome again
 //! until the key is forgotten, [`KEEP_MS`] after its first record.
 
-use crate::fold::Void;
+use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{CallAnswer, CallKey, Record};
 use corianderstand_types::names::{ServiceId, TargetId, WorkspaceId};
@@ -166,11 +166,11 @@
         digest: u64,
         target: &TargetId,
         record: &Record,
-    ) -> Result<(), Void> {
+    ) -> Result<(), Rejection> {
         self.forget_old(now);
         self.check_free(key)?;
         if self.by_key.len() >= MAX_KEYS || self.answer_bytes >= MAX_ANSWER_BYTES {
-            return Err(Void::CallsFull);
+            return Err(Rejection::CallsFull);
         }
         let (target, incarnation) = (target.clone(), record.incarnation);
         let call = Call::Claimed { claim: offset, digest, target, incarnation };
@@ -184,11 +184,11 @@
         key: &CallKey,
         claim: u64,
         answer: Option<&CallAnswer>,
-    ) -> Result<(), Void> {
-        let entry = self.by_key.get_mut(&Key::from(key)).ok_or(Void::Call)?;
+    ) -> Result<(), Rejection> {
+        let entry = self.by_key.get_mut(&Key::from(key)).ok_or(Rejection::Call)?;
         let digest = match &entry.call {
             Call::Claimed { claim: held, digest, .. } if *held == claim => *digest,
-            _ => return Err(Void::Call),
+            _ => return Err(Rejection::Call),
         };
         entry.call = match answer {
             None => Call::NotRun,
@@ -203,11 +203,11 @@
     }
 
     /// Declares a call not run, if nobody has claimed it.
-    pub fn void(&mut self, offset: u64, now: u64, key: &CallKey) -> Result<(), Void> {
+    pub fn void(&mut self, offset: u64, now: u64, key: &CallKey) -> Result<(), Rejection> {
         self.forget_old(now);
         self.check_free(key)?;
         if self.by_key.len() >= MAX_KEYS_VOIDED {
-            return Err(Void::CallsFull);
+            return Err(Rejection::CallsFull);
         }
         self.insert(offset, now, key, Call::NotRun);
         Ok(())
@@ -215,8 +215,8 @@
 
     /// Whether nobody has claimed or voided a key. This comes before any look at the room left:
     /// "full" is told as "not run", which of a claimed key would be false.
-    fn check_free(&self, key: &CallKey) -> Result<(), Void> {
-        if self.by_key.contains_key(&Key::from(key)) { Err(Void::Call) } else { Ok(()) }
+    fn check_free(&self, key: &CallKey) -> Result<(), Rejection> {
+        if self.by_key.contains_key(&Key::from(key)) { Err(Rejection::Call) } else { Ok(()) }
     }
 
     fn insert(&mut self, offset: u64, at_ms: u64, key: &CallKey, call: Call) {
--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -4,7 +4,7 @@
 //! within that time. A reader without the older records gathers the parts with a [`Collector`]
 //! and folds on from the offset that the state was taken at.
 
-use crate::fold::{State, Void};
+use crate::fold::{Rejection, State};
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{Body, Record};
 use corianderstand_types::names::WriterId;
@@ -50,15 +50,21 @@
 
 impl Checkpoints {
     /// Notes a part; parts come in order, and the first starts anew.
-    pub fn part(&mut self, at: (u64, u64), as_of: u64, part: u32, parts: u32) -> Result<(), Void> {
+    pub fn part(
+        &mut self,
+        at: (u64, u64),
+        as_of: u64,
+        part: u32,
+        parts: u32,
+    ) -> Result<(), Rejection> {
         let (offset, at_ms) = at;
         let expected = match self.underway {
             _ if part == 0 => Underway { as_of, first: offset, parts, next_part: 0 },
             Some(underway) => underway,
-            None => return Err(Void::Checkpoint),
+            None => return Err(Rejection::Checkpoint),
         };
         if (expected.as_of, expected.parts, expected.next_part) != (as_of, parts, part) {
-            return Err(Void::Checkpoint);
+            return Err(Rejection::Checkpoint);
         }
         if part + 1 >= parts {
             self.last = Some(Whole { as_of, first: expected.first, at_ms });
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -8,7 +8,7 @@
 //! A claim is never run by another process or a later start: nobody can know how far its writer
 //! came. Such a claim stays without an outcome, and repeats are told "unknown".
 
-use crate::fold::{Outcome, Void};
+use crate::fold::{Outcome, Rejection};
 use corianderstand_derives::derives;
 
 /// What to do about a decided claim.
@@ -33,8 +33,8 @@
     match outcome {
         Outcome::Applied if waits && in_time => Next::Run,
         Outcome::Applied => Next::Withdraw,
-        Outcome::Void(Void::CallsFull) => Next::Refuse,
-        Outcome::Repeated | Outcome::Void(_) => Next::Read,
+        Outcome::Rejected(Rejection::CallsFull) => Next::Refuse,
+        Outcome::Repeated | Outcome::Rejected(_) => Next::Read,
     }
 }
 
@@ -53,7 +53,7 @@
 pub const fn verdict(outcome: &Outcome) -> Verdict {
     match outcome {
         Outcome::Applied => Verdict::NotRun,
-        Outcome::Void(Void::Call) => Verdict::Read,
-        Outcome::Repeated | Outcome::Void(_) => Verdict::Unknown,
+        Outcome::Rejected(Rejection::Call) => Verdict::Read,
+        Outcome::Repeated | Outcome::Rejected(_) => Verdict::Unknown,
     }
 }
--- a/crates/corianderstand_state/src/documents.rs
+++ b/crates/corianderstand_state/src/documents.rs
@@ -1,6 +1,6 @@
 //! Settings documents by path, each with the version it was made at.
 
-use crate::fold::Void;
+use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Change;
 use smol_str::SmolStr;
@@ -37,12 +37,17 @@
     /// Two operators may change the same settings at the same moment. The second would undo
     /// the first without noticing; its change names the version it was made from, so it is
     /// voided here and the operator is told which version is in the way.
-    pub fn change(&mut self, offset: u64, changes: &[Change], author: &str) -> Result<(), Void> {
+    pub fn change(
+        &mut self,
+        offset: u64,
+        changes: &[Change],
+        author: &str,
+    ) -> Result<(), Rejection> {
         for change in changes {
             let version = self.version_of(&change.path);
             if version != change.base {
                 let (path, base) = (change.path.clone(), change.base);
-                return Err(Void::Conflict { path, version, base });
+                return Err(Rejection::Conflict { path, version, base });
             }
         }
         for change in changes {
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -14,13 +14,13 @@
     /// It had been folded before; a repeat after a lost answer.
     Repeated,
     /// Its condition no longer held.
-    Void(Void),
+    Rejected(Rejection),
 }
 
 /// Why a record had no effect.
 #[derives(data)]
 #[derive(Eq, displaydoc::Display)]
-pub enum Void {
+pub enum Rejection {
     /// `{path}` is at version {version}, not {base}: fetch it, merge and apply again
     Conflict {
         /// Path of the document in the way.
@@ -107,7 +107,7 @@
         }
         match self.apply_body(offset, record) {
             Ok(()) => Outcome::Applied,
-            Err(void) => Outcome::Void(void),
+            Err(rejection) => Outcome::Rejected(rejection),
         }
     }
 
@@ -128,7 +128,7 @@
         newer
     }
 
-    fn apply_body(&mut self, offset: u64, record: &Record) -> Result<(), Void> {
+    fn apply_body(&mut self, offset: u64, record: &Record) -> Result<(), Rejection> {
         let now = self.time_ms;
         match &record.body {
             Body::Settings { changes, author, ticket, not_after_ms } => {
@@ -187,9 +187,9 @@
         changes: &[Change],
         author: &str,
         not_after_ms: u64,
-    ) -> Result<(), Void> {
+    ) -> Result<(), Rejection> {
         if self.time_ms > not_after_ms {
-            return Err(Void::Late { until: not_after_ms });
+            return Err(Rejection::Late { until: not_after_ms });
         }
         self.documents.change(offset, changes, author)
     }
--- a/crates/corianderstand_state/src/history.rs
+++ b/crates/corianderstand_state/src/history.rs
@@ -1,6 +1,6 @@
 //! What became of the last changes to settings, so that any router can tell an operator.
 
-use crate::fold::Void;
+use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Change;
 use smol_str::SmolStr;
@@ -44,13 +44,13 @@
         ticket: &SmolStr,
         author: &SmolStr,
         changes: &[Change],
-        result: &Result<(), Void>,
+        result: &Result<(), Rejection>,
     ) {
         if self.entries.len() >= MAX_ENTRIES {
             self.entries.pop_front();
         }
         let paths = changes.iter().take(MAX_PATHS).map(|change| change.path.clone()).collect();
-        let refused = result.as_ref().err().map(|void| void.to_string().into());
+        let refused = result.as_ref().err().map(|rejection| rejection.to_string().into());
         let (ticket, author) = (ticket.clone(), author.clone());
         self.entries.push_back(Entry { offset: at.0, at_ms: at.1, ticket, author, paths, refused });
     }
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -3,7 +3,7 @@
 //! Time in the fold is the log's own append time, so every process judges alike whether the
 //! lease had lapsed when another writer took it.
 
-use crate::fold::Void;
+use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Record;
 use corianderstand_types::names::WriterId;
@@ -24,10 +24,16 @@
 
 impl Lease {
     /// Takes the lease if it is free or has lapsed.
-    pub fn take(&mut self, epoch: u64, ttl_ms: u64, now: u64, record: &Record) -> Result<(), Void> {
+    pub fn take(
+        &mut self,
+        epoch: u64,
+        ttl_ms: u64,
+        now: u64,
+        record: &Record,
+    ) -> Result<(), Rejection> {
         let free = self.holder.is_none() || now >= self.until_ms;
         if epoch != self.epoch + 1 || !free {
-            return Err(Void::Lease);
+            return Err(Rejection::Lease);
         }
         let holder = Some((record.writer.clone(), record.incarnation));
         *self = Self { epoch, holder, ttl_ms, until_ms: now + ttl_ms };
@@ -35,14 +41,14 @@
     }
 
     /// Keeps the lease for another term.
-    pub fn renew(&mut self, epoch: u64, now: u64, record: &Record) -> Result<(), Void> {
+    pub fn renew(&mut self, epoch: u64, now: u64, record: &Record) -> Result<(), Rejection> {
         self.check(epoch, record)?;
         self.until_ms = now + self.ttl_ms;
         Ok(())
     }
 
     /// Gives the lease back, so that another can take it at once.
-    pub fn release(&mut self, epoch: u64, record: &Record) -> Result<(), Void> {
+    pub fn release(&mut self, epoch: u64, record: &Record) -> Result<(), Rejection> {
         self.check(epoch, record)?;
         self.holder = None;
         Ok(())
@@ -52,9 +58,9 @@
     ///
     /// A holder that was paused past its lease still believes it holds it and writes what it
     /// had decided. Its epoch is old by then, so all processes void what it wrote.
-    pub fn check(&self, epoch: u64, record: &Record) -> Result<(), Void> {
+    pub fn check(&self, epoch: u64, record: &Record) -> Result<(), Rejection> {
         let held = self.held_by(&record.writer, record.incarnation);
-        if epoch == self.epoch && held { Ok(()) } else { Err(Void::Lease) }
+        if epoch == self.epoch && held { Ok(()) } else { Err(Rejection::Lease) }
     }
 
     /// Whether a writer holds the lease.
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -4,7 +4,7 @@
 //! it and drops it when it is idle without asking, so neither a cold start nor an outage of
 //! the log waits for an append, and there are never more replicas than slots.
 
-use crate::fold::Void;
+use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Record;
 use corianderstand_types::names::{ModelId, TargetId};
@@ -48,10 +48,10 @@
         model: &ModelId,
         index: u32,
         target: &TargetId,
-    ) -> Result<(), Void> {
+    ) -> Result<(), Rejection> {
         let key = SlotKey { model: model.clone(), index };
         if self.by_key.contains_key(&key) {
-            return Err(Void::Slot);
+            return Err(Rejection::Slot);
         }
         self.former.remove(&key);
         self.by_key.insert(key, Slot { target: target.clone(), assigned: offset });
@@ -68,12 +68,12 @@
         assigned: u64,
         by_holder: bool,
         record: &Record,
-    ) -> Result<(), Void> {
+    ) -> Result<(), Rejection> {
         let key = SlotKey { model: model.clone(), index };
-        let slot = self.by_key.get(&key).ok_or(Void::Slot)?;
+        let slot = self.by_key.get(&key).ok_or(Rejection::Slot)?;
         let by_owner = slot.target.as_str() == record.writer.as_str();
         if slot.assigned != assigned || !(by_holder || by_owner) {
-            return Err(Void::Slot);
+            return Err(Rejection::Slot);
         }
         let owner = slot.target.clone();
         self.by_key.remove(&key);
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -1,6 +1,6 @@
 //! Targets as their agents announce them.
 
-use crate::fold::Void;
+use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{Record, TargetRecord};
 use corianderstand_types::names::TargetId;
@@ -43,11 +43,11 @@
         offset: u64,
         target: &TargetId,
         record: &Record,
-    ) -> Result<(), Void> {
-        let current = self.by_name.get(target).ok_or(Void::Target)?;
+    ) -> Result<(), Rejection> {
+        let current = self.by_name.get(target).ok_or(Rejection::Target)?;
         // A late farewell of an agent that has been restarted must not remove its successor.
         if current.incarnation != record.incarnation {
-            return Err(Void::Target);
+            return Err(Rejection::Target);
         }
         self.by_name.remove(target);
         self.version = offset;
@@ -55,7 +55,12 @@
     }
 
     /// Removes a target whose host is gone, if it was not announced anew since.
-    pub fn remove(&mut self, offset: u64, target: &TargetId, announced: u64) -> Result<(), Void> {
+    pub fn remove(
+        &mut self,
+        offset: u64,
+        target: &TargetId,
+        announced: u64,
+    ) -> Result<(), Rejection> {
         self.check(target, announced)?;
         self.by_name.remove(target);
         self.version = offset;
@@ -72,7 +77,7 @@
         target: &TargetId,
         announced: u64,
         leaving: bool,
-    ) -> Result<(), Void> {
+    ) -> Result<(), Rejection> {
         self.check(target, announced)?;
         if let Some(entry) = self.by_name.get_mut(target) {
             entry.leaving = leaving;
@@ -87,8 +92,8 @@
     }
 
     /// Whether `target` is still announced as a planner saw it.
-    pub fn check(&self, target: &TargetId, offset: u64) -> Result<(), Void> {
-        let current = self.by_name.get(target).ok_or(Void::Target)?;
-        if current.offset == offset { Ok(()) } else { Err(Void::Target) }
+    pub fn check(&self, target: &TargetId, offset: u64) -> Result<(), Rejection> {
+        let current = self.by_name.get(target).ok_or(Rejection::Target)?;
+        if current.offset == offset { Ok(()) } else { Err(Rejection::Target) }
     }
 }
