--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -133,7 +133,7 @@
         Outcome::Rejected(rejection @ Rejection::Conflict { .. }) => {
             Err(Problem::Conflict(rejection.to_string()))
         }
-        Outcome::Rejected(Rejection::Late { .. }) => {
+        Outcome::Rejected(Rejection::Expired { .. }) => {
             Err(Problem::LogDown("it took the change too late"))
         }
         _ => Err(Problem::Undecided(ticket)),
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -185,10 +185,10 @@
         claim: u64,
         answer: Option<&CallAnswer>,
     ) -> Result<(), Rejection> {
-        let entry = self.by_key.get_mut(&Key::from(key)).ok_or(Rejection::Call)?;
+        let entry = self.by_key.get_mut(&Key::from(key)).ok_or(Rejection::CallConflict)?;
         let digest = match &entry.call {
             Call::Claimed { claim: held, digest, .. } if *held == claim => *digest,
-            _ => return Err(Rejection::Call),
+            _ => return Err(Rejection::CallConflict),
         };
         entry.call = match answer {
             None => Call::NotRun,
@@ -216,7 +216,11 @@
     /// Whether nobody has claimed or voided a key. This comes before any look at the room left:
     /// "full" is told as "not run", which of a claimed key would be false.
     fn check_free(&self, key: &CallKey) -> Result<(), Rejection> {
-        if self.by_key.contains_key(&Key::from(key)) { Err(Rejection::Call) } else { Ok(()) }
+        if self.by_key.contains_key(&Key::from(key)) {
+            Err(Rejection::CallConflict)
+        } else {
+            Ok(())
+        }
     }
 
     fn insert(&mut self, offset: u64, at_ms: u64, key: &CallKey, call: Call) {
--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -61,10 +61,10 @@
         let expected = match self.underway {
             _ if part == 0 => Underway { as_of, first: offset, parts, next_part: 0 },
             Some(underway) => underway,
-            None => return Err(Rejection::Checkpoint),
+            None => return Err(Rejection::CheckpointGap),
         };
         if (expected.as_of, expected.parts, expected.next_part) != (as_of, parts, part) {
-            return Err(Rejection::Checkpoint);
+            return Err(Rejection::CheckpointGap);
         }
         if part + 1 >= parts {
             self.last = Some(Whole { as_of, first: expected.first, at_ms });
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -53,7 +53,7 @@
 pub const fn verdict(outcome: &Outcome) -> Verdict {
     match outcome {
         Outcome::Applied => Verdict::NotRun,
-        Outcome::Rejected(Rejection::Call) => Verdict::Read,
+        Outcome::Rejected(Rejection::CallConflict) => Verdict::Read,
         Outcome::Repeated | Outcome::Rejected(_) => Verdict::Unknown,
     }
 }
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -31,20 +31,20 @@
         base: u64,
     },
     /// the change reached the log after its time ({until}): apply it again
-    Late {
+    Expired {
         /// Last log time at which it would have had effect.
         until: u64,
     },
     /// the lease is held or has moved on: the writer no longer decides
-    Lease,
+    LeaseNotHeld,
     /// the slot is taken or has moved on
-    Slot,
+    SlotConflict,
     /// the target is unknown or was announced anew
-    Target,
+    TargetChanged,
     /// another record for this call came first
-    Call,
+    CallConflict,
     /// a part of the checkpoint is missing: another one follows
-    Checkpoint,
+    CheckpointGap,
     /// as many calls are remembered as may be: come back later
     CallsFull,
 }
@@ -189,7 +189,7 @@
         not_after_ms: u64,
     ) -> Result<(), Rejection> {
         if self.time_ms > not_after_ms {
-            return Err(Rejection::Late { until: not_after_ms });
+            return Err(Rejection::Expired { until: not_after_ms });
         }
         self.documents.change(offset, changes, author)
     }
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -33,7 +33,7 @@
     ) -> Result<(), Rejection> {
         let free = self.holder.is_none() || now >= self.until_ms;
         if epoch != self.epoch + 1 || !free {
-            return Err(Rejection::Lease);
+            return Err(Rejection::LeaseNotHeld);
         }
         let holder = Some((record.writer.clone(), record.incarnation));
         *self = Self { epoch, holder, ttl_ms, until_ms: now + ttl_ms };
@@ -60,7 +60,7 @@
     /// had decided. Its epoch is old by then, so all processes void what it wrote.
     pub fn check(&self, epoch: u64, record: &Record) -> Result<(), Rejection> {
         let held = self.held_by(&record.writer, record.incarnation);
-        if epoch == self.epoch && held { Ok(()) } else { Err(Rejection::Lease) }
+        if epoch == self.epoch && held { Ok(()) } else { Err(Rejection::LeaseNotHeld) }
     }
 
     /// Whether a writer holds the lease.
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -51,7 +51,7 @@
     ) -> Result<(), Rejection> {
         let key = SlotKey { model: model.clone(), index };
         if self.by_key.contains_key(&key) {
-            return Err(Rejection::Slot);
+            return Err(Rejection::SlotConflict);
         }
         self.former.remove(&key);
         self.by_key.insert(key, Slot { target: target.clone(), assigned: offset });
@@ -70,10 +70,10 @@
         record: &Record,
     ) -> Result<(), Rejection> {
         let key = SlotKey { model: model.clone(), index };
-        let slot = self.by_key.get(&key).ok_or(Rejection::Slot)?;
+        let slot = self.by_key.get(&key).ok_or(Rejection::SlotConflict)?;
         let by_owner = slot.target.as_str() == record.writer.as_str();
         if slot.assigned != assigned || !(by_holder || by_owner) {
-            return Err(Rejection::Slot);
+            return Err(Rejection::SlotConflict);
         }
         let owner = slot.target.clone();
         self.by_key.remove(&key);
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -44,10 +44,10 @@
         target: &TargetId,
         record: &Record,
     ) -> Result<(), Rejection> {
-        let current = self.by_name.get(target).ok_or(Rejection::Target)?;
+        let current = self.by_name.get(target).ok_or(Rejection::TargetChanged)?;
         // A late farewell of an agent that has been restarted must not remove its successor.
         if current.incarnation != record.incarnation {
-            return Err(Rejection::Target);
+            return Err(Rejection::TargetChanged);
         }
         self.by_name.remove(target);
         self.version = offset;
@@ -93,7 +93,7 @@
 
     /// Whether `target` is still announced as a planner saw it.
     pub fn check(&self, target: &TargetId, offset: u64) -> Result<(), Rejection> {
-        let current = self.by_name.get(target).ok_or(Rejection::Target)?;
-        if current.offset == offset { Ok(()) } else { Err(Rejection::Target) }
+        let current = self.by_name.get(target).ok_or(Rejection::TargetChanged)?;
+        if current.offset == offset { Ok(()) } else { Err(Rejection::TargetChanged) }
     }
 }
--- a/crates/corianderstand_state/tests/calls.rs
+++ b/crates/corianderstand_state/tests/calls.rs
@@ -45,7 +45,7 @@
     let mut log = Log::default();
     assert_eq!(log.claim("b-1"), Outcome::Applied);
     log.now_ms = 24 * 3600 * 1000 + 1000;
-    assert_eq!(log.claim("b-1"), Outcome::Rejected(Rejection::Call));
+    assert_eq!(log.claim("b-1"), Outcome::Rejected(Rejection::CallConflict));
     log.now_ms = calls::KEEP_MS;
     assert_eq!(log.claim("b-2"), Outcome::Applied);
     assert_eq!(log.known("b-1", 7), Known::Nothing);
@@ -61,7 +61,7 @@
         assert_eq!(log.claim(&format!("b-{number}")), Outcome::Applied);
     }
     assert_eq!(log.claim("one-more"), Outcome::Rejected(Rejection::CallsFull));
-    assert_eq!(log.claim("b-0"), Outcome::Rejected(Rejection::Call));
+    assert_eq!(log.claim("b-0"), Outcome::Rejected(Rejection::CallConflict));
     assert_eq!(log.known("b-0", 7), Known::Claimed);
     assert_eq!(log.write(Body::CallVoided { key: key("other") }), Outcome::Applied);
 }
@@ -73,10 +73,13 @@
     log.claim("b-1");
     let answer = |status| Some(CallAnswer { status, content_type: "".into(), body: None });
     let ended = |claim, answer| Body::CallEnded { key: key("b-1"), claim, answer };
-    assert_eq!(log.write(ended(9, answer(500))), Outcome::Rejected(Rejection::Call));
+    assert_eq!(log.write(ended(9, answer(500))), Outcome::Rejected(Rejection::CallConflict));
     assert_eq!(log.write(ended(1, answer(200))), Outcome::Applied);
-    assert_eq!(log.write(ended(1, None)), Outcome::Rejected(Rejection::Call));
-    assert_eq!(log.write(Body::CallVoided { key: key("b-1") }), Outcome::Rejected(Rejection::Call));
+    assert_eq!(log.write(ended(1, None)), Outcome::Rejected(Rejection::CallConflict));
+    assert_eq!(
+        log.write(Body::CallVoided { key: key("b-1") }),
+        Outcome::Rejected(Rejection::CallConflict)
+    );
     assert!(matches!(log.known("b-1", 7), Known::Ran(answer) if answer.status == 200));
     assert_eq!(log.known("b-1", 8), Known::Conflict);
 }
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -69,11 +69,11 @@
     log.append("e", target("e"));
     assert_eq!(log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL }), Outcome::Applied);
     let early = log.append("r2", Body::LeaseTaken { epoch: 2, ttl_ms: TTL });
-    assert_eq!(early, Outcome::Rejected(Rejection::Lease), "it has not lapsed yet");
+    assert_eq!(early, Outcome::Rejected(Rejection::LeaseNotHeld), "it has not lapsed yet");
     log.now_ms = TTL;
     assert_eq!(log.append("r2", Body::LeaseTaken { epoch: 2, ttl_ms: TTL }), Outcome::Applied);
     for stale in [assigned(1, 0, 1), assigned(2, 0, 1), Body::LeaseRenewed { epoch: 1 }] {
-        assert_eq!(log.append("r1", stale), Outcome::Rejected(Rejection::Lease));
+        assert_eq!(log.append("r1", stale), Outcome::Rejected(Rejection::LeaseNotHeld));
     }
     assert_eq!(log.append("r2", assigned(2, 0, 1)), Outcome::Applied);
 }
@@ -86,12 +86,12 @@
     log.append("e", target("e"));
     log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL });
     log.append("e", target("e"));
-    assert_eq!(log.append("r1", assigned(1, 0, 1)), Outcome::Rejected(Rejection::Target));
+    assert_eq!(log.append("r1", assigned(1, 0, 1)), Outcome::Rejected(Rejection::TargetChanged));
     assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Applied);
     let gone = Body::TargetGone { epoch: 1, target: "e".into(), target_offset: 3 };
     assert_eq!(log.append("r1", gone), Outcome::Applied);
     assert!(log.state.slots.by_key.is_empty(), "its slots go with it");
-    assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Rejected(Rejection::Target));
+    assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Rejected(Rejection::TargetChanged));
 }
 
 /// Two operators change the same document at the same moment. Without the version in the record
@@ -113,7 +113,7 @@
     let mut log = Log::new();
     log.now_ms = 500;
     let late = log.append("r1", settings("a", 0, "{}", 499));
-    assert_eq!(late, Outcome::Rejected(Rejection::Late { until: 499 }));
+    assert_eq!(late, Outcome::Rejected(Rejection::Expired { until: 499 }));
     assert_eq!(log.state.documents.version, 0);
     assert_eq!(log.append("r1", settings("a", 0, "{}", 500)), Outcome::Applied);
 }
