--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -15,7 +15,7 @@
     records::{Body, CallAnswer, CallKey},
 };
 use corianderstand_state::{
-    calls::{self, Known},
+    calls::{self, CallStatus},
     claim::{self, Next},
     fold::Outcome,
 };
@@ -120,8 +120,8 @@
     /// frozen agent could run it minutes after another did.
     async fn call(&self, runner: &Runner, request: &Request, trace: TraceContext) -> Called {
         let snapshot = runner.control.current.load();
-        match snapshot.state.calls.known(&self.key, self.digest) {
-            Known::Nothing => {}
+        match snapshot.state.calls.status(&self.key, self.digest) {
+            CallStatus::Unclaimed => {}
             known => return told(known),
         }
         if !is_in_time(runner, request) {
@@ -143,7 +143,7 @@
                 Err(not_run("its deadline passed before it could begin"))
             }
             Next::Read => {
-                told(runner.control.current.load().state.calls.known(&self.key, self.digest))
+                told(runner.control.current.load().state.calls.status(&self.key, self.digest))
             }
             Next::Refuse => Err(Finish::Refused(RefusalReason::QueueFull, RETRY_FULL)),
         }
@@ -252,15 +252,15 @@
 
 /// The answer to a repeat. Where no outcome can be sent from here, the router waits for it in
 /// its own copy of the log.
-fn told(known: Known) -> Called {
+fn told(known: CallStatus) -> Called {
     match known {
-        Known::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
+        CallStatus::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
             let body = bytes::Bytes::copy_from_slice(&body);
             Ok(Answer { status, content_type, body })
         }
-        Known::NotRun => Err(not_run("it was given up before it began")),
-        Known::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, RETRY_LOG)),
-        Known::Claimed | Known::Nothing | Known::Ran(_) => {
+        CallStatus::NotRun => Err(not_run("it was given up before it began")),
+        CallStatus::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, RETRY_LOG)),
+        CallStatus::Claimed | CallStatus::Unclaimed | CallStatus::Ran(_) => {
             Err(ended(Ending::Unknown { reason: "it was claimed before".into() }))
         }
     }
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -17,7 +17,7 @@
     records::{Body, CallKey},
 };
 use corianderstand_state::{
-    calls::{self, Known},
+    calls::{self, CallStatus},
     claim::{self, Verdict},
 };
 use smol_str::SmolStr;
@@ -70,11 +70,11 @@
             return Err(Problem::KeyForgotten);
         }
         let snapshot = self.control.current.load();
-        match snapshot.state.calls.known(&self.key, self.digest) {
-            Known::Nothing if !snapshot.log_up => {
+        match snapshot.state.calls.status(&self.key, self.digest) {
+            CallStatus::Unclaimed if !snapshot.log_up => {
                 return Err(Problem::Refused(RefusalReason::LogDown, RETRY_LOG));
             }
-            Known::Nothing => {}
+            CallStatus::Unclaimed => {}
             _ => return self.wait().await,
         }
         let mut call = submit()?;
@@ -104,8 +104,8 @@
     }
 
     async fn void(&self) -> Result<Answer, Problem> {
-        let known = self.control.current.load().state.calls.known(&self.key, self.digest);
-        if known != Known::Nothing {
+        let known = self.control.current.load().state.calls.status(&self.key, self.digest);
+        if known != CallStatus::Unclaimed {
             return self.wait().await;
         }
         let left = self.deadline.saturating_duration_since(Instant::now());
@@ -122,17 +122,17 @@
     async fn wait(&self) -> Result<Answer, Problem> {
         let mut changed = self.control.current.subscribe();
         loop {
-            match self.control.current.load().state.calls.known(&self.key, self.digest) {
-                Known::Ran(answer) => return Ok(answer.into()),
-                Known::NotRun => {
+            match self.control.current.load().state.calls.status(&self.key, self.digest) {
+                CallStatus::Ran(answer) => return Ok(answer.into()),
+                CallStatus::NotRun => {
                     return Err(Problem::NotRun("it was given up before it began".into()));
                 }
-                Known::Conflict => {
+                CallStatus::Conflict => {
                     return Err(Problem::Refused(RefusalReason::KeyConflict, RETRY_LOG));
                 }
                 // Forgotten while it was waited for.
-                Known::Nothing => return Err(unknown("its key is no longer remembered")),
-                Known::Claimed => {}
+                CallStatus::Unclaimed => return Err(unknown("its key is no longer remembered")),
+                CallStatus::Claimed => {}
             }
             match time::timeout_at(self.deadline, changed.changed()).await {
                 Ok(Ok(())) => {}
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -94,9 +94,9 @@
 
 /// What a repeat is to be told.
 #[derives(data)]
-pub enum Known {
+pub enum CallStatus {
     /// Nothing: it may be claimed.
-    Nothing,
+    Unclaimed,
     /// It is claimed: an outcome may come.
     Claimed,
     /// It ran.
@@ -143,17 +143,17 @@
     }
 
     /// What a repeat with this digest is to be told.
-    pub fn known(&self, key: &CallKey, digest: u64) -> Known {
+    pub fn status(&self, key: &CallKey, digest: u64) -> CallStatus {
         match self.find(key) {
-            None => Known::Nothing,
-            Some(Call::NotRun) => Known::NotRun,
+            None => CallStatus::Unclaimed,
+            Some(Call::NotRun) => CallStatus::NotRun,
             Some(Call::Claimed { digest: first, .. } | Call::Ran { digest: first, .. })
                 if *first != digest =>
             {
-                Known::Conflict
+                CallStatus::Conflict
             }
-            Some(Call::Claimed { .. }) => Known::Claimed,
-            Some(Call::Ran { answer, .. }) => Known::Ran(answer.clone()),
+            Some(Call::Claimed { .. }) => CallStatus::Claimed,
+            Some(Call::Ran { answer, .. }) => CallStatus::Ran(answer.clone()),
         }
     }
 
--- a/crates/corianderstand_state/tests/calls.rs
+++ b/crates/corianderstand_state/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Record};
 use corianderstand_state::{
-    calls::{self, Known},
+    calls::{self, CallStatus},
     fold::{Outcome, Rejection, State},
 };
 use corianderstand_types::names::{ServiceId, TargetId, WorkspaceId};
@@ -34,8 +34,8 @@
         self.write(Body::Claimed { key: key(name), digest: 7, target })
     }
 
-    fn known(&self, name: &str, digest: u64) -> Known {
-        self.state.calls.known(&key(name), digest)
+    fn status(&self, name: &str, digest: u64) -> CallStatus {
+        self.state.calls.status(&key(name), digest)
     }
 }
 
@@ -48,7 +48,7 @@
     assert_eq!(log.claim("b-1"), Outcome::Rejected(Rejection::CallConflict));
     log.now_ms = calls::KEEP_MS;
     assert_eq!(log.claim("b-2"), Outcome::Applied);
-    assert_eq!(log.known("b-1", 7), Known::Nothing);
+    assert_eq!(log.status("b-1", 7), CallStatus::Unclaimed);
     assert_eq!(log.state.calls.len(), 1);
 }
 
@@ -62,7 +62,7 @@
     }
     assert_eq!(log.claim("one-more"), Outcome::Rejected(Rejection::CallsFull));
     assert_eq!(log.claim("b-0"), Outcome::Rejected(Rejection::CallConflict));
-    assert_eq!(log.known("b-0", 7), Known::Claimed);
+    assert_eq!(log.status("b-0", 7), CallStatus::Claimed);
     assert_eq!(log.write(Body::CallVoided { key: key("other") }), Outcome::Applied);
 }
 
@@ -80,6 +80,6 @@
         log.write(Body::CallVoided { key: key("b-1") }),
         Outcome::Rejected(Rejection::CallConflict)
     );
-    assert!(matches!(log.known("b-1", 7), Known::Ran(answer) if answer.status == 200));
-    assert_eq!(log.known("b-1", 8), Known::Conflict);
+    assert!(matches!(log.status("b-1", 7), CallStatus::Ran(answer) if answer.status == 200));
+    assert_eq!(log.status("b-1", 8), CallStatus::Conflict);
 }
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -6,7 +6,7 @@
 
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Record};
 use corianderstand_state::{
-    calls::Known,
+    calls::CallStatus,
     claim::{self, Next, Verdict},
     fold::{Outcome, State},
 };
@@ -106,8 +106,8 @@
         sequence
     }
 
-    fn known(&self, process: usize, key: usize) -> Known {
-        self.processes[process].state.calls.known(&call_key(key), DIGEST)
+    fn status(&self, process: usize, key: usize) -> CallStatus {
+        self.processes[process].state.calls.status(&call_key(key), DIGEST)
     }
 
     fn decided(&self, process: usize, sequence: u64) -> Option<(u64, Outcome)> {
@@ -187,8 +187,8 @@
         let Some(number) = self.pick() else { return };
         let Request { key, agent, at, waits, .. } = self.requests[number].clone();
         match at {
-            At::Arrived => match self.known(agent, key) {
-                Known::Nothing => {
+            At::Arrived => match self.status(agent, key) {
+                CallStatus::Unclaimed => {
                     let target = TargetId(format!("p-{agent}").as_str().into());
                     let body = Body::Claimed { key: call_key(key), digest: DIGEST, target };
                     let sequence = self.write(agent, body);
@@ -205,7 +205,7 @@
                         self.end(number, Told::NotRun);
                     }
                     Next::Read => {
-                        let known = self.known(agent, key);
+                        let known = self.status(agent, key);
                         self.end_with(number, known);
                     }
                     Next::Refuse => self.end(number, Told::Refused),
@@ -228,10 +228,10 @@
         }
     }
 
-    fn end_with(&mut self, number: usize, known: Known) {
+    fn end_with(&mut self, number: usize, known: CallStatus) {
         let told = match known {
-            Known::Ran(answer) => Told::Ran(answer.status),
-            Known::NotRun => Told::NotRun,
+            CallStatus::Ran(answer) => Told::Ran(answer.status),
+            CallStatus::NotRun => Told::NotRun,
             _ => Told::Unknown,
         };
         self.end(number, told);
@@ -262,7 +262,7 @@
         let Request { key, router, settling: At::Arrived, .. } = self.requests[number] else {
             return;
         };
-        self.requests[number].settling = if self.known(router, key) == Known::Nothing {
+        self.requests[number].settling = if self.status(router, key) == CallStatus::Unclaimed {
             At::Voiding(self.write(router, Body::CallVoided { key: call_key(key) }))
         } else {
             At::Waiting
@@ -282,9 +282,9 @@
                     Verdict::Unknown => self.tell(number, Told::Unknown),
                 }
             }
-            At::Waiting => match self.known(router, key) {
-                Known::Ran(answer) => self.tell(number, Told::Ran(answer.status)),
-                Known::NotRun => self.tell(number, Told::NotRun),
+            At::Waiting => match self.status(router, key) {
+                CallStatus::Ran(answer) => self.tell(number, Told::Ran(answer.status)),
+                CallStatus::NotRun => self.tell(number, Told::NotRun),
                 _ if self.below(6) == 0 => self.tell(number, Told::Unknown),
                 _ => {}
             },
