--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -16,7 +16,7 @@
 };
 use corianderstand_state::{
     calls::{self, CallStatus},
-    claim::{self, Next},
+    claim::{self, ClaimAction},
     fold::Outcome,
 };
 use smol_str::SmolStr;
@@ -136,16 +136,16 @@
             return Err(Finish::Refused(RefusalReason::LogDown, RETRY_LOG));
         };
         let in_time = is_in_time(runner, request);
-        match claim::next(&outcome, true, in_time) {
-            Next::Run => self.run(runner, request, trace, offset).await,
-            Next::Withdraw => {
+        match claim::claim_action(&outcome, true, in_time) {
+            ClaimAction::Run => self.run(runner, request, trace, offset).await,
+            ClaimAction::Withdraw => {
                 self.record(runner, offset, None).await;
                 Err(not_run("its deadline passed before it could begin"))
             }
-            Next::Read => {
+            ClaimAction::ReadStatus => {
                 told(runner.control.current.load().state.calls.status(&self.key, self.digest))
             }
-            Next::Refuse => Err(Finish::Refused(RefusalReason::QueueFull, RETRY_FULL)),
+            ClaimAction::Refuse => Err(Finish::Refused(RefusalReason::QueueFull, RETRY_FULL)),
         }
     }
 
@@ -182,7 +182,7 @@
 
     async fn give_up(&self, runner: &Runner, decided: Result<Decided, AppendError>) {
         let Ok(Decided { offset, outcome }) = decided else { return };
-        if claim::next(&outcome, false, false) == Next::Withdraw {
+        if claim::claim_action(&outcome, false, false) == ClaimAction::Withdraw {
             tracing::warn!(key = %self.key.key, "late claim withdrawn: the call does not run");
             self.record(runner, offset, None).await;
         }
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -13,7 +13,7 @@
 
 /// What to do about a decided claim.
 #[derives(key)]
-pub enum Next {
+pub enum ClaimAction {
     /// Make the call, then record what the service answered.
     Run,
     /// Record that the call did not run.
@@ -29,12 +29,12 @@
 /// A process may be frozen, or the log down, between a claim and its decision, for minutes.
 /// `waits` tells whether the request is still held and `in_time` whether its deadline is ahead.
 /// Without these a booking would run long after its caller had made another.
-pub const fn next(outcome: &Outcome, waits: bool, in_time: bool) -> Next {
+pub const fn claim_action(outcome: &Outcome, waits: bool, in_time: bool) -> ClaimAction {
     match outcome {
-        Outcome::Applied if waits && in_time => Next::Run,
-        Outcome::Applied => Next::Withdraw,
-        Outcome::Rejected(Rejection::CallsFull) => Next::Refuse,
-        Outcome::Repeated | Outcome::Rejected(_) => Next::Read,
+        Outcome::Applied if waits && in_time => ClaimAction::Run,
+        Outcome::Applied => ClaimAction::Withdraw,
+        Outcome::Rejected(Rejection::CallsFull) => ClaimAction::Refuse,
+        Outcome::Repeated | Outcome::Rejected(_) => ClaimAction::ReadStatus,
     }
 }
 
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -7,7 +7,7 @@
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Record};
 use corianderstand_state::{
     calls::CallStatus,
-    claim::{self, Next, Verdict},
+    claim::{self, ClaimAction, Verdict},
     fold::{Outcome, State},
 };
 use corianderstand_types::names::{ServiceId, TargetId, WorkspaceId};
@@ -198,17 +198,17 @@
             },
             At::Claiming(sequence) => {
                 let Some((offset, outcome)) = self.decided(agent, sequence) else { return };
-                match claim::next(&outcome, waits, true) {
-                    Next::Run => self.requests[number].at = At::Calling(offset),
-                    Next::Withdraw => {
+                match claim::claim_action(&outcome, waits, true) {
+                    ClaimAction::Run => self.requests[number].at = At::Calling(offset),
+                    ClaimAction::Withdraw => {
                         self.record(number, offset, None);
                         self.end(number, Told::NotRun);
                     }
-                    Next::Read => {
+                    ClaimAction::ReadStatus => {
                         let known = self.status(agent, key);
                         self.end_with(number, known);
                     }
-                    Next::Refuse => self.end(number, Told::Refused),
+                    ClaimAction::Refuse => self.end(number, Told::Refused),
                 }
             }
             At::Calling(offset) if self.below(5) == 0 => {
