--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -18,7 +18,7 @@
 };
 use corianderstand_state::{
     calls::{self, CallStatus},
-    claim::{self, Verdict},
+    claim::{self, VoidDecision},
 };
 use smol_str::SmolStr;
 use std::{
@@ -111,10 +111,10 @@
         let left = self.deadline.saturating_duration_since(Instant::now());
         let body = Body::CallVoided { key: self.key.clone() };
         let decided = self.control.appender.append(body, left).await;
-        match decided.map(|decided| claim::verdict(&decided.outcome)) {
-            Ok(Verdict::NotRun) => Err(Problem::NotRun("no answer came in time".into())),
-            Ok(Verdict::Read) => self.wait().await,
-            Ok(Verdict::Unknown) | Err(_) => Err(unknown("no answer by the deadline")),
+        match decided.map(|decided| claim::void_decision(&decided.outcome)) {
+            Ok(VoidDecision::NotRun) => Err(Problem::NotRun("no answer came in time".into())),
+            Ok(VoidDecision::ReadStatus) => self.wait().await,
+            Ok(VoidDecision::Unknown) | Err(_) => Err(unknown("no answer by the deadline")),
         }
     }
 
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -19,7 +19,7 @@
     /// Record that the call did not run.
     Withdraw,
     /// Another record for the key came first: tell what the log says of it.
-    Read,
+    ReadStatus,
     /// There is no room for the key: it did not run.
     Refuse,
 }
@@ -40,20 +40,20 @@
 
 /// What a decided void lets a router say.
 #[derives(key)]
-pub enum Verdict {
+pub enum VoidDecision {
     /// Nobody claimed the key before, and nobody can any more.
     NotRun,
     /// Another record came first: what it says is in the log.
-    Read,
+    ReadStatus,
     /// Nothing is settled.
     Unknown,
 }
 
 /// Decides about a void whose record had `outcome`.
-pub const fn verdict(outcome: &Outcome) -> Verdict {
+pub const fn void_decision(outcome: &Outcome) -> VoidDecision {
     match outcome {
-        Outcome::Applied => Verdict::NotRun,
-        Outcome::Rejected(Rejection::CallConflict) => Verdict::Read,
-        Outcome::Repeated | Outcome::Rejected(_) => Verdict::Unknown,
+        Outcome::Applied => VoidDecision::NotRun,
+        Outcome::Rejected(Rejection::CallConflict) => VoidDecision::ReadStatus,
+        Outcome::Repeated | Outcome::Rejected(_) => VoidDecision::Unknown,
     }
 }
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -7,7 +7,7 @@
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Record};
 use corianderstand_state::{
     calls::CallStatus,
-    claim::{self, ClaimAction, Verdict},
+    claim::{self, ClaimAction, VoidDecision},
     fold::{Outcome, State},
 };
 use corianderstand_types::names::{ServiceId, TargetId, WorkspaceId};
@@ -276,10 +276,10 @@
             _ if told.is_some() => {}
             At::Voiding(sequence) => {
                 let Some((_, outcome)) = self.decided(router, sequence) else { return };
-                match claim::verdict(&outcome) {
-                    Verdict::NotRun => self.tell(number, Told::NotRun),
-                    Verdict::Read => self.requests[number].settling = At::Waiting,
-                    Verdict::Unknown => self.tell(number, Told::Unknown),
+                match claim::void_decision(&outcome) {
+                    VoidDecision::NotRun => self.tell(number, Told::NotRun),
+                    VoidDecision::ReadStatus => self.requests[number].settling = At::Waiting,
+                    VoidDecision::Unknown => self.tell(number, Told::Unknown),
                 }
             }
             At::Waiting => match self.status(router, key) {
