--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -238,7 +238,7 @@
 }
 
 fn stored(answer: &Answer) -> CallAnswer {
-    let kept = answer.body.len() <= calls::MAX_ANSWER;
+    let kept = answer.body.len() <= calls::MAX_ANSWER_BODY_BYTES;
     CallAnswer {
         status: answer.status,
         content_type: answer.content_type.clone(),
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -191,7 +191,7 @@
         return false;
     }
     let Ok(made_ms) = u64::from_str_radix(&digits[..12], 16) else { return false };
-    corianderstand_types::clock::unix_ms(now) > made_ms + calls::KEEP_MS
+    corianderstand_types::clock::unix_ms(now) > made_ms + calls::KEY_RETENTION_MS
 }
 
 #[cfg(test)]
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -3,7 +3,7 @@
 //! A key is claimed once and for all. What follows the claim is an outcome: the service's
 //! answer, or that the call certainly did not run. A void says the latter of a key that nobody
 //! has claimed, and keeps anybody from claiming it later. Nothing ever leaves an outcome again
-//! until the key is forgotten, [`KEEP_MS`] after its first record.
+//! until the key is forgotten, [`KEY_RETENTION_MS`] after its first record.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
@@ -15,7 +15,7 @@
 
 /// Time that a key is remembered, by the log's clock: a day, and an hour for repeats that come
 /// "the same time tomorrow".
-pub const KEEP_MS: u64 = 25 * 3600 * 1000;
+pub const KEY_RETENTION_MS: u64 = 25 * 3600 * 1000;
 /// Most keys remembered: every process holds them all, within the memory allowed for control.
 pub const MAX_KEYS: usize = 60_000;
 /// Most keys that voids may fill: a router must be able to tell "not run" when claims cannot.
@@ -23,7 +23,7 @@
 /// Most bytes of answers remembered.
 pub const MAX_ANSWER_BYTES: usize = 24 * 1024 * 1024;
 /// Longest answer that is kept for repeats.
-pub const MAX_ANSWER: usize = 64 * 1024;
+pub const MAX_ANSWER_BODY_BYTES: usize = 64 * 1024;
 
 /// Key of a call, in the order of the map.
 #[derives(name)]
@@ -52,7 +52,7 @@
     pub status: u16,
     /// Content type.
     pub content_type: SmolStr,
-    /// The body; `None` if it was longer than [`MAX_ANSWER`].
+    /// The body; `None` if it was longer than [`MAX_ANSWER_BODY_BYTES`].
     pub body: Option<Arc<[u8]>>,
 }
 
@@ -229,12 +229,12 @@
         self.by_key.insert(key, Entry { call, offset, at_ms });
     }
 
-    /// Forgets keys older than [`KEEP_MS`], so that memory stays bounded. Offsets and log times
+    /// Forgets keys older than [`KEY_RETENTION_MS`], so that memory stays bounded. Offsets and log times
     /// rise together, so the oldest come first.
     fn forget_old(&mut self, now: u64) {
         while let Some((offset, key)) = self.by_offset.get_min().cloned() {
             let at_ms = self.by_key.get(&key).map_or(0, |entry| entry.at_ms);
-            if at_ms + KEEP_MS > now {
+            if at_ms + KEY_RETENTION_MS > now {
                 return;
             }
             self.by_offset.remove(&offset);
--- a/crates/corianderstand_state/tests/calls.rs
+++ b/crates/corianderstand_state/tests/calls.rs
@@ -46,7 +46,7 @@
     assert_eq!(log.claim("b-1"), Outcome::Applied);
     log.now_ms = 24 * 3600 * 1000 + 1000;
     assert_eq!(log.claim("b-1"), Outcome::Rejected(Rejection::CallConflict));
-    log.now_ms = calls::KEEP_MS;
+    log.now_ms = calls::KEY_RETENTION_MS;
     assert_eq!(log.claim("b-2"), Outcome::Applied);
     assert_eq!(log.status("b-1", 7), CallStatus::Unclaimed);
     assert_eq!(log.state.calls.len(), 1);
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -187,7 +187,7 @@
     let mut log = Log::new();
     let key = CallKey { team: "t".into(), service: "s".into(), key: "k".into() };
     log.append("r1", Body::CallVoided { key: key.clone() });
-    let ttl = calls::KEEP_MS;
+    let ttl = calls::KEY_RETENTION_MS;
     log.now_ms = ttl - 1;
     log.append("r2", settings("a", 0, "{}", u64::MAX));
     assert!(log.state.calls.find(&key).is_some());
