--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -15,7 +15,7 @@
 /// A checkpoint that stands whole in the log.
 #[derives(wire)]
 #[derive(Copy, Eq)]
-pub struct Whole {
+pub struct CompleteCheckpoint {
     /// The state's next offset when it was taken.
     pub as_of: u64,
     /// Offset of its first part.
@@ -27,7 +27,7 @@
 /// A checkpoint of which some parts stand in the log.
 #[derives(wire)]
 #[derive(Copy, Eq)]
-pub struct Underway {
+pub struct PartialCheckpoint {
     /// The state's next offset when it was taken.
     pub as_of: u64,
     /// Offset of its first part.
@@ -43,14 +43,14 @@
 #[derive(Default)]
 pub struct Checkpoints {
     /// The last whole one.
-    pub last: Option<Whole>,
+    pub last: Option<CompleteCheckpoint>,
     /// The one being written.
-    pub underway: Option<Underway>,
+    pub underway: Option<PartialCheckpoint>,
 }
 
 impl Checkpoints {
     /// Notes a part; parts come in order, and the first starts anew.
-    pub fn part(
+    pub fn record_part(
         &mut self,
         at: (u64, u64),
         as_of: u64,
@@ -59,7 +59,7 @@
     ) -> Result<(), Rejection> {
         let (offset, at_ms) = at;
         let expected = match self.underway {
-            _ if part == 0 => Underway { as_of, first: offset, parts, next_part: 0 },
+            _ if part == 0 => PartialCheckpoint { as_of, first: offset, parts, next_part: 0 },
             Some(underway) => underway,
             None => return Err(Rejection::CheckpointGap),
         };
@@ -67,10 +67,10 @@
             return Err(Rejection::CheckpointGap);
         }
         if part + 1 >= parts {
-            self.last = Some(Whole { as_of, first: expected.first, at_ms });
+            self.last = Some(CompleteCheckpoint { as_of, first: expected.first, at_ms });
             self.underway = None;
         } else {
-            self.underway = Some(Underway { next_part: part + 1, ..expected });
+            self.underway = Some(PartialCheckpoint { next_part: part + 1, ..expected });
         }
         Ok(())
     }
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -172,7 +172,7 @@
             }
             Body::CheckpointPart { epoch, as_of, part, parts, .. } => {
                 self.lease.check(*epoch, record)?;
-                self.checkpoints.part((offset, now), *as_of, *part, *parts)
+                self.checkpoints.record_part((offset, now), *as_of, *part, *parts)
             }
         }
     }
