--- a/crates/corianderstand_agent/src/release/tests/world.rs
+++ b/crates/corianderstand_agent/src/release/tests/world.rs
@@ -193,7 +193,7 @@
 
     fn restore(&mut self, reader: &mut Reader) -> bool {
         let mut collector = Collector::default();
-        let states = self.log.iter().filter_map(|entry| collector.take(&entry.record));
+        let states = self.log.iter().filter_map(|entry| collector.receive(&entry.record));
         let found = states.filter(|state| state.next >= self.oldest).last();
         let found = found.filter(|state| state.next > reader.state.next);
         let Some(state) = found else { return false };
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -34,7 +34,7 @@
         for entry in &page.entries {
             self.cursor = entry.offset + 1;
             let Ok(record) = postcard::from_bytes::<Record>(&entry.data) else { continue };
-            let whole = self.collector.take(&record);
+            let whole = self.collector.receive(&record);
             found = found.or(whole.filter(|state| state.next >= page.oldest));
         }
         found
--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -131,7 +131,7 @@
 
 impl Collector {
     /// Takes a record; gives the state once all parts of one checkpoint have come.
-    pub fn take(&mut self, record: &Record) -> Option<State> {
+    pub fn receive(&mut self, record: &Record) -> Option<State> {
         let Body::CheckpointPart { as_of, part, parts, digest, data, .. } = &record.body else {
             return None;
         };
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -149,7 +149,7 @@
     let kept = log.entries.iter().filter(|(offset, ..)| *offset >= last.as_of);
     let mut restored = None;
     for (_, _, record) in kept.clone() {
-        restored = collector.take(record).or(restored);
+        restored = collector.receive(record).or(restored);
     }
     let mut restored = restored.expect("the parts are whole");
     for (offset, at_ms, record) in kept {
@@ -174,7 +174,7 @@
     for body in mixed {
         let (writer, incarnation) = ("r1".into(), 1);
         let record = Record { writer, incarnation, sequence: 1, body: body.clone() };
-        assert_eq!(collector.take(&record), None);
+        assert_eq!(collector.receive(&record), None);
         log.append("r1", body.clone());
     }
     assert_eq!(log.state.checkpoints.last, None);
