--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -136,7 +136,7 @@
                 self.history.note((offset, now), ticket, author, changes, &result);
                 result
             }
-            Body::LeaseTaken { epoch, ttl_ms } => self.lease.take(*epoch, *ttl_ms, now, record),
+            Body::LeaseTaken { epoch, ttl_ms } => self.lease.acquire(*epoch, *ttl_ms, now, record),
             Body::LeaseRenewed { epoch } => self.lease.renew(*epoch, now, record),
             Body::LeaseReleased { epoch } => self.lease.release(*epoch, record),
             Body::TargetUp { target } => {
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -24,7 +24,7 @@
 
 impl Lease {
     /// Takes the lease if it is free or has lapsed.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         epoch: u64,
         ttl_ms: u64,
