--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -168,7 +168,7 @@
             }
             Body::TargetMarked { epoch, target, target_offset, leaving } => {
                 self.lease.check(*epoch, record)?;
-                self.targets.mark(offset, target, *target_offset, *leaving)
+                self.targets.set_leaving(offset, target, *target_offset, *leaving)
             }
             Body::CheckpointPart { epoch, as_of, part, parts, .. } => {
                 self.lease.check(*epoch, record)?;
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -71,7 +71,7 @@
     ///
     /// The host list is long, so agents do not read it and routers read it seldom. Without this
     /// record a leaving target would get new work until they did, and would keep its slots.
-    pub fn mark(
+    pub fn set_leaving(
         &mut self,
         offset: u64,
         target: &TargetId,
