--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -133,7 +133,7 @@
         match &record.body {
             Body::Settings { changes, author, ticket, not_after_ms } => {
                 let result = self.change(offset, changes, author, *not_after_ms);
-                self.history.note((offset, now), ticket, author, changes, &result);
+                self.history.record((offset, now), ticket, author, changes, &result);
                 result
             }
             Body::LeaseTaken { epoch, ttl_ms } => self.lease.acquire(*epoch, *ttl_ms, now, record),
--- a/crates/corianderstand_state/src/history.rs
+++ b/crates/corianderstand_state/src/history.rs
@@ -38,7 +38,7 @@
 
 impl History {
     /// Notes what became of a change.
-    pub fn note(
+    pub fn record(
         &mut self,
         at: (u64, u64),
         ticket: &SmolStr,
