--- a/crates/corianderstand_state/src/expiry.rs
+++ b/crates/corianderstand_state/src/expiry.rs
@@ -7,7 +7,7 @@
 use crate::fold::State;
 
 /// Step of log time at which the state is swept.
-pub const SWEEP_MS: u64 = 60_000;
+pub const SWEEP_INTERVAL_MS: u64 = 60_000;
 /// Time without a record after which a writer's progress is forgotten. A repeat of an append
 /// comes within the time that one process tries it; a process that was away for a day and then
 /// repeats one meets the record's own condition, as every record has one.
@@ -15,7 +15,7 @@
 
 /// Whether a sweep is due between two log times.
 pub const fn is_due(before_ms: u64, now_ms: u64) -> bool {
-    before_ms / SWEEP_MS != now_ms / SWEEP_MS
+    before_ms / SWEEP_INTERVAL_MS != now_ms / SWEEP_INTERVAL_MS
 }
 
 /// Drops writers and former owners of slots that are too old.
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -192,7 +192,7 @@
     log.append("r2", settings("a", 0, "{}", u64::MAX));
     assert!(log.state.calls.find(&key).is_some());
     assert!(!log.state.writers.contains_key(&WriterId::from("r1")), "silent for more than a day");
-    log.now_ms = ttl + expiry::SWEEP_MS;
+    log.now_ms = ttl + expiry::SWEEP_INTERVAL_MS;
     let other = CallKey { key: "other".into(), ..key.clone() };
     log.append("r2", Body::CallVoided { key: other });
     assert!(log.state.calls.find(&key).is_none());
