--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -102,7 +102,7 @@
     /// Time.
     pub clock: clock::SharedClock,
     /// Callers' connections, and the pauses of this process.
-    pub pauses: Arc<pause::PauseWatch>,
+    pub pauses: Arc<pause::PauseDetector>,
     /// Start of this process, in Unix milliseconds.
     pub incarnation: u64,
     /// What it believes of the fleet.
@@ -391,7 +391,7 @@
         let shared = Rc::new(Shared {
             platform,
             incarnation: clock::unix_ms(clock.wall()),
-            pauses: Arc::new(pause::PauseWatch::new(clock.since_boot())),
+            pauses: Arc::new(pause::PauseDetector::new(clock.since_boot())),
             clock,
             view: RefCell::default(),
             peers: RefCell::default(),
@@ -432,7 +432,7 @@
 /// Turns the watch for pauses on the thread that reads requests.
 async fn watch_pauses<P>(shared: Rc<Shared<P>>) {
     loop {
-        shared.pauses.turn(shared.clock.since_boot());
+        shared.pauses.tick(shared.clock.since_boot());
         tokio::time::sleep(pause::TURN).await;
     }
 }
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -3,7 +3,7 @@
 use crate::{body, exchange, router};
 use bytes::Bytes;
 use corianderstand_fleet::config;
-use corianderstand_types::pause::{self, PauseWatch};
+use corianderstand_types::pause::{self, PauseDetector};
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use http_body_util::Full;
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
@@ -115,7 +115,7 @@
 }
 
 /// Takes a caller's connection; notes when there is none.
-async fn accept_caller(watch: &PauseWatch, listener: &TcpListener) -> Option<TcpStream> {
+async fn accept_caller(watch: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
     let mut accept = pin!(accept(listener));
     future::poll_fn(|cx| watch.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
 }
--- a/crates/corianderstand_router/src/arrivals.rs
+++ b/crates/corianderstand_router/src/arrivals.rs
@@ -2,7 +2,7 @@
 //!
 //! A handler knows its connection by the caller's address only, so the two are joined here.
 
-use corianderstand_types::pause::{Connection, PauseWatch, Watched};
+use corianderstand_types::pause::{Connection, PauseDetector, Watched};
 use salvo::{
     conn::{
         Accepted, Acceptor, Holding, StraightStream,
@@ -23,19 +23,19 @@
 /// Connections held now, by their callers' addresses.
 #[derive(Debug)]
 pub struct Arrivals {
-    watch: Arc<PauseWatch>,
+    watch: Arc<PauseDetector>,
     by_caller: Mutex<HashMap<SocketAddr, Weak<Connection>>>,
 }
 
 impl Arrivals {
     /// None yet.
     pub fn new(now: Duration) -> Arc<Self> {
-        Arc::new(Self { watch: Arc::new(PauseWatch::new(now)), by_caller: Mutex::default() })
+        Arc::new(Self { watch: Arc::new(PauseDetector::new(now)), by_caller: Mutex::default() })
     }
 
     /// Turns the watch for pauses.
     pub fn turn(&self, now: Duration) {
-        self.watch.turn(now);
+        self.watch.tick(now);
         self.lock().retain(|_, connection| connection.strong_count() > 0);
     }
 
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -9,11 +9,11 @@
 //! request from before it.
 //!
 //! ```
-//! use corianderstand_types::pause::{PauseWatch, TURN};
+//! use corianderstand_types::pause::{PauseDetector, TURN};
 //! use std::time::Duration;
 //!
 //! let began = Duration::ZERO;
-//! let watch = PauseWatch::new(began);
+//! let watch = PauseDetector::new(began);
 //! let connection = watch.connection();
 //! assert!(!watch.is_doubtful(began + TURN, &connection));
 //! assert!(watch.is_doubtful(began + Duration::from_secs(5), &connection));
@@ -36,7 +36,7 @@
 
 /// Counts the pauses of this process, and knows its connections.
 #[derive(Debug)]
-pub struct PauseWatch {
+pub struct PauseDetector {
     state: Mutex<State>,
     listener: Arc<Connection>,
 }
@@ -68,7 +68,7 @@
     waker: Option<Waker>,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// Nothing has been missed yet.
     pub fn new(now: Duration) -> Self {
         let state =
@@ -80,7 +80,7 @@
     ///
     /// After a pause all connections are asked to look at their sockets once more, so that one which
     /// was idle all the while does not count as doubtful when its next request comes.
-    pub fn turn(&self, now: Duration) {
+    pub fn tick(&self, now: Duration) {
         let mut state = self.lock();
         state.note(now);
         let pauses = state.pauses;
@@ -186,13 +186,13 @@
 #[derive(Debug)]
 pub struct Watched<S> {
     inner: S,
-    watch: Arc<PauseWatch>,
+    watch: Arc<PauseDetector>,
     connection: Arc<Connection>,
 }
 
 impl<S> Watched<S> {
     /// A connection that was just taken.
-    pub fn new(inner: S, watch: Arc<PauseWatch>) -> Self {
+    pub fn new(inner: S, watch: Arc<PauseDetector>) -> Self {
         let connection = watch.connection();
         Self { inner, watch, connection }
     }
--- a/crates/corianderstand_types/src/pause/tests.rs
+++ b/crates/corianderstand_types/src/pause/tests.rs
@@ -1,6 +1,6 @@
 //! Sockets with requests from before a pause, read in each order that a scheduler may take.
 
-use super::{PAUSE, PauseWatch, TURN, Watched};
+use super::{PAUSE, PauseDetector, TURN, Watched};
 use rstest::rstest;
 use std::{
     pin::Pin,
@@ -18,7 +18,7 @@
     connection: Watched<DuplexStream>,
 }
 
-fn connect(watch: &Arc<PauseWatch>) -> Caller {
+fn connect(watch: &Arc<PauseDetector>) -> Caller {
     let (sends, taken) = tokio::io::duplex(64);
     Caller { sends, connection: Watched::new(taken, watch.clone()) }
 }
@@ -38,16 +38,16 @@
         Pin::new(&mut self.connection).poll_read(&mut cx, &mut buf).is_ready()
     }
 
-    fn is_doubtful(&self, watch: &PauseWatch, now: Duration) -> bool {
+    fn is_doubtful(&self, watch: &PauseDetector, now: Duration) -> bool {
         watch.is_doubtful(now, &self.connection.connection)
     }
 }
 
 /// Turns as often as a running process does, and leaves time for none.
-fn run_until(watch: &PauseWatch, from: Duration, until: Duration) {
+fn run_until(watch: &PauseDetector, from: Duration, until: Duration) {
     let mut now = from;
     while now < until {
-        watch.turn(now);
+        watch.tick(now);
         now += TURN;
     }
 }
@@ -61,7 +61,7 @@
 #[case::read_long_after(LONG_AFTER)]
 fn a_request_from_before_a_pause_is_known_whenever_it_is_read(#[case] read_after: Duration) {
     let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
+    let watch = Arc::new(PauseDetector::new(began));
     let mut caller = connect(&watch);
     caller.send();
     let resumed = began + PAUSE * 3;
@@ -75,7 +75,7 @@
 #[rstest]
 fn two_requests_that_ask_at_once_are_both_doubtful() {
     let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
+    let watch = Arc::new(PauseDetector::new(began));
     let (mut first, mut second) = (connect(&watch), connect(&watch));
     first.send();
     second.send();
@@ -91,15 +91,15 @@
 #[rstest]
 fn a_look_before_the_system_was_asked_again_proves_nothing() {
     let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
+    let watch = Arc::new(PauseDetector::new(began));
     let mut caller = connect(&watch);
     let resumed = began + PAUSE * 3;
     // Another request notices the pause, then the watch has the turn that was due before it.
     assert!(caller.is_doubtful(&watch, resumed));
-    watch.turn(resumed);
+    watch.tick(resumed);
     assert!(!caller.read(), "what was known before the pause");
     caller.send();
-    watch.turn(resumed + TURN);
+    watch.tick(resumed + TURN);
     assert!(caller.read());
     assert!(caller.is_doubtful(&watch, resumed + TURN));
 }
@@ -109,7 +109,7 @@
 #[rstest]
 fn later_requests_run_again() {
     let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
+    let watch = Arc::new(PauseDetector::new(began));
     let mut idle = connect(&watch);
     assert!(!idle.read());
     let resumed = began + PAUSE * 3;
@@ -131,7 +131,7 @@
 #[rstest]
 fn a_connection_that_waited_to_be_taken_is_doubtful() {
     let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
+    let watch = Arc::new(PauseDetector::new(began));
     let resumed = began + PAUSE * 3;
     run_until(&watch, resumed, resumed + LONG_AFTER);
     let mut caller = connect(&watch);
