--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -433,7 +433,7 @@
 async fn watch_pauses<P>(shared: Rc<Shared<P>>) {
     loop {
         shared.pauses.tick(shared.clock.since_boot());
-        tokio::time::sleep(pause::TURN).await;
+        tokio::time::sleep(pause::TICK_INTERVAL).await;
     }
 }
 
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -241,7 +241,7 @@
 async fn watch(door: Arc<Door>) {
     loop {
         door.arrivals.turn(door.clock.since_boot());
-        time::sleep(pause::TURN).await;
+        time::sleep(pause::TICK_INTERVAL).await;
     }
 }
 
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -9,13 +9,13 @@
 //! request from before it.
 //!
 //! ```
-//! use corianderstand_types::pause::{PauseDetector, TURN};
+//! use corianderstand_types::pause::{PauseDetector, TICK_INTERVAL};
 //! use std::time::Duration;
 //!
 //! let began = Duration::ZERO;
 //! let watch = PauseDetector::new(began);
 //! let connection = watch.connection();
-//! assert!(!watch.is_doubtful(began + TURN, &connection));
+//! assert!(!watch.is_doubtful(began + TICK_INTERVAL, &connection));
 //! assert!(watch.is_doubtful(began + Duration::from_secs(5), &connection));
 //! ```
 
@@ -29,10 +29,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Time between two turns of the watch.
-pub const TURN: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without a turn that counts as a pause: callers give up after seconds at the earliest, and a
 /// busy host leaves a process without the processor for some 100 ms.
-pub const PAUSE: Duration = Duration::from_secs(1);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Counts the pauses of this process, and knows its connections.
 #[derive(Debug)]
@@ -76,7 +76,7 @@
         Self { state: Mutex::new(state), listener: Arc::new(Connection::seen_at(0)) }
     }
 
-    /// Turns the watch; called each [`TURN`] by a task of the runtime that reads requests.
+    /// Turns the watch; called each [`TICK_INTERVAL`] by a task of the runtime that reads requests.
     ///
     /// After a pause all connections are asked to look at their sockets once more, so that one which
     /// was idle all the while does not count as doubtful when its next request comes.
@@ -157,7 +157,7 @@
 impl State {
     /// Notes a turn.
     fn note(&mut self, now: Duration) {
-        let paused = now.saturating_sub(self.turned) > PAUSE;
+        let paused = now.saturating_sub(self.turned) > PAUSE_THRESHOLD;
         self.turned = self.turned.max(now);
         if paused {
             self.pauses += 1;
--- a/crates/corianderstand_types/src/pause/tests.rs
+++ b/crates/corianderstand_types/src/pause/tests.rs
@@ -1,6 +1,6 @@
 //! Sockets with requests from before a pause, read in each order that a scheduler may take.
 
-use super::{PAUSE, PauseDetector, TURN, Watched};
+use super::{PAUSE_THRESHOLD, PauseDetector, TICK_INTERVAL, Watched};
 use rstest::rstest;
 use std::{
     pin::Pin,
@@ -48,7 +48,7 @@
     let mut now = from;
     while now < until {
         watch.tick(now);
-        now += TURN;
+        now += TICK_INTERVAL;
     }
 }
 
@@ -64,7 +64,7 @@
     let watch = Arc::new(PauseDetector::new(began));
     let mut caller = connect(&watch);
     caller.send();
-    let resumed = began + PAUSE * 3;
+    let resumed = began + PAUSE_THRESHOLD * 3;
     run_until(&watch, resumed, resumed + read_after);
     assert!(caller.read());
     assert!(caller.is_doubtful(&watch, resumed + read_after));
@@ -80,7 +80,7 @@
     first.send();
     second.send();
     assert!(first.read());
-    let resumed = began + PAUSE * 3;
+    let resumed = began + PAUSE_THRESHOLD * 3;
     assert!(first.is_doubtful(&watch, resumed));
     assert!(second.read());
     assert!(second.is_doubtful(&watch, resumed));
@@ -93,15 +93,15 @@
     let began = Duration::ZERO;
     let watch = Arc::new(PauseDetector::new(began));
     let mut caller = connect(&watch);
-    let resumed = began + PAUSE * 3;
+    let resumed = began + PAUSE_THRESHOLD * 3;
     // Another request notices the pause, then the watch has the turn that was due before it.
     assert!(caller.is_doubtful(&watch, resumed));
     watch.tick(resumed);
     assert!(!caller.read(), "what was known before the pause");
     caller.send();
-    watch.tick(resumed + TURN);
+    watch.tick(resumed + TICK_INTERVAL);
     assert!(caller.read());
-    assert!(caller.is_doubtful(&watch, resumed + TURN));
+    assert!(caller.is_doubtful(&watch, resumed + TICK_INTERVAL));
 }
 
 /// A caller keeps a connection for its next booking while the router is frozen, and another connects
@@ -112,8 +112,8 @@
     let watch = Arc::new(PauseDetector::new(began));
     let mut idle = connect(&watch);
     assert!(!idle.read());
-    let resumed = began + PAUSE * 3;
-    run_until(&watch, resumed, resumed + TURN * 3);
+    let resumed = began + PAUSE_THRESHOLD * 3;
+    run_until(&watch, resumed, resumed + TICK_INTERVAL * 3);
     // The watch wakes the connection and the listener, which look again.
     assert!(!idle.read());
     let mut cx = Context::from_waker(Waker::noop());
@@ -122,7 +122,7 @@
     for caller in [&mut idle, &mut new] {
         caller.send();
         assert!(caller.read());
-        assert!(!caller.is_doubtful(&watch, resumed + TURN * 3));
+        assert!(!caller.is_doubtful(&watch, resumed + TICK_INTERVAL * 3));
     }
 }
 
@@ -132,7 +132,7 @@
 fn a_connection_that_waited_to_be_taken_is_doubtful() {
     let began = Duration::ZERO;
     let watch = Arc::new(PauseDetector::new(began));
-    let resumed = began + PAUSE * 3;
+    let resumed = began + PAUSE_THRESHOLD * 3;
     run_until(&watch, resumed, resumed + LONG_AFTER);
     let mut caller = connect(&watch);
     caller.send();
