--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -15,8 +15,8 @@
 //! let began = Duration::ZERO;
 //! let watch = PauseDetector::new(began);
 //! let connection = watch.connection();
-//! assert!(!watch.is_doubtful(began + TICK_INTERVAL, &connection));
-//! assert!(watch.is_doubtful(began + Duration::from_secs(5), &connection));
+//! assert!(!watch.may_predate_pause(began + TICK_INTERVAL, &connection));
+//! assert!(watch.may_predate_pause(began + Duration::from_secs(5), &connection));
 //! ```
 
 use std::{
@@ -112,7 +112,7 @@
 
     /// Whether a request that was read from the connection may have been sent before a pause of this
     /// process; also notes a pause that nobody has seen yet.
-    pub fn is_doubtful(&self, now: Duration, connection: &Connection) -> bool {
+    pub fn may_predate_pause(&self, now: Duration, connection: &Connection) -> bool {
         let mut state = self.lock();
         state.note(now);
         state.pauses != connection.lock().pauses
--- a/crates/corianderstand_types/src/pause/tests.rs
+++ b/crates/corianderstand_types/src/pause/tests.rs
@@ -38,8 +38,8 @@
         Pin::new(&mut self.connection).poll_read(&mut cx, &mut buf).is_ready()
     }
 
-    fn is_doubtful(&self, watch: &PauseDetector, now: Duration) -> bool {
-        watch.is_doubtful(now, &self.connection.connection)
+    fn may_predate_pause(&self, watch: &PauseDetector, now: Duration) -> bool {
+        watch.may_predate_pause(now, &self.connection.connection)
     }
 }
 
@@ -67,7 +67,7 @@
     let resumed = began + PAUSE_THRESHOLD * 3;
     run_until(&watch, resumed, resumed + read_after);
     assert!(caller.read());
-    assert!(caller.is_doubtful(&watch, resumed + read_after));
+    assert!(caller.may_predate_pause(&watch, resumed + read_after));
 }
 
 /// The process is frozen between reading a booking and looking at the time, and another request
@@ -81,9 +81,9 @@
     second.send();
     assert!(first.read());
     let resumed = began + PAUSE_THRESHOLD * 3;
-    assert!(first.is_doubtful(&watch, resumed));
+    assert!(first.may_predate_pause(&watch, resumed));
     assert!(second.read());
-    assert!(second.is_doubtful(&watch, resumed));
+    assert!(second.may_predate_pause(&watch, resumed));
 }
 
 /// After the pause the runtime polls a connection by what it knew of the socket before, and finds
@@ -95,13 +95,13 @@
     let mut caller = connect(&watch);
     let resumed = began + PAUSE_THRESHOLD * 3;
     // Another request notices the pause, then the watch has the turn that was due before it.
-    assert!(caller.is_doubtful(&watch, resumed));
+    assert!(caller.may_predate_pause(&watch, resumed));
     watch.tick(resumed);
     assert!(!caller.read(), "what was known before the pause");
     caller.send();
     watch.tick(resumed + TICK_INTERVAL);
     assert!(caller.read());
-    assert!(caller.is_doubtful(&watch, resumed + TICK_INTERVAL));
+    assert!(caller.may_predate_pause(&watch, resumed + TICK_INTERVAL));
 }
 
 /// A caller keeps a connection for its next booking while the router is frozen, and another connects
@@ -122,7 +122,7 @@
     for caller in [&mut idle, &mut new] {
         caller.send();
         assert!(caller.read());
-        assert!(!caller.is_doubtful(&watch, resumed + TICK_INTERVAL * 3));
+        assert!(!caller.may_predate_pause(&watch, resumed + TICK_INTERVAL * 3));
     }
 }
 
@@ -137,5 +137,5 @@
     let mut caller = connect(&watch);
     caller.send();
     assert!(caller.read());
-    assert!(caller.is_doubtful(&watch, resumed + LONG_AFTER));
+    assert!(caller.may_predate_pause(&watch, resumed + LONG_AFTER));
 }
