--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -196,7 +196,7 @@
     let limits = limits.unwrap_or_default();
     tokio::task::spawn_local(async move {
         let served = Cell::new(false);
-        let stream = pause::Watched::new(stream, shared.pauses.clone());
+        let stream = pause::WatchedStream::new(stream, shared.pauses.clone());
         let seen = stream.connection();
         let service = service_fn(|req| {
             served.set(true);
--- a/crates/corianderstand_router/src/arrivals.rs
+++ b/crates/corianderstand_router/src/arrivals.rs
@@ -2,7 +2,7 @@
 //!
 //! A handler knows its connection by the caller's address only, so the two are joined here.
 
-use corianderstand_types::pause::{Connection, PauseDetector, Watched};
+use corianderstand_types::pause::{Connection, PauseDetector, WatchedStream};
 use salvo::{
     conn::{
         Accepted, Acceptor, Holding, StraightStream,
@@ -65,7 +65,7 @@
 
 impl Acceptor for WatchedAcceptor {
     type Coupler = TcpCoupler<Self::Stream>;
-    type Stream = Watched<StraightStream<TcpStream>>;
+    type Stream = WatchedStream<StraightStream<TcpStream>>;
 
     fn holdings(&self) -> &[Holding] {
         self.inner.holdings()
@@ -82,7 +82,7 @@
         };
         let accepted = future::poll_fn(poll).await?;
         let caller = accepted.remote_addr.clone().into_std();
-        let wrap = |stream| Watched::new(stream, arrivals.watch.clone());
+        let wrap = |stream| WatchedStream::new(stream, arrivals.watch.clone());
         let accepted = accepted.map_into(|_| TcpCoupler::new(), wrap);
         if let Some(caller) = caller {
             let connection = accepted.stream.connection();
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -184,13 +184,13 @@
 
 /// A caller's connection that notes when it was last seen empty.
 #[derive(Debug)]
-pub struct Watched<S> {
+pub struct WatchedStream<S> {
     inner: S,
     watch: Arc<PauseDetector>,
     connection: Arc<Connection>,
 }
 
-impl<S> Watched<S> {
+impl<S> WatchedStream<S> {
     /// A connection that was just taken.
     pub fn new(inner: S, watch: Arc<PauseDetector>) -> Self {
         let connection = watch.connection();
@@ -203,7 +203,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for WatchedStream<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -215,7 +215,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for WatchedStream<S> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/corianderstand_types/src/pause/tests.rs
+++ b/crates/corianderstand_types/src/pause/tests.rs
@@ -1,6 +1,6 @@
 //! Sockets with requests from before a pause, read in each order that a scheduler may take.
 
-use super::{PAUSE_THRESHOLD, PauseDetector, TICK_INTERVAL, Watched};
+use super::{PAUSE_THRESHOLD, PauseDetector, TICK_INTERVAL, WatchedStream};
 use rstest::rstest;
 use std::{
     pin::Pin,
@@ -15,12 +15,12 @@
 
 struct Caller {
     sends: DuplexStream,
-    connection: Watched<DuplexStream>,
+    connection: WatchedStream<DuplexStream>,
 }
 
 fn connect(watch: &Arc<PauseDetector>) -> Caller {
     let (sends, taken) = tokio::io::duplex(64);
-    Caller { sends, connection: Watched::new(taken, watch.clone()) }
+    Caller { sends, connection: WatchedStream::new(taken, watch.clone()) }
 }
 
 impl Caller {
