--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -118,7 +118,7 @@
     async fn take(&mut self, message: ToAgent, body: Bytes) -> Result<(), FrameError> {
         match message {
             ToAgent::Hello { router, incarnation, protocol } => {
-                self.greeted = incarnation != corianderstand_link::ASKING;
+                self.greeted = incarnation != corianderstand_link::STATUS_QUERY_INCARNATION;
                 self.welcome(&router.0, protocol).await
             }
             ToAgent::Open(open) => self.open(open, body),
--- a/crates/corianderstand_link/src/lib.rs
+++ b/crates/corianderstand_link/src/lib.rs
@@ -23,4 +23,4 @@
 pub const PROTOCOL: u32 = 2;
 
 /// Incarnation of a router in the greeting of a connection that only asks what is loaded.
-pub const ASKING: u64 = 0;
+pub const STATUS_QUERY_INCARNATION: u64 = 0;
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -7,7 +7,7 @@
 
 use crate::http::Door;
 use corianderstand_link::{
-    ASKING, PROTOCOL, connection,
+    PROTOCOL, STATUS_QUERY_INCARNATION, connection,
     frame::{self, FrameError},
 };
 use corianderstand_schema::{
@@ -130,7 +130,11 @@
     let stream = TcpStream::connect(address).await?;
     let (mut reader, writer) = connection::split(stream, TIMEOUT)?;
     let (out, rx) = mpsc::channel(2);
-    let hello = ToAgent::Hello { router: name.clone(), incarnation: ASKING, protocol: PROTOCOL };
+    let hello = ToAgent::Hello {
+        router: name.clone(),
+        incarnation: STATUS_QUERY_INCARNATION,
+        protocol: PROTOCOL,
+    };
     for message in [hello, ToAgent::List] {
         let frame = frame::encode(&message, b"")?;
         out.send(frame).await.map_err(|_| FrameError::Closed)?;
