--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// [`FrameError::Silent`] after the limit on silence; others if the connection broke.
+    /// [`FrameError::IdleTimeout`] after the limit on silence; others if the connection broke.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<(T, Bytes), FrameError> {
         loop {
             let until = self.heard + self.silence;
@@ -73,7 +73,7 @@
             }
             let buffered = self.frames.read_buffer().len();
             if buffered <= self.buffered {
-                return Err(FrameError::Silent(self.silence.as_millis()));
+                return Err(FrameError::IdleTimeout(self.silence.as_millis()));
             }
             (self.heard, self.buffered) = (Instant::now(), buffered);
         }
@@ -96,7 +96,7 @@
                 SinkExt::<Bytes>::flush(&mut self.frames).await
             };
             let written = time::timeout(self.silence, write).await;
-            written.map_err(|_| FrameError::Silent(self.silence.as_millis()))??;
+            written.map_err(|_| FrameError::IdleTimeout(self.silence.as_millis()))??;
         }
         Ok(())
     }
--- a/crates/corianderstand_link/src/frame.rs
+++ b/crates/corianderstand_link/src/frame.rs
@@ -14,7 +14,7 @@
     /// the connection broke ({0}): it is made anew
     Io(std::io::Error),
     /// nothing came for {0} ms: the connection is given up and made anew
-    Silent(u128),
+    IdleTimeout(u128),
     /// the other end closed the connection: it is made anew
     Closed,
 }
--- a/crates/corianderstand_link/tests/silence.rs
+++ b/crates/corianderstand_link/tests/silence.rs
@@ -45,7 +45,7 @@
             }
         });
         let error = noticed.await.expect("noticed at all").expect_err("nothing was sent");
-        assert!(matches!(error, FrameError::Silent(_)), "{error}");
+        assert!(matches!(error, FrameError::IdleTimeout(_)), "{error}");
     });
 }
 
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -140,7 +140,7 @@
                     Beat::Rest => Ok(()),
                     Beat::Ping(nonce) => self.control(&ToAgent::Ping { nonce }).await,
                     Beat::Idle => return Ended::Idle,
-                    Beat::Silent(silence) => Err(FrameError::Silent(silence.as_millis())),
+                    Beat::Silent(silence) => Err(FrameError::IdleTimeout(silence.as_millis())),
                 }
             };
             if let Err(error) = done {
