--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -167,8 +167,8 @@
         target: &TargetId,
         record: &Record,
     ) -> Result<(), Rejection> {
-        self.forget_old(now);
-        self.check_free(key)?;
+        self.remove_expired(now);
+        self.ensure_unclaimed(key)?;
         if self.by_key.len() >= MAX_KEYS || self.answer_bytes >= MAX_ANSWER_BYTES {
             return Err(Rejection::CallsFull);
         }
@@ -204,8 +204,8 @@
 
     /// Declares a call not run, if nobody has claimed it.
     pub fn void(&mut self, offset: u64, now: u64, key: &CallKey) -> Result<(), Rejection> {
-        self.forget_old(now);
-        self.check_free(key)?;
+        self.remove_expired(now);
+        self.ensure_unclaimed(key)?;
         if self.by_key.len() >= MAX_KEYS_VOIDED {
             return Err(Rejection::CallsFull);
         }
@@ -215,7 +215,7 @@
 
     /// Whether nobody has claimed or voided a key. This comes before any look at the room left:
     /// "full" is told as "not run", which of a claimed key would be false.
-    fn check_free(&self, key: &CallKey) -> Result<(), Rejection> {
+    fn ensure_unclaimed(&self, key: &CallKey) -> Result<(), Rejection> {
         if self.by_key.contains_key(&Key::from(key)) {
             Err(Rejection::CallConflict)
         } else {
@@ -231,7 +231,7 @@
 
     /// Forgets keys older than [`KEY_RETENTION_MS`], so that memory stays bounded. Offsets and log times
     /// rise together, so the oldest come first.
-    fn forget_old(&mut self, now: u64) {
+    fn remove_expired(&mut self, now: u64) {
         while let Some((offset, key)) = self.by_offset.get_min().cloned() {
             let at_ms = self.by_key.get(&key).map_or(0, |entry| entry.at_ms);
             if at_ms + KEY_RETENTION_MS > now {
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -27,11 +27,11 @@
 /// Decides about a claim whose record had `outcome`.
 ///
 /// A process may be frozen, or the log down, between a claim and its decision, for minutes.
-/// `waits` tells whether the request is still held and `in_time` whether its deadline is ahead.
+/// `is_pending` tells whether the request is still held and `in_time` whether its deadline is ahead.
 /// Without these a booking would run long after its caller had made another.
-pub const fn claim_action(outcome: &Outcome, waits: bool, in_time: bool) -> ClaimAction {
+pub const fn claim_action(outcome: &Outcome, is_pending: bool, in_time: bool) -> ClaimAction {
     match outcome {
-        Outcome::Applied if waits && in_time => ClaimAction::Run,
+        Outcome::Applied if is_pending && in_time => ClaimAction::Run,
         Outcome::Applied => ClaimAction::Withdraw,
         Outcome::Rejected(Rejection::CallsFull) => ClaimAction::Refuse,
         Outcome::Repeated | Outcome::Rejected(_) => ClaimAction::ReadStatus,
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -102,7 +102,7 @@
         if expiry::is_due(before_ms, self.time_ms) {
             expiry::sweep(self);
         }
-        if !self.advance(record) {
+        if !self.advance_writer(record) {
             return Outcome::Repeated;
         }
         match self.apply_body(offset, record) {
@@ -115,7 +115,7 @@
     ///
     /// An append whose answer was lost is sent again and so may stand in the log twice. The
     /// writer numbers its records, so the second copy is recognised and skipped.
-    fn advance(&mut self, record: &Record) -> bool {
+    fn advance_writer(&mut self, record: &Record) -> bool {
         let (incarnation, sequence) = (record.incarnation, record.sequence);
         let now = Progress { incarnation, sequence, at_ms: self.time_ms };
         let known = self.writers.get(&record.writer);
@@ -132,7 +132,7 @@
         let now = self.time_ms;
         match &record.body {
             Body::Settings { changes, author, ticket, not_after_ms } => {
-                let result = self.change(offset, changes, author, *not_after_ms);
+                let result = self.apply_settings(offset, changes, author, *not_after_ms);
                 self.history.record((offset, now), ticket, author, changes, &result);
                 result
             }
@@ -181,7 +181,7 @@
     ///
     /// An operator may have been told "not known yet" and have asked again after the record's
     /// time: it is then called refused, so a copy that reaches the log later must do nothing.
-    fn change(
+    fn apply_settings(
         &mut self,
         offset: u64,
         changes: &[Change],
--- a/crates/corianderstand_state/src/plan.rs
+++ b/crates/corianderstand_state/src/plan.rs
@@ -11,7 +11,7 @@
 /// Load of one engine as the planner counts it.
 struct Engine<'a> {
     name: &'a TargetId,
-    place: &'a AvailabilityZoneId,
+    zone: &'a AvailabilityZoneId,
     offset: u64,
     memory_mib: u64,
     planned_mib: u64,
@@ -19,31 +19,31 @@
 
 impl Engine<'_> {
     /// Memory promised, in thousandths of what there is.
-    fn promised(&self) -> u64 {
+    fn planned_permille(&self) -> u64 {
         self.planned_mib * 1000 / self.memory_mib.max(1)
     }
 }
 
 /// Where one model's slots are so far.
 #[derive(Default)]
-struct Spread<'a> {
+struct ReplicaSpread<'a> {
     owners: BTreeSet<&'a TargetId>,
-    in_place: BTreeMap<&'a AvailabilityZoneId, u32>,
+    per_zone: BTreeMap<&'a AvailabilityZoneId, u32>,
 }
 
 /// Assignments that fill the empty slots of all models.
 ///
-/// Engines on hosts in `avoid`, which leave or are gone, get none. A slot that has an owner
+/// Engines on hosts in `excluded_hosts`, which leave or are gone, get none. A slot that has an owner
 /// stays where it is, so a host that comes moves nothing and one that goes moves only its own
 /// slots. A model's slots spread over places first, so that one place's loss takes few
 /// replicas; then a slot goes back to its former owner, whose disk may still hold the
 /// checkpoint; then to the engine whose memory is least promised.
-pub fn plan(state: &State, view: &View, avoid: &BTreeSet<HostId>) -> Vec<Body> {
-    let mut engines = engines(state, view, avoid);
+pub fn plan(state: &State, view: &View, excluded_hosts: &BTreeSet<HostId>) -> Vec<Body> {
+    let mut engines = collect_engines(state, view, excluded_hosts);
     let mut bodies = Vec::new();
     for (model, facts) in &view.models {
-        let taken: BTreeSet<u32> = state.slots.of_model(model).map(|(index, _)| index).collect();
-        let empty = (0..view.replicas(model)).filter(|index| !taken.contains(index));
+        let assigned: BTreeSet<u32> = state.slots.of_model(model).map(|(index, _)| index).collect();
+        let empty = (0..view.replicas(model)).filter(|index| !assigned.contains(index));
         let mut spread = None;
         for index in empty {
             if bodies.len() >= MAX_ASSIGNMENTS_PER_ROUND {
@@ -51,12 +51,14 @@
             }
             let spread = spread.get_or_insert_with(|| spread_of(state, model));
             let former = state.slots.former.get(&SlotKey { model: model.clone(), index });
-            let Some(chosen) = choose(&engines, spread, former, facts.memory_mib.0) else { break };
+            let Some(chosen) = choose_engine(&engines, spread, former, facts.memory_mib.0) else {
+                break;
+            };
             let engine = &mut engines[chosen];
             engine.planned_mib += facts.memory_mib.0;
             bodies.push(assignment(state, model, index, engine));
             spread.owners.insert(engine.name);
-            *spread.in_place.entry(engine.place).or_default() += 1;
+            *spread.per_zone.entry(engine.zone).or_default() += 1;
         }
     }
     bodies
@@ -72,18 +74,22 @@
     }
 }
 
-fn spread_of<'a>(state: &'a State, model: &'a ModelId) -> Spread<'a> {
-    let mut spread = Spread::default();
+fn spread_of<'a>(state: &'a State, model: &'a ModelId) -> ReplicaSpread<'a> {
+    let mut spread = ReplicaSpread::default();
     for (_, slot) in state.slots.of_model(model) {
         spread.owners.insert(&slot.target);
         if let Some(target) = state.targets.by_name.get(&slot.target) {
-            *spread.in_place.entry(&target.record.place).or_default() += 1;
+            *spread.per_zone.entry(&target.record.place).or_default() += 1;
         }
     }
     spread
 }
 
-fn engines<'a>(state: &'a State, view: &View, avoid: &BTreeSet<HostId>) -> Vec<Engine<'a>> {
+fn collect_engines<'a>(
+    state: &'a State,
+    view: &View,
+    excluded_hosts: &BTreeSet<HostId>,
+) -> Vec<Engine<'a>> {
     let mut planned: BTreeMap<&TargetId, u64> = BTreeMap::new();
     for (key, slot) in &state.slots.by_key {
         let memory = view.models.get(&key.model).map_or(0, |model| model.memory_mib.0);
@@ -91,10 +97,10 @@
     }
     let targets = state.targets.by_name.iter();
     targets
-        .filter(|(_, t)| t.record.service.is_none() && !avoid.contains(&t.record.host))
+        .filter(|(_, t)| t.record.service.is_none() && !excluded_hosts.contains(&t.record.host))
         .map(|(name, t)| Engine {
             name,
-            place: &t.record.place,
+            zone: &t.record.place,
             offset: t.offset,
             memory_mib: t.record.memory_mib.0,
             planned_mib: planned.get(name).copied().unwrap_or_default(),
@@ -103,18 +109,19 @@
 }
 
 /// The engine for one more replica, as a place in `engines`.
-fn choose(
+fn choose_engine(
     engines: &[Engine<'_>],
-    spread: &Spread<'_>,
+    spread: &ReplicaSpread<'_>,
     former: Option<&TargetId>,
     memory_mib: u64,
 ) -> Option<usize> {
-    let in_place = |engine: &Engine<'_>| spread.in_place.get(engine.place).copied().unwrap_or(0);
+    let replicas_in_zone =
+        |engine: &Engine<'_>| spread.per_zone.get(engine.zone).copied().unwrap_or(0);
     let fits = |engine: &Engine<'_>| {
         engine.memory_mib >= memory_mib && !spread.owners.contains(engine.name)
     };
     (0..engines.len()).filter(|&i| fits(&engines[i])).min_by_key(|&i| {
         let engine = &engines[i];
-        (in_place(engine), former != Some(engine.name), engine.promised(), i)
+        (replicas_in_zone(engine), former != Some(engine.name), engine.planned_permille(), i)
     })
 }
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -84,8 +84,8 @@
 
     /// Ends all assignments to a target whose host is gone.
     pub fn remove_target(&mut self, offset: u64, target: &TargetId) {
-        let theirs = self.by_key.iter().filter(|(_, slot)| slot.target == *target);
-        for key in theirs.map(|(key, _)| key.clone()).collect::<Vec<_>>() {
+        let owned = self.by_key.iter().filter(|(_, slot)| slot.target == *target);
+        for key in owned.map(|(key, _)| key.clone()).collect::<Vec<_>>() {
             self.by_key.remove(&key);
             self.version = offset;
         }
--- a/crates/corianderstand_state/src/view.rs
+++ b/crates/corianderstand_state/src/view.rs
@@ -133,7 +133,7 @@
             }
         }
         view.add_team_documents(documents);
-        view.sum();
+        view.sum_demands();
         view
     }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    fn sum(&mut self) {
+    fn sum_demands(&mut self) {
         for view in self.teams.values() {
             self.total_shares += view.team.share;
             for (model, allowed) in &view.models {
