--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -1,9 +1,8 @@
-//! Calls that may not be repeated: one claim a key, then one outcome.
+//! At-most-once calls: each idempotency key has one claim, then one outcome.
 //!
-//! A key is claimed once and for all. What follows the claim is an outcome: the service's
-//! answer, or that the call certainly did not run. A void says the latter of a key that nobody
-//! has claimed, and keeps anybody from claiming it later. Nothing ever leaves an outcome again
-//! until the key is forgotten, [`KEY_RETENTION_MS`] after its first record.
+//! A key can be claimed once. The outcome is the service's answer, or that the call did not run.
+//! A void records the latter for an unclaimed key and prevents later claims. Outcomes are final
+//! until the key expires, [`KEY_RETENTION_MS`] after its first record.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
@@ -13,27 +12,26 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Time that a key is remembered, by the log's clock: a day, and an hour for repeats that come
-/// "the same time tomorrow".
+/// Time that a key is remembered, by log time. The extra hour covers retries made a day later.
 pub const KEY_RETENTION_MS: u64 = 25 * 3600 * 1000;
-/// Most keys remembered: every process holds them all, within the memory allowed for control.
+/// Most keys that claims may fill; bounds the memory of every process.
 pub const MAX_KEYS: usize = 60_000;
-/// Most keys that voids may fill: a router must be able to tell "not run" when claims cannot.
+/// Most keys in all; the reserve lets routers void calls when no more can be claimed.
 pub const MAX_KEYS_VOIDED: usize = MAX_KEYS + MAX_KEYS / 8;
-/// Most bytes of answers remembered.
+/// Total size of remembered answers at which new claims are rejected.
 pub const MAX_ANSWER_BYTES: usize = 24 * 1024 * 1024;
-/// Longest answer that is kept for repeats.
+/// Longest answer body that is stored for retries.
 pub const MAX_ANSWER_BODY_BYTES: usize = 64 * 1024;
 
-/// Key of a call, in the order of the map.
+/// Idempotency key of a call, scoped to a team and a service.
 #[derives(name)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Key {
-    /// The team.
+    /// Team that makes the call.
     pub team: WorkspaceId,
-    /// The service.
+    /// Service that is called.
     pub service: ServiceId,
-    /// The caller's key.
+    /// Key chosen by the caller.
     pub key: SmolStr,
 }
 
@@ -44,47 +42,47 @@
     }
 }
 
-/// What a service answered.
+/// Answer of a service.
 #[derives(wire)]
 #[derive(Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Content type.
+    /// Value of the `content-type` header.
     pub content_type: SmolStr,
-    /// The body; `None` if it was longer than [`MAX_ANSWER_BODY_BYTES`].
+    /// The body; `None` if it is longer than [`MAX_ANSWER_BODY_BYTES`].
     pub body: Option<Arc<[u8]>>,
 }
 
-/// What is known of a call.
+/// Recorded state of a call.
 #[derives(wire)]
 pub enum Call {
-    /// An agent may be running it, or may have.
+    /// An agent claimed the call and may have run it.
     Claimed {
-        /// Offset of the claim.
+        /// Offset of the claim record.
         claim: u64,
         /// Digest of the call.
         digest: u64,
-        /// The target that may run it.
+        /// Target that may run the call.
         target: TargetId,
-        /// Start of the agent that claimed it.
+        /// Incarnation of the agent that claimed it.
         incarnation: u64,
     },
-    /// It ran.
+    /// The call ran.
     Ran {
         /// Digest of the call.
         digest: u64,
-        /// What the service answered.
+        /// Answer of the service.
         answer: Answer,
     },
-    /// It did not run and never will under this key.
+    /// The call did not run and never will under this key.
     NotRun,
 }
 
-/// A call and when its key was first heard of.
+/// A call and the first record of its key.
 #[derives(wire)]
 pub struct Entry {
-    /// What is known.
+    /// State of the call.
     pub call: Call,
     /// Offset of the key's first record.
     pub offset: u64,
@@ -92,22 +90,22 @@
     pub at_ms: u64,
 }
 
-/// What a repeat is to be told.
+/// Status of a call as reported to a retry.
 #[derives(data)]
 pub enum CallStatus {
-    /// Nothing: it may be claimed.
+    /// The key is unknown and may be claimed.
     Unclaimed,
-    /// It is claimed: an outcome may come.
+    /// The call is claimed and has no outcome yet.
     Claimed,
-    /// It ran.
+    /// The call ran.
     Ran(Answer),
-    /// It did not run and never will.
+    /// The call did not run and never will.
     NotRun,
-    /// The key belongs to another call.
+    /// The key was used for a different call.
     Conflict,
 }
 
-/// All calls that are remembered.
+/// All remembered calls.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Calls {
@@ -116,7 +114,7 @@
     answer_bytes: usize,
 }
 
-/// Digest of a call, to tell a repeat from another call under the same key.
+/// Digest of a call, which detects a key reused for a different call.
 pub fn digest(method: &str, path: &str, body: &[u8]) -> u64 {
     let mut hasher = Xxh3::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -127,7 +125,7 @@
 }
 
 impl Calls {
-    /// Keys remembered.
+    /// Number of keys remembered.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
@@ -137,12 +135,12 @@
         self.by_key.is_empty()
     }
 
-    /// What is known of a key.
+    /// Recorded state of a key.
     pub fn find(&self, key: &CallKey) -> Option<&Call> {
         self.by_key.get(&Key::from(key)).map(|entry| &entry.call)
     }
 
-    /// What a repeat with this digest is to be told.
+    /// Status of a call with this digest.
     pub fn status(&self, key: &CallKey, digest: u64) -> CallStatus {
         match self.find(key) {
             None => CallStatus::Unclaimed,
@@ -157,7 +155,7 @@
         }
     }
 
-    /// Claims a key that nobody has claimed or voided.
+    /// Claims a key that has no record yet.
     pub fn claim(
         &mut self,
         offset: u64,
@@ -178,7 +176,7 @@
         Ok(())
     }
 
-    /// Stores the outcome of a claimed call; no answer means that it certainly did not run.
+    /// Records the outcome of a claimed call; no answer means that it did not run.
     pub fn end(
         &mut self,
         key: &CallKey,
@@ -202,7 +200,7 @@
         Ok(())
     }
 
-    /// Declares a call not run, if nobody has claimed it.
+    /// Records that an unclaimed call did not run.
     pub fn void(&mut self, offset: u64, now: u64, key: &CallKey) -> Result<(), Rejection> {
         self.remove_expired(now);
         self.ensure_unclaimed(key)?;
@@ -213,8 +211,8 @@
         Ok(())
     }
 
-    /// Whether nobody has claimed or voided a key. This comes before any look at the room left:
-    /// "full" is told as "not run", which of a claimed key would be false.
+    /// Fails if the key has a record. Must precede the capacity check: `CallsFull` is reported
+    /// as "not run", which may be false for a claimed key.
     fn ensure_unclaimed(&self, key: &CallKey) -> Result<(), Rejection> {
         if self.by_key.contains_key(&Key::from(key)) {
             Err(Rejection::CallConflict)
@@ -229,8 +227,7 @@
         self.by_key.insert(key, Entry { call, offset, at_ms });
     }
 
-    /// Forgets keys older than [`KEY_RETENTION_MS`], so that memory stays bounded. Offsets and log times
-    /// rise together, so the oldest come first.
+    /// Removes keys older than [`KEY_RETENTION_MS`], oldest first: log time rises with the offset.
     fn remove_expired(&mut self, now: u64) {
         while let Some((offset, key)) = self.by_offset.get_min().cloned() {
             let at_ms = self.by_key.get(&key).map_or(0, |entry| entry.at_ms);
--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -1,18 +1,17 @@
-//! The whole state written into the log, for readers that find no older records.
+//! Checkpoints: the whole state, written to the log in parts.
 //!
-//! The log keeps records for a limited time. The lease holder writes the state in parts well
-//! within that time. A reader without the older records gathers the parts with a [`Collector`]
-//! and folds on from the offset that the state was taken at.
+//! The log's retention is limited, so the lease holder writes checkpoints within it. A new reader
+//! restores the state with a [`Collector`] and applies records from the checkpoint's offset.
 
 use crate::fold::{Rejection, State};
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{Body, Record};
 use corianderstand_types::names::WriterId;
 
-/// Bytes in one part: small beside what one append may carry.
+/// Size of one part; well below the limit of an append.
 pub const PART_BYTES: usize = 48 * 1024;
 
-/// A checkpoint that stands whole in the log.
+/// A checkpoint that is complete in the log.
 #[derives(wire)]
 #[derive(Copy, Eq)]
 pub struct CompleteCheckpoint {
@@ -24,7 +23,7 @@
     pub at_ms: u64,
 }
 
-/// A checkpoint of which some parts stand in the log.
+/// A checkpoint that is partly written to the log.
 #[derives(wire)]
 #[derive(Copy, Eq)]
 pub struct PartialCheckpoint {
@@ -32,24 +31,24 @@
     pub as_of: u64,
     /// Offset of its first part.
     pub first: u64,
-    /// Parts in all.
+    /// Number of parts.
     pub parts: u32,
-    /// The part that comes next.
+    /// Index of the next part.
     pub next_part: u32,
 }
 
-/// What is agreed about checkpoints.
+/// State of the checkpoints in the log.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Checkpoints {
-    /// The last whole one.
+    /// The latest complete checkpoint.
     pub last: Option<CompleteCheckpoint>,
-    /// The one being written.
+    /// The checkpoint being written.
     pub underway: Option<PartialCheckpoint>,
 }
 
 impl Checkpoints {
-    /// Notes a part; parts come in order, and the first starts anew.
+    /// Records a part. Parts must be in order; part 0 starts a new checkpoint.
     pub fn record_part(
         &mut self,
         at: (u64, u64),
@@ -76,22 +75,22 @@
     }
 }
 
-/// The state as bytes, the same on every process that folded as far.
+/// Encodes the state; the result is the same in every process at the same offset.
 pub fn encode(state: &State) -> Vec<u8> {
     postcard::to_stdvec(state).expect("state is plain data")
 }
 
-/// A state from its bytes; `None` if they cannot be read.
+/// Decodes a state; `None` if the bytes are invalid.
 pub fn decode(bytes: &[u8]) -> Option<State> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Digest of a state's bytes.
+/// Digest of an encoded state.
 pub fn digest(bytes: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(bytes)
 }
 
-/// The records that write `state` into the log.
+/// Splits `state` into the checkpoint records to append.
 pub fn split(state: &State) -> Vec<Body> {
     let bytes = encode(state);
     let digest = digest(&bytes);
@@ -108,7 +107,7 @@
     (0..).zip(&chunks).map(body).collect()
 }
 
-/// Which checkpoint a part belongs to.
+/// Identity of the checkpoint that a part belongs to.
 #[derives(data)]
 #[derive(Eq)]
 struct Source {
@@ -118,10 +117,10 @@
     digest: u64,
 }
 
-/// Gathers the parts of a checkpoint without a state to judge them by.
+/// Assembles a checkpoint from its parts before any state exists.
 ///
-/// Whether the writer held the lease does not matter here: whoever folded the log up to an
-/// offset holds the one right state of that offset, and the digest shows that it came whole.
+/// The writer's lease needs no check: the state at an offset is the same in every process, and
+/// the digest verifies that it is complete.
 #[derive(Debug, Default)]
 pub struct Collector {
     source: Option<Source>,
@@ -130,7 +129,7 @@
 }
 
 impl Collector {
-    /// Takes a record; gives the state once all parts of one checkpoint have come.
+    /// Receives a record and returns the state once a checkpoint is complete.
     pub fn receive(&mut self, record: &Record) -> Option<State> {
         let Body::CheckpointPart { as_of, part, parts, digest, data, .. } = &record.body else {
             return None;
@@ -140,7 +139,7 @@
         if *part == 0 {
             *self = Self { source, next_part: 0, bytes: Vec::new() };
         } else if self.source != source || self.next_part != *part {
-            // A repeat after a lost answer, or another writer's part.
+            // A retried append or a part of another checkpoint.
             return None;
         }
         self.bytes.extend_from_slice(data);
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -1,34 +1,31 @@
-//! What follows once the log has decided a claim or a void.
+//! Decisions after the log has applied or rejected a claim or a void.
 //!
-//! The log gives a key to at most one claim, for ever. The agent that holds the claim runs the
-//! call once, or withdraws: it records that the call did not and will not run. It runs the call
-//! only while the request that wrote the claim still waits and is in time, because after that
-//! its caller may have been told that it did not run.
+//! The log grants each key to at most one claim. Its agent runs the call once, or records that it
+//! will not run if the request is no longer pending: the caller may already have been told so.
 //!
-//! A claim is never run by another process or a later start: nobody can know how far its writer
-//! came. Such a claim stays without an outcome, and repeats are told "unknown".
+//! No other process or incarnation runs a claimed call, because it may have run already. The
+//! outcome of such a claim stays unknown.
 
 use crate::fold::{Outcome, Rejection};
 use corianderstand_derives::derives;
 
-/// What to do about a decided claim.
+/// Action for a decided claim.
 #[derives(key)]
 pub enum ClaimAction {
-    /// Make the call, then record what the service answered.
+    /// Make the call and record the answer.
     Run,
     /// Record that the call did not run.
     Withdraw,
-    /// Another record for the key came first: tell what the log says of it.
+    /// An earlier record decided the key: report its status.
     ReadStatus,
-    /// There is no room for the key: it did not run.
+    /// The key limit is reached: report that the call did not run.
     Refuse,
 }
 
-/// Decides about a claim whose record had `outcome`.
+/// Returns the action for a claim whose record had `outcome`.
 ///
-/// A process may be frozen, or the log down, between a claim and its decision, for minutes.
-/// `is_pending` tells whether the request is still held and `in_time` whether its deadline is ahead.
-/// Without these a booking would run long after its caller had made another.
+/// A claim may be decided minutes later if the process was paused or the log was down. The call
+/// runs only if the request is still pending and its deadline has not passed (`in_time`).
 pub const fn claim_action(outcome: &Outcome, is_pending: bool, in_time: bool) -> ClaimAction {
     match outcome {
         Outcome::Applied if is_pending && in_time => ClaimAction::Run,
@@ -38,18 +35,18 @@
     }
 }
 
-/// What a decided void lets a router say.
+/// What a router may report after a decided void.
 #[derives(key)]
 pub enum VoidDecision {
-    /// Nobody claimed the key before, and nobody can any more.
+    /// The key was unclaimed and can no longer be claimed.
     NotRun,
-    /// Another record came first: what it says is in the log.
+    /// An earlier record decided the key: report its status.
     ReadStatus,
-    /// Nothing is settled.
+    /// The void had no effect for another reason.
     Unknown,
 }
 
-/// Decides about a void whose record had `outcome`.
+/// Returns the decision for a void whose record had `outcome`.
 pub const fn void_decision(outcome: &Outcome) -> VoidDecision {
     match outcome {
         Outcome::Applied => VoidDecision::NotRun,
--- a/crates/corianderstand_state/src/documents.rs
+++ b/crates/corianderstand_state/src/documents.rs
@@ -1,22 +1,22 @@
-//! Settings documents by path, each with the version it was made at.
+//! Versioned settings documents.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Change;
 use smol_str::SmolStr;
 
-/// One document as in force.
+/// Current content of one document.
 #[derives(wire)]
 pub struct Document {
-    /// Offset of the record that made it; 0 never occurs.
+    /// Offset of the record that wrote it; never 0.
     pub version: u64,
     /// JSON text.
     pub text: std::sync::Arc<str>,
-    /// Who asked for it.
+    /// Operator who wrote it.
     pub author: SmolStr,
 }
 
-/// All documents, and the offset of the last change to any.
+/// All documents.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Documents {
@@ -27,16 +27,14 @@
 }
 
 impl Documents {
-    /// Version of the document at `path`, or 0.
+    /// Version of the document at `path`, or 0 if there is none.
     pub fn version_of(&self, path: &str) -> u64 {
         self.by_path.get(path).map_or(0, |doc| doc.version)
     }
 
-    /// Makes all changes, or none if one was made from a version no longer in force.
+    /// Applies all changes, or none if any is based on an outdated version.
     ///
-    /// Two operators may change the same settings at the same moment. The second would undo
-    /// the first without noticing; its change names the version it was made from, so it is
-    /// voided here and the operator is told which version is in the way.
+    /// Prevents concurrent changes from silently overwriting each other.
     pub fn change(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/expiry.rs
+++ b/crates/corianderstand_state/src/expiry.rs
@@ -1,24 +1,22 @@
-//! What the state forgets, so that it stays bounded.
+//! Expiry of old entries, which bounds the size of the state.
 //!
-//! Forgetting goes by the log's own time and at fixed steps of it, so every process forgets the
-//! same at the same record, whenever it folds it. Calls are forgotten by their own rule, in
-//! [`crate::calls`].
+//! Sweeps run at fixed steps of log time, so every process removes the same entries at the same
+//! record. [`crate::calls`] expires its own keys.
 
 use crate::fold::State;
 
-/// Step of log time at which the state is swept.
+/// Log time between two sweeps.
 pub const SWEEP_INTERVAL_MS: u64 = 60_000;
-/// Time without a record after which a writer's progress is forgotten. A repeat of an append
-/// comes within the time that one process tries it; a process that was away for a day and then
-/// repeats one meets the record's own condition, as every record has one.
+/// Log time without a record after which a writer's progress is removed. A later retry is
+/// still subject to the record's own condition.
 pub const WRITER_TTL_MS: u64 = 86_400_000;
 
-/// Whether a sweep is due between two log times.
+/// Whether a sweep falls between two log times.
 pub const fn is_due(before_ms: u64, now_ms: u64) -> bool {
     before_ms / SWEEP_INTERVAL_MS != now_ms / SWEEP_INTERVAL_MS
 }
 
-/// Drops writers and former owners of slots that are too old.
+/// Removes inactive writers, and former slot owners of models that no longer exist.
 pub fn sweep(state: &mut State) {
     let now = state.time_ms;
     let old = state.writers.iter().filter(|(_, known)| known.at_ms + WRITER_TTL_MS <= now);
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -1,19 +1,19 @@
-//! The fold itself: repeats and order are settled here, each record's meaning in its module.
+//! The fold: deduplicates records and dispatches each to the module that applies it.
 
 use crate::{calls, checkpoint, documents, expiry, history, lease, slots, targets};
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{Body, Change, Record};
 use corianderstand_types::names::WriterId;
 
-/// What a record did.
+/// Result of applying a record.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Outcome {
-    /// It took effect.
+    /// The record took effect.
     Applied,
-    /// It had been folded before; a repeat after a lost answer.
+    /// The record had already been applied: a retried append.
     Repeated,
-    /// Its condition no longer held.
+    /// The record's condition did not hold.
     Rejected(Rejection),
 }
 
@@ -23,75 +23,74 @@
 pub enum Rejection {
     /// `{path}` is at version {version}, not {base}: fetch it, merge and apply again
     Conflict {
-        /// Path of the document in the way.
+        /// Path of the conflicting document.
         path: smol_str::SmolStr,
-        /// Version in force.
+        /// Current version.
         version: u64,
-        /// Version the change was made from.
+        /// Version that the change was based on.
         base: u64,
     },
     /// the change reached the log after its time ({until}): apply it again
     Expired {
-        /// Last log time at which it would have had effect.
+        /// Last log time at which the change could apply.
         until: u64,
     },
-    /// the lease is held or has moved on: the writer no longer decides
+    /// the lease is held by another writer or its epoch is out of date
     LeaseNotHeld,
-    /// the slot is taken or has moved on
+    /// the slot is occupied or was reassigned
     SlotConflict,
-    /// the target is unknown or was announced anew
+    /// the target is unknown or was announced again
     TargetChanged,
-    /// another record for this call came first
+    /// an earlier record decided this call
     CallConflict,
-    /// a part of the checkpoint is missing: another one follows
+    /// a part of the checkpoint is missing: the next checkpoint replaces it
     CheckpointGap,
-    /// as many calls are remembered as may be: come back later
+    /// the limit on remembered calls is reached: retry later
     CallsFull,
 }
 
-/// Last record folded from one writer.
+/// Last record applied from one writer.
 #[derives(wire)]
 #[derive(Copy, Eq)]
 pub struct Progress {
-    /// Start of the writer.
+    /// Incarnation of the writer.
     pub incarnation: u64,
-    /// Last sequence folded.
+    /// Sequence number of the record.
     pub sequence: u64,
-    /// Log time of its last record.
+    /// Log time of the record.
     pub at_ms: u64,
 }
 
-/// Everything agreed, as of one offset.
+/// The replicated state at one offset.
 #[derives(wire)]
 #[derive(Default)]
 pub struct State {
-    /// Next offset to fold.
+    /// Next offset to apply.
     pub next: u64,
     /// Log time of the last record, in milliseconds since the Unix epoch.
     pub time_ms: u64,
     /// Settings documents by path.
     pub documents: documents::Documents,
-    /// What became of the last changes to them.
+    /// Results of the latest settings changes.
     pub history: history::History,
-    /// Checkpoints in the log.
+    /// Checkpoints written to the log.
     pub checkpoints: checkpoint::Checkpoints,
     /// Announced targets.
     pub targets: targets::Targets,
-    /// Slots and their owners.
+    /// Replica slots and their owners.
     pub slots: slots::Slots,
     /// The control lease.
     pub lease: lease::Lease,
-    /// Calls that may not be repeated.
+    /// Calls that must run at most once.
     pub calls: calls::Calls,
     /// Progress of each writer.
     pub writers: imbl::OrdMap<WriterId, Progress>,
 }
 
 impl State {
-    /// Folds the record at `offset`, appended at log time `at_ms`.
+    /// Applies the record at `offset`, appended at log time `at_ms`.
     ///
-    /// Offsets are folded in order; one below [`State::next`] is a repeat, so state never
-    /// goes back.
+    /// Records are applied in order; an offset below [`State::next`] is ignored as a repeat.
     pub fn apply(&mut self, offset: u64, at_ms: u64, record: &Record) -> Outcome {
         if offset < self.next {
             return Outcome::Repeated;
@@ -111,10 +110,9 @@
         }
     }
 
-    /// Notes the writer's progress; false for a record folded before.
+    /// Advances the writer's progress; returns false if the record was already applied.
     ///
-    /// An append whose answer was lost is sent again and so may stand in the log twice. The
-    /// writer numbers its records, so the second copy is recognised and skipped.
+    /// A retried append may be in the log twice; sequence numbers identify the duplicate.
     fn advance_writer(&mut self, record: &Record) -> bool {
         let (incarnation, sequence) = (record.incarnation, record.sequence);
         let now = Progress { incarnation, sequence, at_ms: self.time_ms };
@@ -177,10 +175,10 @@
         }
     }
 
-    /// Changes settings, unless the record came into the log too late.
+    /// Applies a settings change unless it was appended after its deadline.
     ///
-    /// An operator may have been told "not known yet" and have asked again after the record's
-    /// time: it is then called refused, so a copy that reaches the log later must do nothing.
+    /// After the deadline an undecided change is reported as refused, so a late record must not
+    /// take effect.
     fn apply_settings(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/history.rs
+++ b/crates/corianderstand_state/src/history.rs
@@ -1,43 +1,42 @@
-//! What became of the last changes to settings, so that any router can tell an operator.
+//! Results of the latest settings changes, which any router can report to an operator.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Change;
 use smol_str::SmolStr;
 
-/// Changes remembered: more than a day of the 800 that operators make.
+/// Number of changes remembered.
 pub const MAX_ENTRIES: usize = 1024;
-/// Paths named in one entry; a change of more is cut short, so that one large change does not
-/// fill the state with names.
+/// Paths kept for one entry; bounds the size of the state.
 pub const MAX_PATHS: usize = 64;
 
-/// One change that was decided.
+/// One decided change.
 #[derives(wire)]
 pub struct Entry {
-    /// Offset of its record, which is its version if it was accepted.
+    /// Offset of the record; the documents' new version if accepted.
     pub offset: u64,
     /// Log time of the record.
     pub at_ms: u64,
-    /// The operator's ticket.
+    /// Ticket that identifies the change.
     pub ticket: SmolStr,
-    /// Who asked for it.
+    /// Operator who made the change.
     pub author: SmolStr,
-    /// Documents it changed, the first [`MAX_PATHS`] of them.
+    /// Paths of the first [`MAX_PATHS`] changed documents.
     pub paths: Vec<SmolStr>,
-    /// Why it had no effect; `None` if it was accepted.
+    /// Reason for the rejection; `None` if accepted.
     pub refused: Option<SmolStr>,
 }
 
-/// The last changes, oldest first.
+/// The latest changes, oldest first.
 #[derives(wire)]
 #[derive(Default)]
 pub struct History {
-    /// The entries.
+    /// At most [`MAX_ENTRIES`] changes.
     pub entries: imbl::Vector<Entry>,
 }
 
 impl History {
-    /// Notes what became of a change.
+    /// Records the result of a change, appended at an offset and log time.
     pub fn record(
         &mut self,
         at: (u64, u64),
@@ -55,12 +54,12 @@
         self.entries.push_back(Entry { offset: at.0, at_ms: at.1, ticket, author, paths, refused });
     }
 
-    /// What became of the change with this ticket.
+    /// Latest change with this ticket.
     pub fn find(&self, ticket: &str) -> Option<&Entry> {
         self.entries.iter().rev().find(|entry| entry.ticket == ticket)
     }
 
-    /// Changes to documents whose path begins with `prefix`, newest first.
+    /// Changes to documents whose path starts with `prefix`, newest first.
     pub fn of_path<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Entry> + 'a {
         let touches = move |e: &&Entry| e.paths.iter().any(|path| path.starts_with(prefix));
         self.entries.iter().rev().filter(touches)
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -1,29 +1,28 @@
-//! The control lease: who plans, tells which targets leave and writes checkpoints.
+//! The control lease: its holder plans, marks leaving targets and writes checkpoints.
 //!
-//! Time in the fold is the log's own append time, so every process judges alike whether the
-//! lease had lapsed when another writer took it.
+//! Expiry uses the log's append time, so every process agrees on whether the lease had expired.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Record;
 use corianderstand_types::names::WriterId;
 
-/// The lease as agreed.
+/// State of the control lease.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Lease {
-    /// Number of the lease; each taking adds one.
+    /// Epoch; each acquisition increments it.
     pub epoch: u64,
     /// Holder and its incarnation, unless released.
     pub holder: Option<(WriterId, u64)>,
-    /// Length without renewal, in milliseconds.
+    /// Duration without renewal, in milliseconds.
     pub ttl_ms: u64,
-    /// Log time at which it lapses, in milliseconds since the Unix epoch.
+    /// Log time at which the lease expires, in milliseconds since the Unix epoch.
     pub until_ms: u64,
 }
 
 impl Lease {
-    /// Takes the lease if it is free or has lapsed.
+    /// Acquires the lease if it is free or has expired.
     pub fn acquire(
         &mut self,
         epoch: u64,
@@ -40,24 +39,23 @@
         Ok(())
     }
 
-    /// Keeps the lease for another term.
+    /// Extends the lease by its duration.
     pub fn renew(&mut self, epoch: u64, now: u64, record: &Record) -> Result<(), Rejection> {
         self.check(epoch, record)?;
         self.until_ms = now + self.ttl_ms;
         Ok(())
     }
 
-    /// Gives the lease back, so that another can take it at once.
+    /// Releases the lease, so that another writer can acquire it at once.
     pub fn release(&mut self, epoch: u64, record: &Record) -> Result<(), Rejection> {
         self.check(epoch, record)?;
         self.holder = None;
         Ok(())
     }
 
-    /// Whether `record` was written by the holder of this epoch.
+    /// Fails unless `record` was written by the lease holder in this epoch.
     ///
-    /// A holder that was paused past its lease still believes it holds it and writes what it
-    /// had decided. Its epoch is old by then, so all processes void what it wrote.
+    /// Fences off a former holder that was paused past the expiry of its lease.
     pub fn check(&self, epoch: u64, record: &Record) -> Result<(), Rejection> {
         let held = self.held_by(&record.writer, record.incarnation);
         if epoch == self.epoch && held { Ok(()) } else { Err(Rejection::LeaseNotHeld) }
--- a/crates/corianderstand_state/src/lib.rs
+++ b/crates/corianderstand_state/src/lib.rs
@@ -1,9 +1,9 @@
-//! What all processes agree on: a pure fold from log records to state.
+//! The replicated state: a pure fold over the records of the shared log.
 //!
-//! Every process applies the same records in the same order with [`fold::State::apply`] and so
-//! holds the same state; nothing else is agreed between them. Records are conditional: each
-//! names the version, lease epoch or offset that it was decided on, and the fold voids it if
-//! that has moved on. The order of the log is the only arbiter.
+//! Every process applies the same records in the same order with [`fold::State::apply`] and
+//! reaches the same state. Records are conditional: each carries the version, lease epoch or
+//! offset that its writer saw, and the fold rejects it if that is out of date. The order of the
+//! log resolves all conflicts.
 //!
 //! ```
 //! use corianderstand_schema::records::{Body, Change, Record};
@@ -15,7 +15,7 @@
 //! let body = Body::Settings { changes: vec![change], author, ticket, not_after_ms: 1000 };
 //! let record = Record { writer: "router-1".into(), incarnation: 1, sequence: 1, body };
 //! assert_eq!(state.apply(1, 0, &record), Outcome::Applied);
-//! // The same record again, after a lost answer, has no effect.
+//! // A retried append has no effect.
 //! assert_eq!(state.apply(2, 0, &record), Outcome::Repeated);
 //! ```
 
--- a/crates/corianderstand_state/src/plan.rs
+++ b/crates/corianderstand_state/src/plan.rs
@@ -1,14 +1,15 @@
-//! Which slots to assign: pure, run by the holder of the control lease.
+//! The planner: a pure function from state and settings to slot assignments, run by the holder of
+//! the control lease.
 
 use crate::{fold::State, slots::SlotKey, view::View};
 use corianderstand_schema::records::Body;
 use corianderstand_types::names::{AvailabilityZoneId, HostId, ModelId, TargetId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Assignments in one round, so that one append stays small.
+/// Assignments per round; bounds the size of one append.
 pub const MAX_ASSIGNMENTS_PER_ROUND: usize = 256;
 
-/// Load of one engine as the planner counts it.
+/// An engine with its current and planned memory use.
 struct Engine<'a> {
     name: &'a TargetId,
     zone: &'a AvailabilityZoneId,
@@ -18,26 +19,24 @@
 }
 
 impl Engine<'_> {
-    /// Memory promised, in thousandths of what there is.
+    /// Planned memory, in thousandths of the engine's memory.
     fn planned_permille(&self) -> u64 {
         self.planned_mib * 1000 / self.memory_mib.max(1)
     }
 }
 
-/// Where one model's slots are so far.
+/// Owners of one model's slots and replica counts per availability zone.
 #[derive(Default)]
 struct ReplicaSpread<'a> {
     owners: BTreeSet<&'a TargetId>,
     per_zone: BTreeMap<&'a AvailabilityZoneId, u32>,
 }
 
-/// Assignments that fill the empty slots of all models.
+/// Assigns the empty slots of all models.
 ///
-/// Engines on hosts in `excluded_hosts`, which leave or are gone, get none. A slot that has an owner
-/// stays where it is, so a host that comes moves nothing and one that goes moves only its own
-/// slots. A model's slots spread over places first, so that one place's loss takes few
-/// replicas; then a slot goes back to its former owner, whose disk may still hold the
-/// checkpoint; then to the engine whose memory is least promised.
+/// Engines on `excluded_hosts` get none, and assigned slots never move. A slot goes to the
+/// availability zone with the fewest replicas of the model, then to its former owner, which may
+/// still have cached weights, then to the engine with the least planned memory.
 pub fn plan(state: &State, view: &View, excluded_hosts: &BTreeSet<HostId>) -> Vec<Body> {
     let mut engines = collect_engines(state, view, excluded_hosts);
     let mut bodies = Vec::new();
@@ -108,7 +107,7 @@
         .collect()
 }
 
-/// The engine for one more replica, as a place in `engines`.
+/// Index of the best engine for one more replica.
 fn choose_engine(
     engines: &[Engine<'_>],
     spread: &ReplicaSpread<'_>,
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -1,30 +1,29 @@
-//! Slots: permission for a target to hold one replica of a model.
+//! Replica slots: each permits one target to hold one replica of a model.
 //!
-//! The log decides slots, not loads. The owner of a slot loads the model when a request wants
-//! it and drops it when it is idle without asking, so neither a cold start nor an outage of
-//! the log waits for an append, and there are never more replicas than slots.
+//! The log assigns slots; the owner loads the model on demand and unloads it when idle. A cold
+//! start needs no append and works while the log is down, and replicas never exceed slots.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Record;
 use corianderstand_types::names::{ModelId, TargetId};
 
-/// Which slot.
+/// Identity of a replica slot.
 #[derives(name)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct SlotKey {
     /// The model.
     pub model: ModelId,
-    /// Number of the slot among those of the model.
+    /// Index among the model's slots.
     pub index: u32,
 }
 
-/// An assigned slot.
+/// An assigned replica slot.
 #[derives(wire)]
 pub struct Slot {
     /// Its owner.
     pub target: TargetId,
-    /// Offset of the assignment; the fencing number of orders under it.
+    /// Offset of the assignment; the fencing token of commands under it.
     pub assigned: u64,
 }
 
@@ -32,16 +31,16 @@
 #[derives(wire)]
 #[derive(Default)]
 pub struct Slots {
-    /// Slots by key.
+    /// Assigned slots by key.
     pub by_key: imbl::OrdMap<SlotKey, Slot>,
-    /// Who owned a slot last, while nobody owns it: the checkpoint may still be near it.
+    /// Last owner of each released slot; it may still have cached weights.
     pub former: imbl::OrdMap<SlotKey, TargetId>,
     /// Offset of the last change.
     pub version: u64,
 }
 
 impl Slots {
-    /// Gives an empty slot to a target.
+    /// Assigns an empty slot to a target.
     pub fn assign(
         &mut self,
         offset: u64,
@@ -59,7 +58,9 @@
         Ok(())
     }
 
-    /// Ends the assignment made at offset `assigned`.
+    /// Releases the assignment made at offset `assigned`.
+    ///
+    /// Only the slot's owner or the lease holder (`by_holder`) may release it.
     pub fn release(
         &mut self,
         offset: u64,
@@ -82,7 +83,7 @@
         Ok(())
     }
 
-    /// Ends all assignments to a target whose host is gone.
+    /// Removes all assignments of a target whose host is gone.
     pub fn remove_target(&mut self, offset: u64, target: &TargetId) {
         let owned = self.by_key.iter().filter(|(_, slot)| slot.target == *target);
         for key in owned.map(|(key, _)| key.clone()).collect::<Vec<_>>() {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Slots of one model, in order.
+    /// Slots of one model, ordered by index.
     pub fn of_model<'a>(
         &'a self,
         model: &'a ModelId,
@@ -103,7 +104,7 @@
             .map(|(key, slot)| (key.index, slot))
     }
 
-    /// The slot of a model that a target owns.
+    /// Slot of a model owned by a target.
     pub fn owned(&self, model: &ModelId, target: &TargetId) -> Option<Slot> {
         self.of_model(model).find(|(_, slot)| slot.target == *target).map(|(_, slot)| slot.clone())
     }
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -1,4 +1,4 @@
-//! Targets as their agents announce them.
+//! Targets announced by their agents.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
@@ -8,13 +8,13 @@
 /// One announced target.
 #[derives(wire)]
 pub struct Target {
-    /// The announcement.
+    /// The announced record.
     pub record: TargetRecord,
     /// Offset of the announcement.
     pub offset: u64,
-    /// Start of the agent that announced it.
+    /// Incarnation of the agent that announced it.
     pub incarnation: u64,
-    /// Whether its host leaves, by the host list as the lease holder read it.
+    /// Whether its host is leaving, according to the lease holder's host list.
     pub leaving: bool,
 }
 
@@ -24,12 +24,12 @@
 pub struct Targets {
     /// Targets by name.
     pub by_name: imbl::OrdMap<TargetId, Target>,
-    /// Offset of the last change, for followers that copy the map.
+    /// Offset of the last change.
     pub version: u64,
 }
 
 impl Targets {
-    /// Notes an announcement; a later one of the same target replaces it.
+    /// Adds a target or replaces its earlier announcement.
     pub fn announce(&mut self, offset: u64, target: &TargetRecord, record: &Record) {
         let (record, incarnation) = (target.clone(), record.incarnation);
         let entry = Target { record, offset, incarnation, leaving: false };
@@ -37,7 +37,7 @@
         self.version = offset;
     }
 
-    /// Removes a target whose agent stopped as planned.
+    /// Removes a target whose agent shut down cleanly.
     pub fn withdraw(
         &mut self,
         offset: u64,
@@ -45,7 +45,7 @@
         record: &Record,
     ) -> Result<(), Rejection> {
         let current = self.by_name.get(target).ok_or(Rejection::TargetChanged)?;
-        // A late farewell of an agent that has been restarted must not remove its successor.
+        // A late withdrawal must not remove the announcement of a restarted agent.
         if current.incarnation != record.incarnation {
             return Err(Rejection::TargetChanged);
         }
@@ -54,7 +54,7 @@
         Ok(())
     }
 
-    /// Removes a target whose host is gone, if it was not announced anew since.
+    /// Removes a target whose host is gone, unless it was announced again.
     pub fn remove(
         &mut self,
         offset: u64,
@@ -67,10 +67,10 @@
         Ok(())
     }
 
-    /// Notes whether a target's host leaves, if it was not announced anew since.
+    /// Sets whether a target's host is leaving, unless the target was announced again.
     ///
-    /// The host list is long, so agents do not read it and routers read it seldom. Without this
-    /// record a leaving target would get new work until they did, and would keep its slots.
+    /// Agents do not read the host list and routers read it rarely; without this record a leaving
+    /// target would keep its slots and receive new work.
     pub fn set_leaving(
         &mut self,
         offset: u64,
@@ -86,12 +86,12 @@
         Ok(())
     }
 
-    /// Whether a target's host leaves.
+    /// Whether a target's host is leaving.
     pub fn is_leaving(&self, target: &TargetId) -> bool {
         self.by_name.get(target).is_some_and(|entry| entry.leaving)
     }
 
-    /// Whether `target` is still announced as a planner saw it.
+    /// Fails unless the announcement of `target` at `offset` is still current.
     pub fn check(&self, target: &TargetId, offset: u64) -> Result<(), Rejection> {
         let current = self.by_name.get(target).ok_or(Rejection::TargetChanged)?;
         if current.offset == offset { Ok(()) } else { Err(Rejection::TargetChanged) }
--- a/crates/corianderstand_state/src/view.rs
+++ b/crates/corianderstand_state/src/view.rs
@@ -1,4 +1,4 @@
-//! Settings documents, parsed and put together for look-ups.
+//! Parsed settings, indexed for lookup.
 
 use crate::documents::Documents;
 use corianderstand_derives::derives;
@@ -11,54 +11,54 @@
 use smol_str::SmolStr;
 use std::collections::BTreeMap;
 
-/// What one team may do.
+/// Settings of one team.
 #[derives(data)]
 pub struct TeamView {
     /// The team's own document.
     pub team: settings::Team,
-    /// Models it may call.
+    /// Models that it may call.
     pub models: BTreeMap<ModelId, settings::TeamModel>,
-    /// Plain services it may call.
+    /// Plain services that it may call.
     pub services: BTreeMap<ServiceId, settings::TeamService>,
 }
 
-/// What all teams together ask of one model.
+/// Combined demand of all teams for one model.
 #[derives(data)]
 #[derive(Copy, Default)]
 pub struct Demand {
-    /// Replicas they may hold.
+    /// Total replicas allowed.
     pub replicas: u32,
-    /// Teams that may hold some.
+    /// Teams that may call the model.
     pub teams: u32,
-    /// Sum of their weights of a slow cold start.
+    /// Sum of the teams' weights for cold-start latency.
     pub weight_tail: u32,
-    /// Sum of their weights of idle accelerator hours.
+    /// Sum of the teams' weights for idle accelerator hours.
     pub weight_idle: u32,
 }
 
-/// All settings in force.
+/// All current settings.
 #[derives(data)]
 #[derive(Default)]
 pub struct View {
-    /// Version of the settings this was made from.
+    /// Version of the documents that the view was built from.
     pub version: u64,
-    /// What holds for all teams.
+    /// Deployment-wide settings.
     pub deployment: settings::Deployment,
-    /// Facts about models.
+    /// Models by name.
     pub models: BTreeMap<ModelId, settings::Model>,
-    /// Facts about plain services.
+    /// Plain services by name.
     pub services: BTreeMap<ServiceId, settings::Service>,
-    /// Teams.
+    /// Teams by name.
     pub teams: BTreeMap<WorkspaceId, TeamView>,
-    /// Team of each key hash.
+    /// Team that owns each API key hash.
     pub keys: BTreeMap<SmolStr, WorkspaceId>,
-    /// What all teams together ask of each model; summed once, as decisions ask for it often.
+    /// Combined demand for each model, computed once because decisions read it often.
     pub demands: BTreeMap<ModelId, Demand>,
-    /// Sum of the shares of all teams.
+    /// Sum of all teams' shares.
     pub total_shares: u32,
 }
 
-/// What a settings path names.
+/// Kind of document at a settings path.
 #[derives(data)]
 #[derive(Eq)]
 pub enum PathKind {
@@ -77,7 +77,7 @@
 }
 
 impl PathKind {
-    /// Reads a path; `None` if no document belongs there.
+    /// Parses a path; `None` if it names no document.
     pub fn parse(path: &str) -> Option<Self> {
         let parts: Vec<&str> = path.split('/').collect();
         match parts.as_slice() {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The schema that a document at this path follows.
+    /// Schema of documents at this path.
     pub const fn document(&self) -> Document {
         match self {
             Self::Deployment => Document::Deployment,
@@ -108,7 +108,7 @@
     }
 }
 
-/// All faults of one document, taken alone.
+/// Validates one document on its own and returns all faults.
 pub fn check_document(path: &str, value: &Value) -> Vec<Fault> {
     match PathKind::parse(path) {
         Some(kind) => check::check(kind.document(), value),
@@ -121,10 +121,10 @@
 }
 
 impl View {
-    /// Parses all documents; one that does not parse is left out.
+    /// Builds the view, skipping documents that do not parse.
     ///
-    /// Documents are checked before they are appended. A later version of the schema may still
-    /// refuse an old one; leaving it out keeps the rest in force.
+    /// Documents are validated before they are appended, but a newer schema may reject an old
+    /// one; the rest must stay usable.
     pub fn new(documents: &Documents) -> Self {
         let mut view = Self { version: documents.version, ..Self::default() };
         for (path, doc) in &documents.by_path {
@@ -189,12 +189,12 @@
         }
     }
 
-    /// What all teams together ask of a model.
+    /// Combined demand for a model.
     pub fn demand(&self, model: &ModelId) -> Demand {
         self.demands.get(model).copied().unwrap_or_default()
     }
 
-    /// Replicas decided for a model: what all teams together may hold.
+    /// Total replicas of a model that all teams may hold.
     pub fn replicas(&self, model: &ModelId) -> u32 {
         self.demand(model).replicas
     }
