--- a/crates/corianderstand_state/tests/calls.rs
+++ b/crates/corianderstand_state/tests/calls.rs
@@ -41,7 +41,7 @@
 
 /// A repeat comes "the same time tomorrow", a little late. Forgotten by then, it would book again.
 #[rstest]
-fn a_key_is_remembered_for_a_day_and_then_forgotten() {
+fn a_key_is_remembered_for_a_day_and_then_expires() {
     let mut log = Log::default();
     assert_eq!(log.claim("b-1"), Outcome::Applied);
     log.now_ms = 24 * 3600 * 1000 + 1000;
@@ -55,7 +55,7 @@
 /// More keys come in a day than there is memory for. New calls are refused; none that is
 /// remembered is forgotten early or told as "not run", and routers can still void.
 #[rstest]
-fn a_full_memory_refuses_new_claims_and_keeps_the_old() {
+fn the_key_limit_rejects_new_claims_and_keeps_existing_keys() {
     let mut log = Log::default();
     for number in 0..calls::MAX_KEYS {
         assert_eq!(log.claim(&format!("b-{number}")), Outcome::Applied);
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -24,7 +24,7 @@
 
 /// What a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum Reported {
     Ran(u16),
     NotRun,
     Refused,
@@ -33,7 +33,7 @@
 
 /// Where one request is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
+enum Stage {
     Arrived,
     Claiming(u64),
     Calling(u64),
@@ -48,12 +48,12 @@
     key: usize,
     agent: usize,
     router: usize,
+    agent_stage: Stage,
     /// At the agent, and whether its request is still waited for there.
-    at: At,
-    waits: bool,
+    is_pending: bool,
     /// At the router, once it has given up.
-    settling: At,
-    told: Option<Told>,
+    router_stage: Stage,
+    reported: Option<Reported>,
     ran: u32,
 }
 
@@ -116,22 +116,31 @@
 
     fn step(&mut self) {
         match self.below(12) {
-            0 => self.ask(),
+            0 => self.start_request(),
             1 | 2 => self.append(),
             3..=5 => self.read(),
             6..=8 => self.step_agent(),
-            9 => self.give_up_at_agent(),
+            9 => self.time_out_claim(),
             10 => self.step_router(),
-            _ if self.below(8) == 0 => self.die(),
+            _ if self.below(8) == 0 => self.crash(),
             _ => {}
         }
     }
 
-    fn ask(&mut self) {
+    fn start_request(&mut self) {
         let (key, agent) = (self.below(KEYS), self.below(AGENTS));
         let router = AGENTS + self.below(PROCESSES - AGENTS);
-        let (at, settling) = (At::Arrived, At::Arrived);
-        let request = Request { key, agent, router, at, waits: true, settling, told: None, ran: 0 };
+        let (agent_stage, router_stage) = (Stage::Arrived, Stage::Arrived);
+        let request = Request {
+            key,
+            agent,
+            router,
+            agent_stage,
+            is_pending: true,
+            router_stage,
+            reported: None,
+            ran: 0,
+        };
         self.requests.push(request);
     }
 
@@ -164,17 +173,17 @@
         true
     }
 
-    fn tell(&mut self, request: usize, told: Told) {
-        self.requests[request].told.get_or_insert(told);
+    fn report(&mut self, request: usize, reported: Reported) {
+        self.requests[request].reported.get_or_insert(reported);
     }
 
     /// What the agent's ending means at the router.
-    fn end(&mut self, request: usize, told: Told) {
-        self.requests[request].at = At::Over;
-        if told == Told::Unknown {
+    fn end(&mut self, request: usize, reported: Reported) {
+        self.requests[request].agent_stage = Stage::Over;
+        if reported == Reported::Unknown {
             self.settle(request);
         } else {
-            self.tell(request, told);
+            self.report(request, reported);
         }
     }
 
@@ -185,56 +194,56 @@
 
     fn step_agent(&mut self) {
         let Some(number) = self.pick() else { return };
-        let Request { key, agent, at, waits, .. } = self.requests[number].clone();
-        match at {
-            At::Arrived => match self.status(agent, key) {
+        let Request { key, agent, agent_stage, is_pending, .. } = self.requests[number].clone();
+        match agent_stage {
+            Stage::Arrived => match self.status(agent, key) {
                 CallStatus::Unclaimed => {
                     let target = TargetId(format!("p-{agent}").as_str().into());
                     let body = Body::Claimed { key: call_key(key), digest: DIGEST, target };
                     let sequence = self.write(agent, body);
-                    self.requests[number].at = At::Claiming(sequence);
+                    self.requests[number].agent_stage = Stage::Claiming(sequence);
                 }
-                known => self.end_with(number, known),
+                status => self.end_with(number, status),
             },
-            At::Claiming(sequence) => {
+            Stage::Claiming(sequence) => {
                 let Some((offset, outcome)) = self.decided(agent, sequence) else { return };
-                match claim::claim_action(&outcome, waits, true) {
-                    ClaimAction::Run => self.requests[number].at = At::Calling(offset),
+                match claim::claim_action(&outcome, is_pending, true) {
+                    ClaimAction::Run => self.requests[number].agent_stage = Stage::Calling(offset),
                     ClaimAction::Withdraw => {
                         self.record(number, offset, None);
-                        self.end(number, Told::NotRun);
+                        self.end(number, Reported::NotRun);
                     }
                     ClaimAction::ReadStatus => {
-                        let known = self.status(agent, key);
-                        self.end_with(number, known);
+                        let status = self.status(agent, key);
+                        self.end_with(number, status);
                     }
-                    ClaimAction::Refuse => self.end(number, Told::Refused),
+                    ClaimAction::Refuse => self.end(number, Reported::Refused),
                 }
             }
-            At::Calling(offset) if self.below(5) == 0 => {
-                self.requests[number].at = At::Answered(offset, None);
+            Stage::Calling(offset) if self.below(5) == 0 => {
+                self.requests[number].agent_stage = Stage::Answered(offset, None);
             }
-            At::Calling(offset) => {
+            Stage::Calling(offset) => {
                 self.requests[number].ran += 1;
                 self.runs[key] += 1;
                 let answer = Some(number as u16);
-                self.requests[number].at = At::Answered(offset, answer);
+                self.requests[number].agent_stage = Stage::Answered(offset, answer);
             }
-            At::Answered(offset, answer) => {
+            Stage::Answered(offset, answer) => {
                 self.record(number, offset, answer);
-                self.end(number, answer.map_or(Told::NotRun, Told::Ran));
+                self.end(number, answer.map_or(Reported::NotRun, Reported::Ran));
             }
-            At::Voiding(_) | At::Waiting | At::Over => {}
+            Stage::Voiding(_) | Stage::Waiting | Stage::Over => {}
         }
     }
 
-    fn end_with(&mut self, number: usize, known: CallStatus) {
-        let told = match known {
-            CallStatus::Ran(answer) => Told::Ran(answer.status),
-            CallStatus::NotRun => Told::NotRun,
-            _ => Told::Unknown,
+    fn end_with(&mut self, number: usize, status: CallStatus) {
+        let reported = match status {
+            CallStatus::Ran(answer) => Reported::Ran(answer.status),
+            CallStatus::NotRun => Reported::NotRun,
+            _ => Reported::Unknown,
         };
-        self.end(number, told);
+        self.end(number, reported);
     }
 
     fn record(&mut self, number: usize, claim: u64, answer: Option<u16>) {
@@ -246,46 +255,48 @@
 
     /// The log has not decided a claim in time: the caller is refused, and the claim is
     /// withdrawn should it come to stand.
-    fn give_up_at_agent(&mut self) {
+    fn time_out_claim(&mut self) {
         let Some(number) = self.pick() else { return };
-        let Request { agent, at: At::Claiming(sequence), waits: true, .. } = self.requests[number]
+        let Request { agent, agent_stage: Stage::Claiming(sequence), is_pending: true, .. } =
+            self.requests[number]
         else {
             return;
         };
         if self.decided(agent, sequence).is_none() {
-            self.requests[number].waits = false;
-            self.tell(number, Told::Refused);
+            self.requests[number].is_pending = false;
+            self.report(number, Reported::Refused);
         }
     }
 
     fn settle(&mut self, number: usize) {
-        let Request { key, router, settling: At::Arrived, .. } = self.requests[number] else {
+        let Request { key, router, router_stage: Stage::Arrived, .. } = self.requests[number]
+        else {
             return;
         };
-        self.requests[number].settling = if self.status(router, key) == CallStatus::Unclaimed {
-            At::Voiding(self.write(router, Body::CallVoided { key: call_key(key) }))
+        self.requests[number].router_stage = if self.status(router, key) == CallStatus::Unclaimed {
+            Stage::Voiding(self.write(router, Body::CallVoided { key: call_key(key) }))
         } else {
-            At::Waiting
+            Stage::Waiting
         };
     }
 
     fn step_router(&mut self) {
         let Some(number) = self.pick() else { return };
-        let Request { key, router, settling, told, .. } = self.requests[number];
-        match settling {
-            _ if told.is_some() => {}
-            At::Voiding(sequence) => {
+        let Request { key, router, router_stage, reported, .. } = self.requests[number];
+        match router_stage {
+            _ if reported.is_some() => {}
+            Stage::Voiding(sequence) => {
                 let Some((_, outcome)) = self.decided(router, sequence) else { return };
                 match claim::void_decision(&outcome) {
-                    VoidDecision::NotRun => self.tell(number, Told::NotRun),
-                    VoidDecision::ReadStatus => self.requests[number].settling = At::Waiting,
-                    VoidDecision::Unknown => self.tell(number, Told::Unknown),
+                    VoidDecision::NotRun => self.report(number, Reported::NotRun),
+                    VoidDecision::ReadStatus => self.requests[number].router_stage = Stage::Waiting,
+                    VoidDecision::Unknown => self.report(number, Reported::Unknown),
                 }
             }
-            At::Waiting => match self.status(router, key) {
-                CallStatus::Ran(answer) => self.tell(number, Told::Ran(answer.status)),
-                CallStatus::NotRun => self.tell(number, Told::NotRun),
-                _ if self.below(6) == 0 => self.tell(number, Told::Unknown),
+            Stage::Waiting => match self.status(router, key) {
+                CallStatus::Ran(answer) => self.report(number, Reported::Ran(answer.status)),
+                CallStatus::NotRun => self.report(number, Reported::NotRun),
+                _ if self.below(6) == 0 => self.report(number, Reported::Unknown),
                 _ => {}
             },
             _ => self.settle(number),
@@ -293,24 +304,24 @@
     }
 
     /// A process dies and starts anew; of what it had queued nothing more is appended.
-    fn die(&mut self) {
+    fn crash(&mut self) {
         let process = self.below(PROCESSES);
         let old = &mut self.processes[process];
         let incarnation = old.incarnation + 1;
         *old = Process { incarnation, ..Process::default() };
         for number in 0..self.requests.len() {
             let request = &mut self.requests[number];
-            if request.agent == process && request.at != At::Over {
-                request.at = At::Over;
+            if request.agent == process && request.agent_stage != Stage::Over {
+                request.agent_stage = Stage::Over;
                 self.settle(number);
-            } else if request.router == process && request.told.is_none() {
-                request.told = Some(Told::Unknown);
+            } else if request.router == process && request.reported.is_none() {
+                request.reported = Some(Reported::Unknown);
             }
         }
     }
 
     /// Lets everything come to rest.
-    fn rest(&mut self) {
+    fn run_to_completion(&mut self) {
         for _ in 0..12 {
             for process in 0..PROCESSES {
                 while let Some(record) = self.processes[process].queue.pop_front() {
@@ -331,14 +342,16 @@
         for key in 0..KEYS {
             assert!(self.runs[key] <= 1, "seed {seed}: key {key} ran {} times", self.runs[key]);
             let of_key = self.requests.iter().filter(|request| request.key == key);
-            let told: Vec<Told> = of_key.clone().filter_map(|request| request.told).collect();
-            let answers: Vec<&Told> = told.iter().filter(|t| matches!(t, Told::Ran(_))).collect();
-            assert!(answers.windows(2).all(|pair| pair[0] == pair[1]), "seed {seed}: {told:?}");
-            assert!(answers.is_empty() || self.runs[key] == 1, "seed {seed}: {told:?}");
-            let not_run = told.contains(&Told::NotRun);
-            assert!(!not_run || self.runs[key] == 0, "seed {seed}: false not run, {told:?}");
+            let reported: Vec<Reported> =
+                of_key.clone().filter_map(|request| request.reported).collect();
+            let answers: Vec<&Reported> =
+                reported.iter().filter(|t| matches!(t, Reported::Ran(_))).collect();
+            assert!(answers.windows(2).all(|pair| pair[0] == pair[1]), "seed {seed}: {reported:?}");
+            assert!(answers.is_empty() || self.runs[key] == 1, "seed {seed}: {reported:?}");
+            let not_run = reported.contains(&Reported::NotRun);
+            assert!(!not_run || self.runs[key] == 0, "seed {seed}: false not run, {reported:?}");
             for request in of_key {
-                let refused = request.told == Some(Told::Refused);
+                let refused = request.reported == Some(Reported::Refused);
                 assert!(!refused || request.ran == 0, "seed {seed}: a refused request ran");
             }
         }
@@ -350,7 +363,7 @@
     for _ in 0..STEPS {
         world.step();
     }
-    world.rest();
+    world.run_to_completion();
     world.check(seed);
     world
 }
@@ -362,22 +375,23 @@
 fn no_interleaving_runs_a_call_twice_or_denies_one_that_ran() {
     let first: u64 = rand::random_range(0..u64::MAX / 2);
     println!("first seed {first}");
-    let mut told: BTreeMap<String, u32> = BTreeMap::new();
+    let mut reported: BTreeMap<String, u32> = BTreeMap::new();
     for seed in first..first + 20_000 {
         for request in run(seed).requests {
-            let told = told.entry(format!("{:?}", request.told).chars().take(8).collect());
-            *told.or_default() += 1;
+            let reported =
+                reported.entry(format!("{:?}", request.reported).chars().take(8).collect());
+            *reported.or_default() += 1;
         }
     }
-    println!("answers: {told:?}");
-    assert!(told.len() >= 4, "all kinds of answers occurred: {told:?}");
+    println!("answers: {reported:?}");
+    assert!(reported.len() >= 4, "all kinds of answers occurred: {reported:?}");
 }
 
 /// Seeds that found a fault in a trial with one rule taken out, so that each rule keeps a case.
 #[rstest]
 #[case::claim_run_after_its_caller_was_refused(9_197_129_605_212_778_315)]
-#[case::void_taken_for_not_run_after_a_claim(1_945_634_989_809_333_006)]
+#[case::void_treated_as_not_run_after_a_claim(1_945_634_989_809_333_006)]
 #[case::void_over_a_claim(6_596_262_582_381_631_473)]
-fn a_seed_that_found_a_fault_stays_found(#[case] seed: u64) {
+fn seeds_that_detect_a_missing_rule_pass(#[case] seed: u64) {
     run(seed);
 }
--- a/crates/corianderstand_state/tests/plan.rs
+++ b/crates/corianderstand_state/tests/plan.rs
@@ -82,11 +82,11 @@
 /// Hosts come and go all day. Each slot that moves costs a cold start, so no more may move than
 /// were on the host that went, and none for one that comes.
 #[rstest]
-fn only_the_slots_of_a_host_that_goes_are_moved() {
+fn only_the_slots_of_a_lost_host_move() {
     let mut bench = Bench::new(12, 30, 3);
     assert_eq!(bench.settle(&[]), 90);
     bench.announce(12);
-    assert_eq!(bench.settle(&[]), 0, "a host that comes moves nothing");
+    assert_eq!(bench.settle(&[]), 0, "a new host moves nothing");
     let lost = bench.slots_of("e4");
     let offset = bench.state.targets.by_name[&TargetId::from("e4")].offset;
     bench.append(Body::TargetGone { epoch: 1, target: "e4".into(), target_offset: offset });
@@ -95,15 +95,15 @@
 
 /// A place is lost. A model whose replicas all stood there could not be served at all.
 #[rstest]
-fn replicas_spread_over_places_and_evenly_over_engines() {
+fn replicas_spread_over_zones_and_evenly_over_engines() {
     let mut bench = Bench::new(12, 30, 3);
     bench.settle(&[]);
-    let mut places: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
+    let mut zones: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
     for (key, slot) in &bench.state.slots.by_key {
-        let place = &bench.state.targets.by_name[&slot.target].record.place;
-        places.entry(key.model.clone()).or_default().insert(place.clone());
+        let zone = &bench.state.targets.by_name[&slot.target].record.place;
+        zones.entry(key.model.clone()).or_default().insert(zone.clone());
     }
-    assert!(places.values().all(|places| places.len() == 3));
+    assert!(zones.values().all(|zones| zones.len() == 3));
     let counts: Vec<usize> = (0..12).map(|e| bench.slots_of(&format!("e{e}"))).collect();
     assert!(counts.iter().max() <= counts.iter().min().map(|least| least + 1).as_ref());
 }
@@ -111,7 +111,7 @@
 /// A host is shown as leaving and stays after all. Its disk still holds the checkpoint, so its
 /// slot goes back there rather than to a host that must fetch it.
 #[rstest]
-fn a_slot_goes_back_to_where_its_checkpoint_is() {
+fn a_slot_returns_to_its_former_owner() {
     let mut bench = Bench::new(6, 1, 1);
     bench.settle(&[]);
     let (key, slot) = bench.state.slots.by_key.iter().next().expect("it is assigned");
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -59,19 +59,19 @@
     Body::SlotAssigned { epoch, model, index, target, target_offset }
 }
 
-const TTL: u64 = 1000;
+const TTL_MS: u64 = 1000;
 
 /// The holder of the lease is paused, another takes it, and the first goes on and writes what it
 /// had decided. Two planners at once would give one slot to two engines.
 #[rstest]
-fn a_holder_that_was_paused_past_its_lease_is_voided() {
+fn a_holder_that_was_paused_past_its_lease_is_rejected() {
     let mut log = Log::new();
     log.append("e", target("e"));
-    assert_eq!(log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL }), Outcome::Applied);
-    let early = log.append("r2", Body::LeaseTaken { epoch: 2, ttl_ms: TTL });
-    assert_eq!(early, Outcome::Rejected(Rejection::LeaseNotHeld), "it has not lapsed yet");
-    log.now_ms = TTL;
-    assert_eq!(log.append("r2", Body::LeaseTaken { epoch: 2, ttl_ms: TTL }), Outcome::Applied);
+    assert_eq!(log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL_MS }), Outcome::Applied);
+    let early = log.append("r2", Body::LeaseTaken { epoch: 2, ttl_ms: TTL_MS });
+    assert_eq!(early, Outcome::Rejected(Rejection::LeaseNotHeld), "it has not expired yet");
+    log.now_ms = TTL_MS;
+    assert_eq!(log.append("r2", Body::LeaseTaken { epoch: 2, ttl_ms: TTL_MS }), Outcome::Applied);
     for stale in [assigned(1, 0, 1), assigned(2, 0, 1), Body::LeaseRenewed { epoch: 1 }] {
         assert_eq!(log.append("r1", stale), Outcome::Rejected(Rejection::LeaseNotHeld));
     }
@@ -81,23 +81,23 @@
 /// A target is announced anew, or removed, between the planner's look and its record. The slot
 /// would belong to a process that is gone, and the model would never be served.
 #[rstest]
-fn a_slot_is_not_given_to_a_target_that_has_changed() {
+fn a_slot_is_not_assigned_to_a_target_that_has_changed() {
     let mut log = Log::new();
     log.append("e", target("e"));
-    log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL });
+    log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL_MS });
     log.append("e", target("e"));
     assert_eq!(log.append("r1", assigned(1, 0, 1)), Outcome::Rejected(Rejection::TargetChanged));
     assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Applied);
     let gone = Body::TargetGone { epoch: 1, target: "e".into(), target_offset: 3 };
     assert_eq!(log.append("r1", gone), Outcome::Applied);
-    assert!(log.state.slots.by_key.is_empty(), "its slots go with it");
+    assert!(log.state.slots.by_key.is_empty(), "its slots are removed with it");
     assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Rejected(Rejection::TargetChanged));
 }
 
 /// Two operators change the same document at the same moment. Without the version in the record
 /// the second would undo the first, and the first would never learn it.
 #[rstest]
-fn of_two_operators_one_wins_and_the_other_learns_the_version_in_the_way() {
+fn of_two_concurrent_changes_one_applies_and_the_other_reports_the_conflict() {
     let mut log = Log::new();
     assert_eq!(log.append("r1", settings("a", 0, "{}", 9)), Outcome::Applied);
     let conflict = Rejection::Conflict { path: "a".into(), version: 1, base: 0 };
@@ -109,7 +109,7 @@
 /// The log is slow; an operator is told "not known yet", asks again after the change's time and is
 /// told "refused". A record that comes into the log later still must not take force then.
 #[rstest]
-fn a_change_that_reaches_the_log_too_late_has_no_effect() {
+fn a_change_appended_after_its_deadline_has_no_effect() {
     let mut log = Log::new();
     log.now_ms = 500;
     let late = log.append("r1", settings("a", 0, "{}", 499));
@@ -121,7 +121,7 @@
 /// An append's answer is lost and the writer repeats it after others have written. Folded twice,
 /// a change would undo what came in between.
 #[rstest]
-fn a_repeat_after_a_lost_answer_is_folded_once() {
+fn a_retried_append_is_applied_once() {
     let mut log = Log::new();
     let body = settings("a", 0, "{}", 9);
     let record = Record { writer: "r1".into(), incarnation: 1, sequence: 1, body };
@@ -133,25 +133,25 @@
 /// A reader starts after the log has dropped its beginning. With a checkpoint it must come to the
 /// same state as one that read everything, part by part and with records in between.
 #[rstest]
-fn a_checkpoint_and_the_records_after_it_give_the_same_state() {
+fn a_checkpoint_and_the_records_after_it_restore_the_same_state() {
     let mut log = Log::new();
     let long = format!("\"{}\"", "x".repeat(3 * checkpoint::PART_BYTES));
     log.append("r1", settings("a", 0, &long, 9));
-    log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL });
+    log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL_MS });
     let parts = checkpoint::split(&log.state);
     assert!(parts.len() > 3);
     for (at, part) in parts.into_iter().enumerate() {
         assert_eq!(log.append("r1", part), Outcome::Applied);
         log.append("r2", settings(&format!("b{at}"), 0, "{}", 9));
     }
-    let last = log.state.checkpoints.last.expect("it is whole");
+    let last = log.state.checkpoints.last.expect("it is complete");
     let mut collector = Collector::default();
     let kept = log.entries.iter().filter(|(offset, ..)| *offset >= last.as_of);
     let mut restored = None;
     for (_, _, record) in kept.clone() {
         restored = collector.receive(record).or(restored);
     }
-    let mut restored = restored.expect("the parts are whole");
+    let mut restored = restored.expect("all parts are present");
     for (offset, at_ms, record) in kept {
         restored.apply(*offset, *at_ms, record);
     }
@@ -161,11 +161,11 @@
 /// A holder dies while it writes a checkpoint and its successor writes another. A reader that put
 /// parts of both together would hold a state that never was.
 #[rstest]
-fn parts_of_two_checkpoints_are_not_put_together() {
+fn parts_of_two_checkpoints_are_not_combined() {
     let mut log = Log::new();
     let long = format!("\"{}\"", "x".repeat(2 * checkpoint::PART_BYTES));
     log.append("r1", settings("a", 0, &long, 9));
-    log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL });
+    log.append("r1", Body::LeaseTaken { epoch: 1, ttl_ms: TTL_MS });
     let first = checkpoint::split(&log.state);
     log.append("r2", settings("b", 0, "{}", 9));
     let second = checkpoint::split(&log.state);
@@ -183,16 +183,19 @@
 /// Bookings and restarted writers come every day for years. Without an end to their memory every
 /// process would grow until its host has no room.
 #[rstest]
-fn old_calls_and_writers_are_forgotten_by_log_time() {
+fn old_calls_and_writers_expire_by_log_time() {
     let mut log = Log::new();
     let key = CallKey { team: "t".into(), service: "s".into(), key: "k".into() };
     log.append("r1", Body::CallVoided { key: key.clone() });
-    let ttl = calls::KEY_RETENTION_MS;
-    log.now_ms = ttl - 1;
+    let retention_ms = calls::KEY_RETENTION_MS;
+    log.now_ms = retention_ms - 1;
     log.append("r2", settings("a", 0, "{}", u64::MAX));
     assert!(log.state.calls.find(&key).is_some());
-    assert!(!log.state.writers.contains_key(&WriterId::from("r1")), "silent for more than a day");
-    log.now_ms = ttl + expiry::SWEEP_INTERVAL_MS;
+    assert!(
+        !log.state.writers.contains_key(&WriterId::from("r1")),
+        "no record for more than a day"
+    );
+    log.now_ms = retention_ms + expiry::SWEEP_INTERVAL_MS;
     let other = CallKey { key: "other".into(), ..key.clone() };
     log.append("r2", Body::CallVoided { key: other });
     assert!(log.state.calls.find(&key).is_none());
