--- a/crates/corianderstand_state/tests/calls.rs
+++ b/crates/corianderstand_state/tests/calls.rs
@@ -1,4 +1,4 @@
-//! What is remembered of calls that may not be repeated, and for how long.
+//! Retention and finality of at-most-once calls.
 
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Record};
 use corianderstand_state::{
@@ -39,7 +39,7 @@
     }
 }
 
-/// A repeat comes "the same time tomorrow", a little late. Forgotten by then, it would book again.
+/// A key that expires too early lets a retry on the next day run the call twice.
 #[rstest]
 fn a_key_is_remembered_for_a_day_and_then_expires() {
     let mut log = Log::default();
@@ -52,8 +52,7 @@
     assert_eq!(log.state.calls.len(), 1);
 }
 
-/// More keys come in a day than there is memory for. New calls are refused; none that is
-/// remembered is forgotten early or told as "not run", and routers can still void.
+/// At the key limit new claims are rejected, existing keys are kept, and voids still work.
 #[rstest]
 fn the_key_limit_rejects_new_claims_and_keeps_existing_keys() {
     let mut log = Log::default();
@@ -66,7 +65,7 @@
     assert_eq!(log.write(Body::CallVoided { key: key("other") }), Outcome::Applied);
 }
 
-/// An outcome comes twice, or from a claim that did not take effect. The first outcome stands.
+/// A duplicate outcome, or one for a rejected claim, must not replace the first outcome.
 #[rstest]
 fn an_outcome_never_changes() {
     let mut log = Log::default();
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -1,8 +1,8 @@
-//! The claim protocol under generated interleavings, against what the service really ran.
+//! Randomised model check of the claim protocol against the calls that a service executed.
 //!
-//! Two routers and two agents, each with its own lagging copy of the log, take random steps:
-//! ask, claim, append (in any order between processes, some appends twice), read, call, answer,
-//! give up, die. A step that is not drawn for long is a frozen process.
+//! Two routers and two agents, each reading the log at its own pace, take random steps: request,
+//! claim, append (sometimes twice), read, call, answer, time out, crash. A process that takes no
+//! step for long models a pause.
 
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Record};
 use corianderstand_state::{
@@ -22,7 +22,7 @@
 const STEPS: usize = 160;
 const DIGEST: u64 = 7;
 
-/// What a caller was told.
+/// Result reported to a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Reported {
     Ran(u16),
@@ -31,7 +31,7 @@
     Unknown,
 }
 
-/// Where one request is.
+/// Stage of a request at its agent or its router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Arrived,
@@ -49,9 +49,9 @@
     agent: usize,
     router: usize,
     agent_stage: Stage,
-    /// At the agent, and whether its request is still waited for there.
+    /// Whether the agent still holds the request open.
     is_pending: bool,
-    /// At the router, once it has given up.
+    /// Stage at the router after the agent's attempt ended without a known outcome.
     router_stage: Stage,
     reported: Option<Reported>,
     ran: u32,
@@ -63,7 +63,7 @@
     sequence: u64,
     queue: VecDeque<Record>,
     state: State,
-    /// Outcomes of this incarnation's records, as read back.
+    /// Outcomes of this incarnation's records, by sequence number.
     decided: BTreeMap<u64, (u64, Outcome)>,
 }
 
@@ -144,8 +144,7 @@
         self.requests.push(request);
     }
 
-    /// The log takes a process's next record; one in four times the answer is lost, so that the
-    /// record is appended again later.
+    /// Appends a process's next record; sometimes the answer is lost and the append is retried.
     fn append(&mut self) {
         let process = self.below(PROCESSES);
         let lost = self.below(4) == 0;
@@ -177,7 +176,7 @@
         self.requests[request].reported.get_or_insert(reported);
     }
 
-    /// What the agent's ending means at the router.
+    /// Ends the agent's attempt; the router settles an unknown outcome.
     fn end(&mut self, request: usize, reported: Reported) {
         self.requests[request].agent_stage = Stage::Over;
         if reported == Reported::Unknown {
@@ -253,8 +252,7 @@
         self.write(agent, Body::CallEnded { key: call_key(key), claim, answer });
     }
 
-    /// The log has not decided a claim in time: the caller is refused, and the claim is
-    /// withdrawn should it come to stand.
+    /// The claim timed out: the request is refused, and withdrawn if the claim is applied later.
     fn time_out_claim(&mut self) {
         let Some(number) = self.pick() else { return };
         let Request { agent, agent_stage: Stage::Claiming(sequence), is_pending: true, .. } =
@@ -303,7 +301,7 @@
         }
     }
 
-    /// A process dies and starts anew; of what it had queued nothing more is appended.
+    /// A process crashes and restarts; its queued records are lost.
     fn crash(&mut self) {
         let process = self.below(PROCESSES);
         let old = &mut self.processes[process];
@@ -320,7 +318,7 @@
         }
     }
 
-    /// Lets everything come to rest.
+    /// Drains all queues and steps the requests until they finish.
     fn run_to_completion(&mut self) {
         for _ in 0..12 {
             for process in 0..PROCESSES {
@@ -368,9 +366,8 @@
     world
 }
 
-/// Processes freeze, die and lose the log's answers in any order while callers ask again and
-/// again under the same keys. A user would notice a booking made twice, a booking made that was
-/// said not to be, or two outcomes for one booking.
+/// Under pauses, crashes and lost answers no key runs twice, no call that ran is reported as not
+/// run, and all reported answers of a key agree.
 #[rstest]
 fn no_interleaving_runs_a_call_twice_or_denies_one_that_ran() {
     let first: u64 = rand::random_range(0..u64::MAX / 2);
@@ -387,7 +384,7 @@
     assert!(reported.len() >= 4, "all kinds of answers occurred: {reported:?}");
 }
 
-/// Seeds that found a fault in a trial with one rule taken out, so that each rule keeps a case.
+/// Each seed fails if the rule named by its case is removed.
 #[rstest]
 #[case::claim_run_after_its_caller_was_refused(9_197_129_605_212_778_315)]
 #[case::void_treated_as_not_run_after_a_claim(1_945_634_989_809_333_006)]
--- a/crates/corianderstand_state/tests/plan.rs
+++ b/crates/corianderstand_state/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Where the planner puts slots, and what moves when hosts come and go.
+//! Slot placement, and which slots move when hosts join or leave.
 
 use corianderstand_schema::records::{Body, Change, Record, TargetRecord};
 use corianderstand_state::{
@@ -79,8 +79,7 @@
     }
 }
 
-/// Hosts come and go all day. Each slot that moves costs a cold start, so no more may move than
-/// were on the host that went, and none for one that comes.
+/// Every moved slot costs a cold start, so only slots of a lost host may move.
 #[rstest]
 fn only_the_slots_of_a_lost_host_move() {
     let mut bench = Bench::new(12, 30, 3);
@@ -93,7 +92,7 @@
     assert_eq!(bench.settle(&["h4"]), lost, "the minimum");
 }
 
-/// A place is lost. A model whose replicas all stood there could not be served at all.
+/// Losing one availability zone must not take all replicas of a model.
 #[rstest]
 fn replicas_spread_over_zones_and_evenly_over_engines() {
     let mut bench = Bench::new(12, 30, 3);
@@ -108,8 +107,7 @@
     assert!(counts.iter().max() <= counts.iter().min().map(|least| least + 1).as_ref());
 }
 
-/// A host is shown as leaving and stays after all. Its disk still holds the checkpoint, so its
-/// slot goes back there rather than to a host that must fetch it.
+/// A released slot returns to its former owner, which still has the model's weights cached.
 #[rstest]
 fn a_slot_returns_to_its_former_owner() {
     let mut bench = Bench::new(6, 1, 1);
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules by which the fold judges records.
+//! Conditions under which the fold applies or rejects records.
 
 use corianderstand_schema::records::{Body, CallKey, Change, Record, TargetRecord};
 use corianderstand_state::{
@@ -10,7 +10,7 @@
 use corianderstand_types::{names::WriterId, units::Mib};
 use rstest::rstest;
 
-/// A log of one test: appends number themselves.
+/// An in-memory log that applies each appended record.
 struct Log {
     state: State,
     entries: Vec<(u64, u64, Record)>,
@@ -61,8 +61,7 @@
 
 const TTL_MS: u64 = 1000;
 
-/// The holder of the lease is paused, another takes it, and the first goes on and writes what it
-/// had decided. Two planners at once would give one slot to two engines.
+/// A former lease holder that resumes after a pause must not plan alongside its successor.
 #[rstest]
 fn a_holder_that_was_paused_past_its_lease_is_rejected() {
     let mut log = Log::new();
@@ -78,8 +77,7 @@
     assert_eq!(log.append("r2", assigned(2, 0, 1)), Outcome::Applied);
 }
 
-/// A target is announced anew, or removed, between the planner's look and its record. The slot
-/// would belong to a process that is gone, and the model would never be served.
+/// A slot assigned to a target that was since replaced or removed would never be served.
 #[rstest]
 fn a_slot_is_not_assigned_to_a_target_that_has_changed() {
     let mut log = Log::new();
@@ -94,8 +92,7 @@
     assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Rejected(Rejection::TargetChanged));
 }
 
-/// Two operators change the same document at the same moment. Without the version in the record
-/// the second would undo the first, and the first would never learn it.
+/// Concurrent changes of one document must not silently overwrite each other.
 #[rstest]
 fn of_two_concurrent_changes_one_applies_and_the_other_reports_the_conflict() {
     let mut log = Log::new();
@@ -106,8 +103,7 @@
     assert!(entry.refused.as_ref().is_some_and(|reason| reason.contains("version 1")));
 }
 
-/// The log is slow; an operator is told "not known yet", asks again after the change's time and is
-/// told "refused". A record that comes into the log later still must not take force then.
+/// A change past its deadline has been reported as refused, so it must not apply later.
 #[rstest]
 fn a_change_appended_after_its_deadline_has_no_effect() {
     let mut log = Log::new();
@@ -118,8 +114,7 @@
     assert_eq!(log.append("r1", settings("a", 0, "{}", 500)), Outcome::Applied);
 }
 
-/// An append's answer is lost and the writer repeats it after others have written. Folded twice,
-/// a change would undo what came in between.
+/// A retried append applied twice would undo the records between the two.
 #[rstest]
 fn a_retried_append_is_applied_once() {
     let mut log = Log::new();
@@ -130,8 +125,7 @@
     assert_eq!(log.append_record(record), Outcome::Repeated);
 }
 
-/// A reader starts after the log has dropped its beginning. With a checkpoint it must come to the
-/// same state as one that read everything, part by part and with records in between.
+/// Restoring from a checkpoint interleaved with other records must equal a full replay.
 #[rstest]
 fn a_checkpoint_and_the_records_after_it_restore_the_same_state() {
     let mut log = Log::new();
@@ -158,8 +152,7 @@
     assert_eq!(checkpoint::encode(&restored), checkpoint::encode(&log.state));
 }
 
-/// A holder dies while it writes a checkpoint and its successor writes another. A reader that put
-/// parts of both together would hold a state that never was.
+/// Mixing parts of an aborted checkpoint and its successor would restore a state that never existed.
 #[rstest]
 fn parts_of_two_checkpoints_are_not_combined() {
     let mut log = Log::new();
@@ -180,8 +173,7 @@
     assert_eq!(log.state.checkpoints.last, None);
 }
 
-/// Bookings and restarted writers come every day for years. Without an end to their memory every
-/// process would grow until its host has no room.
+/// Without expiry the state would grow without bound.
 #[rstest]
 fn old_calls_and_writers_expire_by_log_time() {
     let mut log = Log::new();
