--- a/crates/corianderstand_derives/src/lib.rs
+++ b/crates/corianderstand_derives/src/lib.rs
@@ -23,7 +23,7 @@
 /// An unknown set is a compile error that lists the known ones.
 #[proc_macro_attribute]
 pub fn derives(args: TokenStream, item: TokenStream) -> TokenStream {
-    let item = proc_macro2_item(item);
+    let item = parse_item(item);
     let set = args.to_string();
     let list = match set.as_str() {
         "key" => quote!(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug),
@@ -31,12 +31,13 @@
         "data" => quote!(Clone, PartialEq, Debug),
         "wire" => quote!(Clone, PartialEq, Debug, ::serde::Serialize, ::serde::Deserialize),
         _ => {
-            return quote!(compile_error!("derives: name one of key, name, data, wire");).into();
+            return quote!(compile_error!("derives: expected one of key, name, data, wire");)
+                .into();
         }
     };
     quote!(#[derive(#list)] #item).into()
 }
 
-fn proc_macro2_item(item: TokenStream) -> syn::Item {
-    syn::parse(item).expect("the attribute stands on an item")
+fn parse_item(item: TokenStream) -> syn::Item {
+    syn::parse(item).expect("the attribute is applied to an item")
 }
--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 /// Frames gathered before they are written out.
-const GATHER: usize = 128;
+const MAX_BATCH_FRAMES: usize = 128;
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(frame::MAX_FRAME_BYTES).new_codec()
@@ -26,16 +26,16 @@
 #[derive(Debug)]
 pub struct Reader {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
-    silence: Duration,
-    heard: Instant,
-    buffered: usize,
+    idle_timeout: Duration,
+    last_received_at: Instant,
+    buffered_bytes: usize,
 }
 
 /// Writes frames.
 #[derive(Debug)]
 pub struct Writer {
     frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
 /// Splits a connection; `silence` bounds each read and each write.
@@ -43,12 +43,13 @@
 /// # Errors
 ///
 /// Fails if the socket's options cannot be set.
-pub fn split(stream: TcpStream, silence: Duration) -> std::io::Result<(Reader, Writer)> {
+pub fn split(stream: TcpStream, idle_timeout: Duration) -> std::io::Result<(Reader, Writer)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
     let frames = FramedRead::new(read, codec());
-    let reader = Reader { frames, silence, heard: Instant::now(), buffered: 0 };
-    Ok((reader, Writer { frames: FramedWrite::new(write, codec()), silence }))
+    let reader =
+        Reader { frames, idle_timeout, last_received_at: Instant::now(), buffered_bytes: 0 };
+    Ok((reader, Writer { frames: FramedWrite::new(write, codec()), idle_timeout }))
 }
 
 impl Reader {
@@ -65,17 +66,17 @@
     /// [`FrameError::IdleTimeout`] after the limit on silence; others if the connection broke.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<(T, Bytes), FrameError> {
         loop {
-            let until = self.heard + self.silence;
-            if let Ok(frame) = time::timeout_at(until, self.frames.next()).await {
-                self.heard = Instant::now();
-                self.buffered = self.frames.read_buffer().len();
+            let deadline = self.last_received_at + self.idle_timeout;
+            if let Ok(frame) = time::timeout_at(deadline, self.frames.next()).await {
+                self.last_received_at = Instant::now();
+                self.buffered_bytes = self.frames.read_buffer().len();
                 return frame::decode(&frame.ok_or(FrameError::Closed)??.freeze());
             }
-            let buffered = self.frames.read_buffer().len();
-            if buffered <= self.buffered {
-                return Err(FrameError::IdleTimeout(self.silence.as_millis()));
+            let buffered_bytes = self.frames.read_buffer().len();
+            if buffered_bytes <= self.buffered_bytes {
+                return Err(FrameError::IdleTimeout(self.idle_timeout.as_millis()));
             }
-            (self.heard, self.buffered) = (Instant::now(), buffered);
+            (self.last_received_at, self.buffered_bytes) = (Instant::now(), buffered_bytes);
         }
     }
 }
@@ -87,16 +88,16 @@
     ///
     /// Fails if the connection broke, or takes nothing for the limit on silence.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Bytes>) -> Result<(), FrameError> {
-        let mut frames = Vec::with_capacity(GATHER);
-        while rx.recv_many(&mut frames, GATHER).await > 0 {
+        let mut frames = Vec::with_capacity(MAX_BATCH_FRAMES);
+        while rx.recv_many(&mut frames, MAX_BATCH_FRAMES).await > 0 {
             let write = async {
                 for frame in frames.drain(..) {
                     self.frames.feed(frame).await?;
                 }
                 SinkExt::<Bytes>::flush(&mut self.frames).await
             };
-            let written = time::timeout(self.silence, write).await;
-            written.map_err(|_| FrameError::IdleTimeout(self.silence.as_millis()))??;
+            let written = time::timeout(self.idle_timeout, write).await;
+            written.map_err(|_| FrameError::IdleTimeout(self.idle_timeout.as_millis()))??;
         }
         Ok(())
     }
--- a/crates/corianderstand_link/src/frame.rs
+++ b/crates/corianderstand_link/src/frame.rs
@@ -51,6 +51,6 @@
 /// [`FrameError::Codec`] if the frame does not begin with such a message.
 pub fn decode<T: DeserializeOwned>(frame: &Bytes) -> Result<(T, Bytes), FrameError> {
     let (message, rest) = postcard::take_from_bytes::<T>(frame)?;
-    let at = frame.len() - rest.len();
-    Ok((message, frame.slice(at..)))
+    let body_start = frame.len() - rest.len();
+    Ok((message, frame.slice(body_start..)))
 }
--- a/crates/corianderstand_link/tests/trace.rs
+++ b/crates/corianderstand_link/tests/trace.rs
@@ -24,7 +24,7 @@
 #[case("00-0af7651916cd43dd8448eb211c80319c-0000000000000000-01")]
 #[case("00-0AF7651916CD43DD8448EB211C80319C-b7ad6b7169203331-01")]
 #[case("ff-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")]
-fn a_malformed_header_begins_a_trace(#[case] header: &str) {
+fn a_malformed_header_starts_a_new_trace(#[case] header: &str) {
     let hop = TraceContext::continue_from(Some(header));
     assert_eq!(hop.parent, 0);
     assert_ne!(hop.trace, 0);
