--- a/crates/corianderstand_derives/src/lib.rs
+++ b/crates/corianderstand_derives/src/lib.rs
@@ -1,8 +1,7 @@
-//! One attribute for the sets of derives that recur in this workspace.
+//! An attribute for the sets of derives used in this workspace.
 //!
-//! `#[derives(key)]` stands for what a small `Copy` key needs, `#[derives(name)]` for an owned
-//! identifier, `#[derives(data)]` for a plain value, `#[derives(wire)]` for a value that is
-//! also serialised. Naming the set keeps the lists alike and short.
+//! `#[derives(key)]` is for small `Copy` keys, `#[derives(name)]` for owned identifiers,
+//! `#[derives(data)]` for plain values and `#[derives(wire)]` for values that are also serialised.
 //!
 //! ```
 //! use corianderstand_derives::derives;
@@ -20,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// An unknown set is a compile error that lists the known ones.
+/// An unknown set is a compile error that lists the valid ones.
 #[proc_macro_attribute]
 pub fn derives(args: TokenStream, item: TokenStream) -> TokenStream {
     let item = parse_item(item);
--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -15,14 +15,14 @@
 };
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Frames gathered before they are written out.
+/// Frames batched into one flush.
 const MAX_BATCH_FRAMES: usize = 128;
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(frame::MAX_FRAME_BYTES).new_codec()
 }
 
-/// Reads frames.
+/// Reads frames from a connection.
 #[derive(Debug)]
 pub struct Reader {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
@@ -31,14 +31,14 @@
     buffered_bytes: usize,
 }
 
-/// Writes frames.
+/// Writes frames to a connection.
 #[derive(Debug)]
 pub struct Writer {
     frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     idle_timeout: Duration,
 }
 
-/// Splits a connection; `silence` bounds each read and each write.
+/// Splits a connection; `idle_timeout` bounds each read and each write.
 ///
 /// # Errors
 ///
@@ -53,17 +53,16 @@
 }
 
 impl Reader {
-    /// The next message.
+    /// Returns the next message and its body.
     ///
-    /// A device between the two ends may lose track of the connection; nothing comes then, not
-    /// even an error, and requests on it would wait for ever. The other end sends heartbeats,
-    /// so silence beyond the limit means that this connection is of no use any more. The time
-    /// runs from the last byte heard, not from this call: whoever reads also sends heartbeats
-    /// and drops this future for each. A long frame that comes slowly is no silence.
+    /// Detects connections dropped silently on the network path: the peer sends heartbeats, so
+    /// receiving nothing for the idle timeout is an error. The timeout runs from the last received
+    /// bytes, so it survives cancellation of this future and slow transfer of a long frame.
     ///
     /// # Errors
     ///
-    /// [`FrameError::IdleTimeout`] after the limit on silence; others if the connection broke.
+    /// [`FrameError::IdleTimeout`] if nothing is received; others if the connection fails or a frame
+    /// is invalid.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<(T, Bytes), FrameError> {
         loop {
             let deadline = self.last_received_at + self.idle_timeout;
@@ -82,11 +81,11 @@
 }
 
 impl Writer {
-    /// Writes all frames that come until the sender is dropped.
+    /// Writes frames until the sender is dropped.
     ///
     /// # Errors
     ///
-    /// Fails if the connection broke, or takes nothing for the limit on silence.
+    /// Fails if the connection fails or a batch is not written within the idle timeout.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Bytes>) -> Result<(), FrameError> {
         let mut frames = Vec::with_capacity(MAX_BATCH_FRAMES);
         while rx.recv_many(&mut frames, MAX_BATCH_FRAMES).await > 0 {
--- a/crates/corianderstand_link/src/frame.rs
+++ b/crates/corianderstand_link/src/frame.rs
@@ -1,21 +1,21 @@
-//! One message in one frame.
+//! Encoding of one message and its body in one frame.
 
 use bytes::Bytes;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Longest frame, in bytes: the longest body a router takes and room for the header.
+/// Maximum frame length: the longest request body that a router accepts, plus the header.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024 + 64 * 1024;
 
-/// A frame that cannot be used.
+/// Error of a framed connection.
 #[derive(Debug, displaydoc::Display)]
 pub enum FrameError {
-    /// a message cannot be written or read ({0}): run the same version on both ends
+    /// cannot encode or decode a message ({0}): run the same version on both ends
     Codec(postcard::Error),
-    /// the connection broke ({0}): it is made anew
+    /// connection failed ({0}): the router reconnects
     Io(std::io::Error),
-    /// nothing came for {0} ms: the connection is given up and made anew
+    /// no data transferred for {0} ms: connection closed, the router reconnects
     IdleTimeout(u128),
-    /// the other end closed the connection: it is made anew
+    /// connection closed by the peer: the router reconnects
     Closed,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Writes a message and its body into one frame.
+/// Encodes a message and its body into one frame.
 ///
 /// # Errors
 ///
@@ -44,11 +44,11 @@
     Ok(buf.into())
 }
 
-/// Reads a message; what follows it is the body.
+/// Decodes a frame into its message and body.
 ///
 /// # Errors
 ///
-/// [`FrameError::Codec`] if the frame does not begin with such a message.
+/// [`FrameError::Codec`] if the frame does not start with a valid message.
 pub fn decode<T: DeserializeOwned>(frame: &Bytes) -> Result<(T, Bytes), FrameError> {
     let (message, rest) = postcard::take_from_bytes::<T>(frame)?;
     let body_start = frame.len() - rest.len();
--- a/crates/corianderstand_link/src/lib.rs
+++ b/crates/corianderstand_link/src/lib.rs
@@ -1,8 +1,8 @@
 //! The connection between a router and an agent: framed messages over TCP.
 //!
 //! A frame is a length, a [postcard] header generated from `schema/messages.json`, and the raw
-//! bytes of the body, if the message has one. One task writes a connection and gathers what is
-//! ready into few system calls; whoever reads it bounds the silence between two frames.
+//! bytes of the body, if the message has one. One task writes a connection and batches frames into
+//! few system calls; the reader enforces an idle timeout.
 //!
 //! ```
 //! use corianderstand_link::frame;
@@ -19,8 +19,8 @@
 pub mod frame;
 pub mod trace;
 
-/// Version of the messages; both ends must have the same.
+/// Version of the messages; both ends must use the same.
 pub const PROTOCOL: u32 = 2;
 
-/// Incarnation of a router in the greeting of a connection that only asks what is loaded.
+/// Router incarnation in the `Hello` message of a connection that only queries what is loaded.
 pub const STATUS_QUERY_INCARNATION: u64 = 0;
--- a/crates/corianderstand_link/src/trace.rs
+++ b/crates/corianderstand_link/src/trace.rs
@@ -1,7 +1,6 @@
-//! W3C trace context: one trace over all hops, one span for each.
+//! W3C trace context: one trace across all hops, one span per hop.
 //!
-//! The header is read and written by OpenTelemetry's propagator, so that a caller's library and
-//! ours agree on what is well formed, and the caller's choice whether to sample goes on.
+//! OpenTelemetry's propagator parses and formats the header and keeps the caller's sampling flag.
 
 use corianderstand_derives::derives;
 use opentelemetry::{
@@ -17,34 +16,34 @@
 /// The header that carries the context.
 const HEADER: &str = "traceparent";
 
-/// Identity of a trace and of the span that a hop belongs to.
+/// Trace and span identifiers of one hop.
 #[derives(key)]
 pub struct TraceContext {
-    /// The trace, the same in all processes.
+    /// Trace ID, the same in all processes.
     pub trace: u128,
-    /// The span of this hop.
+    /// Span ID of this hop.
     pub span: u64,
-    /// The span that this one is part of; 0 where the trace begins.
+    /// Parent span ID; 0 for a root span.
     pub parent: u64,
-    /// Whether whoever began the trace wants it recorded.
+    /// Whether the trace is sampled.
     pub sampled: bool,
 }
 
 impl TraceContext {
-    /// Begins a trace.
+    /// Starts a new, sampled trace.
     pub fn begin() -> Self {
         let mut rng = rand::rng();
         let trace = rng.random_range(1..=u128::MAX);
         Self { trace, span: rng.random_range(1..=u64::MAX), parent: 0, sampled: true }
     }
 
-    /// Continues the trace in a `traceparent` header, or begins one if there is none to read.
+    /// Continues the trace of a `traceparent` header; starts one if it is missing or malformed.
     pub fn continue_from(header: Option<&str>) -> Self {
         let parsed = header.and_then(Self::parse);
         parsed.map_or_else(Self::begin, Self::child)
     }
 
-    /// A span of the same trace for the next hop.
+    /// Creates a child span in the same trace.
     pub fn child(self) -> Self {
         Self { span: Self::begin().span, parent: self.span, ..self }
     }
@@ -61,7 +60,7 @@
         })
     }
 
-    /// The `traceparent` header for the next hop.
+    /// Formats the `traceparent` header for the next hop.
     pub fn header(self) -> SmolStr {
         let flags = if self.sampled { TraceFlags::SAMPLED } else { TraceFlags::default() };
         let (trace, span) = (TraceId::from(self.trace), SpanId::from(self.span));
--- a/crates/corianderstand_link/tests/idle_timeout.rs
+++ b/crates/corianderstand_link/tests/idle_timeout.rs
@@ -1,4 +1,4 @@
-//! The limit on silence of a connection.
+//! Idle timeout of a connection.
 
 use corianderstand_link::{
     connection,
@@ -28,8 +28,7 @@
     runtime.expect("the runtime starts").block_on(run)
 }
 
-/// Something between the two ends loses track of a connection, so that nothing comes any more,
-/// while this end goes on sending heartbeats. Its user would wait for ever for an answer.
+/// Sending heartbeats must not mask a connection on which nothing is received.
 #[rstest]
 fn the_idle_timeout_expires_while_heartbeats_are_sent() {
     block_on(async {
@@ -50,8 +49,7 @@
     });
 }
 
-/// A long body comes slowly over a thin line, longer than the limit on silence, but a little all
-/// the time. Cutting it would make its user start again and again.
+/// A slow transfer that makes progress must not time out.
 #[rstest]
 fn a_slow_frame_does_not_time_out() {
     block_on(async {
--- a/crates/corianderstand_link/tests/trace.rs
+++ b/crates/corianderstand_link/tests/trace.rs
@@ -1,4 +1,4 @@
-//! The trace context between hops.
+//! Trace context propagation between hops.
 
 use corianderstand_link::trace::TraceContext;
 use rstest::rstest;
@@ -15,8 +15,7 @@
     assert_eq!((next.trace, next.parent, next.sampled), (hop.trace, hop.span, sampled));
 }
 
-/// A caller's library sends a header that is not well formed. Passing it on would break the
-/// trace in whatever reads it, so a new trace begins.
+/// A malformed header must not be propagated.
 #[rstest]
 #[case("")]
 #[case("nonsense")]
