--- a/crates/corianderstand_types/src/clock.rs
+++ b/crates/corianderstand_types/src/clock.rs
@@ -36,8 +36,8 @@
     }
 
     fn since_boot(&self) -> Duration {
-        let read = time::clock_gettime(time::ClockId::CLOCK_BOOTTIME);
-        read.expect("each Linux kernel has this clock").into()
+        let time_since_boot = time::clock_gettime(time::ClockId::CLOCK_BOOTTIME);
+        time_since_boot.expect("CLOCK_BOOTTIME is supported").into()
     }
 }
 
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -45,24 +45,24 @@
 struct State {
     /// When a turn was last noted, by the watch itself or by a request, as the time since the host's
     /// start: the steady clock stands still while a host is suspended.
-    turned: Duration,
+    last_seen_at: Duration,
     /// Pauses so far.
     pauses: u64,
     /// Pauses that the watch's last turn knew of.
-    turned_after: u64,
+    pauses_at_last_tick: u64,
     /// Pauses after which the watch itself has turned twice. Between two of its turns the runtime
     /// asks the system which sockets have bytes; before that, a socket may seem empty by what was
     /// known earlier.
-    settled: u64,
+    confirmed_pauses: u64,
     connections: Vec<Weak<Connection>>,
 }
 
 /// When one socket was last seen empty.
 #[derive(Debug)]
-pub struct Connection(Mutex<Seen>);
+pub struct Connection(Mutex<LastEmpty>);
 
 #[derive(Debug)]
-struct Seen {
+struct LastEmpty {
     /// Pauses that were over then.
     pauses: u64,
     waker: Option<Waker>,
@@ -71,9 +71,14 @@
 impl PauseDetector {
     /// Nothing has been missed yet.
     pub fn new(now: Duration) -> Self {
-        let state =
-            State { turned: now, pauses: 0, turned_after: 0, settled: 0, connections: Vec::new() };
-        Self { state: Mutex::new(state), listener: Arc::new(Connection::seen_at(0)) }
+        let state = State {
+            last_seen_at: now,
+            pauses: 0,
+            pauses_at_last_tick: 0,
+            confirmed_pauses: 0,
+            connections: Vec::new(),
+        };
+        Self { state: Mutex::new(state), listener: Arc::new(Connection::last_empty_after(0)) }
     }
 
     /// Turns the watch; called each [`TICK_INTERVAL`] by a task of the runtime that reads requests.
@@ -82,13 +87,13 @@
     /// was idle all the while does not count as doubtful when its next request comes.
     pub fn tick(&self, now: Duration) {
         let mut state = self.lock();
-        state.note(now);
+        state.observe(now);
         let pauses = state.pauses;
-        let turned_after = std::mem::replace(&mut state.turned_after, pauses);
-        if turned_after != pauses || state.settled == pauses {
+        let pauses_at_last_tick = std::mem::replace(&mut state.pauses_at_last_tick, pauses);
+        if pauses_at_last_tick != pauses || state.confirmed_pauses == pauses {
             return;
         }
-        state.settled = pauses;
+        state.confirmed_pauses = pauses;
         state.connections.retain(|connection| connection.strong_count() > 0);
         let connections: Vec<_> = state.connections.iter().filter_map(Weak::upgrade).collect();
         drop(state);
@@ -101,7 +106,7 @@
     ///
     /// It was made after the listener was last seen without connections, so it is as new as that.
     pub fn connection(&self) -> Arc<Connection> {
-        let connection = Arc::new(Connection::seen_at(self.listener.lock().pauses));
+        let connection = Arc::new(Connection::last_empty_after(self.listener.lock().pauses));
         let mut state = self.lock();
         if state.connections.len() == state.connections.capacity() {
             state.connections.retain(|connection| connection.strong_count() > 0);
@@ -114,7 +119,7 @@
     /// process; also notes a pause that nobody has seen yet.
     pub fn may_predate_pause(&self, now: Duration, connection: &Connection) -> bool {
         let mut state = self.lock();
-        state.note(now);
+        state.observe(now);
         state.pauses != connection.lock().pauses
     }
 
@@ -124,11 +129,11 @@
         cx: &mut Context<'_>,
         poll: impl FnOnce(&mut Context<'_>) -> Poll<T>,
     ) -> Poll<T> {
-        self.look(&self.listener, cx, poll)
+        self.poll_tracked(&self.listener, cx, poll)
     }
 
     /// Polls a socket and notes when it is empty.
-    fn look<T>(
+    fn poll_tracked<T>(
         &self,
         connection: &Connection,
         cx: &mut Context<'_>,
@@ -136,14 +141,14 @@
     ) -> Poll<T> {
         // Asked before the look: a pause between the two leaves the connection doubtful.
         let state = self.lock();
-        let settled = (state.settled == state.pauses).then_some(state.pauses);
+        let confirmed_pauses = (state.confirmed_pauses == state.pauses).then_some(state.pauses);
         drop(state);
         let polled = poll(cx);
         if polled.is_pending() {
-            let mut seen = connection.lock();
-            seen.pauses = settled.unwrap_or(seen.pauses);
-            if !seen.waker.as_ref().is_some_and(|waker| waker.will_wake(cx.waker())) {
-                seen.waker = Some(cx.waker().clone());
+            let mut last_empty = connection.lock();
+            last_empty.pauses = confirmed_pauses.unwrap_or(last_empty.pauses);
+            if !last_empty.waker.as_ref().is_some_and(|waker| waker.will_wake(cx.waker())) {
+                last_empty.waker = Some(cx.waker().clone());
             }
         }
         polled
@@ -156,19 +161,19 @@
 
 impl State {
     /// Notes a turn.
-    fn note(&mut self, now: Duration) {
-        let paused = now.saturating_sub(self.turned) > PAUSE_THRESHOLD;
-        self.turned = self.turned.max(now);
+    fn observe(&mut self, now: Duration) {
+        let paused = now.saturating_sub(self.last_seen_at) > PAUSE_THRESHOLD;
+        self.last_seen_at = self.last_seen_at.max(now);
         if paused {
             self.pauses += 1;
-            tracing::warn!("this process stood still: unread requests may be older than they look");
+            tracing::warn!("this process stood still: unread requests may predate the pause");
         }
     }
 }
 
 impl Connection {
-    const fn seen_at(pauses: u64) -> Self {
-        Self(Mutex::new(Seen { pauses, waker: None }))
+    const fn last_empty_after(pauses: u64) -> Self {
+        Self(Mutex::new(LastEmpty { pauses, waker: None }))
     }
 
     fn wake(&self) {
@@ -177,7 +182,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Seen> {
+    fn lock(&self) -> MutexGuard<'_, LastEmpty> {
         self.0.lock().expect("no holder of this lock panics")
     }
 }
@@ -186,15 +191,15 @@
 #[derive(Debug)]
 pub struct WatchedStream<S> {
     inner: S,
-    watch: Arc<PauseDetector>,
+    detector: Arc<PauseDetector>,
     connection: Arc<Connection>,
 }
 
 impl<S> WatchedStream<S> {
     /// A connection that was just taken.
-    pub fn new(inner: S, watch: Arc<PauseDetector>) -> Self {
-        let connection = watch.connection();
-        Self { inner, watch, connection }
+    pub fn new(inner: S, detector: Arc<PauseDetector>) -> Self {
+        let connection = detector.connection();
+        Self { inner, detector, connection }
     }
 
     /// What is known of it.
@@ -211,7 +216,7 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let inner = Pin::new(&mut this.inner);
-        this.watch.look(&this.connection, cx, |cx| inner.poll_read(cx, buf))
+        this.detector.poll_tracked(&this.connection, cx, |cx| inner.poll_read(cx, buf))
     }
 }
 
