--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -61,8 +61,8 @@
     ///
     /// # Errors
     ///
-    /// [`FrameError::IdleTimeout`] if nothing is received; others if the connection fails or a frame
-    /// is invalid.
+    /// [`FrameError::IdleTimeout`] if nothing is received; others if the connection or decoding
+    /// fails.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<(T, Bytes), FrameError> {
         loop {
             let deadline = self.last_received_at + self.idle_timeout;
--- a/crates/corianderstand_types/src/clock.rs
+++ b/crates/corianderstand_types/src/clock.rs
@@ -1,6 +1,4 @@
-//! Time as an interface, so that decisions are tested without waiting.
-//!
-//! [`SystemClock`] is the machine's; [`ManualClock`] moves only when a test moves it.
+//! A clock abstraction, so that tests control time.
 
 use nix::time;
 use std::{
@@ -8,21 +6,20 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-/// Reads time.
+/// A source of time.
 pub trait Clock: Send + Sync + 'static {
     /// Monotonic time, for intervals and deadlines.
     fn now(&self) -> Instant;
-    /// Wall-clock time, for time of day and log lines.
+    /// Wall-clock time, for the time of day and timestamps.
     fn wall(&self) -> SystemTime;
-    /// Time since the host was started. Unlike [`Clock::now`] it also counts the time for which the
-    /// host was suspended, so it tells that this process stood still.
+    /// Time since boot. Unlike [`Clock::now`] it includes time for which the host was suspended.
     fn since_boot(&self) -> Duration;
 }
 
-/// A clock that may be shared between threads.
+/// A clock shared between threads.
 pub type SharedClock = Arc<dyn Clock>;
 
-/// The machine's clock.
+/// The operating system's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -41,7 +38,7 @@
     }
 }
 
-/// A clock that stands still until it is moved.
+/// A clock for tests that only moves on [`ManualClock::advance`].
 #[derive(Clone, Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -61,7 +58,7 @@
         *self.lock() += by;
     }
 
-    /// Time since the clock was made.
+    /// Time by which the clock was advanced.
     pub fn elapsed(&self) -> Duration {
         *self.lock()
     }
--- a/crates/corianderstand_types/src/lib.rs
+++ b/crates/corianderstand_types/src/lib.rs
@@ -1,9 +1,8 @@
-//! Names, units and the clock: the vocabulary that all other crates share.
+//! Names, units and the clock, shared by all other crates.
 //!
-//! A *host* is a rented machine, an *availability zone* the place where it stands, a *workspace* one
-//! subtree of settings and a *target* a back end; `docs/GLOSSARY.md` maps them to other terms in use.
-//! Identifiers are newtypes over `SmolStr`, so a workspace's name cannot be passed where a model's is
-//! expected.
+//! A *host* is a rented machine, an *availability zone* its location, a *workspace* a customer's
+//! subtree of settings and a *target* a back end; `docs/GLOSSARY.md` lists other terms. Identifiers
+//! are newtypes over `SmolStr`, so that one kind cannot be passed for another.
 //!
 //! ```
 //! use corianderstand_types::{clock::{Clock, ManualClock}, names::ModelId};
--- a/crates/corianderstand_types/src/names.rs
+++ b/crates/corianderstand_types/src/names.rs
@@ -1,15 +1,15 @@
 //! Identifiers of teams, targets, models and the like.
 //!
-//! Names occur in paths, log records and metrics, so they are short and use few characters:
-//! letters, digits, `-`, `_` and `.`, at most [`MAX_NAME_BYTES`] bytes.
+//! Names occur in paths, log records and metrics, so they are limited to letters, digits, `-`, `_`
+//! and `.`, and to [`MAX_NAME_BYTES`] bytes.
 
 use corianderstand_derives::derives;
 use smol_str::SmolStr;
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 96;
 
-/// A name that cannot be used.
+/// Reason why a name is invalid.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum NameError {
     /// a name is empty: give it at least one character
@@ -22,7 +22,7 @@
 
 impl std::error::Error for NameError {}
 
-/// Checks a name's length and characters.
+/// Validates the length and characters of a name.
 ///
 /// # Errors
 ///
@@ -90,9 +90,9 @@
     HostId;
     /// An availability zone.
     AvailabilityZoneId;
-    /// One subtree of settings, with the keys of those who call with them.
+    /// A workspace: a customer's subtree of settings and its API keys.
     WorkspaceId;
-    /// A back end: an engine or a plain service.
+    /// A target: an engine or a plain service.
     TargetId;
     /// A base model.
     ModelId;
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -1,22 +1,20 @@
-//! Requests that lay in a socket while this process stood still.
+//! Detection of requests that may have been sent before a pause of this process.
 //!
-//! A process may be frozen for seconds with a request unread in its socket. When it goes on, it
-//! reads the request as if it had just come; its caller may have given up long ago and have booked
-//! elsewhere, and run now the booking would be a second one. Nothing in the request tells its age,
-//! and no time after the pause is long enough to be sure: on a busy host a socket is read late. So
-//! each connection notes when its socket was last seen empty. Bytes that come after that look were
-//! sent after it; a connection that has not been seen empty since the last pause may still carry a
-//! request from before it.
+//! After a pause, such as a suspended host, a process reads requests that have been in socket
+//! buffers since before it. Their callers may have timed out and retried elsewhere, so running one
+//! may duplicate a call. A request's age is unknown, so each connection records the last poll that
+//! found its socket empty. Until such a poll follows the latest pause, a request read from the
+//! connection may predate that pause.
 //!
 //! ```
 //! use corianderstand_types::pause::{PauseDetector, TICK_INTERVAL};
 //! use std::time::Duration;
 //!
-//! let began = Duration::ZERO;
-//! let watch = PauseDetector::new(began);
-//! let connection = watch.connection();
-//! assert!(!watch.may_predate_pause(began + TICK_INTERVAL, &connection));
-//! assert!(watch.may_predate_pause(began + Duration::from_secs(5), &connection));
+//! let start = Duration::ZERO;
+//! let detector = PauseDetector::new(start);
+//! let connection = detector.connection();
+//! assert!(!detector.may_predate_pause(start + TICK_INTERVAL, &connection));
+//! assert!(detector.may_predate_pause(start + Duration::from_secs(5), &connection));
 //! ```
 
 use std::{
@@ -28,13 +26,13 @@
 };
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Time between two turns of the watch.
+/// Interval between two calls of [`PauseDetector::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time without a turn that counts as a pause: callers give up after seconds at the earliest, and a
-/// busy host leaves a process without the processor for some 100 ms.
+/// Time without a tick that counts as a pause: longer than scheduling delays on a busy host, shorter
+/// than callers' timeouts.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Counts the pauses of this process, and knows its connections.
+/// Counts the pauses of this process and tracks its connections.
 #[derive(Debug)]
 pub struct PauseDetector {
     state: Mutex<State>,
@@ -43,33 +41,31 @@
 
 #[derive(Debug)]
 struct State {
-    /// When a turn was last noted, by the watch itself or by a request, as the time since the host's
-    /// start: the steady clock stands still while a host is suspended.
+    /// Latest time seen by a tick or a request, as time since boot, which includes suspension.
     last_seen_at: Duration,
-    /// Pauses so far.
+    /// Number of pauses so far.
     pauses: u64,
-    /// Pauses that the watch's last turn knew of.
+    /// Value of `pauses` at the last tick.
     pauses_at_last_tick: u64,
-    /// Pauses after which the watch itself has turned twice. Between two of its turns the runtime
-    /// asks the system which sockets have bytes; before that, a socket may seem empty by what was
-    /// known earlier.
+    /// Value of `pauses` confirmed by two ticks. The runtime polls the system for socket readiness
+    /// between two ticks; until then its readiness may be stale and sockets only seem empty.
     confirmed_pauses: u64,
     connections: Vec<Weak<Connection>>,
 }
 
-/// When one socket was last seen empty.
+/// Records when the socket of a connection was last found empty.
 #[derive(Debug)]
 pub struct Connection(Mutex<LastEmpty>);
 
 #[derive(Debug)]
 struct LastEmpty {
-    /// Pauses that were over then.
+    /// Number of pauses before that poll.
     pauses: u64,
     waker: Option<Waker>,
 }
 
 impl PauseDetector {
-    /// Nothing has been missed yet.
+    /// Creates a detector at `now`, the time since boot.
     pub fn new(now: Duration) -> Self {
         let state = State {
             last_seen_at: now,
@@ -81,10 +77,10 @@
         Self { state: Mutex::new(state), listener: Arc::new(Connection::last_empty_after(0)) }
     }
 
-    /// Turns the watch; called each [`TICK_INTERVAL`] by a task of the runtime that reads requests.
+    /// Checks for a pause; called every [`TICK_INTERVAL`] by a task of the runtime that reads requests.
     ///
-    /// After a pause all connections are asked to look at their sockets once more, so that one which
-    /// was idle all the while does not count as doubtful when its next request comes.
+    /// After a pause it wakes all connections to poll their sockets again, so that the next request
+    /// on an idle connection is not mistaken for an old one.
     pub fn tick(&self, now: Duration) {
         let mut state = self.lock();
         state.observe(now);
@@ -102,9 +98,9 @@
         }
     }
 
-    /// A connection that was just taken.
+    /// Registers a connection that was just accepted.
     ///
-    /// It was made after the listener was last seen without connections, so it is as new as that.
+    /// It was opened after the listener's queue was last found empty, so it starts from that poll.
     pub fn connection(&self) -> Arc<Connection> {
         let connection = Arc::new(Connection::last_empty_after(self.listener.lock().pauses));
         let mut state = self.lock();
@@ -115,15 +111,15 @@
         connection
     }
 
-    /// Whether a request that was read from the connection may have been sent before a pause of this
-    /// process; also notes a pause that nobody has seen yet.
+    /// Whether a request read from the connection may have been sent before the latest pause. Also
+    /// detects a pause that no tick has seen yet.
     pub fn may_predate_pause(&self, now: Duration, connection: &Connection) -> bool {
         let mut state = self.lock();
         state.observe(now);
         state.pauses != connection.lock().pauses
     }
 
-    /// Polls for connections; notes when there are none.
+    /// Polls a listener and records when it has no pending connection.
     pub fn poll_accept<T>(
         &self,
         cx: &mut Context<'_>,
@@ -132,14 +128,14 @@
         self.poll_tracked(&self.listener, cx, poll)
     }
 
-    /// Polls a socket and notes when it is empty.
+    /// Polls a socket and records when it is empty.
     fn poll_tracked<T>(
         &self,
         connection: &Connection,
         cx: &mut Context<'_>,
         poll: impl FnOnce(&mut Context<'_>) -> Poll<T>,
     ) -> Poll<T> {
-        // Asked before the look: a pause between the two leaves the connection doubtful.
+        // Read before polling, so that a pause in between is not counted as over.
         let state = self.lock();
         let confirmed_pauses = (state.confirmed_pauses == state.pauses).then_some(state.pauses);
         drop(state);
@@ -160,7 +156,7 @@
 }
 
 impl State {
-    /// Notes a turn.
+    /// Updates the latest time and counts a pause if the previous one is too old.
     fn observe(&mut self, now: Duration) {
         let paused = now.saturating_sub(self.last_seen_at) > PAUSE_THRESHOLD;
         self.last_seen_at = self.last_seen_at.max(now);
@@ -187,7 +183,7 @@
     }
 }
 
-/// A caller's connection that notes when it was last seen empty.
+/// A caller's stream that records when its socket is empty.
 #[derive(Debug)]
 pub struct WatchedStream<S> {
     inner: S,
@@ -196,13 +192,13 @@
 }
 
 impl<S> WatchedStream<S> {
-    /// A connection that was just taken.
+    /// Wraps a stream that was just accepted.
     pub fn new(inner: S, detector: Arc<PauseDetector>) -> Self {
         let connection = detector.connection();
         Self { inner, detector, connection }
     }
 
-    /// What is known of it.
+    /// The connection's record in the detector.
     pub fn connection(&self) -> Arc<Connection> {
         self.connection.clone()
     }
--- a/crates/corianderstand_types/src/pause/tests.rs
+++ b/crates/corianderstand_types/src/pause/tests.rs
@@ -1,4 +1,4 @@
-//! Sockets with requests from before a pause, read in each order that a scheduler may take.
+//! Requests from before and after a pause, read in each possible order.
 
 use super::{PAUSE_THRESHOLD, PauseDetector, TICK_INTERVAL, WatchedStream};
 use rstest::rstest;
@@ -10,7 +10,7 @@
 };
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf};
 
-/// Longer than any host is busy; a guard by time would have let go long before.
+/// Longer than any scheduling delay, which a time limit after the pause would not cover.
 const LONG_AFTER: Duration = Duration::from_secs(30);
 
 struct Caller {
@@ -30,7 +30,7 @@
         assert!(matches!(sent, Poll::Ready(Ok(7))), "{sent:?}");
     }
 
-    /// Whether a request was there.
+    /// Returns whether a request was read.
     fn read(&mut self) -> bool {
         let mut bytes = [0; 64];
         let mut buf = ReadBuf::new(&mut bytes);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Turns as often as a running process does, and leaves time for none.
+/// Ticks at the regular interval, without polling any connection.
 fn run_until(detector: &PauseDetector, from: Duration, until: Duration) {
     let mut now = from;
     while now < until {
@@ -52,9 +52,7 @@
     }
 }
 
-/// A router is frozen with a booking unread in its socket. It goes on on a busy host, where the watch
-/// has its turns at once and the connection is read only much later. Run then, the user who has
-/// booked elsewhere meanwhile has two vans at the door.
+/// A request from before a pause must be detected however late it is read, or the call runs twice.
 #[rstest]
 #[case::read_at_once(Duration::ZERO)]
 #[case::read_after_half_a_second(Duration::from_millis(600))]
@@ -70,8 +68,7 @@
     assert!(caller.may_predate_pause(&detector, resumed + read_after));
 }
 
-/// The process is frozen between reading a booking and looking at the time, and another request
-/// notices the pause first. Both lay there all the while; neither may run.
+/// A pause detected by one request must apply to every other request from before it.
 #[rstest]
 fn two_requests_from_before_a_pause_are_both_detected() {
     let start = Duration::ZERO;
@@ -86,15 +83,14 @@
     assert!(second.may_predate_pause(&detector, resumed));
 }
 
-/// After the pause the runtime polls a connection by what it knew of the socket before, and finds
-/// nothing although a booking is there. Taken for a look, it would make the booking seem new.
+/// A poll that uses readiness from before the pause must not count as finding the socket empty.
 #[rstest]
 fn a_poll_with_stale_readiness_is_not_counted() {
     let start = Duration::ZERO;
     let detector = Arc::new(PauseDetector::new(start));
     let mut caller = connect(&detector);
     let resumed = start + PAUSE_THRESHOLD * 3;
-    // Another request notices the pause, then the watch has the turn that was due before it.
+    // A request detects the pause before the overdue tick runs.
     assert!(caller.may_predate_pause(&detector, resumed));
     detector.tick(resumed);
     assert!(!caller.read(), "stale readiness from before the pause");
@@ -104,8 +100,7 @@
     assert!(caller.may_predate_pause(&detector, resumed + TICK_INTERVAL));
 }
 
-/// A caller keeps a connection for its next booking while the router is frozen, and another connects
-/// after it. Both would be told "unknown" for a booking that is as new as any.
+/// Requests sent after a pause, on idle or new connections, must run normally.
 #[rstest]
 fn requests_after_a_pause_run() {
     let start = Duration::ZERO;
@@ -114,7 +109,7 @@
     assert!(!idle.read());
     let resumed = start + PAUSE_THRESHOLD * 3;
     run_until(&detector, resumed, resumed + TICK_INTERVAL * 3);
-    // The watch wakes the connection and the listener, which look again.
+    // The second tick wakes the connection and the listener, which poll again.
     assert!(!idle.read());
     let mut cx = Context::from_waker(Waker::noop());
     assert!(detector.poll_accept(&mut cx, |_| Poll::<()>::Pending).is_pending());
@@ -126,8 +121,7 @@
     }
 }
 
-/// A connection was made while the process was frozen, and lies in the listener's queue with its
-/// booking. Taken after the pause it looks like a new one.
+/// A connection queued at the listener during a pause must not be treated as new.
 #[rstest]
 fn a_request_on_a_connection_accepted_after_a_pause_is_detected() {
     let start = Duration::ZERO;
--- a/crates/corianderstand_types/src/units.rs
+++ b/crates/corianderstand_types/src/units.rs
@@ -1,10 +1,10 @@
-//! Units of settings and messages, each with its `serde_with` adapter.
+//! Units used in settings and messages.
 
 use corianderstand_derives::derives;
 use serde_with::{DurationMilliSeconds, serde_as};
 use std::time::Duration;
 
-/// A length of time, written as whole milliseconds.
+/// A duration, serialised as whole milliseconds.
 #[serde_as]
 #[derives(key)]
 #[derive(Default, serde::Serialize, serde::Deserialize)]
@@ -12,12 +12,12 @@
 pub struct Millis(#[serde_as(as = "DurationMilliSeconds<u64>")] pub Duration);
 
 impl Millis {
-    /// A length of `ms` milliseconds.
+    /// Creates a duration of `ms` milliseconds.
     pub const fn new(ms: u64) -> Self {
         Self(Duration::from_millis(ms))
     }
 
-    /// The length in whole milliseconds.
+    /// Returns the duration in whole milliseconds.
     pub const fn as_millis(self) -> u64 {
         self.0.as_millis() as u64
     }
--- a/crates/corianderstand_types/src/weights.rs
+++ b/crates/corianderstand_types/src/weights.rs
@@ -1,22 +1,22 @@
-//! What can be loaded into an engine.
+//! Weights that an engine can load.
 
 use crate::names::{AdapterId, ModelId, VersionId};
 use corianderstand_derives::derives;
 
-/// A model at a version, or one of its adapters at a version.
+/// A version of a model or of one of its adapters.
 #[derives(name)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Weights {
     /// The model.
     pub model: ModelId,
-    /// Its version, or the adapter's.
+    /// Version of the model, or of the adapter if there is one.
     pub version: VersionId,
-    /// The adapter, unless it is the model itself.
+    /// The adapter; `None` for the model itself.
     pub adapter: Option<AdapterId>,
 }
 
 impl Weights {
-    /// A model itself.
+    /// Weights of a base model.
     pub const fn model(model: ModelId, version: VersionId) -> Self {
         Self { model, version, adapter: None }
     }
