--- a/crates/corianderstand_types/src/pause/tests.rs
+++ b/crates/corianderstand_types/src/pause/tests.rs
@@ -10,7 +10,7 @@
 };
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf};
 
-/// Longer than any scheduling delay, which a time limit after the pause would not cover.
+/// Far longer than any fixed grace period after a pause.
 const LONG_AFTER: Duration = Duration::from_secs(30);
 
 struct Caller {
