--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -15,7 +15,6 @@
 };
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Frames batched into one flush.
 const MAX_BATCH_FRAMES: usize = 128;
 
 fn codec() -> LengthDelimitedCodec {
--- a/crates/corianderstand_link/src/trace.rs
+++ b/crates/corianderstand_link/src/trace.rs
@@ -13,7 +13,6 @@
 use smol_str::SmolStr;
 use std::collections::HashMap;
 
-/// The header that carries the context.
 const HEADER: &str = "traceparent";
 
 /// Trace and span identifiers of one hop.
--- a/crates/corianderstand_state/src/documents.rs
+++ b/crates/corianderstand_state/src/documents.rs
@@ -32,9 +32,8 @@
         self.by_path.get(path).map_or(0, |doc| doc.version)
     }
 
-    /// Applies all changes, or none if any is based on an outdated version.
-    ///
-    /// Prevents concurrent changes from silently overwriting each other.
+    /// Applies all changes, or none if any is based on an outdated version, so that concurrent
+    /// changes do not overwrite each other.
     pub fn change(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -110,9 +110,7 @@
         }
     }
 
-    /// Advances the writer's progress; returns false if the record was already applied.
-    ///
-    /// A retried append may be in the log twice; sequence numbers identify the duplicate.
+    /// Returns false if the record is a duplicate from a retried append.
     fn advance_writer(&mut self, record: &Record) -> bool {
         let (incarnation, sequence) = (record.incarnation, record.sequence);
         let now = Progress { incarnation, sequence, at_ms: self.time_ms };
@@ -175,10 +173,7 @@
         }
     }
 
-    /// Applies a settings change unless it was appended after its deadline.
-    ///
-    /// After the deadline an undecided change is reported as refused, so a late record must not
-    /// take effect.
+    /// Rejects changes appended after their deadline, which were already reported as refused.
     fn apply_settings(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/plan.rs
+++ b/crates/corianderstand_state/src/plan.rs
@@ -1,5 +1,4 @@
-//! The planner: a pure function from state and settings to slot assignments, run by the holder of
-//! the control lease.
+//! The planner, a pure function run by the holder of the control lease.
 
 use crate::{fold::State, slots::SlotKey, view::View};
 use corianderstand_schema::records::Body;
@@ -9,7 +8,6 @@
 /// Assignments per round; bounds the size of one append.
 pub const MAX_ASSIGNMENTS_PER_ROUND: usize = 256;
 
-/// An engine with its current and planned memory use.
 struct Engine<'a> {
     name: &'a TargetId,
     zone: &'a AvailabilityZoneId,
@@ -25,7 +23,6 @@
     }
 }
 
-/// Owners of one model's slots and replica counts per availability zone.
 #[derive(Default)]
 struct ReplicaSpread<'a> {
     owners: BTreeSet<&'a TargetId>,
@@ -107,7 +104,6 @@
         .collect()
 }
 
-/// Index of the best engine for one more replica.
 fn choose_engine(
     engines: &[Engine<'_>],
     spread: &ReplicaSpread<'_>,
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -22,7 +22,6 @@
 const STEPS: usize = 160;
 const DIGEST: u64 = 7;
 
-/// Result reported to a caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Reported {
     Ran(u16),
@@ -31,7 +30,6 @@
     Unknown,
 }
 
-/// Stage of a request at its agent or its router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Arrived,
@@ -63,7 +61,7 @@
     sequence: u64,
     queue: VecDeque<Record>,
     state: State,
-    /// Outcomes of this incarnation's records, by sequence number.
+    /// Offset and outcome of this incarnation's records, by sequence number.
     decided: BTreeMap<u64, (u64, Outcome)>,
 }
 
@@ -318,7 +316,6 @@
         }
     }
 
-    /// Drains all queues and steps the requests until they finish.
     fn run_to_completion(&mut self) {
         for _ in 0..12 {
             for process in 0..PROCESSES {
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -10,7 +10,6 @@
 use corianderstand_types::{names::WriterId, units::Mib};
 use rstest::rstest;
 
-/// An in-memory log that applies each appended record.
 struct Log {
     state: State,
     entries: Vec<(u64, u64, Record)>,
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -43,9 +43,7 @@
 struct State {
     /// Latest time seen by a tick or a request, as time since boot, which includes suspension.
     last_seen_at: Duration,
-    /// Number of pauses so far.
     pauses: u64,
-    /// Value of `pauses` at the last tick.
     pauses_at_last_tick: u64,
     /// Value of `pauses` confirmed by two ticks. The runtime polls the system for socket readiness
     /// between two ticks; until then its readiness may be stale and sockets only seem empty.
@@ -128,7 +126,6 @@
         self.poll_tracked(&self.listener, cx, poll)
     }
 
-    /// Polls a socket and records when it is empty.
     fn poll_tracked<T>(
         &self,
         connection: &Connection,
@@ -156,7 +153,6 @@
 }
 
 impl State {
-    /// Updates the latest time and counts a pause if the previous one is too old.
     fn observe(&mut self, now: Duration) {
         let paused = now.saturating_sub(self.last_seen_at) > PAUSE_THRESHOLD;
         self.last_seen_at = self.last_seen_at.max(now);
