--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -15,8 +15,8 @@
     records::{Body, CallAnswer, CallKey},
 };
 use corianderstand_state::{
-    calls::{self, Known},
-    claim::{self, Next},
+    calls::{self, CallStatus},
+    claim::{self, ClaimAction},
     fold::Outcome,
 };
 use smol_str::SmolStr;
@@ -120,8 +120,8 @@
     /// frozen agent could run it minutes after another did.
     async fn call(&self, runner: &Runner, request: &Request, trace: TraceContext) -> Called {
         let snapshot = runner.control.current.load();
-        match snapshot.state.calls.known(&self.key, self.digest) {
-            Known::Nothing => {}
+        match snapshot.state.calls.status(&self.key, self.digest) {
+            CallStatus::Unclaimed => {}
             known => return told(known),
         }
         if !is_in_time(runner, request) {
@@ -136,16 +136,16 @@
             return Err(Finish::Refused(RefusalReason::LogDown, RETRY_LOG));
         };
         let in_time = is_in_time(runner, request);
-        match claim::next(&outcome, true, in_time) {
-            Next::Run => self.run(runner, request, trace, offset).await,
-            Next::Withdraw => {
+        match claim::claim_action(&outcome, true, in_time) {
+            ClaimAction::Run => self.run(runner, request, trace, offset).await,
+            ClaimAction::Withdraw => {
                 self.record(runner, offset, None).await;
                 Err(not_run("its deadline passed before it could begin"))
             }
-            Next::Read => {
-                told(runner.control.current.load().state.calls.known(&self.key, self.digest))
+            ClaimAction::ReadStatus => {
+                told(runner.control.current.load().state.calls.status(&self.key, self.digest))
             }
-            Next::Refuse => Err(Finish::Refused(RefusalReason::QueueFull, RETRY_FULL)),
+            ClaimAction::Refuse => Err(Finish::Refused(RefusalReason::QueueFull, RETRY_FULL)),
         }
     }
 
@@ -182,7 +182,7 @@
 
     async fn give_up(&self, runner: &Runner, decided: Result<Decided, AppendError>) {
         let Ok(Decided { offset, outcome }) = decided else { return };
-        if claim::next(&outcome, false, false) == Next::Withdraw {
+        if claim::claim_action(&outcome, false, false) == ClaimAction::Withdraw {
             tracing::warn!(key = %self.key.key, "late claim withdrawn: the call does not run");
             self.record(runner, offset, None).await;
         }
@@ -238,7 +238,7 @@
 }
 
 fn stored(answer: &Answer) -> CallAnswer {
-    let kept = answer.body.len() <= calls::MAX_ANSWER;
+    let kept = answer.body.len() <= calls::MAX_ANSWER_BODY_BYTES;
     CallAnswer {
         status: answer.status,
         content_type: answer.content_type.clone(),
@@ -252,15 +252,15 @@
 
 /// The answer to a repeat. Where no outcome can be sent from here, the router waits for it in
 /// its own copy of the log.
-fn told(known: Known) -> Called {
+fn told(known: CallStatus) -> Called {
     match known {
-        Known::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
+        CallStatus::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
             let body = bytes::Bytes::copy_from_slice(&body);
             Ok(Answer { status, content_type, body })
         }
-        Known::NotRun => Err(not_run("it was given up before it began")),
-        Known::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, RETRY_LOG)),
-        Known::Claimed | Known::Nothing | Known::Ran(_) => {
+        CallStatus::NotRun => Err(not_run("it was given up before it began")),
+        CallStatus::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, RETRY_LOG)),
+        CallStatus::Claimed | CallStatus::Unclaimed | CallStatus::Ran(_) => {
             Err(ended(Ending::Unknown { reason: "it was claimed before".into() }))
         }
     }
--- a/crates/corianderstand_derives/src/lib.rs
+++ b/crates/corianderstand_derives/src/lib.rs
@@ -1,8 +1,7 @@
-//! One attribute for the sets of derives that recur in this workspace.
+//! An attribute for the sets of derives used in this workspace.
 //!
-//! `#[derives(key)]` stands for what a small `Copy` key needs, `#[derives(name)]` for an owned
-//! identifier, `#[derives(data)]` for a plain value, `#[derives(wire)]` for a value that is
-//! also serialised. Naming the set keeps the lists alike and short.
+//! `#[derives(key)]` is for small `Copy` keys, `#[derives(name)]` for owned identifiers,
+//! `#[derives(data)]` for plain values and `#[derives(wire)]` for values that are also serialised.
 //!
 //! ```
 //! use corianderstand_derives::derives;
@@ -20,10 +19,10 @@
 ///
 /// # Errors
 ///
-/// An unknown set is a compile error that lists the known ones.
+/// An unknown set is a compile error that lists the valid ones.
 #[proc_macro_attribute]
 pub fn derives(args: TokenStream, item: TokenStream) -> TokenStream {
-    let item = proc_macro2_item(item);
+    let item = parse_item(item);
     let set = args.to_string();
     let list = match set.as_str() {
         "key" => quote!(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug),
@@ -31,12 +30,13 @@
         "data" => quote!(Clone, PartialEq, Debug),
         "wire" => quote!(Clone, PartialEq, Debug, ::serde::Serialize, ::serde::Deserialize),
         _ => {
-            return quote!(compile_error!("derives: name one of key, name, data, wire");).into();
+            return quote!(compile_error!("derives: expected one of key, name, data, wire");)
+                .into();
         }
     };
     quote!(#[derive(#list)] #item).into()
 }
 
-fn proc_macro2_item(item: TokenStream) -> syn::Item {
-    syn::parse(item).expect("the attribute stands on an item")
+fn parse_item(item: TokenStream) -> syn::Item {
+    syn::parse(item).expect("the attribute is applied to an item")
 }
--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -15,88 +15,87 @@
 };
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Frames gathered before they are written out.
-const GATHER: usize = 128;
+const MAX_BATCH_FRAMES: usize = 128;
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(frame::MAX_FRAME_BYTES).new_codec()
 }
 
-/// Reads frames.
+/// Reads frames from a connection.
 #[derive(Debug)]
 pub struct Reader {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
-    silence: Duration,
-    heard: Instant,
-    buffered: usize,
+    idle_timeout: Duration,
+    last_received_at: Instant,
+    buffered_bytes: usize,
 }
 
-/// Writes frames.
+/// Writes frames to a connection.
 #[derive(Debug)]
 pub struct Writer {
     frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
-/// Splits a connection; `silence` bounds each read and each write.
+/// Splits a connection; `idle_timeout` bounds each read and each write.
 ///
 /// # Errors
 ///
 /// Fails if the socket's options cannot be set.
-pub fn split(stream: TcpStream, silence: Duration) -> std::io::Result<(Reader, Writer)> {
+pub fn split(stream: TcpStream, idle_timeout: Duration) -> std::io::Result<(Reader, Writer)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
     let frames = FramedRead::new(read, codec());
-    let reader = Reader { frames, silence, heard: Instant::now(), buffered: 0 };
-    Ok((reader, Writer { frames: FramedWrite::new(write, codec()), silence }))
+    let reader =
+        Reader { frames, idle_timeout, last_received_at: Instant::now(), buffered_bytes: 0 };
+    Ok((reader, Writer { frames: FramedWrite::new(write, codec()), idle_timeout }))
 }
 
 impl Reader {
-    /// The next message.
+    /// Returns the next message and its body.
     ///
-    /// A device between the two ends may lose track of the connection; nothing comes then, not
-    /// even an error, and requests on it would wait for ever. The other end sends heartbeats,
-    /// so silence beyond the limit means that this connection is of no use any more. The time
-    /// runs from the last byte heard, not from this call: whoever reads also sends heartbeats
-    /// and drops this future for each. A long frame that comes slowly is no silence.
+    /// Detects connections dropped silently on the network path: the peer sends heartbeats, so
+    /// receiving nothing for the idle timeout is an error. The timeout runs from the last received
+    /// bytes, so it survives cancellation of this future and slow transfer of a long frame.
     ///
     /// # Errors
     ///
-    /// [`FrameError::Silent`] after the limit on silence; others if the connection broke.
+    /// [`FrameError::IdleTimeout`] if nothing is received; others if the connection or decoding
+    /// fails.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<(T, Bytes), FrameError> {
         loop {
-            let until = self.heard + self.silence;
-            if let Ok(frame) = time::timeout_at(until, self.frames.next()).await {
-                self.heard = Instant::now();
-                self.buffered = self.frames.read_buffer().len();
+            let deadline = self.last_received_at + self.idle_timeout;
+            if let Ok(frame) = time::timeout_at(deadline, self.frames.next()).await {
+                self.last_received_at = Instant::now();
+                self.buffered_bytes = self.frames.read_buffer().len();
                 return frame::decode(&frame.ok_or(FrameError::Closed)??.freeze());
             }
-            let buffered = self.frames.read_buffer().len();
-            if buffered <= self.buffered {
-                return Err(FrameError::Silent(self.silence.as_millis()));
+            let buffered_bytes = self.frames.read_buffer().len();
+            if buffered_bytes <= self.buffered_bytes {
+                return Err(FrameError::IdleTimeout(self.idle_timeout.as_millis()));
             }
-            (self.heard, self.buffered) = (Instant::now(), buffered);
+            (self.last_received_at, self.buffered_bytes) = (Instant::now(), buffered_bytes);
         }
     }
 }
 
 impl Writer {
-    /// Writes all frames that come until the sender is dropped.
+    /// Writes frames until the sender is dropped.
     ///
     /// # Errors
     ///
-    /// Fails if the connection broke, or takes nothing for the limit on silence.
+    /// Fails if the connection fails or a batch is not written within the idle timeout.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Bytes>) -> Result<(), FrameError> {
-        let mut frames = Vec::with_capacity(GATHER);
-        while rx.recv_many(&mut frames, GATHER).await > 0 {
+        let mut frames = Vec::with_capacity(MAX_BATCH_FRAMES);
+        while rx.recv_many(&mut frames, MAX_BATCH_FRAMES).await > 0 {
             let write = async {
                 for frame in frames.drain(..) {
                     self.frames.feed(frame).await?;
                 }
                 SinkExt::<Bytes>::flush(&mut self.frames).await
             };
-            let written = time::timeout(self.silence, write).await;
-            written.map_err(|_| FrameError::Silent(self.silence.as_millis()))??;
+            let written = time::timeout(self.idle_timeout, write).await;
+            written.map_err(|_| FrameError::IdleTimeout(self.idle_timeout.as_millis()))??;
         }
         Ok(())
     }
--- a/crates/corianderstand_router/src/arrivals.rs
+++ b/crates/corianderstand_router/src/arrivals.rs
@@ -2,7 +2,7 @@
 //!
 //! A handler knows its connection by the caller's address only, so the two are joined here.
 
-use corianderstand_types::pause::{Connection, PauseWatch, Watched};
+use corianderstand_types::pause::{Connection, PauseDetector, WatchedStream};
 use salvo::{
     conn::{
         Accepted, Acceptor, Holding, StraightStream,
@@ -23,26 +23,26 @@
 /// Connections held now, by their callers' addresses.
 #[derive(Debug)]
 pub struct Arrivals {
-    watch: Arc<PauseWatch>,
+    watch: Arc<PauseDetector>,
     by_caller: Mutex<HashMap<SocketAddr, Weak<Connection>>>,
 }
 
 impl Arrivals {
     /// None yet.
     pub fn new(now: Duration) -> Arc<Self> {
-        Arc::new(Self { watch: Arc::new(PauseWatch::new(now)), by_caller: Mutex::default() })
+        Arc::new(Self { watch: Arc::new(PauseDetector::new(now)), by_caller: Mutex::default() })
     }
 
     /// Turns the watch for pauses.
     pub fn turn(&self, now: Duration) {
-        self.watch.turn(now);
+        self.watch.tick(now);
         self.lock().retain(|_, connection| connection.strong_count() > 0);
     }
 
     /// Whether a request that was read now may have been sent before a pause of this process.
     pub fn is_doubtful(&self, now: Duration, caller: Option<SocketAddr>) -> bool {
         let connection = caller.and_then(|caller| self.lock().get(&caller)?.upgrade());
-        connection.is_none_or(|connection| self.watch.is_doubtful(now, &connection))
+        connection.is_none_or(|connection| self.watch.may_predate_pause(now, &connection))
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Weak<Connection>>> {
@@ -65,7 +65,7 @@
 
 impl Acceptor for WatchedAcceptor {
     type Coupler = TcpCoupler<Self::Stream>;
-    type Stream = Watched<StraightStream<TcpStream>>;
+    type Stream = WatchedStream<StraightStream<TcpStream>>;
 
     fn holdings(&self) -> &[Holding] {
         self.inner.holdings()
@@ -82,7 +82,7 @@
         };
         let accepted = future::poll_fn(poll).await?;
         let caller = accepted.remote_addr.clone().into_std();
-        let wrap = |stream| Watched::new(stream, arrivals.watch.clone());
+        let wrap = |stream| WatchedStream::new(stream, arrivals.watch.clone());
         let accepted = accepted.map_into(|_| TcpCoupler::new(), wrap);
         if let Some(caller) = caller {
             let connection = accepted.stream.connection();
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -17,8 +17,8 @@
     records::{Body, CallKey},
 };
 use corianderstand_state::{
-    calls::{self, Known},
-    claim::{self, Verdict},
+    calls::{self, CallStatus},
+    claim::{self, VoidDecision},
 };
 use smol_str::SmolStr;
 use std::{
@@ -70,11 +70,11 @@
             return Err(Problem::KeyForgotten);
         }
         let snapshot = self.control.current.load();
-        match snapshot.state.calls.known(&self.key, self.digest) {
-            Known::Nothing if !snapshot.log_up => {
+        match snapshot.state.calls.status(&self.key, self.digest) {
+            CallStatus::Unclaimed if !snapshot.log_up => {
                 return Err(Problem::Refused(RefusalReason::LogDown, RETRY_LOG));
             }
-            Known::Nothing => {}
+            CallStatus::Unclaimed => {}
             _ => return self.wait().await,
         }
         let mut call = submit()?;
@@ -104,17 +104,17 @@
     }
 
     async fn void(&self) -> Result<Answer, Problem> {
-        let known = self.control.current.load().state.calls.known(&self.key, self.digest);
-        if known != Known::Nothing {
+        let known = self.control.current.load().state.calls.status(&self.key, self.digest);
+        if known != CallStatus::Unclaimed {
             return self.wait().await;
         }
         let left = self.deadline.saturating_duration_since(Instant::now());
         let body = Body::CallVoided { key: self.key.clone() };
         let decided = self.control.appender.append(body, left).await;
-        match decided.map(|decided| claim::verdict(&decided.outcome)) {
-            Ok(Verdict::NotRun) => Err(Problem::NotRun("no answer came in time".into())),
-            Ok(Verdict::Read) => self.wait().await,
-            Ok(Verdict::Unknown) | Err(_) => Err(unknown("no answer by the deadline")),
+        match decided.map(|decided| claim::void_decision(&decided.outcome)) {
+            Ok(VoidDecision::NotRun) => Err(Problem::NotRun("no answer came in time".into())),
+            Ok(VoidDecision::ReadStatus) => self.wait().await,
+            Ok(VoidDecision::Unknown) | Err(_) => Err(unknown("no answer by the deadline")),
         }
     }
 
@@ -122,17 +122,17 @@
     async fn wait(&self) -> Result<Answer, Problem> {
         let mut changed = self.control.current.subscribe();
         loop {
-            match self.control.current.load().state.calls.known(&self.key, self.digest) {
-                Known::Ran(answer) => return Ok(answer.into()),
-                Known::NotRun => {
+            match self.control.current.load().state.calls.status(&self.key, self.digest) {
+                CallStatus::Ran(answer) => return Ok(answer.into()),
+                CallStatus::NotRun => {
                     return Err(Problem::NotRun("it was given up before it began".into()));
                 }
-                Known::Conflict => {
+                CallStatus::Conflict => {
                     return Err(Problem::Refused(RefusalReason::KeyConflict, RETRY_LOG));
                 }
                 // Forgotten while it was waited for.
-                Known::Nothing => return Err(unknown("its key is no longer remembered")),
-                Known::Claimed => {}
+                CallStatus::Unclaimed => return Err(unknown("its key is no longer remembered")),
+                CallStatus::Claimed => {}
             }
             match time::timeout_at(self.deadline, changed.changed()).await {
                 Ok(Ok(())) => {}
@@ -191,7 +191,7 @@
         return false;
     }
     let Ok(made_ms) = u64::from_str_radix(&digits[..12], 16) else { return false };
-    corianderstand_types::clock::unix_ms(now) > made_ms + calls::KEEP_MS
+    corianderstand_types::clock::unix_ms(now) > made_ms + calls::KEY_RETENTION_MS
 }
 
 #[cfg(test)]
--- a/crates/corianderstand_state/tests/calls.rs
+++ b/crates/corianderstand_state/tests/calls.rs
@@ -1,9 +1,9 @@
-//! What is remembered of calls that may not be repeated, and for how long.
+//! Retention and finality of at-most-once calls.
 
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Record};
 use corianderstand_state::{
-    calls::{self, Known},
-    fold::{Outcome, State, Void},
+    calls::{self, CallStatus},
+    fold::{Outcome, Rejection, State},
 };
 use corianderstand_types::names::{ServiceId, TargetId, WorkspaceId};
 use rstest::rstest;
@@ -34,49 +34,51 @@
         self.write(Body::Claimed { key: key(name), digest: 7, target })
     }
 
-    fn known(&self, name: &str, digest: u64) -> Known {
-        self.state.calls.known(&key(name), digest)
+    fn status(&self, name: &str, digest: u64) -> CallStatus {
+        self.state.calls.status(&key(name), digest)
     }
 }
 
-/// A repeat comes "the same time tomorrow", a little late. Forgotten by then, it would book again.
+/// A key that expires too early lets a retry on the next day run the call twice.
 #[rstest]
-fn a_key_is_remembered_for_a_day_and_then_forgotten() {
+fn a_key_is_remembered_for_a_day_and_then_expires() {
     let mut log = Log::default();
     assert_eq!(log.claim("b-1"), Outcome::Applied);
     log.now_ms = 24 * 3600 * 1000 + 1000;
-    assert_eq!(log.claim("b-1"), Outcome::Void(Void::Call));
-    log.now_ms = calls::KEEP_MS;
+    assert_eq!(log.claim("b-1"), Outcome::Rejected(Rejection::CallConflict));
+    log.now_ms = calls::KEY_RETENTION_MS;
     assert_eq!(log.claim("b-2"), Outcome::Applied);
-    assert_eq!(log.known("b-1", 7), Known::Nothing);
+    assert_eq!(log.status("b-1", 7), CallStatus::Unclaimed);
     assert_eq!(log.state.calls.len(), 1);
 }
 
-/// More keys come in a day than there is memory for. New calls are refused; none that is
-/// remembered is forgotten early or told as "not run", and routers can still void.
+/// At the key limit new claims are rejected, existing keys are kept, and voids still work.
 #[rstest]
-fn a_full_memory_refuses_new_claims_and_keeps_the_old() {
+fn the_key_limit_rejects_new_claims_and_keeps_existing_keys() {
     let mut log = Log::default();
     for number in 0..calls::MAX_KEYS {
         assert_eq!(log.claim(&format!("b-{number}")), Outcome::Applied);
     }
-    assert_eq!(log.claim("one-more"), Outcome::Void(Void::CallsFull));
-    assert_eq!(log.claim("b-0"), Outcome::Void(Void::Call));
-    assert_eq!(log.known("b-0", 7), Known::Claimed);
+    assert_eq!(log.claim("one-more"), Outcome::Rejected(Rejection::CallsFull));
+    assert_eq!(log.claim("b-0"), Outcome::Rejected(Rejection::CallConflict));
+    assert_eq!(log.status("b-0", 7), CallStatus::Claimed);
     assert_eq!(log.write(Body::CallVoided { key: key("other") }), Outcome::Applied);
 }
 
-/// An outcome comes twice, or from a claim that did not take effect. The first outcome stands.
+/// A duplicate outcome, or one for a rejected claim, must not replace the first outcome.
 #[rstest]
 fn an_outcome_never_changes() {
     let mut log = Log::default();
     log.claim("b-1");
     let answer = |status| Some(CallAnswer { status, content_type: "".into(), body: None });
     let ended = |claim, answer| Body::CallEnded { key: key("b-1"), claim, answer };
-    assert_eq!(log.write(ended(9, answer(500))), Outcome::Void(Void::Call));
+    assert_eq!(log.write(ended(9, answer(500))), Outcome::Rejected(Rejection::CallConflict));
     assert_eq!(log.write(ended(1, answer(200))), Outcome::Applied);
-    assert_eq!(log.write(ended(1, None)), Outcome::Void(Void::Call));
-    assert_eq!(log.write(Body::CallVoided { key: key("b-1") }), Outcome::Void(Void::Call));
-    assert!(matches!(log.known("b-1", 7), Known::Ran(answer) if answer.status == 200));
-    assert_eq!(log.known("b-1", 8), Known::Conflict);
+    assert_eq!(log.write(ended(1, None)), Outcome::Rejected(Rejection::CallConflict));
+    assert_eq!(
+        log.write(Body::CallVoided { key: key("b-1") }),
+        Outcome::Rejected(Rejection::CallConflict)
+    );
+    assert!(matches!(log.status("b-1", 7), CallStatus::Ran(answer) if answer.status == 200));
+    assert_eq!(log.status("b-1", 8), CallStatus::Conflict);
 }
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -1,22 +1,20 @@
-//! Requests that lay in a socket while this process stood still.
+//! Detection of requests that may have been sent before a pause of this process.
 //!
-//! A process may be frozen for seconds with a request unread in its socket. When it goes on, it
-//! reads the request as if it had just come; its caller may have given up long ago and have booked
-//! elsewhere, and run now the booking would be a second one. Nothing in the request tells its age,
-//! and no time after the pause is long enough to be sure: on a busy host a socket is read late. So
-//! each connection notes when its socket was last seen empty. Bytes that come after that look were
-//! sent after it; a connection that has not been seen empty since the last pause may still carry a
-//! request from before it.
+//! After a pause, such as a suspended host, a process reads requests that have been in socket
+//! buffers since before it. Their callers may have timed out and retried elsewhere, so running one
+//! may duplicate a call. A request's age is unknown, so each connection records the last poll that
+//! found its socket empty. Until such a poll follows the latest pause, a request read from the
+//! connection may predate that pause.
 //!
 //! ```
-//! use corianderstand_types::pause::{PauseWatch, TURN};
+//! use corianderstand_types::pause::{PauseDetector, TICK_INTERVAL};
 //! use std::time::Duration;
 //!
-//! let began = Duration::ZERO;
-//! let watch = PauseWatch::new(began);
-//! let connection = watch.connection();
-//! assert!(!watch.is_doubtful(began + TURN, &connection));
-//! assert!(watch.is_doubtful(began + Duration::from_secs(5), &connection));
+//! let start = Duration::ZERO;
+//! let detector = PauseDetector::new(start);
+//! let connection = detector.connection();
+//! assert!(!detector.may_predate_pause(start + TICK_INTERVAL, &connection));
+//! assert!(detector.may_predate_pause(start + Duration::from_secs(5), &connection));
 //! ```
 
 use std::{
@@ -28,67 +26,68 @@
 };
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Time between two turns of the watch.
-pub const TURN: Duration = Duration::from_millis(100);
-/// Time without a turn that counts as a pause: callers give up after seconds at the earliest, and a
-/// busy host leaves a process without the processor for some 100 ms.
-pub const PAUSE: Duration = Duration::from_secs(1);
+/// Interval between two calls of [`PauseDetector::tick`].
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without a tick that counts as a pause: longer than scheduling delays on a busy host, shorter
+/// than callers' timeouts.
+pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Counts the pauses of this process, and knows its connections.
+/// Counts the pauses of this process and tracks its connections.
 #[derive(Debug)]
-pub struct PauseWatch {
+pub struct PauseDetector {
     state: Mutex<State>,
     listener: Arc<Connection>,
 }
 
 #[derive(Debug)]
 struct State {
-    /// When a turn was last noted, by the watch itself or by a request, as the time since the host's
-    /// start: the steady clock stands still while a host is suspended.
-    turned: Duration,
-    /// Pauses so far.
+    /// Latest time seen by a tick or a request, as time since boot, which includes suspension.
+    last_seen_at: Duration,
     pauses: u64,
-    /// Pauses that the watch's last turn knew of.
-    turned_after: u64,
-    /// Pauses after which the watch itself has turned twice. Between two of its turns the runtime
-    /// asks the system which sockets have bytes; before that, a socket may seem empty by what was
-    /// known earlier.
-    settled: u64,
+    pauses_at_last_tick: u64,
+    /// Value of `pauses` confirmed by two ticks. The runtime polls the system for socket readiness
+    /// between two ticks; until then its readiness may be stale and sockets only seem empty.
+    confirmed_pauses: u64,
     connections: Vec<Weak<Connection>>,
 }
 
-/// When one socket was last seen empty.
+/// Records when the socket of a connection was last found empty.
 #[derive(Debug)]
-pub struct Connection(Mutex<Seen>);
+pub struct Connection(Mutex<LastEmpty>);
 
 #[derive(Debug)]
-struct Seen {
-    /// Pauses that were over then.
+struct LastEmpty {
+    /// Number of pauses before that poll.
     pauses: u64,
     waker: Option<Waker>,
 }
 
-impl PauseWatch {
-    /// Nothing has been missed yet.
+impl PauseDetector {
+    /// Creates a detector at `now`, the time since boot.
     pub fn new(now: Duration) -> Self {
-        let state =
-            State { turned: now, pauses: 0, turned_after: 0, settled: 0, connections: Vec::new() };
-        Self { state: Mutex::new(state), listener: Arc::new(Connection::seen_at(0)) }
+        let state = State {
+            last_seen_at: now,
+            pauses: 0,
+            pauses_at_last_tick: 0,
+            confirmed_pauses: 0,
+            connections: Vec::new(),
+        };
+        Self { state: Mutex::new(state), listener: Arc::new(Connection::last_empty_after(0)) }
     }
 
-    /// Turns the watch; called each [`TURN`] by a task of the runtime that reads requests.
+    /// Checks for a pause; called every [`TICK_INTERVAL`] by a task of the runtime that reads requests.
     ///
-    /// After a pause all connections are asked to look at their sockets once more, so that one which
-    /// was idle all the while does not count as doubtful when its next request comes.
-    pub fn turn(&self, now: Duration) {
+    /// After a pause it wakes all connections to poll their sockets again, so that the next request
+    /// on an idle connection is not mistaken for an old one.
+    pub fn tick(&self, now: Duration) {
         let mut state = self.lock();
-        state.note(now);
+        state.observe(now);
         let pauses = state.pauses;
-        let turned_after = std::mem::replace(&mut state.turned_after, pauses);
-        if turned_after != pauses || state.settled == pauses {
+        let pauses_at_last_tick = std::mem::replace(&mut state.pauses_at_last_tick, pauses);
+        if pauses_at_last_tick != pauses || state.confirmed_pauses == pauses {
             return;
         }
-        state.settled = pauses;
+        state.confirmed_pauses = pauses;
         state.connections.retain(|connection| connection.strong_count() > 0);
         let connections: Vec<_> = state.connections.iter().filter_map(Weak::upgrade).collect();
         drop(state);
@@ -97,11 +96,11 @@
         }
     }
 
-    /// A connection that was just taken.
+    /// Registers a connection that was just accepted.
     ///
-    /// It was made after the listener was last seen without connections, so it is as new as that.
+    /// It was opened after the listener's queue was last found empty, so it starts from that poll.
     pub fn connection(&self) -> Arc<Connection> {
-        let connection = Arc::new(Connection::seen_at(self.listener.lock().pauses));
+        let connection = Arc::new(Connection::last_empty_after(self.listener.lock().pauses));
         let mut state = self.lock();
         if state.connections.len() == state.connections.capacity() {
             state.connections.retain(|connection| connection.strong_count() > 0);
@@ -110,40 +109,39 @@
         connection
     }
 
-    /// Whether a request that was read from the connection may have been sent before a pause of this
-    /// process; also notes a pause that nobody has seen yet.
-    pub fn is_doubtful(&self, now: Duration, connection: &Connection) -> bool {
+    /// Whether a request read from the connection may have been sent before the latest pause. Also
+    /// detects a pause that no tick has seen yet.
+    pub fn may_predate_pause(&self, now: Duration, connection: &Connection) -> bool {
         let mut state = self.lock();
-        state.note(now);
+        state.observe(now);
         state.pauses != connection.lock().pauses
     }
 
-    /// Polls for connections; notes when there are none.
+    /// Polls a listener and records when it has no pending connection.
     pub fn poll_accept<T>(
         &self,
         cx: &mut Context<'_>,
         poll: impl FnOnce(&mut Context<'_>) -> Poll<T>,
     ) -> Poll<T> {
-        self.look(&self.listener, cx, poll)
+        self.poll_tracked(&self.listener, cx, poll)
     }
 
-    /// Polls a socket and notes when it is empty.
-    fn look<T>(
+    fn poll_tracked<T>(
         &self,
         connection: &Connection,
         cx: &mut Context<'_>,
         poll: impl FnOnce(&mut Context<'_>) -> Poll<T>,
     ) -> Poll<T> {
-        // Asked before the look: a pause between the two leaves the connection doubtful.
+        // Read before polling, so that a pause in between is not counted as over.
         let state = self.lock();
-        let settled = (state.settled == state.pauses).then_some(state.pauses);
+        let confirmed_pauses = (state.confirmed_pauses == state.pauses).then_some(state.pauses);
         drop(state);
         let polled = poll(cx);
         if polled.is_pending() {
-            let mut seen = connection.lock();
-            seen.pauses = settled.unwrap_or(seen.pauses);
-            if !seen.waker.as_ref().is_some_and(|waker| waker.will_wake(cx.waker())) {
-                seen.waker = Some(cx.waker().clone());
+            let mut last_empty = connection.lock();
+            last_empty.pauses = confirmed_pauses.unwrap_or(last_empty.pauses);
+            if !last_empty.waker.as_ref().is_some_and(|waker| waker.will_wake(cx.waker())) {
+                last_empty.waker = Some(cx.waker().clone());
             }
         }
         polled
@@ -155,20 +153,19 @@
 }
 
 impl State {
-    /// Notes a turn.
-    fn note(&mut self, now: Duration) {
-        let paused = now.saturating_sub(self.turned) > PAUSE;
-        self.turned = self.turned.max(now);
+    fn observe(&mut self, now: Duration) {
+        let paused = now.saturating_sub(self.last_seen_at) > PAUSE_THRESHOLD;
+        self.last_seen_at = self.last_seen_at.max(now);
         if paused {
             self.pauses += 1;
-            tracing::warn!("this process stood still: unread requests may be older than they look");
+            tracing::warn!("this process stood still: unread requests may predate the pause");
         }
     }
 }
 
 impl Connection {
-    const fn seen_at(pauses: u64) -> Self {
-        Self(Mutex::new(Seen { pauses, waker: None }))
+    const fn last_empty_after(pauses: u64) -> Self {
+        Self(Mutex::new(LastEmpty { pauses, waker: None }))
     }
 
     fn wake(&self) {
@@ -177,33 +174,33 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Seen> {
+    fn lock(&self) -> MutexGuard<'_, LastEmpty> {
         self.0.lock().expect("no holder of this lock panics")
     }
 }
 
-/// A caller's connection that notes when it was last seen empty.
+/// A caller's stream that records when its socket is empty.
 #[derive(Debug)]
-pub struct Watched<S> {
+pub struct WatchedStream<S> {
     inner: S,
-    watch: Arc<PauseWatch>,
+    detector: Arc<PauseDetector>,
     connection: Arc<Connection>,
 }
 
-impl<S> Watched<S> {
-    /// A connection that was just taken.
-    pub fn new(inner: S, watch: Arc<PauseWatch>) -> Self {
-        let connection = watch.connection();
-        Self { inner, watch, connection }
+impl<S> WatchedStream<S> {
+    /// Wraps a stream that was just accepted.
+    pub fn new(inner: S, detector: Arc<PauseDetector>) -> Self {
+        let connection = detector.connection();
+        Self { inner, detector, connection }
     }
 
-    /// What is known of it.
+    /// The connection's record in the detector.
     pub fn connection(&self) -> Arc<Connection> {
         self.connection.clone()
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for WatchedStream<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -211,11 +208,11 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let inner = Pin::new(&mut this.inner);
-        this.watch.look(&this.connection, cx, |cx| inner.poll_read(cx, buf))
+        this.detector.poll_tracked(&this.connection, cx, |cx| inner.poll_read(cx, buf))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for WatchedStream<S> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/corianderstand_types/src/pause/tests.rs
+++ b/crates/corianderstand_types/src/pause/tests.rs
@@ -1,6 +1,6 @@
-//! Sockets with requests from before a pause, read in each order that a scheduler may take.
+//! Requests from before and after a pause, read in each possible order.
 
-use super::{PAUSE, PauseWatch, TURN, Watched};
+use super::{PAUSE_THRESHOLD, PauseDetector, TICK_INTERVAL, WatchedStream};
 use rstest::rstest;
 use std::{
     pin::Pin,
@@ -10,27 +10,27 @@
 };
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf};
 
-/// Longer than any host is busy; a guard by time would have let go long before.
+/// Far longer than any fixed grace period after a pause.
 const LONG_AFTER: Duration = Duration::from_secs(30);
 
 struct Caller {
-    sends: DuplexStream,
-    connection: Watched<DuplexStream>,
+    socket: DuplexStream,
+    connection: WatchedStream<DuplexStream>,
 }
 
-fn connect(watch: &Arc<PauseWatch>) -> Caller {
-    let (sends, taken) = tokio::io::duplex(64);
-    Caller { sends, connection: Watched::new(taken, watch.clone()) }
+fn connect(detector: &Arc<PauseDetector>) -> Caller {
+    let (socket, accepted) = tokio::io::duplex(64);
+    Caller { socket, connection: WatchedStream::new(accepted, detector.clone()) }
 }
 
 impl Caller {
     fn send(&mut self) {
         let mut cx = Context::from_waker(Waker::noop());
-        let sent = Pin::new(&mut self.sends).poll_write(&mut cx, b"booking");
+        let sent = Pin::new(&mut self.socket).poll_write(&mut cx, b"booking");
         assert!(matches!(sent, Poll::Ready(Ok(7))), "{sent:?}");
     }
 
-    /// Whether a request was there.
+    /// Returns whether a request was read.
     fn read(&mut self) -> bool {
         let mut bytes = [0; 64];
         let mut buf = ReadBuf::new(&mut bytes);
@@ -38,104 +38,98 @@
         Pin::new(&mut self.connection).poll_read(&mut cx, &mut buf).is_ready()
     }
 
-    fn is_doubtful(&self, watch: &PauseWatch, now: Duration) -> bool {
-        watch.is_doubtful(now, &self.connection.connection)
+    fn may_predate_pause(&self, detector: &PauseDetector, now: Duration) -> bool {
+        detector.may_predate_pause(now, &self.connection.connection)
     }
 }
 
-/// Turns as often as a running process does, and leaves time for none.
-fn run_until(watch: &PauseWatch, from: Duration, until: Duration) {
+/// Ticks at the regular interval, without polling any connection.
+fn run_until(detector: &PauseDetector, from: Duration, until: Duration) {
     let mut now = from;
     while now < until {
-        watch.turn(now);
-        now += TURN;
+        detector.tick(now);
+        now += TICK_INTERVAL;
     }
 }
 
-/// A router is frozen with a booking unread in its socket. It goes on on a busy host, where the watch
-/// has its turns at once and the connection is read only much later. Run then, the user who has
-/// booked elsewhere meanwhile has two vans at the door.
+/// A request from before a pause must be detected however late it is read, or the call runs twice.
 #[rstest]
 #[case::read_at_once(Duration::ZERO)]
 #[case::read_after_half_a_second(Duration::from_millis(600))]
 #[case::read_long_after(LONG_AFTER)]
-fn a_request_from_before_a_pause_is_known_whenever_it_is_read(#[case] read_after: Duration) {
-    let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
-    let mut caller = connect(&watch);
+fn a_request_from_before_a_pause_is_detected_whenever_it_is_read(#[case] read_after: Duration) {
+    let start = Duration::ZERO;
+    let detector = Arc::new(PauseDetector::new(start));
+    let mut caller = connect(&detector);
     caller.send();
-    let resumed = began + PAUSE * 3;
-    run_until(&watch, resumed, resumed + read_after);
+    let resumed = start + PAUSE_THRESHOLD * 3;
+    run_until(&detector, resumed, resumed + read_after);
     assert!(caller.read());
-    assert!(caller.is_doubtful(&watch, resumed + read_after));
+    assert!(caller.may_predate_pause(&detector, resumed + read_after));
 }
 
-/// The process is frozen between reading a booking and looking at the time, and another request
-/// notices the pause first. Both lay there all the while; neither may run.
+/// A pause detected by one request must apply to every other request from before it.
 #[rstest]
-fn two_requests_that_ask_at_once_are_both_doubtful() {
-    let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
-    let (mut first, mut second) = (connect(&watch), connect(&watch));
+fn two_requests_from_before_a_pause_are_both_detected() {
+    let start = Duration::ZERO;
+    let detector = Arc::new(PauseDetector::new(start));
+    let (mut first, mut second) = (connect(&detector), connect(&detector));
     first.send();
     second.send();
     assert!(first.read());
-    let resumed = began + PAUSE * 3;
-    assert!(first.is_doubtful(&watch, resumed));
+    let resumed = start + PAUSE_THRESHOLD * 3;
+    assert!(first.may_predate_pause(&detector, resumed));
     assert!(second.read());
-    assert!(second.is_doubtful(&watch, resumed));
+    assert!(second.may_predate_pause(&detector, resumed));
 }
 
-/// After the pause the runtime polls a connection by what it knew of the socket before, and finds
-/// nothing although a booking is there. Taken for a look, it would make the booking seem new.
+/// A poll that uses readiness from before the pause must not count as finding the socket empty.
 #[rstest]
-fn a_look_before_the_system_was_asked_again_proves_nothing() {
-    let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
-    let mut caller = connect(&watch);
-    let resumed = began + PAUSE * 3;
-    // Another request notices the pause, then the watch has the turn that was due before it.
-    assert!(caller.is_doubtful(&watch, resumed));
-    watch.turn(resumed);
-    assert!(!caller.read(), "what was known before the pause");
+fn a_poll_with_stale_readiness_is_not_counted() {
+    let start = Duration::ZERO;
+    let detector = Arc::new(PauseDetector::new(start));
+    let mut caller = connect(&detector);
+    let resumed = start + PAUSE_THRESHOLD * 3;
+    // A request detects the pause before the overdue tick runs.
+    assert!(caller.may_predate_pause(&detector, resumed));
+    detector.tick(resumed);
+    assert!(!caller.read(), "stale readiness from before the pause");
     caller.send();
-    watch.turn(resumed + TURN);
+    detector.tick(resumed + TICK_INTERVAL);
     assert!(caller.read());
-    assert!(caller.is_doubtful(&watch, resumed + TURN));
+    assert!(caller.may_predate_pause(&detector, resumed + TICK_INTERVAL));
 }
 
-/// A caller keeps a connection for its next booking while the router is frozen, and another connects
-/// after it. Both would be told "unknown" for a booking that is as new as any.
+/// Requests sent after a pause, on idle or new connections, must run normally.
 #[rstest]
-fn later_requests_run_again() {
-    let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
-    let mut idle = connect(&watch);
+fn requests_after_a_pause_run() {
+    let start = Duration::ZERO;
+    let detector = Arc::new(PauseDetector::new(start));
+    let mut idle = connect(&detector);
     assert!(!idle.read());
-    let resumed = began + PAUSE * 3;
-    run_until(&watch, resumed, resumed + TURN * 3);
-    // The watch wakes the connection and the listener, which look again.
+    let resumed = start + PAUSE_THRESHOLD * 3;
+    run_until(&detector, resumed, resumed + TICK_INTERVAL * 3);
+    // The second tick wakes the connection and the listener, which poll again.
     assert!(!idle.read());
     let mut cx = Context::from_waker(Waker::noop());
-    assert!(watch.poll_accept(&mut cx, |_| Poll::<()>::Pending).is_pending());
-    let mut new = connect(&watch);
+    assert!(detector.poll_accept(&mut cx, |_| Poll::<()>::Pending).is_pending());
+    let mut new = connect(&detector);
     for caller in [&mut idle, &mut new] {
         caller.send();
         assert!(caller.read());
-        assert!(!caller.is_doubtful(&watch, resumed + TURN * 3));
+        assert!(!caller.may_predate_pause(&detector, resumed + TICK_INTERVAL * 3));
     }
 }
 
-/// A connection was made while the process was frozen, and lies in the listener's queue with its
-/// booking. Taken after the pause it looks like a new one.
+/// A connection queued at the listener during a pause must not be treated as new.
 #[rstest]
-fn a_connection_that_waited_to_be_taken_is_doubtful() {
-    let began = Duration::ZERO;
-    let watch = Arc::new(PauseWatch::new(began));
-    let resumed = began + PAUSE * 3;
-    run_until(&watch, resumed, resumed + LONG_AFTER);
-    let mut caller = connect(&watch);
+fn a_request_on_a_connection_accepted_after_a_pause_is_detected() {
+    let start = Duration::ZERO;
+    let detector = Arc::new(PauseDetector::new(start));
+    let resumed = start + PAUSE_THRESHOLD * 3;
+    run_until(&detector, resumed, resumed + LONG_AFTER);
+    let mut caller = connect(&detector);
     caller.send();
     assert!(caller.read());
-    assert!(caller.is_doubtful(&watch, resumed + LONG_AFTER));
+    assert!(caller.may_predate_pause(&detector, resumed + LONG_AFTER));
 }
