--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -56,7 +56,7 @@
     /// Cache memory of one engine, in tokens.
     pub cache_tokens: u64,
     /// Adapters that one engine holds at once.
-    pub adapter_places: usize,
+    pub adapter_slots: usize,
     /// Where this process stands.
     pub zone: &'a names::AvailabilityZoneId,
     /// Targets that the request has been to.
@@ -138,7 +138,7 @@
     };
     let has_place = |target: &targets::Target| {
         let resident = target.entry.holdings.resident.iter();
-        resident.map(|resident| resident.adapters.len()).sum::<usize>() < ask.adapter_places
+        resident.map(|resident| resident.adapters.len()).sum::<usize>() < ask.adapter_slots
     };
     let well = holders.iter().filter(|(_, target)| target.health.trouble(now) < health::OUT);
     // An engine that is carrying out an order takes none for an adapter meanwhile.
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -183,7 +183,7 @@
         wanted: Some(wanted),
         tokens: 1_000,
         cache_tokens: 10_000,
-        adapter_places: 2,
+        adapter_slots: 2,
         zone,
         tried: &[],
         hash: 7,
