--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -64,7 +64,7 @@
     /// A hash of the request.
     pub hash: u64,
     /// The target that last read parts of the prompt, and how many tokens.
-    pub read_before: Option<(targets::TargetKey, u64)>,
+    pub cached_prefix: Option<(targets::TargetKey, u64)>,
 }
 
 /// What to do with the attempt.
@@ -172,7 +172,7 @@
         };
         let zone = if target.entry.zone == *ask.zone { 0.0 } else { OTHER_ZONE };
         let trouble = (target.health.trouble(now) - least_trouble) * TROUBLE;
-        let read = match ask.read_before {
+        let read = match ask.cached_prefix {
             Some((there, tokens)) if there == key => {
                 tokens as f64 / 1_000.0 * READ_BEFORE_PER_THOUSAND
             }
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -187,7 +187,7 @@
         zone,
         tried: &[],
         hash: 7,
-        read_before: None,
+        cached_prefix: None,
     }
 }
 
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -220,7 +220,7 @@
             zone: &self.settings.zone,
             tried: &job.tried,
             hash: job.hash,
-            read_before: view.prefixes.find(&job.chain),
+            cached_prefix: view.prefixes.find(&job.chain),
         };
         choose::choose(now, &view.targets, &ask)
     }
