--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -50,7 +50,7 @@
     /// The service that the route leads to.
     pub service: &'a names::ServiceId,
     /// The model it wants, if any.
-    pub wanted: Option<&'a Wanted>,
+    pub requested: Option<&'a Wanted>,
     /// Tokens that it is expected to need in all.
     pub tokens: u64,
     /// Cache memory of one engine, in tokens.
@@ -95,7 +95,7 @@
     if usable.is_empty() {
         return Choice::NoTarget;
     }
-    let holders: Vec<_> = match ask.wanted {
+    let holders: Vec<_> = match ask.requested {
         None => usable,
         Some(wanted) => {
             usable.into_iter().filter(|(_, target)| target.serves(now, &wanted.model)).collect()
@@ -109,7 +109,7 @@
     if with_room.is_empty() {
         return Choice::Full;
     }
-    match ask.wanted.and_then(|wanted| wanted.adapter.as_ref().map(|adapter| (wanted, adapter))) {
+    match ask.requested.and_then(|wanted| wanted.adapter.as_ref().map(|adapter| (wanted, adapter))) {
         None => best(now, &with_room, ask).map_or(Choice::Full, Choice::Send),
         Some((wanted, adapter)) => with_adapter(now, &with_room, ask, wanted, adapter),
     }
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -180,7 +180,7 @@
 ) -> choose::Ask<'a> {
     choose::Ask {
         service,
-        wanted: Some(wanted),
+        requested: Some(wanted),
         tokens: 1_000,
         cache_tokens: 10_000,
         adapter_slots: 2,
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -213,7 +213,7 @@
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
         let ask = choose::Ask {
             service: &job.service,
-            wanted: job.call.wanted.as_ref(),
+            requested: job.call.wanted.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_places),
