--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -46,7 +46,7 @@
 
 /// One attempt that needs a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// The service that the route leads to.
     pub service: &'a names::ServiceId,
     /// The model it wants, if any.
@@ -83,19 +83,19 @@
 }
 
 /// Chooses a target.
-pub fn choose(now: Instant, targets: &targets::Targets, ask: &Ask) -> Choice {
+pub fn choose(now: Instant, targets: &targets::Targets, query: &Query) -> Choice {
     let usable: Vec<_> = targets
         .iter()
         .filter(|(key, target)| {
-            target.entry.service == *ask.service
+            target.entry.service == *query.service
                 && target.takes_work(now)
-                && !ask.tried.contains(key)
+                && !query.tried.contains(key)
         })
         .collect();
     if usable.is_empty() {
         return Choice::NoTarget;
     }
-    let holders: Vec<_> = match ask.requested {
+    let holders: Vec<_> = match query.requested {
         None => usable,
         Some(wanted) => {
             usable.into_iter().filter(|(_, target)| target.serves(now, &wanted.model)).collect()
@@ -105,13 +105,13 @@
         return Choice::Cold;
     }
     let with_room: Vec<_> =
-        holders.into_iter().filter(|(_, target)| has_room(target, ask)).collect();
+        holders.into_iter().filter(|(_, target)| has_room(target, query)).collect();
     if with_room.is_empty() {
         return Choice::Full;
     }
-    match ask.requested.and_then(|wanted| wanted.adapter.as_ref().map(|adapter| (wanted, adapter))) {
-        None => best(now, &with_room, ask).map_or(Choice::Full, Choice::Send),
-        Some((wanted, adapter)) => with_adapter(now, &with_room, ask, wanted, adapter),
+    match query.requested.and_then(|wanted| wanted.adapter.as_ref().map(|adapter| (wanted, adapter))) {
+        None => best(now, &with_room, query).map_or(Choice::Full, Choice::Send),
+        Some((wanted, adapter)) => with_adapter(now, &with_room, query, wanted, adapter),
     }
 }
 
@@ -120,7 +120,7 @@
 fn with_adapter(
     now: Instant,
     holders: &[(targets::TargetKey, &targets::Target)],
-    ask: &Ask,
+    query: &Query,
     wanted: &Wanted,
     adapter: &names::AdapterId,
 ) -> Choice {
@@ -129,7 +129,7 @@
         resident.is_some_and(|resident| resident.adapters.contains(adapter))
     };
     let ready: Vec<_> = holders.iter().copied().filter(|(_, target)| has(target)).collect();
-    if let Some(key) = best(now, &ready, ask) {
+    if let Some(key) = best(now, &ready, query) {
         return Choice::Send(key);
     }
     let place = |target: &targets::Target| {
@@ -138,7 +138,7 @@
     };
     let has_place = |target: &targets::Target| {
         let resident = target.entry.holdings.resident.iter();
-        resident.map(|resident| resident.adapters.len()).sum::<usize>() < ask.adapter_slots
+        resident.map(|resident| resident.adapters.len()).sum::<usize>() < query.adapter_slots
     };
     let well = holders.iter().filter(|(_, target)| target.health.trouble(now) < health::OUT);
     // An engine that is carrying out an order takes none for an adapter meanwhile.
@@ -149,15 +149,15 @@
 }
 
 /// Whether it can take the request without making it wait for another to end.
-fn has_room(target: &targets::Target, ask: &Ask) -> bool {
-    let memory = ask.cache_tokens == 0 || target.tokens() + ask.tokens <= ask.cache_tokens;
+fn has_room(target: &targets::Target, query: &Query) -> bool {
+    let memory = query.cache_tokens == 0 || target.tokens() + ask.tokens <= ask.cache_tokens;
     target.occupied() < target.entry.slots.max(1) && memory
 }
 
 fn best(
     now: Instant,
     holders: &[(targets::TargetKey, &targets::Target)],
-    ask: &Ask,
+    query: &Query,
 ) -> Option<targets::TargetKey> {
     let trouble = holders.iter().map(|(_, target)| target.health.trouble(now));
     let least_trouble = trouble.fold(f64::INFINITY, f64::min);
@@ -166,13 +166,13 @@
     let cost = |key: targets::TargetKey, target: &targets::Target| {
         let slots = f64::from(target.entry.slots.max(1));
         let batch = f64::from(target.occupied()) / slots;
-        let memory = match ask.cache_tokens {
+        let memory = match query.cache_tokens {
             0 => 0.0,
-            all => (target.tokens() + ask.tokens) as f64 / all as f64,
+            all => (target.tokens() + query.tokens) as f64 / all as f64,
         };
-        let zone = if target.entry.zone == *ask.zone { 0.0 } else { OTHER_ZONE };
+        let zone = if target.entry.zone == *query.zone { 0.0 } else { OTHER_ZONE };
         let trouble = (target.health.trouble(now) - least_trouble) * TROUBLE;
-        let read = match ask.cached_prefix {
+        let read = match query.cached_prefix {
             Some((there, tokens)) if there == key => {
                 tokens as f64 / 1_000.0 * READ_BEFORE_PER_THOUSAND
             }
@@ -181,7 +181,7 @@
         let slower =
             target.pace.between(now).map_or(0.0, |pace| pace.as_secs_f64() / quickest - 1.0);
         let slower = slower.clamp(0.0, MOST_SLOWER) * SLOWER;
-        let jitter = (ask.hash ^ xxh3::xxh3_64(target.entry.id.as_str().as_bytes())) % 1_000;
+        let jitter = (query.hash ^ xxh3::xxh3_64(target.entry.id.as_str().as_bytes())) % 1_000;
         let reading = target.reading(now).as_secs_f64() / FULL_READING.as_secs_f64();
         batch.max(memory) + reading + zone + trouble + slower - read
             + jitter as f64 / 1_000.0 * JITTER
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -177,8 +177,8 @@
     wanted: &'a choose::Wanted,
     service: &'a corianderstand_types::names::ServiceId,
     zone: &'a corianderstand_types::names::AvailabilityZoneId,
-) -> choose::Ask<'a> {
-    choose::Ask {
+) -> choose::Query<'a> {
+    choose::Query {
         service,
         requested: Some(wanted),
         tokens: 1_000,
@@ -300,8 +300,8 @@
     let sent = |now: Instant, targets: &Targets| {
         let mut rng = common::rng(1);
         let hits = (0..100).filter(|_| {
-            let ask = choose::Ask { hash: rng.random(), ..ask(&wanted, &service, &zone) };
-            choose::choose(now, targets, &ask) == choose::Choice::Send(bad)
+            let query = choose::Query { hash: rng.random(), ..ask(&wanted, &service, &zone) };
+            choose::choose(now, targets, &query) == choose::Choice::Send(bad)
         });
         hits.count()
     };
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -211,7 +211,7 @@
     pub fn choose(&self, now: Instant, job: &job::Job) -> choose::Choice {
         let view = self.view.borrow();
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
-        let ask = choose::Ask {
+        let query = choose::Query {
             service: &job.service,
             requested: job.call.wanted.as_ref(),
             tokens: job.tokens(),
@@ -222,7 +222,7 @@
             hash: job.hash,
             cached_prefix: view.prefixes.find(&job.chain),
         };
-        choose::choose(now, &view.targets, &ask)
+        choose::choose(now, &view.targets, &query)
     }
 
     /// Whether another target could take a request now that is at `key`.
