--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -37,7 +37,7 @@
 
 /// A model that a request wants.
 #[derives(name)]
-pub struct Wanted {
+pub struct RequestedModel {
     /// The model.
     pub model: names::ModelId,
     /// An adapter of it.
@@ -50,7 +50,7 @@
     /// The service that the route leads to.
     pub service: &'a names::ServiceId,
     /// The model it wants, if any.
-    pub requested: Option<&'a Wanted>,
+    pub requested: Option<&'a RequestedModel>,
     /// Tokens that it is expected to need in all.
     pub tokens: u64,
     /// Cache memory of one engine, in tokens.
@@ -121,7 +121,7 @@
     now: Instant,
     holders: &[(targets::TargetKey, &targets::Target)],
     query: &Query,
-    wanted: &Wanted,
+    wanted: &RequestedModel,
     adapter: &names::AdapterId,
 ) -> Choice {
     let has = |target: &targets::Target| {
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -55,7 +55,7 @@
     /// Trouble that requests met.
     pub health: health::Health,
     /// Requests of this process that are at it, by what they want.
-    pub in_flight: BTreeMap<choose::Wanted, u32>,
+    pub in_flight: BTreeMap<choose::RequestedModel, u32>,
     /// Requests of this process that are at it.
     pub ours: u32,
     /// Tokens that these are expected to need.
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -174,7 +174,7 @@
 }
 
 fn ask<'a>(
-    wanted: &'a choose::Wanted,
+    wanted: &'a choose::RequestedModel,
     service: &'a corianderstand_types::names::ServiceId,
     zone: &'a corianderstand_types::names::AvailabilityZoneId,
 ) -> choose::Query<'a> {
@@ -191,8 +191,8 @@
     }
 }
 
-fn wanted() -> choose::Wanted {
-    choose::Wanted { model: "m".into(), adapter: None }
+fn wanted() -> choose::RequestedModel {
+    choose::RequestedModel { model: "m".into(), adapter: None }
 }
 
 #[test]
@@ -339,7 +339,7 @@
     targets.register(now, Entry { holdings: with(&["c"]), ..entry("free") });
     let (service, zone) = ("models".into(), "here".into());
     let choose = |adapter: &str| {
-        let wanted = choose::Wanted { model: "m".into(), adapter: Some(adapter.into()) };
+        let wanted = choose::RequestedModel { model: "m".into(), adapter: Some(adapter.into()) };
         choose::choose(now, &targets, &ask(&wanted, &service, &zone))
     };
     let key = |name: &str| targets.key(&id(name)).unwrap();
@@ -357,7 +357,7 @@
         targets.register(now, entry(name));
     }
     let (service, zone) = ("models".into(), "here".into());
-    let wanted = choose::Wanted { model: "m".into(), adapter: Some("a".into()) };
+    let wanted = choose::RequestedModel { model: "m".into(), adapter: Some("a".into()) };
     let home = |targets: &Targets| {
         let choice = choose::choose(now, targets, &ask(&wanted, &service, &zone));
         let choose::Choice::LoadAdapter(key) = choice else { panic!("nobody has it: {choice:?}") };
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -341,7 +341,7 @@
 }
 
 /// An adapter as it is named to an agent.
-pub fn asked_adapter(wanted: &choose::Wanted) -> Option<wire::AskedAdapter> {
+pub fn asked_adapter(wanted: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
     let adapter = wanted.adapter.clone()?;
     Some(wire::AskedAdapter { model: wanted.model.clone(), adapter })
 }
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -120,7 +120,7 @@
 pub struct Flight<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     key: targets::TargetKey,
-    wanted: Option<choose::Wanted>,
+    wanted: Option<choose::RequestedModel>,
     tokens: u64,
 }
 
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -73,7 +73,7 @@
         &self,
         now: Instant,
         service: &names::ServiceId,
-        wanted: Option<&choose::Wanted>,
+        wanted: Option<&choose::RequestedModel>,
     ) -> patience::Expected {
         let Some(wanted) = wanted else { return patience::Expected::Unknown };
         let spec = self.service(service).and_then(|service| service.engine.as_ref());
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -145,7 +145,7 @@
     fn read_call(&self, headers: &HeaderMap) -> dialect::Call {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let millis = |name: &str| text(name)?.parse().ok().map(Duration::from_millis);
-        let wanted = text("x-model").map(|model| choose::Wanted {
+        let wanted = text("x-model").map(|model| choose::RequestedModel {
             model: model.into(),
             adapter: text("x-adapter").map(Into::into),
         });
