--- a/crates/corianderstand_fleet/src/lib.rs
+++ b/crates/corianderstand_fleet/src/lib.rs
@@ -3,7 +3,7 @@
 //! A [`config::Config`] says which routes lead to which services. [`targets::Targets`] keeps what
 //! is known of each target of those services: what it registered, what its agent says of it, and
 //! what this process itself has seen. On these rest the decisions, each in a module of its own and
-//! without input or output: [`choose`] picks a target for one attempt, [`patience`] says how long
+//! without input or output: [`choose`] picks a target for one attempt, [`wait_limit`] says how long
 //! a request waits for a model and when it is refused, [`prefill`] says whose prompt an engine reads
 //! next, [`budget`] limits second attempts, and [`plan`] says which engine holds which models. [`steps`] turns an engine's part of the plan
 //! into one order at a time.
@@ -28,7 +28,7 @@
 mod fading;
 pub mod health;
 mod pace;
-pub mod patience;
+pub mod wait_limit;
 pub mod plan;
 pub mod prefill;
 pub mod prefixes;
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::id;
-use corianderstand_fleet::{budget, choose, config, health, patience, routes, steps, targets};
+use corianderstand_fleet::{budget, choose, config, health, wait_limit, routes, steps, targets};
 use corianderstand_types::names::ModelId;
 use rand::RngExt;
 use std::{
@@ -395,18 +395,18 @@
 }
 
 #[rstest::rstest]
-#[case(patience::Expected::Takes(Duration::from_millis(800)), true)]
-#[case(patience::Expected::Takes(Duration::from_secs(6)), false)]
-#[case(patience::Expected::Room, true)]
-#[case(patience::Expected::Unknown, false)]
+#[case(wait_limit::Expected::Takes(Duration::from_millis(800)), true)]
+#[case(wait_limit::Expected::Takes(Duration::from_secs(6)), false)]
+#[case(wait_limit::Expected::Room, true)]
+#[case(wait_limit::Expected::Unknown, false)]
 fn a_request_is_held_only_if_its_model_can_be_there(
-    #[case] expected: patience::Expected,
+    #[case] expected: wait_limit::Expected,
     #[case] held: bool,
 ) {
     let now = Instant::now();
-    let verdict = patience::judge(now, now + Duration::from_secs(2), expected, 0.5);
-    assert_eq!(matches!(verdict, patience::Verdict::Hold { .. }), held, "{verdict:?}");
-    if let patience::Verdict::Refuse { after } = verdict {
+    let verdict = wait_limit::judge(now, now + Duration::from_secs(2), expected, 0.5);
+    assert_eq!(matches!(verdict, wait_limit::Verdict::Hold { .. }), held, "{verdict:?}");
+    if let wait_limit::Verdict::Refuse { after } = verdict {
         assert!(after >= Duration::from_secs(1), "it says when the model is there: {after:?}");
     }
 }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -4,7 +4,7 @@
 //! leaves out its own lines beyond a number a second, says how many, and takes no room from others.
 
 use crate::{copies, job, metrics, stream, view};
-use corianderstand_fleet::{patience, targets};
+use corianderstand_fleet::{wait_limit, targets};
 use corianderstand_types::names;
 use http::StatusCode;
 use smol_str::SmolStr;
@@ -88,13 +88,13 @@
     }
 
     /// A request waits, or the reason for its wait has changed.
-    pub fn waits(&self, job: &job::Job, why: &str, expected: patience::Expected, now: Instant) {
+    pub fn waits(&self, job: &job::Job, why: &str, expected: wait_limit::Expected, now: Instant) {
         if self.allows(Kind::Placed, now) {
             let waited_ms = ms(now, job.arrived);
             let ready_in_ms = match expected {
-                patience::Expected::Ready(at) => Some(ms(at, now)),
-                patience::Expected::Takes(time) => Some(time.as_millis() as u64),
-                patience::Expected::Room | patience::Expected::Unknown => None,
+                wait_limit::Expected::Ready(at) => Some(ms(at, now)),
+                wait_limit::Expected::Takes(time) => Some(time.as_millis() as u64),
+                wait_limit::Expected::Room | wait_limit::Expected::Unknown => None,
             };
             let model = job.model().map(names::ModelId::as_str);
             tracing::info!(id = %job.call.id, model, why, ready_in_ms, waited_ms, "waits");
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -7,7 +7,7 @@
 
 use crate::{attempt, body::AnswerBody, decisions, dialect, job, router, stream, waiting};
 use bytes::Bytes;
-use corianderstand_fleet::{config, patience, prefixes, targets};
+use corianderstand_fleet::{config, wait_limit, prefixes, targets};
 use corianderstand_types::{names, pause};
 use http::{HeaderValue, Request, Response, StatusCode, Uri, header};
 use http_body_util::{BodyExt, Limited};
@@ -311,7 +311,7 @@
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
     shared.log.refused(&job.call.id, &job.route.name, status, why, job.arrived, shared.clock.now());
-    own_answer(status, why, Some(patience::return_after(after, job.spread())))
+    own_answer(status, why, Some(wait_limit::return_after(after, job.spread())))
 }
 
 /// Ends a request whose fate is not known, or that ran and failed.
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -5,7 +5,7 @@
 //! the request is sent, as it would be where no agent stands.
 
 use crate::{job, router};
-use corianderstand_fleet::{patience, targets};
+use corianderstand_fleet::{wait_limit, targets};
 use corianderstand_schema::peers::{self as wire, PeerMessage};
 use std::{
     cell::{Cell, RefCell},
@@ -163,7 +163,7 @@
             return question.given();
         }
         if now + answer.wait >= question.useful_until(job) {
-            return Turn::TooLate { after: patience::return_after(answer.wait, job.spread()) };
+            return Turn::TooLate { after: wait_limit::return_after(answer.wait, job.spread()) };
         }
         if !shared.may_serve(key, job, now) || (!settled && answer.wait >= LONG_WAIT) {
             return Turn::LookAgain;
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -5,7 +5,7 @@
     readers, server, transfer, view,
 };
 use corianderstand_derives::derives;
-use corianderstand_fleet::{budget, choose, demand, patience, targets};
+use corianderstand_fleet::{budget, choose, demand, wait_limit, targets};
 use corianderstand_schema::peers::StoreUse;
 use corianderstand_types::{clock, names, pause};
 use http::StatusCode;
@@ -238,10 +238,10 @@
         now: Instant,
         job: &job::Job,
         choice: choose::Choice,
-    ) -> patience::Expected {
+    ) -> wait_limit::Expected {
         match choice {
-            choose::Choice::NoTarget => patience::Expected::Unknown,
-            choose::Choice::Full => patience::Expected::Room,
+            choose::Choice::NoTarget => wait_limit::Expected::Unknown,
+            choose::Choice::Full => wait_limit::Expected::Room,
             choose::Choice::LoadAdapter(key) => self.view.borrow().expected_adapter(key),
             _ => self.view.borrow().expected(now, &job.service, job.call.wanted.as_ref()),
         }
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -1,7 +1,7 @@
 //! What one router believes, and who waits for a change of it.
 
 use corianderstand_fleet::{
-    budget, choose, config, demand, patience, prefixes, routes, snapshot, targets,
+    budget, choose, config, demand, wait_limit, prefixes, routes, snapshot, targets,
 };
 use corianderstand_types::names;
 use std::{
@@ -59,12 +59,12 @@
 
     /// When an engine that holds the model can take an order for an adapter: it carries out one at a
     /// time, and a model from the weight store keeps it for seconds.
-    pub fn expected_adapter(&self, key: targets::TargetKey) -> patience::Expected {
+    pub fn expected_adapter(&self, key: targets::TargetKey) -> wait_limit::Expected {
         match self.targets.get(key).and_then(|target| target.ongoing.as_ref()) {
             Some(targets::Ongoing::Loading { ready_at, .. }) => {
-                patience::Expected::Ready(*ready_at)
+                wait_limit::Expected::Ready(*ready_at)
             }
-            Some(targets::Ongoing::Unloading { .. }) | None => patience::Expected::Room,
+            Some(targets::Ongoing::Unloading { .. }) | None => wait_limit::Expected::Room,
         }
     }
 
@@ -74,11 +74,11 @@
         now: Instant,
         service: &names::ServiceId,
         wanted: Option<&choose::RequestedModel>,
-    ) -> patience::Expected {
-        let Some(wanted) = wanted else { return patience::Expected::Unknown };
+    ) -> wait_limit::Expected {
+        let Some(wanted) = wanted else { return wait_limit::Expected::Unknown };
         let spec = self.service(service).and_then(|service| service.engine.as_ref());
         let Some(model) = spec.and_then(|engine| engine.model(&wanted.model)) else {
-            return patience::Expected::Unknown;
+            return wait_limit::Expected::Unknown;
         };
         let mut fastest: Option<std::time::Duration> = None;
         for (key, target) in self.targets.iter() {
@@ -86,12 +86,12 @@
                 continue;
             }
             if target.serves(now, &wanted.model) {
-                return patience::Expected::Room;
+                return wait_limit::Expected::Room;
             }
             if let Some(targets::Ongoing::Loading { model, ready_at, .. }) = &target.ongoing
                 && *model == wanted.model
             {
-                return patience::Expected::Ready(*ready_at);
+                return wait_limit::Expected::Ready(*ready_at);
             }
             let view = snapshot::EngineView {
                 key,
@@ -106,6 +106,6 @@
             let (time, _) = snapshot::source(&view, model);
             fastest = Some(fastest.map_or(time, |least| least.min(time)));
         }
-        fastest.map_or(patience::Expected::Unknown, patience::Expected::Takes)
+        fastest.map_or(wait_limit::Expected::Unknown, wait_limit::Expected::Takes)
     }
 }
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -1,7 +1,7 @@
 //! Finding a target for a request, and waiting for one while that is of use.
 
 use crate::{exchange, job, prefill, router};
-use corianderstand_fleet::{choose, patience, targets};
+use corianderstand_fleet::{choose, wait_limit, targets};
 use corianderstand_types::names;
 use std::{rc::Rc, time::Duration};
 
@@ -63,11 +63,11 @@
                 if waiting.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
-                match patience::judge(now, until, expected, job.spread()) {
-                    patience::Verdict::Hold { until } => {
+                match wait_limit::judge(now, until, expected, job.spread()) {
+                    wait_limit::Verdict::Hold { until } => {
                         (until.min(shared.latest(job)), look_again(choice))
                     }
-                    patience::Verdict::Refuse { after } => {
+                    wait_limit::Verdict::Refuse { after } => {
                         return Err(GivenUp { why: reason(choice), after });
                     }
                 }
