--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -52,7 +52,7 @@
 
 /// Decides on a request that cannot be sent now. `latest` is when its caller or its route gives
 /// up; `spread` is between 0 and 1, from the request's hash.
-pub fn judge(now: Instant, latest: Instant, expected: Expected, spread: f64) -> Verdict {
+pub fn decide(now: Instant, latest: Instant, expected: Expected, spread: f64) -> Verdict {
     let ready = match expected {
         Expected::Ready(at) => at.max(now),
         Expected::Takes(time) => now + DECISION + time,
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -404,7 +404,7 @@
     #[case] held: bool,
 ) {
     let now = Instant::now();
-    let verdict = wait_limit::judge(now, now + Duration::from_secs(2), expected, 0.5);
+    let verdict = wait_limit::decide(now, now + Duration::from_secs(2), expected, 0.5);
     assert_eq!(matches!(verdict, wait_limit::Verdict::Hold { .. }), held, "{verdict:?}");
     if let wait_limit::Verdict::Refuse { after } = verdict {
         assert!(after >= Duration::from_secs(1), "it says when the model is there: {after:?}");
