--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -37,7 +37,7 @@
 
 /// What becomes of the request.
 #[derives(key)]
-pub enum Verdict {
+pub enum Decision {
     /// Held until then at the latest; asked again when something changes.
     Hold {
         /// When to give up.
@@ -52,20 +52,20 @@
 
 /// Decides on a request that cannot be sent now. `latest` is when its caller or its route gives
 /// up; `spread` is between 0 and 1, from the request's hash.
-pub fn decide(now: Instant, latest: Instant, expected: Expected, spread: f64) -> Verdict {
+pub fn decide(now: Instant, latest: Instant, expected: Expected, spread: f64) -> Decision {
     let ready = match expected {
         Expected::Ready(at) => at.max(now),
         Expected::Takes(time) => now + DECISION + time,
         Expected::Room => now,
         Expected::Unknown => {
-            return Verdict::Refuse { after: return_after(WITHOUT_TARGET, spread) };
+            return Decision::Refuse { after: return_after(WITHOUT_TARGET, spread) };
         }
     };
     let until = latest.checked_sub(FIRST_ANSWER).unwrap_or(now);
     if ready < until {
-        return Verdict::Hold { until };
+        return Decision::Hold { until };
     }
-    Verdict::Refuse { after: return_after(ready.saturating_duration_since(now), spread) }
+    Decision::Refuse { after: return_after(ready.saturating_duration_since(now), spread) }
 }
 
 /// A time to come back, spread so that those refused together do not return together.
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -404,9 +404,9 @@
     #[case] held: bool,
 ) {
     let now = Instant::now();
-    let verdict = wait_limit::decide(now, now + Duration::from_secs(2), expected, 0.5);
-    assert_eq!(matches!(verdict, wait_limit::Verdict::Hold { .. }), held, "{verdict:?}");
-    if let wait_limit::Verdict::Refuse { after } = verdict {
+    let decision = wait_limit::decide(now, now + Duration::from_secs(2), expected, 0.5);
+    assert_eq!(matches!(decision, wait_limit::Decision::Hold { .. }), held, "{decision:?}");
+    if let wait_limit::Decision::Refuse { after } = decision {
         assert!(after >= Duration::from_secs(1), "it says when the model is there: {after:?}");
     }
 }
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -64,10 +64,10 @@
                     shared.log.waits(job, reason(choice), expected, now);
                 }
                 match wait_limit::decide(now, until, expected, job.spread()) {
-                    wait_limit::Verdict::Hold { until } => {
+                    wait_limit::Decision::Hold { until } => {
                         (until.min(shared.latest(job)), look_again(choice))
                     }
-                    wait_limit::Verdict::Refuse { after } => {
+                    wait_limit::Decision::Refuse { after } => {
                         return Err(GivenUp { why: reason(choice), after });
                     }
                 }
