--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -24,15 +24,15 @@
 
 /// What is known of the model that a request waits for.
 #[derives(key)]
-pub enum Expected {
+pub enum Readiness {
     /// An engine is loading it and is done then.
-    Ready(Instant),
+    ReadyAt(Instant),
     /// No engine is loading it; loading it takes this long.
-    Takes(Duration),
+    LoadTime(Duration),
     /// Targets hold it, and are full.
-    Room,
+    AtCapacity,
     /// No target of the service can be used.
-    Unknown,
+    NoTarget,
 }
 
 /// What becomes of the request.
@@ -52,12 +52,12 @@
 
 /// Decides on a request that cannot be sent now. `latest` is when its caller or its route gives
 /// up; `spread` is between 0 and 1, from the request's hash.
-pub fn decide(now: Instant, latest: Instant, expected: Expected, spread: f64) -> Decision {
+pub fn decide(now: Instant, latest: Instant, expected: Readiness, spread: f64) -> Decision {
     let ready = match expected {
-        Expected::Ready(at) => at.max(now),
-        Expected::Takes(time) => now + DECISION + time,
-        Expected::Room => now,
-        Expected::Unknown => {
+        Readiness::ReadyAt(at) => at.max(now),
+        Readiness::LoadTime(time) => now + DECISION + time,
+        Readiness::AtCapacity => now,
+        Readiness::NoTarget => {
             return Decision::Refuse { after: return_after(WITHOUT_TARGET, spread) };
         }
     };
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -395,12 +395,12 @@
 }
 
 #[rstest::rstest]
-#[case(wait_limit::Expected::Takes(Duration::from_millis(800)), true)]
-#[case(wait_limit::Expected::Takes(Duration::from_secs(6)), false)]
-#[case(wait_limit::Expected::Room, true)]
-#[case(wait_limit::Expected::Unknown, false)]
+#[case(wait_limit::Readiness::LoadTime(Duration::from_millis(800)), true)]
+#[case(wait_limit::Readiness::LoadTime(Duration::from_secs(6)), false)]
+#[case(wait_limit::Readiness::AtCapacity, true)]
+#[case(wait_limit::Readiness::NoTarget, false)]
 fn a_request_is_held_only_if_its_model_can_be_there(
-    #[case] expected: wait_limit::Expected,
+    #[case] expected: wait_limit::Readiness,
     #[case] held: bool,
 ) {
     let now = Instant::now();
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -88,13 +88,13 @@
     }
 
     /// A request waits, or the reason for its wait has changed.
-    pub fn waits(&self, job: &job::Job, why: &str, expected: wait_limit::Expected, now: Instant) {
+    pub fn waits(&self, job: &job::Job, why: &str, expected: wait_limit::Readiness, now: Instant) {
         if self.allows(Kind::Placed, now) {
             let waited_ms = ms(now, job.arrived);
             let ready_in_ms = match expected {
-                wait_limit::Expected::Ready(at) => Some(ms(at, now)),
-                wait_limit::Expected::Takes(time) => Some(time.as_millis() as u64),
-                wait_limit::Expected::Room | wait_limit::Expected::Unknown => None,
+                wait_limit::Readiness::ReadyAt(at) => Some(ms(at, now)),
+                wait_limit::Readiness::LoadTime(time) => Some(time.as_millis() as u64),
+                wait_limit::Readiness::AtCapacity | wait_limit::Readiness::NoTarget => None,
             };
             let model = job.model().map(names::ModelId::as_str);
             tracing::info!(id = %job.call.id, model, why, ready_in_ms, waited_ms, "waits");
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -238,10 +238,10 @@
         now: Instant,
         job: &job::Job,
         choice: choose::Choice,
-    ) -> wait_limit::Expected {
+    ) -> wait_limit::Readiness {
         match choice {
-            choose::Choice::NoTarget => wait_limit::Expected::Unknown,
-            choose::Choice::Full => wait_limit::Expected::Room,
+            choose::Choice::NoTarget => wait_limit::Readiness::NoTarget,
+            choose::Choice::Full => wait_limit::Readiness::AtCapacity,
             choose::Choice::LoadAdapter(key) => self.view.borrow().expected_adapter(key),
             _ => self.view.borrow().expected(now, &job.service, job.call.wanted.as_ref()),
         }
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -59,12 +59,12 @@
 
     /// When an engine that holds the model can take an order for an adapter: it carries out one at a
     /// time, and a model from the weight store keeps it for seconds.
-    pub fn expected_adapter(&self, key: targets::TargetKey) -> wait_limit::Expected {
+    pub fn expected_adapter(&self, key: targets::TargetKey) -> wait_limit::Readiness {
         match self.targets.get(key).and_then(|target| target.ongoing.as_ref()) {
             Some(targets::Ongoing::Loading { ready_at, .. }) => {
-                wait_limit::Expected::Ready(*ready_at)
+                wait_limit::Readiness::ReadyAt(*ready_at)
             }
-            Some(targets::Ongoing::Unloading { .. }) | None => wait_limit::Expected::Room,
+            Some(targets::Ongoing::Unloading { .. }) | None => wait_limit::Readiness::AtCapacity,
         }
     }
 
@@ -74,11 +74,11 @@
         now: Instant,
         service: &names::ServiceId,
         wanted: Option<&choose::RequestedModel>,
-    ) -> wait_limit::Expected {
-        let Some(wanted) = wanted else { return wait_limit::Expected::Unknown };
+    ) -> wait_limit::Readiness {
+        let Some(wanted) = wanted else { return wait_limit::Readiness::NoTarget };
         let spec = self.service(service).and_then(|service| service.engine.as_ref());
         let Some(model) = spec.and_then(|engine| engine.model(&wanted.model)) else {
-            return wait_limit::Expected::Unknown;
+            return wait_limit::Readiness::NoTarget;
         };
         let mut fastest: Option<std::time::Duration> = None;
         for (key, target) in self.targets.iter() {
@@ -86,12 +86,12 @@
                 continue;
             }
             if target.serves(now, &wanted.model) {
-                return wait_limit::Expected::Room;
+                return wait_limit::Readiness::AtCapacity;
             }
             if let Some(targets::Ongoing::Loading { model, ready_at, .. }) = &target.ongoing
                 && *model == wanted.model
             {
-                return wait_limit::Expected::Ready(*ready_at);
+                return wait_limit::Readiness::ReadyAt(*ready_at);
             }
             let view = snapshot::EngineView {
                 key,
@@ -106,6 +106,6 @@
             let (time, _) = snapshot::source(&view, model);
             fastest = Some(fastest.map_or(time, |least| least.min(time)));
         }
-        fastest.map_or(wait_limit::Expected::Unknown, wait_limit::Expected::Takes)
+        fastest.map_or(wait_limit::Readiness::NoTarget, wait_limit::Readiness::LoadTime)
     }
 }
