--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -58,17 +58,17 @@
         Readiness::LoadTime(time) => now + DECISION + time,
         Readiness::AtCapacity => now,
         Readiness::NoTarget => {
-            return Decision::Refuse { after: return_after(WITHOUT_TARGET, spread) };
+            return Decision::Refuse { after: retry_after(WITHOUT_TARGET, spread) };
         }
     };
     let until = latest.checked_sub(FIRST_ANSWER).unwrap_or(now);
     if ready < until {
         return Decision::Hold { until };
     }
-    Decision::Refuse { after: return_after(ready.saturating_duration_since(now), spread) }
+    Decision::Refuse { after: retry_after(ready.saturating_duration_since(now), spread) }
 }
 
 /// A time to come back, spread so that those refused together do not return together.
-pub fn return_after(ready_in: Duration, spread: f64) -> Duration {
+pub fn retry_after(ready_in: Duration, spread: f64) -> Duration {
     ready_in.max(LEAST_RETURN).mul_f64(1.0 + SPREAD * spread)
 }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -311,7 +311,7 @@
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
     shared.log.refused(&job.call.id, &job.route.name, status, why, job.arrived, shared.clock.now());
-    own_answer(status, why, Some(wait_limit::return_after(after, job.spread())))
+    own_answer(status, why, Some(wait_limit::retry_after(after, job.spread())))
 }
 
 /// Ends a request whose fate is not known, or that ran and failed.
