--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -150,7 +150,7 @@
 
 /// Whether it can take the request without making it wait for another to end.
 fn has_room(target: &targets::Target, query: &Query) -> bool {
-    let memory = query.cache_tokens == 0 || target.tokens() + ask.tokens <= ask.cache_tokens;
+    let memory = query.cache_tokens == 0 || target.tokens() + query.tokens <= query.cache_tokens;
     target.occupied() < target.entry.slots.max(1) && memory
 }
 
