--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -88,7 +88,7 @@
         .iter()
         .filter(|(key, target)| {
             target.entry.service == *query.service
-                && target.takes_work(now)
+                && target.accepts_requests(now)
                 && !query.tried.contains(key)
         })
         .collect();
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether it may be given new requests.
-    pub fn takes_work(&self, now: Instant) -> bool {
+    pub fn accepts_requests(&self, now: Instant) -> bool {
         !self.entry.draining && self.nobody_until.is_none_or(|until| now >= until)
     }
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -116,7 +116,7 @@
     assert_eq!(targets.register(now, draining), Change::Draining);
     assert_eq!(targets.register(now, entry("e")), Change::Stale);
     let key = targets.key(&id("e")).unwrap();
-    assert!(!targets.get(key).unwrap().takes_work(now));
+    assert!(!targets.get(key).unwrap().accepts_requests(now));
     targets.remove(now, &id("e"), false);
     assert_eq!(targets.register(now, entry("e")), Change::Stale, "it has left for good");
 }
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -82,7 +82,7 @@
     }
     let engines = view.targets.iter().filter(|(_, target)| {
         target.entry.service == *service
-            && target.takes_work(now)
+            && target.accepts_requests(now)
             && (target.has_agent(now) || target.health.trouble(now) < health::OUT)
     });
     let engines = engines.map(|(key, target)| {
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -302,7 +302,7 @@
     pub fn may_serve(&self, key: targets::TargetKey, job: &job::Job, now: Instant) -> bool {
         let view = self.view.borrow();
         view.targets.get(key).is_some_and(|target| {
-            target.takes_work(now) && job.model().is_none_or(|model| target.serves(now, model))
+            target.accepts_requests(now) && job.model().is_none_or(|model| target.serves(now, model))
         })
     }
 
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -82,7 +82,7 @@
         };
         let mut fastest: Option<std::time::Duration> = None;
         for (key, target) in self.targets.iter() {
-            if target.entry.service != *service || !target.takes_work(now) {
+            if target.entry.service != *service || !target.accepts_requests(now) {
                 continue;
             }
             if target.serves(now, &wanted.model) {
