--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -102,7 +102,7 @@
     }
 
     /// Nobody listens at its address: its process has ended.
-    pub fn note_nobody(&mut self, now: Instant) {
+    pub fn record_unreachable(&mut self, now: Instant) {
         self.nobody_until = Some(now + NOBODY_FOR);
     }
 
@@ -397,7 +397,7 @@
         let target = &mut self.arena[key];
         let same = born == target.entry.born || born == 0;
         if same {
-            target.note_nobody(now);
+            target.record_unreachable(now);
         }
         same
     }
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -221,7 +221,7 @@
     let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
     let ask = ask(&wanted, &service, &zone);
     let key = targets.key(&id("e")).unwrap();
-    targets.get_mut(key).unwrap().note_nobody(now);
+    targets.get_mut(key).unwrap().record_unreachable(now);
     assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::NoTarget);
     let later = now + Duration::from_secs(1);
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key), "tried again");
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -269,7 +269,7 @@
             let now = self.clock.now();
             let mut view = self.view.borrow_mut();
             if let Some(target) = view.targets.get_mut(key) {
-                target.note_nobody(now);
+                target.record_unreachable(now);
                 tracing::info!(target = %target.entry.id, "nobody listens at the target's address");
             }
         }
