--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -142,7 +142,7 @@
     }
 
     /// Takes what it says of its load.
-    pub fn note_load(&mut self, load: Load) {
+    pub fn record_load(&mut self, load: Load) {
         let cache_used = load.cache_used.or(self.load.cache_used);
         self.load = Load { cache_used, ..load };
         self.ours_at_load = self.ours;
@@ -379,7 +379,7 @@
         }
         target.nobody_until = None;
         target.ongoing = report.ongoing;
-        target.note_load(report.load);
+        target.record_load(report.load);
         let mut holdings = report.holdings;
         if !report.copies_told {
             let known = &mut target.entry.holdings;
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -317,10 +317,10 @@
     let key = targets.key(&id("e")).unwrap();
     let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
     let ask = ask(&wanted, &service, &zone);
-    targets.get_mut(key).unwrap().note_load(Load { running: 4, waiting: 0, cache_used: None });
+    targets.get_mut(key).unwrap().record_load(Load { running: 4, waiting: 0, cache_used: None });
     assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Full);
     let load = Load { running: 1, waiting: 0, cache_used: Some(9_500) };
-    targets.get_mut(key).unwrap().note_load(load);
+    targets.get_mut(key).unwrap().record_load(load);
     assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Full, "its memory is full");
 }
 
