--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -150,7 +150,7 @@
     }
 
     /// Its agent told how long it still reads the prompts that were given to it.
-    pub fn note_reading(&mut self, now: Instant, reading: Duration) {
+    pub fn record_prefill_backlog(&mut self, now: Instant, reading: Duration) {
         self.reading_until = Some(now + reading);
     }
 
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -294,7 +294,7 @@
     /// An agent told how long its engine still reads prompts.
     pub fn note_reading(&self, key: targets::TargetKey, now: Instant, reading: Duration) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.note_reading(now, reading);
+            target.record_prefill_backlog(now, reading);
         }
     }
 
