--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -182,7 +182,7 @@
             target.pace.between(now).map_or(0.0, |pace| pace.as_secs_f64() / quickest - 1.0);
         let slower = slower.clamp(0.0, MOST_SLOWER) * SLOWER;
         let jitter = (query.hash ^ xxh3::xxh3_64(target.entry.id.as_str().as_bytes())) % 1_000;
-        let reading = target.reading(now).as_secs_f64() / FULL_READING.as_secs_f64();
+        let reading = target.prefill_backlog(now).as_secs_f64() / FULL_READING.as_secs_f64();
         batch.max(memory) + reading + zone + trouble + slower - read
             + jitter as f64 / 1_000.0 * JITTER
     };
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -155,7 +155,7 @@
     }
 
     /// How long it still reads prompts, as far as is known.
-    pub fn reading(&self, now: Instant) -> Duration {
+    pub fn prefill_backlog(&self, now: Instant) -> Duration {
         self.reading_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
