--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -160,7 +160,7 @@
     }
 
     /// It has refused a model for not having it.
-    pub fn note_absent(&mut self, now: Instant, model: &names::ModelId) {
+    pub fn record_absent_model(&mut self, now: Instant, model: &names::ModelId) {
         self.absent.insert(model.clone(), now + ABSENT_FOR);
     }
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -206,7 +206,7 @@
     targets.register(now, entry("f"));
     let key = targets.key(&id("f")).unwrap();
     assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Send(key));
-    targets.get_mut(key).unwrap().note_absent(now, &ModelId::from("m"));
+    targets.get_mut(key).unwrap().record_absent_model(now, &ModelId::from("m"));
     assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Cold, "it said it has it not");
 }
 
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -341,7 +341,7 @@
             return;
         }
         match &job.call.wanted {
-            Some(wanted) => target.note_absent(now, &wanted.model),
+            Some(wanted) => target.record_absent_model(now, &wanted.model),
             None => target.health.failed(now),
         }
     }
