--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -392,7 +392,7 @@
 
     /// Its agent says that this start of it has ended; false if it is not known or has started
     /// again since.
-    pub fn note_gone(&mut self, now: Instant, id: &names::TargetId, born: u64) -> bool {
+    pub fn record_exit(&mut self, now: Instant, id: &names::TargetId, born: u64) -> bool {
         let Some(key) = self.key(id) else { return false };
         let target = &mut self.arena[key];
         let same = born == target.entry.born || born == 0;
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -225,12 +225,12 @@
     assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::NoTarget);
     let later = now + Duration::from_secs(1);
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key), "tried again");
-    assert!(targets.note_gone(later, &id("e"), 10));
+    assert!(targets.record_exit(later, &id("e"), 10));
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::NoTarget);
     targets.register(later, Entry { born: 20, renewals: 1, ..entry("e") });
     let key = targets.key(&id("e")).unwrap();
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
-    assert!(!targets.note_gone(later, &id("e"), 10), "said of the start before");
+    assert!(!targets.record_exit(later, &id("e"), 10), "said of the start before");
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
 }
 
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -116,7 +116,7 @@
         }
         PeerMessage::EngineNews(news) => take_engine(shared, now, from, news),
         PeerMessage::EngineGone(gone) => {
-            let known = shared.view.borrow_mut().targets.note_gone(now, &gone.target, gone.born);
+            let known = shared.view.borrow_mut().targets.record_exit(now, &gone.target, gone.born);
             if known {
                 tracing::info!(target = %gone.target, "its agent says that the target has ended");
                 plan_soon(shared, now);
