--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -261,7 +261,7 @@
     /// engines that are no more until it reads the store again. `is_engines` tells the services of engines:
     /// an agent has no word on a plain service's target at the same host. If the engine before lives after all,
     /// its next entry ends the one introduced.
-    pub fn introduce(
+    pub fn infer_successor(
         &mut self,
         now: Instant,
         id: &names::TargetId,
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -95,14 +95,14 @@
     let mut targets = Targets::default();
     targets.register(now, entry("before"));
     let host = address("before").ip();
-    assert!(!targets.introduce(now, &id("after"), 0, host, |_| false), "a plain service's target");
-    assert!(targets.introduce(now, &id("after"), 0, host, |_| true));
+    assert!(!targets.infer_successor(now, &id("after"), 0, host, |_| false), "a plain service's target");
+    assert!(targets.infer_successor(now, &id("after"), 0, host, |_| true));
     let known = targets.get(targets.key(&id("after")).unwrap()).unwrap();
     assert_eq!(known.entry.addr, address("before"));
-    assert!(!targets.introduce(now, &id("before"), 0, host, |_| true), "its word came late");
+    assert!(!targets.infer_successor(now, &id("before"), 0, host, |_| true), "its word came late");
     assert_eq!(targets.register(now, entry("before")), Change::New, "it lives after all");
     assert!(targets.key(&id("after")).is_none(), "only one can live at an address");
-    assert!(!targets.introduce(now, &id("stranger"), 0, address("nobody").ip(), |_| true));
+    assert!(!targets.infer_successor(now, &id("stranger"), 0, address("nobody").ip(), |_| true));
 }
 
 /// The store returns an entry that was written before the newest one. Taken, requests would go to an
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -153,7 +153,7 @@
         let service = table.as_ref().and_then(|table| table.config().service(name));
         service.is_some_and(|service| service.engine.is_some())
     };
-    if view.targets.introduce(now, &report.id, report.born, from.ip(), is_engines) {
+    if view.targets.infer_successor(now, &report.id, report.born, from.ip(), is_engines) {
         tracing::info!(target = %report.id, "a target is known from its agent");
     }
     let Some(key) = view.targets.key(&report.id) else { return };
