--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -51,7 +51,7 @@
     /// The order that it is carrying out, as its agent says.
     pub ongoing: Option<Ongoing>,
     /// When its agent was last heard.
-    pub agent_at: Option<Instant>,
+    pub agent_last_received_at: Option<Instant>,
     /// Trouble that requests met.
     pub health: health::Health,
     /// Requests of this process that are at it, by what they want.
@@ -79,7 +79,7 @@
         Self {
             entry,
             ongoing: None,
-            agent_at: None,
+            agent_last_received_at: None,
             health: health::Health::default(),
             in_flight: BTreeMap::new(),
             ours: 0,
@@ -117,7 +117,7 @@
 
     /// Whether its agent was heard lately.
     pub fn has_agent(&self, now: Instant) -> bool {
-        self.agent_at.is_some_and(|at| now.saturating_duration_since(at) < AGENT_SILENT_AFTER)
+        self.agent_last_received_at.is_some_and(|at| now.saturating_duration_since(at) < AGENT_SILENT_AFTER)
     }
 
     /// Whether a model is there to be asked for.
@@ -372,7 +372,7 @@
         if heard && report.holdings.orders < target.entry.holdings.orders {
             return false;
         }
-        target.agent_at = Some(now);
+        target.agent_last_received_at = Some(now);
         if target.entry.renewals == 0 && target.missing_since.is_some() {
             // It has not registered yet, and lives.
             target.missing_since = Some(now);
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -71,7 +71,7 @@
             return;
         }
         let Some(target) = view.targets.get(key) else { return };
-        let agent_age_ms = target.agent_at.map(|at| ms(now, at));
+        let agent_age_ms = target.agent_last_received_at.map(|at| ms(now, at));
         let version = view.table.as_ref().map(|table| table.config().version);
         tracing::info!(
             id = %job.call.id,
