--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether its agent was heard lately.
-    pub fn has_agent(&self, now: Instant) -> bool {
+    pub fn agent_is_responsive(&self, now: Instant) -> bool {
         self.agent_last_received_at.is_some_and(|at| now.saturating_duration_since(at) < AGENT_SILENT_AFTER)
     }
 
@@ -331,7 +331,7 @@
             target.leaves_at.get_or_insert(now + leaves_in);
         }
         target.entry.renewals = entry.renewals;
-        let changed = changed && !target.has_agent(now);
+        let changed = changed && !target.agent_is_responsive(now);
         if changed {
             target.take_holdings(entry.holdings);
         } else {
@@ -368,7 +368,7 @@
             return self.report(now, report);
         }
         // Datagrams may overtake each other.
-        let heard = target.has_agent(now);
+        let heard = target.agent_is_responsive(now);
         if heard && report.holdings.orders < target.entry.holdings.orders {
             return false;
         }
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -83,7 +83,7 @@
     let engines = view.targets.iter().filter(|(_, target)| {
         target.entry.service == *service
             && target.accepts_requests(now)
-            && (target.has_agent(now) || target.health.trouble(now) < health::OUT)
+            && (target.agent_is_responsive(now) || target.health.trouble(now) < health::OUT)
     });
     let engines = engines.map(|(key, target)| {
         let mut running = running.remove(&target.entry.id).unwrap_or_default();
@@ -92,7 +92,7 @@
         }
         snapshot::EngineView {
             key,
-            orderable: target.has_agent(now),
+            orderable: target.agent_is_responsive(now),
             weights_mb: spec.weights_mb,
             slots: target.entry.slots,
             adapter_places: spec.adapter_places,
