--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -31,7 +31,7 @@
 const ABSENT_FOR: Duration = Duration::from_millis(400);
 /// An agent that was not heard of for this long counts as gone; its reports come each half second, or
 /// each 0.9 s where there are many routers, and a datagram may be lost.
-pub const AGENT_SILENT_AFTER: Duration = Duration::from_millis(2_000);
+pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A target at whose address nobody listens is left alone for this time. Its process has ended; one
 /// that starts again takes 2 to 4 s and says so. Meanwhile each request sent there would be refused,
@@ -117,7 +117,7 @@
 
     /// Whether its agent was heard lately.
     pub fn agent_is_responsive(&self, now: Instant) -> bool {
-        self.agent_last_received_at.is_some_and(|at| now.saturating_duration_since(at) < AGENT_SILENT_AFTER)
+        self.agent_last_received_at.is_some_and(|at| now.saturating_duration_since(at) < AGENT_RESPONSE_TIMEOUT)
     }
 
     /// Whether a model is there to be asked for.
