--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -57,7 +57,7 @@
     /// Requests of this process that are at it, by what they want.
     pub in_flight: BTreeMap<choose::RequestedModel, u32>,
     /// Requests of this process that are at it.
-    pub ours: u32,
+    pub local_requests: u32,
     /// Tokens that these are expected to need.
     pub our_tokens: u64,
     /// How slowly its streams come.
@@ -82,7 +82,7 @@
             agent_last_received_at: None,
             health: health::Health::default(),
             in_flight: BTreeMap::new(),
-            ours: 0,
+            local_requests: 0,
             our_tokens: 0,
             pace: health::Pace::default(),
             leaves_at: None,
@@ -132,7 +132,7 @@
     /// process has sent and got back since.
     pub fn occupied(&self) -> u32 {
         let said = self.load.running + self.load.waiting;
-        (said + self.ours).saturating_sub(self.ours_at_load).max(self.ours)
+        (said + self.local_requests).saturating_sub(self.ours_at_load).max(self.local_requests)
     }
 
     /// Tokens in its cache memory, by the same reckoning.
@@ -145,7 +145,7 @@
     pub fn record_load(&mut self, load: Load) {
         let cache_used = load.cache_used.or(self.load.cache_used);
         self.load = Load { cache_used, ..load };
-        self.ours_at_load = self.ours;
+        self.ours_at_load = self.local_requests;
         self.tokens_at_load = self.our_tokens;
     }
 
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -131,7 +131,7 @@
         let flight = Self { shared: shared.clone(), key, wanted, tokens: job.tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
-            target.ours += 1;
+            target.local_requests += 1;
             target.our_tokens += flight.tokens;
             if let Some(wanted) = &flight.wanted {
                 *target.in_flight.entry(wanted.clone()).or_default() += 1;
@@ -152,7 +152,7 @@
     fn drop(&mut self) {
         let mut view = self.shared.view.borrow_mut();
         let Some(target) = view.targets.get_mut(self.key) else { return };
-        target.ours = target.ours.saturating_sub(1);
+        target.local_requests = target.local_requests.saturating_sub(1);
         target.our_tokens = target.our_tokens.saturating_sub(self.tokens);
         let Some(wanted) = &self.wanted else { return };
         if let Some(count) = target.in_flight.get_mut(wanted) {
