--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -59,7 +59,7 @@
     /// Requests of this process that are at it.
     pub local_requests: u32,
     /// Tokens that these are expected to need.
-    pub our_tokens: u64,
+    pub local_tokens: u64,
     /// How slowly its streams come.
     pub pace: health::Pace,
     /// When it is gone, if that is known.
@@ -83,7 +83,7 @@
             health: health::Health::default(),
             in_flight: BTreeMap::new(),
             local_requests: 0,
-            our_tokens: 0,
+            local_tokens: 0,
             pace: health::Pace::default(),
             leaves_at: None,
             load: Load::default(),
@@ -138,7 +138,7 @@
     /// Tokens in its cache memory, by the same reckoning.
     pub fn tokens(&self) -> u64 {
         let said = self.load.cache_used.unwrap_or(0);
-        (said + self.our_tokens).saturating_sub(self.tokens_at_load).max(self.our_tokens)
+        (said + self.local_tokens).saturating_sub(self.tokens_at_load).max(self.local_tokens)
     }
 
     /// Takes what it says of its load.
@@ -146,7 +146,7 @@
         let cache_used = load.cache_used.or(self.load.cache_used);
         self.load = Load { cache_used, ..load };
         self.ours_at_load = self.local_requests;
-        self.tokens_at_load = self.our_tokens;
+        self.tokens_at_load = self.local_tokens;
     }
 
     /// Its agent told how long it still reads the prompts that were given to it.
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -132,7 +132,7 @@
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
             target.local_requests += 1;
-            target.our_tokens += flight.tokens;
+            target.local_tokens += flight.tokens;
             if let Some(wanted) = &flight.wanted {
                 *target.in_flight.entry(wanted.clone()).or_default() += 1;
             }
@@ -153,7 +153,7 @@
         let mut view = self.shared.view.borrow_mut();
         let Some(target) = view.targets.get_mut(self.key) else { return };
         target.local_requests = target.local_requests.saturating_sub(1);
-        target.our_tokens = target.our_tokens.saturating_sub(self.tokens);
+        target.local_tokens = target.local_tokens.saturating_sub(self.tokens);
         let Some(wanted) = &self.wanted else { return };
         if let Some(count) = target.in_flight.get_mut(wanted) {
             *count -= 1;
