--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -381,7 +381,7 @@
         target.ongoing = report.ongoing;
         target.record_load(report.load);
         let mut holdings = report.holdings;
-        if !report.copies_told {
+        if !report.cached_weights_reported {
             let known = &mut target.entry.holdings;
             holdings.in_memory = std::mem::take(&mut known.in_memory);
             holdings.on_disk = std::mem::take(&mut known.on_disk);
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -93,7 +93,7 @@
     /// What it holds.
     pub holdings: Holdings,
     /// Its copies of weights are told too; if not, those that are known stay.
-    pub copies_told: bool,
+    pub cached_weights_reported: bool,
     /// The order that it is carrying out.
     pub ongoing: Option<Ongoing>,
     /// How busy it is.
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -161,7 +161,7 @@
         id: id("e"),
         born: 10,
         holdings: Holdings { orders: 2, ..holdings(&["n"]) },
-        copies_told: true,
+        cached_weights_reported: true,
         ongoing: None,
         load: Load::default(),
     };
@@ -273,7 +273,7 @@
         id: id("f"),
         born: 20,
         holdings: Holdings::default(),
-        copies_told: false,
+        cached_weights_reported: false,
         ongoing: None,
         load: Load::default(),
     };
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -201,14 +201,14 @@
         .map(|part| targets::Resident { model: part.model, adapters: part.adapters })
         .collect();
     let copies = news.copies.into_iter().next();
-    let copies_told = copies.is_some();
+    let cached_weights_reported = copies.is_some();
     let (in_memory, on_disk) =
         copies.map(|copies| (copies.in_memory, copies.on_disk)).unwrap_or_default();
     targets::Report {
         id: news.target,
         born: news.born,
         holdings: targets::Holdings { orders: news.orders, resident, in_memory, on_disk },
-        copies_told,
+        cached_weights_reported,
         ongoing,
         load: targets::Load {
             running: news.running,
