--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -140,7 +140,7 @@
         let resident = target.entry.holdings.resident.iter();
         resident.map(|resident| resident.adapters.len()).sum::<usize>() < query.adapter_slots
     };
-    let well = holders.iter().filter(|(_, target)| target.health.trouble(now) < health::OUT);
+    let well = holders.iter().filter(|(_, target)| target.health.failure_score(now) < health::OUT);
     // An engine that is carrying out an order takes none for an adapter meanwhile.
     let home =
         well.max_by_key(|(_, target)| (target.ongoing.is_none(), has_place(target), place(target)));
@@ -159,7 +159,7 @@
     holders: &[(targets::TargetKey, &targets::Target)],
     query: &Query,
 ) -> Option<targets::TargetKey> {
-    let trouble = holders.iter().map(|(_, target)| target.health.trouble(now));
+    let trouble = holders.iter().map(|(_, target)| target.health.failure_score(now));
     let least_trouble = trouble.fold(f64::INFINITY, f64::min);
     let paces = holders.iter().filter_map(|(_, target)| target.pace.between(now));
     let quickest = paces.min().map_or(f64::INFINITY, |pace| pace.as_secs_f64());
@@ -171,7 +171,7 @@
             all => (target.tokens() + query.tokens) as f64 / all as f64,
         };
         let zone = if target.entry.zone == *query.zone { 0.0 } else { OTHER_ZONE };
-        let trouble = (target.health.trouble(now) - least_trouble) * TROUBLE;
+        let trouble = (target.health.failure_score(now) - least_trouble) * TROUBLE;
         let read = match query.cached_prefix {
             Some((there, tokens)) if there == key => {
                 tokens as f64 / 1_000.0 * READ_BEFORE_PER_THOUSAND
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -21,28 +21,28 @@
 /// Trouble of one target, from 0 (none) to 1 (each request fails).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    trouble: f64,
+    failure_score: f64,
     seen: Option<Instant>,
 }
 
 impl Health {
     /// Trouble as it counts now.
-    pub fn trouble(&self, now: Instant) -> f64 {
+    pub fn failure_score(&self, now: Instant) -> f64 {
         let Some(seen) = self.seen else { return 0.0 };
         let age = now.saturating_duration_since(seen).as_secs_f64();
-        self.trouble * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
+        self.failure_score * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 
     /// A request was answered as it should be.
     pub fn succeeded(&mut self, now: Instant) {
-        self.trouble = self.trouble(now) * (1.0 - SUCCESS_STEP);
+        self.failure_score = self.failure_score(now) * (1.0 - SUCCESS_STEP);
         self.seen = Some(now);
     }
 
     /// A request failed, was not answered, or its connection broke.
     pub fn failed(&mut self, now: Instant) {
-        let trouble = self.trouble(now);
-        self.trouble = trouble + (1.0 - trouble) * FAILURE_STEP;
+        let failure_score = self.failure_score(now);
+        self.failure_score = failure_score + (1.0 - failure_score) * FAILURE_STEP;
         self.seen = Some(now);
     }
 }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -79,7 +79,7 @@
             at = %target.entry.id,
             model = job.model().map(names::ModelId::as_str),
             occupied = target.occupied(),
-            trouble = format_args!("{:.2}", target.health.trouble(now)),
+            trouble = format_args!("{:.2}", target.health.failure_score(now)),
             agent_age_ms,
             config = version,
             waited_ms = ms(now, job.arrived),
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -259,7 +259,7 @@
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
         target.health.failed(now);
-        let trouble = target.health.trouble(now);
+        let trouble = target.health.failure_score(now);
         tracing::debug!(target = %target.entry.id, trouble, why, "target failed");
     }
 
