--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -34,7 +34,7 @@
     }
 
     /// A request was answered as it should be.
-    pub fn succeeded(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.failure_score = self.failure_score(now) * (1.0 - SUCCESS_STEP);
         self.seen = Some(now);
     }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -280,7 +280,7 @@
     pub fn target_succeeded(&self, key: targets::TargetKey) {
         let now = self.clock.now();
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.health.succeeded(now);
+            target.health.record_success(now);
         }
     }
 
