--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -40,7 +40,7 @@
     }
 
     /// A request failed, was not answered, or its connection broke.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         let failure_score = self.failure_score(now);
         self.failure_score = failure_score + (1.0 - failure_score) * FAILURE_STEP;
         self.seen = Some(now);
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -293,7 +293,7 @@
     let bad = targets.key(&id("e")).unwrap();
     let health = &mut targets.get_mut(bad).unwrap().health;
     for _ in 0..3 {
-        health.failed(now);
+        health.record_failure(now);
     }
     assert!(health.failure_score(now) > health::OUT);
     let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -258,7 +258,7 @@
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
-        target.health.failed(now);
+        target.health.record_failure(now);
         let trouble = target.health.failure_score(now);
         tracing::debug!(target = %target.entry.id, trouble, why, "target failed");
     }
@@ -342,7 +342,7 @@
         }
         match &job.call.wanted {
             Some(wanted) => target.record_absent_model(now, &wanted.model),
-            None => target.health.failed(now),
+            None => target.health.record_failure(now),
         }
     }
 
