--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -140,7 +140,7 @@
         let resident = target.entry.holdings.resident.iter();
         resident.map(|resident| resident.adapters.len()).sum::<usize>() < query.adapter_slots
     };
-    let well = holders.iter().filter(|(_, target)| target.health.failure_score(now) < health::OUT);
+    let well = holders.iter().filter(|(_, target)| target.health.failure_score(now) < health::EJECTION_THRESHOLD);
     // An engine that is carrying out an order takes none for an adapter meanwhile.
     let home =
         well.max_by_key(|(_, target)| (target.ongoing.is_none(), has_place(target), place(target)));
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Part of the distance to "all fail" that one failure moves a target. Three failures in a row
-/// bring it to 0.66, which is past [`OUT`].
+/// bring it to 0.66, which is past [`EJECTION_THRESHOLD`].
 const FAILURE_STEP: f64 = 0.3;
 /// Part of the distance to "none fail" that one success moves it. Smaller than the failure's, so
 /// that a target that fails two requests in five stays out.
@@ -16,7 +16,7 @@
 /// a target is avoided after it is well, with a shorter one it is tried again in each fault.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 /// Beyond this a target gets work only if no other has room.
-pub const OUT: f64 = 0.5;
+pub const EJECTION_THRESHOLD: f64 = 0.5;
 
 /// Trouble of one target, from 0 (none) to 1 (each request fails).
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -295,7 +295,7 @@
     for _ in 0..3 {
         health.record_failure(now);
     }
-    assert!(health.failure_score(now) > health::OUT);
+    assert!(health.failure_score(now) > health::EJECTION_THRESHOLD);
     let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
     let sent = |now: Instant, targets: &Targets| {
         let mut rng = common::rng(1);
