--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -57,12 +57,12 @@
 
 /// Time between two events of a target's streams.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct EventInterval {
     between: Duration,
     seen: Option<Instant>,
 }
 
-impl Pace {
+impl EventInterval {
     /// An event came this long after the one before.
     pub fn note(&mut self, now: Instant, pause: Duration) {
         let pause = pause.min(PACE_CLIP);
