--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -64,7 +64,7 @@
 
 impl EventInterval {
     /// An event came this long after the one before.
-    pub fn note(&mut self, now: Instant, pause: Duration) {
+    pub fn record(&mut self, now: Instant, pause: Duration) {
         let pause = pause.min(PACE_CLIP);
         self.between = match self.between(now) {
             Some(between) => between.mul_f64(1.0 - PACE_STEP) + pause.mul_f64(PACE_STEP),
