--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -66,7 +66,7 @@
     /// An event came this long after the one before.
     pub fn record(&mut self, now: Instant, pause: Duration) {
         let pause = pause.min(PACE_CLIP);
-        self.between = match self.between(now) {
+        self.between = match self.mean(now) {
             Some(between) => between.mul_f64(1.0 - PACE_STEP) + pause.mul_f64(PACE_STEP),
             None => pause,
         };
@@ -74,7 +74,7 @@
     }
 
     /// Time between two events; none if it was not seen lately.
-    pub fn between(&self, now: Instant) -> Option<Duration> {
+    pub fn mean(&self, now: Instant) -> Option<Duration> {
         let seen = self.seen?;
         (now.saturating_duration_since(seen) < PACE_AGE).then_some(self.between)
     }
