--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -161,7 +161,7 @@
 ) -> Option<targets::TargetKey> {
     let trouble = holders.iter().map(|(_, target)| target.health.failure_score(now));
     let least_trouble = trouble.fold(f64::INFINITY, f64::min);
-    let paces = holders.iter().filter_map(|(_, target)| target.pace.mean(now));
+    let paces = holders.iter().filter_map(|(_, target)| target.event_interval.mean(now));
     let quickest = paces.min().map_or(f64::INFINITY, |pace| pace.as_secs_f64());
     let cost = |key: targets::TargetKey, target: &targets::Target| {
         let slots = f64::from(target.entry.slots.max(1));
@@ -179,7 +179,7 @@
             _ => 0.0,
         };
         let slower =
-            target.pace.mean(now).map_or(0.0, |pace| pace.as_secs_f64() / quickest - 1.0);
+            target.event_interval.mean(now).map_or(0.0, |pace| pace.as_secs_f64() / quickest - 1.0);
         let slower = slower.clamp(0.0, MOST_SLOWER) * SLOWER;
         let jitter = (query.hash ^ xxh3::xxh3_64(target.entry.id.as_str().as_bytes())) % 1_000;
         let reading = target.prefill_backlog(now).as_secs_f64() / FULL_READING.as_secs_f64();
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -61,7 +61,7 @@
     /// Tokens that these are expected to need.
     pub local_tokens: u64,
     /// How slowly its streams come.
-    pub pace: health::EventInterval,
+    pub event_interval: health::EventInterval,
     /// When it is gone, if that is known.
     pub leaves_at: Option<Instant>,
     load: Load,
@@ -84,7 +84,7 @@
             in_flight: BTreeMap::new(),
             local_requests: 0,
             local_tokens: 0,
-            pace: health::EventInterval::default(),
+            event_interval: health::EventInterval::default(),
             leaves_at: None,
             load: Load::default(),
             ours_at_load: 0,
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -287,7 +287,7 @@
     /// An event of a stream came after another.
     pub fn note_pause(&self, key: targets::TargetKey, now: Instant, last: Instant) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.pace.record(now, now.saturating_duration_since(last));
+            target.event_interval.record(now, now.saturating_duration_since(last));
         }
     }
 
