--- a/crates/corianderstand_fleet/src/prefixes.rs
+++ b/crates/corianderstand_fleet/src/prefixes.rs
@@ -47,7 +47,7 @@
     }
 
     /// A target reads the prompt.
-    pub fn note(&mut self, chain: &Chain, target: targets::TargetKey) {
+    pub fn record(&mut self, chain: &Chain, target: targets::TargetKey) {
         for (hash, _) in &chain.parts {
             self.young.insert(*hash, target);
         }
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -137,7 +137,7 @@
                 *target.in_flight.entry(wanted.clone()).or_default() += 1;
             }
         }
-        view.prefixes.note(&job.chain, key);
+        view.prefixes.record(&job.chain, key);
         drop(view);
         flight
     }
