--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -37,7 +37,7 @@
 
 /// A prompt that is to be read.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<T> {
+pub struct PermitRequest<T> {
     /// Told apart by this.
     pub id: u64,
     /// Who asks.
@@ -64,7 +64,7 @@
 /// Turns of one engine.
 #[derive(Debug)]
 pub struct Turns<T> {
-    waiting: Vec<Ask<T>>,
+    waiting: Vec<PermitRequest<T>>,
     given: VecDeque<Given>,
     /// The engine has read all that was given then.
     read_at: Option<Instant>,
@@ -94,7 +94,7 @@
 
 impl<T: Copy> Turns<T> {
     /// A router asks for a turn, or once more for one that it asked for.
-    pub fn ask(&mut self, now: Instant, ask: Ask<T>) -> Answer {
+    pub fn ask(&mut self, now: Instant, ask: PermitRequest<T>) -> Answer {
         self.given.retain(|given| now.saturating_duration_since(given.at) < GIVEN_KNOWN_FOR);
         if self.given.iter().any(|given| given.id == ask.id) {
             return Answer::Given;
@@ -167,7 +167,7 @@
         Duration::ZERO
     }
 
-    fn give(&mut self, now: Instant, ask: &Ask<T>) {
+    fn give(&mut self, now: Instant, ask: &PermitRequest<T>) {
         self.read_at = Some(now + self.level(now) + ask.work);
         self.since_late = if self.is_late(now, ask) { 0 } else { self.since_late + 1 };
         self.withdraw(ask.id);
@@ -175,20 +175,20 @@
     }
 
     /// Whether its first event comes after its aim, if it is read next.
-    fn is_late(&self, now: Instant, ask: &Ask<T>) -> bool {
+    fn is_late(&self, now: Instant, ask: &PermitRequest<T>) -> bool {
         now + self.level(now) + ask.work + self.stretch().mul_f64(FIRST_EVENT) > ask.aim_at
     }
 
     /// Whose turn is next.
-    fn next(&self, now: Instant) -> Option<Ask<T>> {
+    fn next(&self, now: Instant) -> Option<PermitRequest<T>> {
         let late_first = self.since_late >= LATE_TURN - 1;
-        let rank = |ask: &&Ask<T>| (self.is_late(now, ask) != late_first, ask.aim_at);
+        let rank = |ask: &&PermitRequest<T>| (self.is_late(now, ask) != late_first, ask.aim_at);
         self.waiting.iter().min_by_key(rank).copied()
     }
 
     /// Time until the turn of one that waits, if nobody more urgent comes.
-    fn wait(&self, now: Instant, own: &Ask<T>) -> Duration {
-        let rank = |ask: &Ask<T>| (self.is_late(now, ask), ask.aim_at);
+    fn wait(&self, now: Instant, own: &PermitRequest<T>) -> Duration {
+        let rank = |ask: &PermitRequest<T>| (self.is_late(now, ask), ask.aim_at);
         let before = self.waiting.iter().filter(|ask| rank(ask) < rank(own));
         let before: Duration = before.map(|ask| ask.work).sum();
         self.room_in(now, own.work) + before.div_f64(SHARE)
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -1,6 +1,6 @@
 //! Turns in which an engine reads prompts: what callers get of a load, without a network.
 
-use corianderstand_fleet::prefill::{Answer, Ask, Turns};
+use corianderstand_fleet::prefill::{Answer, PermitRequest, Turns};
 use rstest::rstest;
 use std::{
     collections::VecDeque,
@@ -14,8 +14,8 @@
 /// Time to a first event that is of full use.
 const AIM: Duration = Duration::from_millis(500);
 
-fn ask(id: u64, now: Instant, aim: Duration) -> Ask<()> {
-    Ask {
+fn ask(id: u64, now: Instant, aim: Duration) -> PermitRequest<()> {
+    PermitRequest {
         id,
         asker: (),
         work: WORK,
@@ -165,7 +165,7 @@
     let now = Instant::now();
     let mut turns = Turns::default();
     assert_eq!(turns.ask(now, ask(1, now, AIM)), Answer::Given);
-    let long = Ask { work: PAUSE * 2, ..ask(2, now, AIM) };
+    let long = PermitRequest { work: PAUSE * 2, ..ask(2, now, AIM) };
     assert!(matches!(turns.ask(now, long), Answer::Wait(_)));
     // Shorter ones come all the while and do not pass it for ever.
     let mut given = Vec::new();
@@ -195,7 +195,7 @@
 fn who_has_left_gets_no_turn(#[case] withdrawn: bool) {
     let now = Instant::now();
     let mut turns = Turns::default();
-    let full = Ask { work: PAUSE, ..ask(1, now, AIM) };
+    let full = PermitRequest { work: PAUSE, ..ask(1, now, AIM) };
     assert_eq!(turns.ask(now, full), Answer::Given);
     assert!(matches!(turns.ask(now, ask(2, now, AIM)), Answer::Wait(_)));
     let later = now + if withdrawn { PAUSE } else { Duration::from_secs(3) };
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -19,7 +19,7 @@
         let mut turns = self.turns.borrow_mut();
         let answer = turns.ask(
             now,
-            prefill::Ask {
+            prefill::PermitRequest {
                 id: asked.id,
                 asker: from,
                 work: Duration::from_micros(u64::from(asked.work_us)),
