--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -54,9 +54,9 @@
 
 /// What an asker is told.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Answer {
+pub enum PermitResponse {
     /// It may be sent.
-    Given,
+    Granted,
     /// It has to wait, probably this long.
     Wait(Duration),
 }
@@ -94,19 +94,19 @@
 
 impl<T: Copy> Turns<T> {
     /// A router asks for a turn, or once more for one that it asked for.
-    pub fn ask(&mut self, now: Instant, ask: PermitRequest<T>) -> Answer {
+    pub fn ask(&mut self, now: Instant, ask: PermitRequest<T>) -> PermitResponse {
         self.given.retain(|given| now.saturating_duration_since(given.at) < GIVEN_KNOWN_FOR);
         if self.given.iter().any(|given| given.id == ask.id) {
-            return Answer::Given;
+            return PermitResponse::Granted;
         }
         self.note_pause(now, ask.pause);
         self.withdraw(ask.id);
         self.waiting.push(ask);
         if self.next(now).is_some_and(|next| next.id == ask.id && self.fits(now, next.work)) {
             self.give(now, &ask);
-            return Answer::Given;
+            return PermitResponse::Granted;
         }
-        Answer::Wait(self.wait(now, &ask))
+        PermitResponse::Wait(self.wait(now, &ask))
     }
 
     /// A router asks no more.
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -31,8 +31,8 @@
         let reading = turns.level(now);
         drop(turns);
         match answer {
-            prefill::Answer::Given => self.tell_turn(from, asked.id, None, reading),
-            prefill::Answer::Wait(wait) => {
+            prefill::PermitResponse::Granted => self.tell_turn(from, asked.id, None, reading),
+            prefill::PermitResponse::Wait(wait) => {
                 self.tell_turn(from, asked.id, Some(wait), reading);
                 self.turns_changed.notify_one();
             }
