--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -63,7 +63,7 @@
 
 /// Turns of one engine.
 #[derive(Debug)]
-pub struct Turns<T> {
+pub struct PermitQueue<T> {
     waiting: Vec<PermitRequest<T>>,
     given: VecDeque<Given>,
     /// The engine has read all that was given then.
@@ -80,7 +80,7 @@
     work: Duration,
 }
 
-impl<T> Default for Turns<T> {
+impl<T> Default for PermitQueue<T> {
     fn default() -> Self {
         Self {
             waiting: Vec::new(),
@@ -92,7 +92,7 @@
     }
 }
 
-impl<T: Copy> Turns<T> {
+impl<T: Copy> PermitQueue<T> {
     /// A router asks for a turn, or once more for one that it asked for.
     pub fn ask(&mut self, now: Instant, ask: PermitRequest<T>) -> PermitResponse {
         self.given.retain(|given| now.saturating_duration_since(given.at) < GIVEN_KNOWN_FOR);
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -1,6 +1,6 @@
 //! Turns in which an engine reads prompts: what callers get of a load, without a network.
 
-use corianderstand_fleet::prefill::{PermitResponse, PermitRequest, Turns};
+use corianderstand_fleet::prefill::{PermitResponse, PermitRequest, PermitQueue};
 use rstest::rstest;
 use std::{
     collections::VecDeque,
@@ -86,7 +86,7 @@
     let began = Instant::now();
     let mut now = began;
     let mut engine = Engine::default();
-    let mut queue = Turns::default();
+    let mut queue = PermitQueue::default();
     let (mut next, mut in_time) = (0, Vec::new());
     while next < arrivals.len() || now < began + Duration::from_secs(10) {
         while next < arrivals.len() && began + arrivals[next].0 <= now {
@@ -163,7 +163,7 @@
 #[rstest]
 fn a_prompt_beyond_the_limit_has_its_turn() {
     let now = Instant::now();
-    let mut turns = Turns::default();
+    let mut turns = PermitQueue::default();
     assert_eq!(turns.ask(now, ask(1, now, AIM)), PermitResponse::Granted);
     let long = PermitRequest { work: PAUSE * 2, ..ask(2, now, AIM) };
     assert!(matches!(turns.ask(now, long), PermitResponse::Wait(_)));
@@ -182,7 +182,7 @@
 #[rstest]
 fn a_turn_that_is_asked_for_twice_counts_once() {
     let now = Instant::now();
-    let mut turns = Turns::default();
+    let mut turns = PermitQueue::default();
     assert_eq!(turns.ask(now, ask(1, now, AIM)), PermitResponse::Granted);
     assert_eq!(turns.ask(now, ask(1, now, AIM)), PermitResponse::Granted);
     assert_eq!(turns.level(now), WORK);
@@ -194,7 +194,7 @@
 #[case::expired(false)]
 fn who_has_left_gets_no_turn(#[case] withdrawn: bool) {
     let now = Instant::now();
-    let mut turns = Turns::default();
+    let mut turns = PermitQueue::default();
     let full = PermitRequest { work: PAUSE, ..ask(1, now, AIM) };
     assert_eq!(turns.ask(now, full), PermitResponse::Granted);
     assert!(matches!(turns.ask(now, ask(2, now, AIM)), PermitResponse::Wait(_)));
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -105,7 +105,7 @@
     outbox: control::Outbox,
     state: RefCell<State>,
     wake: Notify,
-    turns: RefCell<prefill::Turns<SocketAddr>>,
+    turns: RefCell<prefill::PermitQueue<SocketAddr>>,
     turns_changed: Notify,
 }
 
