--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -94,7 +94,7 @@
 
 impl<T: Copy> PermitQueue<T> {
     /// A router asks for a turn, or once more for one that it asked for.
-    pub fn ask(&mut self, now: Instant, ask: PermitRequest<T>) -> PermitResponse {
+    pub fn request(&mut self, now: Instant, ask: PermitRequest<T>) -> PermitResponse {
         self.given.retain(|given| now.saturating_duration_since(given.at) < GIVEN_KNOWN_FOR);
         if self.given.iter().any(|given| given.id == ask.id) {
             return PermitResponse::Granted;
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -91,7 +91,7 @@
     while next < arrivals.len() || now < began + Duration::from_secs(10) {
         while next < arrivals.len() && began + arrivals[next].0 <= now {
             let id = next as u64;
-            let sent = !turns || queue.ask(now, ask(id, now, arrivals[next].1)) == PermitResponse::Granted;
+            let sent = !turns || queue.request(now, ask(id, now, arrivals[next].1)) == PermitResponse::Granted;
             if sent {
                 engine.queue.push_back((id, WORK));
             }
@@ -164,14 +164,14 @@
 fn a_prompt_beyond_the_limit_has_its_turn() {
     let now = Instant::now();
     let mut turns = PermitQueue::default();
-    assert_eq!(turns.ask(now, ask(1, now, AIM)), PermitResponse::Granted);
+    assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
     let long = PermitRequest { work: PAUSE * 2, ..ask(2, now, AIM) };
-    assert!(matches!(turns.ask(now, long), PermitResponse::Wait(_)));
+    assert!(matches!(turns.request(now, long), PermitResponse::Wait(_)));
     // Shorter ones come all the while and do not pass it for ever.
     let mut given = Vec::new();
     for n in 0..20 {
         let now = now + WORK * n;
-        let _answer = turns.ask(now, ask(10 + u64::from(n), now, AIM));
+        let _answer = turns.request(now, ask(10 + u64::from(n), now, AIM));
         given.extend(turns.due(now).into_iter().map(|((), id)| id));
     }
     assert!(given.contains(&2), "{given:?}");
@@ -183,8 +183,8 @@
 fn a_turn_that_is_asked_for_twice_counts_once() {
     let now = Instant::now();
     let mut turns = PermitQueue::default();
-    assert_eq!(turns.ask(now, ask(1, now, AIM)), PermitResponse::Granted);
-    assert_eq!(turns.ask(now, ask(1, now, AIM)), PermitResponse::Granted);
+    assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
+    assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
     assert_eq!(turns.level(now), WORK);
 }
 
@@ -196,8 +196,8 @@
     let now = Instant::now();
     let mut turns = PermitQueue::default();
     let full = PermitRequest { work: PAUSE, ..ask(1, now, AIM) };
-    assert_eq!(turns.ask(now, full), PermitResponse::Granted);
-    assert!(matches!(turns.ask(now, ask(2, now, AIM)), PermitResponse::Wait(_)));
+    assert_eq!(turns.request(now, full), PermitResponse::Granted);
+    assert!(matches!(turns.request(now, ask(2, now, AIM)), PermitResponse::Wait(_)));
     let later = now + if withdrawn { PAUSE } else { Duration::from_secs(3) };
     if withdrawn {
         turns.withdraw(2);
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -17,7 +17,7 @@
     pub(super) fn take_prefill(&self, now: Instant, from: SocketAddr, asked: &peers::PrefillAsked) {
         let millis = |ms: u32| Duration::from_millis(u64::from(ms));
         let mut turns = self.turns.borrow_mut();
-        let answer = turns.ask(
+        let answer = turns.request(
             now,
             prefill::PermitRequest {
                 id: asked.id,
