--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -100,7 +100,7 @@
             return PermitResponse::Granted;
         }
         self.note_pause(now, ask.pause);
-        self.withdraw(ask.id);
+        self.cancel(ask.id);
         self.waiting.push(ask);
         if self.next(now).is_some_and(|next| next.id == ask.id && self.fits(now, next.work)) {
             self.give(now, &ask);
@@ -110,7 +110,7 @@
     }
 
     /// A router asks no more.
-    pub fn withdraw(&mut self, id: u64) {
+    pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|ask| ask.id != id);
     }
 
@@ -170,7 +170,7 @@
     fn give(&mut self, now: Instant, ask: &PermitRequest<T>) {
         self.read_at = Some(now + self.level(now) + ask.work);
         self.since_late = if self.is_late(now, ask) { 0 } else { self.since_late + 1 };
-        self.withdraw(ask.id);
+        self.cancel(ask.id);
         self.given.push_back(Given { at: now, id: ask.id, work: ask.work });
     }
 
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -200,7 +200,7 @@
     assert!(matches!(turns.request(now, ask(2, now, AIM)), PermitResponse::Wait(_)));
     let later = now + if withdrawn { PAUSE } else { Duration::from_secs(3) };
     if withdrawn {
-        turns.withdraw(2);
+        turns.cancel(2);
     }
     assert_eq!(turns.due(later), vec![]);
     assert_eq!(turns.next_in(later), None);
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -159,7 +159,7 @@
             PeerMessage::AdaptersAsked(asked) => self.take_asked(now, from, asked),
             PeerMessage::PrefillAsked(asked) => self.take_prefill(now, from, &asked),
             PeerMessage::PrefillWithdrawn(withdrawn) => {
-                self.turns.borrow_mut().withdraw(withdrawn.id);
+                self.turns.borrow_mut().cancel(withdrawn.id);
                 self.turns_changed.notify_one();
             }
             PeerMessage::RouterNews(_)
