--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -115,7 +115,7 @@
     }
 
     /// Gives the turns that are due; the askers with the ids of what they asked for.
-    pub fn due(&mut self, now: Instant) -> Vec<(T, u64)> {
+    pub fn grant_due(&mut self, now: Instant) -> Vec<(T, u64)> {
         self.waiting.retain(|ask| now < ask.useful_until);
         let mut given = Vec::new();
         while let Some(next) = self.next(now).filter(|next| self.fits(now, next.work)) {
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -97,7 +97,7 @@
             }
             next += 1;
         }
-        engine.queue.extend(queue.due(now).into_iter().map(|((), id)| (id, WORK)));
+        engine.queue.extend(queue.grant_due(now).into_iter().map(|((), id)| (id, WORK)));
         let (took, first) = engine.step();
         now += took;
         let due = |id: &u64| began + arrivals[*id as usize].0 + arrivals[*id as usize].1;
@@ -172,7 +172,7 @@
     for n in 0..20 {
         let now = now + WORK * n;
         let _answer = turns.request(now, ask(10 + u64::from(n), now, AIM));
-        given.extend(turns.due(now).into_iter().map(|((), id)| id));
+        given.extend(turns.grant_due(now).into_iter().map(|((), id)| id));
     }
     assert!(given.contains(&2), "{given:?}");
 }
@@ -202,6 +202,6 @@
     if withdrawn {
         turns.cancel(2);
     }
-    assert_eq!(turns.due(later), vec![]);
+    assert_eq!(turns.grant_due(later), vec![]);
     assert_eq!(turns.next_in(later), None);
 }
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -53,7 +53,7 @@
     pub(super) async fn give_turns(&self) {
         loop {
             let now = self.clock.now();
-            let due = self.turns.borrow_mut().due(now);
+            let due = self.turns.borrow_mut().grant_due(now);
             let reading = self.turns.borrow().level(now);
             for (asker, id) in due {
                 self.tell_turn(asker, id, None, reading);
