--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -126,7 +126,7 @@
     }
 
     /// Reading that was given and not done.
-    pub fn level(&self, now: Instant) -> Duration {
+    pub fn backlog(&self, now: Instant) -> Duration {
         self.read_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 
@@ -168,7 +168,7 @@
     }
 
     fn give(&mut self, now: Instant, ask: &PermitRequest<T>) {
-        self.read_at = Some(now + self.level(now) + ask.work);
+        self.read_at = Some(now + self.backlog(now) + ask.work);
         self.since_late = if self.is_late(now, ask) { 0 } else { self.since_late + 1 };
         self.cancel(ask.id);
         self.given.push_back(Given { at: now, id: ask.id, work: ask.work });
@@ -176,7 +176,7 @@
 
     /// Whether its first event comes after its aim, if it is read next.
     fn is_late(&self, now: Instant, ask: &PermitRequest<T>) -> bool {
-        now + self.level(now) + ask.work + self.stretch().mul_f64(FIRST_EVENT) > ask.aim_at
+        now + self.backlog(now) + ask.work + self.stretch().mul_f64(FIRST_EVENT) > ask.aim_at
     }
 
     /// Whose turn is next.
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -185,7 +185,7 @@
     let mut turns = PermitQueue::default();
     assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
     assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
-    assert_eq!(turns.level(now), WORK);
+    assert_eq!(turns.backlog(now), WORK);
 }
 
 /// Callers leave while they wait. A turn given to one of them would leave the engine idle.
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -28,7 +28,7 @@
                 pause: (asked.pause_ms > 0).then(|| millis(asked.pause_ms)),
             },
         );
-        let reading = turns.level(now);
+        let reading = turns.backlog(now);
         drop(turns);
         match answer {
             prefill::PermitResponse::Granted => self.tell_turn(from, asked.id, None, reading),
@@ -54,7 +54,7 @@
         loop {
             let now = self.clock.now();
             let due = self.turns.borrow_mut().grant_due(now);
-            let reading = self.turns.borrow().level(now);
+            let reading = self.turns.borrow().backlog(now);
             for (asker, id) in due {
                 self.tell_turn(asker, id, None, reading);
             }
