--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -131,7 +131,7 @@
     }
 
     /// When the next turn is due; none if nobody waits.
-    pub fn next_in(&self, now: Instant) -> Option<Duration> {
+    pub fn next_grant_in(&self, now: Instant) -> Option<Duration> {
         self.next(now).map(|next| self.room_in(now, next.work))
     }
 
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -203,5 +203,5 @@
         turns.cancel(2);
     }
     assert_eq!(turns.grant_due(later), vec![]);
-    assert_eq!(turns.next_in(later), None);
+    assert_eq!(turns.next_grant_in(later), None);
 }
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -58,7 +58,7 @@
             for (asker, id) in due {
                 self.tell_turn(asker, id, None, reading);
             }
-            let next = self.turns.borrow().next_in(now);
+            let next = self.turns.borrow().next_grant_in(now);
             let changed = self.turns_changed.notified();
             match next {
                 None => changed.await,
