--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -41,7 +41,7 @@
     /// Told apart by this.
     pub id: u64,
     /// Who asks.
-    pub asker: T,
+    pub requester: T,
     /// Time that the engine needs to read it alone.
     pub work: Duration,
     /// Its first event is due then.
@@ -120,7 +120,7 @@
         let mut given = Vec::new();
         while let Some(next) = self.next(now).filter(|next| self.fits(now, next.work)) {
             self.give(now, &next);
-            given.push((next.asker, next.id));
+            given.push((next.requester, next.id));
         }
         given
     }
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -17,7 +17,7 @@
 fn ask(id: u64, now: Instant, aim: Duration) -> PermitRequest<()> {
     PermitRequest {
         id,
-        asker: (),
+        requester: (),
         work: WORK,
         aim_at: now + aim,
         useful_until: now + Duration::from_secs(2),
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -21,7 +21,7 @@
             now,
             prefill::PermitRequest {
                 id: asked.id,
-                asker: from,
+                requester: from,
                 work: Duration::from_micros(u64::from(asked.work_us)),
                 aim_at: now + millis(asked.aim_in_ms),
                 useful_until: now + millis(asked.useful_ms),
