--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -43,7 +43,7 @@
     /// Who asks.
     pub requester: T,
     /// Time that the engine needs to read it alone.
-    pub work: Duration,
+    pub prefill_time: Duration,
     /// Its first event is due then.
     pub aim_at: Instant,
     /// Nobody waits for it any more after this.
@@ -77,7 +77,7 @@
 struct Given {
     at: Instant,
     id: u64,
-    work: Duration,
+    prefill_time: Duration,
 }
 
 impl<T> Default for PermitQueue<T> {
@@ -102,7 +102,7 @@
         self.note_pause(now, ask.pause);
         self.cancel(ask.id);
         self.waiting.push(ask);
-        if self.next(now).is_some_and(|next| next.id == ask.id && self.fits(now, next.work)) {
+        if self.next(now).is_some_and(|next| next.id == ask.id && self.fits(now, next.prefill_time)) {
             self.give(now, &ask);
             return PermitResponse::Granted;
         }
@@ -118,7 +118,7 @@
     pub fn grant_due(&mut self, now: Instant) -> Vec<(T, u64)> {
         self.waiting.retain(|ask| now < ask.useful_until);
         let mut given = Vec::new();
-        while let Some(next) = self.next(now).filter(|next| self.fits(now, next.work)) {
+        while let Some(next) = self.next(now).filter(|next| self.fits(now, next.prefill_time)) {
             self.give(now, &next);
             given.push((next.requester, next.id));
         }
@@ -132,7 +132,7 @@
 
     /// When the next turn is due; none if nobody waits.
     pub fn next_grant_in(&self, now: Instant) -> Option<Duration> {
-        self.next(now).map(|next| self.room_in(now, next.work))
+        self.next(now).map(|next| self.room_in(now, next.prefill_time))
     }
 
     fn note_pause(&mut self, now: Instant, pause: Option<Duration>) {
@@ -159,7 +159,7 @@
         let mut used = work;
         for given in self.given.iter().rev() {
             let since = now.saturating_duration_since(given.at);
-            used += given.work;
+            used += given.prefill_time;
             if used > limit {
                 return stretch.saturating_sub(since);
             }
@@ -168,15 +168,15 @@
     }
 
     fn give(&mut self, now: Instant, ask: &PermitRequest<T>) {
-        self.read_at = Some(now + self.backlog(now) + ask.work);
+        self.read_at = Some(now + self.backlog(now) + ask.prefill_time);
         self.since_late = if self.is_late(now, ask) { 0 } else { self.since_late + 1 };
         self.cancel(ask.id);
-        self.given.push_back(Given { at: now, id: ask.id, work: ask.work });
+        self.given.push_back(Given { at: now, id: ask.id, prefill_time: ask.prefill_time });
     }
 
     /// Whether its first event comes after its aim, if it is read next.
     fn is_late(&self, now: Instant, ask: &PermitRequest<T>) -> bool {
-        now + self.backlog(now) + ask.work + self.stretch().mul_f64(FIRST_EVENT) > ask.aim_at
+        now + self.backlog(now) + ask.prefill_time + self.stretch().mul_f64(FIRST_EVENT) > ask.aim_at
     }
 
     /// Whose turn is next.
@@ -190,7 +190,7 @@
     fn wait(&self, now: Instant, own: &PermitRequest<T>) -> Duration {
         let rank = |ask: &PermitRequest<T>| (self.is_late(now, ask), ask.aim_at);
         let before = self.waiting.iter().filter(|ask| rank(ask) < rank(own));
-        let before: Duration = before.map(|ask| ask.work).sum();
-        self.room_in(now, own.work) + before.div_f64(SHARE)
+        let before: Duration = before.map(|ask| ask.prefill_time).sum();
+        self.room_in(now, own.prefill_time) + before.div_f64(SHARE)
     }
 }
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -18,7 +18,7 @@
     PermitRequest {
         id,
         requester: (),
-        work: WORK,
+        prefill_time: WORK,
         aim_at: now + aim,
         useful_until: now + Duration::from_secs(2),
         pause: Some(PAUSE),
@@ -165,7 +165,7 @@
     let now = Instant::now();
     let mut turns = PermitQueue::default();
     assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
-    let long = PermitRequest { work: PAUSE * 2, ..ask(2, now, AIM) };
+    let long = PermitRequest { prefill_time: PAUSE * 2, ..ask(2, now, AIM) };
     assert!(matches!(turns.request(now, long), PermitResponse::Wait(_)));
     // Shorter ones come all the while and do not pass it for ever.
     let mut given = Vec::new();
@@ -195,7 +195,7 @@
 fn who_has_left_gets_no_turn(#[case] withdrawn: bool) {
     let now = Instant::now();
     let mut turns = PermitQueue::default();
-    let full = PermitRequest { work: PAUSE, ..ask(1, now, AIM) };
+    let full = PermitRequest { prefill_time: PAUSE, ..ask(1, now, AIM) };
     assert_eq!(turns.request(now, full), PermitResponse::Granted);
     assert!(matches!(turns.request(now, ask(2, now, AIM)), PermitResponse::Wait(_)));
     let later = now + if withdrawn { PAUSE } else { Duration::from_secs(3) };
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -22,7 +22,7 @@
             prefill::PermitRequest {
                 id: asked.id,
                 requester: from,
-                work: Duration::from_micros(u64::from(asked.work_us)),
+                prefill_time: Duration::from_micros(u64::from(asked.work_us)),
                 aim_at: now + millis(asked.aim_in_ms),
                 useful_until: now + millis(asked.useful_ms),
                 pause: (asked.pause_ms > 0).then(|| millis(asked.pause_ms)),
