--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -45,7 +45,7 @@
     /// Time that the engine needs to read it alone.
     pub prefill_time: Duration,
     /// Its first event is due then.
-    pub aim_at: Instant,
+    pub latency_objective_at: Instant,
     /// Nobody waits for it any more after this.
     pub useful_until: Instant,
     /// The longest useful pause of its stream; none if its route names none.
@@ -176,19 +176,19 @@
 
     /// Whether its first event comes after its aim, if it is read next.
     fn is_late(&self, now: Instant, ask: &PermitRequest<T>) -> bool {
-        now + self.backlog(now) + ask.prefill_time + self.stretch().mul_f64(FIRST_EVENT) > ask.aim_at
+        now + self.backlog(now) + ask.prefill_time + self.stretch().mul_f64(FIRST_EVENT) > ask.latency_objective_at
     }
 
     /// Whose turn is next.
     fn next(&self, now: Instant) -> Option<PermitRequest<T>> {
         let late_first = self.since_late >= LATE_TURN - 1;
-        let rank = |ask: &&PermitRequest<T>| (self.is_late(now, ask) != late_first, ask.aim_at);
+        let rank = |ask: &&PermitRequest<T>| (self.is_late(now, ask) != late_first, ask.latency_objective_at);
         self.waiting.iter().min_by_key(rank).copied()
     }
 
     /// Time until the turn of one that waits, if nobody more urgent comes.
     fn wait(&self, now: Instant, own: &PermitRequest<T>) -> Duration {
-        let rank = |ask: &PermitRequest<T>| (self.is_late(now, ask), ask.aim_at);
+        let rank = |ask: &PermitRequest<T>| (self.is_late(now, ask), ask.latency_objective_at);
         let before = self.waiting.iter().filter(|ask| rank(ask) < rank(own));
         let before: Duration = before.map(|ask| ask.prefill_time).sum();
         self.room_in(now, own.prefill_time) + before.div_f64(SHARE)
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -19,7 +19,7 @@
         id,
         requester: (),
         prefill_time: WORK,
-        aim_at: now + aim,
+        latency_objective_at: now + aim,
         useful_until: now + Duration::from_secs(2),
         pause: Some(PAUSE),
     }
