--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -47,7 +47,7 @@
     /// Its first event is due then.
     pub latency_objective_at: Instant,
     /// Nobody waits for it any more after this.
-    pub useful_until: Instant,
+    pub expires_at: Instant,
     /// The longest useful pause of its stream; none if its route names none.
     pub pause: Option<Duration>,
 }
@@ -116,7 +116,7 @@
 
     /// Gives the turns that are due; the askers with the ids of what they asked for.
     pub fn grant_due(&mut self, now: Instant) -> Vec<(T, u64)> {
-        self.waiting.retain(|ask| now < ask.useful_until);
+        self.waiting.retain(|ask| now < ask.expires_at);
         let mut given = Vec::new();
         while let Some(next) = self.next(now).filter(|next| self.fits(now, next.prefill_time)) {
             self.give(now, &next);
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -20,7 +20,7 @@
         requester: (),
         prefill_time: WORK,
         latency_objective_at: now + aim,
-        useful_until: now + Duration::from_secs(2),
+        expires_at: now + Duration::from_secs(2),
         pause: Some(PAUSE),
     }
 }
