--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -49,7 +49,7 @@
     /// Nobody waits for it any more after this.
     pub expires_at: Instant,
     /// The longest useful pause of its stream; none if its route names none.
-    pub pause: Option<Duration>,
+    pub max_pause: Option<Duration>,
 }
 
 /// What an asker is told.
@@ -99,7 +99,7 @@
         if self.given.iter().any(|given| given.id == ask.id) {
             return PermitResponse::Granted;
         }
-        self.note_pause(now, ask.pause);
+        self.note_pause(now, ask.max_pause);
         self.cancel(ask.id);
         self.waiting.push(ask);
         if self.next(now).is_some_and(|next| next.id == ask.id && self.fits(now, next.prefill_time)) {
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -21,7 +21,7 @@
         prefill_time: WORK,
         latency_objective_at: now + aim,
         expires_at: now + Duration::from_secs(2),
-        pause: Some(PAUSE),
+        max_pause: Some(PAUSE),
     }
 }
 
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -25,7 +25,7 @@
                 prefill_time: Duration::from_micros(u64::from(asked.work_us)),
                 latency_objective_at: now + millis(asked.aim_in_ms),
                 expires_at: now + millis(asked.useful_ms),
-                pause: (asked.pause_ms > 0).then(|| millis(asked.pause_ms)),
+                max_pause: (asked.pause_ms > 0).then(|| millis(asked.pause_ms)),
             },
         );
         let reading = turns.backlog(now);
