--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -32,7 +32,7 @@
     /// Targets hold it, and are full.
     AtCapacity,
     /// No target of the service can be used.
-    NoTarget,
+    Unknown,
 }
 
 /// What becomes of the request.
@@ -57,7 +57,7 @@
         Readiness::ReadyAt(at) => at.max(now),
         Readiness::LoadTime(time) => now + DECISION + time,
         Readiness::AtCapacity => now,
-        Readiness::NoTarget => {
+        Readiness::Unknown => {
             return Decision::Refuse { after: retry_after(WITHOUT_TARGET, spread) };
         }
     };
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -398,7 +398,7 @@
 #[case(wait_limit::Readiness::LoadTime(Duration::from_millis(800)), true)]
 #[case(wait_limit::Readiness::LoadTime(Duration::from_secs(6)), false)]
 #[case(wait_limit::Readiness::AtCapacity, true)]
-#[case(wait_limit::Readiness::NoTarget, false)]
+#[case(wait_limit::Readiness::Unknown, false)]
 fn a_request_is_held_only_if_its_model_can_be_there(
     #[case] expected: wait_limit::Readiness,
     #[case] held: bool,
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -94,7 +94,7 @@
             let ready_in_ms = match expected {
                 wait_limit::Readiness::ReadyAt(at) => Some(ms(at, now)),
                 wait_limit::Readiness::LoadTime(time) => Some(time.as_millis() as u64),
-                wait_limit::Readiness::AtCapacity | wait_limit::Readiness::NoTarget => None,
+                wait_limit::Readiness::AtCapacity | wait_limit::Readiness::Unknown => None,
             };
             let model = job.model().map(names::ModelId::as_str);
             tracing::info!(id = %job.call.id, model, why, ready_in_ms, waited_ms, "waits");
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -240,7 +240,7 @@
         choice: choose::Choice,
     ) -> wait_limit::Readiness {
         match choice {
-            choose::Choice::NoTarget => wait_limit::Readiness::NoTarget,
+            choose::Choice::NoTarget => wait_limit::Readiness::Unknown,
             choose::Choice::Full => wait_limit::Readiness::AtCapacity,
             choose::Choice::LoadAdapter(key) => self.view.borrow().expected_adapter(key),
             _ => self.view.borrow().expected(now, &job.service, job.call.wanted.as_ref()),
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -75,10 +75,10 @@
         service: &names::ServiceId,
         wanted: Option<&choose::RequestedModel>,
     ) -> wait_limit::Readiness {
-        let Some(wanted) = wanted else { return wait_limit::Readiness::NoTarget };
+        let Some(wanted) = wanted else { return wait_limit::Readiness::Unknown };
         let spec = self.service(service).and_then(|service| service.engine.as_ref());
         let Some(model) = spec.and_then(|engine| engine.model(&wanted.model)) else {
-            return wait_limit::Readiness::NoTarget;
+            return wait_limit::Readiness::Unknown;
         };
         let mut fastest: Option<std::time::Duration> = None;
         for (key, target) in self.targets.iter() {
@@ -106,6 +106,6 @@
             let (time, _) = snapshot::source(&view, model);
             fastest = Some(fastest.map_or(time, |least| least.min(time)));
         }
-        fastest.map_or(wait_limit::Readiness::NoTarget, wait_limit::Readiness::LoadTime)
+        fastest.map_or(wait_limit::Readiness::Unknown, wait_limit::Readiness::LoadTime)
     }
 }
