--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -11,11 +11,11 @@
 
 /// Steps that the window is divided into; a step that falls out takes a tenth of the counts with
 /// it, so the sum lags the true window by at most a tenth.
-const STEPS: u32 = 10;
+const BUCKETS: u32 = 10;
 /// Part of the allowance that is used. Requests that other processes lost and attempts whose
 /// arrival this process cannot see (a connection reset after the request was written) count as
 /// well, so a tenth is left to them.
-const USED: f64 = 0.9;
+const USABLE_RATIO: f64 = 0.9;
 
 /// What the deployment allows.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -36,47 +36,47 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Step {
+struct Bucket {
     since: Instant,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Requests and second attempts of one service in the last window.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
-    steps: VecDeque<Step>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl Budget {
     /// A request has come.
     pub fn earn(&mut self, now: Instant, allowance: &Allowance) {
-        self.step(now, allowance).requests += 1;
+        self.bucket(now, allowance).requests += 1;
     }
 
     /// Takes one second attempt; false if none is left. `routers` is how many share the fixed
     /// part.
     pub fn spend(&mut self, now: Instant, allowance: &Allowance, routers: usize) -> bool {
-        self.step(now, allowance);
-        let requests: u32 = self.steps.iter().map(|step| step.requests).sum();
-        let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
+        self.bucket(now, allowance);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let fixed = allowance.fixed / routers.max(1) as f64;
-        let most = (f64::from(requests) * allowance.ratio + fixed) * USED;
-        if f64::from(repeats + 1) > most {
+        let limit = (f64::from(requests) * allowance.ratio + fixed) * USABLE_RATIO;
+        if f64::from(retries + 1) > limit {
             return false;
         }
-        self.step(now, allowance).repeats += 1;
+        self.bucket(now, allowance).retries += 1;
         true
     }
 
-    fn step(&mut self, now: Instant, allowance: &Allowance) -> &mut Step {
-        let length = allowance.window / STEPS;
-        while self.steps.front().is_some_and(|step| now >= step.since + allowance.window) {
-            self.steps.pop_front();
+    fn bucket(&mut self, now: Instant, allowance: &Allowance) -> &mut Bucket {
+        let bucket_length = allowance.window / BUCKETS;
+        while self.buckets.front().is_some_and(|bucket| now >= bucket.since + allowance.window) {
+            self.buckets.pop_front();
         }
-        if self.steps.back().is_none_or(|step| now >= step.since + length) {
-            self.steps.push_back(Step { since: now, requests: 0, repeats: 0 });
+        if self.buckets.back().is_none_or(|bucket| now >= bucket.since + bucket_length) {
+            self.buckets.push_back(Bucket { since: now, requests: 0, retries: 0 });
         }
-        self.steps.back_mut().expect("a step was just pushed if there was none")
+        self.buckets.back_mut().expect("a bucket was just pushed if there was none")
     }
 }
--- a/crates/corianderstand_fleet/src/prefixes.rs
+++ b/crates/corianderstand_fleet/src/prefixes.rs
@@ -10,7 +10,7 @@
 
 /// Parts that one half remembers. A deployment of today has some 400 shared parts; at 24 bytes
 /// each this is 200 KB when full.
-const HALF: usize = 4_096;
+const GENERATION_CAPACITY: usize = 4_096;
 
 /// A prompt's parts, each identified by itself and all before it.
 #[derive(Clone, Debug, Default)]
@@ -35,24 +35,24 @@
 /// Parts and the targets that read them last.
 #[derive(Debug, Default)]
 pub struct Prefixes {
-    young: HashMap<u64, targets::TargetKey>,
-    old: HashMap<u64, targets::TargetKey>,
+    recent: HashMap<u64, targets::TargetKey>,
+    previous: HashMap<u64, targets::TargetKey>,
 }
 
 impl Prefixes {
     /// The target that read the longest start of the prompt, and its tokens.
     pub fn find(&self, chain: &Chain) -> Option<(targets::TargetKey, u64)> {
-        let find = |hash| self.young.get(hash).or_else(|| self.old.get(hash)).copied();
+        let find = |hash| self.recent.get(hash).or_else(|| self.previous.get(hash)).copied();
         chain.parts.iter().rev().find_map(|(hash, tokens)| Some((find(hash)?, *tokens)))
     }
 
     /// A target reads the prompt.
     pub fn record(&mut self, chain: &Chain, target: targets::TargetKey) {
         for (hash, _) in &chain.parts {
-            self.young.insert(*hash, target);
+            self.recent.insert(*hash, target);
         }
-        if self.young.len() >= HALF {
-            self.old = std::mem::take(&mut self.young);
+        if self.recent.len() >= GENERATION_CAPACITY {
+            self.previous = std::mem::take(&mut self.recent);
         }
     }
 }
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -28,7 +28,7 @@
 
 /// After an engine refused a model for not having it, it is asked again after this time at the
 /// latest; a newer account of its memory ends it sooner. A load from memory takes 0.4 s.
-const ABSENT_FOR: Duration = Duration::from_millis(400);
+const ABSENT_MODEL_TTL: Duration = Duration::from_millis(400);
 /// An agent that was not heard of for this long counts as gone; its reports come each half second, or
 /// each 0.9 s where there are many routers, and a datagram may be lost.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -37,11 +37,11 @@
 /// that starts again takes 2 to 4 s and says so. Meanwhile each request sent there would be refused,
 /// its caller's next one too, and no other engine would load its models. Asked again this often in
 /// case it was not true, it costs its callers one attempt in that time.
-const NOBODY_FOR: Duration = Duration::from_millis(700);
+const UNREACHABLE_EJECTION_TIME: Duration = Duration::from_millis(700);
 
 /// The last entry of a target that is gone is kept for this time, for one that starts again at its
 /// place under another name; that takes 2 to 4 s, and some more for its agent to say so.
-const REMEMBERED: Duration = Duration::from_secs(15);
+const REMOVED_ENTRY_TTL: Duration = Duration::from_secs(15);
 
 /// One target.
 #[derive(Clone, Debug)]
@@ -65,13 +65,13 @@
     /// When it is gone, if that is known.
     pub leaves_at: Option<Instant>,
     load: Load,
-    ours_at_load: u32,
-    tokens_at_load: u64,
-    absent: HashMap<names::ModelId, Instant>,
+    local_requests_at_load: u32,
+    local_tokens_at_load: u64,
+    absent_until: HashMap<names::ModelId, Instant>,
     /// Until when it reads prompts, as its agent told.
-    reading_until: Option<Instant>,
+    prefill_until: Option<Instant>,
     missing_since: Option<Instant>,
-    nobody_until: Option<Instant>,
+    ejected_until: Option<Instant>,
 }
 
 impl Target {
@@ -87,23 +87,23 @@
             event_interval: health::EventInterval::default(),
             leaves_at: None,
             load: Load::default(),
-            ours_at_load: 0,
-            tokens_at_load: 0,
-            absent: HashMap::new(),
-            reading_until: None,
+            local_requests_at_load: 0,
+            local_tokens_at_load: 0,
+            absent_until: HashMap::new(),
+            prefill_until: None,
             missing_since: None,
-            nobody_until: None,
+            ejected_until: None,
         }
     }
 
     /// Whether it may be given new requests.
     pub fn accepts_requests(&self, now: Instant) -> bool {
-        !self.entry.draining && self.nobody_until.is_none_or(|until| now >= until)
+        !self.entry.draining && self.ejected_until.is_none_or(|until| now >= until)
     }
 
     /// Nobody listens at its address: its process has ended.
     pub fn record_unreachable(&mut self, now: Instant) {
-        self.nobody_until = Some(now + NOBODY_FOR);
+        self.ejected_until = Some(now + UNREACHABLE_EJECTION_TIME);
     }
 
     /// Requests of this process that are at it, by model.
@@ -117,56 +117,61 @@
 
     /// Whether its agent was heard lately.
     pub fn agent_is_responsive(&self, now: Instant) -> bool {
-        self.agent_last_received_at.is_some_and(|at| now.saturating_duration_since(at) < AGENT_RESPONSE_TIMEOUT)
+        self.agent_last_received_at
+            .is_some_and(|at| now.saturating_duration_since(at) < AGENT_RESPONSE_TIMEOUT)
     }
 
     /// Whether a model is there to be asked for.
     pub fn serves(&self, now: Instant, model: &names::ModelId) -> bool {
         let leaving =
             matches!(&self.ongoing, Some(Ongoing::Unloading { model: gone }) if gone == model);
-        let absent = self.absent.get(model).is_some_and(|until| now < *until);
+        let absent = self.absent_until.get(model).is_some_and(|until| now < *until);
         !leaving && !absent && self.entry.holdings.resident(model).is_some()
     }
 
     /// Requests at it, of all routers, as far as is known: what it said last, and what this
     /// process has sent and got back since.
     pub fn occupied(&self) -> u32 {
-        let said = self.load.running + self.load.waiting;
-        (said + self.local_requests).saturating_sub(self.ours_at_load).max(self.local_requests)
+        let reported = self.load.running + self.load.waiting;
+        (reported + self.local_requests)
+            .saturating_sub(self.local_requests_at_load)
+            .max(self.local_requests)
     }
 
     /// Tokens in its cache memory, by the same reckoning.
     pub fn tokens(&self) -> u64 {
-        let said = self.load.cache_used.unwrap_or(0);
-        (said + self.local_tokens).saturating_sub(self.tokens_at_load).max(self.local_tokens)
+        let reported = self.load.cache_used.unwrap_or(0);
+        (reported + self.local_tokens)
+            .saturating_sub(self.local_tokens_at_load)
+            .max(self.local_tokens)
     }
 
     /// Takes what it says of its load.
     pub fn record_load(&mut self, load: Load) {
         let cache_used = load.cache_used.or(self.load.cache_used);
         self.load = Load { cache_used, ..load };
-        self.ours_at_load = self.local_requests;
-        self.tokens_at_load = self.local_tokens;
+        self.local_requests_at_load = self.local_requests;
+        self.local_tokens_at_load = self.local_tokens;
     }
 
     /// Its agent told how long it still reads the prompts that were given to it.
-    pub fn record_prefill_backlog(&mut self, now: Instant, reading: Duration) {
-        self.reading_until = Some(now + reading);
+    pub fn record_prefill_backlog(&mut self, now: Instant, backlog: Duration) {
+        self.prefill_until = Some(now + backlog);
     }
 
     /// How long it still reads prompts, as far as is known.
     pub fn prefill_backlog(&self, now: Instant) -> Duration {
-        self.reading_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
+        self.prefill_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
     /// It has refused a model for not having it.
     pub fn record_absent_model(&mut self, now: Instant, model: &names::ModelId) {
-        self.absent.insert(model.clone(), now + ABSENT_FOR);
+        self.absent_until.insert(model.clone(), now + ABSENT_MODEL_TTL);
     }
 
-    fn take_holdings(&mut self, holdings: Holdings) {
+    fn set_holdings(&mut self, holdings: Holdings) {
         if holdings != self.entry.holdings {
-            self.absent.clear();
+            self.absent_until.clear();
             self.entry.holdings = holdings;
         }
     }
@@ -193,8 +198,8 @@
     arena: SlotMap<TargetKey, Target>,
     by_id: HashMap<names::TargetId, TargetKey>,
     by_host: HashMap<IpAddr, Vec<TargetKey>>,
-    left: HashMap<names::TargetId, u64>,
-    gone: HashMap<names::TargetId, (Instant, Entry)>,
+    drained: HashMap<names::TargetId, u64>,
+    removed: HashMap<names::TargetId, (Instant, Entry)>,
 }
 
 impl Targets {
@@ -236,20 +241,21 @@
     /// ordered nothing for up to 2.3 s after it was back.
     pub fn replace(&mut self, now: Instant, replaced: &Replaced) -> bool {
         let Replaced { id, born, before } = replaced;
-        if self.key(id).is_some() || self.left.contains_key(id) {
+        if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
         let known = self.key(before).map(|key| self.arena[key].entry.clone());
-        let Some(old) = known.or_else(|| self.gone.get(before).map(|(_, entry)| entry.clone()))
+        let Some(previous) =
+            known.or_else(|| self.removed.get(before).map(|(_, entry)| entry.clone()))
         else {
             return false;
         };
         if let Some(key) = self.key(before) {
-            self.forget(now, key);
+            self.remove_target(now, key);
         }
-        self.gone.remove(before);
-        self.left.insert(before.clone(), old.born);
-        self.follow_on(now, id, *born, old);
+        self.removed.remove(before);
+        self.drained.insert(before.clone(), previous.born);
+        self.insert_successor(now, id, *born, previous);
         true
     }
 
@@ -270,23 +276,24 @@
         is_engines: impl Fn(&names::ServiceId) -> bool,
     ) -> bool {
         // What an engine that has ended said last may arrive after its follower is known.
-        let over = self.gone.contains_key(id) || self.left.contains_key(id);
+        let over = self.removed.contains_key(id) || self.drained.contains_key(id);
         if over || self.by_id.contains_key(id) {
             return false;
         }
         let Some(&[key]) = self.by_host.get(&host).map(Vec::as_slice) else { return false };
-        let old = self.arena[key].entry.clone();
-        if !is_engines(&old.service) {
+        let previous = self.arena[key].entry.clone();
+        if !is_engines(&previous.service) {
             return false;
         }
-        self.forget(now, key);
-        self.follow_on(now, id, born, old);
+        self.remove_target(now, key);
+        self.insert_successor(now, id, born, previous);
         true
     }
 
     /// What was known of an engine's place holds for the one that runs there now.
-    fn follow_on(&mut self, now: Instant, id: &names::TargetId, born: u64, old: Entry) {
-        let holdings = Holdings { on_disk: old.holdings.on_disk.clone(), ..Default::default() };
+    fn insert_successor(&mut self, now: Instant, id: &names::TargetId, born: u64, previous: Entry) {
+        let holdings =
+            Holdings { on_disk: previous.holdings.on_disk.clone(), ..Default::default() };
         let entry = Entry {
             id: id.clone(),
             born,
@@ -294,7 +301,7 @@
             draining: false,
             leaves_in: None,
             holdings,
-            ..old
+            ..previous
         };
         let key = self.insert(now, entry);
         self.arena[key].missing_since = Some(now);
@@ -303,11 +310,11 @@
     /// Takes an entry. Entries are to come in the order in which they were written: one that is new at
     /// an address ends what was known there.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
-        if self.left.get(&entry.id).is_some_and(|&born| entry.born <= born) {
+        if self.drained.get(&entry.id).is_some_and(|&born| entry.born <= born) {
             return Change::Stale;
         }
         let Some(key) = self.key(&entry.id) else {
-            self.end_at(now, entry.addr);
+            self.remove_at_addr(now, entry.addr);
             self.insert(now, entry);
             return Change::New;
         };
@@ -318,7 +325,7 @@
             return Change::Stale;
         }
         if entry.born > target.entry.born {
-            self.forget(now, key);
+            self.remove_target(now, key);
             self.insert(now, entry);
             return Change::New;
         }
@@ -333,7 +340,7 @@
         target.entry.renewals = entry.renewals;
         let changed = changed && !target.agent_is_responsive(now);
         if changed {
-            target.take_holdings(entry.holdings);
+            target.set_holdings(entry.holdings);
         } else {
             target.entry.holdings.in_memory = entry.holdings.in_memory;
             target.entry.holdings.on_disk = entry.holdings.on_disk;
@@ -349,11 +356,11 @@
     pub fn report(&mut self, now: Instant, report: Report) -> bool {
         let Some(key) = self.key(&report.id) else { return false };
         let target = &mut self.arena[key];
-        let told = report.born > 0 && target.entry.born > 0;
-        if told && report.born < target.entry.born {
+        let starts_known = report.born > 0 && target.entry.born > 0;
+        if starts_known && report.born < target.entry.born {
             return false;
         }
-        if told && report.born > target.entry.born {
+        if starts_known && report.born > target.entry.born {
             // The engine has started again under its name; its entry will follow.
             let entry = Entry {
                 born: report.born,
@@ -363,13 +370,13 @@
                 leaves_in: None,
                 ..target.entry.clone()
             };
-            self.forget(now, key);
+            self.remove_target(now, key);
             self.insert(now, entry);
             return self.report(now, report);
         }
         // Datagrams may overtake each other.
-        let heard = target.agent_is_responsive(now);
-        if heard && report.holdings.orders < target.entry.holdings.orders {
+        let responsive = target.agent_is_responsive(now);
+        if responsive && report.holdings.orders < target.entry.holdings.orders {
             return false;
         }
         target.agent_last_received_at = Some(now);
@@ -377,7 +384,7 @@
             // It has not registered yet, and lives.
             target.missing_since = Some(now);
         }
-        target.nobody_until = None;
+        target.ejected_until = None;
         target.ongoing = report.ongoing;
         target.record_load(report.load);
         let mut holdings = report.holdings;
@@ -386,7 +393,7 @@
             holdings.in_memory = std::mem::take(&mut known.in_memory);
             holdings.on_disk = std::mem::take(&mut known.on_disk);
         }
-        target.take_holdings(holdings);
+        target.set_holdings(holdings);
         true
     }
 
@@ -409,7 +416,7 @@
         if grace {
             self.arena[key].missing_since.get_or_insert(now);
         } else {
-            self.forget(now, key);
+            self.remove_target(now, key);
         }
     }
 
@@ -421,16 +428,16 @@
         let gone = self.arena.iter().filter(|(_, target)| over(target));
         let gone: Vec<TargetKey> = gone.map(|(key, _)| key).collect();
         let ids = gone.iter().map(|&key| self.arena[key].entry.id.clone()).collect();
-        gone.into_iter().for_each(|key| self.forget(now, key));
+        gone.into_iter().for_each(|key| self.remove_target(now, key));
         ids
     }
 
     /// Forgets what was known at an address that belongs to another target now. Its entry stays in the
     /// store for seconds after its end, or as long as the store is away.
-    fn end_at(&mut self, now: Instant, addr: SocketAddr) {
+    fn remove_at_addr(&mut self, now: Instant, addr: SocketAddr) {
         let there = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
         let ended: Vec<_> = there.filter(|key| self.arena[*key].entry.addr == addr).collect();
-        ended.into_iter().for_each(|key| self.forget(now, key));
+        ended.into_iter().for_each(|key| self.remove_target(now, key));
     }
 
     fn insert(&mut self, now: Instant, entry: Entry) -> TargetKey {
@@ -442,7 +449,7 @@
         key
     }
 
-    fn forget(&mut self, now: Instant, key: TargetKey) {
+    fn remove_target(&mut self, now: Instant, key: TargetKey) {
         let Some(target) = self.arena.remove(key) else { return };
         self.by_id.remove(&target.entry.id);
         let host = target.entry.addr.ip();
@@ -453,9 +460,10 @@
             }
         }
         if target.entry.draining {
-            self.left.insert(target.entry.id.clone(), target.entry.born);
+            self.drained.insert(target.entry.id.clone(), target.entry.born);
         }
-        self.gone.retain(|_, (since, _)| now.saturating_duration_since(*since) < REMEMBERED);
-        self.gone.insert(target.entry.id.clone(), (now, target.entry));
+        self.removed
+            .retain(|_, (since, _)| now.saturating_duration_since(*since) < REMOVED_ENTRY_TTL);
+        self.removed.insert(target.entry.id.clone(), (now, target.entry));
     }
 }
