--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::id;
-use corianderstand_fleet::{budget, choose, config, health, wait_limit, routes, steps, targets};
+use corianderstand_fleet::{budget, choose, config, health, routes, steps, targets, wait_limit};
 use corianderstand_types::names::ModelId;
 use rand::RngExt;
 use std::{
@@ -95,7 +95,10 @@
     let mut targets = Targets::default();
     targets.register(now, entry("before"));
     let host = address("before").ip();
-    assert!(!targets.infer_successor(now, &id("after"), 0, host, |_| false), "a plain service's target");
+    assert!(
+        !targets.infer_successor(now, &id("after"), 0, host, |_| false),
+        "a plain service's target"
+    );
     assert!(targets.infer_successor(now, &id("after"), 0, host, |_| true));
     let known = targets.get(targets.key(&id("after")).unwrap()).unwrap();
     assert_eq!(known.entry.addr, address("before"));
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -1,6 +1,6 @@
 //! Turns in which an engine reads prompts: what callers get of a load, without a network.
 
-use corianderstand_fleet::prefill::{PermitResponse, PermitRequest, PermitQueue};
+use corianderstand_fleet::prefill::{PermitQueue, PermitRequest, PermitResponse};
 use rstest::rstest;
 use std::{
     collections::VecDeque,
@@ -91,7 +91,8 @@
     while next < arrivals.len() || now < began + Duration::from_secs(10) {
         while next < arrivals.len() && began + arrivals[next].0 <= now {
             let id = next as u64;
-            let sent = !turns || queue.request(now, ask(id, now, arrivals[next].1)) == PermitResponse::Granted;
+            let sent = !turns
+                || queue.request(now, ask(id, now, arrivals[next].1)) == PermitResponse::Granted;
             if sent {
                 engine.queue.push_back((id, WORK));
             }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -4,7 +4,7 @@
 //! leaves out its own lines beyond a number a second, says how many, and takes no room from others.
 
 use crate::{copies, job, metrics, stream, view};
-use corianderstand_fleet::{wait_limit, targets};
+use corianderstand_fleet::{targets, wait_limit};
 use corianderstand_types::names;
 use http::StatusCode;
 use smol_str::SmolStr;
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -7,7 +7,7 @@
 
 use crate::{attempt, body::AnswerBody, decisions, dialect, job, router, stream, waiting};
 use bytes::Bytes;
-use corianderstand_fleet::{config, wait_limit, prefixes, targets};
+use corianderstand_fleet::{config, prefixes, targets, wait_limit};
 use corianderstand_types::{names, pause};
 use http::{HeaderValue, Request, Response, StatusCode, Uri, header};
 use http_body_util::{BodyExt, Limited};
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -83,7 +83,8 @@
     let engines = view.targets.iter().filter(|(_, target)| {
         target.entry.service == *service
             && target.accepts_requests(now)
-            && (target.agent_is_responsive(now) || target.health.failure_score(now) < health::EJECTION_THRESHOLD)
+            && (target.agent_is_responsive(now)
+                || target.health.failure_score(now) < health::EJECTION_THRESHOLD)
     });
     let engines = engines.map(|(key, target)| {
         let mut running = running.remove(&target.entry.id).unwrap_or_default();
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -5,7 +5,7 @@
 //! the request is sent, as it would be where no agent stands.
 
 use crate::{job, router};
-use corianderstand_fleet::{wait_limit, targets};
+use corianderstand_fleet::{targets, wait_limit};
 use corianderstand_schema::peers::{self as wire, PeerMessage};
 use std::{
     cell::{Cell, RefCell},
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -5,7 +5,7 @@
     readers, server, transfer, view,
 };
 use corianderstand_derives::derives;
-use corianderstand_fleet::{budget, choose, demand, wait_limit, targets};
+use corianderstand_fleet::{budget, choose, demand, targets, wait_limit};
 use corianderstand_schema::peers::StoreUse;
 use corianderstand_types::{clock, names, pause};
 use http::StatusCode;
@@ -302,7 +302,8 @@
     pub fn may_serve(&self, key: targets::TargetKey, job: &job::Job, now: Instant) -> bool {
         let view = self.view.borrow();
         view.targets.get(key).is_some_and(|target| {
-            target.accepts_requests(now) && job.model().is_none_or(|model| target.serves(now, model))
+            target.accepts_requests(now)
+                && job.model().is_none_or(|model| target.serves(now, model))
         })
     }
 
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -1,7 +1,7 @@
 //! What one router believes, and who waits for a change of it.
 
 use corianderstand_fleet::{
-    budget, choose, config, demand, wait_limit, prefixes, routes, snapshot, targets,
+    budget, choose, config, demand, prefixes, routes, snapshot, targets, wait_limit,
 };
 use corianderstand_types::names;
 use std::{
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -1,7 +1,7 @@
 //! Finding a target for a request, and waiting for one while that is of use.
 
 use crate::{exchange, job, prefill, router};
-use corianderstand_fleet::{choose, wait_limit, targets};
+use corianderstand_fleet::{choose, targets, wait_limit};
 use corianderstand_types::names;
 use std::{rc::Rc, time::Duration};
 
