--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -1,11 +1,9 @@
-//! What is known of each target: what it registered, what its agent reports, what requests met.
+//! State of all targets, merged from registrations, agent reports and request outcomes.
 //!
-//! Three sources speak of one target, each with its own delay, and one of them may be wrong: a
-//! registered entry can be stale, or written by somebody else. An incarnation of a target is told
-//! by the time of its start, and the order of its entries by the number of their renewal. What its
-//! agent says of its memory comes straight from the engine and goes before what an entry says, as
-//! long as the agent is heard. Nothing older replaces anything newer, and a target that was leaving
-//! never comes back in the same incarnation.
+//! Any source may be delayed or stale. Incarnations of a target are ordered by their start time, and
+//! entries of one incarnation by their renewal count; older data never replaces newer data. While an
+//! agent is responsive, its reports take precedence over the registered holdings. A draining
+//! incarnation never becomes available again.
 
 mod entry;
 
@@ -22,53 +20,51 @@
 };
 
 slotmap::new_key_type! {
-    /// One target in [`Targets`].
+    /// Key of a target in [`Targets`].
     pub struct TargetKey;
 }
 
-/// After an engine refused a model for not having it, it is asked again after this time at the
-/// latest; a newer account of its memory ends it sooner. A load from memory takes 0.4 s.
+/// Time for which a model counts as absent after its engine refused a request for it, unless the
+/// engine's holdings change before.
 const ABSENT_MODEL_TTL: Duration = Duration::from_millis(400);
-/// An agent that was not heard of for this long counts as gone; its reports come each half second, or
-/// each 0.9 s where there are many routers, and a datagram may be lost.
+/// Time without reports after which an agent counts as unresponsive. Tolerates a lost datagram at the
+/// longest report interval of 0.9 s.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A target at whose address nobody listens is left alone for this time. Its process has ended; one
-/// that starts again takes 2 to 4 s and says so. Meanwhile each request sent there would be refused,
-/// its caller's next one too, and no other engine would load its models. Asked again this often in
-/// case it was not true, it costs its callers one attempt in that time.
+/// Ejection time of a target that refused a connection. Its process has probably ended, and its
+/// models are loaded elsewhere; afterwards one attempt probes it again.
 const UNREACHABLE_EJECTION_TIME: Duration = Duration::from_millis(700);
 
-/// The last entry of a target that is gone is kept for this time, for one that starts again at its
-/// place under another name; that takes 2 to 4 s, and some more for its agent to say so.
+/// Time for which the entry of a removed target is kept, so that a restart under another name can
+/// inherit it.
 const REMOVED_ENTRY_TTL: Duration = Duration::from_secs(15);
 
-/// One target.
+/// State of one target.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What it registered last.
+    /// Registered entry, updated by agent reports.
     pub entry: Entry,
-    /// The order that it is carrying out, as its agent says.
+    /// Command that its engine is executing, as reported by its agent.
     pub ongoing: Option<Ongoing>,
-    /// When its agent was last heard.
+    /// When its agent's last report was received.
     pub agent_last_received_at: Option<Instant>,
-    /// Trouble that requests met.
+    /// Outcome of recent requests.
     pub health: health::Health,
-    /// Requests of this process that are at it, by what they want.
+    /// In-flight requests of this process, by requested model.
     pub in_flight: BTreeMap<choose::RequestedModel, u32>,
-    /// Requests of this process that are at it.
+    /// Number of in-flight requests of this process.
     pub local_requests: u32,
-    /// Tokens that these are expected to need.
+    /// Expected tokens of these requests.
     pub local_tokens: u64,
-    /// How slowly its streams come.
+    /// Mean time between events of its streams.
     pub event_interval: health::EventInterval,
-    /// When it is gone, if that is known.
+    /// When it will have shut down, if known.
     pub leaves_at: Option<Instant>,
     load: Load,
     local_requests_at_load: u32,
     local_tokens_at_load: u64,
     absent_until: HashMap<names::ModelId, Instant>,
-    /// Until when it reads prompts, as its agent told.
+    /// End of its prefill backlog, as reported by its agent.
     prefill_until: Option<Instant>,
     missing_since: Option<Instant>,
     ejected_until: Option<Instant>,
@@ -96,17 +92,17 @@
         }
     }
 
-    /// Whether it may be given new requests.
+    /// Whether new requests may be sent to it.
     pub fn accepts_requests(&self, now: Instant) -> bool {
         !self.entry.draining && self.ejected_until.is_none_or(|until| now >= until)
     }
 
-    /// Nobody listens at its address: its process has ended.
+    /// Ejects the target after it refused a connection.
     pub fn record_unreachable(&mut self, now: Instant) {
         self.ejected_until = Some(now + UNREACHABLE_EJECTION_TIME);
     }
 
-    /// Requests of this process that are at it, by model.
+    /// Number of in-flight requests of this process, by model.
     pub fn running(&self) -> BTreeMap<names::ModelId, u32> {
         let mut running = BTreeMap::new();
         for (wanted, count) in &self.in_flight {
@@ -115,13 +111,13 @@
         running
     }
 
-    /// Whether its agent was heard lately.
+    /// Whether its agent reported recently.
     pub fn agent_is_responsive(&self, now: Instant) -> bool {
         self.agent_last_received_at
             .is_some_and(|at| now.saturating_duration_since(at) < AGENT_RESPONSE_TIMEOUT)
     }
 
-    /// Whether a model is there to be asked for.
+    /// Whether requests for the model may be sent to it.
     pub fn serves(&self, now: Instant, model: &names::ModelId) -> bool {
         let leaving =
             matches!(&self.ongoing, Some(Ongoing::Unloading { model: gone }) if gone == model);
@@ -129,8 +125,8 @@
         !leaving && !absent && self.entry.holdings.resident(model).is_some()
     }
 
-    /// Requests at it, of all routers, as far as is known: what it said last, and what this
-    /// process has sent and got back since.
+    /// Estimated requests of all routers: the last reported load, adjusted by what this process has sent
+    /// and completed since.
     pub fn occupied(&self) -> u32 {
         let reported = self.load.running + self.load.waiting;
         (reported + self.local_requests)
@@ -138,7 +134,7 @@
             .max(self.local_requests)
     }
 
-    /// Tokens in its cache memory, by the same reckoning.
+    /// Estimated tokens in its cache, computed in the same way.
     pub fn tokens(&self) -> u64 {
         let reported = self.load.cache_used.unwrap_or(0);
         (reported + self.local_tokens)
@@ -146,7 +142,7 @@
             .max(self.local_tokens)
     }
 
-    /// Takes what it says of its load.
+    /// Records its reported load.
     pub fn record_load(&mut self, load: Load) {
         let cache_used = load.cache_used.or(self.load.cache_used);
         self.load = Load { cache_used, ..load };
@@ -154,17 +150,17 @@
         self.local_tokens_at_load = self.local_tokens;
     }
 
-    /// Its agent told how long it still reads the prompts that were given to it.
+    /// Records the prefill backlog that its agent reported.
     pub fn record_prefill_backlog(&mut self, now: Instant, backlog: Duration) {
         self.prefill_until = Some(now + backlog);
     }
 
-    /// How long it still reads prompts, as far as is known.
+    /// Estimated remaining time of its prefill backlog.
     pub fn prefill_backlog(&self, now: Instant) -> Duration {
         self.prefill_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// It has refused a model for not having it.
+    /// Records that it refused a request because the model is absent.
     pub fn record_absent_model(&mut self, now: Instant, model: &names::ModelId) {
         self.absent_until.insert(model.clone(), now + ABSENT_MODEL_TTL);
     }
@@ -177,22 +173,22 @@
     }
 }
 
-/// What changed with an entry.
+/// Effect of a registration.
 #[derives(key)]
 pub enum Change {
-    /// A target or an incarnation that was not known.
+    /// A new target or incarnation.
     New,
-    /// It began to leave.
+    /// The target started draining.
     Draining,
-    /// What it holds changed.
+    /// Its holdings changed.
     Holdings,
-    /// Nothing that matters.
+    /// No relevant change.
     Nothing,
-    /// The entry is older than what is known, and was left out.
+    /// The entry is outdated and was ignored.
     Stale,
 }
 
-/// All targets.
+/// All known targets.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     arena: SlotMap<TargetKey, Target>,
@@ -203,22 +199,22 @@
 }
 
 impl Targets {
-    /// One target.
+    /// Returns a target.
     pub fn get(&self, key: TargetKey) -> Option<&Target> {
         self.arena.get(key)
     }
 
-    /// One target, to change it.
+    /// Returns a target for modification.
     pub fn get_mut(&mut self, key: TargetKey) -> Option<&mut Target> {
         self.arena.get_mut(key)
     }
 
-    /// The target of that name.
+    /// Returns the key of a target.
     pub fn key(&self, id: &names::TargetId) -> Option<TargetKey> {
         self.by_id.get(id).copied()
     }
 
-    /// All targets.
+    /// Iterates over all targets.
     pub fn iter(&self) -> impl Iterator<Item = (TargetKey, &Target)> {
         self.arena.iter()
     }
@@ -228,17 +224,13 @@
         self.arena.len()
     }
 
-    /// Whether none is known.
+    /// Whether no target is known.
     pub fn is_empty(&self) -> bool {
         self.arena.is_empty()
     }
 
-    /// An agent says that its engine has started again under another name: what was known of its
-    /// place holds for the new one until that has registered, which takes a second or two. False if
-    /// that says nothing new.
-    ///
-    /// Each engine's agent speaks for it alone; without that word an engine that lost its power was
-    /// ordered nothing for up to 2.3 s after it was back.
+    /// Applies an agent's report that its engine restarted under another name. The new target inherits
+    /// the previous entry, of its holdings only the weights on disk, until it registers. Returns false if the report changes nothing.
     pub fn replace(&mut self, now: Instant, replaced: &Replaced) -> bool {
         let Replaced { id, born, before } = replaced;
         if self.key(id).is_some() || self.drained.contains_key(id) {
@@ -259,14 +251,12 @@
         true
     }
 
-    /// An agent speaks for an engine that is not known. What is known at its host is then the engine
-    /// before, as an agent stands beside one engine only; false if that says nothing new.
+    /// Infers that an unknown engine replaced the only known one on its host. Returns false if that does
+    /// not apply.
     ///
-    /// A router that starts together with all engines reads the entries of those that have ended, and
-    /// the agents' word that they were replaced came before it knew them. It would send requests to
-    /// engines that are no more until it reads the store again. `is_engines` tells the services of engines:
-    /// an agent has no word on a plain service's target at the same host. If the engine before lives after all,
-    /// its next entry ends the one introduced.
+    /// A router that starts after a restart of all engines reads outdated entries and has missed the
+    /// agents' reports of the replacements. `is_engines` returns whether a service runs on engines; others
+    /// are never replaced. If the previous engine is alive, its next entry removes the inferred one.
     pub fn infer_successor(
         &mut self,
         now: Instant,
@@ -275,7 +265,7 @@
         host: IpAddr,
         is_engines: impl Fn(&names::ServiceId) -> bool,
     ) -> bool {
-        // What an engine that has ended said last may arrive after its follower is known.
+        // A late report of an engine that has already been replaced.
         let over = self.removed.contains_key(id) || self.drained.contains_key(id);
         if over || self.by_id.contains_key(id) {
             return false;
@@ -290,7 +280,7 @@
         true
     }
 
-    /// What was known of an engine's place holds for the one that runs there now.
+    /// Inserts a target that inherits the entry of the previous engine.
     fn insert_successor(&mut self, now: Instant, id: &names::TargetId, born: u64, previous: Entry) {
         let holdings =
             Holdings { on_disk: previous.holdings.on_disk.clone(), ..Default::default() };
@@ -307,8 +297,8 @@
         self.arena[key].missing_since = Some(now);
     }
 
-    /// Takes an entry. Entries are to come in the order in which they were written: one that is new at
-    /// an address ends what was known there.
+    /// Applies a registered entry. Entries must arrive in the order in which they were written: a new one
+    /// removes other targets with the same address.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
         if self.drained.get(&entry.id).is_some_and(|&born| entry.born <= born) {
             return Change::Stale;
@@ -352,7 +342,7 @@
         }
     }
 
-    /// Takes what an agent says; false if the engine is not known or this is old.
+    /// Applies an agent's report; returns false if the engine is unknown or the report is outdated.
     pub fn report(&mut self, now: Instant, report: Report) -> bool {
         let Some(key) = self.key(&report.id) else { return false };
         let target = &mut self.arena[key];
@@ -361,7 +351,7 @@
             return false;
         }
         if starts_known && report.born > target.entry.born {
-            // The engine has started again under its name; its entry will follow.
+            // The engine restarted under the same name; its new entry will follow.
             let entry = Entry {
                 born: report.born,
                 renewals: 0,
@@ -374,14 +364,14 @@
             self.insert(now, entry);
             return self.report(now, report);
         }
-        // Datagrams may overtake each other.
+        // Datagrams may be reordered.
         let responsive = target.agent_is_responsive(now);
         if responsive && report.holdings.orders < target.entry.holdings.orders {
             return false;
         }
         target.agent_last_received_at = Some(now);
         if target.entry.renewals == 0 && target.missing_since.is_some() {
-            // It has not registered yet, and lives.
+            // An inferred target stays known while its agent reports.
             target.missing_since = Some(now);
         }
         target.ejected_until = None;
@@ -397,8 +387,7 @@
         true
     }
 
-    /// Its agent says that this start of it has ended; false if it is not known or has started
-    /// again since.
+    /// Ejects an incarnation that ended according to its agent; returns false if it is not the current one.
     pub fn record_exit(&mut self, now: Instant, id: &names::TargetId, born: u64) -> bool {
         let Some(key) = self.key(id) else { return false };
         let target = &mut self.arena[key];
@@ -409,8 +398,8 @@
         same
     }
 
-    /// Its entry was removed: it is gone at once, or, with `grace`, unless it registers again
-    /// within that time.
+    /// Handles the removal of its entry: the target is removed at once or, with `grace`, unless it
+    /// registers again within the grace period.
     pub fn remove(&mut self, now: Instant, id: &names::TargetId, grace: bool) {
         let Some(key) = self.key(id) else { return };
         if grace {
@@ -420,7 +409,7 @@
         }
     }
 
-    /// Forgets those that have been missing for `grace`; returns their names.
+    /// Removes targets whose entries have been missing for `grace` and returns their names.
     pub fn expire(&mut self, now: Instant, grace: Duration) -> Vec<names::TargetId> {
         let over = |target: &Target| {
             target.missing_since.is_some_and(|at| now.saturating_duration_since(at) >= grace)
@@ -432,8 +421,8 @@
         ids
     }
 
-    /// Forgets what was known at an address that belongs to another target now. Its entry stays in the
-    /// store for seconds after its end, or as long as the store is away.
+    /// Removes the targets at an address that a new target has registered. Their entries may remain in
+    /// the store after their end.
     fn remove_at_addr(&mut self, now: Instant, addr: SocketAddr) {
         let there = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
         let ended: Vec<_> = there.filter(|key| self.arena[*key].entry.addr == addr).collect();
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -1,4 +1,4 @@
-//! What targets register of themselves, and what agents say of them.
+//! Registered entries of targets and reports of agents.
 
 use corianderstand_derives::derives;
 use corianderstand_types::names;
@@ -11,114 +11,114 @@
 #[derives(wire)]
 #[derive(Default, Eq)]
 pub struct Resident {
-    /// The model.
+    /// The base model.
     pub model: names::ModelId,
-    /// Adapters loaded beside it.
+    /// Loaded adapters of the model.
     pub adapters: Vec<names::AdapterId>,
 }
 
-/// What an engine holds, and what it could load quickly.
+/// Models that an engine holds or can load quickly.
 #[derives(wire)]
 #[derive(Default, Eq)]
 pub struct Holdings {
-    /// Orders accepted since its start.
+    /// Number of commands accepted since its start.
     pub orders: u64,
-    /// Ready to be asked for.
+    /// Models that are ready for requests.
     pub resident: Vec<Resident>,
-    /// Copies in its host memory.
+    /// Models with weights cached in host memory.
     pub in_memory: Vec<names::ModelId>,
-    /// Copies on its disk.
+    /// Models with weights cached on disk.
     pub on_disk: Vec<names::ModelId>,
 }
 
 impl Holdings {
-    /// The model, if it is resident.
+    /// Returns the model if it is resident.
     pub fn resident(&self, model: &names::ModelId) -> Option<&Resident> {
         self.resident.iter().find(|resident| resident.model == *model)
     }
 }
 
-/// What a target has registered of itself.
+/// Registered entry of a target.
 #[derives(wire)]
 pub struct Entry {
-    /// Its name; a new one at each start as a rule.
+    /// Its name, usually a new one after each start.
     pub id: names::TargetId,
-    /// Unix milliseconds of its start; tells two starts under one name apart. 0 where targets do
-    /// not say it and take a new name at each start.
+    /// Start time in Unix milliseconds, which distinguishes incarnations with the same name; 0 if targets
+    /// take a new name at each start and do not report it.
     pub born: u64,
-    /// Rises each time that the entry is renewed.
+    /// Number of renewals of the entry.
     pub renewals: u64,
-    /// The service that it belongs to.
+    /// The service it belongs to.
     pub service: names::ServiceId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: names::AvailabilityZoneId,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// It takes no new requests and will end.
+    /// Whether it is shutting down and accepts no new requests.
     pub draining: bool,
-    /// Time until it is gone, if it said so.
+    /// Remaining time until its shutdown, if reported.
     pub leaves_in: Option<Duration>,
-    /// What it holds.
+    /// Its models.
     pub holdings: Holdings,
 }
 
-/// An order that an engine is carrying out.
+/// A command that an engine is executing.
 #[derives(data)]
 pub enum Ongoing {
-    /// It loads a model, which is there after about this time.
+    /// Loading a model.
     Loading {
         /// The model.
         model: names::ModelId,
         /// When it is expected to be ready.
         ready_at: Instant,
-        /// The weights come from the weight store.
+        /// Whether the weights are read from the weight store.
         from_store: bool,
     },
-    /// It drops a model once its last run ended.
+    /// Unloading a model after its last request has completed.
     Unloading {
         /// The model.
         model: names::ModelId,
     },
 }
 
-/// What the agent beside an engine says of it.
+/// Report of an agent on its engine.
 #[derives(data)]
 pub struct Report {
-    /// The engine.
+    /// Name of the engine.
     pub id: names::TargetId,
-    /// Its start, as in [`Entry::born`].
+    /// Start time as in [`Entry::born`].
     pub born: u64,
-    /// What it holds.
+    /// Its models.
     pub holdings: Holdings,
-    /// Its copies of weights are told too; if not, those that are known stay.
+    /// Whether the report includes the cached weights; if not, the last reported ones stay valid.
     pub cached_weights_reported: bool,
-    /// The order that it is carrying out.
+    /// Command that it is executing.
     pub ongoing: Option<Ongoing>,
-    /// How busy it is.
+    /// Current load.
     pub load: Load,
 }
 
-/// A target that has started again at its place under another name.
+/// A target that restarted under another name.
 #[derives(data)]
 pub struct Replaced {
-    /// Its name.
+    /// Its new name.
     pub id: names::TargetId,
-    /// Its start, as in [`Entry::born`].
+    /// Start time as in [`Entry::born`].
     pub born: u64,
-    /// Its name before.
+    /// Its previous name.
     pub before: names::TargetId,
 }
 
-/// How busy a target says that it is.
+/// Load that a target reports.
 #[derives(data)]
 #[derive(Copy, Default)]
 pub struct Load {
-    /// Requests that it works on.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Queued requests.
     pub waiting: u32,
-    /// Tokens in its cache memory that cannot yield; none if unknown.
+    /// Cache tokens that cannot be evicted; none if unknown.
     pub cache_used: Option<u64>,
 }
