--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -1,35 +1,32 @@
-//! How many second attempts all routers together may make.
+//! Limits the retries and hedges of all routers together.
 //!
-//! The allowance is the deployment's: a share of the requests of the last seconds and a fixed
-//! part on top. Each router keeps to its own requests' share and to an even part of the fixed
-//! part, so that nothing has to be asked before a second attempt.
+//! The allowance is a ratio of recent requests plus a fixed part. Each router uses the ratio of its own
+//! requests and an equal share of the fixed part, which needs no coordination.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Steps that the window is divided into; a step that falls out takes a tenth of the counts with
-/// it, so the sum lags the true window by at most a tenth.
+/// Buckets of the sliding window.
 const BUCKETS: u32 = 10;
-/// Part of the allowance that is used. Requests that other processes lost and attempts whose
-/// arrival this process cannot see (a connection reset after the request was written) count as
-/// well, so a tenth is left to them.
+/// Usable part of the allowance. The rest covers attempts that this process cannot count, such as
+/// requests lost by other processes or reset after they were written.
 const USABLE_RATIO: f64 = 0.9;
 
-/// What the deployment allows.
+/// Retry allowance of the deployment.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Allowance {
-    /// Second attempts for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Second attempts in each window besides.
+    /// Retries per window in addition to the ratio.
     pub fixed: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
 impl Default for Allowance {
-    /// A tenth of the requests, the usual choice where an operator says nothing.
+    /// Applies if the operator sets no allowance.
     fn default() -> Self {
         Self { ratio: 0.1, fixed: 10.0, window: Duration::from_secs(10) }
     }
@@ -42,20 +39,20 @@
     retries: u32,
 }
 
-/// Requests and second attempts of one service in the last window.
+/// Requests and retries of one service within the window.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     buckets: VecDeque<Bucket>,
 }
 
 impl Budget {
-    /// A request has come.
+    /// Counts a request.
     pub fn earn(&mut self, now: Instant, allowance: &Allowance) {
         self.bucket(now, allowance).requests += 1;
     }
 
-    /// Takes one second attempt; false if none is left. `routers` is how many share the fixed
-    /// part.
+    /// Spends one retry; false if the budget is exhausted. `routers` is the number of routers that share
+    /// the fixed part.
     pub fn spend(&mut self, now: Instant, allowance: &Allowance, routers: usize) -> bool {
         self.bucket(now, allowance);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -1,10 +1,7 @@
-//! Which target gets one attempt of a request.
+//! Selects the target for one attempt of a request.
 //!
-//! The load it is made for: a few engines with large batches, of which some hold the model that is
-//! wanted; a few plain services with few places each. The harm it prevents: requests to engines
-//! that do not have the model, batches that slow every stream in them while others are half empty,
-//! and requests that go on meeting a target that fails. Costs are in shares of a full batch, so
-//! that each weight below can be read as "worth this much of a batch".
+//! Candidates are filtered by health, resident model and capacity, and the cheapest one is chosen.
+//! Costs are fractions of a full batch: a cost of 0.1 equals the load of a tenth of a batch.
 
 use crate::{health, targets};
 use corianderstand_derives::derives;
@@ -12,77 +9,74 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3;
 
-/// Another availability zone costs 1.4 ms each way and is charged by the byte; a twentieth of a
-/// batch slows a step by less than that, so load goes first when it differs by more.
+/// Cost of a target in another availability zone. Low enough that a larger difference in load
+/// outweighs it.
 const CROSS_ZONE_COST: f64 = 0.05;
-/// What a prompt's parts that a target has read are worth, for each thousand tokens: reading them
-/// again takes about 26 ms, the work of some three steps of a full batch.
+/// Cost saved per thousand prompt tokens that the target has in its prefix cache.
 const CACHED_PREFIX_CREDIT_PER_1000_TOKENS: f64 = 0.12;
-/// Weight of a target's trouble beyond that of its peers. One with half of its requests failing
-/// costs more than a full batch.
+/// Weight of a target's failure score above the lowest among the candidates. A target that fails half
+/// of its requests costs more than a full batch.
 const FAILURE_SCORE_WEIGHT: f64 = 3.0;
-/// Weight of a target's streams coming slower than those of the quickest that is considered: some
-/// engines are 1.3 times slower, and one at whose streams others' prompts are read in between shows
-/// it here first.
+/// Weight of a target's mean event interval relative to the shortest among the candidates.
 const SLOWDOWN_WEIGHT: f64 = 0.4;
-/// A target counts as at most this many times slower.
+/// Upper bound of the relative slowdown, so that one slow target does not dominate the cost.
 const MAX_SLOWDOWN_RATIO: f64 = 4.0;
-/// Share of a batch that differs between two targets without meaning: less is decided by hash, so
-/// that routers with the same view do not all take the same target.
+/// Largest random cost, derived from the request's hash. It spreads requests over targets of nearly
+/// equal cost, so that routers with the same state do not all choose the same one.
 const JITTER_WEIGHT: f64 = 0.03;
 
-/// A target that reads prompts for this long yet costs as much as a full batch: its streams pause, and
-/// a prompt sent there waits as long.
+/// Prefill backlog that costs as much as a full batch: it delays the target's streams and the new
+/// prompt alike.
 const FULL_PREFILL_BACKLOG: Duration = Duration::from_millis(250);
 
-/// A model that a request wants.
+/// A model, with an optional adapter, that a request asks for.
 #[derives(name)]
 pub struct RequestedModel {
-    /// The model.
+    /// Base model.
     pub model: names::ModelId,
-    /// An adapter of it.
+    /// Adapter to apply to the model.
     pub adapter: Option<names::AdapterId>,
 }
 
-/// One attempt that needs a target.
+/// Input for the choice of a target for one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// The service that the route leads to.
+    /// Service that the route leads to.
     pub service: &'a names::ServiceId,
-    /// The model it wants, if any.
+    /// Requested model, if any.
     pub requested: Option<&'a RequestedModel>,
-    /// Tokens that it is expected to need in all.
+    /// Expected tokens of the prompt and the answer.
     pub tokens: u64,
-    /// Cache memory of one engine, in tokens.
+    /// Cache capacity of one engine in tokens; 0 if it is not limited.
     pub cache_tokens: u64,
-    /// Adapters that one engine holds at once.
+    /// Adapters that one engine can hold.
     pub adapter_slots: usize,
-    /// Where this process stands.
+    /// Availability zone of this process.
     pub zone: &'a names::AvailabilityZoneId,
-    /// Targets that the request has been to.
+    /// Targets that earlier attempts of the request were sent to.
     pub tried: &'a [targets::TargetKey],
-    /// A hash of the request.
+    /// Hash of the request.
     pub hash: u64,
-    /// The target that last read parts of the prompt, and how many tokens.
+    /// Target with the longest cached prefix of the prompt, and the prefix's length in tokens.
     pub cached_prefix: Option<(targets::TargetKey, u64)>,
 }
 
-/// What to do with the attempt.
+/// Result of the choice.
 #[derives(key)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the attempt to this target.
     Send(targets::TargetKey),
-    /// Have the adapter loaded there, then send it.
+    /// Load the adapter on this target, then send the attempt.
     LoadAdapter(targets::TargetKey),
-    /// Targets hold the model, and none has room.
+    /// All targets that hold the model are at capacity.
     Full,
     /// No target of the service holds the model.
     Cold,
-    /// The service has no target that may be used.
+    /// The service has no available target.
     NoTarget,
 }
 
-/// Chooses a target.
+/// Chooses a target for an attempt.
 pub fn choose(now: Instant, targets: &targets::Targets, query: &Query) -> Choice {
     let usable: Vec<_> = targets
         .iter()
@@ -120,8 +114,8 @@
     }
 }
 
-/// Prefers engines that have the adapter; then those that can take an order for it and have a place left,
-/// and among them by hash, so that all routers have it loaded at the same engine.
+/// Prefers engines that hold the adapter, then engines without an ongoing command and with a free
+/// adapter slot. Rendezvous hashing breaks ties, so that all routers load it on the same engine.
 fn choose_for_adapter(
     now: Instant,
     holders: &[(targets::TargetKey, &targets::Target)],
@@ -148,7 +142,6 @@
     let healthy = holders
         .iter()
         .filter(|(_, target)| target.health.failure_score(now) < health::EJECTION_THRESHOLD);
-    // An engine that is carrying out an order takes none for an adapter meanwhile.
     let preferred = healthy.max_by_key(|(_, target)| {
         (target.ongoing.is_none(), has_free_slot(target), rendezvous_hash(target))
     });
@@ -156,7 +149,7 @@
     preferred.map_or(Choice::Full, |(key, _)| Choice::LoadAdapter(*key))
 }
 
-/// Whether it can take the request without making it wait for another to end.
+/// Whether the target can start the request without queueing it.
 fn has_capacity(target: &targets::Target, query: &Query) -> bool {
     let memory = query.cache_tokens == 0 || target.tokens() + query.tokens <= query.cache_tokens;
     target.occupied() < target.entry.slots.max(1) && memory
--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -1,74 +1,63 @@
-//! Whose prompt an engine reads next.
+//! Schedules the prompts that are sent to an engine.
 //!
-//! The load it is made for: a model that many ask for at once, at an engine that is already
-//! streaming to others. The harm it prevents: an engine reads prompts in pieces between the tokens
-//! of its streams, so while prompts queue up each token takes a piece longer, and every stream at
-//! the engine pauses; and prompts that arrive together all come too late instead of some in time.
-//! So a prompt is sent to an engine only in its turn. The agent beside the engine gives the turns:
-//! it alone hears of the prompts of all routers.
-//!
-//! A turn is given while the reading under way stays within a part of the pause that streams may
-//! make. Prompts that can still be in time go first, the one whose aim comes first before the
-//! others. One turn in four is for those that are late already.
+//! An engine interleaves prefill with the decoding of its streams, so queued prompts delay every
+//! stream. The agent of an engine therefore grants prefill permits to the routers: within any window as
+//! long as the maximum pause of a stream, granted prompts may take a limited part of the time. Prompts
+//! that can still meet their latency objective are granted first, earliest objective first. Every
+//! fourth permit goes to a prompt that is already late.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Part of any stretch as long as a stream's longest useful pause that an engine may spend on prompts;
-/// the rest is for the tokens of one event. On a heavy day of a small deployment 417 of 1,752 streams
-/// paused for longer than the 250 ms of their routes when prompts were sent at once, and 116 of 1,769
-/// since; the mean of its five days with trouble rose from 0.445 of what could be earned to 0.48.
+/// Part of the window that an engine may spend on prefill; the rest is for the tokens of one event.
 const PREFILL_TIME_RATIO: f64 = 0.85;
-/// Of this many turns one is for a prompt that is late already, if one waits. Without, a prompt too
-/// long to be in time would not be read at all while many ask.
+/// One permit in this many goes to a late prompt, if any waits, so that late prompts do not starve.
 const LATE_PERMIT_INTERVAL: u32 = 4;
-/// From the end of a prompt's reading its first event takes as many steps as any other, which others'
-/// prompts lengthen: this part of the longest useful pause while the engine reads all the time.
+/// Expected delay between the end of a prompt's prefill and its first event, relative to the window.
 const FIRST_EVENT_DELAY_RATIO: f64 = 0.5;
-/// Longest useful pause where no route names one.
+/// Window if no route specifies a maximum pause.
 const DEFAULT_MAX_PAUSE: Duration = Duration::from_millis(250);
-/// The shortest pause that a route named counts for this long.
+/// Time for which the shortest requested maximum pause stays in effect.
 const MAX_PAUSE_TTL: Duration = Duration::from_secs(5);
-/// A turn that was given is remembered for this long, for a router that missed the answer and asks
-/// again.
+/// Time for which a granted permit is remembered, for routers that lost the response and ask again.
 const GRANT_TTL: Duration = Duration::from_secs(2);
 
-/// A prompt that is to be read.
+/// Request for a prefill permit.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitRequest<T> {
-    /// Told apart by this.
+    /// Identifies the prompt; a repeated request has the same id.
     pub id: u64,
-    /// Who asks.
+    /// Who is notified of the permit.
     pub requester: T,
-    /// Time that the engine needs to read it alone.
+    /// Time that the engine needs for the prompt's prefill alone.
     pub prefill_time: Duration,
-    /// Its first event is due then.
+    /// When its first event is due.
     pub latency_objective_at: Instant,
-    /// Nobody waits for it any more after this.
+    /// When its caller gives up.
     pub expires_at: Instant,
-    /// The longest useful pause of its stream; none if its route names none.
+    /// Maximum pause between events of its stream, if the route specifies one.
     pub max_pause: Option<Duration>,
 }
 
-/// What an asker is told.
+/// Response to a permit request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PermitResponse {
-    /// It may be sent.
+    /// The prompt may be sent.
     Granted,
-    /// It has to wait, probably this long.
+    /// The prompt has to wait; the expected time.
     Wait(Duration),
 }
 
-/// Turns of one engine.
+/// Prefill permits of one engine.
 #[derive(Debug)]
 pub struct PermitQueue<T> {
     waiting: Vec<PermitRequest<T>>,
     granted: VecDeque<Grant>,
-    /// The engine has read all that was given then.
+    /// When the engine will have finished all granted prompts.
     idle_at: Option<Instant>,
-    /// Turns since one was for a prompt that is late.
+    /// Permits granted since the last one for a late prompt.
     permits_since_late: u32,
     max_pause: Option<(Instant, Duration)>,
 }
@@ -93,7 +82,7 @@
 }
 
 impl<T: Copy> PermitQueue<T> {
-    /// A router asks for a turn, or once more for one that it asked for.
+    /// Adds or renews a permit request and grants it if it is due.
     pub fn request(&mut self, now: Instant, request: PermitRequest<T>) -> PermitResponse {
         self.granted.retain(|granted| now.saturating_duration_since(granted.at) < GRANT_TTL);
         if self.granted.iter().any(|granted| granted.id == request.id) {
@@ -112,12 +101,12 @@
         PermitResponse::Wait(self.expected_wait(now, &request))
     }
 
-    /// A router asks no more.
+    /// Removes a permit request.
     pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|request| request.id != id);
     }
 
-    /// Gives the turns that are due; the askers with the ids of what they asked for.
+    /// Grants all permits that are due; returns the requesters and the ids of their prompts.
     pub fn grant_due(&mut self, now: Instant) -> Vec<(T, u64)> {
         self.waiting.retain(|request| now < request.expires_at);
         let mut granted = Vec::new();
@@ -130,12 +119,12 @@
         granted
     }
 
-    /// Reading that was given and not done.
+    /// Remaining prefill time of all granted prompts.
     pub fn backlog(&self, now: Instant) -> Duration {
         self.idle_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 
-    /// When the next turn is due; none if nobody waits.
+    /// Time until the next permit is due; none if no request waits.
     pub fn next_grant_in(&self, now: Instant) -> Option<Duration> {
         self.next_request(now).map(|next| self.capacity_in(now, next.prefill_time))
     }
@@ -148,7 +137,7 @@
         self.max_pause = known.or(Some((now, max_pause)));
     }
 
-    /// The stretch of time that the limit holds for.
+    /// Period over which the prefill time is limited: the maximum pause of the streams.
     fn window(&self) -> Duration {
         self.max_pause.map_or(DEFAULT_MAX_PAUSE, |(_, max_pause)| max_pause)
     }
@@ -157,8 +146,8 @@
         self.capacity_in(now, prefill_time).is_zero()
     }
 
-    /// Time until a prompt may be read: until enough of what was given is a stretch ago. One that is
-    /// longer than the limit is read when nothing else is.
+    /// Time until the prompt fits into the limit of the window. One that exceeds the limit by itself fits
+    /// once no other permit lies within the window.
     fn capacity_in(&self, now: Instant, prefill_time: Duration) -> Duration {
         let (window, limit) = (self.window(), self.window().mul_f64(PREFILL_TIME_RATIO));
         let mut used = prefill_time;
@@ -184,7 +173,7 @@
         });
     }
 
-    /// Whether its first event comes after its aim, if it is read next.
+    /// Whether the first event would miss its latency objective if the prompt were granted now.
     fn is_late(&self, now: Instant, request: &PermitRequest<T>) -> bool {
         now + self.backlog(now)
             + request.prefill_time
@@ -192,7 +181,7 @@
             > request.latency_objective_at
     }
 
-    /// Whose turn is next.
+    /// The next request in priority order.
     fn next_request(&self, now: Instant) -> Option<PermitRequest<T>> {
         let prefer_late = self.permits_since_late >= LATE_PERMIT_INTERVAL - 1;
         let priority = |request: &&PermitRequest<T>| {
@@ -201,7 +190,7 @@
         self.waiting.iter().min_by_key(priority).copied()
     }
 
-    /// Time until the turn of one that waits, if nobody more urgent comes.
+    /// Expected time until a waiting request is granted, if no more urgent one arrives.
     fn expected_wait(&self, now: Instant, request: &PermitRequest<T>) -> Duration {
         let priority =
             |request: &PermitRequest<T>| (self.is_late(now, request), request.latency_objective_at);
--- a/crates/corianderstand_fleet/src/prefixes.rs
+++ b/crates/corianderstand_fleet/src/prefixes.rs
@@ -1,25 +1,24 @@
-//! Which target has read which parts of prompts.
+//! Tracks which target has which prompt prefixes in its cache.
 //!
-//! Requests of one session and of one kind share the first parts of their prompts, and an engine
-//! that has read them need not read them again. Only what this process sent is remembered: it is
-//! exact enough to tell two engines apart, and costs no message. Old parts go by halves.
+//! Requests of one session share prompt prefixes, and an engine need not prefill a cached prefix again.
+//! Only prompts sent by this process are tracked, which needs no messages between routers. Old entries
+//! are evicted in two generations.
 
 use crate::targets;
 use std::collections::HashMap;
 use xxhash_rust::xxh3;
 
-/// Parts that one half remembers. A deployment of today has some 400 shared parts; at 24 bytes
-/// each this is 200 KB when full.
+/// Entries in one generation.
 const GENERATION_CAPACITY: usize = 4_096;
 
-/// A prompt's parts, each identified by itself and all before it.
+/// Cumulative hashes and token counts of a prompt's parts.
 #[derive(Clone, Debug, Default)]
 pub struct Chain {
     parts: Vec<(u64, u64)>,
 }
 
 impl Chain {
-    /// A chain for the prompts of one model.
+    /// Builds the chain of a prompt for `model` from part ids and their lengths in tokens.
     pub fn new(model: &str, parts: impl IntoIterator<Item = (u64, u32)>) -> Self {
         let mut hash = xxh3::xxh3_64(model.as_bytes());
         let mut tokens = 0;
@@ -32,7 +31,7 @@
     }
 }
 
-/// Parts and the targets that read them last.
+/// Prompt prefixes and the targets that last processed them.
 #[derive(Debug, Default)]
 pub struct Prefixes {
     recent: HashMap<u64, targets::TargetKey>,
@@ -40,13 +39,13 @@
 }
 
 impl Prefixes {
-    /// The target that read the longest start of the prompt, and its tokens.
+    /// The target with the longest cached prefix of the prompt, and the prefix's length in tokens.
     pub fn find(&self, chain: &Chain) -> Option<(targets::TargetKey, u64)> {
         let find = |hash| self.recent.get(hash).or_else(|| self.previous.get(hash)).copied();
         chain.parts.iter().rev().find_map(|(hash, tokens)| Some((find(hash)?, *tokens)))
     }
 
-    /// A target reads the prompt.
+    /// Records that a prompt was sent to a target.
     pub fn record(&mut self, chain: &Chain, target: targets::TargetKey) {
         for (hash, _) in &chain.parts {
             self.recent.insert(*hash, target);
--- a/crates/corianderstand_fleet/src/routes.rs
+++ b/crates/corianderstand_fleet/src/routes.rs
@@ -1,11 +1,11 @@
-//! Finding the route of a request: by host, then by the longest prefix of its path.
+//! Route lookup by host and longest path prefix.
 
 use crate::config;
 use corianderstand_derives::derives;
 use smol_str::SmolStr;
 use std::{collections::HashMap, sync::Arc};
 
-/// A configuration with its routes sorted for look-ups.
+/// A configuration with its routes indexed by host.
 #[derives(data)]
 pub struct Table {
     config: Arc<config::Config>,
@@ -13,7 +13,7 @@
 }
 
 impl Table {
-    /// Sorts the routes of a configuration.
+    /// Indexes the routes of a configuration.
     pub fn new(config: Arc<config::Config>) -> Self {
         let mut by_host: HashMap<SmolStr, Vec<usize>> = HashMap::new();
         for (index, route) in config.routes.iter().enumerate() {
@@ -25,12 +25,12 @@
         Self { config, by_host }
     }
 
-    /// The configuration.
+    /// The underlying configuration.
     pub const fn config(&self) -> &Arc<config::Config> {
         &self.config
     }
 
-    /// The route for a host, with or without a port, and a path without its query.
+    /// Finds the route for a host, with or without a port, and a path without its query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<config::Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let indexes = match self.by_host.get(name) {
--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -1,57 +1,53 @@
-//! How long a request waits for a model or for room, and when it is refused.
+//! Limits how long a request waits for a model or for capacity.
 //!
-//! The load it is made for: first requests for models that are on no engine, in bursts and from
-//! many routers, while the weight store gives a load every second or so. The harm it prevents: a
-//! caller who waits until its deadline for an answer that could not come. A request is held only
-//! while its model can be there in time, and is told at once when it cannot, with the time at
-//! which it can.
+//! A request is held only while its model can be ready before the caller's deadline. Otherwise it is
+//! refused at once with a retry time, so that callers do not wait for an answer that cannot come.
 
 use corianderstand_derives::derives;
 use std::time::{Duration, Instant};
 
-/// Time for an engine to read a prompt and for the first event to arrive, beyond the load.
+/// Time between the end of the load and the first event of the answer.
 const FIRST_EVENT_TIME: Duration = Duration::from_millis(150);
-/// Unless a model is known to be on its way, this much is allowed for the decision to load it and
-/// for dropping another: a run that has to end first takes about 1.4 s.
+/// Allowance for the planner to order a load, and for another model to be unloaded first.
 const LOAD_DECISION_TIME: Duration = Duration::from_millis(500);
-/// Part of the time to come back that callers are spread over, so that they do not return at once.
+/// Random addition to a retry time, which keeps refused callers from returning at once.
 const RETRY_SPREAD_RATIO: f64 = 0.3;
-/// Least time to come back: below it the caller's new connection costs more than the pause.
+/// Lower bound of a retry time; below it a new connection costs more than the pause.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Time to come back while a service has no target at all: one that crashed takes 2 to 4 s.
+/// Retry time while a service has no target; covers the restart of a crashed target.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What is known of the model that a request waits for.
+/// When the model that a request waits for is expected to be ready.
 #[derives(key)]
 pub enum Readiness {
-    /// An engine is loading it and is done then.
+    /// An engine is loading it and will finish at this time.
     ReadyAt(Instant),
-    /// No engine is loading it; loading it takes this long.
+    /// No engine is loading it; a load takes this long.
     LoadTime(Duration),
-    /// Targets hold it, and are full.
+    /// Targets hold it and are at capacity.
     AtCapacity,
-    /// No target of the service can be used.
+    /// Cannot be estimated: the service has no available target, or the model is not configured.
     Unknown,
 }
 
-/// What becomes of the request.
+/// What to do with a request that cannot be sent now.
 #[derives(key)]
 pub enum Decision {
-    /// Held until then at the latest; asked again when something changes.
+    /// Hold it until then at the latest and decide again on each change.
     Hold {
-        /// When to give up.
+        /// End of the wait.
         until: Instant,
     },
-    /// Refused at once.
+    /// Refuse it.
     Refuse {
-        /// When to come back.
+        /// Retry time for the caller.
         after: Duration,
     },
 }
 
-/// Decides on a request that cannot be sent now. `latest` is when its caller or its route gives
-/// up; `spread` is between 0 and 1, from the request's hash.
+/// Decides whether a request that cannot be sent now is held or refused. `deadline` is when its caller
+/// or its route gives up; `spread` is between 0 and 1, derived from the request's hash.
 pub fn decide(now: Instant, deadline: Instant, readiness: Readiness, spread: f64) -> Decision {
     let ready_at = match readiness {
         Readiness::ReadyAt(at) => at.max(now),
@@ -68,7 +64,7 @@
     Decision::Refuse { after: retry_after(ready_at.saturating_duration_since(now), spread) }
 }
 
-/// A time to come back, spread so that those refused together do not return together.
+/// Retry time for a model that is ready in `ready_in`, randomized by `spread`.
 pub fn retry_after(ready_in: Duration, spread: f64) -> Duration {
     ready_in.max(MIN_RETRY_AFTER).mul_f64(1.0 + RETRY_SPREAD_RATIO * spread)
 }
