--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -1,4 +1,4 @@
-//! Limits the retries and hedges of all routers together.
+//! Limits the retries of all routers together.
 //!
 //! The allowance is a ratio of recent requests plus a fixed part. Each router uses the ratio of its own
 //! requests and an equal share of the fixed part, which needs no coordination.
