--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -152,7 +152,7 @@
 /// Whether the target can start the request without queueing it.
 fn has_capacity(target: &targets::Target, query: &Query) -> bool {
     let memory = query.cache_tokens == 0 || target.tokens() + query.tokens <= query.cache_tokens;
-    target.occupied() < target.entry.slots.max(1) && memory
+    target.estimated_requests() < target.entry.slots.max(1) && memory
 }
 
 fn cheapest(
@@ -167,7 +167,7 @@
         intervals.min().map_or(f64::INFINITY, |interval| interval.as_secs_f64());
     let cost = |key: targets::TargetKey, target: &targets::Target| {
         let slots = f64::from(target.entry.slots.max(1));
-        let batch = f64::from(target.occupied()) / slots;
+        let batch = f64::from(target.estimated_requests()) / slots;
         let memory = match query.cache_tokens {
             0 => 0.0,
             all => (target.tokens() + query.tokens) as f64 / all as f64,
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -127,7 +127,7 @@
 
     /// Estimated requests of all routers: the last reported load, adjusted by what this process has sent
     /// and completed since.
-    pub fn occupied(&self) -> u32 {
+    pub fn estimated_requests(&self) -> u32 {
         let reported = self.load.running + self.load.waiting;
         (reported + self.local_requests)
             .saturating_sub(self.local_requests_at_load)
