--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -151,7 +151,7 @@
 
 /// Whether the target can start the request without queueing it.
 fn has_capacity(target: &targets::Target, query: &Query) -> bool {
-    let memory = query.cache_tokens == 0 || target.tokens() + query.tokens <= query.cache_tokens;
+    let memory = query.cache_tokens == 0 || target.estimated_tokens() + query.tokens <= query.cache_tokens;
     target.estimated_requests() < target.entry.slots.max(1) && memory
 }
 
@@ -170,7 +170,7 @@
         let batch = f64::from(target.estimated_requests()) / slots;
         let memory = match query.cache_tokens {
             0 => 0.0,
-            all => (target.tokens() + query.tokens) as f64 / all as f64,
+            all => (target.estimated_tokens() + query.tokens) as f64 / all as f64,
         };
         let zone = if target.entry.zone == *query.zone { 0.0 } else { CROSS_ZONE_COST };
         let failure_score =
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -135,7 +135,7 @@
     }
 
     /// Estimated tokens in its cache, computed in the same way.
-    pub fn tokens(&self) -> u64 {
+    pub fn estimated_tokens(&self) -> u64 {
         let reported = self.load.cache_used.unwrap_or(0);
         (reported + self.local_tokens)
             .saturating_sub(self.local_tokens_at_load)
