--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -59,7 +59,7 @@
     /// Mean time between events of its streams.
     pub event_interval: health::EventInterval,
     /// When it will have shut down, if known.
-    pub leaves_at: Option<Instant>,
+    pub shutdown_at: Option<Instant>,
     load: Load,
     local_requests_at_load: u32,
     local_tokens_at_load: u64,
@@ -81,7 +81,7 @@
             local_requests: 0,
             local_tokens: 0,
             event_interval: health::EventInterval::default(),
-            leaves_at: None,
+            shutdown_at: None,
             load: Load::default(),
             local_requests_at_load: 0,
             local_tokens_at_load: 0,
@@ -325,7 +325,7 @@
         target.entry.draining |= entry.draining;
         target.entry.slots = entry.slots;
         if let Some(leaves_in) = entry.leaves_in {
-            target.leaves_at.get_or_insert(now + leaves_in);
+            target.shutdown_at.get_or_insert(now + leaves_in);
         }
         target.entry.renewals = entry.renewals;
         let changed = changed && !target.agent_is_responsive(now);
@@ -431,8 +431,8 @@
 
     fn insert(&mut self, now: Instant, entry: Entry) -> TargetKey {
         let (id, host) = (entry.id.clone(), entry.addr.ip());
-        let leaves_at = entry.leaves_in.map(|left| now + left);
-        let key = self.arena.insert(Target { leaves_at, ..Target::new(entry) });
+        let shutdown_at = entry.leaves_in.map(|left| now + left);
+        let key = self.arena.insert(Target { shutdown_at, ..Target::new(entry) });
         self.by_id.insert(id, key);
         self.by_host.entry(host).or_default().push(key);
         key
