--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -289,7 +289,7 @@
             born,
             renewals: 0,
             draining: false,
-            leaves_in: None,
+            shutdown_in: None,
             holdings,
             ..previous
         };
@@ -324,8 +324,8 @@
         let drains = entry.draining && !target.entry.draining;
         target.entry.draining |= entry.draining;
         target.entry.slots = entry.slots;
-        if let Some(leaves_in) = entry.leaves_in {
-            target.shutdown_at.get_or_insert(now + leaves_in);
+        if let Some(shutdown_in) = entry.shutdown_in {
+            target.shutdown_at.get_or_insert(now + shutdown_in);
         }
         target.entry.renewals = entry.renewals;
         let changed = changed && !target.agent_is_responsive(now);
@@ -357,7 +357,7 @@
                 renewals: 0,
                 holdings: Holdings::default(),
                 draining: false,
-                leaves_in: None,
+                shutdown_in: None,
                 ..target.entry.clone()
             };
             self.remove_target(now, key);
@@ -431,7 +431,7 @@
 
     fn insert(&mut self, now: Instant, entry: Entry) -> TargetKey {
         let (id, host) = (entry.id.clone(), entry.addr.ip());
-        let shutdown_at = entry.leaves_in.map(|left| now + left);
+        let shutdown_at = entry.shutdown_in.map(|left| now + left);
         let key = self.arena.insert(Target { shutdown_at, ..Target::new(entry) });
         self.by_id.insert(id, key);
         self.by_host.entry(host).or_default().push(key);
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -59,7 +59,8 @@
     /// Whether it is shutting down and accepts no new requests.
     pub draining: bool,
     /// Remaining time until its shutdown, if reported.
-    pub leaves_in: Option<Duration>,
+    #[serde(rename = "leaves_in")]
+    pub shutdown_in: Option<Duration>,
     /// Its models.
     pub holdings: Holdings,
 }
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -65,7 +65,7 @@
         zone: "here".into(),
         slots: 4,
         draining: false,
-        leaves_in: None,
+        shutdown_in: None,
         holdings: holdings(&["m"]),
     }
 }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -487,7 +487,7 @@
             zone: "here".into(),
             slots: 8,
             draining: false,
-            leaves_in: None,
+            shutdown_in: None,
             holdings: targets::Holdings::default(),
         }
     }
