--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -366,7 +366,7 @@
         }
         // Datagrams may be reordered.
         let responsive = target.agent_is_responsive(now);
-        if responsive && report.holdings.orders < target.entry.holdings.orders {
+        if responsive && report.holdings.commands_accepted < target.entry.holdings.commands_accepted {
             return false;
         }
         target.agent_last_received_at = Some(now);
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -22,7 +22,8 @@
 #[derive(Default, Eq)]
 pub struct Holdings {
     /// Number of commands accepted since its start.
-    pub orders: u64,
+    #[serde(rename = "orders")]
+    pub commands_accepted: u64,
     /// Models that are ready for requests.
     pub resident: Vec<Resident>,
     /// Models with weights cached in host memory.
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -157,7 +157,7 @@
         engine.runs.clear();
         engine.holdings.resident.clear();
         engine.holdings.in_memory.clear();
-        engine.holdings.orders = 0;
+        engine.holdings.commands_accepted = 0;
     }
 
     /// An engine that crashed is back.
@@ -255,7 +255,7 @@
                 }
                 self.orders += 1;
                 engine.order = Some((order, takes));
-                engine.holdings.orders += 1;
+                engine.holdings.commands_accepted += 1;
             }
         }
     }
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -163,7 +163,7 @@
     let report = Report {
         id: id("e"),
         born: 10,
-        holdings: Holdings { orders: 2, ..holdings(&["n"]) },
+        holdings: Holdings { commands_accepted: 2, ..holdings(&["n"]) },
         cached_weights_reported: true,
         ongoing: None,
         load: Load::default(),
@@ -172,7 +172,7 @@
     targets.register(now, Entry { renewals: 6, ..entry("e") });
     let key = targets.key(&id("e")).unwrap();
     assert!(targets.get(key).unwrap().serves(now, &"n".into()));
-    let older = Report { holdings: Holdings { orders: 1, ..holdings(&["m"]) }, ..report };
+    let older = Report { holdings: Holdings { commands_accepted: 1, ..holdings(&["m"]) }, ..report };
     assert!(!targets.report(now, older), "datagrams overtake each other");
 }
 
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -277,7 +277,7 @@
         report: &dialect::EngineReport,
     ) -> Option<names::TargetId> {
         let born = report.born.unwrap_or(0);
-        let orders = report.holdings.orders;
+        let orders = report.holdings.commands_accepted;
         if let Some(named) = &mut self.state.borrow_mut().named
             && named.born == born
             && named.orders <= orders
@@ -321,7 +321,7 @@
     fn settle(&self, now: Instant, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let Some(ongoing) = &state.ongoing else { return };
-        let shows = report.holdings.orders > ongoing.after_orders;
+        let shows = report.holdings.commands_accepted > ongoing.after_orders;
         let silent = now.saturating_duration_since(ongoing.since) > LOST_AFTER;
         let over = !report.busy && (shows || silent);
         if over {
@@ -365,7 +365,7 @@
         order: steps::Order,
     ) {
         let (takes, from_store) = account::takes(plan, report, &order);
-        let after_orders = report.holdings.orders;
+        let after_orders = report.holdings.commands_accepted;
         let ongoing = Ongoing {
             order: order.clone(),
             since: now,
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -79,7 +79,7 @@
     peers::EngineNews {
         target: plan.target.clone(),
         born: report.born.unwrap_or(0),
-        orders: report.holdings.orders,
+        orders: report.holdings.commands_accepted,
         resident: resident.collect(),
         copies: Vec::new(),
         ongoing: ongoing.into_iter().collect(),
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -207,7 +207,7 @@
     targets::Report {
         id: news.target,
         born: news.born,
-        holdings: targets::Holdings { orders: news.orders, resident, in_memory, on_disk },
+        holdings: targets::Holdings { commands_accepted: news.orders, resident, in_memory, on_disk },
         cached_weights_reported,
         ongoing,
         load: targets::Load {
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -71,10 +71,10 @@
         if let Some(name) = shelf.name.as_ref().filter(|name| *name != order.target) {
             panic!("{name} was given an order for {}", order.target);
         }
-        if order.after_orders != shelf.holdings.orders {
+        if order.after_orders != shelf.holdings.commands_accepted {
             return dialect::OrderEnd::Conflict;
         }
-        shelf.holdings.orders += 1;
+        shelf.holdings.commands_accepted += 1;
         match order.order {
             steps::Order::Load(model) => {
                 let resident = targets::Resident { model: model.clone(), adapters: Vec::new() };
