--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -232,7 +232,7 @@
     /// Applies an agent's report that its engine restarted under another name. The new target inherits
     /// the previous entry, of its holdings only the weights on disk, until it registers. Returns false if the report changes nothing.
     pub fn replace(&mut self, now: Instant, replaced: &Replaced) -> bool {
-        let Replaced { id, born, before } = replaced;
+        let Replaced { id, started_at_ms, before } = replaced;
         if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
@@ -246,8 +246,8 @@
             self.remove_target(now, key);
         }
         self.removed.remove(before);
-        self.drained.insert(before.clone(), previous.born);
-        self.insert_successor(now, id, *born, previous);
+        self.drained.insert(before.clone(), previous.started_at_ms);
+        self.insert_successor(now, id, *started_at_ms, previous);
         true
     }
 
@@ -261,7 +261,7 @@
         &mut self,
         now: Instant,
         id: &names::TargetId,
-        born: u64,
+        started_at_ms: u64,
         host: IpAddr,
         is_engines: impl Fn(&names::ServiceId) -> bool,
     ) -> bool {
@@ -276,17 +276,17 @@
             return false;
         }
         self.remove_target(now, key);
-        self.insert_successor(now, id, born, previous);
+        self.insert_successor(now, id, started_at_ms, previous);
         true
     }
 
     /// Inserts a target that inherits the entry of the previous engine.
-    fn insert_successor(&mut self, now: Instant, id: &names::TargetId, born: u64, previous: Entry) {
+    fn insert_successor(&mut self, now: Instant, id: &names::TargetId, started_at_ms: u64, previous: Entry) {
         let holdings =
             Holdings { on_disk: previous.holdings.on_disk.clone(), ..Default::default() };
         let entry = Entry {
             id: id.clone(),
-            born,
+            started_at_ms,
             renewals: 0,
             draining: false,
             shutdown_in: None,
@@ -300,7 +300,7 @@
     /// Applies a registered entry. Entries must arrive in the order in which they were written: a new one
     /// removes other targets with the same address.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
-        if self.drained.get(&entry.id).is_some_and(|&born| entry.born <= born) {
+        if self.drained.get(&entry.id).is_some_and(|&started_at_ms| entry.started_at_ms <= started_at_ms) {
             return Change::Stale;
         }
         let Some(key) = self.key(&entry.id) else {
@@ -309,12 +309,12 @@
             return Change::New;
         };
         let target = &mut self.arena[key];
-        if entry.born < target.entry.born
-            || (entry.born == target.entry.born && entry.renewals < target.entry.renewals)
+        if entry.started_at_ms < target.entry.started_at_ms
+            || (entry.started_at_ms == target.entry.started_at_ms && entry.renewals < target.entry.renewals)
         {
             return Change::Stale;
         }
-        if entry.born > target.entry.born {
+        if entry.started_at_ms > target.entry.started_at_ms {
             self.remove_target(now, key);
             self.insert(now, entry);
             return Change::New;
@@ -346,14 +346,14 @@
     pub fn report(&mut self, now: Instant, report: Report) -> bool {
         let Some(key) = self.key(&report.id) else { return false };
         let target = &mut self.arena[key];
-        let starts_known = report.born > 0 && target.entry.born > 0;
-        if starts_known && report.born < target.entry.born {
+        let starts_known = report.started_at_ms > 0 && target.entry.started_at_ms > 0;
+        if starts_known && report.started_at_ms < target.entry.started_at_ms {
             return false;
         }
-        if starts_known && report.born > target.entry.born {
+        if starts_known && report.started_at_ms > target.entry.started_at_ms {
             // The engine restarted under the same name; its new entry will follow.
             let entry = Entry {
-                born: report.born,
+                started_at_ms: report.started_at_ms,
                 renewals: 0,
                 holdings: Holdings::default(),
                 draining: false,
@@ -388,10 +388,10 @@
     }
 
     /// Ejects an incarnation that ended according to its agent; returns false if it is not the current one.
-    pub fn record_exit(&mut self, now: Instant, id: &names::TargetId, born: u64) -> bool {
+    pub fn record_exit(&mut self, now: Instant, id: &names::TargetId, started_at_ms: u64) -> bool {
         let Some(key) = self.key(id) else { return false };
         let target = &mut self.arena[key];
-        let same = born == target.entry.born || born == 0;
+        let same = started_at_ms == target.entry.started_at_ms || started_at_ms == 0;
         if same {
             target.record_unreachable(now);
         }
@@ -449,7 +449,7 @@
             }
         }
         if target.entry.draining {
-            self.drained.insert(target.entry.id.clone(), target.entry.born);
+            self.drained.insert(target.entry.id.clone(), target.entry.started_at_ms);
         }
         self.removed
             .retain(|_, (since, _)| now.saturating_duration_since(*since) < REMOVED_ENTRY_TTL);
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -46,7 +46,8 @@
     pub id: names::TargetId,
     /// Start time in Unix milliseconds, which distinguishes incarnations with the same name; 0 if targets
     /// take a new name at each start and do not report it.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_at_ms: u64,
     /// Number of renewals of the entry.
     pub renewals: u64,
     /// The service it belongs to.
@@ -90,8 +91,8 @@
 pub struct Report {
     /// Name of the engine.
     pub id: names::TargetId,
-    /// Start time as in [`Entry::born`].
-    pub born: u64,
+    /// Start time as in [`Entry::started_at_ms`].
+    pub started_at_ms: u64,
     /// Its models.
     pub holdings: Holdings,
     /// Whether the report includes the cached weights; if not, the last reported ones stay valid.
@@ -107,8 +108,8 @@
 pub struct Replaced {
     /// Its new name.
     pub id: names::TargetId,
-    /// Start time as in [`Entry::born`].
-    pub born: u64,
+    /// Start time as in [`Entry::started_at_ms`].
+    pub started_at_ms: u64,
     /// Its previous name.
     pub before: names::TargetId,
 }
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -58,7 +58,7 @@
 fn entry(name: &str) -> Entry {
     Entry {
         id: id(name),
-        born: 10,
+        started_at_ms: 10,
         renewals: 5,
         service: "models".into(),
         addr: address(name),
@@ -131,7 +131,7 @@
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    let again = Entry { born: 20, renewals: 1, holdings: holdings(&[]), ..entry("e") };
+    let again = Entry { started_at_ms: 20, renewals: 1, holdings: holdings(&[]), ..entry("e") };
     assert_eq!(targets.register(now, again), Change::New);
     let key = targets.key(&id("e")).unwrap();
     assert!(!targets.get(key).unwrap().serves(now, &"m".into()));
@@ -162,7 +162,7 @@
     targets.register(now, entry("e"));
     let report = Report {
         id: id("e"),
-        born: 10,
+        started_at_ms: 10,
         holdings: Holdings { commands_accepted: 2, ..holdings(&["n"]) },
         cached_weights_reported: true,
         ongoing: None,
@@ -230,7 +230,7 @@
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key), "tried again");
     assert!(targets.record_exit(later, &id("e"), 10));
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::NoTarget);
-    targets.register(later, Entry { born: 20, renewals: 1, ..entry("e") });
+    targets.register(later, Entry { started_at_ms: 20, renewals: 1, ..entry("e") });
     let key = targets.key(&id("e")).unwrap();
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
     assert!(!targets.record_exit(later, &id("e"), 10), "said of the start before");
@@ -247,7 +247,7 @@
     let on_disk = Holdings { on_disk: vec!["m".into()], ..holdings(&["m"]) };
     targets.register(now, Entry { holdings: on_disk, ..entry("e") });
     targets.remove(now, &id("e"), false);
-    let replaced = targets::Replaced { id: id("f"), born: 20, before: id("e") };
+    let replaced = targets::Replaced { id: id("f"), started_at_ms: 20, before: id("e") };
     assert!(targets.replace(now, &replaced));
     let found = |targets: &Targets| targets.get(targets.key(&id("f")).unwrap()).unwrap().clone();
     assert_eq!(found(&targets).entry.addr, entry("e").addr);
@@ -255,7 +255,7 @@
     assert!(!found(&targets).serves(now, &"m".into()), "it starts empty");
     assert!(!targets.replace(now, &replaced), "said again");
     assert_eq!(targets.register(now, entry("e")), Change::Stale, "the old name is over");
-    targets.register(now, Entry { born: 20, renewals: 1, ..entry("f") });
+    targets.register(now, Entry { started_at_ms: 20, renewals: 1, ..entry("f") });
     assert!(targets.expire(now + grace, grace).is_empty(), "it has registered");
     targets.remove(now, &id("f"), false);
     assert!(
@@ -271,10 +271,10 @@
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    assert!(targets.replace(now, &targets::Replaced { id: id("f"), born: 20, before: id("e") }));
+    assert!(targets.replace(now, &targets::Replaced { id: id("f"), started_at_ms: 20, before: id("e") }));
     let report = Report {
         id: id("f"),
-        born: 20,
+        started_at_ms: 20,
         holdings: Holdings::default(),
         cached_weights_reported: false,
         ongoing: None,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -123,7 +123,7 @@
             }
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
-            let replaced = targets::Replaced { id: target, born, before };
+            let replaced = targets::Replaced { id: target, started_at_ms: born, before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.before,
                     "its agent says that the target has started again under another name");
@@ -153,7 +153,7 @@
         let service = table.as_ref().and_then(|table| table.config().service(name));
         service.is_some_and(|service| service.engine.is_some())
     };
-    if view.targets.infer_successor(now, &report.id, report.born, from.ip(), is_engines) {
+    if view.targets.infer_successor(now, &report.id, report.started_at_ms, from.ip(), is_engines) {
         tracing::info!(target = %report.id, "a target is known from its agent");
     }
     let Some(key) = view.targets.key(&report.id) else { return };
@@ -206,7 +206,7 @@
         copies.map(|copies| (copies.in_memory, copies.on_disk)).unwrap_or_default();
     targets::Report {
         id: news.target,
-        born: news.born,
+        started_at_ms: news.born,
         holdings: targets::Holdings { commands_accepted: news.orders, resident, in_memory, on_disk },
         cached_weights_reported,
         ongoing,
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -480,7 +480,7 @@
     pub fn entry(&self, id: &str, service: &str) -> targets::Entry {
         targets::Entry {
             id: id.into(),
-            born: 1,
+            started_at_ms: 1,
             renewals: 1,
             service: service.into(),
             addr: self.addr,
