--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -232,21 +232,21 @@
     /// Applies an agent's report that its engine restarted under another name. The new target inherits
     /// the previous entry, of its holdings only the weights on disk, until it registers. Returns false if the report changes nothing.
     pub fn replace(&mut self, now: Instant, replaced: &Replaced) -> bool {
-        let Replaced { id, started_at_ms, before } = replaced;
+        let Replaced { id, started_at_ms, previous_id } = replaced;
         if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
-        let known = self.key(before).map(|key| self.arena[key].entry.clone());
+        let known = self.key(previous_id).map(|key| self.arena[key].entry.clone());
         let Some(previous) =
-            known.or_else(|| self.removed.get(before).map(|(_, entry)| entry.clone()))
+            known.or_else(|| self.removed.get(previous_id).map(|(_, entry)| entry.clone()))
         else {
             return false;
         };
-        if let Some(key) = self.key(before) {
+        if let Some(key) = self.key(previous_id) {
             self.remove_target(now, key);
         }
-        self.removed.remove(before);
-        self.drained.insert(before.clone(), previous.started_at_ms);
+        self.removed.remove(previous_id);
+        self.drained.insert(previous_id.clone(), previous.started_at_ms);
         self.insert_successor(now, id, *started_at_ms, previous);
         true
     }
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -111,7 +111,7 @@
     /// Start time as in [`Entry::started_at_ms`].
     pub started_at_ms: u64,
     /// Its previous name.
-    pub before: names::TargetId,
+    pub previous_id: names::TargetId,
 }
 
 /// Load that a target reports.
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -123,9 +123,9 @@
             }
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
-            let replaced = targets::Replaced { id: target, started_at_ms: born, before };
+            let replaced = targets::Replaced { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
-                tracing::info!(target = %replaced.id, before = %replaced.before,
+                tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "its agent says that the target has started again under another name");
                 plan_soon(shared, now);
             }
