--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -7,7 +7,7 @@
 
 mod entry;
 
-pub use entry::{Entry, Holdings, Load, Ongoing, Replaced, Report, Resident};
+pub use entry::{Entry, Holdings, Load, Ongoing, Replacement, Report, Resident};
 
 use crate::{choose, health};
 use corianderstand_derives::derives;
@@ -231,8 +231,8 @@
 
     /// Applies an agent's report that its engine restarted under another name. The new target inherits
     /// the previous entry, of its holdings only the weights on disk, until it registers. Returns false if the report changes nothing.
-    pub fn replace(&mut self, now: Instant, replaced: &Replaced) -> bool {
-        let Replaced { id, started_at_ms, previous_id } = replaced;
+    pub fn replace(&mut self, now: Instant, replaced: &Replacement) -> bool {
+        let Replacement { id, started_at_ms, previous_id } = replaced;
         if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -105,7 +105,7 @@
 
 /// A target that restarted under another name.
 #[derives(data)]
-pub struct Replaced {
+pub struct Replacement {
     /// Its new name.
     pub id: names::TargetId,
     /// Start time as in [`Entry::started_at_ms`].
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -247,7 +247,7 @@
     let on_disk = Holdings { on_disk: vec!["m".into()], ..holdings(&["m"]) };
     targets.register(now, Entry { holdings: on_disk, ..entry("e") });
     targets.remove(now, &id("e"), false);
-    let replaced = targets::Replaced { id: id("f"), started_at_ms: 20, previous_id: id("e") };
+    let replaced = targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") };
     assert!(targets.replace(now, &replaced));
     let found = |targets: &Targets| targets.get(targets.key(&id("f")).unwrap()).unwrap().clone();
     assert_eq!(found(&targets).entry.addr, entry("e").addr);
@@ -271,7 +271,7 @@
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    assert!(targets.replace(now, &targets::Replaced { id: id("f"), started_at_ms: 20, previous_id: id("e") }));
+    assert!(targets.replace(now, &targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") }));
     let report = Report {
         id: id("f"),
         started_at_ms: 20,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -123,7 +123,7 @@
             }
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
-            let replaced = targets::Replaced { id: target, started_at_ms: born, previous_id: before };
+            let replaced = targets::Replacement { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "its agent says that the target has started again under another name");
