--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -151,7 +151,8 @@
 
 /// Whether the target can start the request without queueing it.
 fn has_capacity(target: &targets::Target, query: &Query) -> bool {
-    let memory = query.cache_tokens == 0 || target.estimated_tokens() + query.tokens <= query.cache_tokens;
+    let memory =
+        query.cache_tokens == 0 || target.estimated_tokens() + query.tokens <= query.cache_tokens;
     target.estimated_requests() < target.entry.slots.max(1) && memory
 }
 
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -281,7 +281,13 @@
     }
 
     /// Inserts a target that inherits the entry of the previous engine.
-    fn insert_successor(&mut self, now: Instant, id: &names::TargetId, started_at_ms: u64, previous: Entry) {
+    fn insert_successor(
+        &mut self,
+        now: Instant,
+        id: &names::TargetId,
+        started_at_ms: u64,
+        previous: Entry,
+    ) {
         let holdings =
             Holdings { on_disk: previous.holdings.on_disk.clone(), ..Default::default() };
         let entry = Entry {
@@ -300,7 +306,11 @@
     /// Applies a registered entry. Entries must arrive in the order in which they were written: a new one
     /// removes other targets with the same address.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
-        if self.drained.get(&entry.id).is_some_and(|&started_at_ms| entry.started_at_ms <= started_at_ms) {
+        if self
+            .drained
+            .get(&entry.id)
+            .is_some_and(|&started_at_ms| entry.started_at_ms <= started_at_ms)
+        {
             return Change::Stale;
         }
         let Some(key) = self.key(&entry.id) else {
@@ -310,7 +320,8 @@
         };
         let target = &mut self.arena[key];
         if entry.started_at_ms < target.entry.started_at_ms
-            || (entry.started_at_ms == target.entry.started_at_ms && entry.renewals < target.entry.renewals)
+            || (entry.started_at_ms == target.entry.started_at_ms
+                && entry.renewals < target.entry.renewals)
         {
             return Change::Stale;
         }
@@ -366,7 +377,8 @@
         }
         // Datagrams may be reordered.
         let responsive = target.agent_is_responsive(now);
-        if responsive && report.holdings.commands_accepted < target.entry.holdings.commands_accepted {
+        if responsive && report.holdings.commands_accepted < target.entry.holdings.commands_accepted
+        {
             return false;
         }
         target.agent_last_received_at = Some(now);
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -172,7 +172,8 @@
     targets.register(now, Entry { renewals: 6, ..entry("e") });
     let key = targets.key(&id("e")).unwrap();
     assert!(targets.get(key).unwrap().serves(now, &"n".into()));
-    let older = Report { holdings: Holdings { commands_accepted: 1, ..holdings(&["m"]) }, ..report };
+    let older =
+        Report { holdings: Holdings { commands_accepted: 1, ..holdings(&["m"]) }, ..report };
     assert!(!targets.report(now, older), "datagrams overtake each other");
 }
 
@@ -271,7 +272,10 @@
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    assert!(targets.replace(now, &targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") }));
+    assert!(targets.replace(
+        now,
+        &targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") }
+    ));
     let report = Report {
         id: id("f"),
         started_at_ms: 20,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -123,7 +123,8 @@
             }
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
-            let replaced = targets::Replacement { id: target, started_at_ms: born, previous_id: before };
+            let replaced =
+                targets::Replacement { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "its agent says that the target has started again under another name");
@@ -207,7 +208,12 @@
     targets::Report {
         id: news.target,
         started_at_ms: news.born,
-        holdings: targets::Holdings { commands_accepted: news.orders, resident, in_memory, on_disk },
+        holdings: targets::Holdings {
+            commands_accepted: news.orders,
+            resident,
+            in_memory,
+            on_disk,
+        },
         cached_weights_reported,
         ongoing,
         load: targets::Load {
