--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -77,7 +77,7 @@
 
 /// Requests are sent to engines that have ended although others at their addresses have registered.
 #[test]
-fn an_engine_that_registers_at_an_address_ends_the_one_before() {
+fn a_registration_replaces_the_engine_at_its_address() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("before"));
@@ -90,7 +90,7 @@
 
 /// A router that starts knows only engines that have ended, and its callers are refused.
 #[test]
-fn an_engine_is_known_by_its_agent_s_word_before_it_registers() {
+fn an_unknown_engine_is_inferred_from_its_agent_before_it_registers() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("before"));
@@ -111,7 +111,7 @@
 /// The store returns an entry that was written before the newest one. Taken, requests would go to an
 /// engine that is leaving.
 #[test]
-fn an_entry_from_before_is_left_out() {
+fn an_outdated_entry_is_ignored() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -127,7 +127,7 @@
 /// An engine starts again under its name and has forgotten its models. Requests for these would be
 /// refused there.
 #[test]
-fn a_new_start_under_the_same_name_holds_nothing_of_before() {
+fn a_restart_under_the_same_name_clears_the_holdings() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -140,7 +140,7 @@
 /// The store was away and has forgotten an engine that lives. It is back in the store within two
 /// seconds; until then it goes on serving.
 #[test]
-fn an_entry_that_lapsed_has_time_to_return() {
+fn a_removed_entry_has_a_grace_period() {
     let now = Instant::now();
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
@@ -156,7 +156,7 @@
 
 /// An agent reports from beside its engine; the entry in the store lags behind it by a second.
 #[test]
-fn what_the_agent_says_goes_before_the_entry() {
+fn agent_reports_take_precedence_over_entries() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -218,7 +218,7 @@
 /// models are sent to an address where nobody listens and refused, again and again, while another
 /// engine could have loaded them. What its agent says of its end holds until it has started again.
 #[test]
-fn an_engine_whose_process_has_ended_counts_for_nothing() {
+fn an_engine_whose_process_ended_is_ejected() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -241,7 +241,7 @@
 /// All hosts lose their power. An engine is back under a new name, and registers it up to two seconds
 /// later; until then nobody orders it anything, and callers of its models wait. Its agent knows it.
 #[test]
-fn an_engine_that_is_back_under_another_name_is_known_before_it_registers() {
+fn an_engine_restarted_under_another_name_is_known_before_it_registers() {
     let now = Instant::now();
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
@@ -267,7 +267,7 @@
 
 /// The agent's word stands in for an entry that never comes: it is over when the agent falls silent.
 #[test]
-fn an_engine_that_never_registers_is_forgotten_when_its_agent_falls_silent() {
+fn an_unregistered_engine_expires_when_its_agent_is_unresponsive() {
     let now = Instant::now();
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
@@ -292,7 +292,7 @@
 /// One engine fails every other request while it says that it is well. Callers must not go on
 /// meeting it, and it must not be left out for ever.
 #[test]
-fn a_target_that_fails_gets_little_and_is_tried_again_later() {
+fn a_failing_target_is_ejected_and_probed_again_later() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_full_engine_gets_no_more() {
+fn a_full_engine_gets_no_requests() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn adapters_go_where_they_are_then_where_there_is_a_place() {
+fn adapters_prefer_engines_that_hold_them_then_free_slots() {
     let now = Instant::now();
     let mut targets = Targets::default();
     let with = |adapters: &[&str]| Holdings {
@@ -356,7 +356,7 @@
 
 /// A caller waits for an adapter until its engine has loaded somebody else's model.
 #[test]
-fn an_adapter_is_not_asked_of_an_engine_that_is_busy_with_an_order() {
+fn an_adapter_is_not_loaded_on_an_engine_that_executes_a_command() {
     let now = Instant::now();
     let names = ["one", "two", "three"];
     let mut targets = Targets::default();
@@ -385,7 +385,7 @@
 /// All targets fail at once. Each second attempt adds load to what is left; beyond the allowance
 /// there are none, and two routers together stay within it too.
 #[test]
-fn second_attempts_stay_within_the_shared_allowance() {
+fn retries_stay_within_the_shared_allowance() {
     let now = Instant::now();
     let window = Duration::from_secs(10);
     let allowance = budget::Allowance { ratio: 0.2, fixed: 50.0, window };
@@ -406,7 +406,7 @@
 #[case(wait_limit::Readiness::LoadTime(Duration::from_secs(6)), false)]
 #[case(wait_limit::Readiness::AtCapacity, true)]
 #[case(wait_limit::Readiness::Unknown, false)]
-fn a_request_is_held_only_if_its_model_can_be_there(
+fn a_request_is_held_only_if_its_model_can_be_ready_in_time(
     #[case] expected: wait_limit::Readiness,
     #[case] held: bool,
 ) {
@@ -431,7 +431,7 @@
 const ROOM: steps::Room = steps::Room { weights_mb: 150, adapter_places: 2 };
 
 #[test]
-fn what_is_not_wanted_goes_before_what_is_wanted_comes() {
+fn unplanned_models_are_unloaded_before_planned_ones_are_loaded() {
     let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
     let order = steps::next_model(ROOM, &parts, &holdings(&["keep", "old"]));
     assert_eq!(order, Some(steps::Order::Unload("old".into())));
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn an_adapter_takes_the_place_of_the_one_not_asked_for_the_longest() {
+fn the_least_recently_requested_adapter_is_evicted() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
     let asked = |name: &str, ago: u64| steps::AskedAdapter {
@@ -473,7 +473,7 @@
 /// has long gone takes the place of one asked for since, that one takes it back, and so on: thirty
 /// orders a second, and callers whose adapter goes before their request arrives.
 #[test]
-fn an_adapter_asked_for_earlier_does_not_push_out_a_later_one() {
+fn an_adapter_requested_earlier_does_not_evict_a_later_one() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
     let asked = |name: &str, ago: u64| steps::AskedAdapter {
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -115,7 +115,7 @@
 /// one after the other. Sent at once, they are read without a break, and each stream at the engine
 /// stands still for longer than its reader bears.
 #[rstest]
-fn streams_do_not_pause_while_prompts_of_a_burst_are_read() {
+fn streams_do_not_pause_during_a_burst_of_prompts() {
     let bursts = (0..5).flat_map(|burst| {
         every(8, Duration::ZERO, AIM * 2)
             .into_iter()
@@ -132,7 +132,7 @@
 /// most would come after their callers' aim. Read in the order of their arrival with patient ones
 /// among them, urgent ones come late behind prompts that have two seconds to spare.
 #[rstest]
-fn patient_prompts_let_urgent_ones_go_first() {
+fn urgent_prompts_have_priority() {
     let mixed: Vec<_> = (0..24)
         .map(|n| (Duration::ZERO, if n % 2 == 0 { Duration::from_millis(2_500) } else { AIM }))
         .collect();
@@ -149,7 +149,7 @@
 /// Twice as much is asked for as the engine can read. Each prompt behind the ones before it would be
 /// late, and so nobody in time; the ones that are late already have to let others pass.
 #[rstest]
-fn some_are_in_time_when_not_all_can_be() {
+fn some_prompts_are_on_time_under_overload() {
     let flood = every(200, WORK / 2, AIM);
     let (before, after) = (play(&flood, false), play(&flood, true));
     // Of the time of the flood three quarters go to prompts, and of these three quarters to those
@@ -162,7 +162,7 @@
 /// A prompt is longer than what may be read at a time. Waiting for room that never comes, its caller
 /// would leave.
 #[rstest]
-fn a_prompt_beyond_the_limit_has_its_turn() {
+fn a_prompt_longer_than_the_limit_is_granted() {
     let now = Instant::now();
     let mut turns = PermitQueue::default();
     assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
@@ -181,7 +181,7 @@
 /// The datagram with a turn is lost and the router asks again. Counted as a second prompt, the turn
 /// would keep others waiting for reading that never comes.
 #[rstest]
-fn a_turn_that_is_asked_for_twice_counts_once() {
+fn a_repeated_request_is_counted_once() {
     let now = Instant::now();
     let mut turns = PermitQueue::default();
     assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
@@ -193,7 +193,7 @@
 #[rstest]
 #[case::withdrawn(true)]
 #[case::expired(false)]
-fn who_has_left_gets_no_turn(#[case] withdrawn: bool) {
+fn no_permit_is_granted_to_a_caller_that_left(#[case] withdrawn: bool) {
     let now = Instant::now();
     let mut turns = PermitQueue::default();
     let full = PermitRequest { prefill_time: PAUSE, ..ask(1, now, AIM) };
