--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A small deployment of engines and models under load, without sockets and with its own time.
+//! Discrete-time simulation of engines and models under load.
 //!
-//! Engines hold a few models each and keep copies on disk; the weight store carries few loads at
-//! once; a run takes a second and a half. Requests wait until an engine holds their model. What comes
-//! out is how soon they began to run.
+//! Engines hold a few models, cache weights on disk and load others from a weight store of limited
+//! throughput. Requests wait until an engine holds their model; the simulation records how many begin
+//! within their latency objective.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -16,21 +16,21 @@
     time::{Duration, Instant},
 };
 
-/// Time of one step of the world.
+/// Duration of one simulation step.
 const STEP: Duration = Duration::from_millis(10);
-/// Time that a run takes.
+/// Duration of a request.
 const RUN: Duration = Duration::from_millis(1_400);
-/// Time that an idle model takes to be dropped.
+/// Duration of an unload.
 const DROP: Duration = Duration::from_millis(60);
-/// Loads that the weight store carries at full speed.
+/// Concurrent loads that the weight store serves at full speed.
 const STORE_AT_ONCE: f64 = 4.0;
-/// Memory of one model, and of one engine: three fit.
+/// Memory of a model and of an engine, which holds three.
 const MODEL_MB: u64 = 70_000;
 const ENGINE_MB: u64 = 220_000;
-/// A caller leaves after this many aims.
+/// Multiple of the latency objective after which a caller leaves.
 const LEAVES_AFTER: u32 = 4;
 
-/// A model as the world offers it.
+/// Request load of a model.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub per_s: f64,
@@ -51,7 +51,7 @@
     aim: Duration,
 }
 
-/// What became of a model's requests.
+/// Outcome of a model's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub asked: u32,
@@ -69,14 +69,14 @@
     }
 }
 
-/// The world.
+/// The simulated deployment.
 pub struct World {
     pub now: Instant,
     pub models: BTreeMap<ModelId, Asked>,
     pub tallies: BTreeMap<ModelId, Tally>,
     pub orders: u32,
     pub store_loads: u32,
-    /// Most memory that an engine was ever ordered to hold, in MB.
+    /// Largest memory that an engine was commanded to use, in MB.
     pub most_mb: u64,
     engines: Vec<Engine>,
     waiting: VecDeque<Request>,
@@ -97,7 +97,7 @@
 }
 
 impl World {
-    /// Engines with `copies` models on each disk, three of them resident.
+    /// Creates engines with `cached` models on each disk, three of them resident.
     pub fn new(engines: usize, models: &[(&str, Asked)], copies: usize, seed: u64) -> Self {
         println!("seed {seed}");
         let names: Vec<ModelId> = models.iter().map(|(name, _)| ModelId::from(*name)).collect();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulation.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -142,14 +142,14 @@
         }
     }
 
-    /// Forgets what became of requests so far.
+    /// Resets all counters.
     pub fn forget(&mut self) {
         self.tallies.clear();
         self.orders = 0;
         self.store_loads = 0;
     }
 
-    /// An engine loses all that it held and did; its disk stays.
+    /// Stops an engine; only its disk contents remain.
     pub fn crash(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         engine.up = false;
@@ -160,12 +160,12 @@
         engine.holdings.commands_accepted = 0;
     }
 
-    /// An engine that crashed is back.
+    /// Restarts an engine after a crash.
     pub fn restart(&mut self, index: usize) {
         self.engines[index].up = true;
     }
 
-    /// What became of the requests of several models together.
+    /// Combined outcome of the selected models' requests.
     pub fn tally(&self, models: impl Fn(&str) -> bool) -> Tally {
         let own = self.tallies.iter().filter(|(name, _)| models(name.as_str()));
         own.fold(Tally::default(), |sum, (_, tally)| Tally {
@@ -175,7 +175,7 @@
         })
     }
 
-    /// Engines that hold a model.
+    /// Number of engines that hold a model.
     pub fn holders(&self, model: &str) -> usize {
         let model = ModelId::from(model);
         self.engines.iter().filter(|engine| engine.holdings.resident(&model).is_some()).count()
@@ -358,23 +358,23 @@
     }
 }
 
-/// Rare models, each asked for now and then by patient callers.
+/// Models with few requests and a long latency objective.
 pub fn rare(count: usize, per_s: f64) -> Vec<(String, Asked)> {
     let asked = Asked { per_s, aim: Duration::from_millis(2_500) };
     (0..count).map(|index| (format!("rare-{index:02}"), asked.clone())).collect()
 }
 
-/// A model that many ask for and want at once.
+/// A model with many requests and a short latency objective.
 pub fn busy(name: &str, per_s: f64) -> (String, Asked) {
     (name.to_owned(), Asked { per_s, aim: Duration::from_millis(300) })
 }
 
-/// A target's name, for tests of entries.
+/// A target id.
 pub fn id(name: &str) -> TargetId {
     TargetId::from(name)
 }
 
-/// Draws for shuffled cases.
+/// A seeded random number generator.
 pub fn rng(seed: u64) -> impl Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Routes, targets, budgets, patience and steps.
+//! Routes, targets, retry budgets, wait limits and commands for engines.
 
 mod common;
 
@@ -49,7 +49,7 @@
     assert_eq!(two, 100);
 }
 
-/// An address for each name, on a host of its own.
+/// A distinct address, on its own host, for each name.
 fn address(name: &str) -> SocketAddr {
     let host = name.bytes().fold(0_u8, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte));
     SocketAddr::from(([127, 0, 1, host], 1))
@@ -75,7 +75,7 @@
     Holdings { resident: resident.collect(), ..Default::default() }
 }
 
-/// Requests are sent to engines that have ended although others at their addresses have registered.
+/// Guards against requests to an engine that ended after another registered at its address.
 #[test]
 fn a_registration_replaces_the_engine_at_its_address() {
     let now = Instant::now();
@@ -88,7 +88,7 @@
     assert!(targets.key(&id("after")).is_some() && targets.key(&id("other")).is_some());
 }
 
-/// A router that starts knows only engines that have ended, and its callers are refused.
+/// Guards against refused requests on a router that starts while the store lists only ended engines.
 #[test]
 fn an_unknown_engine_is_inferred_from_its_agent_before_it_registers() {
     let now = Instant::now();
@@ -108,8 +108,7 @@
     assert!(!targets.infer_successor(now, &id("stranger"), 0, address("nobody").ip(), |_| true));
 }
 
-/// The store returns an entry that was written before the newest one. Taken, requests would go to an
-/// engine that is leaving.
+/// Guards against an outdated entry that makes a draining engine available again.
 #[test]
 fn an_outdated_entry_is_ignored() {
     let now = Instant::now();
@@ -124,8 +123,7 @@
     assert_eq!(targets.register(now, entry("e")), Change::Stale, "it has left for good");
 }
 
-/// An engine starts again under its name and has forgotten its models. Requests for these would be
-/// refused there.
+/// Guards against requests for models that an engine lost in a restart.
 #[test]
 fn a_restart_under_the_same_name_clears_the_holdings() {
     let now = Instant::now();
@@ -137,8 +135,8 @@
     assert!(!targets.get(key).unwrap().serves(now, &"m".into()));
 }
 
-/// The store was away and has forgotten an engine that lives. It is back in the store within two
-/// seconds; until then it goes on serving.
+/// A live engine whose entry is missing after a store outage must stay available until it registers
+/// again.
 #[test]
 fn a_removed_entry_has_a_grace_period() {
     let now = Instant::now();
@@ -154,7 +152,7 @@
     assert!(targets.key(&id("e")).is_some());
 }
 
-/// An agent reports from beside its engine; the entry in the store lags behind it by a second.
+/// Guards against a delayed entry that overwrites a newer agent report.
 #[test]
 fn agent_reports_take_precedence_over_entries() {
     let now = Instant::now();
@@ -214,9 +212,8 @@
     assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Cold, "it said it has it not");
 }
 
-/// An engine's process ends, and its entry stays in the store for some seconds. Requests for its
-/// models are sent to an address where nobody listens and refused, again and again, while another
-/// engine could have loaded them. What its agent says of its end holds until it has started again.
+/// Guards against repeated attempts at an engine whose process ended while its entry is still stored.
+/// The ejection lasts until it expires or the engine has restarted.
 #[test]
 fn an_engine_whose_process_ended_is_ejected() {
     let now = Instant::now();
@@ -238,8 +235,8 @@
     assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
 }
 
-/// All hosts lose their power. An engine is back under a new name, and registers it up to two seconds
-/// later; until then nobody orders it anything, and callers of its models wait. Its agent knows it.
+/// Guards against a delay after a restart under a new name: the agent's report suffices until the
+/// engine registers.
 #[test]
 fn an_engine_restarted_under_another_name_is_known_before_it_registers() {
     let now = Instant::now();
@@ -265,7 +262,7 @@
     );
 }
 
-/// The agent's word stands in for an entry that never comes: it is over when the agent falls silent.
+/// An engine known only from its agent must expire when the agent is unresponsive.
 #[test]
 fn an_unregistered_engine_expires_when_its_agent_is_unresponsive() {
     let now = Instant::now();
@@ -289,8 +286,8 @@
     assert_eq!(targets.expire(now + grace * 2, grace), [id("f")]);
 }
 
-/// One engine fails every other request while it says that it is well. Callers must not go on
-/// meeting it, and it must not be left out for ever.
+/// Guards against a target that passes its health check while it fails requests, and against one that
+/// is ejected for ever.
 #[test]
 fn a_failing_target_is_ejected_and_probed_again_later() {
     let now = Instant::now();
@@ -354,7 +351,7 @@
     assert_eq!(choose("d"), choose::Choice::LoadAdapter(key("free")));
 }
 
-/// A caller waits for an adapter until its engine has loaded somebody else's model.
+/// Guards against an adapter request that waits for the load of an unrelated model.
 #[test]
 fn an_adapter_is_not_loaded_on_an_engine_that_executes_a_command() {
     let now = Instant::now();
@@ -382,8 +379,8 @@
     assert_eq!(home(&targets), usual, "all are busy alike");
 }
 
-/// All targets fail at once. Each second attempt adds load to what is left; beyond the allowance
-/// there are none, and two routers together stay within it too.
+/// Guards against retries that overload the remaining targets, also when two routers share the
+/// allowance.
 #[test]
 fn retries_stay_within_the_shared_allowance() {
     let now = Instant::now();
@@ -440,8 +437,7 @@
     assert_eq!(steps::next_model(ROOM, &parts, &holdings(&["keep", "new"])), None);
 }
 
-/// The plan is older than what the engine holds: the size of a model that it holds is not in it. An
-/// engine that is ordered to hold too much crashes.
+/// Guards against exceeding an engine's memory when the plan lacks the size of a resident model.
 #[test]
 fn nothing_is_loaded_beside_a_model_of_unknown_size() {
     let parts = parts(&[("new", true)]);
@@ -469,9 +465,7 @@
     assert_eq!(order, None, "both are in use: routers have just named them");
 }
 
-/// An engine has room for fewer adapters than were asked for within some seconds. One whose request
-/// has long gone takes the place of one asked for since, that one takes it back, and so on: thirty
-/// orders a second, and callers whose adapter goes before their request arrives.
+/// Guards against two adapters that evict each other repeatedly.
 #[test]
 fn an_adapter_requested_earlier_does_not_evict_a_later_one() {
     let now = Instant::now();
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -1,4 +1,4 @@
-//! Turns in which an engine reads prompts: what callers get of a load, without a network.
+//! Prefill permits on a simulated engine, without a network.
 
 use corianderstand_fleet::prefill::{PermitQueue, PermitRequest, PermitResponse};
 use rstest::rstest;
@@ -7,11 +7,11 @@
     time::{Duration, Instant},
 };
 
-/// Time in which the engine under load reads a prompt of the usual size alone.
+/// Prefill time of a typical prompt alone.
 const WORK: Duration = Duration::from_millis(45);
-/// Longest useful pause of the streams.
+/// Maximum pause of the streams.
 const PAUSE: Duration = Duration::from_millis(250);
-/// Time to a first event that is of full use.
+/// Latency objective for the first event.
 const AIM: Duration = Duration::from_millis(500);
 
 fn ask(id: u64, now: Instant, aim: Duration) -> PermitRequest<()> {
@@ -25,29 +25,27 @@
     }
 }
 
-/// An engine that reads what it is sent in pieces, a piece a step, and makes a token for each stream
-/// at the end of each step.
+/// Engine with chunked prefill: each step processes at most one chunk and emits one token per stream.
 #[derive(Default)]
 struct Engine {
     queue: VecDeque<(u64, Duration)>,
-    /// Prompts that are read, and the tokens that their first events lack.
+    /// Prompts after prefill, with the tokens missing until their first event.
     begun: Vec<(u64, usize)>,
-    /// Steps so far, by their length.
+    /// Durations of all steps.
     steps: Vec<Duration>,
 }
 
-/// Reading in one step at most.
+/// Largest prefill chunk of one step.
 const PIECE: Duration = Duration::from_millis(80);
-/// A step without any reading.
+/// Duration of a step without prefill.
 const STEP: Duration = Duration::from_millis(8);
-/// Part of its time that the engine may spend on prompts: the share that turns leave, less what the
-/// steps themselves take of it (8 of 88 ms).
+/// Prefill part of the time under permits: the limit, less the steps' own time (8 of 88 ms).
 const FOR_PROMPTS: f64 = 0.75;
-/// Tokens in one event.
+/// Tokens per event.
 const TOKENS: usize = 3;
 
 impl Engine {
-    /// One step; the ids of prompts whose first events come at its end.
+    /// Executes one step; returns its duration and the prompts with a first event at its end.
     fn step(&mut self) -> (Duration, Vec<u64>) {
         let mut room = PIECE;
         let mut read = Vec::new();
@@ -75,13 +73,13 @@
     }
 }
 
-/// What callers got of a load: first events in time, and the longest pause of streams.
+/// First events on time, and the longest pause of the streams.
 struct Outcome {
     in_time: Vec<u64>,
     longest_pause: Duration,
 }
 
-/// Plays arrivals, each `(after, aim)`, with turns or sent at once.
+/// Simulates arrivals, each `(after, objective)`, with permits or sent at once.
 fn play(arrivals: &[(Duration, Duration)], turns: bool) -> Outcome {
     let began = Instant::now();
     let mut now = began;
@@ -111,9 +109,7 @@
     (0..count).map(|n| (pause * n as u32, aim)).collect()
 }
 
-/// A model becomes busy and its one engine gets bursts of eight prompts, which it could read in time
-/// one after the other. Sent at once, they are read without a break, and each stream at the engine
-/// stands still for longer than its reader bears.
+/// Guards against streams that stall while the prompts of a burst are processed without a break.
 #[rstest]
 fn streams_do_not_pause_during_a_burst_of_prompts() {
     let bursts = (0..5).flat_map(|burst| {
@@ -128,9 +124,7 @@
     assert_eq!((before.in_time.len(), after.in_time.len()), (40, 40));
 }
 
-/// After a power cut all callers ask again at once: thirty prompts that take 1.4 s to read, of which
-/// most would come after their callers' aim. Read in the order of their arrival with patient ones
-/// among them, urgent ones come late behind prompts that have two seconds to spare.
+/// Guards against urgent prompts that miss their objective behind prompts with a later one.
 #[rstest]
 fn urgent_prompts_have_priority() {
     let mixed: Vec<_> = (0..24)
@@ -138,29 +132,27 @@
         .collect();
     let urgent = |outcome: &Outcome| outcome.in_time.iter().filter(|id| *id % 2 == 1).count();
     let (before, after) = (play(&mixed, false), play(&mixed, true));
-    // Within the aim, less half a pause for the first event, three quarters of the time go to
-    // prompts, and three turns of four to those that can be in time.
+    // Of the objective, less half a pause for the first event, three quarters of the time go to
+    // prefill, and three of four permits to prompts that can be on time.
     let possible = (AIM - PAUSE / 2).mul_f64(FOR_PROMPTS * 0.75).div_duration_f64(WORK);
     assert!(urgent(&after) >= possible as usize, "{} of {possible}", urgent(&after));
     assert!(urgent(&after) > urgent(&before), "{}, then {}", urgent(&before), urgent(&after));
     assert_eq!(after.in_time.len() - urgent(&after), 12, "all patient ones");
 }
 
-/// Twice as much is asked for as the engine can read. Each prompt behind the ones before it would be
-/// late, and so nobody in time; the ones that are late already have to let others pass.
+/// Guards against overload in which every prompt is late because each waits for the ones before it.
 #[rstest]
 fn some_prompts_are_on_time_under_overload() {
     let flood = every(200, WORK / 2, AIM);
     let (before, after) = (play(&flood, false), play(&flood, true));
-    // Of the time of the flood three quarters go to prompts, and of these three quarters to those
-    // that can be in time.
+    // Three quarters of the time go to prefill, and three quarters of that to prompts that can be
+    // on time.
     let possible = (WORK / 2 * 200).mul_f64(FOR_PROMPTS * 0.75).div_duration_f64(WORK) as usize;
     assert!(before.in_time.len() < possible / 2, "{}", before.in_time.len());
     assert!(after.in_time.len() >= possible * 9 / 10, "{} of {possible}", after.in_time.len());
 }
 
-/// A prompt is longer than what may be read at a time. Waiting for room that never comes, its caller
-/// would leave.
+/// Guards against starvation of a prompt that exceeds the window's limit by itself.
 #[rstest]
 fn a_prompt_longer_than_the_limit_is_granted() {
     let now = Instant::now();
@@ -168,7 +160,7 @@
     assert_eq!(turns.request(now, ask(1, now, AIM)), PermitResponse::Granted);
     let long = PermitRequest { prefill_time: PAUSE * 2, ..ask(2, now, AIM) };
     assert!(matches!(turns.request(now, long), PermitResponse::Wait(_)));
-    // Shorter ones come all the while and do not pass it for ever.
+    // Shorter prompts keep arriving and must not overtake it for ever.
     let mut given = Vec::new();
     for n in 0..20 {
         let now = now + WORK * n;
@@ -178,8 +170,7 @@
     assert!(given.contains(&2), "{given:?}");
 }
 
-/// The datagram with a turn is lost and the router asks again. Counted as a second prompt, the turn
-/// would keep others waiting for reading that never comes.
+/// Guards against counting a prompt twice if the response to its request was lost.
 #[rstest]
 fn a_repeated_request_is_counted_once() {
     let now = Instant::now();
@@ -189,7 +180,7 @@
     assert_eq!(turns.backlog(now), WORK);
 }
 
-/// Callers leave while they wait. A turn given to one of them would leave the engine idle.
+/// Guards against permits for callers that have left, which would leave the engine idle.
 #[rstest]
 #[case::withdrawn(true)]
 #[case::expired(false)]
