--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -70,7 +70,7 @@
 }
 
 /// The simulated deployment.
-pub struct World {
+pub struct Simulation {
     pub now: Instant,
     pub models: BTreeMap<ModelId, Asked>,
     pub tallies: BTreeMap<ModelId, Tally>,
@@ -96,7 +96,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Creates engines with `cached` models on each disk, three of them resident.
     pub fn new(engines: usize, models: &[(&str, Asked)], copies: usize, seed: u64) -> Self {
         println!("seed {seed}");
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Asked, World, busy, rare};
+use common::{Asked, Simulation, busy, rare};
 use corianderstand_fleet::{config, demand, plan, snapshot, targets};
 use corianderstand_types::names::ModelId;
 use slotmap::SlotMap;
@@ -11,10 +11,10 @@
     time::{Duration, Instant},
 };
 
-fn world(engines: usize, models: Vec<(String, Asked)>, copies: usize, seed: u64) -> World {
+fn world(engines: usize, models: Vec<(String, Asked)>, copies: usize, seed: u64) -> Simulation {
     let models: Vec<(&str, Asked)> =
         models.iter().map(|(name, asked)| (name.as_str(), asked.clone())).collect();
-    World::new(engines, &models, copies, seed)
+    Simulation::new(engines, &models, copies, seed)
 }
 
 fn is_rare(name: &str) -> bool {
