--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -32,7 +32,7 @@
 
 /// Request load of a model.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Workload {
     pub per_s: f64,
     pub aim: Duration,
 }
@@ -72,7 +72,7 @@
 /// The simulated deployment.
 pub struct Simulation {
     pub now: Instant,
-    pub models: BTreeMap<ModelId, Asked>,
+    pub models: BTreeMap<ModelId, Workload>,
     pub tallies: BTreeMap<ModelId, Tally>,
     pub orders: u32,
     pub store_loads: u32,
@@ -98,7 +98,7 @@
 
 impl Simulation {
     /// Creates engines with `cached` models on each disk, three of them resident.
-    pub fn new(engines: usize, models: &[(&str, Asked)], copies: usize, seed: u64) -> Self {
+    pub fn new(engines: usize, models: &[(&str, Workload)], copies: usize, seed: u64) -> Self {
         println!("seed {seed}");
         let names: Vec<ModelId> = models.iter().map(|(name, _)| ModelId::from(*name)).collect();
         let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
@@ -359,14 +359,14 @@
 }
 
 /// Models with few requests and a long latency objective.
-pub fn rare(count: usize, per_s: f64) -> Vec<(String, Asked)> {
-    let asked = Asked { per_s, aim: Duration::from_millis(2_500) };
+pub fn rare(count: usize, per_s: f64) -> Vec<(String, Workload)> {
+    let asked = Workload { per_s, aim: Duration::from_millis(2_500) };
     (0..count).map(|index| (format!("rare-{index:02}"), asked.clone())).collect()
 }
 
 /// A model with many requests and a short latency objective.
-pub fn busy(name: &str, per_s: f64) -> (String, Asked) {
-    (name.to_owned(), Asked { per_s, aim: Duration::from_millis(300) })
+pub fn busy(name: &str, per_s: f64) -> (String, Workload) {
+    (name.to_owned(), Workload { per_s, aim: Duration::from_millis(300) })
 }
 
 /// A target id.
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Asked, Simulation, busy, rare};
+use common::{Workload, Simulation, busy, rare};
 use corianderstand_fleet::{config, demand, plan, snapshot, targets};
 use corianderstand_types::names::ModelId;
 use slotmap::SlotMap;
@@ -11,8 +11,8 @@
     time::{Duration, Instant},
 };
 
-fn world(engines: usize, models: Vec<(String, Asked)>, copies: usize, seed: u64) -> Simulation {
-    let models: Vec<(&str, Asked)> =
+fn world(engines: usize, models: Vec<(String, Workload)>, copies: usize, seed: u64) -> Simulation {
+    let models: Vec<(&str, Workload)> =
         models.iter().map(|(name, asked)| (name.as_str(), asked.clone())).collect();
     Simulation::new(engines, &models, copies, seed)
 }
