--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -55,13 +55,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub asked: u32,
-    pub in_aim: u32,
+    pub on_time: u32,
     pub left: u32,
 }
 
 impl Tally {
-    pub fn share_in_aim(&self) -> f64 {
-        f64::from(self.in_aim) / f64::from(self.asked.max(1))
+    pub fn on_time_ratio(&self) -> f64 {
+        f64::from(self.on_time) / f64::from(self.asked.max(1))
     }
 
     pub fn share_left(&self) -> f64 {
@@ -170,7 +170,7 @@
         let own = self.tallies.iter().filter(|(name, _)| models(name.as_str()));
         own.fold(Tally::default(), |sum, (_, tally)| Tally {
             asked: sum.asked + tally.asked,
-            in_aim: sum.in_aim + tally.in_aim,
+            on_time: sum.on_time + tally.on_time,
             left: sum.left + tally.left,
         })
     }
@@ -213,7 +213,7 @@
             match holder.min_by_key(|engine| engine.runs.len()) {
                 Some(engine) => {
                     engine.runs.push((request.model, now));
-                    tally.in_aim += u32::from(waited <= request.aim);
+                    tally.on_time += u32::from(waited <= request.aim);
                 }
                 None if waited >= request.aim * LEAVES_AFTER => tally.left += 1,
                 None => self.waiting.push_back(request),
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -36,8 +36,8 @@
     world.run(Duration::from_secs(40));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
     println!("rare {rare:?}, busy {busy:?}, {} orders", world.orders);
-    assert!(rare.share_in_aim() > 0.85, "rare models in time: {}", rare.share_in_aim());
-    assert!(busy.share_in_aim() > 0.97, "busy models at once: {}", busy.share_in_aim());
+    assert!(rare.on_time_ratio() > 0.85, "rare models in time: {}", rare.on_time_ratio());
+    assert!(busy.on_time_ratio() > 0.97, "busy models at once: {}", busy.on_time_ratio());
     assert!(world.most_mb <= 220_000, "an engine was ordered to hold {} MB", world.most_mb);
 }
 
@@ -55,7 +55,7 @@
     world.forget();
     world.run(Duration::from_secs(15));
     let new = world.tally(|name| name == "new");
-    assert!(new.share_in_aim() > 0.97, "after four seconds: {new:?}");
+    assert!(new.on_time_ratio() > 0.97, "after four seconds: {new:?}");
     assert!(world.holders("new") >= 2, "one engine alone would make its streams pause");
 }
 
@@ -74,7 +74,7 @@
     world.run(Duration::from_secs(10));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
     println!("rare {rare:?}, busy {busy:?}");
-    assert!(busy.share_in_aim() > 0.97, "{busy:?}");
+    assert!(busy.on_time_ratio() > 0.97, "{busy:?}");
     assert!(rare.share_left() < 0.1, "{rare:?}");
 }
 
@@ -204,12 +204,12 @@
         world.models.get_mut(&"next".into()).unwrap().per_s = 25.0;
         world.run(Duration::from_secs(12));
         let next = world.tally(|name| name == "next");
-        assert!(next.share_in_aim() > 0.8, "the busy model at once: {next:?}");
+        assert!(next.on_time_ratio() > 0.8, "the busy model at once: {next:?}");
         world.tally(is_rare)
     };
     let tallies: Vec<_> = (1..6).map(after_the_rise).collect();
     let asked: u32 = tallies.iter().map(|tally| tally.asked).sum();
-    let in_aim: u32 = tallies.iter().map(|tally| tally.in_aim).sum();
+    let in_aim: u32 = tallies.iter().map(|tally| tally.on_time).sum();
     let share = f64::from(in_aim) / f64::from(asked);
     println!("rare models in time {share:.3}");
     assert!(share > 0.93, "rare models in time: {share:.3}");
