--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -56,7 +56,7 @@
 pub struct Tally {
     pub asked: u32,
     pub on_time: u32,
-    pub left: u32,
+    pub abandoned: u32,
 }
 
 impl Tally {
@@ -64,8 +64,8 @@
         f64::from(self.on_time) / f64::from(self.asked.max(1))
     }
 
-    pub fn share_left(&self) -> f64 {
-        f64::from(self.left) / f64::from(self.asked.max(1))
+    pub fn abandoned_ratio(&self) -> f64 {
+        f64::from(self.abandoned) / f64::from(self.asked.max(1))
     }
 }
 
@@ -171,7 +171,7 @@
         own.fold(Tally::default(), |sum, (_, tally)| Tally {
             asked: sum.asked + tally.asked,
             on_time: sum.on_time + tally.on_time,
-            left: sum.left + tally.left,
+            abandoned: sum.abandoned + tally.abandoned,
         })
     }
 
@@ -215,7 +215,7 @@
                     engine.runs.push((request.model, now));
                     tally.on_time += u32::from(waited <= request.aim);
                 }
-                None if waited >= request.aim * LEAVES_AFTER => tally.left += 1,
+                None if waited >= request.aim * LEAVES_AFTER => tally.abandoned += 1,
                 None => self.waiting.push_back(request),
             }
         }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -75,7 +75,7 @@
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
     println!("rare {rare:?}, busy {busy:?}");
     assert!(busy.on_time_ratio() > 0.97, "{busy:?}");
-    assert!(rare.share_left() < 0.1, "{rare:?}");
+    assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
 }
 
 /// An engine crashes and with it three models that were nowhere else. Other engines have copies on
@@ -90,7 +90,7 @@
     world.crash(4);
     world.run(Duration::from_secs(8));
     let rare = world.tally(is_rare);
-    assert!(rare.share_left() < 0.05, "{rare:?}");
+    assert!(rare.abandoned_ratio() < 0.05, "{rare:?}");
     assert_eq!(world.store_loads, 0, "all had copies on other disks");
 }
 
@@ -130,7 +130,7 @@
     world.forget();
     world.run(Duration::from_secs(60));
     let rare = world.tally(is_rare);
-    assert!(rare.share_left() < 0.1, "{rare:?}");
+    assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
 }
 
 /// All engines have lost power and hold one of each model when traffic returns. A model that needs ten
