--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -54,18 +54,18 @@
 /// Outcome of a model's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    pub asked: u32,
+    pub requests: u32,
     pub on_time: u32,
     pub abandoned: u32,
 }
 
 impl Tally {
     pub fn on_time_ratio(&self) -> f64 {
-        f64::from(self.on_time) / f64::from(self.asked.max(1))
+        f64::from(self.on_time) / f64::from(self.requests.max(1))
     }
 
     pub fn abandoned_ratio(&self) -> f64 {
-        f64::from(self.abandoned) / f64::from(self.asked.max(1))
+        f64::from(self.abandoned) / f64::from(self.requests.max(1))
     }
 }
 
@@ -169,7 +169,7 @@
     pub fn tally(&self, models: impl Fn(&str) -> bool) -> Tally {
         let own = self.tallies.iter().filter(|(name, _)| models(name.as_str()));
         own.fold(Tally::default(), |sum, (_, tally)| Tally {
-            asked: sum.asked + tally.asked,
+            requests: sum.requests + tally.requests,
             on_time: sum.on_time + tally.on_time,
             abandoned: sum.abandoned + tally.abandoned,
         })
@@ -189,7 +189,7 @@
             }
             let weight = demand::Weight { prompt_tokens: 600, adapted: false, aim: asked.aim };
             self.demand.add(self.now, name, weight);
-            self.tallies.entry(name.clone()).or_default().asked += 1;
+            self.tallies.entry(name.clone()).or_default().requests += 1;
             let request = Request { model: name.clone(), came: self.now, aim: asked.aim };
             self.waiting.push_back(request);
         }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -208,7 +208,7 @@
         world.tally(is_rare)
     };
     let tallies: Vec<_> = (1..6).map(after_the_rise).collect();
-    let asked: u32 = tallies.iter().map(|tally| tally.asked).sum();
+    let asked: u32 = tallies.iter().map(|tally| tally.requests).sum();
     let in_aim: u32 = tallies.iter().map(|tally| tally.on_time).sum();
     let share = f64::from(in_aim) / f64::from(asked);
     println!("rare models in time {share:.3}");
