--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -143,7 +143,7 @@
     }
 
     /// Resets all counters.
-    pub fn forget(&mut self) {
+    pub fn reset_counters(&mut self) {
         self.tallies.clear();
         self.orders = 0;
         self.store_loads = 0;
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -32,7 +32,7 @@
     models.extend([busy("busy-0", 25.0), busy("busy-1", 12.0)]);
     let mut world = world(9, models, 12, seed);
     world.run(Duration::from_secs(15));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(40));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
     println!("rare {rare:?}, busy {busy:?}, {} orders", world.orders);
@@ -52,7 +52,7 @@
     world.models.get_mut(&"old".into()).unwrap().per_s = 0.0;
     world.models.get_mut(&"new".into()).unwrap().per_s = 25.0;
     world.run(Duration::from_secs(4));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(15));
     let new = world.tally(|name| name == "new");
     assert!(new.on_time_ratio() > 0.97, "after four seconds: {new:?}");
@@ -70,7 +70,7 @@
     for index in 0..25 {
         world.models.get_mut(&format!("rare-{index:02}").as_str().into()).unwrap().per_s = 1.2;
     }
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(10));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
     println!("rare {rare:?}, busy {busy:?}");
@@ -86,7 +86,7 @@
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 6);
     world.run(Duration::from_secs(15));
-    world.forget();
+    world.reset_counters();
     world.crash(4);
     world.run(Duration::from_secs(8));
     let rare = world.tally(is_rare);
@@ -102,7 +102,7 @@
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 7);
     world.run(Duration::from_secs(15));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(30));
     // Thirty-one models on twenty-seven places: some turns are needed, two orders each.
     assert!(world.orders < 240, "{} orders in 30 s", world.orders);
@@ -127,7 +127,7 @@
 fn one_engine_serves_more_models_than_it_holds() {
     let mut world = world(1, rare(5, 0.1), 5, 9);
     world.run(Duration::from_secs(10));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(60));
     let rare = world.tally(is_rare);
     assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
@@ -200,7 +200,7 @@
         models.extend([busy("steady", 14.0), busy("next", 0.3)]);
         let mut world = world(8, models, 4, seed);
         world.run(Duration::from_secs(15));
-        world.forget();
+        world.reset_counters();
         world.models.get_mut(&"next".into()).unwrap().per_s = 25.0;
         world.run(Duration::from_secs(12));
         let next = world.tally(|name| name == "next");
