--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -74,7 +74,7 @@
     pub now: Instant,
     pub models: BTreeMap<ModelId, Workload>,
     pub tallies: BTreeMap<ModelId, Tally>,
-    pub orders: u32,
+    pub commands: u32,
     pub store_loads: u32,
     /// Largest memory that an engine was commanded to use, in MB.
     pub most_mb: u64,
@@ -118,7 +118,7 @@
             now: Instant::now(),
             models: models.iter().map(|(name, asked)| ((*name).into(), asked.clone())).collect(),
             tallies: BTreeMap::new(),
-            orders: 0,
+            commands: 0,
             store_loads: 0,
             most_mb: 0,
             engines: engines.collect(),
@@ -145,7 +145,7 @@
     /// Resets all counters.
     pub fn reset_counters(&mut self) {
         self.tallies.clear();
-        self.orders = 0;
+        self.commands = 0;
         self.store_loads = 0;
     }
 
@@ -253,7 +253,7 @@
                     let used = (engine.holdings.resident.len() as u64 + 1) * MODEL_MB;
                     self.most_mb = self.most_mb.max(used);
                 }
-                self.orders += 1;
+                self.commands += 1;
                 engine.order = Some((order, takes));
                 engine.holdings.commands_accepted += 1;
             }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -35,7 +35,7 @@
     world.reset_counters();
     world.run(Duration::from_secs(40));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
-    println!("rare {rare:?}, busy {busy:?}, {} orders", world.orders);
+    println!("rare {rare:?}, busy {busy:?}, {} orders", world.commands);
     assert!(rare.on_time_ratio() > 0.85, "rare models in time: {}", rare.on_time_ratio());
     assert!(busy.on_time_ratio() > 0.97, "busy models at once: {}", busy.on_time_ratio());
     assert!(world.most_mb <= 220_000, "an engine was ordered to hold {} MB", world.most_mb);
@@ -105,7 +105,7 @@
     world.reset_counters();
     world.run(Duration::from_secs(30));
     // Thirty-one models on twenty-seven places: some turns are needed, two orders each.
-    assert!(world.orders < 240, "{} orders in 30 s", world.orders);
+    assert!(world.commands < 240, "{} orders in 30 s", world.commands);
 }
 
 /// Nobody asks for anything yet, as before a deployment opens. Models that are on no engine come to
