--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -19,22 +19,22 @@
 /// Duration of one simulation step.
 const STEP: Duration = Duration::from_millis(10);
 /// Duration of a request.
-const RUN: Duration = Duration::from_millis(1_400);
+const REQUEST_TIME: Duration = Duration::from_millis(1_400);
 /// Duration of an unload.
-const DROP: Duration = Duration::from_millis(60);
+const UNLOAD_TIME: Duration = Duration::from_millis(60);
 /// Concurrent loads that the weight store serves at full speed.
-const STORE_AT_ONCE: f64 = 4.0;
+const STORE_CONCURRENT_LOADS: f64 = 4.0;
 /// Memory of a model and of an engine, which holds three.
 const MODEL_MB: u64 = 70_000;
 const ENGINE_MB: u64 = 220_000;
 /// Multiple of the latency objective after which a caller leaves.
-const LEAVES_AFTER: u32 = 4;
+const ABANDON_AFTER_RATIO: u32 = 4;
 
 /// Request load of a model.
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub per_s: f64,
-    pub aim: Duration,
+    pub latency_objective: Duration,
 }
 
 struct Engine {
@@ -47,8 +47,8 @@
 
 struct Request {
     model: ModelId,
-    came: Instant,
-    aim: Duration,
+    arrived_at: Instant,
+    latency_objective: Duration,
 }
 
 /// Outcome of a model's requests.
@@ -98,13 +98,13 @@
 
 impl Simulation {
     /// Creates engines with `cached` models on each disk, three of them resident.
-    pub fn new(engines: usize, models: &[(&str, Workload)], copies: usize, seed: u64) -> Self {
+    pub fn new(engines: usize, models: &[(&str, Workload)], cached: usize, seed: u64) -> Self {
         println!("seed {seed}");
         let names: Vec<ModelId> = models.iter().map(|(name, _)| ModelId::from(*name)).collect();
         let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
         let engines = (0..engines).map(|index| {
             let disk: Vec<ModelId> =
-                (0..copies).map(|copy| names[(index * 3 + copy) % names.len()].clone()).collect();
+                (0..cached).map(|offset| names[(index * 3 + offset) % names.len()].clone()).collect();
             let resident = disk
                 .iter()
                 .take(3)
@@ -136,7 +136,7 @@
             self.now += STEP;
             self.arrive();
             self.finish_runs();
-            self.work_off_orders();
+            self.advance_commands();
             self.serve();
             self.plan();
         }
@@ -187,24 +187,24 @@
             if self.rng.random::<f64>() >= asked.per_s * step {
                 continue;
             }
-            let weight = demand::Weight { prompt_tokens: 600, adapted: false, aim: asked.aim };
+            let weight = demand::Weight { prompt_tokens: 600, adapted: false, aim: asked.latency_objective };
             self.demand.add(self.now, name, weight);
             self.tallies.entry(name.clone()).or_default().requests += 1;
-            let request = Request { model: name.clone(), came: self.now, aim: asked.aim };
+            let request = Request { model: name.clone(), arrived_at: self.now, latency_objective: asked.latency_objective };
             self.waiting.push_back(request);
         }
     }
 
     fn finish_runs(&mut self) {
         for engine in &mut self.engines {
-            engine.runs.retain(|(_, began)| self.now.saturating_duration_since(*began) < RUN);
+            engine.runs.retain(|(_, started_at)| self.now.saturating_duration_since(*started_at) < REQUEST_TIME);
         }
     }
 
     fn serve(&mut self) {
         let now = self.now;
         for request in std::mem::take(&mut self.waiting) {
-            let waited = now.saturating_duration_since(request.came);
+            let waited = now.saturating_duration_since(request.arrived_at);
             let holder = self.engines.iter_mut().filter(|engine| {
                 let gone = matches!(&engine.order, Some((steps::Order::Unload(gone), _)) if *gone == request.model);
                 engine.up && !gone && engine.holdings.resident(&request.model).is_some()
@@ -213,9 +213,9 @@
             match holder.min_by_key(|engine| engine.runs.len()) {
                 Some(engine) => {
                     engine.runs.push((request.model, now));
-                    tally.on_time += u32::from(waited <= request.aim);
+                    tally.on_time += u32::from(waited <= request.latency_objective);
                 }
-                None if waited >= request.aim * LEAVES_AFTER => tally.abandoned += 1,
+                None if waited >= request.latency_objective * ABANDON_AFTER_RATIO => tally.abandoned += 1,
                 None => self.waiting.push_back(request),
             }
         }
@@ -243,8 +243,8 @@
                 .collect();
             if let Some(order) = steps::next_model(room, &parts, &engine.holdings) {
                 let takes = match &order {
-                    steps::Order::Load(model) => takes(&engine.holdings, model),
-                    _ => DROP.as_secs_f64(),
+                    steps::Order::Load(model) => load_time_s(&engine.holdings, model),
+                    _ => UNLOAD_TIME.as_secs_f64(),
                 };
                 if takes > 1.0 {
                     self.store_loads += 1;
@@ -280,7 +280,7 @@
                 steps::Order::Load(model) => targets::Ongoing::Loading {
                     model: model.clone(),
                     ready_at: self.now + Duration::from_secs_f64(left.max(0.0)),
-                    from_store: takes(&engine.holdings, model) > 1.0,
+                    from_store: load_time_s(&engine.holdings, model) > 1.0,
                 },
                 steps::Order::Unload(model)
                 | steps::Order::LoadAdapter(model, _)
@@ -302,13 +302,13 @@
         views.collect()
     }
 
-    fn work_off_orders(&mut self) {
+    fn advance_commands(&mut self) {
         let loading = |engine: &Engine| match &engine.order {
-            Some((steps::Order::Load(model), _)) => takes(&engine.holdings, model) > 1.0,
+            Some((steps::Order::Load(model), _)) => load_time_s(&engine.holdings, model) > 1.0,
             _ => false,
         };
         let store = self.engines.iter().filter(|engine| loading(engine)).count() as f64;
-        let share = (STORE_AT_ONCE / store.max(1.0)).min(1.0);
+        let share = (STORE_CONCURRENT_LOADS / store.max(1.0)).min(1.0);
         for engine in &mut self.engines {
             let from_store = loading(engine);
             let Some((order, left)) = &mut engine.order else { continue };
@@ -323,13 +323,13 @@
             if *left <= 0.0 {
                 let order = order.clone();
                 engine.order = None;
-                carry_out(&mut engine.holdings, order);
+                execute(&mut engine.holdings, order);
             }
         }
     }
 }
 
-fn takes(holdings: &targets::Holdings, model: &ModelId) -> f64 {
+fn load_time_s(holdings: &targets::Holdings, model: &ModelId) -> f64 {
     let spec = spec(model);
     if holdings.in_memory.contains(model) {
         spec.load_from_memory.as_secs_f64()
@@ -340,7 +340,7 @@
     }
 }
 
-fn carry_out(holdings: &mut targets::Holdings, order: steps::Order) {
+fn execute(holdings: &mut targets::Holdings, order: steps::Order) {
     match order {
         steps::Order::Load(model) => {
             if !holdings.on_disk.contains(&model) {
@@ -360,13 +360,13 @@
 
 /// Models with few requests and a long latency objective.
 pub fn rare(count: usize, per_s: f64) -> Vec<(String, Workload)> {
-    let asked = Workload { per_s, aim: Duration::from_millis(2_500) };
+    let asked = Workload { per_s, latency_objective: Duration::from_millis(2_500) };
     (0..count).map(|index| (format!("rare-{index:02}"), asked.clone())).collect()
 }
 
 /// A model with many requests and a short latency objective.
 pub fn busy(name: &str, per_s: f64) -> (String, Workload) {
-    (name.to_owned(), Workload { per_s, aim: Duration::from_millis(300) })
+    (name.to_owned(), Workload { per_s, latency_objective: Duration::from_millis(300) })
 }
 
 /// A target id.
