--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -103,8 +103,9 @@
         let names: Vec<ModelId> = models.iter().map(|(name, _)| ModelId::from(*name)).collect();
         let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
         let engines = (0..engines).map(|index| {
-            let disk: Vec<ModelId> =
-                (0..cached).map(|offset| names[(index * 3 + offset) % names.len()].clone()).collect();
+            let disk: Vec<ModelId> = (0..cached)
+                .map(|offset| names[(index * 3 + offset) % names.len()].clone())
+                .collect();
             let resident = disk
                 .iter()
                 .take(3)
@@ -116,7 +117,10 @@
         });
         Self {
             now: Instant::now(),
-            models: models.iter().map(|(name, asked)| ((*name).into(), asked.clone())).collect(),
+            models: models
+                .iter()
+                .map(|(name, workload)| ((*name).into(), workload.clone()))
+                .collect(),
             tallies: BTreeMap::new(),
             commands: 0,
             store_loads: 0,
@@ -183,21 +187,31 @@
 
     fn arrive(&mut self) {
         let step = STEP.as_secs_f64();
-        for (name, asked) in &self.models {
-            if self.rng.random::<f64>() >= asked.per_s * step {
+        for (name, workload) in &self.models {
+            if self.rng.random::<f64>() >= workload.per_s * step {
                 continue;
             }
-            let weight = demand::Weight { prompt_tokens: 600, adapted: false, aim: asked.latency_objective };
+            let weight = demand::Weight {
+                prompt_tokens: 600,
+                adapted: false,
+                aim: workload.latency_objective,
+            };
             self.demand.add(self.now, name, weight);
             self.tallies.entry(name.clone()).or_default().requests += 1;
-            let request = Request { model: name.clone(), arrived_at: self.now, latency_objective: asked.latency_objective };
+            let request = Request {
+                model: name.clone(),
+                arrived_at: self.now,
+                latency_objective: workload.latency_objective,
+            };
             self.waiting.push_back(request);
         }
     }
 
     fn finish_runs(&mut self) {
         for engine in &mut self.engines {
-            engine.runs.retain(|(_, started_at)| self.now.saturating_duration_since(*started_at) < REQUEST_TIME);
+            engine.runs.retain(|(_, started_at)| {
+                self.now.saturating_duration_since(*started_at) < REQUEST_TIME
+            });
         }
     }
 
@@ -215,7 +229,9 @@
                     engine.runs.push((request.model, now));
                     tally.on_time += u32::from(waited <= request.latency_objective);
                 }
-                None if waited >= request.latency_objective * ABANDON_AFTER_RATIO => tally.abandoned += 1,
+                None if waited >= request.latency_objective * ABANDON_AFTER_RATIO => {
+                    tally.abandoned += 1
+                }
                 None => self.waiting.push_back(request),
             }
         }
@@ -360,8 +376,8 @@
 
 /// Models with few requests and a long latency objective.
 pub fn rare(count: usize, per_s: f64) -> Vec<(String, Workload)> {
-    let asked = Workload { per_s, latency_objective: Duration::from_millis(2_500) };
-    (0..count).map(|index| (format!("rare-{index:02}"), asked.clone())).collect()
+    let workload = Workload { per_s, latency_objective: Duration::from_millis(2_500) };
+    (0..count).map(|index| (format!("rare-{index:02}"), workload.clone())).collect()
 }
 
 /// A model with many requests and a short latency objective.
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -84,7 +84,7 @@
     targets.register(now, entry("other"));
     let after = Entry { addr: address("before"), ..entry("after") };
     assert_eq!(targets.register(now, after), Change::New);
-    assert!(targets.key(&id("before")).is_none(), "requests would be refused there");
+    assert!(targets.key(&id("before")).is_none(), "the previous engine has ended");
     assert!(targets.key(&id("after")).is_some() && targets.key(&id("other")).is_some());
 }
 
@@ -97,14 +97,14 @@
     let host = address("before").ip();
     assert!(
         !targets.infer_successor(now, &id("after"), 0, host, |_| false),
-        "a plain service's target"
+        "not an engine's service"
     );
     assert!(targets.infer_successor(now, &id("after"), 0, host, |_| true));
     let known = targets.get(targets.key(&id("after")).unwrap()).unwrap();
     assert_eq!(known.entry.addr, address("before"));
-    assert!(!targets.infer_successor(now, &id("before"), 0, host, |_| true), "its word came late");
-    assert_eq!(targets.register(now, entry("before")), Change::New, "it lives after all");
-    assert!(targets.key(&id("after")).is_none(), "only one can live at an address");
+    assert!(!targets.infer_successor(now, &id("before"), 0, host, |_| true), "outdated report");
+    assert_eq!(targets.register(now, entry("before")), Change::New, "the previous engine is alive");
+    assert!(targets.key(&id("after")).is_none(), "one target per address");
     assert!(!targets.infer_successor(now, &id("stranger"), 0, address("nobody").ip(), |_| true));
 }
 
@@ -120,7 +120,7 @@
     let key = targets.key(&id("e")).unwrap();
     assert!(!targets.get(key).unwrap().accepts_requests(now));
     targets.remove(now, &id("e"), false);
-    assert_eq!(targets.register(now, entry("e")), Change::Stale, "it has left for good");
+    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the incarnation has ended");
 }
 
 /// Guards against requests for models that an engine lost in a restart.
@@ -172,17 +172,17 @@
     assert!(targets.get(key).unwrap().serves(now, &"n".into()));
     let older =
         Report { holdings: Holdings { commands_accepted: 1, ..holdings(&["m"]) }, ..report };
-    assert!(!targets.report(now, older), "datagrams overtake each other");
+    assert!(!targets.report(now, older), "reordered datagram");
 }
 
-fn ask<'a>(
-    wanted: &'a choose::RequestedModel,
+fn query<'a>(
+    requested: &'a choose::RequestedModel,
     service: &'a corianderstand_types::names::ServiceId,
     zone: &'a corianderstand_types::names::AvailabilityZoneId,
 ) -> choose::Query<'a> {
     choose::Query {
         service,
-        requested: Some(wanted),
+        requested: Some(requested),
         tokens: 1_000,
         cache_tokens: 10_000,
         adapter_slots: 2,
@@ -193,7 +193,7 @@
     }
 }
 
-fn wanted() -> choose::RequestedModel {
+fn requested() -> choose::RequestedModel {
     choose::RequestedModel { model: "m".into(), adapter: None }
 }
 
@@ -202,14 +202,18 @@
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, Entry { holdings: holdings(&["n"]), ..entry("e") });
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
-    let ask = ask(&wanted, &service, &zone);
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Cold);
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
+    let query = query(&requested, &service, &zone);
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Cold);
     targets.register(now, entry("f"));
     let key = targets.key(&id("f")).unwrap();
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Send(key));
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Send(key));
     targets.get_mut(key).unwrap().record_absent_model(now, &ModelId::from("m"));
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Cold, "it said it has it not");
+    assert_eq!(
+        choose::choose(now, &targets, &query),
+        choose::Choice::Cold,
+        "the engine reported the model as absent"
+    );
 }
 
 /// Guards against repeated attempts at an engine whose process ended while its entry is still stored.
@@ -219,20 +223,20 @@
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
-    let ask = ask(&wanted, &service, &zone);
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
+    let query = query(&requested, &service, &zone);
     let key = targets.key(&id("e")).unwrap();
     targets.get_mut(key).unwrap().record_unreachable(now);
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::NoTarget);
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::NoTarget);
     let later = now + Duration::from_secs(1);
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key), "tried again");
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::Send(key), "probed again");
     assert!(targets.record_exit(later, &id("e"), 10));
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::NoTarget);
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::NoTarget);
     targets.register(later, Entry { started_at_ms: 20, renewals: 1, ..entry("e") });
     let key = targets.key(&id("e")).unwrap();
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
-    assert!(!targets.record_exit(later, &id("e"), 10), "said of the start before");
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::Send(key));
+    assert!(!targets.record_exit(later, &id("e"), 10), "report of the previous incarnation");
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::Send(key));
 }
 
 /// Guards against a delay after a restart under a new name: the agent's report suffices until the
@@ -249,17 +253,18 @@
     assert!(targets.replace(now, &replaced));
     let found = |targets: &Targets| targets.get(targets.key(&id("f")).unwrap()).unwrap().clone();
     assert_eq!(found(&targets).entry.addr, entry("e").addr);
-    assert_eq!(found(&targets).entry.holdings.on_disk, [ModelId::from("m")], "a disk stays");
-    assert!(!found(&targets).serves(now, &"m".into()), "it starts empty");
-    assert!(!targets.replace(now, &replaced), "said again");
-    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the old name is over");
+    assert_eq!(
+        found(&targets).entry.holdings.on_disk,
+        [ModelId::from("m")],
+        "weights on disk persist"
+    );
+    assert!(!found(&targets).serves(now, &"m".into()), "no model is loaded after a restart");
+    assert!(!targets.replace(now, &replaced), "repeated report");
+    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the previous name has ended");
     targets.register(now, Entry { started_at_ms: 20, renewals: 1, ..entry("f") });
     assert!(targets.expire(now + grace, grace).is_empty(), "it has registered");
     targets.remove(now, &id("f"), false);
-    assert!(
-        !targets.replace(now, &replaced),
-        "of a name that has ended, nothing is known any more"
-    );
+    assert!(!targets.replace(now, &replaced), "the previous name is no longer known");
 }
 
 /// An engine known only from its agent must expire when the agent is unresponsive.
@@ -282,7 +287,7 @@
         load: Load::default(),
     };
     assert!(targets.report(now + grace / 2, report));
-    assert!(targets.expire(now + grace, grace).is_empty(), "its agent spoke a second ago");
+    assert!(targets.expire(now + grace, grace).is_empty(), "its agent reported a second ago");
     assert_eq!(targets.expire(now + grace * 2, grace), [id("f")]);
 }
 
@@ -300,11 +305,11 @@
         health.record_failure(now);
     }
     assert!(health.failure_score(now) > health::EJECTION_THRESHOLD);
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
     let sent = |now: Instant, targets: &Targets| {
         let mut rng = common::rng(1);
         let hits = (0..100).filter(|_| {
-            let query = choose::Query { hash: rng.random(), ..ask(&wanted, &service, &zone) };
+            let query = choose::Query { hash: rng.random(), ..query(&requested, &service, &zone) };
             choose::choose(now, targets, &query) == choose::Choice::Send(bad)
         });
         hits.count()
@@ -319,13 +324,13 @@
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
     let key = targets.key(&id("e")).unwrap();
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
-    let ask = ask(&wanted, &service, &zone);
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
+    let query = query(&requested, &service, &zone);
     targets.get_mut(key).unwrap().record_load(Load { running: 4, waiting: 0, cache_used: None });
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Full);
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Full);
     let load = Load { running: 1, waiting: 0, cache_used: Some(9_500) };
     targets.get_mut(key).unwrap().record_load(load);
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Full, "its memory is full");
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Full, "its cache is full");
 }
 
 #[test]
@@ -343,8 +348,8 @@
     targets.register(now, Entry { holdings: with(&["c"]), ..entry("free") });
     let (service, zone) = ("models".into(), "here".into());
     let choose = |adapter: &str| {
-        let wanted = choose::RequestedModel { model: "m".into(), adapter: Some(adapter.into()) };
-        choose::choose(now, &targets, &ask(&wanted, &service, &zone))
+        let requested = choose::RequestedModel { model: "m".into(), adapter: Some(adapter.into()) };
+        choose::choose(now, &targets, &query(&requested, &service, &zone))
     };
     let key = |name: &str| targets.key(&id(name)).unwrap();
     assert_eq!(choose("a"), choose::Choice::Send(key("full")));
@@ -361,22 +366,24 @@
         targets.register(now, entry(name));
     }
     let (service, zone) = ("models".into(), "here".into());
-    let wanted = choose::RequestedModel { model: "m".into(), adapter: Some("a".into()) };
-    let home = |targets: &Targets| {
-        let choice = choose::choose(now, targets, &ask(&wanted, &service, &zone));
-        let choose::Choice::LoadAdapter(key) = choice else { panic!("nobody has it: {choice:?}") };
+    let requested = choose::RequestedModel { model: "m".into(), adapter: Some("a".into()) };
+    let preferred = |targets: &Targets| {
+        let choice = choose::choose(now, targets, &query(&requested, &service, &zone));
+        let choose::Choice::LoadAdapter(key) = choice else {
+            panic!("no engine holds it: {choice:?}")
+        };
         key
     };
-    let usual = home(&targets);
+    let usual = preferred(&targets);
     let ready_at = now + Duration::from_secs(1);
     let loading = Ongoing::Loading { model: "n".into(), ready_at, from_store: false };
     targets.get_mut(usual).unwrap().ongoing = Some(loading.clone());
-    assert_ne!(home(&targets), usual);
+    assert_ne!(preferred(&targets), usual);
     for name in names {
         let key = targets.key(&id(name)).unwrap();
         targets.get_mut(key).unwrap().ongoing = Some(loading.clone());
     }
-    assert_eq!(home(&targets), usual, "all are busy alike");
+    assert_eq!(preferred(&targets), usual, "all execute a command");
 }
 
 /// Guards against retries that overload the remaining targets, also when two routers share the
@@ -411,7 +418,7 @@
     let decision = wait_limit::decide(now, now + Duration::from_secs(2), expected, 0.5);
     assert_eq!(matches!(decision, wait_limit::Decision::Hold { .. }), held, "{decision:?}");
     if let wait_limit::Decision::Refuse { after } = decision {
-        assert!(after >= Duration::from_secs(1), "it says when the model is there: {after:?}");
+        assert!(after >= Duration::from_secs(1), "retry time: {after:?}");
     }
 }
 
@@ -425,23 +432,23 @@
     parts.collect()
 }
 
-const ROOM: steps::Room = steps::Room { weights_mb: 150, adapter_places: 2 };
+const CAPACITY: steps::Room = steps::Room { weights_mb: 150, adapter_places: 2 };
 
 #[test]
 fn unplanned_models_are_unloaded_before_planned_ones_are_loaded() {
     let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
-    let order = steps::next_model(ROOM, &parts, &holdings(&["keep", "old"]));
+    let order = steps::next_model(CAPACITY, &parts, &holdings(&["keep", "old"]));
     assert_eq!(order, Some(steps::Order::Unload("old".into())));
-    let order = steps::next_model(ROOM, &parts, &holdings(&["keep"]));
+    let order = steps::next_model(CAPACITY, &parts, &holdings(&["keep"]));
     assert_eq!(order, Some(steps::Order::Load("new".into())));
-    assert_eq!(steps::next_model(ROOM, &parts, &holdings(&["keep", "new"])), None);
+    assert_eq!(steps::next_model(CAPACITY, &parts, &holdings(&["keep", "new"])), None);
 }
 
 /// Guards against exceeding an engine's memory when the plan lacks the size of a resident model.
 #[test]
 fn nothing_is_loaded_beside_a_model_of_unknown_size() {
     let parts = parts(&[("new", true)]);
-    assert_eq!(steps::next_model(ROOM, &parts, &holdings(&["stranger"])), None);
+    assert_eq!(steps::next_model(CAPACITY, &parts, &holdings(&["stranger"])), None);
 }
 
 #[test]
@@ -458,11 +465,11 @@
         ..Default::default()
     };
     let next =
-        |asked: &[steps::AskedAdapter]| steps::next_adapter(now, ROOM, &parts, &held, 0, asked);
+        |asked: &[steps::AskedAdapter]| steps::next_adapter(now, CAPACITY, &parts, &held, 0, asked);
     let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
     assert_eq!(order, Some(steps::Order::UnloadAdapter("m".into(), "a".into())));
     let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
-    assert_eq!(order, None, "both are in use: routers have just named them");
+    assert_eq!(order, None, "both were requested recently");
 }
 
 /// Guards against two adapters that evict each other repeatedly.
@@ -481,15 +488,15 @@
         ..Default::default()
     };
     let mut orders = 0;
-    while let Some(order) = steps::next_adapter(now, ROOM, &parts, &held, 0, &asked) {
+    while let Some(order) = steps::next_adapter(now, CAPACITY, &parts, &held, 0, &asked) {
         let adapters = &mut held.resident[0].adapters;
         match order {
             steps::Order::LoadAdapter(_, adapter) => adapters.push(adapter),
             steps::Order::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
-            other => panic!("{other:?} is no order for an adapter"),
+            other => panic!("unexpected command {other:?}"),
         }
         orders += 1;
-        assert!(orders < 10, "adapters take turns");
+        assert!(orders < 10, "adapters evict each other");
     }
     assert_eq!(held.resident[0].adapters, ["a".into(), "b".into()]);
 }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Workload, Simulation, busy, rare};
+use common::{Simulation, Workload, busy, rare};
 use corianderstand_fleet::{config, demand, plan, snapshot, targets};
 use corianderstand_types::names::ModelId;
 use slotmap::SlotMap;
