--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -230,7 +230,7 @@
                     tally.on_time += u32::from(waited <= request.latency_objective);
                 }
                 None if waited >= request.latency_objective * ABANDON_AFTER_RATIO => {
-                    tally.abandoned += 1
+                    tally.abandoned += 1;
                 }
                 None => self.waiting.push_back(request),
             }
