--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -8,7 +8,6 @@
     time::{Duration, Instant},
 };
 
-/// Buckets of the sliding window.
 const BUCKETS: u32 = 10;
 /// Usable part of the allowance. The rest covers attempts that this process cannot count, such as
 /// requests lost by other processes or reset after they were written.
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -10,7 +10,6 @@
 /// Weight of one success. Lower than a failure's, so that a target that fails two requests in five
 /// stays ejected.
 const SUCCESS_WEIGHT: f64 = 0.12;
-/// Half-life of the failure score.
 const FAILURE_SCORE_HALF_LIFE: Duration = Duration::from_secs(4);
 /// Failure score from which a target is ejected: it is used only if no other has capacity.
 pub const EJECTION_THRESHOLD: f64 = 0.5;
--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -181,7 +181,6 @@
             > request.latency_objective_at
     }
 
-    /// The next request in priority order.
     fn next_request(&self, now: Instant) -> Option<PermitRequest<T>> {
         let prefer_late = self.permits_since_late >= LATE_PERMIT_INTERVAL - 1;
         let priority = |request: &&PermitRequest<T>| {
--- a/crates/corianderstand_fleet/src/prefixes.rs
+++ b/crates/corianderstand_fleet/src/prefixes.rs
@@ -8,7 +8,6 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3;
 
-/// Entries in one generation.
 const GENERATION_CAPACITY: usize = 4_096;
 
 /// Cumulative hashes and token counts of a prompt's parts.
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -64,7 +64,6 @@
     local_requests_at_load: u32,
     local_tokens_at_load: u64,
     absent_until: HashMap<names::ModelId, Instant>,
-    /// End of its prefill backlog, as reported by its agent.
     prefill_until: Option<Instant>,
     missing_since: Option<Instant>,
     ejected_until: Option<Instant>,
@@ -105,8 +104,8 @@
     /// Number of in-flight requests of this process, by model.
     pub fn running(&self) -> BTreeMap<names::ModelId, u32> {
         let mut running = BTreeMap::new();
-        for (wanted, count) in &self.in_flight {
-            *running.entry(wanted.model.clone()).or_default() += count;
+        for (requested, count) in &self.in_flight {
+            *running.entry(requested.model.clone()).or_default() += count;
         }
         running
     }
@@ -119,10 +118,10 @@
 
     /// Whether requests for the model may be sent to it.
     pub fn serves(&self, now: Instant, model: &names::ModelId) -> bool {
-        let leaving =
-            matches!(&self.ongoing, Some(Ongoing::Unloading { model: gone }) if gone == model);
+        let unloading =
+            matches!(&self.ongoing, Some(Ongoing::Unloading { model: own }) if own == model);
         let absent = self.absent_until.get(model).is_some_and(|until| now < *until);
-        !leaving && !absent && self.entry.holdings.resident(model).is_some()
+        !unloading && !absent && self.entry.holdings.resident(model).is_some()
     }
 
     /// Estimated requests of all routers: the last reported load, adjusted by what this process has sent
@@ -229,8 +228,9 @@
         self.arena.is_empty()
     }
 
-    /// Applies an agent's report that its engine restarted under another name. The new target inherits
-    /// the previous entry, of its holdings only the weights on disk, until it registers. Returns false if the report changes nothing.
+    /// Applies an agent's report that its engine restarted under another name. Until the new target registers,
+    /// it inherits the previous entry, of whose holdings only the weights on disk persist. Returns
+    /// false if the report changes nothing.
     pub fn replace(&mut self, now: Instant, replaced: &Replacement) -> bool {
         let Replacement { id, started_at_ms, previous_id } = replaced;
         if self.key(id).is_some() || self.drained.contains_key(id) {
@@ -266,8 +266,8 @@
         is_engines: impl Fn(&names::ServiceId) -> bool,
     ) -> bool {
         // A late report of an engine that has already been replaced.
-        let over = self.removed.contains_key(id) || self.drained.contains_key(id);
-        if over || self.by_id.contains_key(id) {
+        let ended = self.removed.contains_key(id) || self.drained.contains_key(id);
+        if ended || self.by_id.contains_key(id) {
             return false;
         }
         let Some(&[key]) = self.by_host.get(&host).map(Vec::as_slice) else { return false };
@@ -423,21 +423,21 @@
 
     /// Removes targets whose entries have been missing for `grace` and returns their names.
     pub fn expire(&mut self, now: Instant, grace: Duration) -> Vec<names::TargetId> {
-        let over = |target: &Target| {
+        let expired = |target: &Target| {
             target.missing_since.is_some_and(|at| now.saturating_duration_since(at) >= grace)
         };
-        let gone = self.arena.iter().filter(|(_, target)| over(target));
-        let gone: Vec<TargetKey> = gone.map(|(key, _)| key).collect();
-        let ids = gone.iter().map(|&key| self.arena[key].entry.id.clone()).collect();
-        gone.into_iter().for_each(|key| self.remove_target(now, key));
+        let expired_keys = self.arena.iter().filter(|(_, target)| expired(target));
+        let expired_keys: Vec<TargetKey> = expired_keys.map(|(key, _)| key).collect();
+        let ids = expired_keys.iter().map(|&key| self.arena[key].entry.id.clone()).collect();
+        expired_keys.into_iter().for_each(|key| self.remove_target(now, key));
         ids
     }
 
     /// Removes the targets at an address that a new target has registered. Their entries may remain in
     /// the store after their end.
     fn remove_at_addr(&mut self, now: Instant, addr: SocketAddr) {
-        let there = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
-        let ended: Vec<_> = there.filter(|key| self.arena[*key].entry.addr == addr).collect();
+        let at_host = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
+        let ended: Vec<_> = at_host.filter(|key| self.arena[*key].entry.addr == addr).collect();
         ended.into_iter().for_each(|key| self.remove_target(now, key));
     }
 
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -16,11 +16,8 @@
     time::{Duration, Instant},
 };
 
-/// Duration of one simulation step.
 const STEP: Duration = Duration::from_millis(10);
-/// Duration of a request.
 const REQUEST_TIME: Duration = Duration::from_millis(1_400);
-/// Duration of an unload.
 const UNLOAD_TIME: Duration = Duration::from_millis(60);
 /// Concurrent loads that the weight store serves at full speed.
 const STORE_CONCURRENT_LOADS: f64 = 4.0;
@@ -30,7 +27,6 @@
 /// Multiple of the latency objective after which a caller leaves.
 const ABANDON_AFTER_RATIO: u32 = 4;
 
-/// Request load of a model.
 #[derive(Clone, Debug)]
 pub struct Workload {
     pub per_s: f64,
@@ -51,7 +47,6 @@
     latency_objective: Duration,
 }
 
-/// Outcome of a model's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub requests: u32,
@@ -69,7 +64,6 @@
     }
 }
 
-/// The simulated deployment.
 pub struct Simulation {
     pub now: Instant,
     pub models: BTreeMap<ModelId, Workload>,
@@ -133,7 +127,6 @@
         }
     }
 
-    /// Advances the simulation.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -146,7 +139,6 @@
         }
     }
 
-    /// Resets all counters.
     pub fn reset_counters(&mut self) {
         self.tallies.clear();
         self.commands = 0;
@@ -164,7 +156,6 @@
         engine.holdings.commands_accepted = 0;
     }
 
-    /// Restarts an engine after a crash.
     pub fn restart(&mut self, index: usize) {
         self.engines[index].up = true;
     }
@@ -179,7 +170,6 @@
         })
     }
 
-    /// Number of engines that hold a model.
     pub fn holders(&self, model: &str) -> usize {
         let model = ModelId::from(model);
         self.engines.iter().filter(|engine| engine.holdings.resident(&model).is_some()).count()
@@ -385,12 +375,10 @@
     (name.to_owned(), Workload { per_s, latency_objective: Duration::from_millis(300) })
 }
 
-/// A target id.
 pub fn id(name: &str) -> TargetId {
     TargetId::from(name)
 }
 
-/// A seeded random number generator.
 pub fn rng(seed: u64) -> impl Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -9,9 +9,7 @@
 
 /// Prefill time of a typical prompt alone.
 const PREFILL_TIME: Duration = Duration::from_millis(45);
-/// Maximum pause of the streams.
 const MAX_PAUSE: Duration = Duration::from_millis(250);
-/// Latency objective for the first event.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(500);
 
 fn permit_request(id: u64, now: Instant, objective: Duration) -> PermitRequest<()> {
@@ -31,17 +29,14 @@
     queue: VecDeque<(u64, Duration)>,
     /// Prompts after prefill, with the tokens missing until their first event.
     prefilled: Vec<(u64, usize)>,
-    /// Durations of all steps.
     steps: Vec<Duration>,
 }
 
-/// Largest prefill chunk of one step.
 const MAX_CHUNK: Duration = Duration::from_millis(80);
 /// Duration of a step without prefill.
 const DECODE_STEP: Duration = Duration::from_millis(8);
 /// Prefill part of the time under permits: the limit, less the steps' own time (8 of 88 ms).
 const PREFILL_RATIO: f64 = 0.75;
-/// Tokens per event.
 const TOKENS_PER_EVENT: usize = 3;
 
 impl Engine {
