--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -1,7 +1,7 @@
 //! Limits the retries of all routers together.
 //!
-//! The allowance is a ratio of recent requests plus a fixed part. Each router uses the ratio of its own
-//! requests and an equal share of the fixed part, which needs no coordination.
+//! The allowance is a ratio of recent requests plus a fixed part. Each router uses the ratio of its
+//! own requests and an equal share of the fixed part, which needs no coordination.
 
 use std::{
     collections::VecDeque,
@@ -50,8 +50,8 @@
         self.bucket(now, allowance).requests += 1;
     }
 
-    /// Spends one retry; false if the budget is exhausted. `routers` is the number of routers that share
-    /// the fixed part.
+    /// Spends one retry; false if the budget is exhausted. `routers` is the number of routers that
+    /// share the fixed part.
     pub fn spend(&mut self, now: Instant, allowance: &Allowance, routers: usize) -> bool {
         self.bucket(now, allowance);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -14,8 +14,8 @@
 const CROSS_ZONE_COST: f64 = 0.05;
 /// Cost saved per thousand prompt tokens that the target has in its prefix cache.
 const CACHED_PREFIX_CREDIT_PER_1000_TOKENS: f64 = 0.12;
-/// Weight of a target's failure score above the lowest among the candidates. A target that fails half
-/// of its requests costs more than a full batch.
+/// Weight of a target's failure score above the lowest among the candidates. A target that fails
+/// half of its requests costs more than a full batch.
 const FAILURE_SCORE_WEIGHT: f64 = 3.0;
 /// Weight of a target's mean event interval relative to the shortest among the candidates.
 const SLOWDOWN_WEIGHT: f64 = 0.4;
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -1,7 +1,8 @@
 //! Passive health of a target.
 //!
-//! Scores come from requests only, because a target may pass its health check and still fail requests.
-//! They decay over time: an avoided target gets too few requests to show that it has recovered.
+//! Scores come from requests only, because a target may pass its health check and still fail
+//! requests. They decay over time: an avoided target gets too few requests to show that it has
+//! recovered.
 
 use std::time::{Duration, Instant};
 
--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -1,10 +1,10 @@
 //! Schedules the prompts that are sent to an engine.
 //!
 //! An engine interleaves prefill with the decoding of its streams, so queued prompts delay every
-//! stream. The agent of an engine therefore grants prefill permits to the routers: within any window as
-//! long as the maximum pause of a stream, granted prompts may take a limited part of the time. Prompts
-//! that can still meet their latency objective are granted first, earliest objective first. Every
-//! fourth permit goes to a prompt that is already late.
+//! stream. The agent of an engine therefore grants prefill permits to the routers: within any
+//! window as long as the maximum pause of a stream, granted prompts may take a limited part of the
+//! time. Prompts that can still meet their latency objective are granted first, earliest objective
+//! first. Every fourth permit goes to a prompt that is already late.
 
 use std::{
     collections::VecDeque,
@@ -15,7 +15,8 @@
 const PREFILL_TIME_RATIO: f64 = 0.85;
 /// One permit in this many goes to a late prompt, if any waits, so that late prompts do not starve.
 const LATE_PERMIT_INTERVAL: u32 = 4;
-/// Expected delay between the end of a prompt's prefill and its first event, relative to the window.
+/// Expected delay between the end of a prompt's prefill and its first event, relative to the
+/// window.
 const FIRST_EVENT_DELAY_RATIO: f64 = 0.5;
 /// Window if no route specifies a maximum pause.
 const DEFAULT_MAX_PAUSE: Duration = Duration::from_millis(250);
@@ -146,8 +147,8 @@
         self.capacity_in(now, prefill_time).is_zero()
     }
 
-    /// Time until the prompt fits into the limit of the window. One that exceeds the limit by itself fits
-    /// once no other permit lies within the window.
+    /// Time until the prompt fits into the limit of the window. One that exceeds the limit by
+    /// itself fits once no other permit lies within the window.
     fn capacity_in(&self, now: Instant, prefill_time: Duration) -> Duration {
         let (window, limit) = (self.window(), self.window().mul_f64(PREFILL_TIME_RATIO));
         let mut used = prefill_time;
--- a/crates/corianderstand_fleet/src/prefixes.rs
+++ b/crates/corianderstand_fleet/src/prefixes.rs
@@ -1,8 +1,8 @@
 //! Tracks which target has which prompt prefixes in its cache.
 //!
-//! Requests of one session share prompt prefixes, and an engine need not prefill a cached prefix again.
-//! Only prompts sent by this process are tracked, which needs no messages between routers. Old entries
-//! are evicted in two generations.
+//! Requests of one session share prompt prefixes, and an engine need not prefill a cached prefix
+//! again. Only prompts sent by this process are tracked, which needs no messages between routers.
+//! Old entries are evicted in two generations.
 
 use crate::targets;
 use std::collections::HashMap;
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -1,9 +1,9 @@
 //! State of all targets, merged from registrations, agent reports and request outcomes.
 //!
-//! Any source may be delayed or stale. Incarnations of a target are ordered by their start time, and
-//! entries of one incarnation by their renewal count; older data never replaces newer data. While an
-//! agent is responsive, its reports take precedence over the registered holdings. A draining
-//! incarnation never becomes available again.
+//! Any source may be delayed or stale. Incarnations of a target are ordered by their start time,
+//! and entries of one incarnation by their renewal count; older data never replaces newer data.
+//! While an agent is responsive, its reports take precedence over the registered holdings. A
+//! draining incarnation never becomes available again.
 
 mod entry;
 
@@ -27,8 +27,8 @@
 /// Time for which a model counts as absent after its engine refused a request for it, unless the
 /// engine's holdings change before.
 const ABSENT_MODEL_TTL: Duration = Duration::from_millis(400);
-/// Time without reports after which an agent counts as unresponsive. Tolerates a lost datagram at the
-/// longest report interval of 0.9 s.
+/// Time without reports after which an agent counts as unresponsive. Tolerates a lost datagram at
+/// the longest report interval of 0.9 s.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Ejection time of a target that refused a connection. Its process has probably ended, and its
@@ -124,8 +124,8 @@
         !unloading && !absent && self.entry.holdings.resident(model).is_some()
     }
 
-    /// Estimated requests of all routers: the last reported load, adjusted by what this process has sent
-    /// and completed since.
+    /// Estimated requests of all routers: the last reported load, adjusted by what this process has
+    /// sent and completed since.
     pub fn estimated_requests(&self) -> u32 {
         let reported = self.load.running + self.load.waiting;
         (reported + self.local_requests)
@@ -228,9 +228,9 @@
         self.arena.is_empty()
     }
 
-    /// Applies an agent's report that its engine restarted under another name. Until the new target registers,
-    /// it inherits the previous entry, of whose holdings only the weights on disk persist. Returns
-    /// false if the report changes nothing.
+    /// Applies an agent's report that its engine restarted under another name. Until the new target
+    /// registers, it inherits the previous entry, of whose holdings only the weights on disk
+    /// persist. Returns false if the report changes nothing.
     pub fn replace(&mut self, now: Instant, replaced: &Replacement) -> bool {
         let Replacement { id, started_at_ms, previous_id } = replaced;
         if self.key(id).is_some() || self.drained.contains_key(id) {
@@ -251,12 +251,13 @@
         true
     }
 
-    /// Infers that an unknown engine replaced the only known one on its host. Returns false if that does
-    /// not apply.
+    /// Infers that an unknown engine replaced the only known one on its host. Returns false if that
+    /// does not apply.
     ///
-    /// A router that starts after a restart of all engines reads outdated entries and has missed the
-    /// agents' reports of the replacements. `is_engines` returns whether a service runs on engines; others
-    /// are never replaced. If the previous engine is alive, its next entry removes the inferred one.
+    /// A router that starts after a restart of all engines reads outdated entries and has missed
+    /// the agents' reports of the replacements. `is_engines` returns whether a service runs on
+    /// engines; others are never replaced. If the previous engine is alive, its next entry removes
+    /// the inferred one.
     pub fn infer_successor(
         &mut self,
         now: Instant,
@@ -303,8 +304,8 @@
         self.arena[key].missing_since = Some(now);
     }
 
-    /// Applies a registered entry. Entries must arrive in the order in which they were written: a new one
-    /// removes other targets with the same address.
+    /// Applies a registered entry. Entries must arrive in the order in which they were written: a
+    /// new one removes other targets with the same address.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
         if self
             .drained
@@ -399,7 +400,8 @@
         true
     }
 
-    /// Ejects an incarnation that ended according to its agent; returns false if it is not the current one.
+    /// Ejects an incarnation that ended according to its agent; returns false if it is not the
+    /// current one.
     pub fn record_exit(&mut self, now: Instant, id: &names::TargetId, started_at_ms: u64) -> bool {
         let Some(key) = self.key(id) else { return false };
         let target = &mut self.arena[key];
@@ -433,8 +435,8 @@
         ids
     }
 
-    /// Removes the targets at an address that a new target has registered. Their entries may remain in
-    /// the store after their end.
+    /// Removes the targets at an address that a new target has registered. Their entries may remain
+    /// in the store after their end.
     fn remove_at_addr(&mut self, now: Instant, addr: SocketAddr) {
         let at_host = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
         let ended: Vec<_> = at_host.filter(|key| self.arena[*key].entry.addr == addr).collect();
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -44,8 +44,8 @@
 pub struct Entry {
     /// Its name, usually a new one after each start.
     pub id: names::TargetId,
-    /// Start time in Unix milliseconds, which distinguishes incarnations with the same name; 0 if targets
-    /// take a new name at each start and do not report it.
+    /// Start time in Unix milliseconds, which distinguishes incarnations with the same name; 0 if
+    /// targets take a new name at each start and do not report it.
     #[serde(rename = "born")]
     pub started_at_ms: u64,
     /// Number of renewals of the entry.
--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -1,7 +1,8 @@
 //! Limits how long a request waits for a model or for capacity.
 //!
-//! A request is held only while its model can be ready before the caller's deadline. Otherwise it is
-//! refused at once with a retry time, so that callers do not wait for an answer that cannot come.
+//! A request is held only while its model can be ready before the caller's deadline. Otherwise it
+//! is refused at once with a retry time, so that callers do not wait for an answer that cannot
+//! come.
 
 use corianderstand_derives::derives;
 use std::time::{Duration, Instant};
@@ -46,8 +47,8 @@
     },
 }
 
-/// Decides whether a request that cannot be sent now is held or refused. `deadline` is when its caller
-/// or its route gives up; `spread` is between 0 and 1, derived from the request's hash.
+/// Decides whether a request that cannot be sent now is held or refused. `deadline` is when its
+/// caller or its route gives up; `spread` is between 0 and 1, derived from the request's hash.
 pub fn decide(now: Instant, deadline: Instant, readiness: Readiness, spread: f64) -> Decision {
     let ready_at = match readiness {
         Readiness::ReadyAt(at) => at.max(now),
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Discrete-time simulation of engines and models under load.
 //!
 //! Engines hold a few models, cache weights on disk and load others from a weight store of limited
-//! throughput. Requests wait until an engine holds their model; the simulation records how many begin
-//! within their latency objective.
+//! throughput. Requests wait until an engine holds their model; the simulation records how many
+//! begin within their latency objective.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -88,7 +88,8 @@
     assert!(targets.key(&id("after")).is_some() && targets.key(&id("other")).is_some());
 }
 
-/// Guards against refused requests on a router that starts while the store lists only ended engines.
+/// Guards against refused requests on a router that starts while the store lists only ended
+/// engines.
 #[test]
 fn an_unknown_engine_is_inferred_from_its_agent_before_it_registers() {
     let now = Instant::now();
@@ -216,8 +217,8 @@
     );
 }
 
-/// Guards against repeated attempts at an engine whose process ended while its entry is still stored.
-/// The ejection lasts until it expires or the engine has restarted.
+/// Guards against repeated attempts at an engine whose process ended while its entry is still
+/// stored. The ejection lasts until it expires or the engine has restarted.
 #[test]
 fn an_engine_whose_process_ended_is_ejected() {
     let now = Instant::now();
@@ -291,8 +292,8 @@
     assert_eq!(targets.expire(now + grace * 2, grace), [id("f")]);
 }
 
-/// Guards against a target that passes its health check while it fails requests, and against one that
-/// is ejected for ever.
+/// Guards against a target that passes its health check while it fails requests, and against one
+/// that is ejected for ever.
 #[test]
 fn a_failing_target_is_ejected_and_probed_again_later() {
     let now = Instant::now();
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -23,7 +23,8 @@
     }
 }
 
-/// Engine with chunked prefill: each step processes at most one chunk and emits one token per stream.
+/// Engine with chunked prefill: each step processes at most one chunk and emits one token per
+/// stream.
 #[derive(Default)]
 struct Engine {
     queue: VecDeque<(u64, Duration)>,
