--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -1,15 +1,13 @@
-//! What is known of each target: what it registered, what its agent reports, what requests met.
+//! State of all targets, merged from registrations, agent reports and request outcomes.
 //!
-//! Three sources speak of one target, each with its own delay, and one of them may be wrong: a
-//! registered entry can be stale, or written by somebody else. An incarnation of a target is told
-//! by the time of its start, and the order of its entries by the number of their renewal. What its
-//! agent says of its memory comes straight from the engine and goes before what an entry says, as
-//! long as the agent is heard. Nothing older replaces anything newer, and a target that was leaving
-//! never comes back in the same incarnation.
+//! Any source may be delayed or stale. Incarnations of a target are ordered by their start time,
+//! and entries of one incarnation by their renewal count; older data never replaces newer data.
+//! While an agent is responsive, its reports take precedence over the registered holdings. A
+//! draining incarnation never becomes available again.
 
 mod entry;
 
-pub use entry::{Entry, Holdings, Load, Ongoing, Replaced, Report, Resident};
+pub use entry::{Entry, Holdings, Load, Ongoing, Replacement, Report, Resident};
 
 use crate::{choose, health};
 use corianderstand_derives::derives;
@@ -22,56 +20,53 @@
 };
 
 slotmap::new_key_type! {
-    /// One target in [`Targets`].
+    /// Key of a target in [`Targets`].
     pub struct TargetKey;
 }
 
-/// After an engine refused a model for not having it, it is asked again after this time at the
-/// latest; a newer account of its memory ends it sooner. A load from memory takes 0.4 s.
-const ABSENT_FOR: Duration = Duration::from_millis(400);
-/// An agent that was not heard of for this long counts as gone; its reports come each half second, or
-/// each 0.9 s where there are many routers, and a datagram may be lost.
-pub const AGENT_SILENT_AFTER: Duration = Duration::from_millis(2_000);
+/// Time for which a model counts as absent after its engine refused a request for it, unless the
+/// engine's holdings change before.
+const ABSENT_MODEL_TTL: Duration = Duration::from_millis(400);
+/// Time without reports after which an agent counts as unresponsive. Tolerates a lost datagram at
+/// the longest report interval of 0.9 s.
+pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A target at whose address nobody listens is left alone for this time. Its process has ended; one
-/// that starts again takes 2 to 4 s and says so. Meanwhile each request sent there would be refused,
-/// its caller's next one too, and no other engine would load its models. Asked again this often in
-/// case it was not true, it costs its callers one attempt in that time.
-const NOBODY_FOR: Duration = Duration::from_millis(700);
+/// Ejection time of a target that refused a connection. Its process has probably ended, and its
+/// models are loaded elsewhere; afterwards one attempt probes it again.
+const UNREACHABLE_EJECTION_TIME: Duration = Duration::from_millis(700);
 
-/// The last entry of a target that is gone is kept for this time, for one that starts again at its
-/// place under another name; that takes 2 to 4 s, and some more for its agent to say so.
-const REMEMBERED: Duration = Duration::from_secs(15);
+/// Time for which the entry of a removed target is kept, so that a restart under another name can
+/// inherit it.
+const REMOVED_ENTRY_TTL: Duration = Duration::from_secs(15);
 
-/// One target.
+/// State of one target.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What it registered last.
+    /// Registered entry, updated by agent reports.
     pub entry: Entry,
-    /// The order that it is carrying out, as its agent says.
+    /// Command that its engine is executing, as reported by its agent.
     pub ongoing: Option<Ongoing>,
-    /// When its agent was last heard.
-    pub agent_at: Option<Instant>,
-    /// Trouble that requests met.
+    /// When its agent's last report was received.
+    pub agent_last_received_at: Option<Instant>,
+    /// Outcome of recent requests.
     pub health: health::Health,
-    /// Requests of this process that are at it, by what they want.
-    pub in_flight: BTreeMap<choose::Wanted, u32>,
-    /// Requests of this process that are at it.
-    pub ours: u32,
-    /// Tokens that these are expected to need.
-    pub our_tokens: u64,
-    /// How slowly its streams come.
-    pub pace: health::Pace,
-    /// When it is gone, if that is known.
-    pub leaves_at: Option<Instant>,
+    /// In-flight requests of this process, by requested model.
+    pub in_flight: BTreeMap<choose::RequestedModel, u32>,
+    /// Number of in-flight requests of this process.
+    pub local_requests: u32,
+    /// Expected tokens of these requests.
+    pub local_tokens: u64,
+    /// Mean time between events of its streams.
+    pub event_interval: health::EventInterval,
+    /// When it will have shut down, if known.
+    pub shutdown_at: Option<Instant>,
     load: Load,
-    ours_at_load: u32,
-    tokens_at_load: u64,
-    absent: HashMap<names::ModelId, Instant>,
-    /// Until when it reads prompts, as its agent told.
-    reading_until: Option<Instant>,
+    local_requests_at_load: u32,
+    local_tokens_at_load: u64,
+    absent_until: HashMap<names::ModelId, Instant>,
+    prefill_until: Option<Instant>,
     missing_since: Option<Instant>,
-    nobody_until: Option<Instant>,
+    ejected_until: Option<Instant>,
 }
 
 impl Target {
@@ -79,141 +74,146 @@
         Self {
             entry,
             ongoing: None,
-            agent_at: None,
+            agent_last_received_at: None,
             health: health::Health::default(),
             in_flight: BTreeMap::new(),
-            ours: 0,
-            our_tokens: 0,
-            pace: health::Pace::default(),
-            leaves_at: None,
+            local_requests: 0,
+            local_tokens: 0,
+            event_interval: health::EventInterval::default(),
+            shutdown_at: None,
             load: Load::default(),
-            ours_at_load: 0,
-            tokens_at_load: 0,
-            absent: HashMap::new(),
-            reading_until: None,
+            local_requests_at_load: 0,
+            local_tokens_at_load: 0,
+            absent_until: HashMap::new(),
+            prefill_until: None,
             missing_since: None,
-            nobody_until: None,
+            ejected_until: None,
         }
     }
 
-    /// Whether it may be given new requests.
-    pub fn takes_work(&self, now: Instant) -> bool {
-        !self.entry.draining && self.nobody_until.is_none_or(|until| now >= until)
+    /// Whether new requests may be sent to it.
+    pub fn accepts_requests(&self, now: Instant) -> bool {
+        !self.entry.draining && self.ejected_until.is_none_or(|until| now >= until)
     }
 
-    /// Nobody listens at its address: its process has ended.
-    pub fn note_nobody(&mut self, now: Instant) {
-        self.nobody_until = Some(now + NOBODY_FOR);
+    /// Ejects the target after it refused a connection.
+    pub fn record_unreachable(&mut self, now: Instant) {
+        self.ejected_until = Some(now + UNREACHABLE_EJECTION_TIME);
     }
 
-    /// Requests of this process that are at it, by model.
+    /// Number of in-flight requests of this process, by model.
     pub fn running(&self) -> BTreeMap<names::ModelId, u32> {
         let mut running = BTreeMap::new();
-        for (wanted, count) in &self.in_flight {
-            *running.entry(wanted.model.clone()).or_default() += count;
+        for (requested, count) in &self.in_flight {
+            *running.entry(requested.model.clone()).or_default() += count;
         }
         running
     }
 
-    /// Whether its agent was heard lately.
-    pub fn has_agent(&self, now: Instant) -> bool {
-        self.agent_at.is_some_and(|at| now.saturating_duration_since(at) < AGENT_SILENT_AFTER)
+    /// Whether its agent reported recently.
+    pub fn agent_is_responsive(&self, now: Instant) -> bool {
+        self.agent_last_received_at
+            .is_some_and(|at| now.saturating_duration_since(at) < AGENT_RESPONSE_TIMEOUT)
     }
 
-    /// Whether a model is there to be asked for.
+    /// Whether requests for the model may be sent to it.
     pub fn serves(&self, now: Instant, model: &names::ModelId) -> bool {
-        let leaving =
-            matches!(&self.ongoing, Some(Ongoing::Unloading { model: gone }) if gone == model);
-        let absent = self.absent.get(model).is_some_and(|until| now < *until);
-        !leaving && !absent && self.entry.holdings.resident(model).is_some()
+        let unloading =
+            matches!(&self.ongoing, Some(Ongoing::Unloading { model: own }) if own == model);
+        let absent = self.absent_until.get(model).is_some_and(|until| now < *until);
+        !unloading && !absent && self.entry.holdings.resident(model).is_some()
     }
 
-    /// Requests at it, of all routers, as far as is known: what it said last, and what this
-    /// process has sent and got back since.
-    pub fn occupied(&self) -> u32 {
-        let said = self.load.running + self.load.waiting;
-        (said + self.ours).saturating_sub(self.ours_at_load).max(self.ours)
+    /// Estimated requests of all routers: the last reported load, adjusted by what this process has
+    /// sent and completed since.
+    pub fn estimated_requests(&self) -> u32 {
+        let reported = self.load.running + self.load.waiting;
+        (reported + self.local_requests)
+            .saturating_sub(self.local_requests_at_load)
+            .max(self.local_requests)
     }
 
-    /// Tokens in its cache memory, by the same reckoning.
-    pub fn tokens(&self) -> u64 {
-        let said = self.load.cache_used.unwrap_or(0);
-        (said + self.our_tokens).saturating_sub(self.tokens_at_load).max(self.our_tokens)
+    /// Estimated tokens in its cache, computed in the same way.
+    pub fn estimated_tokens(&self) -> u64 {
+        let reported = self.load.cache_used.unwrap_or(0);
+        (reported + self.local_tokens)
+            .saturating_sub(self.local_tokens_at_load)
+            .max(self.local_tokens)
     }
 
-    /// Takes what it says of its load.
-    pub fn note_load(&mut self, load: Load) {
+    /// Records its reported load.
+    pub fn record_load(&mut self, load: Load) {
         let cache_used = load.cache_used.or(self.load.cache_used);
         self.load = Load { cache_used, ..load };
-        self.ours_at_load = self.ours;
-        self.tokens_at_load = self.our_tokens;
+        self.local_requests_at_load = self.local_requests;
+        self.local_tokens_at_load = self.local_tokens;
     }
 
-    /// Its agent told how long it still reads the prompts that were given to it.
-    pub fn note_reading(&mut self, now: Instant, reading: Duration) {
-        self.reading_until = Some(now + reading);
+    /// Records the prefill backlog that its agent reported.
+    pub fn record_prefill_backlog(&mut self, now: Instant, backlog: Duration) {
+        self.prefill_until = Some(now + backlog);
     }
 
-    /// How long it still reads prompts, as far as is known.
-    pub fn reading(&self, now: Instant) -> Duration {
-        self.reading_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
+    /// Estimated remaining time of its prefill backlog.
+    pub fn prefill_backlog(&self, now: Instant) -> Duration {
+        self.prefill_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// It has refused a model for not having it.
-    pub fn note_absent(&mut self, now: Instant, model: &names::ModelId) {
-        self.absent.insert(model.clone(), now + ABSENT_FOR);
+    /// Records that it refused a request because the model is absent.
+    pub fn record_absent_model(&mut self, now: Instant, model: &names::ModelId) {
+        self.absent_until.insert(model.clone(), now + ABSENT_MODEL_TTL);
     }
 
-    fn take_holdings(&mut self, holdings: Holdings) {
+    fn set_holdings(&mut self, holdings: Holdings) {
         if holdings != self.entry.holdings {
-            self.absent.clear();
+            self.absent_until.clear();
             self.entry.holdings = holdings;
         }
     }
 }
 
-/// What changed with an entry.
+/// Effect of a registration.
 #[derives(key)]
 pub enum Change {
-    /// A target or an incarnation that was not known.
+    /// A new target or incarnation.
     New,
-    /// It began to leave.
+    /// The target started draining.
     Draining,
-    /// What it holds changed.
+    /// Its holdings changed.
     Holdings,
-    /// Nothing that matters.
+    /// No relevant change.
     Nothing,
-    /// The entry is older than what is known, and was left out.
+    /// The entry is outdated and was ignored.
     Stale,
 }
 
-/// All targets.
+/// All known targets.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     arena: SlotMap<TargetKey, Target>,
     by_id: HashMap<names::TargetId, TargetKey>,
     by_host: HashMap<IpAddr, Vec<TargetKey>>,
-    left: HashMap<names::TargetId, u64>,
-    gone: HashMap<names::TargetId, (Instant, Entry)>,
+    drained: HashMap<names::TargetId, u64>,
+    removed: HashMap<names::TargetId, (Instant, Entry)>,
 }
 
 impl Targets {
-    /// One target.
+    /// Returns a target.
     pub fn get(&self, key: TargetKey) -> Option<&Target> {
         self.arena.get(key)
     }
 
-    /// One target, to change it.
+    /// Returns a target for modification.
     pub fn get_mut(&mut self, key: TargetKey) -> Option<&mut Target> {
         self.arena.get_mut(key)
     }
 
-    /// The target of that name.
+    /// Returns the key of a target.
     pub fn key(&self, id: &names::TargetId) -> Option<TargetKey> {
         self.by_id.get(id).copied()
     }
 
-    /// All targets.
+    /// Iterates over all targets.
     pub fn iter(&self) -> impl Iterator<Item = (TargetKey, &Target)> {
         self.arena.iter()
     }
@@ -223,102 +223,111 @@
         self.arena.len()
     }
 
-    /// Whether none is known.
+    /// Whether no target is known.
     pub fn is_empty(&self) -> bool {
         self.arena.is_empty()
     }
 
-    /// An agent says that its engine has started again under another name: what was known of its
-    /// place holds for the new one until that has registered, which takes a second or two. False if
-    /// that says nothing new.
-    ///
-    /// Each engine's agent speaks for it alone; without that word an engine that lost its power was
-    /// ordered nothing for up to 2.3 s after it was back.
-    pub fn replace(&mut self, now: Instant, replaced: &Replaced) -> bool {
-        let Replaced { id, born, before } = replaced;
-        if self.key(id).is_some() || self.left.contains_key(id) {
+    /// Applies an agent's report that its engine restarted under another name. Until the new target
+    /// registers, it inherits the previous entry, of whose holdings only the weights on disk
+    /// persist. Returns false if the report changes nothing.
+    pub fn replace(&mut self, now: Instant, replaced: &Replacement) -> bool {
+        let Replacement { id, started_at_ms, previous_id } = replaced;
+        if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
-        let known = self.key(before).map(|key| self.arena[key].entry.clone());
-        let Some(old) = known.or_else(|| self.gone.get(before).map(|(_, entry)| entry.clone()))
+        let known = self.key(previous_id).map(|key| self.arena[key].entry.clone());
+        let Some(previous) =
+            known.or_else(|| self.removed.get(previous_id).map(|(_, entry)| entry.clone()))
         else {
             return false;
         };
-        if let Some(key) = self.key(before) {
-            self.forget(now, key);
+        if let Some(key) = self.key(previous_id) {
+            self.remove_target(now, key);
         }
-        self.gone.remove(before);
-        self.left.insert(before.clone(), old.born);
-        self.follow_on(now, id, *born, old);
+        self.removed.remove(previous_id);
+        self.drained.insert(previous_id.clone(), previous.started_at_ms);
+        self.insert_successor(now, id, *started_at_ms, previous);
         true
     }
 
-    /// An agent speaks for an engine that is not known. What is known at its host is then the engine
-    /// before, as an agent stands beside one engine only; false if that says nothing new.
+    /// Infers that an unknown engine replaced the only known one on its host. Returns false if that
+    /// does not apply.
     ///
-    /// A router that starts together with all engines reads the entries of those that have ended, and
-    /// the agents' word that they were replaced came before it knew them. It would send requests to
-    /// engines that are no more until it reads the store again. `is_engines` tells the services of engines:
-    /// an agent has no word on a plain service's target at the same host. If the engine before lives after all,
-    /// its next entry ends the one introduced.
-    pub fn introduce(
+    /// A router that starts after a restart of all engines reads outdated entries and has missed
+    /// the agents' reports of the replacements. `is_engines` returns whether a service runs on
+    /// engines; others are never replaced. If the previous engine is alive, its next entry removes
+    /// the inferred one.
+    pub fn infer_successor(
         &mut self,
         now: Instant,
         id: &names::TargetId,
-        born: u64,
+        started_at_ms: u64,
         host: IpAddr,
         is_engines: impl Fn(&names::ServiceId) -> bool,
     ) -> bool {
-        // What an engine that has ended said last may arrive after its follower is known.
-        let over = self.gone.contains_key(id) || self.left.contains_key(id);
-        if over || self.by_id.contains_key(id) {
+        // A late report of an engine that has already been replaced.
+        let ended = self.removed.contains_key(id) || self.drained.contains_key(id);
+        if ended || self.by_id.contains_key(id) {
             return false;
         }
         let Some(&[key]) = self.by_host.get(&host).map(Vec::as_slice) else { return false };
-        let old = self.arena[key].entry.clone();
-        if !is_engines(&old.service) {
+        let previous = self.arena[key].entry.clone();
+        if !is_engines(&previous.service) {
             return false;
         }
-        self.forget(now, key);
-        self.follow_on(now, id, born, old);
+        self.remove_target(now, key);
+        self.insert_successor(now, id, started_at_ms, previous);
         true
     }
 
-    /// What was known of an engine's place holds for the one that runs there now.
-    fn follow_on(&mut self, now: Instant, id: &names::TargetId, born: u64, old: Entry) {
-        let holdings = Holdings { on_disk: old.holdings.on_disk.clone(), ..Default::default() };
+    /// Inserts a target that inherits the entry of the previous engine.
+    fn insert_successor(
+        &mut self,
+        now: Instant,
+        id: &names::TargetId,
+        started_at_ms: u64,
+        previous: Entry,
+    ) {
+        let holdings =
+            Holdings { on_disk: previous.holdings.on_disk.clone(), ..Default::default() };
         let entry = Entry {
             id: id.clone(),
-            born,
+            started_at_ms,
             renewals: 0,
             draining: false,
-            leaves_in: None,
+            shutdown_in: None,
             holdings,
-            ..old
+            ..previous
         };
         let key = self.insert(now, entry);
         self.arena[key].missing_since = Some(now);
     }
 
-    /// Takes an entry. Entries are to come in the order in which they were written: one that is new at
-    /// an address ends what was known there.
+    /// Applies a registered entry. Entries must arrive in the order in which they were written: a
+    /// new one removes other targets with the same address.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
-        if self.left.get(&entry.id).is_some_and(|&born| entry.born <= born) {
+        if self
+            .drained
+            .get(&entry.id)
+            .is_some_and(|&started_at_ms| entry.started_at_ms <= started_at_ms)
+        {
             return Change::Stale;
         }
         let Some(key) = self.key(&entry.id) else {
-            self.end_at(now, entry.addr);
+            self.remove_at_addr(now, entry.addr);
             self.insert(now, entry);
             return Change::New;
         };
         let target = &mut self.arena[key];
-        if entry.born < target.entry.born
-            || (entry.born == target.entry.born && entry.renewals < target.entry.renewals)
+        if entry.started_at_ms < target.entry.started_at_ms
+            || (entry.started_at_ms == target.entry.started_at_ms
+                && entry.renewals < target.entry.renewals)
         {
             return Change::Stale;
         }
-        if entry.born > target.entry.born {
-            self.forget(now, key);
+        if entry.started_at_ms > target.entry.started_at_ms {
+            self.remove_target(now, key);
             self.insert(now, entry);
             return Change::New;
         }
@@ -327,13 +336,13 @@
         let drains = entry.draining && !target.entry.draining;
         target.entry.draining |= entry.draining;
         target.entry.slots = entry.slots;
-        if let Some(leaves_in) = entry.leaves_in {
-            target.leaves_at.get_or_insert(now + leaves_in);
+        if let Some(shutdown_in) = entry.shutdown_in {
+            target.shutdown_at.get_or_insert(now + shutdown_in);
         }
         target.entry.renewals = entry.renewals;
-        let changed = changed && !target.has_agent(now);
+        let changed = changed && !target.agent_is_responsive(now);
         if changed {
-            target.take_holdings(entry.holdings);
+            target.set_holdings(entry.holdings);
         } else {
             target.entry.holdings.in_memory = entry.holdings.in_memory;
             target.entry.holdings.on_disk = entry.holdings.on_disk;
@@ -345,104 +354,105 @@
         }
     }
 
-    /// Takes what an agent says; false if the engine is not known or this is old.
+    /// Applies an agent's report; returns false if the engine is unknown or the report is outdated.
     pub fn report(&mut self, now: Instant, report: Report) -> bool {
         let Some(key) = self.key(&report.id) else { return false };
         let target = &mut self.arena[key];
-        let told = report.born > 0 && target.entry.born > 0;
-        if told && report.born < target.entry.born {
+        let starts_known = report.started_at_ms > 0 && target.entry.started_at_ms > 0;
+        if starts_known && report.started_at_ms < target.entry.started_at_ms {
             return false;
         }
-        if told && report.born > target.entry.born {
-            // The engine has started again under its name; its entry will follow.
+        if starts_known && report.started_at_ms > target.entry.started_at_ms {
+            // The engine restarted under the same name; its new entry will follow.
             let entry = Entry {
-                born: report.born,
+                started_at_ms: report.started_at_ms,
                 renewals: 0,
                 holdings: Holdings::default(),
                 draining: false,
-                leaves_in: None,
+                shutdown_in: None,
                 ..target.entry.clone()
             };
-            self.forget(now, key);
+            self.remove_target(now, key);
             self.insert(now, entry);
             return self.report(now, report);
         }
-        // Datagrams may overtake each other.
-        let heard = target.has_agent(now);
-        if heard && report.holdings.orders < target.entry.holdings.orders {
+        // Datagrams may be reordered.
+        let responsive = target.agent_is_responsive(now);
+        if responsive && report.holdings.commands_accepted < target.entry.holdings.commands_accepted
+        {
             return false;
         }
-        target.agent_at = Some(now);
+        target.agent_last_received_at = Some(now);
         if target.entry.renewals == 0 && target.missing_since.is_some() {
-            // It has not registered yet, and lives.
+            // An inferred target stays known while its agent reports.
             target.missing_since = Some(now);
         }
-        target.nobody_until = None;
+        target.ejected_until = None;
         target.ongoing = report.ongoing;
-        target.note_load(report.load);
+        target.record_load(report.load);
         let mut holdings = report.holdings;
-        if !report.copies_told {
+        if !report.cached_weights_reported {
             let known = &mut target.entry.holdings;
             holdings.in_memory = std::mem::take(&mut known.in_memory);
             holdings.on_disk = std::mem::take(&mut known.on_disk);
         }
-        target.take_holdings(holdings);
+        target.set_holdings(holdings);
         true
     }
 
-    /// Its agent says that this start of it has ended; false if it is not known or has started
-    /// again since.
-    pub fn note_gone(&mut self, now: Instant, id: &names::TargetId, born: u64) -> bool {
+    /// Ejects an incarnation that ended according to its agent; returns false if it is not the
+    /// current one.
+    pub fn record_exit(&mut self, now: Instant, id: &names::TargetId, started_at_ms: u64) -> bool {
         let Some(key) = self.key(id) else { return false };
         let target = &mut self.arena[key];
-        let same = born == target.entry.born || born == 0;
+        let same = started_at_ms == target.entry.started_at_ms || started_at_ms == 0;
         if same {
-            target.note_nobody(now);
+            target.record_unreachable(now);
         }
         same
     }
 
-    /// Its entry was removed: it is gone at once, or, with `grace`, unless it registers again
-    /// within that time.
+    /// Handles the removal of its entry: the target is removed at once or, with `grace`, unless it
+    /// registers again within the grace period.
     pub fn remove(&mut self, now: Instant, id: &names::TargetId, grace: bool) {
         let Some(key) = self.key(id) else { return };
         if grace {
             self.arena[key].missing_since.get_or_insert(now);
         } else {
-            self.forget(now, key);
+            self.remove_target(now, key);
         }
     }
 
-    /// Forgets those that have been missing for `grace`; returns their names.
+    /// Removes targets whose entries have been missing for `grace` and returns their names.
     pub fn expire(&mut self, now: Instant, grace: Duration) -> Vec<names::TargetId> {
-        let over = |target: &Target| {
+        let expired = |target: &Target| {
             target.missing_since.is_some_and(|at| now.saturating_duration_since(at) >= grace)
         };
-        let gone = self.arena.iter().filter(|(_, target)| over(target));
-        let gone: Vec<TargetKey> = gone.map(|(key, _)| key).collect();
-        let ids = gone.iter().map(|&key| self.arena[key].entry.id.clone()).collect();
-        gone.into_iter().for_each(|key| self.forget(now, key));
+        let expired_keys = self.arena.iter().filter(|(_, target)| expired(target));
+        let expired_keys: Vec<TargetKey> = expired_keys.map(|(key, _)| key).collect();
+        let ids = expired_keys.iter().map(|&key| self.arena[key].entry.id.clone()).collect();
+        expired_keys.into_iter().for_each(|key| self.remove_target(now, key));
         ids
     }
 
-    /// Forgets what was known at an address that belongs to another target now. Its entry stays in the
-    /// store for seconds after its end, or as long as the store is away.
-    fn end_at(&mut self, now: Instant, addr: SocketAddr) {
-        let there = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
-        let ended: Vec<_> = there.filter(|key| self.arena[*key].entry.addr == addr).collect();
-        ended.into_iter().for_each(|key| self.forget(now, key));
+    /// Removes the targets at an address that a new target has registered. Their entries may remain
+    /// in the store after their end.
+    fn remove_at_addr(&mut self, now: Instant, addr: SocketAddr) {
+        let at_host = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
+        let ended: Vec<_> = at_host.filter(|key| self.arena[*key].entry.addr == addr).collect();
+        ended.into_iter().for_each(|key| self.remove_target(now, key));
     }
 
     fn insert(&mut self, now: Instant, entry: Entry) -> TargetKey {
         let (id, host) = (entry.id.clone(), entry.addr.ip());
-        let leaves_at = entry.leaves_in.map(|left| now + left);
-        let key = self.arena.insert(Target { leaves_at, ..Target::new(entry) });
+        let shutdown_at = entry.shutdown_in.map(|left| now + left);
+        let key = self.arena.insert(Target { shutdown_at, ..Target::new(entry) });
         self.by_id.insert(id, key);
         self.by_host.entry(host).or_default().push(key);
         key
     }
 
-    fn forget(&mut self, now: Instant, key: TargetKey) {
+    fn remove_target(&mut self, now: Instant, key: TargetKey) {
         let Some(target) = self.arena.remove(key) else { return };
         self.by_id.remove(&target.entry.id);
         let host = target.entry.addr.ip();
@@ -453,9 +463,10 @@
             }
         }
         if target.entry.draining {
-            self.left.insert(target.entry.id.clone(), target.entry.born);
+            self.drained.insert(target.entry.id.clone(), target.entry.started_at_ms);
         }
-        self.gone.retain(|_, (since, _)| now.saturating_duration_since(*since) < REMEMBERED);
-        self.gone.insert(target.entry.id.clone(), (now, target.entry));
+        self.removed
+            .retain(|_, (since, _)| now.saturating_duration_since(*since) < REMOVED_ENTRY_TTL);
+        self.removed.insert(target.entry.id.clone(), (now, target.entry));
     }
 }
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A small deployment of engines and models under load, without sockets and with its own time.
+//! Discrete-time simulation of engines and models under load.
 //!
-//! Engines hold a few models each and keep copies on disk; the weight store carries few loads at
-//! once; a run takes a second and a half. Requests wait until an engine holds their model. What comes
-//! out is how soon they began to run.
+//! Engines hold a few models, cache weights on disk and load others from a weight store of limited
+//! throughput. Requests wait until an engine holds their model; the simulation records how many
+//! begin within their latency objective.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -16,25 +16,21 @@
     time::{Duration, Instant},
 };
 
-/// Time of one step of the world.
 const STEP: Duration = Duration::from_millis(10);
-/// Time that a run takes.
-const RUN: Duration = Duration::from_millis(1_400);
-/// Time that an idle model takes to be dropped.
-const DROP: Duration = Duration::from_millis(60);
-/// Loads that the weight store carries at full speed.
-const STORE_AT_ONCE: f64 = 4.0;
-/// Memory of one model, and of one engine: three fit.
+const REQUEST_TIME: Duration = Duration::from_millis(1_400);
+const UNLOAD_TIME: Duration = Duration::from_millis(60);
+/// Concurrent loads that the weight store serves at full speed.
+const STORE_CONCURRENT_LOADS: f64 = 4.0;
+/// Memory of a model and of an engine, which holds three.
 const MODEL_MB: u64 = 70_000;
 const ENGINE_MB: u64 = 220_000;
-/// A caller leaves after this many aims.
-const LEAVES_AFTER: u32 = 4;
+/// Multiple of the latency objective after which a caller leaves.
+const ABANDON_AFTER_RATIO: u32 = 4;
 
-/// A model as the world offers it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Workload {
     pub per_s: f64,
-    pub aim: Duration,
+    pub latency_objective: Duration,
 }
 
 struct Engine {
@@ -47,36 +43,34 @@
 
 struct Request {
     model: ModelId,
-    came: Instant,
-    aim: Duration,
+    arrived_at: Instant,
+    latency_objective: Duration,
 }
 
-/// What became of a model's requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    pub asked: u32,
-    pub in_aim: u32,
-    pub left: u32,
+    pub requests: u32,
+    pub on_time: u32,
+    pub abandoned: u32,
 }
 
 impl Tally {
-    pub fn share_in_aim(&self) -> f64 {
-        f64::from(self.in_aim) / f64::from(self.asked.max(1))
+    pub fn on_time_ratio(&self) -> f64 {
+        f64::from(self.on_time) / f64::from(self.requests.max(1))
     }
 
-    pub fn share_left(&self) -> f64 {
-        f64::from(self.left) / f64::from(self.asked.max(1))
+    pub fn abandoned_ratio(&self) -> f64 {
+        f64::from(self.abandoned) / f64::from(self.requests.max(1))
     }
 }
 
-/// The world.
-pub struct World {
+pub struct Simulation {
     pub now: Instant,
-    pub models: BTreeMap<ModelId, Asked>,
+    pub models: BTreeMap<ModelId, Workload>,
     pub tallies: BTreeMap<ModelId, Tally>,
-    pub orders: u32,
+    pub commands: u32,
     pub store_loads: u32,
-    /// Most memory that an engine was ever ordered to hold, in MB.
+    /// Largest memory that an engine was commanded to use, in MB.
     pub most_mb: u64,
     engines: Vec<Engine>,
     waiting: VecDeque<Request>,
@@ -96,15 +90,16 @@
     }
 }
 
-impl World {
-    /// Engines with `copies` models on each disk, three of them resident.
-    pub fn new(engines: usize, models: &[(&str, Asked)], copies: usize, seed: u64) -> Self {
+impl Simulation {
+    /// Creates engines with `cached` models on each disk, three of them resident.
+    pub fn new(engines: usize, models: &[(&str, Workload)], cached: usize, seed: u64) -> Self {
         println!("seed {seed}");
         let names: Vec<ModelId> = models.iter().map(|(name, _)| ModelId::from(*name)).collect();
         let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
         let engines = (0..engines).map(|index| {
-            let disk: Vec<ModelId> =
-                (0..copies).map(|copy| names[(index * 3 + copy) % names.len()].clone()).collect();
+            let disk: Vec<ModelId> = (0..cached)
+                .map(|offset| names[(index * 3 + offset) % names.len()].clone())
+                .collect();
             let resident = disk
                 .iter()
                 .take(3)
@@ -116,9 +111,12 @@
         });
         Self {
             now: Instant::now(),
-            models: models.iter().map(|(name, asked)| ((*name).into(), asked.clone())).collect(),
+            models: models
+                .iter()
+                .map(|(name, workload)| ((*name).into(), workload.clone()))
+                .collect(),
             tallies: BTreeMap::new(),
-            orders: 0,
+            commands: 0,
             store_loads: 0,
             most_mb: 0,
             engines: engines.collect(),
@@ -129,27 +127,25 @@
         }
     }
 
-    /// Lets time pass.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
             self.arrive();
             self.finish_runs();
-            self.work_off_orders();
+            self.advance_commands();
             self.serve();
             self.plan();
         }
     }
 
-    /// Forgets what became of requests so far.
-    pub fn forget(&mut self) {
+    pub fn reset_counters(&mut self) {
         self.tallies.clear();
-        self.orders = 0;
+        self.commands = 0;
         self.store_loads = 0;
     }
 
-    /// An engine loses all that it held and did; its disk stays.
+    /// Stops an engine; only its disk contents remain.
     pub fn crash(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         engine.up = false;
@@ -157,25 +153,23 @@
         engine.runs.clear();
         engine.holdings.resident.clear();
         engine.holdings.in_memory.clear();
-        engine.holdings.orders = 0;
+        engine.holdings.commands_accepted = 0;
     }
 
-    /// An engine that crashed is back.
     pub fn restart(&mut self, index: usize) {
         self.engines[index].up = true;
     }
 
-    /// What became of the requests of several models together.
+    /// Combined outcome of the selected models' requests.
     pub fn tally(&self, models: impl Fn(&str) -> bool) -> Tally {
         let own = self.tallies.iter().filter(|(name, _)| models(name.as_str()));
         own.fold(Tally::default(), |sum, (_, tally)| Tally {
-            asked: sum.asked + tally.asked,
-            in_aim: sum.in_aim + tally.in_aim,
-            left: sum.left + tally.left,
+            requests: sum.requests + tally.requests,
+            on_time: sum.on_time + tally.on_time,
+            abandoned: sum.abandoned + tally.abandoned,
         })
     }
 
-    /// Engines that hold a model.
     pub fn holders(&self, model: &str) -> usize {
         let model = ModelId::from(model);
         self.engines.iter().filter(|engine| engine.holdings.resident(&model).is_some()).count()
@@ -183,28 +177,38 @@
 
     fn arrive(&mut self) {
         let step = STEP.as_secs_f64();
-        for (name, asked) in &self.models {
-            if self.rng.random::<f64>() >= asked.per_s * step {
+        for (name, workload) in &self.models {
+            if self.rng.random::<f64>() >= workload.per_s * step {
                 continue;
             }
-            let weight = demand::Weight { prompt_tokens: 600, adapted: false, aim: asked.aim };
+            let weight = demand::Weight {
+                prompt_tokens: 600,
+                adapted: false,
+                aim: workload.latency_objective,
+            };
             self.demand.add(self.now, name, weight);
-            self.tallies.entry(name.clone()).or_default().asked += 1;
-            let request = Request { model: name.clone(), came: self.now, aim: asked.aim };
+            self.tallies.entry(name.clone()).or_default().requests += 1;
+            let request = Request {
+                model: name.clone(),
+                arrived_at: self.now,
+                latency_objective: workload.latency_objective,
+            };
             self.waiting.push_back(request);
         }
     }
 
     fn finish_runs(&mut self) {
         for engine in &mut self.engines {
-            engine.runs.retain(|(_, began)| self.now.saturating_duration_since(*began) < RUN);
+            engine.runs.retain(|(_, started_at)| {
+                self.now.saturating_duration_since(*started_at) < REQUEST_TIME
+            });
         }
     }
 
     fn serve(&mut self) {
         let now = self.now;
         for request in std::mem::take(&mut self.waiting) {
-            let waited = now.saturating_duration_since(request.came);
+            let waited = now.saturating_duration_since(request.arrived_at);
             let holder = self.engines.iter_mut().filter(|engine| {
                 let gone = matches!(&engine.order, Some((steps::Order::Unload(gone), _)) if *gone == request.model);
                 engine.up && !gone && engine.holdings.resident(&request.model).is_some()
@@ -213,9 +217,11 @@
             match holder.min_by_key(|engine| engine.runs.len()) {
                 Some(engine) => {
                     engine.runs.push((request.model, now));
-                    tally.in_aim += u32::from(waited <= request.aim);
+                    tally.on_time += u32::from(waited <= request.latency_objective);
+                }
+                None if waited >= request.latency_objective * ABANDON_AFTER_RATIO => {
+                    tally.abandoned += 1;
                 }
-                None if waited >= request.aim * LEAVES_AFTER => tally.left += 1,
                 None => self.waiting.push_back(request),
             }
         }
@@ -243,8 +249,8 @@
                 .collect();
             if let Some(order) = steps::next_model(room, &parts, &engine.holdings) {
                 let takes = match &order {
-                    steps::Order::Load(model) => takes(&engine.holdings, model),
-                    _ => DROP.as_secs_f64(),
+                    steps::Order::Load(model) => load_time_s(&engine.holdings, model),
+                    _ => UNLOAD_TIME.as_secs_f64(),
                 };
                 if takes > 1.0 {
                     self.store_loads += 1;
@@ -253,9 +259,9 @@
                     let used = (engine.holdings.resident.len() as u64 + 1) * MODEL_MB;
                     self.most_mb = self.most_mb.max(used);
                 }
-                self.orders += 1;
+                self.commands += 1;
                 engine.order = Some((order, takes));
-                engine.holdings.orders += 1;
+                engine.holdings.commands_accepted += 1;
             }
         }
     }
@@ -280,7 +286,7 @@
                 steps::Order::Load(model) => targets::Ongoing::Loading {
                     model: model.clone(),
                     ready_at: self.now + Duration::from_secs_f64(left.max(0.0)),
-                    from_store: takes(&engine.holdings, model) > 1.0,
+                    from_store: load_time_s(&engine.holdings, model) > 1.0,
                 },
                 steps::Order::Unload(model)
                 | steps::Order::LoadAdapter(model, _)
@@ -302,13 +308,13 @@
         views.collect()
     }
 
-    fn work_off_orders(&mut self) {
+    fn advance_commands(&mut self) {
         let loading = |engine: &Engine| match &engine.order {
-            Some((steps::Order::Load(model), _)) => takes(&engine.holdings, model) > 1.0,
+            Some((steps::Order::Load(model), _)) => load_time_s(&engine.holdings, model) > 1.0,
             _ => false,
         };
         let store = self.engines.iter().filter(|engine| loading(engine)).count() as f64;
-        let share = (STORE_AT_ONCE / store.max(1.0)).min(1.0);
+        let share = (STORE_CONCURRENT_LOADS / store.max(1.0)).min(1.0);
         for engine in &mut self.engines {
             let from_store = loading(engine);
             let Some((order, left)) = &mut engine.order else { continue };
@@ -323,13 +329,13 @@
             if *left <= 0.0 {
                 let order = order.clone();
                 engine.order = None;
-                carry_out(&mut engine.holdings, order);
+                execute(&mut engine.holdings, order);
             }
         }
     }
 }
 
-fn takes(holdings: &targets::Holdings, model: &ModelId) -> f64 {
+fn load_time_s(holdings: &targets::Holdings, model: &ModelId) -> f64 {
     let spec = spec(model);
     if holdings.in_memory.contains(model) {
         spec.load_from_memory.as_secs_f64()
@@ -340,7 +346,7 @@
     }
 }
 
-fn carry_out(holdings: &mut targets::Holdings, order: steps::Order) {
+fn execute(holdings: &mut targets::Holdings, order: steps::Order) {
     match order {
         steps::Order::Load(model) => {
             if !holdings.on_disk.contains(&model) {
@@ -358,23 +364,21 @@
     }
 }
 
-/// Rare models, each asked for now and then by patient callers.
-pub fn rare(count: usize, per_s: f64) -> Vec<(String, Asked)> {
-    let asked = Asked { per_s, aim: Duration::from_millis(2_500) };
-    (0..count).map(|index| (format!("rare-{index:02}"), asked.clone())).collect()
+/// Models with few requests and a long latency objective.
+pub fn rare(count: usize, per_s: f64) -> Vec<(String, Workload)> {
+    let workload = Workload { per_s, latency_objective: Duration::from_millis(2_500) };
+    (0..count).map(|index| (format!("rare-{index:02}"), workload.clone())).collect()
 }
 
-/// A model that many ask for and want at once.
-pub fn busy(name: &str, per_s: f64) -> (String, Asked) {
-    (name.to_owned(), Asked { per_s, aim: Duration::from_millis(300) })
+/// A model with many requests and a short latency objective.
+pub fn busy(name: &str, per_s: f64) -> (String, Workload) {
+    (name.to_owned(), Workload { per_s, latency_objective: Duration::from_millis(300) })
 }
 
-/// A target's name, for tests of entries.
 pub fn id(name: &str) -> TargetId {
     TargetId::from(name)
 }
 
-/// Draws for shuffled cases.
 pub fn rng(seed: u64) -> impl Rng {
     ChaCha8Rng::seed_from_u64(seed)
 }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Asked, World, busy, rare};
+use common::{Simulation, Workload, busy, rare};
 use corianderstand_fleet::{config, demand, plan, snapshot, targets};
 use corianderstand_types::names::ModelId;
 use slotmap::SlotMap;
@@ -11,10 +11,10 @@
     time::{Duration, Instant},
 };
 
-fn world(engines: usize, models: Vec<(String, Asked)>, copies: usize, seed: u64) -> World {
-    let models: Vec<(&str, Asked)> =
+fn world(engines: usize, models: Vec<(String, Workload)>, copies: usize, seed: u64) -> Simulation {
+    let models: Vec<(&str, Workload)> =
         models.iter().map(|(name, asked)| (name.as_str(), asked.clone())).collect();
-    World::new(engines, &models, copies, seed)
+    Simulation::new(engines, &models, copies, seed)
 }
 
 fn is_rare(name: &str) -> bool {
@@ -32,12 +32,12 @@
     models.extend([busy("busy-0", 25.0), busy("busy-1", 12.0)]);
     let mut world = world(9, models, 12, seed);
     world.run(Duration::from_secs(15));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(40));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
-    println!("rare {rare:?}, busy {busy:?}, {} orders", world.orders);
-    assert!(rare.share_in_aim() > 0.85, "rare models in time: {}", rare.share_in_aim());
-    assert!(busy.share_in_aim() > 0.97, "busy models at once: {}", busy.share_in_aim());
+    println!("rare {rare:?}, busy {busy:?}, {} orders", world.commands);
+    assert!(rare.on_time_ratio() > 0.85, "rare models in time: {}", rare.on_time_ratio());
+    assert!(busy.on_time_ratio() > 0.97, "busy models at once: {}", busy.on_time_ratio());
     assert!(world.most_mb <= 220_000, "an engine was ordered to hold {} MB", world.most_mb);
 }
 
@@ -52,10 +52,10 @@
     world.models.get_mut(&"old".into()).unwrap().per_s = 0.0;
     world.models.get_mut(&"new".into()).unwrap().per_s = 25.0;
     world.run(Duration::from_secs(4));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(15));
     let new = world.tally(|name| name == "new");
-    assert!(new.share_in_aim() > 0.97, "after four seconds: {new:?}");
+    assert!(new.on_time_ratio() > 0.97, "after four seconds: {new:?}");
     assert!(world.holders("new") >= 2, "one engine alone would make its streams pause");
 }
 
@@ -70,12 +70,12 @@
     for index in 0..25 {
         world.models.get_mut(&format!("rare-{index:02}").as_str().into()).unwrap().per_s = 1.2;
     }
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(10));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
     println!("rare {rare:?}, busy {busy:?}");
-    assert!(busy.share_in_aim() > 0.97, "{busy:?}");
-    assert!(rare.share_left() < 0.1, "{rare:?}");
+    assert!(busy.on_time_ratio() > 0.97, "{busy:?}");
+    assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
 }
 
 /// An engine crashes and with it three models that were nowhere else. Other engines have copies on
@@ -86,11 +86,11 @@
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 6);
     world.run(Duration::from_secs(15));
-    world.forget();
+    world.reset_counters();
     world.crash(4);
     world.run(Duration::from_secs(8));
     let rare = world.tally(is_rare);
-    assert!(rare.share_left() < 0.05, "{rare:?}");
+    assert!(rare.abandoned_ratio() < 0.05, "{rare:?}");
     assert_eq!(world.store_loads, 0, "all had copies on other disks");
 }
 
@@ -102,10 +102,10 @@
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 7);
     world.run(Duration::from_secs(15));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(30));
     // Thirty-one models on twenty-seven places: some turns are needed, two orders each.
-    assert!(world.orders < 240, "{} orders in 30 s", world.orders);
+    assert!(world.commands < 240, "{} orders in 30 s", world.commands);
 }
 
 /// Nobody asks for anything yet, as before a deployment opens. Models that are on no engine come to
@@ -127,10 +127,10 @@
 fn one_engine_serves_more_models_than_it_holds() {
     let mut world = world(1, rare(5, 0.1), 5, 9);
     world.run(Duration::from_secs(10));
-    world.forget();
+    world.reset_counters();
     world.run(Duration::from_secs(60));
     let rare = world.tally(is_rare);
-    assert!(rare.share_left() < 0.1, "{rare:?}");
+    assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
 }
 
 /// All engines have lost power and hold one of each model when traffic returns. A model that needs ten
@@ -200,16 +200,16 @@
         models.extend([busy("steady", 14.0), busy("next", 0.3)]);
         let mut world = world(8, models, 4, seed);
         world.run(Duration::from_secs(15));
-        world.forget();
+        world.reset_counters();
         world.models.get_mut(&"next".into()).unwrap().per_s = 25.0;
         world.run(Duration::from_secs(12));
         let next = world.tally(|name| name == "next");
-        assert!(next.share_in_aim() > 0.8, "the busy model at once: {next:?}");
+        assert!(next.on_time_ratio() > 0.8, "the busy model at once: {next:?}");
         world.tally(is_rare)
     };
     let tallies: Vec<_> = (1..6).map(after_the_rise).collect();
-    let asked: u32 = tallies.iter().map(|tally| tally.asked).sum();
-    let in_aim: u32 = tallies.iter().map(|tally| tally.in_aim).sum();
+    let asked: u32 = tallies.iter().map(|tally| tally.requests).sum();
+    let in_aim: u32 = tallies.iter().map(|tally| tally.on_time).sum();
     let share = f64::from(in_aim) / f64::from(asked);
     println!("rare models in time {share:.3}");
     assert!(share > 0.93, "rare models in time: {share:.3}");
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -17,22 +17,22 @@
     pub(super) fn take_prefill(&self, now: Instant, from: SocketAddr, asked: &peers::PrefillAsked) {
         let millis = |ms: u32| Duration::from_millis(u64::from(ms));
         let mut turns = self.turns.borrow_mut();
-        let answer = turns.ask(
+        let answer = turns.request(
             now,
-            prefill::Ask {
+            prefill::PermitRequest {
                 id: asked.id,
-                asker: from,
-                work: Duration::from_micros(u64::from(asked.work_us)),
-                aim_at: now + millis(asked.aim_in_ms),
-                useful_until: now + millis(asked.useful_ms),
-                pause: (asked.pause_ms > 0).then(|| millis(asked.pause_ms)),
+                requester: from,
+                prefill_time: Duration::from_micros(u64::from(asked.work_us)),
+                latency_objective_at: now + millis(asked.aim_in_ms),
+                expires_at: now + millis(asked.useful_ms),
+                max_pause: (asked.pause_ms > 0).then(|| millis(asked.pause_ms)),
             },
         );
-        let reading = turns.level(now);
+        let reading = turns.backlog(now);
         drop(turns);
         match answer {
-            prefill::Answer::Given => self.tell_turn(from, asked.id, None, reading),
-            prefill::Answer::Wait(wait) => {
+            prefill::PermitResponse::Granted => self.tell_turn(from, asked.id, None, reading),
+            prefill::PermitResponse::Wait(wait) => {
                 self.tell_turn(from, asked.id, Some(wait), reading);
                 self.turns_changed.notify_one();
             }
@@ -53,12 +53,12 @@
     pub(super) async fn give_turns(&self) {
         loop {
             let now = self.clock.now();
-            let due = self.turns.borrow_mut().due(now);
-            let reading = self.turns.borrow().level(now);
+            let due = self.turns.borrow_mut().grant_due(now);
+            let reading = self.turns.borrow().backlog(now);
             for (asker, id) in due {
                 self.tell_turn(asker, id, None, reading);
             }
-            let next = self.turns.borrow().next_in(now);
+            let next = self.turns.borrow().next_grant_in(now);
             let changed = self.turns_changed.notified();
             match next {
                 None => changed.await,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -116,16 +116,17 @@
         }
         PeerMessage::EngineNews(news) => take_engine(shared, now, from, news),
         PeerMessage::EngineGone(gone) => {
-            let known = shared.view.borrow_mut().targets.note_gone(now, &gone.target, gone.born);
+            let known = shared.view.borrow_mut().targets.record_exit(now, &gone.target, gone.born);
             if known {
                 tracing::info!(target = %gone.target, "its agent says that the target has ended");
                 plan_soon(shared, now);
             }
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
-            let replaced = targets::Replaced { id: target, born, before };
+            let replaced =
+                targets::Replacement { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
-                tracing::info!(target = %replaced.id, before = %replaced.before,
+                tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "its agent says that the target has started again under another name");
                 plan_soon(shared, now);
             }
@@ -153,7 +154,7 @@
         let service = table.as_ref().and_then(|table| table.config().service(name));
         service.is_some_and(|service| service.engine.is_some())
     };
-    if view.targets.introduce(now, &report.id, report.born, from.ip(), is_engines) {
+    if view.targets.infer_successor(now, &report.id, report.started_at_ms, from.ip(), is_engines) {
         tracing::info!(target = %report.id, "a target is known from its agent");
     }
     let Some(key) = view.targets.key(&report.id) else { return };
@@ -201,14 +202,19 @@
         .map(|part| targets::Resident { model: part.model, adapters: part.adapters })
         .collect();
     let copies = news.copies.into_iter().next();
-    let copies_told = copies.is_some();
+    let cached_weights_reported = copies.is_some();
     let (in_memory, on_disk) =
         copies.map(|copies| (copies.in_memory, copies.on_disk)).unwrap_or_default();
     targets::Report {
         id: news.target,
-        born: news.born,
-        holdings: targets::Holdings { orders: news.orders, resident, in_memory, on_disk },
-        copies_told,
+        started_at_ms: news.born,
+        holdings: targets::Holdings {
+            commands_accepted: news.orders,
+            resident,
+            in_memory,
+            on_disk,
+        },
+        cached_weights_reported,
         ongoing,
         load: targets::Load {
             running: news.running,
@@ -341,7 +347,7 @@
 }
 
 /// An adapter as it is named to an agent.
-pub fn asked_adapter(wanted: &choose::Wanted) -> Option<wire::AskedAdapter> {
+pub fn asked_adapter(wanted: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
     let adapter = wanted.adapter.clone()?;
     Some(wire::AskedAdapter { model: wanted.model.clone(), adapter })
 }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -4,7 +4,7 @@
 //! leaves out its own lines beyond a number a second, says how many, and takes no room from others.
 
 use crate::{copies, job, metrics, stream, view};
-use corianderstand_fleet::{patience, targets};
+use corianderstand_fleet::{targets, wait_limit};
 use corianderstand_types::names;
 use http::StatusCode;
 use smol_str::SmolStr;
@@ -71,15 +71,15 @@
             return;
         }
         let Some(target) = view.targets.get(key) else { return };
-        let agent_age_ms = target.agent_at.map(|at| ms(now, at));
+        let agent_age_ms = target.agent_last_received_at.map(|at| ms(now, at));
         let version = view.table.as_ref().map(|table| table.config().version);
         tracing::info!(
             id = %job.call.id,
             route = %job.route.name,
             at = %target.entry.id,
             model = job.model().map(names::ModelId::as_str),
-            occupied = target.occupied(),
-            trouble = format_args!("{:.2}", target.health.trouble(now)),
+            occupied = target.estimated_requests(),
+            trouble = format_args!("{:.2}", target.health.failure_score(now)),
             agent_age_ms,
             config = version,
             waited_ms = ms(now, job.arrived),
@@ -88,13 +88,13 @@
     }
 
     /// A request waits, or the reason for its wait has changed.
-    pub fn waits(&self, job: &job::Job, why: &str, expected: patience::Expected, now: Instant) {
+    pub fn waits(&self, job: &job::Job, why: &str, expected: wait_limit::Readiness, now: Instant) {
         if self.allows(Kind::Placed, now) {
             let waited_ms = ms(now, job.arrived);
             let ready_in_ms = match expected {
-                patience::Expected::Ready(at) => Some(ms(at, now)),
-                patience::Expected::Takes(time) => Some(time.as_millis() as u64),
-                patience::Expected::Room | patience::Expected::Unknown => None,
+                wait_limit::Readiness::ReadyAt(at) => Some(ms(at, now)),
+                wait_limit::Readiness::LoadTime(time) => Some(time.as_millis() as u64),
+                wait_limit::Readiness::AtCapacity | wait_limit::Readiness::Unknown => None,
             };
             let model = job.model().map(names::ModelId::as_str);
             tracing::info!(id = %job.call.id, model, why, ready_in_ms, waited_ms, "waits");
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -82,8 +82,9 @@
     }
     let engines = view.targets.iter().filter(|(_, target)| {
         target.entry.service == *service
-            && target.takes_work(now)
-            && (target.has_agent(now) || target.health.trouble(now) < health::OUT)
+            && target.accepts_requests(now)
+            && (target.agent_is_responsive(now)
+                || target.health.failure_score(now) < health::EJECTION_THRESHOLD)
     });
     let engines = engines.map(|(key, target)| {
         let mut running = running.remove(&target.entry.id).unwrap_or_default();
@@ -92,7 +93,7 @@
         }
         snapshot::EngineView {
             key,
-            orderable: target.has_agent(now),
+            orderable: target.agent_is_responsive(now),
             weights_mb: spec.weights_mb,
             slots: target.entry.slots,
             adapter_places: spec.adapter_places,
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -5,7 +5,7 @@
 //! the request is sent, as it would be where no agent stands.
 
 use crate::{job, router};
-use corianderstand_fleet::{patience, targets};
+use corianderstand_fleet::{targets, wait_limit};
 use corianderstand_schema::peers::{self as wire, PeerMessage};
 use std::{
     cell::{Cell, RefCell},
@@ -102,7 +102,7 @@
     fn new(shared: &'a router::Shared<P>, job: &job::Job, key: targets::TargetKey) -> Option<Self> {
         let now = shared.clock.now();
         let view = shared.view.borrow();
-        let target = view.targets.get(key).filter(|target| target.has_agent(now))?;
+        let target = view.targets.get(key).filter(|target| target.agent_is_responsive(now))?;
         let work = job.reading_time(&view, key, now)?;
         let agent = std::net::SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
         let id = shared.turns.next_id(shared.incarnation);
@@ -163,7 +163,7 @@
             return question.given();
         }
         if now + answer.wait >= question.useful_until(job) {
-            return Turn::TooLate { after: patience::return_after(answer.wait, job.spread()) };
+            return Turn::TooLate { after: wait_limit::retry_after(answer.wait, job.spread()) };
         }
         if !shared.may_serve(key, job, now) || (!settled && answer.wait >= LONG_WAIT) {
             return Turn::LookAgain;
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -5,7 +5,7 @@
     readers, server, transfer, view,
 };
 use corianderstand_derives::derives;
-use corianderstand_fleet::{budget, choose, demand, patience, targets};
+use corianderstand_fleet::{budget, choose, demand, targets, wait_limit};
 use corianderstand_schema::peers::StoreUse;
 use corianderstand_types::{clock, names, pause};
 use http::StatusCode;
@@ -211,18 +211,18 @@
     pub fn choose(&self, now: Instant, job: &job::Job) -> choose::Choice {
         let view = self.view.borrow();
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
-        let ask = choose::Ask {
+        let query = choose::Query {
             service: &job.service,
-            wanted: job.call.wanted.as_ref(),
+            requested: job.call.wanted.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
-            adapter_places: engine.map_or(0, |engine| engine.adapter_places),
+            adapter_slots: engine.map_or(0, |engine| engine.adapter_places),
             zone: &self.settings.zone,
             tried: &job.tried,
             hash: job.hash,
-            read_before: view.prefixes.find(&job.chain),
+            cached_prefix: view.prefixes.find(&job.chain),
         };
-        choose::choose(now, &view.targets, &ask)
+        choose::choose(now, &view.targets, &query)
     }
 
     /// Whether another target could take a request now that is at `key`.
@@ -238,10 +238,10 @@
         now: Instant,
         job: &job::Job,
         choice: choose::Choice,
-    ) -> patience::Expected {
+    ) -> wait_limit::Readiness {
         match choice {
-            choose::Choice::NoTarget => patience::Expected::Unknown,
-            choose::Choice::Full => patience::Expected::Room,
+            choose::Choice::NoTarget => wait_limit::Readiness::Unknown,
+            choose::Choice::Full => wait_limit::Readiness::AtCapacity,
             choose::Choice::LoadAdapter(key) => self.view.borrow().expected_adapter(key),
             _ => self.view.borrow().expected(now, &job.service, job.call.wanted.as_ref()),
         }
@@ -258,8 +258,8 @@
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
-        target.health.failed(now);
-        let trouble = target.health.trouble(now);
+        target.health.record_failure(now);
+        let trouble = target.health.failure_score(now);
         tracing::debug!(target = %target.entry.id, trouble, why, "target failed");
     }
 
@@ -269,7 +269,7 @@
             let now = self.clock.now();
             let mut view = self.view.borrow_mut();
             if let Some(target) = view.targets.get_mut(key) {
-                target.note_nobody(now);
+                target.record_unreachable(now);
                 tracing::info!(target = %target.entry.id, "nobody listens at the target's address");
             }
         }
@@ -280,21 +280,21 @@
     pub fn target_succeeded(&self, key: targets::TargetKey) {
         let now = self.clock.now();
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.health.succeeded(now);
+            target.health.record_success(now);
         }
     }
 
     /// An event of a stream came after another.
     pub fn note_pause(&self, key: targets::TargetKey, now: Instant, last: Instant) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.pace.note(now, now.saturating_duration_since(last));
+            target.event_interval.record(now, now.saturating_duration_since(last));
         }
     }
 
     /// An agent told how long its engine still reads prompts.
     pub fn note_reading(&self, key: targets::TargetKey, now: Instant, reading: Duration) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.note_reading(now, reading);
+            target.record_prefill_backlog(now, reading);
         }
     }
 
@@ -302,7 +302,8 @@
     pub fn may_serve(&self, key: targets::TargetKey, job: &job::Job, now: Instant) -> bool {
         let view = self.view.borrow();
         view.targets.get(key).is_some_and(|target| {
-            target.takes_work(now) && job.model().is_none_or(|model| target.serves(now, model))
+            target.accepts_requests(now)
+                && job.model().is_none_or(|model| target.serves(now, model))
         })
     }
 
@@ -316,7 +317,7 @@
     /// A target told its load.
     pub fn note_load(&self, key: targets::TargetKey, load: targets::Load) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.note_load(load);
+            target.record_load(load);
         }
     }
 
@@ -341,8 +342,8 @@
             return;
         }
         match &job.call.wanted {
-            Some(wanted) => target.note_absent(now, &wanted.model),
-            None => target.health.failed(now),
+            Some(wanted) => target.record_absent_model(now, &wanted.model),
+            None => target.health.record_failure(now),
         }
     }
 
