--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -2,7 +2,7 @@
 
 use super::{Agent, MIN_RETRY_AFTER};
 use crate::{
-    queue::{Length, Order, Waiting},
+    queue::{Length, QueueDiscipline, Waiting},
     work::{Need, Refusal, Sizes, Work},
 };
 use corianderstand_derives::derives;
@@ -123,7 +123,7 @@
             let retry_after = self.book_return(now, wait, length);
             return Some(Refusal { reason: RefusalReason::QueueFull, retry_after });
         }
-        if self.policy.order == Order::FirstCome {
+        if self.policy.order == QueueDiscipline::Fifo {
             return None;
         }
         let load = self.expected_load(now, work, sizes);
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -15,7 +15,7 @@
     history::Histories,
     ledger::Ledger,
     pacing::Ask,
-    queue::{Length, Order, Queue, Waiting},
+    queue::{Length, QueueDiscipline, Queue, Waiting},
     work::{Need, Refusal, RequestKey, Sizes, Work},
 };
 use corianderstand_derives::derives;
@@ -72,7 +72,7 @@
     /// What makes room.
     pub eviction: Eviction,
     /// Who goes next.
-    pub order: Order,
+    pub order: QueueDiscipline,
 }
 
 /// What is to be done.
@@ -394,7 +394,7 @@
     fn is_too_late(&self, now: Instant, key: RequestKey) -> bool {
         let work = &self.requests[key].work;
         let least = self.runs[work.shape.length as usize].least();
-        self.policy.order == Order::Fair && now + least > work.deadline
+        self.policy.order == QueueDiscipline::Fair && now + least > work.deadline
     }
 
     fn refuse_late(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) -> Action {
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -33,12 +33,12 @@
 /// The order in which ready requests go.
 #[derives(key)]
 #[derive(Default)]
-pub enum Order {
+pub enum QueueDiscipline {
     /// By share, urgency and deadline.
     #[default]
     Fair,
     /// First come first served, all alike: the baseline of the measurements.
-    FirstCome,
+    Fifo,
 }
 
 /// Place in the queue: higher urgency first, then the earlier deadline.
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     concurrency: u32,
-    order: Order,
+    order: QueueDiscipline,
     total_shares: u32,
     teams: BTreeMap<WorkspaceId, TeamQueue>,
     missing: BTreeMap<Weights, BTreeSet<Place>>,
@@ -127,7 +127,7 @@
 
 impl Queue {
     /// An empty queue before a target that runs `concurrency` requests at once.
-    pub fn new(concurrency: u32, order: Order) -> Self {
+    pub fn new(concurrency: u32, order: QueueDiscipline) -> Self {
         Self {
             concurrency: concurrency.max(1),
             order,
@@ -150,7 +150,7 @@
     /// Adds a request of a team with this guaranteed share.
     pub fn push(&mut self, key: RequestKey, share: u32, waiting: Waiting) {
         self.number += 1;
-        let fair = self.order == Order::Fair;
+        let fair = self.order == QueueDiscipline::Fair;
         let place = Place {
             less_urgent: if fair { u8::MAX - waiting.urgency } else { 0 },
             due: fair.then_some(waiting.deadline),
@@ -304,13 +304,13 @@
     fn heads<'a>(&'a self, team: &'a TeamQueue) -> impl Iterator<Item = Head> + 'a {
         LENGTHS.into_iter().filter_map(move |length| {
             let place = *team.ready[length as usize].first()?;
-            let allowed = self.order == Order::FirstCome || self.has_room(length);
+            let allowed = self.order == QueueDiscipline::Fifo || self.has_room(length);
             allowed.then(|| self.head(team, length, place))
         })
     }
 
     fn head(&self, team: &TeamQueue, length: Length, place: Place) -> Head {
-        if self.order == Order::FirstCome {
+        if self.order == QueueDiscipline::Fifo {
             let (lent, beyond_room, used) = (false, false, 0);
             return Head {
                 lent,
@@ -391,7 +391,7 @@
     /// Made for sudden slowness: what was admitted when the target was quick may be hopeless now.
     /// Its callers are told at once. This looks at all that wait, so it is called at intervals.
     pub fn hopeless(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
-        if self.order == Order::FirstCome {
+        if self.order == QueueDiscipline::Fifo {
             return Vec::new();
         }
         let of = |length| self.hopeless_of(now, length, mean_runs[length as usize]);
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,6 +1,6 @@
 //! The queue alone.
 
-use super::{Length, Order, Queue, Waiting};
+use super::{Length, QueueDiscipline, Queue, Waiting};
 use crate::work::RequestKey;
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
@@ -29,7 +29,7 @@
 fn within_a_team_urgent_goes_first_then_the_earlier_deadline() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
-    let mut queue = Queue::new(3, Order::Fair);
+    let mut queue = Queue::new(3, QueueDiscipline::Fair);
     let late = keys.push(&mut queue, "crew", 1, now + Duration::from_secs(60));
     let soon = keys.push(&mut queue, "crew", 1, now + Duration::from_secs(10));
     let urgent = keys.push(&mut queue, "crew", 2, now + Duration::from_secs(90));
@@ -41,7 +41,7 @@
 fn the_baseline_takes_them_as_they_came() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
-    let mut queue = Queue::new(2, Order::FirstCome);
+    let mut queue = Queue::new(2, QueueDiscipline::Fifo);
     let first = keys.push(&mut queue, "crew", 0, now + Duration::from_secs(90));
     let second = keys.push(&mut queue, "coach", 2, now + Duration::from_secs(10));
     assert_eq!([queue.pop(), queue.pop()], [Some(first), Some(second)]);
@@ -53,7 +53,7 @@
 fn the_wait_is_that_of_the_place_in_the_queue() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
-    let mut queue = Queue::new(2, Order::Fair);
+    let mut queue = Queue::new(2, QueueDiscipline::Fair);
     for _ in 0..22 {
         keys.push(&mut queue, "crew", 1, now + Duration::from_secs(600));
     }
--- a/crates/corianderstand_replay/src/ways.rs
+++ b/crates/corianderstand_replay/src/ways.rs
@@ -2,7 +2,7 @@
 
 use corianderstand_decide::{
     agent::{Eviction, Keep, Policy},
-    queue::Order,
+    queue::QueueDiscipline,
     router::Placement,
 };
 use corianderstand_derives::derives;
@@ -58,7 +58,7 @@
 
     /// Ours, but requests run as they came and nothing is refused for its deadline.
     pub fn first_come() -> Self {
-        let policy = Policy { order: Order::FirstCome, ..Policy::default() };
+        let policy = Policy { order: QueueDiscipline::Fifo, ..Policy::default() };
         Self { name: "fcfs".into(), policy, ..Self::ours() }
     }
 
