--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -212,7 +212,7 @@
         let firsts: BTreeMap<&Weights, (u8, Instant)> = self
             .queue
             .missing()
-            .map(|(weights, place)| (weights, (place.less_urgent(), place.deadline())))
+            .map(|(weights, place)| (weights, (place.urgency_rank(), place.deadline())))
             .collect();
         let mut ranked: Vec<(u8, Instant, Duration, Weights)> = Vec::new();
         for weights in &self.loads.unordered {
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -43,23 +43,23 @@
 
 /// Place in the queue: higher urgency first, then the earlier deadline.
 #[derives(key)]
-pub struct Place {
-    less_urgent: u8,
+pub struct QueuePosition {
+    urgency_rank: u8,
     due: Option<Instant>,
     number: u64,
     key: RequestKey,
     deadline: Instant,
 }
 
-impl Place {
+impl QueuePosition {
     /// When it must be answered.
     pub const fn deadline(self) -> Instant {
         self.deadline
     }
 
     /// 0 is the most urgent.
-    pub const fn less_urgent(self) -> u8 {
-        self.less_urgent
+    pub const fn urgency_rank(self) -> u8 {
+        self.urgency_rank
     }
 }
 
@@ -81,14 +81,14 @@
 #[derives(data)]
 struct Entry {
     waiting: Waiting,
-    place: Place,
+    place: QueuePosition,
 }
 
 #[derives(data)]
 #[derive(Default)]
 struct TeamQueue {
     share: u32,
-    ready: [BTreeSet<Place>; 2],
+    ready: [BTreeSet<QueuePosition>; 2],
     running: u32,
     waiting: u32,
     backlog: [Backlog; 2],
@@ -117,7 +117,7 @@
     order: QueueDiscipline,
     total_shares: u32,
     teams: BTreeMap<WorkspaceId, TeamQueue>,
-    missing: BTreeMap<Weights, BTreeSet<Place>>,
+    missing: BTreeMap<Weights, BTreeSet<QueuePosition>>,
     entries: SecondaryMap<RequestKey, Entry>,
     deadlines: BTreeSet<(Instant, RequestKey)>,
     backlog: [Backlog; 2],
@@ -151,8 +151,8 @@
     pub fn push(&mut self, key: RequestKey, share: u32, waiting: Waiting) {
         self.number += 1;
         let fair = self.order == QueueDiscipline::Fair;
-        let place = Place {
-            less_urgent: if fair { u8::MAX - waiting.urgency } else { 0 },
+        let place = QueuePosition {
+            urgency_rank: if fair { u8::MAX - waiting.urgency } else { 0 },
             due: fair.then_some(waiting.deadline),
             number: self.number,
             key,
@@ -162,8 +162,8 @@
         let team = self.teams.entry(waiting.team.clone()).or_default();
         team.share = share;
         team.waiting += 1;
-        team.backlog[index].add(place.less_urgent, place.deadline);
-        self.backlog[index].add(place.less_urgent, place.deadline);
+        team.backlog[index].add(place.urgency_rank, place.deadline);
+        self.backlog[index].add(place.urgency_rank, place.deadline);
         self.deadlines.insert((waiting.deadline, key));
         match &waiting.missing {
             None => team.ready[index].insert(place),
@@ -177,20 +177,20 @@
         let Entry { waiting, place } = self.entries.remove(key)?;
         let index = waiting.length as usize;
         self.deadlines.remove(&(waiting.deadline, key));
-        self.backlog[index].remove(place.less_urgent, place.deadline);
+        self.backlog[index].remove(place.urgency_rank, place.deadline);
         if let Some(weights) = &waiting.missing {
             self.remove_missing(weights, place);
         }
         if let Some(team) = self.teams.get_mut(&waiting.team) {
             team.ready[index].remove(&place);
             team.waiting -= 1;
-            team.backlog[index].remove(place.less_urgent, place.deadline);
+            team.backlog[index].remove(place.urgency_rank, place.deadline);
         }
         self.drop_unused(&waiting.team);
         Some(waiting)
     }
 
-    fn remove_missing(&mut self, weights: &Weights, place: Place) {
+    fn remove_missing(&mut self, weights: &Weights, place: QueuePosition) {
         if let Some(places) = self.missing.get_mut(weights) {
             places.remove(&place);
             if places.is_empty() {
@@ -236,7 +236,7 @@
     }
 
     /// Weights that requests wait for, each with the first that does.
-    pub fn missing(&self) -> impl Iterator<Item = (&Weights, Place)> {
+    pub fn missing(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
         self.missing.iter().filter_map(|(weights, places)| Some((weights, *places.first()?)))
     }
 
@@ -309,13 +309,13 @@
         })
     }
 
-    fn head(&self, team: &TeamQueue, length: Length, place: Place) -> Head {
+    fn head(&self, team: &TeamQueue, length: Length, place: QueuePosition) -> Head {
         if self.order == QueueDiscipline::Fifo {
             let (lent, beyond_room, used) = (false, false, 0);
             return Head {
                 lent,
                 beyond_room,
-                less_urgent: 0,
+                urgency_rank: 0,
                 used,
                 place_order: place.number,
                 place,
@@ -328,7 +328,7 @@
             lent: running * u64::from(self.total_shares) >= share * u64::from(self.concurrency)
                 && running > 0,
             beyond_room: self.running[length as usize] >= self.room(),
-            less_urgent: place.less_urgent,
+            urgency_rank: place.urgency_rank,
             used: running * u64::from(WHOLE_SHARE) / share,
             place_order: 0,
             place,
@@ -367,8 +367,8 @@
         let index = asked.length as usize;
         let slots = self.slots(asked.length);
         let full = self.running() >= self.concurrency || !self.has_room(asked.length);
-        let less_urgent = u8::MAX - asked.urgency;
-        let ahead = self.backlog[index].ahead(less_urgent, asked.deadline);
+        let urgency_rank = u8::MAX - asked.urgency;
+        let ahead = self.backlog[index].ahead(urgency_rank, asked.deadline);
         if !full && ahead == 0 {
             return Duration::ZERO;
         }
@@ -380,7 +380,7 @@
             return of_all;
         }
         let team = self.teams.get(&asked.team);
-        let own = team.map_or(0, |t| t.backlog[index].ahead(less_urgent, asked.deadline));
+        let own = team.map_or(0, |t| t.backlog[index].ahead(urgency_rank, asked.deadline));
         let running = team.map_or(0, |team| team.running);
         let catching_up = if running < owed { Duration::ZERO } else { mean_run / 2 };
         of_all.min(turn + catching_up + mean_run * own / owed)
@@ -401,7 +401,7 @@
     fn hopeless_of(&self, now: Instant, length: Length, mean_run: Duration) -> Vec<RequestKey> {
         let slots = self.slots(length);
         let ready = |team: &TeamQueue| team.ready[length as usize].clone();
-        let mut places: Vec<Place> = self.teams.values().flat_map(ready).collect();
+        let mut places: Vec<QueuePosition> = self.teams.values().flat_map(ready).collect();
         places.sort_unstable();
         let mut lost = Vec::new();
         let mut ahead = 0;
@@ -442,9 +442,9 @@
 struct Head {
     lent: bool,
     beyond_room: bool,
-    less_urgent: u8,
+    urgency_rank: u8,
     used: u64,
     place_order: u64,
-    place: Place,
+    place: QueuePosition,
     share: u32,
 }
