--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -2,7 +2,7 @@
 
 use super::{Agent, MIN_RETRY_AFTER};
 use crate::{
-    queue::{Length, QueueDiscipline, Waiting},
+    queue::{Length, QueueDiscipline, QueuedRequest},
     work::{Need, Refusal, Sizes, Work},
 };
 use corianderstand_derives::derives;
@@ -101,7 +101,7 @@
         &mut self,
         now: Instant,
         work: &Work,
-        waiting: &Waiting,
+        waiting: &QueuedRequest,
         sizes: &dyn Sizes,
     ) -> Option<Refusal> {
         if self.draining {
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -15,7 +15,7 @@
     history::Histories,
     ledger::Ledger,
     pacing::Ask,
-    queue::{Length, QueueDiscipline, Queue, Waiting},
+    queue::{Length, QueueDiscipline, Queue, QueuedRequest},
     work::{Need, Refusal, RequestKey, Sizes, Work},
 };
 use corianderstand_derives::derives;
@@ -285,8 +285,8 @@
         (key, self.step(now, sizes))
     }
 
-    fn waiting(&self, work: &Work) -> Waiting {
-        Waiting {
+    fn waiting(&self, work: &Work) -> QueuedRequest {
+        QueuedRequest {
             team: work.team.clone(),
             length: work.shape.length,
             urgency: work.urgency,
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -65,7 +65,7 @@
 
 /// A request that is to wait.
 #[derives(data)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Whose it is.
     pub team: WorkspaceId,
     /// How long it holds its room.
@@ -80,7 +80,7 @@
 
 #[derives(data)]
 struct Entry {
-    waiting: Waiting,
+    waiting: QueuedRequest,
     place: QueuePosition,
 }
 
@@ -148,7 +148,7 @@
     }
 
     /// Adds a request of a team with this guaranteed share.
-    pub fn push(&mut self, key: RequestKey, share: u32, waiting: Waiting) {
+    pub fn push(&mut self, key: RequestKey, share: u32, waiting: QueuedRequest) {
         self.number += 1;
         let fair = self.order == QueueDiscipline::Fair;
         let place = QueuePosition {
@@ -173,7 +173,7 @@
     }
 
     /// Removes a request that waits.
-    pub fn remove(&mut self, key: RequestKey) -> Option<Waiting> {
+    pub fn remove(&mut self, key: RequestKey) -> Option<QueuedRequest> {
         let Entry { waiting, place } = self.entries.remove(key)?;
         let index = waiting.length as usize;
         self.deadlines.remove(&(waiting.deadline, key));
@@ -363,7 +363,7 @@
     ///
     /// The work ahead of it is what is at least as urgent and due no later, of its length;
     /// behind a flood of other teams its own team's guaranteed share bounds the wait.
-    pub fn expected_wait(&self, asked: &Waiting, share: u32, mean_run: Duration) -> Duration {
+    pub fn expected_wait(&self, asked: &QueuedRequest, share: u32, mean_run: Duration) -> Duration {
         let index = asked.length as usize;
         let slots = self.slots(asked.length);
         let full = self.running() >= self.concurrency || !self.has_room(asked.length);
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,6 +1,6 @@
 //! The queue alone.
 
-use super::{Length, QueueDiscipline, Queue, Waiting};
+use super::{Length, QueueDiscipline, Queue, QueuedRequest};
 use crate::work::RequestKey;
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
@@ -19,7 +19,7 @@
     ) -> RequestKey {
         let key = self.0.insert(());
         let length = Length::Short;
-        let waiting = Waiting { team: team.into(), length, urgency, deadline, missing: None };
+        let waiting = QueuedRequest { team: team.into(), length, urgency, deadline, missing: None };
         queue.push(key, 100, waiting);
         key
     }
@@ -61,7 +61,7 @@
     let wait = |urgency, seconds| {
         let deadline = now + Duration::from_secs(seconds);
         let (team, length) = ("coach".into(), Length::Short);
-        let asked = Waiting { team, length, urgency, deadline, missing: None };
+        let asked = QueuedRequest { team, length, urgency, deadline, missing: None };
         queue.expected_wait(&asked, 100, Duration::from_secs(1))
     };
     assert!(wait(2, 600) <= Duration::from_secs(1));
