--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -106,7 +106,7 @@
 /// misses its deadline; or a flood of summaries never lets a chat begin. A quarter keeps the
 /// loss small while one kind alone is there: short requests may use all room, long ones three
 /// quarters.
-pub const LENGTH_ROOM_DIVISOR: u32 = 4;
+pub const RESERVED_SLOTS_DIVISOR: u32 = 4;
 /// Thousandths that the guaranteed shares of all teams add up to at most.
 pub const WHOLE_SHARE: u32 = 1000;
 
@@ -337,7 +337,7 @@
     }
 
     fn room(&self) -> u32 {
-        self.concurrency / LENGTH_ROOM_DIVISOR
+        self.concurrency / RESERVED_SLOTS_DIVISOR
     }
 
     fn has_room(&self, length: Length) -> bool {
