--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -108,7 +108,7 @@
 /// quarters.
 pub const RESERVED_SLOTS_DIVISOR: u32 = 4;
 /// Thousandths that the guaranteed shares of all teams add up to at most.
-pub const WHOLE_SHARE: u32 = 1000;
+pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
 /// The queue, and what of it runs.
 #[derive(Clone, Debug)]
@@ -131,7 +131,7 @@
         Self {
             concurrency: concurrency.max(1),
             order,
-            total_shares: WHOLE_SHARE,
+            total_shares: FULL_SHARE_PERMILLE,
             teams: BTreeMap::new(),
             missing: BTreeMap::new(),
             entries: SecondaryMap::new(),
@@ -142,9 +142,9 @@
         }
     }
 
-    /// Sum of the shares of all teams; above [`WHOLE_SHARE`] each is guaranteed its part of it.
+    /// Sum of the shares of all teams; above [`FULL_SHARE_PERMILLE`] each is guaranteed its part of it.
     pub fn set_total_shares(&mut self, total: u32) {
-        self.total_shares = total.max(WHOLE_SHARE);
+        self.total_shares = total.max(FULL_SHARE_PERMILLE);
     }
 
     /// Adds a request of a team with this guaranteed share.
@@ -329,7 +329,7 @@
                 && running > 0,
             beyond_room: self.running[length as usize] >= self.room(),
             urgency_rank: place.urgency_rank,
-            used: running * u64::from(WHOLE_SHARE) / share,
+            used: running * u64::from(FULL_SHARE_PERMILLE) / share,
             place_order: 0,
             place,
             share: team.share,
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -1,6 +1,6 @@
 //! What is known of a request when something is decided about it.
 
-use crate::queue::{Length, WHOLE_SHARE};
+use crate::queue::{Length, FULL_SHARE_PERMILLE};
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::{
@@ -105,7 +105,7 @@
     }
     /// Sum of all teams' shares.
     fn total_shares(&self) -> u32 {
-        WHOLE_SHARE
+        FULL_SHARE_PERMILLE
     }
     /// How much the teams that call a model mind each measure.
     fn weighing(&self, _model: &ModelId) -> Weighing {
