--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -421,7 +421,7 @@
     fn give_up_late(&mut self, now: Instant, sizes: &dyn Sizes, actions: &mut Vec<Action>) {
         let mut late = self.queue.expired(now);
         if self.next_shed.is_some_and(|at| now >= at) {
-            late.extend(self.queue.hopeless(now, self.runs.map(admit::MeanRun::mean)));
+            late.extend(self.queue.infeasible(now, self.runs.map(admit::MeanRun::mean)));
             self.next_shed = Some(now + SHED_INTERVAL);
         }
         for key in late {
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -390,15 +390,15 @@
     ///
     /// Made for sudden slowness: what was admitted when the target was quick may be hopeless now.
     /// Its callers are told at once. This looks at all that wait, so it is called at intervals.
-    pub fn hopeless(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
+    pub fn infeasible(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
         if self.order == QueueDiscipline::Fifo {
             return Vec::new();
         }
-        let of = |length| self.hopeless_of(now, length, mean_runs[length as usize]);
+        let of = |length| self.infeasible_of_length(now, length, mean_runs[length as usize]);
         LENGTHS.into_iter().flat_map(of).collect()
     }
 
-    fn hopeless_of(&self, now: Instant, length: Length, mean_run: Duration) -> Vec<RequestKey> {
+    fn infeasible_of_length(&self, now: Instant, length: Length, mean_run: Duration) -> Vec<RequestKey> {
         let slots = self.slots(length);
         let ready = |team: &TeamQueue| team.ready[length as usize].clone();
         let mut places: Vec<QueuePosition> = self.teams.values().flat_map(ready).collect();
