--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, MIN_RETRY_AFTER};
 use crate::{
     ledger::{LedgerError, Stage},
-    pacing::{Ask, Gate},
+    pacing::{LoadRequest, Gate},
     work::{Refusal, Sizes, Store, Work},
 };
 use corianderstand_derives::derives;
@@ -268,8 +268,8 @@
         }
     }
 
-    fn ask(&self, weights: &Weights, pending: &Pending) -> Ask {
-        Ask {
+    fn ask(&self, weights: &Weights, pending: &Pending) -> LoadRequest {
+        LoadRequest {
             // The process that sends the wish fills in its own name.
             target: corianderstand_types::names::TargetId::default(),
             weights: weights.clone(),
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -14,7 +14,7 @@
 use crate::{
     history::Histories,
     ledger::Ledger,
-    pacing::Ask,
+    pacing::LoadRequest,
     queue::{Length, QueueDiscipline, Queue, QueuedRequest},
     work::{Need, Refusal, RequestKey, Sizes, Work},
 };
@@ -88,7 +88,7 @@
     /// Order the engine to unload.
     Unload(Weights, Mib),
     /// Ask whoever paces loads in the deployment for a grant.
-    AskLoad(Ask),
+    AskLoad(LoadRequest),
 }
 
 /// Shortest time to come back that a refusal names.
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -91,7 +91,7 @@
 /// An agent's wish to load something.
 #[derives(data)]
 #[derive(Eq)]
-pub struct Ask {
+pub struct LoadRequest {
     /// Whose engine loads.
     pub target: TargetId,
     /// What.
@@ -123,7 +123,7 @@
 pub struct Coordinator {
     store: Store,
     epoch: Instant,
-    waiting: BTreeMap<Rank, Ask>,
+    waiting: BTreeMap<Rank, LoadRequest>,
     ranks: BTreeMap<Load, Rank>,
     running: BTreeMap<Load, Instant>,
     expiries: BTreeSet<(Instant, Load)>,
@@ -147,7 +147,7 @@
     }
 
     /// Takes an agent's wish; the same one twice counts once.
-    pub fn ask(&mut self, ask: Ask) {
+    pub fn request(&mut self, ask: LoadRequest) {
         let load = (ask.target.clone(), ask.weights.clone());
         if self.ranks.contains_key(&load) || self.running.contains_key(&load) {
             return;
@@ -185,7 +185,7 @@
     }
 
     /// Loads that may start now.
-    pub fn step(&mut self, now: Instant) -> Vec<Ask> {
+    pub fn step(&mut self, now: Instant) -> Vec<LoadRequest> {
         self.drop_expired(now);
         let mut granted = Vec::new();
         while (self.running.len() as u32) < self.store.concurrent.max(1) && now >= self.next_start {
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,6 +1,6 @@
 //! Pacing without a store: the test answers for it.
 
-use super::{Ask, Coordinator, Gate};
+use super::{LoadRequest, Coordinator, Gate};
 use crate::work::Store;
 use corianderstand_types::{
     clock::{Clock, ManualClock},
@@ -12,8 +12,8 @@
 const STORE: Store = Store { per_second: 2, concurrent: 4, engines: 12 };
 const LOAD: Duration = Duration::from_secs(20);
 
-fn ask(now: Instant, number: usize, urgency: u8, load_time: Duration) -> Ask {
-    Ask {
+fn ask(now: Instant, number: usize, urgency: u8, load_time: Duration) -> LoadRequest {
+    LoadRequest {
         target: format!("engine-{number}").as_str().into(),
         weights: Weights::model("a".into(), "1".into()),
         urgency,
@@ -29,11 +29,11 @@
     let clock = ManualClock::default();
     let mut coordinator = Coordinator::new(clock.now(), STORE);
     for number in 0..10 {
-        coordinator.ask(ask(clock.now(), number, 1, LOAD));
+        coordinator.request(ask(clock.now(), number, 1, LOAD));
     }
-    coordinator.ask(ask(clock.now(), 10, 1, LOAD / 2));
-    coordinator.ask(ask(clock.now(), 11, 2, LOAD));
-    let mut running: Vec<(Instant, Ask)> = Vec::new();
+    coordinator.request(ask(clock.now(), 10, 1, LOAD / 2));
+    coordinator.request(ask(clock.now(), 11, 2, LOAD));
+    let mut running: Vec<(Instant, LoadRequest)> = Vec::new();
     let mut order = Vec::new();
     let mut last_start = None;
     while order.len() < 12 {
@@ -64,9 +64,9 @@
     let clock = ManualClock::default();
     let store = Store { concurrent: 1, ..STORE };
     let mut coordinator = Coordinator::new(clock.now(), store);
-    coordinator.ask(ask(clock.now(), 0, 1, LOAD));
+    coordinator.request(ask(clock.now(), 0, 1, LOAD));
     assert_eq!(coordinator.step(clock.now()).len(), 1);
-    coordinator.ask(ask(clock.now(), 1, 1, LOAD));
+    coordinator.request(ask(clock.now(), 1, 1, LOAD));
     clock.advance(LOAD * 2);
     assert!(coordinator.step(clock.now()).is_empty(), "a slow store is no dead agent");
     clock.advance(LOAD * 4);
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -315,7 +315,7 @@
             Action::AskLoad(mut ask) => {
                 ask.target = self.engines[engine].line.name.clone();
                 if let Some(coordinator) = &mut self.coordinator {
-                    coordinator.ask(ask);
+                    coordinator.request(ask);
                 }
                 self.plan_coordinate(now);
             }
