--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, MIN_RETRY_AFTER};
 use crate::{
     ledger::{LedgerError, Stage},
-    pacing::{LoadRequest, Gate},
+    pacing::{LoadRequest, LoadLimiter},
     work::{Refusal, Sizes, Store, Work},
 };
 use corianderstand_derives::derives;
@@ -55,7 +55,7 @@
 /// Loads that are wanted, wait for their turn, or are on their way.
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
-    gate: Gate,
+    gate: LoadLimiter,
     coordinated: bool,
     unordered: BTreeSet<Weights>,
     wanted: BTreeMap<Weights, Wanted>,
@@ -73,7 +73,7 @@
 impl Default for Loads {
     fn default() -> Self {
         Self {
-            gate: Gate::new(Store::default()),
+            gate: LoadLimiter::new(Store::default()),
             coordinated: false,
             unordered: BTreeSet::new(),
             wanted: BTreeMap::new(),
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -1,6 +1,6 @@
 //! Pacing of loads for the weight store's rate and concurrency.
 //!
-//! [`Coordinator`] is one queue for the whole deployment, held by one process; [`Gate`] is what
+//! [`Coordinator`] is one queue for the whole deployment, held by one process; [`LoadLimiter`] is what
 //! each agent falls back to when nobody coordinates. Neither needs the log.
 
 #[cfg(test)]
@@ -32,14 +32,14 @@
 /// So each starts with half of what the store bears, adds one after each load that was as quick
 /// as stated, and halves after one that was slow: together they settle near what it bears.
 #[derives(data)]
-pub struct Gate {
+pub struct LoadLimiter {
     store: Store,
     limit: u32,
     running: u32,
     next_start: Option<Instant>,
 }
 
-impl Gate {
+impl LoadLimiter {
     /// A gate before this store.
     pub fn new(store: Store) -> Self {
         Self { store, limit: (store.concurrent / 2).max(1), running: 0, next_start: None }
@@ -71,7 +71,7 @@
         self.running >= self.limit
     }
 
-    /// When [`Gate::try_start`] is worth another try; `None` until a load has ended.
+    /// When [`LoadLimiter::try_start`] is worth another try; `None` until a load has ended.
     pub fn next_start(&self) -> Option<Instant> {
         (self.running < self.limit).then_some(self.next_start).flatten()
     }
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,6 +1,6 @@
 //! Pacing without a store: the test answers for it.
 
-use super::{LoadRequest, Coordinator, Gate};
+use super::{LoadRequest, Coordinator, LoadLimiter};
 use crate::work::Store;
 use corianderstand_types::{
     clock::{Clock, ManualClock},
@@ -78,8 +78,8 @@
 #[rstest]
 fn an_agent_alone_backs_off_from_a_slow_store_and_recovers() {
     let clock = ManualClock::default();
-    let mut gate = Gate::new(STORE);
-    let load = |gate: &mut Gate, took: Duration| {
+    let mut gate = LoadLimiter::new(STORE);
+    let load = |gate: &mut LoadLimiter, took: Duration| {
         clock.advance(Duration::from_secs(1));
         assert!(gate.try_start(clock.now()));
         gate.ended(took, LOAD, true);
