--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -176,7 +176,7 @@
     }
 
     /// An agent is gone, and its loads with it.
-    pub fn gone(&mut self, target: &TargetId) {
+    pub fn remove_target(&mut self, target: &TargetId) {
         let of_target = |load: &&Load| load.0 == *target;
         let loads = self.ranks.keys().chain(self.running.keys()).filter(of_target);
         for (target, weights) in loads.cloned().collect::<Vec<Load>>() {
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -20,7 +20,7 @@
         self.store.forget(elapsed, engine);
         let (name, key) = (self.engines[engine].line.name.clone(), self.keys[engine]);
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.gone(&name);
+            coordinator.remove_target(&name);
         }
         self.routers.iter_mut().for_each(|router| router.set_connected(key, false));
         let flights = std::mem::take(&mut self.engines[engine].flights);
