--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -185,7 +185,7 @@
     }
 
     /// Loads that may start now.
-    pub fn step(&mut self, now: Instant) -> Vec<LoadRequest> {
+    pub fn grant_due_loads(&mut self, now: Instant) -> Vec<LoadRequest> {
         self.drop_expired(now);
         let mut granted = Vec::new();
         while (self.running.len() as u32) < self.store.concurrent.max(1) && now >= self.next_start {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// When [`Coordinator::step`] is worth calling next.
+    /// When [`Coordinator::grant_due_loads`] is worth calling next.
     pub fn next_wake(&self) -> Option<Instant> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
         let room = (self.running.len() as u32) < self.store.concurrent.max(1);
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -44,7 +44,7 @@
             }
             *end > now
         });
-        for granted in coordinator.step(now) {
+        for granted in coordinator.grant_due_loads(now) {
             assert!(last_start.is_none_or(|last| now - last >= Duration::from_millis(500)));
             last_start = Some(now);
             order.push(granted.target.to_string());
@@ -65,12 +65,12 @@
     let store = Store { concurrent: 1, ..STORE };
     let mut coordinator = Coordinator::new(clock.now(), store);
     coordinator.request(ask(clock.now(), 0, 1, LOAD));
-    assert_eq!(coordinator.step(clock.now()).len(), 1);
+    assert_eq!(coordinator.grant_due_loads(clock.now()).len(), 1);
     coordinator.request(ask(clock.now(), 1, 1, LOAD));
     clock.advance(LOAD * 2);
-    assert!(coordinator.step(clock.now()).is_empty(), "a slow store is no dead agent");
+    assert!(coordinator.grant_due_loads(clock.now()).is_empty(), "a slow store is no dead agent");
     clock.advance(LOAD * 4);
-    assert_eq!(coordinator.step(clock.now()).len(), 1);
+    assert_eq!(coordinator.grant_due_loads(clock.now()).len(), 1);
 }
 
 /// Nobody coordinates and the store slows down. Each agent sees its own loads take longer and
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -425,7 +425,7 @@
         self.coordinate_at = None;
         let now = self.now();
         let Some(coordinator) = &mut self.coordinator else { return };
-        let granted = coordinator.step(now);
+        let granted = coordinator.grant_due_loads(now);
         let next = coordinator.next_wake();
         for ask in granted {
             let engine = self.engine(&ask.target);
