--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -1,7 +1,7 @@
 //! The choice among the targets that can serve a request.
 
 use super::{
-    Decision, MAX_TRIES, Placement, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
+    Decision, MAX_TRIES, BalancingPolicy, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
 };
 use crate::work::{Need, Refusal, RequestKey, Work};
 use corianderstand_schema::messages::RefusalReason;
@@ -135,7 +135,7 @@
             let open = target.is_some_and(|t| t.connected && !t.draining && t.health.takes(now));
             open && !held.tried.contains(&key)
         };
-        if self.placement == Placement::Random {
+        if self.policy == BalancingPolicy::Random {
             let open: Vec<TargetKey> = owners.iter().filter(|key| usable(*key)).collect();
             return (!open.is_empty()).then(|| open[seed as usize % open.len()]);
         }
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -72,10 +72,10 @@
 /// How a target is chosen.
 #[derives(key)]
 #[derive(Default)]
-pub enum Placement {
+pub enum BalancingPolicy {
     /// By what it would cost the request.
     #[default]
-    Weighed,
+    LeastCost,
     /// Any that is connected: the baseline of the measurements.
     Random,
 }
@@ -109,7 +109,7 @@
     place: AvailabilityZoneId,
     targets: SlotMap<TargetKey, Target>,
     by_name: BTreeMap<TargetId, TargetKey>,
-    placement: Placement,
+    policy: BalancingPolicy,
     by_model: HashMap<ModelId, Owners>,
     by_service: HashMap<ServiceId, Owners>,
     prefixes: Prefixes,
@@ -122,14 +122,14 @@
 impl Router {
     /// A router in `place`; `seed` fixes its random choices.
     pub fn new(place: AvailabilityZoneId, seed: u64) -> Self {
-        Self::with_placement(place, seed, Placement::default())
+        Self::with_policy(place, seed, BalancingPolicy::default())
     }
 
     /// A router that chooses in one of the ways compared in the measurements.
-    pub fn with_placement(place: AvailabilityZoneId, seed: u64, placement: Placement) -> Self {
+    pub fn with_policy(place: AvailabilityZoneId, seed: u64, policy: BalancingPolicy) -> Self {
         Self {
             place,
-            placement,
+            policy,
             targets: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             by_model: HashMap::new(),
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -99,7 +99,7 @@
         let mut keys = Vec::new();
         let mut routers = Vec::new();
         for (seed, place) in header.routers.iter().enumerate() {
-            let mut router = Router::with_placement(place.clone(), seed as u64, way.placement);
+            let mut router = Router::with_policy(place.clone(), seed as u64, way.placement);
             let add = |line: &crate::trace::EngineLine| router.add_target(&line.name, &line.place);
             keys = header.engines.iter().map(add).collect();
             keys.iter().for_each(|key| router.set_connected(*key, true));
--- a/crates/corianderstand_replay/src/ways.rs
+++ b/crates/corianderstand_replay/src/ways.rs
@@ -3,7 +3,7 @@
 use corianderstand_decide::{
     agent::{Eviction, Keep, Policy},
     queue::QueueDiscipline,
-    router::Placement,
+    router::BalancingPolicy,
 };
 use corianderstand_derives::derives;
 use smol_str::SmolStr;
@@ -20,7 +20,7 @@
     /// How agents decide.
     pub policy: Policy,
     /// How routers choose.
-    pub placement: Placement,
+    pub placement: BalancingPolicy,
     /// Whether one process paces loads for all.
     pub coordinated: bool,
     /// Weights of the two measures, in place of those of the trace.
@@ -33,7 +33,7 @@
         Self {
             name: "ours".into(),
             policy: Policy::default(),
-            placement: Placement::Weighed,
+            placement: BalancingPolicy::LeastCost,
             coordinated: true,
             weighing: None,
         }
@@ -64,7 +64,7 @@
 
     /// Ours, but any target is taken.
     pub fn random() -> Self {
-        Self { name: "random".into(), placement: Placement::Random, ..Self::ours() }
+        Self { name: "random".into(), placement: BalancingPolicy::Random, ..Self::ours() }
     }
 
     /// Ours with these weights in place of the trace's.
