--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -210,7 +210,7 @@
         if matches!(work.need, Need::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + WAKING_COST + COLD_STEP_COST * rank;
         }
-        if target.place != self.place {
+        if target.zone != self.zone {
             cost += OTHER_PLACE_COST;
         }
         let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -42,7 +42,7 @@
     /// Its name.
     pub name: TargetId,
     /// Its availability zone.
-    pub place: AvailabilityZoneId,
+    pub zone: AvailabilityZoneId,
     /// Whether there is a live connection to its agent.
     pub connected: bool,
     /// Whether it takes no new work.
@@ -106,7 +106,7 @@
 /// The state of a router's decisions.
 #[derive(Clone, Debug)]
 pub struct Router {
-    place: AvailabilityZoneId,
+    zone: AvailabilityZoneId,
     targets: SlotMap<TargetKey, Target>,
     by_name: BTreeMap<TargetId, TargetKey>,
     policy: BalancingPolicy,
@@ -121,14 +121,14 @@
 
 impl Router {
     /// A router in `place`; `seed` fixes its random choices.
-    pub fn new(place: AvailabilityZoneId, seed: u64) -> Self {
-        Self::with_policy(place, seed, BalancingPolicy::default())
+    pub fn new(zone: AvailabilityZoneId, seed: u64) -> Self {
+        Self::with_policy(zone, seed, BalancingPolicy::default())
     }
 
     /// A router that chooses in one of the ways compared in the measurements.
-    pub fn with_policy(place: AvailabilityZoneId, seed: u64, policy: BalancingPolicy) -> Self {
+    pub fn with_policy(zone: AvailabilityZoneId, seed: u64, policy: BalancingPolicy) -> Self {
         Self {
-            place,
+            zone,
             policy,
             targets: SlotMap::with_key(),
             by_name: BTreeMap::new(),
@@ -143,14 +143,14 @@
     }
 
     /// Notes a target; one that is known keeps its counts.
-    pub fn add_target(&mut self, name: &TargetId, place: &AvailabilityZoneId) -> TargetKey {
+    pub fn add_target(&mut self, name: &TargetId, zone: &AvailabilityZoneId) -> TargetKey {
         if let Some(key) = self.by_name.get(name) {
             return *key;
         }
         let load = Load { running: 0, queued: 0, wait_ms: 0 };
         let key = self.targets.insert(Target {
             name: name.clone(),
-            place: place.clone(),
+            zone: zone.clone(),
             connected: false,
             draining: false,
             outstanding: 0,
