--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether it gets a trickle only.
-    pub const fn is_out(&self) -> bool {
+    pub const fn is_ejected(&self) -> bool {
         self.out
     }
 
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -58,8 +58,8 @@
 
 impl Target {
     /// Whether it gets a trickle only, as it makes slow progress.
-    pub const fn is_out(&self) -> bool {
-        self.health.is_out()
+    pub const fn is_ejected(&self) -> bool {
+        self.health.is_ejected()
     }
 
     fn note_load(&mut self, now: Instant, load: Load) {
@@ -324,7 +324,7 @@
         let may_put_out = (self.out.len() + 1) * health::MOST_OUT_DIVISOR <= self.targets.len();
         let Some(state) = self.targets.get_mut(target) else { return };
         observe(&mut state.health, may_put_out);
-        if state.is_out() {
+        if state.is_ejected() {
             self.out.insert(target);
         } else {
             self.out.remove(&target);
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -184,11 +184,11 @@
     let slowly = |key| if key == slow { 160 } else { 20 };
     assert!(bench.rounds(20, |_| 20, slow) > 5, "it has its part while it is well");
     bench.rounds(20, slowly, slow);
-    assert!(bench.router.target_state(slow).unwrap().is_out());
+    assert!(bench.router.target_state(slow).unwrap().is_ejected());
     let met = bench.rounds(20, slowly, slow);
     assert!(met <= 5, "20 s, a try each 5 s, of 360 requests: {met}");
     bench.rounds(60, |_| 20, slow);
-    assert!(!bench.router.target_state(slow).unwrap().is_out());
+    assert!(!bench.router.target_state(slow).unwrap().is_ejected());
     assert!(bench.rounds(20, |_| 20, slow) > 5, "it has its part again");
 }
 
@@ -202,7 +202,7 @@
     }
     for session in 200..1200 {
         bench.answer(Some(session), |_| 400);
-        let out = bench.router.targets().filter(|target| target.is_out()).count();
+        let out = bench.router.targets().filter(|target| target.is_ejected()).count();
         assert!(out <= 3, "{out} of 9 are out");
     }
 }
@@ -217,7 +217,7 @@
         bench.router.progressed(bench.clock.now(), key, parts, Duration::from_millis(20 * parts));
         bench.router.finished(bench.clock.now(), key, Some(IDLE));
     }
-    assert!(bench.router.targets().all(|target| !target.is_out()));
+    assert!(bench.router.targets().all(|target| !target.is_ejected()));
 }
 
 /// Every target refuses. Tried everywhere, each request would be three messages to targets that
