--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -62,7 +62,7 @@
         self.health.is_ejected()
     }
 
-    fn note_load(&mut self, now: Instant, load: Load) {
+    fn record_load(&mut self, now: Instant, load: Load) {
         self.load = load;
         self.told = Some(now);
         self.sent_since_told = 0;
@@ -314,9 +314,9 @@
     }
 
     /// A target told how busy it is.
-    pub fn note_load(&mut self, now: Instant, target: TargetKey, load: Load) {
+    pub fn record_load(&mut self, now: Instant, target: TargetKey, load: Load) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.note_load(now, load);
+            target.record_load(now, load);
         }
     }
 
@@ -360,7 +360,7 @@
         let target = self.targets.get_mut(key)?;
         target.outstanding = target.outstanding.saturating_sub(1);
         if let Some(load) = load {
-            target.note_load(now, load);
+            target.record_load(now, load);
         }
         Some(key)
     }
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -62,7 +62,7 @@
             let now = self.clock.now();
             for other in &self.keys {
                 let wait_ms = if *other == key { 0 } else { 60_000 };
-                self.router.note_load(now, *other, Load { wait_ms, ..IDLE });
+                self.router.record_load(now, *other, Load { wait_ms, ..IDLE });
             }
             let mut woken = false;
             while !woken {
@@ -73,7 +73,7 @@
             }
         }
         let now = self.clock.now();
-        self.keys.iter().for_each(|key| self.router.note_load(now, *key, IDLE));
+        self.keys.iter().for_each(|key| self.router.record_load(now, *key, IDLE));
     }
 
     /// Rounds of 18 requests at once, one round a second; how many met `watched`.
@@ -127,7 +127,7 @@
 fn a_long_wait_wakes_the_next_replica() {
     let mut bench = Bench::new(3, 1);
     let (_, first) = bench.send(None);
-    bench.router.note_load(
+    bench.router.record_load(
         bench.clock.now(),
         first,
         Load { running: 8, queued: 90, wait_ms: 9000 },
@@ -150,8 +150,8 @@
     }
     let others: Vec<TargetKey> = bench.keys.iter().copied().filter(|key| *key != home).collect();
     let now = bench.clock.now();
-    bench.router.note_load(now, home, Load { running: 8, queued: 40, wait_ms: 20_000 });
-    others.iter().for_each(|key| bench.router.note_load(now, *key, IDLE));
+    bench.router.record_load(now, home, Load { running: 8, queued: 40, wait_ms: 20_000 });
+    others.iter().for_each(|key| bench.router.record_load(now, *key, IDLE));
     assert_ne!(bench.send(Some(5)).1, home, "not at any price");
 }
 
