--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -1,7 +1,7 @@
 //! The choice among the targets that can serve a request.
 
 use super::{
-    Decision, MAX_TRIES, BalancingPolicy, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
+    Decision, MAX_ATTEMPTS, BalancingPolicy, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
 };
 use crate::work::{Need, Refusal, RequestKey, Work};
 use corianderstand_schema::messages::RefusalReason;
@@ -70,7 +70,7 @@
         let no_target = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_NO_TARGET };
         let refusal = last.unwrap_or(no_target);
         let held = &self.requests[key];
-        let over = held.tried.len() >= MAX_TRIES || now >= held.work.deadline;
+        let over = held.tried.len() >= MAX_ATTEMPTS || now >= held.work.deadline;
         let chosen = if over { None } else { self.best(now, key) };
         let chosen = chosen.filter(|chosen| !self.would_wake_in_vain(now, key, *chosen, last));
         let Some(chosen) = chosen else {
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -99,7 +99,7 @@
 
 /// Targets a request may be tried at before it is refused: each try costs a round trip, and in
 /// an overload further tries only spread it.
-pub const MAX_TRIES: usize = 3;
+pub const MAX_ATTEMPTS: usize = 3;
 /// When to come back if no target serves what was asked for.
 const RETRY_NO_TARGET: Duration = Duration::from_secs(1);
 
