--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -236,7 +236,7 @@
     }
 
     /// Requests held.
-    pub fn held(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
