--- a/crates/corianderstand_decide/src/router/prefixes.rs
+++ b/crates/corianderstand_decide/src/router/prefixes.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
     /// Number of the event; a gap means that some were lost.
-    pub number: u64,
+    pub sequence: u64,
     /// Prefixes stored.
     pub stored: Vec<u64>,
     /// Prefixes removed.
@@ -74,13 +74,13 @@
     /// and requests make it known again.
     pub fn take(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
         let sequence = self.sequences.entry(target).or_default();
-        if event.number < sequence.next {
+        if event.sequence < sequence.next {
             return;
         }
-        if event.number > sequence.next && sequence.next > 0 {
+        if event.sequence > sequence.next && sequence.next > 0 {
             sequence.generation += 1;
         }
-        sequence.next = event.number + 1;
+        sequence.next = event.sequence + 1;
         for prefix in &event.removed {
             let gone = |cached: &Cached| {
                 cached.target == target && now.saturating_duration_since(cached.at) > EVENT_LAG
