--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, MIN_RETRY_AFTER};
 use crate::{
     ledger::{LedgerError, Stage},
-    pacing::{LoadRequest, LoadLimiter},
+    pacing::{LoadLimiter, LoadRequest},
     work::{Refusal, Sizes, Store, Work},
 };
 use corianderstand_derives::derives;
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -15,7 +15,7 @@
     history::Histories,
     ledger::Ledger,
     pacing::LoadRequest,
-    queue::{Length, QueueDiscipline, Queue, QueuedRequest},
+    queue::{Length, Queue, QueueDiscipline, QueuedRequest},
     work::{Need, Refusal, RequestKey, Sizes, Work},
 };
 use corianderstand_derives::derives;
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -18,12 +18,12 @@
 ///
 /// At the stated concurrency a load takes its stated time; one and a half times it means that
 /// half as many again share the store. Less would take ordinary scatter for crowding.
-const CROWDED_PERCENT: u32 = 150;
+const CONGESTED_PERCENT: u32 = 150;
 /// Deadlines within this time count as alike, so that among them the shortest load goes first.
-const DEADLINE_STEP: Duration = Duration::from_secs(10);
+const DEADLINE_BUCKET: Duration = Duration::from_secs(10);
 /// A grant is taken back after this many times the expected time of its load, as its agent may
 /// have died. Sooner, a store four times slower than stated would get more loads than it bears.
-const GRANT_EXPIRY: u32 = 6;
+const GRANT_EXPIRY_FACTOR: u32 = 6;
 
 /// One agent's own pace, when nobody coordinates.
 ///
@@ -79,8 +79,8 @@
     /// A load that this gate let through has ended.
     pub fn ended(&mut self, took: Duration, expected: Duration, succeeded: bool) {
         self.running = self.running.saturating_sub(1);
-        let crowded = took > expected * CROWDED_PERCENT / 100;
-        self.limit = if crowded || !succeeded {
+        let congested = took > expected * CONGESTED_PERCENT / 100;
+        self.limit = if congested || !succeeded {
             (self.limit / 2).max(1)
         } else {
             (self.limit + 1).min(self.store.concurrent.max(1))
@@ -104,14 +104,14 @@
     pub load_time: Duration,
 }
 
-type Load = (TargetId, Weights);
+type LoadKey = (TargetId, Weights);
 
 #[derives(name)]
 struct Rank {
-    less_urgent: u8,
-    due: u64,
+    urgency_rank: u8,
+    deadline_bucket: u64,
     load_time: Duration,
-    number: u64,
+    sequence: u64,
 }
 
 /// One queue of loads for the whole deployment.
@@ -124,11 +124,11 @@
     store: Store,
     epoch: Instant,
     waiting: BTreeMap<Rank, LoadRequest>,
-    ranks: BTreeMap<Load, Rank>,
-    running: BTreeMap<Load, Instant>,
-    expiries: BTreeSet<(Instant, Load)>,
+    ranks: BTreeMap<LoadKey, Rank>,
+    running: BTreeMap<LoadKey, Instant>,
+    expiries: BTreeSet<(Instant, LoadKey)>,
     next_start: Instant,
-    number: u64,
+    sequence: u64,
 }
 
 impl Coordinator {
@@ -142,26 +142,26 @@
             running: BTreeMap::new(),
             expiries: BTreeSet::new(),
             next_start: now,
-            number: 0,
+            sequence: 0,
         }
     }
 
     /// Takes an agent's wish; the same one twice counts once.
-    pub fn request(&mut self, ask: LoadRequest) {
-        let load = (ask.target.clone(), ask.weights.clone());
+    pub fn request(&mut self, request: LoadRequest) {
+        let load = (request.target.clone(), request.weights.clone());
         if self.ranks.contains_key(&load) || self.running.contains_key(&load) {
             return;
         }
-        self.number += 1;
-        let due = ask.deadline.saturating_duration_since(self.epoch);
+        self.sequence += 1;
+        let until_deadline = request.deadline.saturating_duration_since(self.epoch);
         let rank = Rank {
-            less_urgent: u8::MAX - ask.urgency,
-            due: due.as_secs() / DEADLINE_STEP.as_secs(),
-            load_time: ask.load_time,
-            number: self.number,
+            urgency_rank: u8::MAX - request.urgency,
+            deadline_bucket: until_deadline.as_secs() / DEADLINE_BUCKET.as_secs(),
+            load_time: request.load_time,
+            sequence: self.sequence,
         };
         self.ranks.insert(load, rank.clone());
-        self.waiting.insert(rank, ask);
+        self.waiting.insert(rank, request);
     }
 
     /// A load has ended, or is no longer wanted.
@@ -177,9 +177,9 @@
 
     /// An agent is gone, and its loads with it.
     pub fn remove_target(&mut self, target: &TargetId) {
-        let of_target = |load: &&Load| load.0 == *target;
+        let of_target = |load: &&LoadKey| load.0 == *target;
         let loads = self.ranks.keys().chain(self.running.keys()).filter(of_target);
-        for (target, weights) in loads.cloned().collect::<Vec<Load>>() {
+        for (target, weights) in loads.cloned().collect::<Vec<LoadKey>>() {
             self.done(&target, &weights);
         }
     }
@@ -189,14 +189,14 @@
         self.drop_expired(now);
         let mut granted = Vec::new();
         while (self.running.len() as u32) < self.store.concurrent.max(1) && now >= self.next_start {
-            let Some((_, ask)) = self.waiting.pop_first() else { break };
-            let load = (ask.target.clone(), ask.weights.clone());
+            let Some((_, request)) = self.waiting.pop_first() else { break };
+            let load = (request.target.clone(), request.weights.clone());
             self.ranks.remove(&load);
-            let expiry = now + ask.load_time * GRANT_EXPIRY;
+            let expiry = now + request.load_time * GRANT_EXPIRY_FACTOR;
             self.running.insert(load.clone(), expiry);
             self.expiries.insert((expiry, load));
             self.next_start = now + Duration::from_secs(1) / self.store.per_second.max(1);
-            granted.push(ask);
+            granted.push(request);
         }
         granted
     }
@@ -213,8 +213,8 @@
     /// When [`Coordinator::grant_due_loads`] is worth calling next.
     pub fn next_wake(&self) -> Option<Instant> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
-        let room = (self.running.len() as u32) < self.store.concurrent.max(1);
-        let start = (room && !self.waiting.is_empty()).then_some(self.next_start);
+        let has_capacity = (self.running.len() as u32) < self.store.concurrent.max(1);
+        let start = (has_capacity && !self.waiting.is_empty()).then_some(self.next_start);
         start.into_iter().chain(expiry).min()
     }
 }
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,6 +1,6 @@
 //! Pacing without a store: the test answers for it.
 
-use super::{LoadRequest, Coordinator, LoadLimiter};
+use super::{Coordinator, LoadLimiter, LoadRequest};
 use crate::work::Store;
 use corianderstand_types::{
     clock::{Clock, ManualClock},
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -45,8 +45,8 @@
 #[derives(key)]
 pub struct QueuePosition {
     urgency_rank: u8,
-    due: Option<Instant>,
-    number: u64,
+    sort_deadline: Option<Instant>,
+    sequence: u64,
     key: RequestKey,
     deadline: Instant,
 }
@@ -80,8 +80,8 @@
 
 #[derives(data)]
 struct Entry {
-    waiting: QueuedRequest,
-    place: QueuePosition,
+    request: QueuedRequest,
+    position: QueuePosition,
 }
 
 #[derives(data)]
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     concurrency: u32,
-    order: QueueDiscipline,
+    discipline: QueueDiscipline,
     total_shares: u32,
     teams: BTreeMap<WorkspaceId, TeamQueue>,
     missing: BTreeMap<Weights, BTreeSet<QueuePosition>>,
@@ -122,15 +122,15 @@
     deadlines: BTreeSet<(Instant, RequestKey)>,
     backlog: [Backlog; 2],
     running: [u32; 2],
-    number: u64,
+    sequence: u64,
 }
 
 impl Queue {
     /// An empty queue before a target that runs `concurrency` requests at once.
-    pub fn new(concurrency: u32, order: QueueDiscipline) -> Self {
+    pub fn new(concurrency: u32, discipline: QueueDiscipline) -> Self {
         Self {
             concurrency: concurrency.max(1),
-            order,
+            discipline,
             total_shares: FULL_SHARE_PERMILLE,
             teams: BTreeMap::new(),
             missing: BTreeMap::new(),
@@ -138,7 +138,7 @@
             deadlines: BTreeSet::new(),
             backlog: Default::default(),
             running: [0; 2],
-            number: 0,
+            sequence: 0,
         }
     }
 
@@ -148,52 +148,52 @@
     }
 
     /// Adds a request of a team with this guaranteed share.
-    pub fn push(&mut self, key: RequestKey, share: u32, waiting: QueuedRequest) {
-        self.number += 1;
-        let fair = self.order == QueueDiscipline::Fair;
-        let place = QueuePosition {
-            urgency_rank: if fair { u8::MAX - waiting.urgency } else { 0 },
-            due: fair.then_some(waiting.deadline),
-            number: self.number,
+    pub fn push(&mut self, key: RequestKey, share: u32, request: QueuedRequest) {
+        self.sequence += 1;
+        let fair = self.discipline == QueueDiscipline::Fair;
+        let position = QueuePosition {
+            urgency_rank: if fair { u8::MAX - request.urgency } else { 0 },
+            sort_deadline: fair.then_some(request.deadline),
+            sequence: self.sequence,
             key,
-            deadline: waiting.deadline,
+            deadline: request.deadline,
         };
-        let index = waiting.length as usize;
-        let team = self.teams.entry(waiting.team.clone()).or_default();
+        let index = request.length as usize;
+        let team = self.teams.entry(request.team.clone()).or_default();
         team.share = share;
         team.waiting += 1;
-        team.backlog[index].add(place.urgency_rank, place.deadline);
-        self.backlog[index].add(place.urgency_rank, place.deadline);
-        self.deadlines.insert((waiting.deadline, key));
-        match &waiting.missing {
-            None => team.ready[index].insert(place),
-            Some(weights) => self.missing.entry(weights.clone()).or_default().insert(place),
+        team.backlog[index].add(position.urgency_rank, position.deadline);
+        self.backlog[index].add(position.urgency_rank, position.deadline);
+        self.deadlines.insert((request.deadline, key));
+        match &request.missing {
+            None => team.ready[index].insert(position),
+            Some(weights) => self.missing.entry(weights.clone()).or_default().insert(position),
         };
-        self.entries.insert(key, Entry { waiting, place });
+        self.entries.insert(key, Entry { request, position });
     }
 
     /// Removes a request that waits.
     pub fn remove(&mut self, key: RequestKey) -> Option<QueuedRequest> {
-        let Entry { waiting, place } = self.entries.remove(key)?;
-        let index = waiting.length as usize;
-        self.deadlines.remove(&(waiting.deadline, key));
-        self.backlog[index].remove(place.urgency_rank, place.deadline);
-        if let Some(weights) = &waiting.missing {
-            self.remove_missing(weights, place);
+        let Entry { request, position } = self.entries.remove(key)?;
+        let index = request.length as usize;
+        self.deadlines.remove(&(request.deadline, key));
+        self.backlog[index].remove(position.urgency_rank, position.deadline);
+        if let Some(weights) = &request.missing {
+            self.remove_missing(weights, position);
         }
-        if let Some(team) = self.teams.get_mut(&waiting.team) {
-            team.ready[index].remove(&place);
+        if let Some(team) = self.teams.get_mut(&request.team) {
+            team.ready[index].remove(&position);
             team.waiting -= 1;
-            team.backlog[index].remove(place.urgency_rank, place.deadline);
+            team.backlog[index].remove(position.urgency_rank, position.deadline);
         }
-        self.drop_unused(&waiting.team);
-        Some(waiting)
+        self.drop_unused(&request.team);
+        Some(request)
     }
 
-    fn remove_missing(&mut self, weights: &Weights, place: QueuePosition) {
-        if let Some(places) = self.missing.get_mut(weights) {
-            places.remove(&place);
-            if places.is_empty() {
+    fn remove_missing(&mut self, weights: &Weights, position: QueuePosition) {
+        if let Some(positions) = self.missing.get_mut(weights) {
+            positions.remove(&position);
+            if positions.is_empty() {
                 self.missing.remove(weights);
             }
         }
@@ -208,36 +208,36 @@
     /// Sets what a request waits for; `None` if all it needs is loaded.
     pub fn set_missing(&mut self, key: RequestKey, missing: Option<Weights>) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        if entry.waiting.missing == missing {
+        if entry.request.missing == missing {
             return;
         }
-        let (place, index) = (entry.place, entry.waiting.length as usize);
-        let before = std::mem::replace(&mut entry.waiting.missing, missing.clone());
-        let team = entry.waiting.team.clone();
+        let (position, index) = (entry.position, entry.request.length as usize);
+        let before = std::mem::replace(&mut entry.request.missing, missing.clone());
+        let team = entry.request.team.clone();
         match before {
-            Some(weights) => self.remove_missing(&weights, place),
+            Some(weights) => self.remove_missing(&weights, position),
             None => {
-                self.teams.get_mut(&team).map(|team| team.ready[index].remove(&place));
+                self.teams.get_mut(&team).map(|team| team.ready[index].remove(&position));
             }
         }
         match missing {
             Some(weights) => {
-                self.missing.entry(weights).or_default().insert(place);
+                self.missing.entry(weights).or_default().insert(position);
             }
             None => {
-                self.teams.get_mut(&team).map(|team| team.ready[index].insert(place));
+                self.teams.get_mut(&team).map(|team| team.ready[index].insert(position));
             }
         }
     }
 
     /// Requests that wait for these weights, in order.
     pub fn waiting_for(&self, weights: &Weights) -> Vec<RequestKey> {
-        self.missing.get(weights).into_iter().flatten().map(|place| place.key).collect()
+        self.missing.get(weights).into_iter().flatten().map(|position| position.key).collect()
     }
 
     /// Weights that requests wait for, each with the first that does.
     pub fn missing(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
-        self.missing.iter().filter_map(|(weights, places)| Some((weights, *places.first()?)))
+        self.missing.iter().filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
     }
 
     /// Requests waiting.
@@ -291,62 +291,71 @@
         if self.running() >= self.concurrency {
             return None;
         }
-        let best = self.teams.values().flat_map(|team| self.heads(team)).min()?;
-        let key = best.place.key;
-        let waiting = self.remove(key)?;
-        self.running[waiting.length as usize] += 1;
-        let team = self.teams.entry(waiting.team).or_default();
+        let best = self.teams.values().flat_map(|team| self.dequeue_candidates(team)).min()?;
+        let key = best.position.key;
+        let request = self.remove(key)?;
+        self.running[request.length as usize] += 1;
+        let team = self.teams.entry(request.team).or_default();
         team.running += 1;
         team.share = best.share;
         Some(key)
     }
 
-    fn heads<'a>(&'a self, team: &'a TeamQueue) -> impl Iterator<Item = Head> + 'a {
+    fn dequeue_candidates<'a>(
+        &'a self,
+        team: &'a TeamQueue,
+    ) -> impl Iterator<Item = DequeueCandidate> + 'a {
         LENGTHS.into_iter().filter_map(move |length| {
-            let place = *team.ready[length as usize].first()?;
-            let allowed = self.order == QueueDiscipline::Fifo || self.has_room(length);
-            allowed.then(|| self.head(team, length, place))
+            let position = *team.ready[length as usize].first()?;
+            let allowed = self.discipline == QueueDiscipline::Fifo || self.has_slot(length);
+            allowed.then(|| self.dequeue_candidate(team, length, position))
         })
     }
 
-    fn head(&self, team: &TeamQueue, length: Length, place: QueuePosition) -> Head {
-        if self.order == QueueDiscipline::Fifo {
-            let (lent, beyond_room, used) = (false, false, 0);
-            return Head {
-                lent,
-                beyond_room,
+    fn dequeue_candidate(
+        &self,
+        team: &TeamQueue,
+        length: Length,
+        position: QueuePosition,
+    ) -> DequeueCandidate {
+        if self.discipline == QueueDiscipline::Fifo {
+            let (over_share, over_reserved, share_usage) = (false, false, 0);
+            return DequeueCandidate {
+                over_share,
+                over_reserved,
                 urgency_rank: 0,
-                used,
-                place_order: place.number,
-                place,
+                share_usage,
+                arrival_order: position.sequence,
+                position,
                 share: team.share,
             };
         }
         let share = u64::from(team.share.max(1));
         let running = u64::from(team.running);
-        Head {
-            lent: running * u64::from(self.total_shares) >= share * u64::from(self.concurrency)
+        DequeueCandidate {
+            over_share: running * u64::from(self.total_shares)
+                >= share * u64::from(self.concurrency)
                 && running > 0,
-            beyond_room: self.running[length as usize] >= self.room(),
-            urgency_rank: place.urgency_rank,
-            used: running * u64::from(FULL_SHARE_PERMILLE) / share,
-            place_order: 0,
-            place,
+            over_reserved: self.running[length as usize] >= self.reserved_slots(),
+            urgency_rank: position.urgency_rank,
+            share_usage: running * u64::from(FULL_SHARE_PERMILLE) / share,
+            arrival_order: 0,
+            position,
             share: team.share,
         }
     }
 
-    fn room(&self) -> u32 {
+    fn reserved_slots(&self) -> u32 {
         self.concurrency / RESERVED_SLOTS_DIVISOR
     }
 
-    fn has_room(&self, length: Length) -> bool {
+    fn has_slot(&self, length: Length) -> bool {
         length == Length::Short || self.running[Length::Long as usize] < self.long_limit()
     }
 
     /// Long requests that may run at once.
     fn long_limit(&self) -> u32 {
-        (self.concurrency - self.room()).max(1)
+        (self.concurrency - self.reserved_slots()).max(1)
     }
 
     /// A running request has ended.
@@ -363,27 +372,32 @@
     ///
     /// The work ahead of it is what is at least as urgent and due no later, of its length;
     /// behind a flood of other teams its own team's guaranteed share bounds the wait.
-    pub fn expected_wait(&self, asked: &QueuedRequest, share: u32, mean_run: Duration) -> Duration {
-        let index = asked.length as usize;
-        let slots = self.slots(asked.length);
-        let full = self.running() >= self.concurrency || !self.has_room(asked.length);
-        let urgency_rank = u8::MAX - asked.urgency;
-        let ahead = self.backlog[index].ahead(urgency_rank, asked.deadline);
+    pub fn expected_wait(
+        &self,
+        request: &QueuedRequest,
+        share: u32,
+        mean_run: Duration,
+    ) -> Duration {
+        let index = request.length as usize;
+        let slots = self.slots(request.length);
+        let full = self.running() >= self.concurrency || !self.has_slot(request.length);
+        let urgency_rank = u8::MAX - request.urgency;
+        let ahead = self.backlog[index].ahead(urgency_rank, request.deadline);
         if !full && ahead == 0 {
             return Duration::ZERO;
         }
         // A request that runs is on average half done.
-        let turn = mean_run / 2 * self.running[index].min(slots) / slots;
-        let of_all = turn + mean_run * ahead / slots;
-        let owed = self.owed(share, slots);
-        if owed == 0 {
-            return of_all;
+        let slot_wait = mean_run / 2 * self.running[index].min(slots) / slots;
+        let global_wait = slot_wait + mean_run * ahead / slots;
+        let guaranteed = self.guaranteed_slots(share, slots);
+        if guaranteed == 0 {
+            return global_wait;
         }
-        let team = self.teams.get(&asked.team);
-        let own = team.map_or(0, |t| t.backlog[index].ahead(urgency_rank, asked.deadline));
+        let team = self.teams.get(&request.team);
+        let own_ahead = team.map_or(0, |t| t.backlog[index].ahead(urgency_rank, request.deadline));
         let running = team.map_or(0, |team| team.running);
-        let catching_up = if running < owed { Duration::ZERO } else { mean_run / 2 };
-        of_all.min(turn + catching_up + mean_run * own / owed)
+        let share_wait = if running < guaranteed { Duration::ZERO } else { mean_run / 2 };
+        global_wait.min(slot_wait + share_wait + mean_run * own_ahead / guaranteed)
     }
 
     /// Ready requests that cannot be answered in time even if all goes on as expected.
@@ -391,35 +405,41 @@
     /// Made for sudden slowness: what was admitted when the target was quick may be hopeless now.
     /// Its callers are told at once. This looks at all that wait, so it is called at intervals.
     pub fn infeasible(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
-        if self.order == QueueDiscipline::Fifo {
+        if self.discipline == QueueDiscipline::Fifo {
             return Vec::new();
         }
         let of = |length| self.infeasible_of_length(now, length, mean_runs[length as usize]);
         LENGTHS.into_iter().flat_map(of).collect()
     }
 
-    fn infeasible_of_length(&self, now: Instant, length: Length, mean_run: Duration) -> Vec<RequestKey> {
+    fn infeasible_of_length(
+        &self,
+        now: Instant,
+        length: Length,
+        mean_run: Duration,
+    ) -> Vec<RequestKey> {
         let slots = self.slots(length);
         let ready = |team: &TeamQueue| team.ready[length as usize].clone();
-        let mut places: Vec<QueuePosition> = self.teams.values().flat_map(ready).collect();
-        places.sort_unstable();
-        let mut lost = Vec::new();
+        let mut positions: Vec<QueuePosition> = self.teams.values().flat_map(ready).collect();
+        positions.sort_unstable();
+        let mut infeasible = Vec::new();
         let mut ahead = 0;
         let mut ahead_of_own: BTreeMap<&WorkspaceId, u32> = BTreeMap::new();
-        for place in places {
-            let waiting = &self.entries[place.key].waiting;
-            let own = ahead_of_own.entry(&waiting.team).or_default();
-            let owed = self.owed(self.teams[&waiting.team].share, slots);
-            let guaranteed = if owed == 0 { Duration::MAX } else { mean_run * *own / owed };
-            let wait = (mean_run * ahead / slots).min(guaranteed);
-            if now + wait + mean_run > place.deadline {
-                lost.push(place.key);
+        for position in positions {
+            let request = &self.entries[position.key].request;
+            let own_ahead = ahead_of_own.entry(&request.team).or_default();
+            let guaranteed = self.guaranteed_slots(self.teams[&request.team].share, slots);
+            let guaranteed_wait =
+                if guaranteed == 0 { Duration::MAX } else { mean_run * *own_ahead / guaranteed };
+            let wait = (mean_run * ahead / slots).min(guaranteed_wait);
+            if now + wait + mean_run > position.deadline {
+                infeasible.push(position.key);
             } else {
                 ahead += 1;
-                *own += 1;
+                *own_ahead += 1;
             }
         }
-        lost
+        infeasible
     }
 
     /// Slots that requests of this length can get.
@@ -432,19 +452,19 @@
     }
 
     /// Whole slots out of these that a team with this share is guaranteed.
-    fn owed(&self, share: u32, slots: u32) -> u32 {
+    fn guaranteed_slots(&self, share: u32, slots: u32) -> u32 {
         (u64::from(share) * u64::from(slots) / u64::from(self.total_shares)) as u32
     }
 }
 
 /// The first ready request of one team and length; the least one runs next.
 #[derives(key)]
-struct Head {
-    lent: bool,
-    beyond_room: bool,
+struct DequeueCandidate {
+    over_share: bool,
+    over_reserved: bool,
     urgency_rank: u8,
-    used: u64,
-    place_order: u64,
-    place: QueuePosition,
+    share_usage: u64,
+    arrival_order: u64,
+    position: QueuePosition,
     share: u32,
 }
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,6 +1,6 @@
 //! The queue alone.
 
-use super::{Length, QueueDiscipline, Queue, QueuedRequest};
+use super::{Length, Queue, QueueDiscipline, QueuedRequest};
 use crate::work::RequestKey;
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
@@ -61,8 +61,8 @@
     let wait = |urgency, seconds| {
         let deadline = now + Duration::from_secs(seconds);
         let (team, length) = ("coach".into(), Length::Short);
-        let asked = QueuedRequest { team, length, urgency, deadline, missing: None };
-        queue.expected_wait(&asked, 100, Duration::from_secs(1))
+        let request = QueuedRequest { team, length, urgency, deadline, missing: None };
+        queue.expected_wait(&request, 100, Duration::from_secs(1))
     };
     assert!(wait(2, 600) <= Duration::from_secs(1));
     assert!(wait(1, 60) <= Duration::from_secs(1));
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -1,7 +1,8 @@
 //! The choice among the targets that can serve a request.
 
 use super::{
-    Decision, MAX_ATTEMPTS, BalancingPolicy, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
+    BalancingPolicy, Decision, MAX_ATTEMPTS, NO_TARGET_RETRY_AFTER, Router, Target, TargetKey,
+    owners::Owners,
 };
 use crate::work::{Need, Refusal, RequestKey, Work};
 use corianderstand_schema::messages::RefusalReason;
@@ -13,32 +14,32 @@
 /// Targets looked at at random, for when all those on the ring are busy.
 const RANDOM_CANDIDATES: usize = 2;
 /// Steps along the ring in search of candidates that can be used.
-const RING_STEPS: usize = 8;
+const MAX_RING_STEPS: usize = 8;
 /// Most candidates: those of the ring, at random, cached, and warm.
 const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES + 2;
 
 /// What one request adds to the wait at a target that has not told its load since. Reports lag;
 /// without this a burst would all go where the last report was best.
-const SENT_COST: Duration = Duration::from_millis(20);
+const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
 /// Time of an ordinary answer, which a slow target multiplies.
-const ORDINARY_RUN: Duration = Duration::from_millis(300);
+const TYPICAL_RUN: Duration = Duration::from_millis(300);
 /// A round trip to another availability zone.
-const OTHER_PLACE_COST: Duration = Duration::from_millis(3);
+const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
 /// Wait that is borne for the sake of a cached prompt: about what computing it again takes. It
 /// bounds the load that a popular session draws to one target.
-const PREFIX_WORTH: Duration = Duration::from_millis(500);
+const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
 /// Wait that is borne rather than wake one more replica, whose load takes longer and whose
 /// memory then stands idle. Beyond it the next replica is woken.
-const WAKING_COST: Duration = Duration::from_secs(5);
+const COLD_START_COST: Duration = Duration::from_secs(5);
 /// Urgency of requests that are not sent to see whether a slow target is well again.
-const URGENT: u8 = 2;
+const MIN_UNPROBED_URGENCY: u8 = 2;
 /// Slow targets looked at for one request, so that its decision takes bounded time.
-const MAX_PROBED: usize = 4;
+const MAX_PROBE_CANDIDATES: usize = 4;
 /// The same for a target that would have to load the model: a second replica is woken only if
 /// the first has more to do than this.
-const COLD_STEP_COST: Duration = Duration::from_secs(1);
+const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
 /// What each step along the ring costs: just enough that routers agree when all else is alike.
-const STEP_COST: Duration = Duration::from_micros(100);
+const RING_STEP_COST: Duration = Duration::from_micros(100);
 
 /// The few targets that are weighed, each once.
 struct Candidates {
@@ -67,17 +68,18 @@
         key: RequestKey,
         last: Option<Refusal>,
     ) -> Decision {
-        let no_target = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_NO_TARGET };
+        let no_target =
+            Refusal { reason: RefusalReason::NotLoaded, retry_after: NO_TARGET_RETRY_AFTER };
         let refusal = last.unwrap_or(no_target);
-        let held = &self.requests[key];
-        let over = held.tried.len() >= MAX_ATTEMPTS || now >= held.work.deadline;
-        let chosen = if over { None } else { self.best(now, key) };
-        let chosen = chosen.filter(|chosen| !self.would_wake_in_vain(now, key, *chosen, last));
+        let request = &self.requests[key];
+        let exhausted = request.attempted.len() >= MAX_ATTEMPTS || now >= request.work.deadline;
+        let chosen = if exhausted { None } else { self.select_target(now, key) };
+        let chosen = chosen.filter(|chosen| !self.is_futile_cold_start(now, key, *chosen, last));
         let Some(chosen) = chosen else {
             self.requests.remove(key);
             return Decision::Refuse(refusal);
         };
-        self.note_sent(now, key, chosen);
+        self.record_sent(now, key, chosen);
         Decision::Send(chosen)
     }
 
@@ -87,65 +89,65 @@
     /// and too much to do: the next one is woken then, for those who come after. Its told wait does
     /// not show that, as it holds no more than it can serve in time; of 61,975 requests in a minute
     /// of overload 61,568 were refused while the second replica slept.
-    fn would_wake_in_vain(
+    fn is_futile_cold_start(
         &self,
         now: Instant,
         key: RequestKey,
         chosen: TargetKey,
         last: Option<Refusal>,
     ) -> bool {
-        let held = &self.requests[key];
+        let request = &self.requests[key];
         let too_late = last.is_some_and(|refusal| refusal.reason == RefusalReason::Deadline);
-        let Some(owners) = self.owners(&held.work) else { return false };
+        let Some(owners) = self.owners(&request.work) else { return false };
         let loading = || {
-            let refused_by = held.tried.last();
+            let refused_by = request.attempted.last();
             refused_by.is_none_or(|target| !owners.is_serving(now, *target))
         };
         too_late
-            && matches!(held.work.need, Need::Weights { .. })
+            && matches!(request.work.need, Need::Weights { .. })
             && !owners.is_warm(now, chosen)
             && loading()
     }
 
-    fn note_sent(&mut self, now: Instant, key: RequestKey, chosen: TargetKey) {
+    fn record_sent(&mut self, now: Instant, key: RequestKey, chosen: TargetKey) {
         let target = &mut self.targets[chosen];
         target.outstanding += 1;
-        target.sent_since_told += 1;
-        target.health.sent(now);
+        target.sent_since_report += 1;
+        target.health.record_sent(now);
         if let Some(owners) = self.owners_of(key) {
-            owners.note_warm(now, chosen);
+            owners.mark_warm(now, chosen);
         }
-        let held = &mut self.requests[key];
-        held.target = Some(chosen);
-        held.tried.push(chosen);
-        if let Some(prefix) = held.work.shape.prefix {
-            self.prefixes.note(now, prefix, chosen);
+        let request = &mut self.requests[key];
+        request.target = Some(chosen);
+        request.attempted.push(chosen);
+        if let Some(prefix) = request.work.shape.prefix {
+            self.prefixes.record(now, prefix, chosen);
         }
     }
 
-    fn best(&mut self, now: Instant, key: RequestKey) -> Option<TargetKey> {
+    fn select_target(&mut self, now: Instant, key: RequestKey) -> Option<TargetKey> {
         let seed = self.rng.random();
-        let held = &self.requests[key];
-        let owners = self.owners(&held.work)?;
+        let request = &self.requests[key];
+        let owners = self.owners(&request.work)?;
         if owners.len() == 0 {
             return None;
         }
         let usable = |key: TargetKey| {
             let target = self.targets.get(key);
-            let open = target.is_some_and(|t| t.connected && !t.draining && t.health.takes(now));
-            open && !held.tried.contains(&key)
+            let open = target.is_some_and(|t| t.connected && !t.draining && t.health.accepts(now));
+            open && !request.attempted.contains(&key)
         };
         if self.policy == BalancingPolicy::Random {
             let open: Vec<TargetKey> = owners.iter().filter(|key| usable(*key)).collect();
             return (!open.is_empty()).then(|| open[seed as usize % open.len()]);
         }
-        if let Some(probed) = self.probed(owners, &held.work).find(|key| usable(*key)) {
+        if let Some(probed) = self.probe_targets(owners, &request.work).find(|key| usable(*key)) {
             return Some(probed);
         }
-        let candidates = self.candidates(now, owners, &held.work, seed, &usable);
+        let candidates = self.candidates(now, owners, &request.work, seed, &usable);
         let keys = candidates.keys[..candidates.count].iter().enumerate();
         let cost = |(rank, key): &(usize, &TargetKey)| {
-            self.cost(now, **key, owners, &held.work, *rank as u32)
+            self.cost(now, **key, owners, &request.work, *rank as u32)
         };
         let best = keys.min_by_key(cost).map(|(_, key)| *key);
         // None of the few can be used, as after the loss of a place: then all are looked at.
@@ -155,10 +157,10 @@
     /// A slow target whose turn it is to be tried again. Its recovery shows only in an answer, so
     /// now and then a request goes there whatever it costs: one that is not urgent and may be
     /// tried elsewhere.
-    fn probed(&self, owners: &Owners, work: &Work) -> impl Iterator<Item = TargetKey> {
-        let bears = work.repeatable && work.urgency < URGENT;
-        let out = self.out.iter().take(if bears { MAX_PROBED } else { 0 });
-        out.copied().filter(|key| owners.contains(*key))
+    fn probe_targets(&self, owners: &Owners, work: &Work) -> impl Iterator<Item = TargetKey> {
+        let may_probe = work.repeatable && work.urgency < MIN_UNPROBED_URGENCY;
+        let ejected = self.ejected.iter().take(if may_probe { MAX_PROBE_CANDIDATES } else { 0 });
+        ejected.copied().filter(|key| owners.contains(*key))
     }
 
     fn owners(&self, work: &Work) -> Option<&Owners> {
@@ -178,19 +180,19 @@
     ) -> Candidates {
         let mut found = Candidates { keys: [TargetKey::default(); MAX_CANDIDATES], count: 0 };
         let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
-        let mut take = |key: TargetKey| {
+        let mut add = |key: TargetKey| {
             if usable(key) {
                 found.push(key);
             }
         };
-        cached.into_iter().filter(|key| owners.contains(*key)).for_each(&mut take);
-        owners.warm(now).into_iter().for_each(&mut take);
-        let start = owners.index_of(ring_hash(work, seed, owners.warm(now).is_some()));
-        let steps = RING_STEPS.min(owners.len());
-        let ring = (start..start + steps).map(|index| owners.at(index));
-        ring.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut take);
+        cached.into_iter().filter(|key| owners.contains(*key)).for_each(&mut add);
+        owners.last_warm(now).into_iter().for_each(&mut add);
+        let start = owners.index_of(ring_hash(work, seed, owners.last_warm(now).is_some()));
+        let steps = MAX_RING_STEPS.min(owners.len());
+        let ring = (start..start + steps).map(|index| owners.target_at(index));
+        ring.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut add);
         let random = (0..RANDOM_CANDIDATES).map(|step| seed.rotate_left(step as u32 * 31) as usize);
-        random.map(|index| owners.at(index % owners.len())).for_each(&mut take);
+        random.map(|index| owners.target_at(index % owners.len())).for_each(&mut add);
         found
     }
 
@@ -203,19 +205,19 @@
         rank: u32,
     ) -> Duration {
         let target = &self.targets[key];
-        let run = (ORDINARY_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
-        let mut cost = run + STEP_COST * rank;
+        let run = (TYPICAL_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
+        let mut cost = run + RING_STEP_COST * rank;
         // Where a model is loaded, routers of all places must agree; a round trip is nothing to
         // a load, and each place for itself would load it once more.
         if matches!(work.need, Need::Weights { .. }) && !owners.is_warm(now, key) {
-            return cost + WAKING_COST + COLD_STEP_COST * rank;
+            return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
         if target.zone != self.zone {
-            cost += OTHER_PLACE_COST;
+            cost += CROSS_ZONE_COST;
         }
         let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
         if work.shape.prefix.is_some() && cached != Some(key) {
-            cost += PREFIX_WORTH;
+            cost += PREFIX_MISS_COST;
         }
         cost
     }
@@ -223,9 +225,10 @@
 
 /// The wait at a target: what it told, less the time since, and what was sent there since.
 fn wait(now: Instant, target: &Target) -> Duration {
-    let told = Duration::from_millis(target.load.wait_ms);
-    let since = target.told.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-    told.saturating_sub(since) + SENT_COST * target.sent_since_told
+    let reported = Duration::from_millis(target.load.wait_ms);
+    let since =
+        target.load_reported_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+    reported.saturating_sub(since) + UNREPORTED_REQUEST_COST * target.sent_since_report
 }
 
 /// Requests of one session meet at one place of the ring, and the first requests of all sessions
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -14,14 +14,14 @@
 mod tests;
 
 use crate::work::{Need, Refusal, RequestKey, Work};
-use budget::Budget;
+use budget::RetryBudget;
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::names::{AvailabilityZoneId, ModelId, ServiceId, TargetId};
 use health::Health;
 use owners::Owners;
 pub use prefixes::CacheEvent;
-use prefixes::Prefixes;
+use prefixes::PrefixIndex;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use slotmap::{SlotMap, new_key_type};
@@ -51,8 +51,8 @@
     pub outstanding: u32,
     /// Its load when it last told.
     pub load: Load,
-    told: Option<Instant>,
-    sent_since_told: u32,
+    load_reported_at: Option<Instant>,
+    sent_since_report: u32,
     health: Health,
 }
 
@@ -64,8 +64,8 @@
 
     fn record_load(&mut self, now: Instant, load: Load) {
         self.load = load;
-        self.told = Some(now);
-        self.sent_since_told = 0;
+        self.load_reported_at = Some(now);
+        self.sent_since_report = 0;
     }
 }
 
@@ -91,17 +91,17 @@
 }
 
 #[derives(data)]
-struct Held {
+struct PendingRequest {
     work: Work,
     target: Option<TargetKey>,
-    tried: Vec<TargetKey>,
+    attempted: Vec<TargetKey>,
 }
 
 /// Targets a request may be tried at before it is refused: each try costs a round trip, and in
 /// an overload further tries only spread it.
 pub const MAX_ATTEMPTS: usize = 3;
 /// When to come back if no target serves what was asked for.
-const RETRY_NO_TARGET: Duration = Duration::from_secs(1);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The state of a router's decisions.
 #[derive(Clone, Debug)]
@@ -112,10 +112,10 @@
     policy: BalancingPolicy,
     by_model: HashMap<ModelId, Owners>,
     by_service: HashMap<ServiceId, Owners>,
-    prefixes: Prefixes,
-    budget: Budget,
-    out: BTreeSet<TargetKey>,
-    requests: SlotMap<RequestKey, Held>,
+    prefixes: PrefixIndex,
+    retry_budget: RetryBudget,
+    ejected: BTreeSet<TargetKey>,
+    requests: SlotMap<RequestKey, PendingRequest>,
     rng: ChaCha8Rng,
 }
 
@@ -134,9 +134,9 @@
             by_name: BTreeMap::new(),
             by_model: HashMap::new(),
             by_service: HashMap::new(),
-            prefixes: Prefixes::default(),
-            budget: Budget::default(),
-            out: BTreeSet::new(),
+            prefixes: PrefixIndex::default(),
+            retry_budget: RetryBudget::default(),
+            ejected: BTreeSet::new(),
             requests: SlotMap::with_key(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -155,8 +155,8 @@
             draining: false,
             outstanding: 0,
             load,
-            told: None,
-            sent_since_told: 0,
+            load_reported_at: None,
+            sent_since_report: 0,
             health: Health::default(),
         });
         self.by_name.insert(name.clone(), key);
@@ -166,25 +166,25 @@
     /// Forgets a target.
     pub fn remove_target(&mut self, name: &TargetId) {
         if let Some(key) = self.by_name.remove(name) {
-            self.prefixes.forget(key);
+            self.prefixes.invalidate_target(key);
             self.targets.remove(key);
-            self.out.remove(&key);
+            self.ejected.remove(&key);
         }
     }
 
     /// Sets which targets own slots of each model.
     pub fn set_owners(&mut self, owners: BTreeMap<ModelId, Vec<TargetKey>>) {
         let known = std::mem::take(&mut self.by_model);
-        self.by_model = self.rings(known, owners);
+        self.by_model = self.build_rings(known, owners);
     }
 
     /// Sets which targets offer each service.
     pub fn set_services(&mut self, services: BTreeMap<ServiceId, Vec<TargetKey>>) {
         let known = std::mem::take(&mut self.by_service);
-        self.by_service = self.rings(known, services);
+        self.by_service = self.build_rings(known, services);
     }
 
-    fn rings<K: Ord + Hash>(
+    fn build_rings<K: Ord + Hash>(
         &self,
         mut known: HashMap<K, Owners>,
         wanted: BTreeMap<K, Vec<TargetKey>>,
@@ -195,7 +195,7 @@
         };
         let ring = |(name, keys): (K, Vec<TargetKey>)| {
             let mut owners = known.remove(&name).unwrap_or_default();
-            owners.set(keys.into_iter().map(hash).collect());
+            owners.set_targets(keys.into_iter().map(hash).collect());
             (name, owners)
         };
         wanted.into_iter().map(ring).collect()
@@ -232,7 +232,7 @@
 
     /// Whether a request may be sent to a second target after the first may have begun it.
     pub fn is_repeatable(&self, key: RequestKey) -> bool {
-        self.requests.get(key).is_some_and(|held| held.work.repeatable)
+        self.requests.get(key).is_some_and(|request| request.work.repeatable)
     }
 
     /// Requests held.
@@ -242,8 +242,9 @@
 
     /// Takes a request and chooses its target, or refuses it.
     pub fn submit(&mut self, now: Instant, work: Work) -> (RequestKey, Decision) {
-        self.budget.earn();
-        let key = self.requests.insert(Held { work, target: None, tried: Vec::new() });
+        self.retry_budget.deposit();
+        let key =
+            self.requests.insert(PendingRequest { work, target: None, attempted: Vec::new() });
         (key, self.choose(now, key, None))
     }
 
@@ -255,8 +256,8 @@
         refusal: Refusal,
         load: Load,
     ) -> Decision {
-        let target = self.leave_target(now, key, Some(load));
-        let hopeless = matches!(
+        let target = self.release_target(now, key, Some(load));
+        let is_final = matches!(
             refusal.reason,
             RefusalReason::BadRequest | RefusalReason::KeyConflict | RefusalReason::LogDown
         );
@@ -264,9 +265,9 @@
             && let Some(target) = target
             && let Some(owners) = self.owners_of(key)
         {
-            owners.note_cold(target);
+            owners.mark_cold(target);
         }
-        if hopeless || !self.budget.spend() {
+        if is_final || !self.retry_budget.try_withdraw() {
             self.requests.remove(key);
             return Decision::Refuse(refusal);
         }
@@ -277,14 +278,16 @@
     /// it may have run and may not be repeated: then its caller must be told so.
     pub fn lost(&mut self, now: Instant, key: RequestKey, refusal: Refusal) -> Option<Decision> {
         let repeatable = self.is_repeatable(key);
-        if let Some(target) = self.leave_target(now, key, None) {
-            self.observe_health(target, |health, may_put_out| health.lost(now, may_put_out));
+        if let Some(target) = self.release_target(now, key, None) {
+            self.observe_health(target, |health, may_eject| {
+                health.observe_connection_lost(now, may_eject)
+            });
         }
         if !repeatable {
             self.requests.remove(key);
             return None;
         }
-        if !self.budget.spend() {
+        if !self.retry_budget.try_withdraw() {
             self.requests.remove(key);
             return Some(Decision::Refuse(refusal));
         }
@@ -297,20 +300,21 @@
     /// trickle beyond a limit, so that its recovery is seen. The length of the answer does not
     /// count: a target with long chats is not slow.
     pub fn progressed(&mut self, now: Instant, key: RequestKey, parts: u64, took: Duration) {
-        let each = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
-        let Some(ratio) = self.owners_of(key).map(|owners| owners.usual.observe(each)) else {
+        let time_per_part = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
+        let Some(ratio) = self.owners_of(key).map(|owners| owners.baseline.observe(time_per_part))
+        else {
             return;
         };
-        if let Some(target) = self.requests.get(key).and_then(|held| held.target) {
-            self.observe_health(target, |health, may_put_out| {
-                health.observe(now, ratio, may_put_out);
+        if let Some(target) = self.requests.get(key).and_then(|request| request.target) {
+            self.observe_health(target, |health, may_eject| {
+                health.observe(now, ratio, may_eject);
             });
         }
     }
 
     /// A target said what is in its prefix cache.
     pub fn cache_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
-        self.prefixes.take(now, target, event);
+        self.prefixes.apply_event(now, target, event);
     }
 
     /// A target told how busy it is.
@@ -321,13 +325,14 @@
     }
 
     fn observe_health(&mut self, target: TargetKey, observe: impl FnOnce(&mut Health, bool)) {
-        let may_put_out = (self.out.len() + 1) * health::MOST_OUT_DIVISOR <= self.targets.len();
+        let may_eject =
+            (self.ejected.len() + 1) * health::MAX_EJECTED_DIVISOR <= self.targets.len();
         let Some(state) = self.targets.get_mut(target) else { return };
-        observe(&mut state.health, may_put_out);
+        observe(&mut state.health, may_eject);
         if state.is_ejected() {
-            self.out.insert(target);
+            self.ejected.insert(target);
         } else {
-            self.out.remove(&target);
+            self.ejected.remove(&target);
         }
     }
 
@@ -341,22 +346,22 @@
     /// A request is over.
     pub fn finished(&mut self, now: Instant, key: RequestKey, load: Option<Load>) {
         let answered = load.is_some();
-        let target = self.leave_target(now, key, load);
+        let target = self.release_target(now, key, load);
         if let Some(target) = target.filter(|_| answered)
             && let Some(owners) = self.owners_of(key)
         {
-            owners.note_served(now, target);
+            owners.mark_served(now, target);
         }
         self.requests.remove(key);
     }
 
-    fn leave_target(
+    fn release_target(
         &mut self,
         now: Instant,
         key: RequestKey,
         load: Option<Load>,
     ) -> Option<TargetKey> {
-        let key = self.requests.get_mut(key).and_then(|held| held.target.take())?;
+        let key = self.requests.get_mut(key).and_then(|request| request.target.take())?;
         let target = self.targets.get_mut(key)?;
         target.outstanding = target.outstanding.saturating_sub(1);
         if let Some(load) = load {
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/owners.rs
@@ -1,6 +1,6 @@
 //! The targets that can serve one model or service.
 
-use super::{TargetKey, health::Usual};
+use super::{TargetKey, health::BaselinePace};
 use std::{
     collections::{HashMap, HashSet},
     time::{Duration, Instant},
@@ -8,31 +8,31 @@
 
 /// How long a target that served a model is believed to have it loaded still. Most models are
 /// kept for minutes; a wrong belief costs no more than no belief.
-const WARM_FOR: Duration = Duration::from_secs(300);
+const WARM_TIMEOUT: Duration = Duration::from_secs(300);
 /// How long after an answer a target certainly has the model loaded: the least time for
 /// which an idle model is kept.
-const SERVING_FOR: Duration = Duration::from_secs(5);
+const SERVING_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Targets on a ring by the hash of their names, so that all routers see the same order.
 #[derive(Clone, Debug, Default)]
 pub struct Owners {
     ring: Vec<(u64, TargetKey)>,
     members: HashSet<TargetKey>,
-    warm: HashMap<TargetKey, Instant>,
+    last_sent_at: HashMap<TargetKey, Instant>,
     last_warm: Option<TargetKey>,
-    served: HashMap<TargetKey, Instant>,
+    last_served_at: HashMap<TargetKey, Instant>,
     /// What is usual for this model.
-    pub usual: Usual,
+    pub baseline: BaselinePace,
 }
 
 impl Owners {
     /// Replaces the targets; what was learnt stays.
-    pub fn set(&mut self, mut ring: Vec<(u64, TargetKey)>) {
+    pub fn set_targets(&mut self, mut ring: Vec<(u64, TargetKey)>) {
         ring.sort_unstable();
         ring.dedup();
         self.members = ring.iter().map(|(_, target)| *target).collect();
-        self.warm.retain(|target, _| self.members.contains(target));
-        self.served.retain(|target, _| self.members.contains(target));
+        self.last_sent_at.retain(|target, _| self.members.contains(target));
+        self.last_served_at.retain(|target, _| self.members.contains(target));
         self.ring = ring;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// The target at this place of the ring.
-    pub fn at(&self, index: usize) -> TargetKey {
+    pub fn target_at(&self, index: usize) -> TargetKey {
         self.ring[index % self.ring.len()].1
     }
 
@@ -62,34 +62,38 @@
     }
 
     /// A request went to a target, which loads the model if it has not.
-    pub fn note_warm(&mut self, now: Instant, target: TargetKey) {
-        self.warm.insert(target, now);
+    pub fn mark_warm(&mut self, now: Instant, target: TargetKey) {
+        self.last_sent_at.insert(target, now);
         self.last_warm = Some(target);
     }
 
     /// A target could not serve the model.
-    pub fn note_cold(&mut self, target: TargetKey) {
-        self.warm.remove(&target);
-        self.served.remove(&target);
+    pub fn mark_cold(&mut self, target: TargetKey) {
+        self.last_sent_at.remove(&target);
+        self.last_served_at.remove(&target);
     }
 
     /// An answer from a target is over.
-    pub fn note_served(&mut self, now: Instant, target: TargetKey) {
-        self.served.insert(target, now);
+    pub fn mark_served(&mut self, now: Instant, target: TargetKey) {
+        self.last_served_at.insert(target, now);
     }
 
     /// Whether a target has just answered with the model, so that it is not merely loading it.
     pub fn is_serving(&self, now: Instant, target: TargetKey) -> bool {
-        self.served.get(&target).is_some_and(|at| now.saturating_duration_since(*at) < SERVING_FOR)
+        self.last_served_at
+            .get(&target)
+            .is_some_and(|at| now.saturating_duration_since(*at) < SERVING_TIMEOUT)
     }
 
     /// Whether a target is believed to have the model loaded, or to be loading it.
     pub fn is_warm(&self, now: Instant, target: TargetKey) -> bool {
-        self.warm.get(&target).is_some_and(|at| now.saturating_duration_since(*at) < WARM_FOR)
+        self.last_sent_at
+            .get(&target)
+            .is_some_and(|at| now.saturating_duration_since(*at) < WARM_TIMEOUT)
     }
 
     /// The target last believed to have it.
-    pub fn warm(&self, now: Instant) -> Option<TargetKey> {
+    pub fn last_warm(&self, now: Instant) -> Option<TargetKey> {
         self.last_warm.filter(|target| self.is_warm(now, *target))
     }
 }
--- a/crates/corianderstand_decide/src/router/prefixes.rs
+++ b/crates/corianderstand_decide/src/router/prefixes.rs
@@ -9,18 +9,18 @@
 /// Prefixes remembered. Those of a few hours at the peak fit, in about 4 MiB.
 const MAX_PREFIXES: usize = 65_536;
 /// Cache events may come this late; an older removal says nothing of a prefix used since.
-const EVENT_LAG: Duration = Duration::from_secs(5);
+const MAX_EVENT_LAG: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
-struct Cached {
+struct CachedPrefix {
     target: TargetKey,
     generation: u32,
-    at: Instant,
+    recorded_at: Instant,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Sequence {
-    next: u64,
+struct EventCursor {
+    next_sequence: u64,
     generation: u32,
 }
 
@@ -37,33 +37,33 @@
 
 /// Prefixes and where they are cached.
 #[derive(Clone, Debug, Default)]
-pub struct Prefixes {
-    known: HashMap<u64, Cached>,
-    order: VecDeque<u64>,
-    sequences: HashMap<TargetKey, Sequence>,
+pub struct PrefixIndex {
+    entries: HashMap<u64, CachedPrefix>,
+    insertion_order: VecDeque<u64>,
+    cursors: HashMap<TargetKey, EventCursor>,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// The target that a prefix was last seen at.
     pub fn find(&self, prefix: u64) -> Option<TargetKey> {
-        let cached = self.known.get(&prefix)?;
+        let cached = self.entries.get(&prefix)?;
         (cached.generation == self.generation(cached.target)).then_some(cached.target)
     }
 
     fn generation(&self, target: TargetKey) -> u32 {
-        self.sequences.get(&target).map_or(0, |sequence| sequence.generation)
+        self.cursors.get(&target).map_or(0, |cursor| cursor.generation)
     }
 
     /// A request with this prefix went to a target.
-    pub fn note(&mut self, now: Instant, prefix: u64, target: TargetKey) {
-        let cached = Cached { target, generation: self.generation(target), at: now };
-        if self.known.insert(prefix, cached).is_none() {
-            self.order.push_back(prefix);
+    pub fn record(&mut self, now: Instant, prefix: u64, target: TargetKey) {
+        let cached = CachedPrefix { target, generation: self.generation(target), recorded_at: now };
+        if self.entries.insert(prefix, cached).is_none() {
+            self.insertion_order.push_back(prefix);
         }
-        if self.order.len() > MAX_PREFIXES
-            && let Some(oldest) = self.order.pop_front()
+        if self.insertion_order.len() > MAX_PREFIXES
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.known.remove(&oldest);
+            self.entries.remove(&oldest);
         }
     }
 
@@ -72,31 +72,32 @@
     /// Events come late and with gaps. After a gap a removal may have been missed, and requests
     /// would be sent for a prefix that is gone; all that was known of the target is dropped,
     /// and requests make it known again.
-    pub fn take(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
-        let sequence = self.sequences.entry(target).or_default();
-        if event.sequence < sequence.next {
+    pub fn apply_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
+        let cursor = self.cursors.entry(target).or_default();
+        if event.sequence < cursor.next_sequence {
             return;
         }
-        if event.sequence > sequence.next && sequence.next > 0 {
-            sequence.generation += 1;
+        if event.sequence > cursor.next_sequence && cursor.next_sequence > 0 {
+            cursor.generation += 1;
         }
-        sequence.next = event.sequence + 1;
+        cursor.next_sequence = event.sequence + 1;
         for prefix in &event.removed {
-            let gone = |cached: &Cached| {
-                cached.target == target && now.saturating_duration_since(cached.at) > EVENT_LAG
+            let is_removed = |cached: &CachedPrefix| {
+                cached.target == target
+                    && now.saturating_duration_since(cached.recorded_at) > MAX_EVENT_LAG
             };
-            if self.known.get(prefix).is_some_and(gone) {
-                self.known.remove(prefix);
-                self.order.retain(|known| known != prefix);
+            if self.entries.get(prefix).is_some_and(is_removed) {
+                self.entries.remove(prefix);
+                self.insertion_order.retain(|entry| entry != prefix);
             }
         }
         for prefix in &event.stored {
-            self.note(now, *prefix, target);
+            self.record(now, *prefix, target);
         }
     }
 
     /// Forgets a target that is gone.
-    pub fn forget(&mut self, target: TargetKey) {
-        self.sequences.entry(target).or_default().generation += 1;
+    pub fn invalidate_target(&mut self, target: TargetKey) {
+        self.cursors.entry(target).or_default().generation += 1;
     }
 }
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -161,8 +161,11 @@
 fn a_gap_in_cache_events_ends_what_was_known() {
     let mut bench = Bench::new(3, 3);
     let target = bench.keys[1];
-    let event =
-        |number, stored: &[u64]| CacheEvent { sequence: number, stored: stored.to_vec(), removed: vec![] };
+    let event = |number, stored: &[u64]| CacheEvent {
+        sequence: number,
+        stored: stored.to_vec(),
+        removed: vec![],
+    };
     let now = bench.clock.now();
     bench.router.cache_event(now, target, &event(1, &[42]));
     assert_eq!(bench.router.prefixes.find(42), Some(target));
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -1,6 +1,6 @@
 //! What is known of a request when something is decided about it.
 
-use crate::queue::{Length, FULL_SHARE_PERMILLE};
+use crate::queue::{FULL_SHARE_PERMILLE, Length};
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::{
