--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -1,9 +1,9 @@
-//! Requests waiting beside a target, and who goes next.
+//! A weighted fair queue of the requests waiting for one target.
 //!
-//! A request whose weights are in the engine's memory is *ready* and waits for room only; others
-//! wait for a load. Ready requests go by their team's share first, then by urgency, deadline and
-//! length. Every operation takes time logarithmic in the requests that wait; choosing the next
-//! looks at each team that has ready requests.
+//! A request whose weights are loaded is *ready* and waits for a free slot only; the others wait
+//! for a load. Ready requests are dequeued by their team's use of its share, then by urgency and
+//! deadline. Operations on one request take logarithmic time; [`Queue::pop`] is linear in the
+//! teams that have requests.
 
 mod backlog;
 #[cfg(test)]
@@ -19,29 +19,29 @@
     time::{Duration, Instant},
 };
 
-/// Whether a request holds its room in the target for long.
+/// The expected duration of a request.
 #[derives(key)]
 pub enum Length {
-    /// A summary, a quote, a call: seconds.
+    /// Seconds, such as a summary or a service call.
     Short,
-    /// A design chat: up to minutes.
+    /// Up to minutes, such as a chat.
     Long,
 }
 
 const LENGTHS: [Length; 2] = [Length::Short, Length::Long];
 
-/// The order in which ready requests go.
+/// The order in which ready requests are dequeued.
 #[derives(key)]
 #[derive(Default)]
 pub enum QueueDiscipline {
     /// By share, urgency and deadline.
     #[default]
     Fair,
-    /// First come first served, all alike: the baseline of the measurements.
+    /// By arrival: the baseline of the benchmarks.
     Fifo,
 }
 
-/// Place in the queue: higher urgency first, then the earlier deadline.
+/// Sort key of a queued request: higher urgency first, then the earlier deadline.
 #[derives(key)]
 pub struct QueuePosition {
     urgency_rank: u8,
@@ -52,29 +52,29 @@
 }
 
 impl QueuePosition {
-    /// When it must be answered.
+    /// The request's deadline.
     pub const fn deadline(self) -> Instant {
         self.deadline
     }
 
-    /// 0 is the most urgent.
+    /// The inverted urgency; lower is dequeued earlier.
     pub const fn urgency_rank(self) -> u8 {
         self.urgency_rank
     }
 }
 
-/// A request that is to wait.
+/// A request as the queue sees it.
 #[derives(data)]
 pub struct QueuedRequest {
-    /// Whose it is.
+    /// The team that sent it.
     pub team: WorkspaceId,
-    /// How long it holds its room.
+    /// Its expected duration.
     pub length: Length,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When it must be answered.
+    /// When its response is due.
     pub deadline: Instant,
-    /// What must be loaded first.
+    /// Weights that must be loaded before it can run.
     pub missing: Option<Weights>,
 }
 
@@ -100,17 +100,15 @@
     }
 }
 
-/// Part of the room that either length can always get while it has work: one slot in this many.
+/// One slot in this many is reserved for each [`Length`].
 ///
-/// Without it a few design chats hold all of a target for minutes and every summary behind them
-/// misses its deadline; or a flood of summaries never lets a chat begin. A quarter keeps the
-/// loss small while one kind alone is there: short requests may use all room, long ones three
-/// quarters.
+/// Keeps long requests from holding every slot for minutes, and a flood of short ones from
+/// starving the long. Short requests may still borrow the slots reserved for long ones.
 pub const RESERVED_SLOTS_DIVISOR: u32 = 4;
-/// Thousandths that the guaranteed shares of all teams add up to at most.
+/// The whole capacity of a target, in thousandths, as divided into guaranteed shares.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
-/// The queue, and what of it runs.
+/// A queue of requests, with counts of those running.
 #[derive(Clone, Debug)]
 pub struct Queue {
     concurrency: u32,
@@ -126,7 +124,7 @@
 }
 
 impl Queue {
-    /// An empty queue before a target that runs `concurrency` requests at once.
+    /// Creates an empty queue for a target that runs `concurrency` requests at once.
     pub fn new(concurrency: u32, discipline: QueueDiscipline) -> Self {
         Self {
             concurrency: concurrency.max(1),
@@ -142,12 +140,12 @@
         }
     }
 
-    /// Sum of the shares of all teams; above [`FULL_SHARE_PERMILLE`] each is guaranteed its part of it.
+    /// Sets the sum of all teams' shares; above [`FULL_SHARE_PERMILLE`] shares are scaled down.
     pub fn set_total_shares(&mut self, total: u32) {
         self.total_shares = total.max(FULL_SHARE_PERMILLE);
     }
 
-    /// Adds a request of a team with this guaranteed share.
+    /// Enqueues a request; `share` is its team's guaranteed share in thousandths.
     pub fn push(&mut self, key: RequestKey, share: u32, request: QueuedRequest) {
         self.sequence += 1;
         let fair = self.discipline == QueueDiscipline::Fair;
@@ -172,7 +170,7 @@
         self.entries.insert(key, Entry { request, position });
     }
 
-    /// Removes a request that waits.
+    /// Removes a waiting request.
     pub fn remove(&mut self, key: RequestKey) -> Option<QueuedRequest> {
         let Entry { request, position } = self.entries.remove(key)?;
         let index = request.length as usize;
@@ -205,7 +203,7 @@
         }
     }
 
-    /// Sets what a request waits for; `None` if all it needs is loaded.
+    /// Sets the weights that a request waits for; `None` makes it ready.
     pub fn set_missing(&mut self, key: RequestKey, missing: Option<Weights>) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         if entry.request.missing == missing {
@@ -230,63 +228,61 @@
         }
     }
 
-    /// Requests that wait for these weights, in order.
+    /// Returns the requests that wait for these weights, in dequeue order.
     pub fn waiting_for(&self, weights: &Weights) -> Vec<RequestKey> {
         self.missing.get(weights).into_iter().flatten().map(|position| position.key).collect()
     }
 
-    /// Weights that requests wait for, each with the first that does.
+    /// Iterates over missing weights, each with the first position that waits for them.
     pub fn missing(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
         self.missing.iter().filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.running.iter().sum()
     }
 
-    /// Requests of a team that run.
+    /// Returns the number of a team's running requests.
     pub fn running_of(&self, team: &WorkspaceId) -> u32 {
         self.teams.get(team).map_or(0, |team| team.running)
     }
 
-    /// Requests of a team that wait for room only.
+    /// Returns the number of a team's ready requests.
     pub fn ready_of(&self, team: &WorkspaceId) -> usize {
         self.teams.get(team).map_or(0, |team| team.ready.iter().map(BTreeSet::len).sum())
     }
 
-    /// Requests of a team that wait.
+    /// Returns the number of a team's waiting requests, ready or not.
     pub fn waiting_of(&self, team: &WorkspaceId) -> u32 {
         self.teams.get(team).map_or(0, |team| team.waiting)
     }
 
-    /// Earliest deadline of any request waiting.
+    /// Returns the earliest deadline of all waiting requests.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Requests whose deadline has passed; they stay until removed.
+    /// Returns the requests whose deadline has passed, without removing them.
     pub fn expired(&self, now: Instant) -> Vec<RequestKey> {
         self.deadlines.iter().take_while(|(at, _)| *at <= now).map(|(_, key)| *key).collect()
     }
 
-    /// Takes out the request that runs next, if there is room, and counts it as running.
+    /// Dequeues the next request if a slot is free, and counts it as running.
     ///
-    /// Made for skewed demand: a team below its guaranteed share goes before any that is above,
-    /// whatever their urgency, so that no team's flood of urgent work takes what another is
-    /// owed. Room that nobody is owed goes to the more urgent, then to the team that uses least
-    /// of its share. What was lent comes back with the next requests that end; running work is
-    /// not cut off, as its answer so far would be lost.
+    /// A team below its guaranteed share precedes any team above, whatever their urgency, so that
+    /// one team's urgent requests can't take another's guarantee. The remaining slots go by
+    /// urgency, then to the team that uses least of its share. Running requests are not preempted.
     pub fn pop(&mut self) -> Option<RequestKey> {
         if self.running() >= self.concurrency {
             return None;
@@ -353,12 +349,12 @@
         length == Length::Short || self.running[Length::Long as usize] < self.long_limit()
     }
 
-    /// Long requests that may run at once.
+    /// Limit of long requests running at once.
     fn long_limit(&self) -> u32 {
         (self.concurrency - self.reserved_slots()).max(1)
     }
 
-    /// A running request has ended.
+    /// Releases the slot of a request that has ended.
     pub fn ended(&mut self, team: &WorkspaceId, length: Length) {
         let running = &mut self.running[length as usize];
         *running = running.saturating_sub(1);
@@ -368,10 +364,10 @@
         self.drop_unused(team);
     }
 
-    /// Time until a request with these properties would begin, if its weights were loaded.
+    /// Estimates how long a request would wait for a slot, if its weights were loaded.
     ///
-    /// The work ahead of it is what is at least as urgent and due no later, of its length;
-    /// behind a flood of other teams its own team's guaranteed share bounds the wait.
+    /// Counts the requests of its length that are at least as urgent and due no later. The
+    /// guaranteed share of its team bounds the wait behind other teams' requests.
     pub fn expected_wait(
         &self,
         request: &QueuedRequest,
@@ -386,7 +382,7 @@
         if !full && ahead == 0 {
             return Duration::ZERO;
         }
-        // A request that runs is on average half done.
+        // A running request is half done on average.
         let slot_wait = mean_run / 2 * self.running[index].min(slots) / slots;
         let global_wait = slot_wait + mean_run * ahead / slots;
         let guaranteed = self.guaranteed_slots(share, slots);
@@ -400,10 +396,10 @@
         global_wait.min(slot_wait + share_wait + mean_run * own_ahead / guaranteed)
     }
 
-    /// Ready requests that cannot be answered in time even if all goes on as expected.
+    /// Returns the ready requests that would miss their deadline at the current mean run times.
     ///
-    /// Made for sudden slowness: what was admitted when the target was quick may be hopeless now.
-    /// Its callers are told at once. This looks at all that wait, so it is called at intervals.
+    /// Lets callers be refused early when a target has slowed down since admission. Scans all
+    /// ready requests, so it is called at intervals.
     pub fn infeasible(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
         if self.discipline == QueueDiscipline::Fifo {
             return Vec::new();
@@ -442,7 +438,7 @@
         infeasible
     }
 
-    /// Slots that requests of this length can get.
+    /// Slots available to requests of this length.
     fn slots(&self, length: Length) -> u32 {
         let long = self.running[Length::Long as usize];
         match length {
@@ -451,13 +447,13 @@
         }
     }
 
-    /// Whole slots out of these that a team with this share is guaranteed.
+    /// Number of `slots`, rounded down, that a share guarantees.
     fn guaranteed_slots(&self, share: u32, slots: u32) -> u32 {
         (u64::from(share) * u64::from(slots) / u64::from(self.total_shares)) as u32
     }
 }
 
-/// The first ready request of one team and length; the least one runs next.
+/// The first ready request of one team and length; the smallest is dequeued next.
 #[derives(key)]
 struct DequeueCandidate {
     over_share: bool,
--- a/crates/corianderstand_decide/src/queue/backlog.rs
+++ b/crates/corianderstand_decide/src/queue/backlog.rs
@@ -1,15 +1,12 @@
-//! Requests that wait, counted by urgency and deadline, so that what is ahead of a request is known
-//! without looking at each.
+//! Counts of waiting requests by urgency and deadline, to find how many precede a request without
+//! scanning the queue.
 
 use std::{collections::BTreeMap, time::Instant};
 
-/// Deadlines within this time count as the same; a finer step would only cost time, as the
-/// length of runs is not known better.
+/// Width of a deadline bucket.
 const BUCKET_MS: i128 = 500;
 
-/// Counts of requests.
-///
-/// Their running time is not summed, as what is expected of a run changes while they wait.
+/// Counts of requests in buckets of urgency and deadline.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backlog {
     epoch: Option<Instant>,
@@ -24,7 +21,7 @@
         (after - before).div_euclid(BUCKET_MS)
     }
 
-    /// Adds a request.
+    /// Counts a request.
     pub fn add(&mut self, urgency_rank: u8, deadline: Instant) {
         if self.counts.is_empty() {
             self.epoch = Some(deadline);
@@ -33,7 +30,7 @@
         *self.counts.entry(bucket).or_default() += 1;
     }
 
-    /// Takes a request out again, with what it was added with.
+    /// Removes a request, given the values it was added with.
     pub fn remove(&mut self, urgency_rank: u8, deadline: Instant) {
         let bucket = (urgency_rank, self.bucket(deadline));
         let Some(count) = self.counts.get_mut(&bucket) else { return };
@@ -43,13 +40,13 @@
         }
     }
 
-    /// Requests that go before one with these properties.
+    /// Returns the number of requests dequeued before one with these values.
     pub fn ahead(&self, urgency_rank: u8, deadline: Instant) -> u32 {
         let last = (urgency_rank, self.bucket(deadline));
         self.counts.range(..=last).map(|(_, count)| *count).sum()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request is counted.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,4 +1,4 @@
-//! The queue alone.
+//! Tests of the queue without an agent.
 
 use super::{Length, Queue, QueueDiscipline, QueuedRequest};
 use crate::work::RequestKey;
@@ -26,7 +26,7 @@
 }
 
 #[rstest]
-fn within_a_team_urgent_goes_first_then_the_earlier_deadline() {
+fn within_a_team_urgency_precedes_deadline() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
     let mut queue = Queue::new(3, QueueDiscipline::Fair);
@@ -38,7 +38,7 @@
 }
 
 #[rstest]
-fn the_baseline_takes_them_as_they_came() {
+fn fifo_dequeues_in_order_of_arrival() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
     let mut queue = Queue::new(2, QueueDiscipline::Fifo);
@@ -47,10 +47,9 @@
     assert_eq!([queue.pop(), queue.pop()], [Some(first), Some(second)]);
 }
 
-/// A wait is foretold for the place that a request would get, not for the end of the queue: an
-/// urgent one is not refused for the sake of work that it would overtake.
+/// Guards against refusing an urgent request because of queued requests that it would precede.
 #[rstest]
-fn the_wait_is_that_of_the_place_in_the_queue() {
+fn expected_wait_depends_on_the_queue_position() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
     let mut queue = Queue::new(2, QueueDiscipline::Fair);
