--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -14,23 +14,20 @@
     time::{Duration, Instant},
 };
 
-/// A load that took this many hundredths of its expected time shows that the store is crowded.
-///
-/// At the stated concurrency a load takes its stated time; one and a half times it means that
-/// half as many again share the store. Less would take ordinary scatter for crowding.
+/// A load slower than this percentage of its expected time indicates a congested store; lower
+/// values would react to ordinary variance.
 const CONGESTED_PERCENT: u32 = 150;
-/// Deadlines within this time count as alike, so that among them the shortest load goes first.
+/// Deadlines in the same bucket are equal, so that the shortest load among them is granted first.
 const DEADLINE_BUCKET: Duration = Duration::from_secs(10);
-/// A grant is taken back after this many times the expected time of its load, as its agent may
-/// have died. Sooner, a store four times slower than stated would get more loads than it bears.
+/// A grant expires after this many times the expected load time, as its agent may have died;
+/// earlier expiry would overload a slow store.
 const GRANT_EXPIRY_FACTOR: u32 = 6;
 
-/// One agent's own pace, when nobody coordinates.
+/// Limits the loads of one agent while there is no coordinator.
 ///
-/// Made for the time without a coordinator. A fixed part of the store's rate for each engine
-/// would be safe, but a burst that meets few engines would crawl while the store stands idle.
-/// So each starts with half of what the store bears, adds one after each load that was as quick
-/// as stated, and halves after one that was slow: together they settle near what it bears.
+/// Adapts its limit by additive increase and multiplicative decrease: it starts at half of the
+/// store's concurrency, grows by one after a load in time and halves after a slow or failed one.
+/// A fixed fraction for each engine would leave the store idle when few engines load.
 #[derives(data)]
 pub struct LoadLimiter {
     store: Store,
@@ -40,23 +37,23 @@
 }
 
 impl LoadLimiter {
-    /// A gate before this store.
+    /// Creates a limiter of loads from `store`.
     pub fn new(store: Store) -> Self {
         Self { store, limit: (store.concurrent / 2).max(1), running: 0, next_start: None }
     }
 
-    /// Notes what the settings say of the store now.
+    /// Applies changed settings of the store.
     pub fn set_store(&mut self, store: Store) {
         self.store = store;
         self.limit = self.limit.min(store.concurrent.max(1));
     }
 
-    /// Loads that this agent may have on their way.
+    /// Returns how many loads this agent may run at once.
     pub const fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Starts a load if it may start now.
+    /// Starts a load if the limits allow it now.
     pub fn try_start(&mut self, now: Instant) -> bool {
         if self.running >= self.limit || self.next_start.is_some_and(|at| now < at) {
             return false;
@@ -66,7 +63,7 @@
         true
     }
 
-    /// Whether no load may start until one has ended.
+    /// Returns whether no load may start until one has ended.
     pub const fn is_full(&self) -> bool {
         self.running >= self.limit
     }
@@ -76,7 +73,7 @@
         (self.running < self.limit).then_some(self.next_start).flatten()
     }
 
-    /// A load that this gate let through has ended.
+    /// Records the end of a load that [`LoadLimiter::try_start`] allowed, and adapts the limit.
     pub fn ended(&mut self, took: Duration, expected: Duration, succeeded: bool) {
         self.running = self.running.saturating_sub(1);
         let congested = took > expected * CONGESTED_PERCENT / 100;
@@ -88,19 +85,19 @@
     }
 }
 
-/// An agent's wish to load something.
+/// An agent's request for permission to load weights.
 #[derives(data)]
 #[derive(Eq)]
 pub struct LoadRequest {
-    /// Whose engine loads.
+    /// The target whose engine loads.
     pub target: TargetId,
-    /// What.
+    /// The weights to load.
     pub weights: Weights,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When the first who waits must be answered.
+    /// Earliest deadline of the requests that wait for the weights.
     pub deadline: Instant,
-    /// Time it is expected to take.
+    /// Expected duration of the load.
     pub load_time: Duration,
 }
 
@@ -114,11 +111,11 @@
     sequence: u64,
 }
 
-/// One queue of loads for the whole deployment.
+/// The queue of loads of the whole deployment.
 ///
-/// Made for a burst of first requests. All loads at once would share the store, and all would
-/// become ready together at the end; in turn, the first are ready after one load's time and only
-/// the last as late as before. Urgent ones go first, then those due soon, then the shortest.
+/// Grants no more loads at once than the store serves at full speed: if a burst of loads shared
+/// the store, all would finish only at the end. Urgent loads are granted first, then those with
+/// the earliest deadlines, then the shortest.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     store: Store,
@@ -132,7 +129,7 @@
 }
 
 impl Coordinator {
-    /// An empty queue before this store.
+    /// Creates an empty queue for `store`.
     pub fn new(now: Instant, store: Store) -> Self {
         Self {
             store,
@@ -146,7 +143,7 @@
         }
     }
 
-    /// Takes an agent's wish; the same one twice counts once.
+    /// Enqueues a load; a load that is queued or running already is ignored.
     pub fn request(&mut self, request: LoadRequest) {
         let load = (request.target.clone(), request.weights.clone());
         if self.ranks.contains_key(&load) || self.running.contains_key(&load) {
@@ -164,7 +161,7 @@
         self.waiting.insert(rank, request);
     }
 
-    /// A load has ended, or is no longer wanted.
+    /// Removes a load that has ended or was cancelled.
     pub fn done(&mut self, target: &TargetId, weights: &Weights) {
         let load = (target.clone(), weights.clone());
         if let Some(rank) = self.ranks.remove(&load) {
@@ -175,7 +172,7 @@
         }
     }
 
-    /// An agent is gone, and its loads with it.
+    /// Removes all loads of a target whose agent has disappeared.
     pub fn remove_target(&mut self, target: &TargetId) {
         let of_target = |load: &&LoadKey| load.0 == *target;
         let loads = self.ranks.keys().chain(self.running.keys()).filter(of_target);
@@ -184,7 +181,7 @@
         }
     }
 
-    /// Loads that may start now.
+    /// Grants and returns the loads that may start now.
     pub fn grant_due_loads(&mut self, now: Instant) -> Vec<LoadRequest> {
         self.drop_expired(now);
         let mut granted = Vec::new();
@@ -201,8 +198,7 @@
         granted
     }
 
-    /// An agent that died in the middle of a load never says that it is done; its grant would
-    /// narrow the store for all others for ever.
+    /// Releases the grants of agents that died while loading.
     fn drop_expired(&mut self, now: Instant) {
         while self.expiries.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, load)) = self.expiries.pop_first() else { return };
@@ -210,7 +206,7 @@
         }
     }
 
-    /// When [`Coordinator::grant_due_loads`] is worth calling next.
+    /// Returns when to call [`Coordinator::grant_due_loads`] next.
     pub fn next_wake(&self) -> Option<Instant> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
         let has_capacity = (self.running.len() as u32) < self.store.concurrent.max(1);
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,4 +1,4 @@
-//! Pacing without a store: the test answers for it.
+//! Tests of load pacing on a manual clock, without a store.
 
 use super::{Coordinator, LoadLimiter, LoadRequest};
 use crate::work::Store;
@@ -12,7 +12,7 @@
 const STORE: Store = Store { per_second: 2, concurrent: 4, engines: 12 };
 const LOAD: Duration = Duration::from_secs(20);
 
-fn ask(now: Instant, number: usize, urgency: u8, load_time: Duration) -> LoadRequest {
+fn load_request(now: Instant, number: usize, urgency: u8, load_time: Duration) -> LoadRequest {
     LoadRequest {
         target: format!("engine-{number}").as_str().into(),
         weights: Weights::model("a".into(), "1".into()),
@@ -22,25 +22,24 @@
     }
 }
 
-/// A burst wakes many models at once. All loads together would each take three times as long;
-/// in turn, and within rate and concurrency, the first crews work while the last still wait.
+/// Guards against exceeding the store's rate and concurrency when many models load at once.
 #[rstest]
-fn a_burst_keeps_to_rate_and_concurrency_urgent_and_short_first() {
+fn a_burst_respects_rate_and_concurrency_urgent_and_short_first() {
     let clock = ManualClock::default();
     let mut coordinator = Coordinator::new(clock.now(), STORE);
     for number in 0..10 {
-        coordinator.request(ask(clock.now(), number, 1, LOAD));
+        coordinator.request(load_request(clock.now(), number, 1, LOAD));
     }
-    coordinator.request(ask(clock.now(), 10, 1, LOAD / 2));
-    coordinator.request(ask(clock.now(), 11, 2, LOAD));
+    coordinator.request(load_request(clock.now(), 10, 1, LOAD / 2));
+    coordinator.request(load_request(clock.now(), 11, 2, LOAD));
     let mut running: Vec<(Instant, LoadRequest)> = Vec::new();
     let mut order = Vec::new();
     let mut last_start = None;
     while order.len() < 12 {
         let now = clock.now();
-        running.retain(|(end, ask)| {
+        running.retain(|(end, request)| {
             if *end <= now {
-                coordinator.done(&ask.target, &ask.weights);
+                coordinator.done(&request.target, &request.weights);
             }
             *end > now
         });
@@ -57,42 +56,43 @@
     assert!(clock.elapsed() < LOAD * 12 / 4 * 115 / 100, "{:?}", clock.elapsed());
 }
 
-/// An agent dies in the middle of a load and never says that it is done. Its grant lapses, else
-/// the store would be narrower for all others until the coordinator changes.
+/// Guards against a dead agent holding a grant for ever.
 #[rstest]
-fn the_grant_of_a_dead_agent_lapses() {
+fn the_grant_of_a_dead_agent_expires() {
     let clock = ManualClock::default();
     let store = Store { concurrent: 1, ..STORE };
     let mut coordinator = Coordinator::new(clock.now(), store);
-    coordinator.request(ask(clock.now(), 0, 1, LOAD));
+    coordinator.request(load_request(clock.now(), 0, 1, LOAD));
     assert_eq!(coordinator.grant_due_loads(clock.now()).len(), 1);
-    coordinator.request(ask(clock.now(), 1, 1, LOAD));
+    coordinator.request(load_request(clock.now(), 1, 1, LOAD));
     clock.advance(LOAD * 2);
-    assert!(coordinator.grant_due_loads(clock.now()).is_empty(), "a slow store is no dead agent");
+    assert!(
+        coordinator.grant_due_loads(clock.now()).is_empty(),
+        "a slow store must not expire a grant early"
+    );
     clock.advance(LOAD * 4);
     assert_eq!(coordinator.grant_due_loads(clock.now()).len(), 1);
 }
 
-/// Nobody coordinates and the store slows down. Each agent sees its own loads take longer and
-/// has fewer on their way, down to one; when the store is well again it has more.
+/// Without a coordinator, the limit shrinks while loads are slow and grows when they recover.
 #[rstest]
-fn an_agent_alone_backs_off_from_a_slow_store_and_recovers() {
+fn an_uncoordinated_agent_backs_off_from_a_slow_store_and_recovers() {
     let clock = ManualClock::default();
-    let mut gate = LoadLimiter::new(STORE);
-    let load = |gate: &mut LoadLimiter, took: Duration| {
+    let mut limiter = LoadLimiter::new(STORE);
+    let load = |limiter: &mut LoadLimiter, took: Duration| {
         clock.advance(Duration::from_secs(1));
-        assert!(gate.try_start(clock.now()));
-        gate.ended(took, LOAD, true);
+        assert!(limiter.try_start(clock.now()));
+        limiter.ended(took, LOAD, true);
     };
     for _ in 0..5 {
-        load(&mut gate, LOAD);
+        load(&mut limiter, LOAD);
     }
-    assert_eq!(gate.limit(), 4);
-    load(&mut gate, LOAD * 4);
-    load(&mut gate, LOAD * 4);
-    assert_eq!(gate.limit(), 1);
+    assert_eq!(limiter.limit(), 4);
+    load(&mut limiter, LOAD * 4);
+    load(&mut limiter, LOAD * 4);
+    assert_eq!(limiter.limit(), 1);
     for _ in 0..3 {
-        load(&mut gate, LOAD);
+        load(&mut limiter, LOAD);
     }
-    assert_eq!(gate.limit(), 4);
+    assert_eq!(limiter.limit(), 4);
 }
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -281,8 +281,9 @@
     /// Dequeues the next request if a slot is free, and counts it as running.
     ///
     /// A team below its guaranteed share precedes any team above, whatever their urgency, so that
-    /// one team's urgent requests can't take another's guarantee. The remaining slots go by
-    /// urgency, then to the team that uses least of its share. Running requests are not preempted.
+    /// one team's urgent requests can't take another's guarantee. Ties go to a length below its
+    /// reserved slots, then to the more urgent request, then to the team that uses least of its
+    /// share. Running requests are not preempted.
     pub fn pop(&mut self) -> Option<RequestKey> {
         if self.running() >= self.concurrency {
             return None;
