--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -1,7 +1,7 @@
-//! Pacing of loads for the weight store's rate and concurrency.
+//! Rate and concurrency limits on loads from the weight store.
 //!
-//! [`Coordinator`] is one queue for the whole deployment, held by one process; [`LoadLimiter`] is what
-//! each agent falls back to when nobody coordinates. Neither needs the log.
+//! A [`Coordinator`] queues the loads of the whole deployment in one process; a [`LoadLimiter`]
+//! limits the loads of one agent while there is no coordinator. Neither depends on the log.
 
 #[cfg(test)]
 mod tests;
@@ -68,7 +68,7 @@
         self.running >= self.limit
     }
 
-    /// When [`LoadLimiter::try_start`] is worth another try; `None` until a load has ended.
+    /// Returns when to call [`LoadLimiter::try_start`] again; `None` if a load has to end first.
     pub fn next_start(&self) -> Option<Instant> {
         (self.running < self.limit).then_some(self.next_start).flatten()
     }
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -1,4 +1,4 @@
-//! The choice among the targets that can serve a request.
+//! Selection of a target for a request, by estimated cost.
 
 use super::{
     BalancingPolicy, Decision, MAX_ATTEMPTS, NO_TARGET_RETRY_AFTER, Router, Target, TargetKey,
@@ -9,39 +9,39 @@
 use rand::RngExt;
 use std::time::{Duration, Instant};
 
-/// Targets looked at from a request's place on the ring: the first, and who takes over from it.
+/// Candidates taken from the ring, starting at the request's hash.
 const RING_CANDIDATES: usize = 3;
-/// Targets looked at at random, for when all those on the ring are busy.
+/// Candidates chosen at random, in case those from the ring are all busy.
 const RANDOM_CANDIDATES: usize = 2;
-/// Steps along the ring in search of candidates that can be used.
+/// Ring entries scanned for usable candidates.
 const MAX_RING_STEPS: usize = 8;
-/// Most candidates: those of the ring, at random, cached, and warm.
+/// Limit of candidates; the last two are the prefix's target and the last warm target.
 const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES + 2;
 
-/// What one request adds to the wait at a target that has not told its load since. Reports lag;
-/// without this a burst would all go where the last report was best.
+/// Expected wait added by each request sent since a target's last load report. Keeps a burst from
+/// going to one target while reports lag.
 const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
-/// Time of an ordinary answer, which a slow target multiplies.
+/// Run time of a typical request, which is scaled by a target's slowness.
 const TYPICAL_RUN: Duration = Duration::from_millis(300);
-/// A round trip to another availability zone.
+/// Round trip to another availability zone.
 const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
-/// Wait that is borne for the sake of a cached prompt: about what computing it again takes. It
-/// bounds the load that a popular session draws to one target.
+/// Cost of a prefix that isn't cached, about the time to compute it again. Bounds the load that
+/// a popular prefix draws to one target.
 const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
-/// Wait that is borne rather than wake one more replica, whose load takes longer and whose
-/// memory then stands idle. Beyond it the next replica is woken.
+/// Cost of a target that has to load the model; warm replicas are preferred until their wait
+/// exceeds it.
 const COLD_START_COST: Duration = Duration::from_secs(5);
-/// Urgency of requests that are not sent to see whether a slow target is well again.
+/// Requests of this urgency or higher don't probe ejected targets.
 const MIN_UNPROBED_URGENCY: u8 = 2;
-/// Slow targets looked at for one request, so that its decision takes bounded time.
+/// Ejected targets considered for one request, which bounds the time of its decision.
 const MAX_PROBE_CANDIDATES: usize = 4;
-/// The same for a target that would have to load the model: a second replica is woken only if
-/// the first has more to do than this.
+/// Cost of each step along the ring for a target that has to load the model, so that all routers
+/// load it at the same target first.
 const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
-/// What each step along the ring costs: just enough that routers agree when all else is alike.
+/// Cost of each step along the ring: a tie-breaker that is the same on all routers.
 const RING_STEP_COST: Duration = Duration::from_micros(100);
 
-/// The few targets that are weighed, each once.
+/// The distinct targets whose costs are compared.
 struct Candidates {
     keys: [TargetKey; MAX_CANDIDATES],
     count: usize,
@@ -57,11 +57,11 @@
 }
 
 impl Router {
-    /// Made for bursts, skew and stale reports: what each of a few candidates would cost the
-    /// request in time is weighed. All routers look at the same few first, so that the first
-    /// requests for a cold model meet at one replica, and a session where its prompt is cached;
-    /// looking at all would cost time with each target, and would send everybody to the same
-    /// one until its next report.
+    /// Sends a request to the candidate with the lowest estimated cost, or refuses it.
+    ///
+    /// All routers take the same candidates from the ring, so that requests for a cold model load
+    /// one replica and a session's requests reach its cached prefix. Comparing all targets would
+    /// take linear time and send every request to the same one until its next load report.
     pub(super) fn choose(
         &mut self,
         now: Instant,
@@ -83,12 +83,12 @@
         Decision::Send(chosen)
     }
 
-    /// Made for a burst of first requests behind a slow store: a request that came too late for
-    /// the load at one replica is too late for a load at another, and asking there would only
-    /// load the model once more for nobody. A replica that answers others meanwhile has the model
-    /// and too much to do: the next one is woken then, for those who come after. Its told wait does
-    /// not show that, as it holds no more than it can serve in time; of 61,975 requests in a minute
-    /// of overload 61,568 were refused while the second replica slept.
+    /// Returns whether a request would start a load at `chosen` that can't finish in time.
+    ///
+    /// A request refused for its deadline while one replica loads the model is too late for a load
+    /// at another as well. If the refusing replica is serving the model, it is overloaded instead,
+    /// and another replica is started for later requests; its reported wait doesn't show that, as
+    /// it admits no more than it can serve in time.
     fn is_futile_cold_start(
         &self,
         now: Instant,
@@ -150,13 +150,12 @@
             self.cost(now, **key, owners, &request.work, *rank as u32)
         };
         let best = keys.min_by_key(cost).map(|(_, key)| *key);
-        // None of the few can be used, as after the loss of a place: then all are looked at.
+        // No candidate is usable, as after the loss of a zone: fall back to any usable target.
         best.or_else(|| owners.iter().find(|key| usable(*key)))
     }
 
-    /// A slow target whose turn it is to be tried again. Its recovery shows only in an answer, so
-    /// now and then a request goes there whatever it costs: one that is not urgent and may be
-    /// tried elsewhere.
+    /// Returns ejected targets that this request may probe for recovery. Only requests that are
+    /// repeatable and not urgent are used as probes.
     fn probe_targets(&self, owners: &Owners, work: &Work) -> impl Iterator<Item = TargetKey> {
         let may_probe = work.repeatable && work.urgency < MIN_UNPROBED_URGENCY;
         let ejected = self.ejected.iter().take(if may_probe { MAX_PROBE_CANDIDATES } else { 0 });
@@ -207,8 +206,8 @@
         let target = &self.targets[key];
         let run = (TYPICAL_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
         let mut cost = run + RING_STEP_COST * rank;
-        // Where a model is loaded, routers of all places must agree; a round trip is nothing to
-        // a load, and each place for itself would load it once more.
+        // Ignores the zone of a cold target: routers of all zones have to load a model at the same
+        // target, and a round trip is negligible against a load.
         if matches!(work.need, Need::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
@@ -223,7 +222,8 @@
     }
 }
 
-/// The wait at a target: what it told, less the time since, and what was sent there since.
+/// Estimates the wait at a target: the reported wait, less its age, plus the cost of requests sent
+/// since the report.
 fn wait(now: Instant, target: &Target) -> Duration {
     let reported = Duration::from_millis(target.load.wait_ms);
     let since =
@@ -231,8 +231,8 @@
     reported.saturating_sub(since) + UNREPORTED_REQUEST_COST * target.sent_since_report
 }
 
-/// Requests of one session meet at one place of the ring, and the first requests of all sessions
-/// of a cold model at another; calls to plain services, which have nothing to load, spread.
+/// Hashes a request to its start on the ring: by prefix for a warm model, by model for a cold one,
+/// at random for a service.
 fn ring_hash(work: &Work, seed: u64, warm: bool) -> u64 {
     match (&work.need, work.shape.prefix) {
         (Need::Service(_), _) => seed,
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -1,9 +1,9 @@
-//! Decisions at a router: which target a request goes to, and when to give up.
+//! Routing decisions: which target a request is sent to, and when it is refused.
 //!
-//! [`Router`] weighs for a few candidates what each would cost the request in time: waiting,
-//! slowness, a cold model, distance, a prompt not cached. `owners` are the targets that can
-//! serve a model, `health` tells the slow ones, `prefixes` where prompts are cached, and
-//! `budget` how often a request is tried again.
+//! [`Router`] estimates, for a few candidates, the time that each would cost the request: queueing,
+//! slowness, a cold start, another zone, a prefix cache miss. `choose` selects the target, `owners`
+//! holds the targets that can serve a model, `health` ejects slow targets, `prefixes` tracks cached
+//! prefixes and `budget` limits retries.
 
 mod budget;
 mod choose;
@@ -36,20 +36,20 @@
     pub struct TargetKey;
 }
 
-/// What a router knows of a target.
+/// A router's state of one target.
 #[derives(data)]
 pub struct Target {
-    /// Its name.
+    /// The target's name.
     pub name: TargetId,
-    /// Its availability zone.
+    /// The target's availability zone.
     pub zone: AvailabilityZoneId,
-    /// Whether there is a live connection to its agent.
+    /// Whether the connection to its agent is up.
     pub connected: bool,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub draining: bool,
-    /// Requests this router has there.
+    /// Requests that this router has sent and that haven't ended.
     pub outstanding: u32,
-    /// Its load when it last told.
+    /// The last reported load.
     pub load: Load,
     load_reported_at: Option<Instant>,
     sent_since_report: u32,
@@ -57,7 +57,7 @@
 }
 
 impl Target {
-    /// Whether it gets a trickle only, as it makes slow progress.
+    /// Returns whether it is ejected for slow progress and gets probe requests only.
     pub const fn is_ejected(&self) -> bool {
         self.health.is_ejected()
     }
@@ -69,14 +69,14 @@
     }
 }
 
-/// How a target is chosen.
+/// How a target is selected.
 #[derives(key)]
 #[derive(Default)]
 pub enum BalancingPolicy {
-    /// By what it would cost the request.
+    /// The candidate with the lowest estimated cost.
     #[default]
     LeastCost,
-    /// Any that is connected: the baseline of the measurements.
+    /// Any usable target, at random: the baseline of the benchmarks.
     Random,
 }
 
@@ -86,7 +86,7 @@
 pub enum Decision {
     /// Send it to a target.
     Send(TargetKey),
-    /// Answer that it is not run.
+    /// Refuse it.
     Refuse(Refusal),
 }
 
@@ -97,13 +97,12 @@
     attempted: Vec<TargetKey>,
 }
 
-/// Targets a request may be tried at before it is refused: each try costs a round trip, and in
-/// an overload further tries only spread it.
+/// Targets that a request is sent to before it is refused. More attempts would amplify an overload.
 pub const MAX_ATTEMPTS: usize = 3;
-/// When to come back if no target serves what was asked for.
+/// Retry delay returned if no target serves the model or service.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of a router's decisions.
+/// Selects targets for requests, and tracks what the selection depends on.
 #[derive(Clone, Debug)]
 pub struct Router {
     zone: AvailabilityZoneId,
@@ -120,12 +119,12 @@
 }
 
 impl Router {
-    /// A router in `place`; `seed` fixes its random choices.
+    /// Creates a router in `zone`; `seed` makes its random choices reproducible.
     pub fn new(zone: AvailabilityZoneId, seed: u64) -> Self {
         Self::with_policy(zone, seed, BalancingPolicy::default())
     }
 
-    /// A router that chooses in one of the ways compared in the measurements.
+    /// Creates a router with a balancing policy.
     pub fn with_policy(zone: AvailabilityZoneId, seed: u64, policy: BalancingPolicy) -> Self {
         Self {
             zone,
@@ -142,7 +141,7 @@
         }
     }
 
-    /// Notes a target; one that is known keeps its counts.
+    /// Adds a target; a known target keeps its state.
     pub fn add_target(&mut self, name: &TargetId, zone: &AvailabilityZoneId) -> TargetKey {
         if let Some(key) = self.by_name.get(name) {
             return *key;
@@ -163,7 +162,7 @@
         key
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove_target(&mut self, name: &TargetId) {
         if let Some(key) = self.by_name.remove(name) {
             self.prefixes.invalidate_target(key);
@@ -172,13 +171,13 @@
         }
     }
 
-    /// Sets which targets own slots of each model.
+    /// Sets the targets that own replica slots of each model.
     pub fn set_owners(&mut self, owners: BTreeMap<ModelId, Vec<TargetKey>>) {
         let known = std::mem::take(&mut self.by_model);
         self.by_model = self.build_rings(known, owners);
     }
 
-    /// Sets which targets offer each service.
+    /// Sets the targets that offer each service.
     pub fn set_services(&mut self, services: BTreeMap<ServiceId, Vec<TargetKey>>) {
         let known = std::mem::take(&mut self.by_service);
         self.by_service = self.build_rings(known, services);
@@ -201,46 +200,46 @@
         wanted.into_iter().map(ring).collect()
     }
 
-    /// A target by name.
+    /// Returns the key of a target.
     pub fn target(&self, name: &TargetId) -> Option<TargetKey> {
         self.by_name.get(name).copied()
     }
 
-    /// What is known of a target.
+    /// Returns the state of a target.
     pub fn target_state(&self, key: TargetKey) -> Option<&Target> {
         self.targets.get(key)
     }
 
-    /// All targets.
+    /// Iterates over all targets.
     pub fn targets(&self) -> impl Iterator<Item = &Target> {
         self.targets.values()
     }
 
-    /// Notes whether there is a connection.
+    /// Sets whether the connection to a target's agent is up.
     pub fn set_connected(&mut self, key: TargetKey, connected: bool) {
         if let Some(target) = self.targets.get_mut(key) {
             target.connected = connected;
         }
     }
 
-    /// Notes whether it takes new work.
+    /// Sets whether a target is draining.
     pub fn set_draining(&mut self, key: TargetKey, draining: bool) {
         if let Some(target) = self.targets.get_mut(key) {
             target.draining = draining;
         }
     }
 
-    /// Whether a request may be sent to a second target after the first may have begun it.
+    /// Returns whether a request may be sent again after a target may have begun it.
     pub fn is_repeatable(&self, key: RequestKey) -> bool {
         self.requests.get(key).is_some_and(|request| request.work.repeatable)
     }
 
-    /// Requests held.
+    /// Returns the number of requests that haven't ended.
     pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes a request and chooses its target, or refuses it.
+    /// Accepts a request and sends it to a target, or refuses it.
     pub fn submit(&mut self, now: Instant, work: Work) -> (RequestKey, Decision) {
         self.retry_budget.deposit();
         let key =
@@ -248,7 +247,8 @@
         (key, self.choose(now, key, None))
     }
 
-    /// A target refused a request: another may take it, within the budget of tries.
+    /// Handles a target's refusal: sends the request to another target if the refusal isn't final
+    /// and the retry budget allows it.
     pub fn refused(
         &mut self,
         now: Instant,
@@ -274,8 +274,8 @@
         self.choose(now, key, Some(refusal))
     }
 
-    /// The connection to a request's target broke before anything of the answer came. `None` if
-    /// it may have run and may not be repeated: then its caller must be told so.
+    /// Handles the loss of the connection to a request's target. Returns `None` if the request may
+    /// have run and isn't repeatable, which the caller has to be told.
     pub fn lost(&mut self, now: Instant, key: RequestKey, refusal: Refusal) -> Option<Decision> {
         let repeatable = self.is_repeatable(key);
         if let Some(target) = self.release_target(now, key, None) {
@@ -294,11 +294,9 @@
         Some(self.choose(now, key, Some(refusal)))
     }
 
-    /// Parts of an answer came in this time, between the first and the last.
+    /// Records that `parts` of a response took `took`, for the target's health.
     ///
-    /// Made for one slow target among many. It gets less as its answers become slower, and a
-    /// trickle beyond a limit, so that its recovery is seen. The length of the answer does not
-    /// count: a target with long chats is not slow.
+    /// Uses the time for each part, so that long responses don't make a target look slow.
     pub fn progressed(&mut self, now: Instant, key: RequestKey, parts: u64, took: Duration) {
         let time_per_part = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
         let Some(ratio) = self.owners_of(key).map(|owners| owners.baseline.observe(time_per_part))
@@ -312,12 +310,12 @@
         }
     }
 
-    /// A target said what is in its prefix cache.
+    /// Applies an event of a target's prefix cache.
     pub fn cache_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
         self.prefixes.apply_event(now, target, event);
     }
 
-    /// A target told how busy it is.
+    /// Records the load that a target has reported.
     pub fn record_load(&mut self, now: Instant, target: TargetKey, load: Load) {
         if let Some(target) = self.targets.get_mut(target) {
             target.record_load(now, load);
@@ -343,7 +341,7 @@
         }
     }
 
-    /// A request is over.
+    /// Removes a request that has ended; `load` is present if its target completed the response.
     pub fn finished(&mut self, now: Instant, key: RequestKey, load: Option<Load>) {
         let answered = load.is_some();
         let target = self.release_target(now, key, load);
