--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -252,7 +252,7 @@
     let work = Work { repeatable, ..bench.work(None) };
     let (key, _) = bench.router.submit(bench.clock.now(), work);
     let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: Duration::from_secs(1) };
-    let decision = bench.router.lost(bench.clock.now(), key, refusal);
+    let decision = bench.router.connection_lost(bench.clock.now(), key, refusal);
     assert_eq!(matches!(decision, Some(Decision::Send(_))), repeatable);
     assert_eq!(decision.is_none(), !repeatable);
 }
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -36,7 +36,7 @@
     fn lost(&mut self, flight: Flight) {
         let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_LOST };
         let now = self.now();
-        match self.routers[flight.router].lost(now, flight.key, refusal) {
+        match self.routers[flight.router].connection_lost(now, flight.key, refusal) {
             Some(decision) => self.decided(flight.caller, flight.router, flight.key, decision),
             None => {
                 self.callers[flight.caller].waits = false;
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -177,7 +177,7 @@
         call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA) as u64;
         let reason = RefusalReason::NotLoaded;
         let refusal = Refusal { reason, retry_after: RETRY_LOST };
-        match self.router.lost(self.clock.now(), key, refusal) {
+        match self.router.connection_lost(self.clock.now(), key, refusal) {
             Some(decision @ Decision::Send(_)) => self.perform(key, decision),
             Some(Decision::Refuse(_)) | None => {
                 if let Some(call) = self.calls.remove(&key) {
