--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -311,7 +311,7 @@
     }
 
     /// Applies an event of a target's prefix cache.
-    pub fn cache_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
+    pub fn apply_cache_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
         self.prefixes.apply_event(now, target, event);
     }
 
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -167,9 +167,9 @@
         removed: vec![],
     };
     let now = bench.clock.now();
-    bench.router.cache_event(now, target, &event(1, &[42]));
+    bench.router.apply_cache_event(now, target, &event(1, &[42]));
     assert_eq!(bench.router.prefixes.find(42), Some(target));
-    bench.router.cache_event(now, target, &event(5, &[43]));
+    bench.router.apply_cache_event(now, target, &event(5, &[43]));
     assert_eq!(bench.router.prefixes.find(42), None);
     assert_eq!(bench.router.prefixes.find(43), Some(target));
 }
