--- a/crates/corianderstand_decide/src/router/budget.rs
+++ b/crates/corianderstand_decide/src/router/budget.rs
@@ -1,17 +1,15 @@
-//! How many tries beyond the first are made.
+//! A retry budget proportional to the rate of requests.
 
-/// Tries beyond the first for each request that comes, in hundredths.
-///
-/// In an overload every target refuses, and each try elsewhere adds a message to those that are
-/// overloaded. A tenth bounds what retries add, and is many times what single failures need.
+/// Retries granted by each request, in hundredths. Bounds the load that retries add when all
+/// targets refuse.
 const RETRY_PERCENT: u32 = 10;
-/// Tries that may be saved up, so that a lost host's requests are all tried again.
+/// Limit of accumulated retries; enough to retry the requests of a lost host.
 const MAX_RETRIES: u32 = 100;
-/// Tries that a process may make before anything has come in.
+/// Retries available when a process starts.
 const INITIAL_RETRIES: u32 = 10;
 const HUNDREDTHS_PER_RETRY: u32 = 100;
 
-/// A budget of tries.
+/// A balance of retries, in hundredths.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     hundredths: u32,
@@ -24,12 +22,12 @@
 }
 
 impl RetryBudget {
-    /// A request has come.
+    /// Adds what one request grants.
     pub fn deposit(&mut self) {
         self.hundredths = (self.hundredths + RETRY_PERCENT).min(MAX_RETRIES * HUNDREDTHS_PER_RETRY);
     }
 
-    /// Takes one try; false if none is left.
+    /// Withdraws one retry; returns false if none is left.
     pub const fn try_withdraw(&mut self) -> bool {
         if self.hundredths < HUNDREDTHS_PER_RETRY {
             return false;
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -35,8 +35,8 @@
 const MIN_UNPROBED_URGENCY: u8 = 2;
 /// Ejected targets considered for one request, which bounds the time of its decision.
 const MAX_PROBE_CANDIDATES: usize = 4;
-/// Cost of each step along the ring for a target that has to load the model, so that all routers
-/// load it at the same target first.
+/// Cost of each step along the ring for a target that has to load the model: the next target loads
+/// it only if the one before is busier by this.
 const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
 /// Cost of each step along the ring: a tie-breaker that is the same on all routers.
 const RING_STEP_COST: Duration = Duration::from_micros(100);
--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -1,43 +1,40 @@
-//! Which targets make slower progress than others.
+//! Outlier ejection of targets that make slow progress.
 //!
-//! Progress is time for each part of an answer, against what is usual for the model, so that a
-//! long answer does not make its target look slow.
+//! Progress is the time for each part of a response relative to the model's baseline, so that
+//! long responses don't make a target look slow.
 
 use std::time::{Duration, Instant};
 
-/// Part of the difference that one answer moves a target's ratio by.
+/// Smoothing factor of a target's ratio.
 const RATIO_SMOOTHING: f64 = 0.3;
-/// Part of the difference that one answer moves a model's usual time by; small, so that one slow
-/// target does not become what is usual.
+/// Smoothing factor of a model's baseline; small, so that one slow target hardly shifts it.
 const BASELINE_SMOOTHING: f64 = 0.05;
-/// One answer counts at most this many times the usual time, for the same reason.
+/// Samples are clipped to this multiple of the baseline, for the same reason.
 const MAX_BASELINE_SAMPLE_RATIO: f64 = 2.0;
-/// A target this many times slower than usual gets a trickle only. Below three, ordinary scatter
-/// of a full batch would put out healthy targets.
+/// A target slower than the baseline by this ratio is ejected. Lower values would eject healthy
+/// targets for the variance of a full batch.
 const EJECT_RATIO: f64 = 3.0;
-/// A target in the trickle is well again below this; apart from the other limit, so that it does
-/// not go in and out with each answer.
+/// An ejected target is readmitted at this ratio or below; the hysteresis prevents flapping.
 const READMIT_RATIO: f64 = 1.5;
-/// After this time without an answer only half of a target's slowness is believed: what is slow
-/// gets less work, so its recovery would show late or never.
+/// Half-life of a target's slowness without new samples. A slow target is sent fewer requests, so
+/// its recovery would be noticed late otherwise.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Answers before a target is judged.
+/// Samples required before a target may be ejected.
 const MIN_SAMPLES: u32 = 4;
-/// Time between two requests to a target in the trickle: enough to see its recovery within half
-/// a minute, and few enough that hardly a caller meets it.
+/// Time between two requests to an ejected target.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// A lost connection counts as this many times the usual time.
+/// Ratio recorded for a lost connection.
 const LOST_CONNECTION_RATIO: f64 = 6.0;
-/// At most one target in this many is put out: more, and the load of those put out would make
-/// the rest slow too, until all are out.
+/// At most one target in this many is ejected, so that the remaining ones aren't overloaded and
+/// ejected in turn.
 pub const MAX_EJECTED_DIVISOR: usize = 3;
 
-/// Usual time for each part of an answer, of one model.
+/// Smoothed time for each part of a model's responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BaselinePace(Option<f64>);
 
 impl BaselinePace {
-    /// How many times the usual time this answer took for each part.
+    /// Adds a sample and returns its ratio to the baseline.
     pub fn observe(&mut self, time_per_part: Duration) -> f64 {
         let time_per_part = time_per_part.as_secs_f64().max(1e-6);
         let baseline = *self.0.get_or_insert(time_per_part);
@@ -47,7 +44,7 @@
     }
 }
 
-/// Progress of one target.
+/// Smoothed progress of one target, and whether it is ejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Health {
     ratio: f64,
@@ -64,8 +61,8 @@
 }
 
 impl Health {
-    /// Folds in an answer that took `ratio` times the usual time. `may_put_out` is false while
-    /// enough others are out.
+    /// Adds a response that took `ratio` times the baseline. `may_eject` is false while the limit of
+    /// ejected targets is reached.
     pub fn observe(&mut self, now: Instant, ratio: f64, may_eject: bool) {
         self.samples = self.samples.saturating_add(1);
         self.ratio += (ratio - self.ratio) * RATIO_SMOOTHING;
@@ -80,12 +77,12 @@
         }
     }
 
-    /// The connection broke with work on it.
+    /// Adds the loss of a connection with requests on it.
     pub fn observe_connection_lost(&mut self, now: Instant, may_eject: bool) {
         self.observe(now, LOST_CONNECTION_RATIO, may_eject);
     }
 
-    /// How many times slower than usual; 1 if it is not slower.
+    /// Returns the decayed ratio to the baseline, at least 1.
     pub fn slowness(&self, now: Instant) -> f64 {
         let age =
             self.last_observed_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
@@ -93,17 +90,17 @@
         1.0 + (self.ratio - 1.0).max(0.0) * decay
     }
 
-    /// Whether it gets a trickle only.
+    /// Returns whether the target gets probe requests only.
     pub const fn is_ejected(&self) -> bool {
         self.ejected
     }
 
-    /// Whether a request may go there now.
+    /// Returns whether a request may be sent to the target now.
     pub fn accepts(&self, now: Instant) -> bool {
         !self.ejected || self.next_probe.is_none_or(|at| now >= at)
     }
 
-    /// Notes that a request goes there.
+    /// Records that a request is sent to the target.
     pub fn record_sent(&mut self, now: Instant) {
         if self.ejected {
             self.next_probe = Some(now + PROBE_INTERVAL);
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -276,7 +276,12 @@
 
     /// Handles the loss of the connection to a request's target. Returns `None` if the request may
     /// have run and isn't repeatable, which the caller has to be told.
-    pub fn connection_lost(&mut self, now: Instant, key: RequestKey, refusal: Refusal) -> Option<Decision> {
+    pub fn connection_lost(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        refusal: Refusal,
+    ) -> Option<Decision> {
         let repeatable = self.is_repeatable(key);
         if let Some(target) = self.release_target(now, key, None) {
             self.observe_health(target, |health, may_eject| {
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/owners.rs
@@ -6,14 +6,13 @@
     time::{Duration, Instant},
 };
 
-/// How long a target that served a model is believed to have it loaded still. Most models are
-/// kept for minutes; a wrong belief costs no more than no belief.
+/// Time after the last request sent for which a target is assumed to have the model loaded.
 const WARM_TIMEOUT: Duration = Duration::from_secs(300);
-/// How long after an answer a target certainly has the model loaded: the least time for
-/// which an idle model is kept.
+/// Time after a response for which a target certainly has the model loaded: the least time that
+/// an idle model is kept.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Targets on a ring by the hash of their names, so that all routers see the same order.
+/// A hash ring of targets, ordered by the hash of their names so that all routers agree.
 #[derive(Clone, Debug, Default)]
 pub struct Owners {
     ring: Vec<(u64, TargetKey)>,
@@ -21,12 +20,12 @@
     last_sent_at: HashMap<TargetKey, Instant>,
     last_warm: Option<TargetKey>,
     last_served_at: HashMap<TargetKey, Instant>,
-    /// What is usual for this model.
+    /// The usual pace of this model's responses.
     pub baseline: BaselinePace,
 }
 
 impl Owners {
-    /// Replaces the targets; what was learnt stays.
+    /// Replaces the targets; the state of those that remain is kept.
     pub fn set_targets(&mut self, mut ring: Vec<(u64, TargetKey)>) {
         ring.sort_unstable();
         ring.dedup();
@@ -36,63 +35,63 @@
         self.ring = ring;
     }
 
-    /// Whether a target is among them.
+    /// Returns whether a target is on the ring.
     pub fn contains(&self, target: TargetKey) -> bool {
         self.members.contains(&target)
     }
 
-    /// Number of targets.
+    /// Returns the number of targets.
     pub const fn len(&self) -> usize {
         self.ring.len()
     }
 
-    /// The target at this place of the ring.
+    /// Returns the target at a ring index, which wraps around.
     pub fn target_at(&self, index: usize) -> TargetKey {
         self.ring[index % self.ring.len()].1
     }
 
-    /// The place of the ring where a hash belongs.
+    /// Returns the ring index of a hash.
     pub fn index_of(&self, hash: u64) -> usize {
         self.ring.partition_point(|(at, _)| *at < hash)
     }
 
-    /// All targets.
+    /// Iterates over all targets in ring order.
     pub fn iter(&self) -> impl Iterator<Item = TargetKey> + '_ {
         self.ring.iter().map(|(_, target)| *target)
     }
 
-    /// A request went to a target, which loads the model if it has not.
+    /// Records that a request was sent to a target, which loads the model if necessary.
     pub fn mark_warm(&mut self, now: Instant, target: TargetKey) {
         self.last_sent_at.insert(target, now);
         self.last_warm = Some(target);
     }
 
-    /// A target could not serve the model.
+    /// Records that a target doesn't have the model loaded.
     pub fn mark_cold(&mut self, target: TargetKey) {
         self.last_sent_at.remove(&target);
         self.last_served_at.remove(&target);
     }
 
-    /// An answer from a target is over.
+    /// Records that a target has completed a response.
     pub fn mark_served(&mut self, now: Instant, target: TargetKey) {
         self.last_served_at.insert(target, now);
     }
 
-    /// Whether a target has just answered with the model, so that it is not merely loading it.
+    /// Returns whether a target has responded lately, and so isn't still loading the model.
     pub fn is_serving(&self, now: Instant, target: TargetKey) -> bool {
         self.last_served_at
             .get(&target)
             .is_some_and(|at| now.saturating_duration_since(*at) < SERVING_TIMEOUT)
     }
 
-    /// Whether a target is believed to have the model loaded, or to be loading it.
+    /// Returns whether a target is assumed to have the model loaded, or to be loading it.
     pub fn is_warm(&self, now: Instant, target: TargetKey) -> bool {
         self.last_sent_at
             .get(&target)
             .is_some_and(|at| now.saturating_duration_since(*at) < WARM_TIMEOUT)
     }
 
-    /// The target last believed to have it.
+    /// Returns the target that was marked warm last, if it still is.
     pub fn last_warm(&self, now: Instant) -> Option<TargetKey> {
         self.last_warm.filter(|target| self.is_warm(now, *target))
     }
--- a/crates/corianderstand_decide/src/router/prefixes.rs
+++ b/crates/corianderstand_decide/src/router/prefixes.rs
@@ -1,4 +1,4 @@
-//! Which target is likely to have the beginning of a prompt cached.
+//! An index of the prompt prefixes that targets are likely to have cached.
 
 use super::TargetKey;
 use std::{
@@ -6,9 +6,10 @@
     time::{Duration, Instant},
 };
 
-/// Prefixes remembered. Those of a few hours at the peak fit, in about 4 MiB.
+/// Limit of indexed prefixes, about 4 MiB.
 const MAX_PREFIXES: usize = 65_536;
-/// Cache events may come this late; an older removal says nothing of a prefix used since.
+/// Longest delay of a cache event. A removal received this soon after a prefix was recorded may
+/// precede the record, and is ignored.
 const MAX_EVENT_LAG: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
@@ -24,10 +25,10 @@
     generation: u32,
 }
 
-/// What an engine says of its cache.
+/// A change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Number of the event; a gap means that some were lost.
+    /// Sequence number; a gap means that events were lost.
     pub sequence: u64,
     /// Prefixes stored.
     pub stored: Vec<u64>,
@@ -35,7 +36,7 @@
     pub removed: Vec<u64>,
 }
 
-/// Prefixes and where they are cached.
+/// Maps prefixes to the targets that have them cached.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     entries: HashMap<u64, CachedPrefix>,
@@ -44,7 +45,7 @@
 }
 
 impl PrefixIndex {
-    /// The target that a prefix was last seen at.
+    /// Returns the target that a prefix was last recorded at.
     pub fn find(&self, prefix: u64) -> Option<TargetKey> {
         let cached = self.entries.get(&prefix)?;
         (cached.generation == self.generation(cached.target)).then_some(cached.target)
@@ -54,7 +55,7 @@
         self.cursors.get(&target).map_or(0, |cursor| cursor.generation)
     }
 
-    /// A request with this prefix went to a target.
+    /// Records that a target caches a prefix; evicts the oldest entry beyond the limit.
     pub fn record(&mut self, now: Instant, prefix: u64, target: TargetKey) {
         let cached = CachedPrefix { target, generation: self.generation(target), recorded_at: now };
         if self.entries.insert(prefix, cached).is_none() {
@@ -67,11 +68,10 @@
         }
     }
 
-    /// Takes an event of a target's cache.
+    /// Applies a cache event of a target.
     ///
-    /// Events come late and with gaps. After a gap a removal may have been missed, and requests
-    /// would be sent for a prefix that is gone; all that was known of the target is dropped,
-    /// and requests make it known again.
+    /// A gap in the sequence may hide removals, so it invalidates all entries of the target; entries
+    /// are recorded again by events and requests.
     pub fn apply_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
         let cursor = self.cursors.entry(target).or_default();
         if event.sequence < cursor.next_sequence {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Forgets a target that is gone.
+    /// Invalidates all entries of a target.
     pub fn invalidate_target(&mut self, target: TargetKey) {
         self.cursors.entry(target).or_default().generation += 1;
     }
