--- a/crates/corianderstand_decide/src/lib.rs
+++ b/crates/corianderstand_decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions under load, without input or output.
+//! Load balancing, admission control and model loading as pure logic, without I/O.
 //!
-//! [`router::Router`] chooses a target for each request; [`agent::Agent`] admits, queues and
-//! refuses beside one target and decides what its engine loads. Both are plain values that take
-//! events and the time and return what is to be done, so tests drive them without sockets.
+//! [`router::Router`] selects a target for each request. [`agent::Agent`] admits, queues and
+//! refuses the requests of one target and decides what its engine loads. Both are state machines:
+//! they receive events and the time and return actions, so tests drive them without sockets.
 //!
 //! ```
 //! use corianderstand_decide::ledger::Ledger;
@@ -12,7 +12,7 @@
 //! let quotes = Weights::model("quotes-7b".into(), "1".into());
 //! assert!(ledger.reserve(&quotes, Mib(800)).is_ok());
 //! let rounds = Weights::model("rounds-3b".into(), "1".into());
-//! assert!(ledger.reserve(&rounds, Mib(300)).is_err(), "never more than the engine has");
+//! assert!(ledger.reserve(&rounds, Mib(300)).is_err(), "exceeds the engine's memory");
 //! ```
 
 pub mod agent;
--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -36,11 +36,11 @@
 impl BaselinePace {
     /// Adds a sample and returns its ratio to the baseline.
     pub fn observe(&mut self, time_per_part: Duration) -> f64 {
-        let time_per_part = time_per_part.as_secs_f64().max(1e-6);
-        let baseline = *self.0.get_or_insert(time_per_part);
-        let clipped = time_per_part.min(baseline * MAX_BASELINE_SAMPLE_RATIO);
+        let time_per_part_s = time_per_part.as_secs_f64().max(1e-6);
+        let baseline = *self.0.get_or_insert(time_per_part_s);
+        let clipped = time_per_part_s.min(baseline * MAX_BASELINE_SAMPLE_RATIO);
         self.0 = Some(baseline + (clipped - baseline) * BASELINE_SMOOTHING);
-        time_per_part / baseline
+        time_per_part_s / baseline
     }
 }
 
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -1,4 +1,4 @@
-//! Routers without connections: the test answers for the targets.
+//! Tests of the router without connections; the tests play the targets' part.
 
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
@@ -56,19 +56,19 @@
         (key, target)
     }
 
-    /// Makes every replica warm, each in turn the only one without a queue.
-    fn wake_all(&mut self) {
+    /// Warms up every replica, each in turn as the only one without a queue.
+    fn warm_up_all(&mut self) {
         for key in self.keys.clone() {
             let now = self.clock.now();
             for other in &self.keys {
                 let wait_ms = if *other == key { 0 } else { 60_000 };
                 self.router.record_load(now, *other, Load { wait_ms, ..IDLE });
             }
-            let mut woken = false;
-            while !woken {
+            let mut reached = false;
+            while !reached {
                 let (request, target) = self.send(None);
-                woken = target == key;
-                let wait_ms = if woken { 0 } else { 60_000 };
+                reached = target == key;
+                let wait_ms = if reached { 0 } else { 60_000 };
                 self.router.finished(now, request, Some(Load { wait_ms, ..IDLE }));
             }
         }
@@ -76,40 +76,54 @@
         self.keys.iter().for_each(|key| self.router.record_load(now, *key, IDLE));
     }
 
-    /// Rounds of 18 requests at once, one round a second; how many met `watched`.
-    fn rounds(&mut self, count: usize, each: impl Fn(TargetKey) -> u64, watched: TargetKey) -> u32 {
-        let mut met = 0;
+    /// Runs rounds of 18 concurrent requests, one a second; returns how many reached `watched`.
+    fn rounds(
+        &mut self,
+        count: usize,
+        ms_per_part: impl Fn(TargetKey) -> u64,
+        watched: TargetKey,
+    ) -> u32 {
+        let mut hits = 0;
         for _ in 0..count {
             let sent: Vec<_> = (0..18).map(|_| self.send(None)).collect();
             for (key, target) in sent {
-                met += u32::from(target == watched);
+                hits += u32::from(target == watched);
                 self.router.progressed(
                     self.clock.now(),
                     key,
                     10,
-                    Duration::from_millis(10 * each(target)),
+                    Duration::from_millis(10 * ms_per_part(target)),
                 );
                 self.router.finished(self.clock.now(), key, Some(IDLE));
             }
             self.clock.advance(Duration::from_secs(1));
         }
-        met
+        hits
     }
 
-    /// Sends a request and answers it, ten parts at the pace of its target.
-    fn answer(&mut self, prefix: Option<u64>, each: impl Fn(TargetKey) -> u64) -> TargetKey {
+    /// Sends a request and completes it, in ten parts at its target's pace.
+    fn complete(
+        &mut self,
+        prefix: Option<u64>,
+        ms_per_part: impl Fn(TargetKey) -> u64,
+    ) -> TargetKey {
         let (key, target) = self.send(prefix);
-        self.router.progressed(self.clock.now(), key, 10, Duration::from_millis(10 * each(target)));
+        self.router.progressed(
+            self.clock.now(),
+            key,
+            10,
+            Duration::from_millis(10 * ms_per_part(target)),
+        );
         self.clock.advance(Duration::from_millis(50));
         self.router.finished(self.clock.now(), key, Some(IDLE));
         target
     }
 }
 
-/// First requests for a cold model come through many routers. Each choosing on its own would
-/// wake several replicas; they meet at one, so there is one load and one warm replica.
+/// Guards against loading a cold model at several replicas when its first requests arrive at
+/// several routers.
 #[rstest]
-fn routers_meet_at_one_replica_of_a_cold_model() {
+fn routers_load_a_cold_model_at_one_replica() {
     let mut chosen = BTreeSet::new();
     for seed in 0..20 {
         let mut bench = Bench::new(9, seed);
@@ -121,10 +135,9 @@
     assert_eq!(chosen.len(), 1);
 }
 
-/// A model's first replica has a long queue. Further requests wake the next one rather than
-/// wait for longer than its load would take.
+/// Guards against queueing at a warm replica for longer than the load of another would take.
 #[rstest]
-fn a_long_wait_wakes_the_next_replica() {
+fn a_long_wait_starts_the_next_replica() {
     let mut bench = Bench::new(3, 1);
     let (_, first) = bench.send(None);
     bench.router.record_load(
@@ -135,30 +148,29 @@
     assert_ne!(bench.send(None).1, first);
 }
 
-/// A coach's chat goes on where its prompt is cached, unless the wait there is worse than
-/// computing it again.
+/// A session is sent to the target with its cached prefix, unless the wait there costs more than
+/// computing the prefix again.
 #[rstest]
-fn a_session_returns_to_its_cache_within_bounds() {
+fn a_session_returns_to_its_cached_prefix_unless_the_wait_is_too_long() {
     let mut bench = Bench::new(9, 7);
     for session in 0..40 {
-        bench.answer(Some(session), |_| 20);
+        bench.complete(Some(session), |_| 20);
     }
     let (key, home) = bench.send(Some(5));
     bench.router.finished(bench.clock.now(), key, Some(IDLE));
     for _ in 0..5 {
-        assert_eq!(bench.answer(Some(5), |_| 20), home);
+        assert_eq!(bench.complete(Some(5), |_| 20), home);
     }
     let others: Vec<TargetKey> = bench.keys.iter().copied().filter(|key| *key != home).collect();
     let now = bench.clock.now();
     bench.router.record_load(now, home, Load { running: 8, queued: 40, wait_ms: 20_000 });
     others.iter().for_each(|key| bench.router.record_load(now, *key, IDLE));
-    assert_ne!(bench.send(Some(5)).1, home, "not at any price");
+    assert_ne!(bench.send(Some(5)).1, home, "the wait must outweigh the cached prefix");
 }
 
-/// Cache events come with gaps. What was removed in a gap is not known, so nothing of the target
-/// is relied upon; sent there for a cache that is gone, a chat would only wait longer.
+/// Guards against routing by prefixes whose removal was lost in a gap of cache events.
 #[rstest]
-fn a_gap_in_cache_events_ends_what_was_known() {
+fn a_gap_in_cache_events_invalidates_the_target() {
     let mut bench = Bench::new(3, 3);
     let target = bench.keys[1];
     let event = |number, stored: &[u64]| CacheEvent {
@@ -174,45 +186,44 @@
     assert_eq!(bench.router.prefixes.find(43), Some(target));
 }
 
-/// One of nine engines becomes eight times slower. Callers soon hardly meet it; once it is well
-/// again it gets its part of the work back.
+/// One of nine engines becomes eight times slower and recovers: it is ejected, probed and
+/// readmitted.
 #[rstest]
 #[case::seed_1(1)]
 #[case::seed_2(2)]
 #[case::seed_3(3)]
-fn a_slow_target_gets_a_trickle_and_comes_back(#[case] seed: u64) {
+fn a_slow_target_is_ejected_probed_and_readmitted(#[case] seed: u64) {
     let mut bench = Bench::new(9, seed);
-    bench.wake_all();
+    bench.warm_up_all();
     let slow = bench.send(None).1;
     let slowly = |key| if key == slow { 160 } else { 20 };
-    assert!(bench.rounds(20, |_| 20, slow) > 5, "it has its part while it is well");
+    assert!(bench.rounds(20, |_| 20, slow) > 5, "it gets its part before it slows down");
     bench.rounds(20, slowly, slow);
     assert!(bench.router.target_state(slow).unwrap().is_ejected());
-    let met = bench.rounds(20, slowly, slow);
-    assert!(met <= 5, "20 s, a try each 5 s, of 360 requests: {met}");
+    let hits = bench.rounds(20, slowly, slow);
+    assert!(hits <= 5, "20 s at one probe each 5 s, of 360 requests: {hits}");
     bench.rounds(60, |_| 20, slow);
     assert!(!bench.router.target_state(slow).unwrap().is_ejected());
-    assert!(bench.rounds(20, |_| 20, slow) > 5, "it has its part again");
+    assert!(bench.rounds(20, |_| 20, slow) > 5, "it gets its part after it recovered");
 }
 
-/// All engines slow down together, as when all are full. None is the cause, and putting many out
-/// would bring down the rest.
+/// Guards against ejecting so many targets in a general slowdown that the rest are overloaded.
 #[rstest]
-fn never_so_many_are_put_out_that_the_rest_collapse() {
+fn the_number_of_ejected_targets_is_limited() {
     let mut bench = Bench::new(9, 5);
     for session in 0..200 {
-        bench.answer(Some(session), |_| 20);
+        bench.complete(Some(session), |_| 20);
     }
     for session in 200..1200 {
-        bench.answer(Some(session), |_| 400);
-        let out = bench.router.targets().filter(|target| target.is_ejected()).count();
-        assert!(out <= 3, "{out} of 9 are out");
+        bench.complete(Some(session), |_| 400);
+        let ejected = bench.router.targets().filter(|target| target.is_ejected()).count();
+        assert!(ejected <= 3, "{ejected} of 9 are ejected");
     }
 }
 
-/// Long answers from one target, short ones from the others, at the same pace: it is not slow.
+/// Guards against ejecting a target for long responses at the usual pace.
 #[rstest]
-fn a_long_answer_does_not_make_a_target_slow() {
+fn a_long_response_does_not_eject_its_target() {
     let mut bench = Bench::new(3, 9);
     for session in 0..100 {
         let (key, target) = bench.send(Some(session));
@@ -223,10 +234,9 @@
     assert!(bench.router.targets().all(|target| !target.is_ejected()));
 }
 
-/// Every target refuses. Tried everywhere, each request would be three messages to targets that
-/// have too much to do; beyond the budget the refusal is passed on at once.
+/// Guards against retries amplifying an overload in which every target refuses.
 #[rstest]
-fn tries_elsewhere_stay_within_the_budget() {
+fn retries_stay_within_the_budget() {
     let mut bench = Bench::new(9, 11);
     let refusal = Refusal { reason: RefusalReason::QueueFull, retry_after: Duration::from_secs(2) };
     let mut messages = 0;
@@ -237,17 +247,16 @@
             messages += 1;
             decision = bench.router.refused(bench.clock.now(), key, refusal, IDLE);
         }
-        assert_eq!(decision, Decision::Refuse(refusal), "the target's own time to come back");
+        assert_eq!(decision, Decision::Refuse(refusal), "the target's own retry delay");
     }
     assert!(messages <= 1000 + 110, "{messages}");
 }
 
-/// The connection breaks while a booking may be running. A second try could book twice, so its
-/// caller is told; a draft is tried elsewhere.
+/// Guards against running a request twice that isn't repeatable, after its connection is lost.
 #[rstest]
-#[case::draft(true)]
-#[case::booking(false)]
-fn only_what_may_be_repeated_is_tried_again(#[case] repeatable: bool) {
+#[case::repeatable(true)]
+#[case::not_repeatable(false)]
+fn only_repeatable_requests_are_retried_after_a_lost_connection(#[case] repeatable: bool) {
     let mut bench = Bench::new(3, 13);
     let work = Work { repeatable, ..bench.work(None) };
     let (key, _) = bench.router.submit(bench.clock.now(), work);
@@ -257,13 +266,12 @@
     assert_eq!(decision.is_none(), !repeatable);
 }
 
-/// A model's first replica answers some callers and refuses the rest, whose deadlines its queue would
-/// pass. Its queue stays short by that, so nothing else shows that a second replica is needed, and
-/// most callers are refused for as long as the load lasts.
+/// Guards against leaving a second replica cold while the first serves the model and refuses most
+/// requests for their deadline; refusals keep its reported wait short.
 #[rstest]
-#[case::it_answers_others(true)]
-#[case::it_is_still_loading(false)]
-fn a_replica_that_refuses_by_deadline_wakes_the_next_if_it_is_serving(#[case] serving: bool) {
+#[case::serving(true)]
+#[case::loading(false)]
+fn a_refusal_by_deadline_starts_the_next_replica_if_the_first_is_serving(#[case] serving: bool) {
     let mut bench = Bench::new(3, 1);
     let (served, first) = bench.send(None);
     if serving {
@@ -273,8 +281,8 @@
     let (key, target) = bench.send(None);
     assert_eq!(target, first);
     let refusal = Refusal { reason: RefusalReason::Deadline, retry_after: Duration::from_secs(1) };
-    let told = Load { running: 8, queued: 3, wait_ms: 900 };
-    let decision = bench.router.refused(bench.clock.now(), key, refusal, told);
-    let woken = matches!(decision, Decision::Send(target) if target != first);
-    assert_eq!(woken, serving, "{decision:?}");
+    let reported = Load { running: 8, queued: 3, wait_ms: 900 };
+    let decision = bench.router.refused(bench.clock.now(), key, refusal, reported);
+    let started_next = matches!(decision, Decision::Send(target) if target != first);
+    assert_eq!(started_next, serving, "{decision:?}");
 }
