--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -78,7 +78,7 @@
     }
 
     /// Adds the loss of a connection with requests on it.
-    pub fn observe_connection_lost(&mut self, now: Instant, may_eject: bool) {
+    pub fn observe_loss(&mut self, now: Instant, may_eject: bool) {
         self.observe(now, LOST_CONNECTION_RATIO, may_eject);
     }
 
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -284,9 +284,7 @@
     ) -> Option<Decision> {
         let repeatable = self.is_repeatable(key);
         if let Some(target) = self.release_target(now, key, None) {
-            self.observe_health(target, |health, may_eject| {
-                health.observe_connection_lost(now, may_eject)
-            });
+            self.observe_health(target, |health, may_eject| health.observe_loss(now, may_eject));
         }
         if !repeatable {
             self.requests.remove(key);
