--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -25,9 +25,8 @@
 
 /// Limits the loads of one agent while there is no coordinator.
 ///
-/// Adapts its limit by additive increase and multiplicative decrease: it starts at half of the
-/// store's concurrency, grows by one after a load in time and halves after a slow or failed one.
-/// A fixed fraction for each engine would leave the store idle when few engines load.
+/// Adapts its limit by additive increase and multiplicative decrease, starting at half of the
+/// store's concurrency. A fixed fraction would leave the store idle when few engines load.
 #[derives(data)]
 pub struct LoadLimiter {
     store: Store,
@@ -113,9 +112,8 @@
 
 /// The queue of loads of the whole deployment.
 ///
-/// Grants no more loads at once than the store serves at full speed: if a burst of loads shared
-/// the store, all would finish only at the end. Urgent loads are granted first, then those with
-/// the earliest deadlines, then the shortest.
+/// Grants no more loads at once than the store serves at full speed: urgent loads first, then
+/// those with the earliest deadlines, then the shortest.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     store: Store,
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of load pacing on a manual clock, without a store.
-
 use super::{Coordinator, LoadLimiter, LoadRequest};
 use crate::work::Store;
 use corianderstand_types::{
@@ -74,7 +72,6 @@
     assert_eq!(coordinator.grant_due_loads(clock.now()).len(), 1);
 }
 
-/// Without a coordinator, the limit shrinks while loads are slow and grows when they recover.
 #[rstest]
 fn an_uncoordinated_agent_backs_off_from_a_slow_store_and_recovers() {
     let clock = ManualClock::default();
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -350,7 +350,6 @@
         length == Length::Short || self.running[Length::Long as usize] < self.long_limit()
     }
 
-    /// Limit of long requests running at once.
     fn long_limit(&self) -> u32 {
         (self.concurrency - self.reserved_slots()).max(1)
     }
@@ -439,7 +438,6 @@
         infeasible
     }
 
-    /// Slots available to requests of this length.
     fn slots(&self, length: Length) -> u32 {
         let long = self.running[Length::Long as usize];
         match length {
@@ -448,7 +446,6 @@
         }
     }
 
-    /// Number of `slots`, rounded down, that a share guarantees.
     fn guaranteed_slots(&self, share: u32, slots: u32) -> u32 {
         (u64::from(share) * u64::from(slots) / u64::from(self.total_shares)) as u32
     }
--- a/crates/corianderstand_decide/src/queue/backlog.rs
+++ b/crates/corianderstand_decide/src/queue/backlog.rs
@@ -3,10 +3,8 @@
 
 use std::{collections::BTreeMap, time::Instant};
 
-/// Width of a deadline bucket.
 const BUCKET_MS: i128 = 500;
 
-/// Counts of requests in buckets of urgency and deadline.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backlog {
     epoch: Option<Instant>,
@@ -21,7 +19,6 @@
         (after - before).div_euclid(BUCKET_MS)
     }
 
-    /// Counts a request.
     pub fn add(&mut self, urgency_rank: u8, deadline: Instant) {
         if self.counts.is_empty() {
             self.epoch = Some(deadline);
@@ -40,13 +37,11 @@
         }
     }
 
-    /// Returns the number of requests dequeued before one with these values.
     pub fn ahead(&self, urgency_rank: u8, deadline: Instant) -> u32 {
         let last = (urgency_rank, self.bucket(deadline));
         self.counts.range(..=last).map(|(_, count)| *count).sum()
     }
 
-    /// Returns whether no request is counted.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the queue without an agent.
-
 use super::{Length, Queue, QueueDiscipline, QueuedRequest};
 use crate::work::RequestKey;
 use corianderstand_types::clock::{Clock, ManualClock};
--- a/crates/corianderstand_decide/src/router/budget.rs
+++ b/crates/corianderstand_decide/src/router/budget.rs
@@ -5,11 +5,9 @@
 const RETRY_PERCENT: u32 = 10;
 /// Limit of accumulated retries; enough to retry the requests of a lost host.
 const MAX_RETRIES: u32 = 100;
-/// Retries available when a process starts.
 const INITIAL_RETRIES: u32 = 10;
 const HUNDREDTHS_PER_RETRY: u32 = 100;
 
-/// A balance of retries, in hundredths.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     hundredths: u32,
@@ -22,12 +20,10 @@
 }
 
 impl RetryBudget {
-    /// Adds what one request grants.
     pub fn deposit(&mut self) {
         self.hundredths = (self.hundredths + RETRY_PERCENT).min(MAX_RETRIES * HUNDREDTHS_PER_RETRY);
     }
 
-    /// Withdraws one retry; returns false if none is left.
     pub const fn try_withdraw(&mut self) -> bool {
         if self.hundredths < HUNDREDTHS_PER_RETRY {
             return false;
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -9,21 +9,15 @@
 use rand::RngExt;
 use std::time::{Duration, Instant};
 
-/// Candidates taken from the ring, starting at the request's hash.
 const RING_CANDIDATES: usize = 3;
-/// Candidates chosen at random, in case those from the ring are all busy.
 const RANDOM_CANDIDATES: usize = 2;
-/// Ring entries scanned for usable candidates.
 const MAX_RING_STEPS: usize = 8;
 /// Limit of candidates; the last two are the prefix's target and the last warm target.
 const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES + 2;
 
-/// Expected wait added by each request sent since a target's last load report. Keeps a burst from
-/// going to one target while reports lag.
+/// Wait added by each request sent since a target's last load report, as reports lag.
 const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
-/// Run time of a typical request, which is scaled by a target's slowness.
 const TYPICAL_RUN: Duration = Duration::from_millis(300);
-/// Round trip to another availability zone.
 const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
 /// Cost of a prefix that isn't cached, about the time to compute it again. Bounds the load that
 /// a popular prefix draws to one target.
@@ -33,7 +27,7 @@
 const COLD_START_COST: Duration = Duration::from_secs(5);
 /// Requests of this urgency or higher don't probe ejected targets.
 const MIN_UNPROBED_URGENCY: u8 = 2;
-/// Ejected targets considered for one request, which bounds the time of its decision.
+/// Bounds the time of one decision.
 const MAX_PROBE_CANDIDATES: usize = 4;
 /// Cost of each step along the ring for a target that has to load the model: the next target loads
 /// it only if the one before is busier by this.
@@ -41,7 +35,6 @@
 /// Cost of each step along the ring: a tie-breaker that is the same on all routers.
 const RING_STEP_COST: Duration = Duration::from_micros(100);
 
-/// The distinct targets whose costs are compared.
 struct Candidates {
     keys: [TargetKey; MAX_CANDIDATES],
     count: usize,
@@ -60,8 +53,8 @@
     /// Sends a request to the candidate with the lowest estimated cost, or refuses it.
     ///
     /// All routers take the same candidates from the ring, so that requests for a cold model load
-    /// one replica and a session's requests reach its cached prefix. Comparing all targets would
-    /// take linear time and send every request to the same one until its next load report.
+    /// one replica. Comparing all targets would send every request to the same one until its next
+    /// load report.
     pub(super) fn choose(
         &mut self,
         now: Instant,
@@ -85,10 +78,9 @@
 
     /// Returns whether a request would start a load at `chosen` that can't finish in time.
     ///
-    /// A request refused for its deadline while one replica loads the model is too late for a load
-    /// at another as well. If the refusing replica is serving the model, it is overloaded instead,
-    /// and another replica is started for later requests; its reported wait doesn't show that, as
-    /// it admits no more than it can serve in time.
+    /// A request refused for its deadline by a loading replica is too late for a load at another.
+    /// If the refusing replica is serving the model, it is overloaded, which its reported wait
+    /// doesn't show, and another replica is started for later requests.
     fn is_futile_cold_start(
         &self,
         now: Instant,
--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -5,7 +5,6 @@
 
 use std::time::{Duration, Instant};
 
-/// Smoothing factor of a target's ratio.
 const RATIO_SMOOTHING: f64 = 0.3;
 /// Smoothing factor of a model's baseline; small, so that one slow target hardly shifts it.
 const BASELINE_SMOOTHING: f64 = 0.05;
@@ -19,11 +18,8 @@
 /// Half-life of a target's slowness without new samples. A slow target is sent fewer requests, so
 /// its recovery would be noticed late otherwise.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(20);
-/// Samples required before a target may be ejected.
 const MIN_SAMPLES: u32 = 4;
-/// Time between two requests to an ejected target.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// Ratio recorded for a lost connection.
 const LOST_CONNECTION_RATIO: f64 = 6.0;
 /// At most one target in this many is ejected, so that the remaining ones aren't overloaded and
 /// ejected in turn.
@@ -44,7 +40,6 @@
     }
 }
 
-/// Smoothed progress of one target, and whether it is ejected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Health {
     ratio: f64,
@@ -77,7 +72,6 @@
         }
     }
 
-    /// Adds the loss of a connection with requests on it.
     pub fn observe_loss(&mut self, now: Instant, may_eject: bool) {
         self.observe(now, LOST_CONNECTION_RATIO, may_eject);
     }
@@ -90,17 +84,14 @@
         1.0 + (self.ratio - 1.0).max(0.0) * decay
     }
 
-    /// Returns whether the target gets probe requests only.
     pub const fn is_ejected(&self) -> bool {
         self.ejected
     }
 
-    /// Returns whether a request may be sent to the target now.
     pub fn accepts(&self, now: Instant) -> bool {
         !self.ejected || self.next_probe.is_none_or(|at| now >= at)
     }
 
-    /// Records that a request is sent to the target.
     pub fn record_sent(&mut self, now: Instant) {
         if self.ejected {
             self.next_probe = Some(now + PROBE_INTERVAL);
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -1,9 +1,7 @@
 //! Routing decisions: which target a request is sent to, and when it is refused.
 //!
-//! [`Router`] estimates, for a few candidates, the time that each would cost the request: queueing,
-//! slowness, a cold start, another zone, a prefix cache miss. `choose` selects the target, `owners`
-//! holds the targets that can serve a model, `health` ejects slow targets, `prefixes` tracks cached
-//! prefixes and `budget` limits retries.
+//! [`Router`] compares a few candidates by the time that each would cost the request: queueing,
+//! slowness, a cold start, another zone, a prefix cache miss.
 
 mod budget;
 mod choose;
@@ -247,8 +245,8 @@
         (key, self.choose(now, key, None))
     }
 
-    /// Handles a target's refusal: sends the request to another target if the refusal isn't final
-    /// and the retry budget allows it.
+    /// Retries a refused request at another target, unless the refusal is final or the retry budget
+    /// is used up.
     pub fn refused(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/owners.rs
@@ -20,7 +20,6 @@
     last_sent_at: HashMap<TargetKey, Instant>,
     last_warm: Option<TargetKey>,
     last_served_at: HashMap<TargetKey, Instant>,
-    /// The usual pace of this model's responses.
     pub baseline: BaselinePace,
 }
 
@@ -35,12 +34,10 @@
         self.ring = ring;
     }
 
-    /// Returns whether a target is on the ring.
     pub fn contains(&self, target: TargetKey) -> bool {
         self.members.contains(&target)
     }
 
-    /// Returns the number of targets.
     pub const fn len(&self) -> usize {
         self.ring.len()
     }
@@ -50,12 +47,10 @@
         self.ring[index % self.ring.len()].1
     }
 
-    /// Returns the ring index of a hash.
     pub fn index_of(&self, hash: u64) -> usize {
         self.ring.partition_point(|(at, _)| *at < hash)
     }
 
-    /// Iterates over all targets in ring order.
     pub fn iter(&self) -> impl Iterator<Item = TargetKey> + '_ {
         self.ring.iter().map(|(_, target)| *target)
     }
@@ -66,13 +61,11 @@
         self.last_warm = Some(target);
     }
 
-    /// Records that a target doesn't have the model loaded.
     pub fn mark_cold(&mut self, target: TargetKey) {
         self.last_sent_at.remove(&target);
         self.last_served_at.remove(&target);
     }
 
-    /// Records that a target has completed a response.
     pub fn mark_served(&mut self, now: Instant, target: TargetKey) {
         self.last_served_at.insert(target, now);
     }
--- a/crates/corianderstand_decide/src/router/prefixes.rs
+++ b/crates/corianderstand_decide/src/router/prefixes.rs
@@ -6,7 +6,6 @@
     time::{Duration, Instant},
 };
 
-/// Limit of indexed prefixes, about 4 MiB.
 const MAX_PREFIXES: usize = 65_536;
 /// Longest delay of a cache event. A removal received this soon after a prefix was recorded may
 /// precede the record, and is ignored.
@@ -36,7 +35,6 @@
     pub removed: Vec<u64>,
 }
 
-/// Maps prefixes to the targets that have them cached.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     entries: HashMap<u64, CachedPrefix>,
@@ -45,7 +43,6 @@
 }
 
 impl PrefixIndex {
-    /// Returns the target that a prefix was last recorded at.
     pub fn find(&self, prefix: u64) -> Option<TargetKey> {
         let cached = self.entries.get(&prefix)?;
         (cached.generation == self.generation(cached.target)).then_some(cached.target)
@@ -96,7 +93,6 @@
         }
     }
 
-    /// Invalidates all entries of a target.
     pub fn invalidate_target(&mut self, target: TargetKey) {
         self.cursors.entry(target).or_default().generation += 1;
     }
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the router without connections; the tests play the targets' part.
-
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
     queue::Length,
@@ -186,8 +184,6 @@
     assert_eq!(bench.router.prefixes.find(43), Some(target));
 }
 
-/// One of nine engines becomes eight times slower and recovers: it is ejected, probed and
-/// readmitted.
 #[rstest]
 #[case::seed_1(1)]
 #[case::seed_2(2)]
@@ -221,7 +217,6 @@
     }
 }
 
-/// Guards against ejecting a target for long responses at the usual pace.
 #[rstest]
 fn a_long_response_does_not_eject_its_target() {
     let mut bench = Bench::new(3, 9);
