--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -171,8 +171,8 @@
 fn a_gap_in_cache_events_invalidates_the_target() {
     let mut bench = Bench::new(3, 3);
     let target = bench.keys[1];
-    let event = |number, stored: &[u64]| CacheEvent {
-        sequence: number,
+    let event = |sequence, stored: &[u64]| CacheEvent {
+        sequence,
         stored: stored.to_vec(),
         removed: vec![],
     };
