--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, MIN_RETRY_AFTER};
 use crate::{
     ledger::{LedgerError, Stage},
-    pacing::{Ask, Gate},
+    pacing::{LoadLimiter, LoadRequest},
     work::{Refusal, Sizes, Store, Work},
 };
 use corianderstand_derives::derives;
@@ -55,7 +55,7 @@
 /// Loads that are wanted, wait for their turn, or are on their way.
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
-    gate: Gate,
+    gate: LoadLimiter,
     coordinated: bool,
     unordered: BTreeSet<Weights>,
     wanted: BTreeMap<Weights, Wanted>,
@@ -73,7 +73,7 @@
 impl Default for Loads {
     fn default() -> Self {
         Self {
-            gate: Gate::new(Store::default()),
+            gate: LoadLimiter::new(Store::default()),
             coordinated: false,
             unordered: BTreeSet::new(),
             wanted: BTreeMap::new(),
@@ -212,7 +212,7 @@
         let firsts: BTreeMap<&Weights, (u8, Instant)> = self
             .queue
             .missing()
-            .map(|(weights, place)| (weights, (place.less_urgent(), place.deadline())))
+            .map(|(weights, place)| (weights, (place.urgency_rank(), place.deadline())))
             .collect();
         let mut ranked: Vec<(u8, Instant, Duration, Weights)> = Vec::new();
         for weights in &self.loads.unordered {
@@ -268,8 +268,8 @@
         }
     }
 
-    fn ask(&self, weights: &Weights, pending: &Pending) -> Ask {
-        Ask {
+    fn ask(&self, weights: &Weights, pending: &Pending) -> LoadRequest {
+        LoadRequest {
             // The process that sends the wish fills in its own name.
             target: corianderstand_types::names::TargetId::default(),
             weights: weights.clone(),
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -14,8 +14,8 @@
 use crate::{
     history::Histories,
     ledger::Ledger,
-    pacing::Ask,
-    queue::{Length, Order, Queue, Waiting},
+    pacing::LoadRequest,
+    queue::{Length, Queue, QueueDiscipline, QueuedRequest},
     work::{Need, Refusal, RequestKey, Sizes, Work},
 };
 use corianderstand_derives::derives;
@@ -72,7 +72,7 @@
     /// What makes room.
     pub eviction: Eviction,
     /// Who goes next.
-    pub order: Order,
+    pub order: QueueDiscipline,
 }
 
 /// What is to be done.
@@ -88,7 +88,7 @@
     /// Order the engine to unload.
     Unload(Weights, Mib),
     /// Ask whoever paces loads in the deployment for a grant.
-    AskLoad(Ask),
+    AskLoad(LoadRequest),
 }
 
 /// Shortest time to come back that a refusal names.
@@ -285,8 +285,8 @@
         (key, self.step(now, sizes))
     }
 
-    fn waiting(&self, work: &Work) -> Waiting {
-        Waiting {
+    fn waiting(&self, work: &Work) -> QueuedRequest {
+        QueuedRequest {
             team: work.team.clone(),
             length: work.shape.length,
             urgency: work.urgency,
@@ -394,7 +394,7 @@
     fn is_too_late(&self, now: Instant, key: RequestKey) -> bool {
         let work = &self.requests[key].work;
         let least = self.runs[work.shape.length as usize].least();
-        self.policy.order == Order::Fair && now + least > work.deadline
+        self.policy.order == QueueDiscipline::Fair && now + least > work.deadline
     }
 
     fn refuse_late(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) -> Action {
@@ -421,7 +421,7 @@
     fn give_up_late(&mut self, now: Instant, sizes: &dyn Sizes, actions: &mut Vec<Action>) {
         let mut late = self.queue.expired(now);
         if self.next_shed.is_some_and(|at| now >= at) {
-            late.extend(self.queue.hopeless(now, self.runs.map(admit::MeanRun::mean)));
+            late.extend(self.queue.infeasible(now, self.runs.map(admit::MeanRun::mean)));
             self.next_shed = Some(now + SHED_INTERVAL);
         }
         for key in late {
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -1,7 +1,7 @@
-//! Pacing of loads for the weight store's rate and concurrency.
+//! Rate and concurrency limits on loads from the weight store.
 //!
-//! [`Coordinator`] is one queue for the whole deployment, held by one process; [`Gate`] is what
-//! each agent falls back to when nobody coordinates. Neither needs the log.
+//! A [`Coordinator`] queues the loads of the whole deployment in one process; a [`LoadLimiter`]
+//! limits the loads of one agent while there is no coordinator. Neither depends on the log.
 
 #[cfg(test)]
 mod tests;
@@ -14,49 +14,45 @@
     time::{Duration, Instant},
 };
 
-/// A load that took this many hundredths of its expected time shows that the store is crowded.
-///
-/// At the stated concurrency a load takes its stated time; one and a half times it means that
-/// half as many again share the store. Less would take ordinary scatter for crowding.
-const CROWDED_PERCENT: u32 = 150;
-/// Deadlines within this time count as alike, so that among them the shortest load goes first.
-const DEADLINE_STEP: Duration = Duration::from_secs(10);
-/// A grant is taken back after this many times the expected time of its load, as its agent may
-/// have died. Sooner, a store four times slower than stated would get more loads than it bears.
-const GRANT_EXPIRY: u32 = 6;
-
-/// One agent's own pace, when nobody coordinates.
+/// A load slower than this percentage of its expected time indicates a congested store; lower
+/// values would react to ordinary variance.
+const CONGESTED_PERCENT: u32 = 150;
+/// Deadlines in the same bucket are equal, so that the shortest load among them is granted first.
+const DEADLINE_BUCKET: Duration = Duration::from_secs(10);
+/// A grant expires after this many times the expected load time, as its agent may have died;
+/// earlier expiry would overload a slow store.
+const GRANT_EXPIRY_FACTOR: u32 = 6;
+
+/// Limits the loads of one agent while there is no coordinator.
 ///
-/// Made for the time without a coordinator. A fixed part of the store's rate for each engine
-/// would be safe, but a burst that meets few engines would crawl while the store stands idle.
-/// So each starts with half of what the store bears, adds one after each load that was as quick
-/// as stated, and halves after one that was slow: together they settle near what it bears.
+/// Adapts its limit by additive increase and multiplicative decrease, starting at half of the
+/// store's concurrency. A fixed fraction would leave the store idle when few engines load.
 #[derives(data)]
-pub struct Gate {
+pub struct LoadLimiter {
     store: Store,
     limit: u32,
     running: u32,
     next_start: Option<Instant>,
 }
 
-impl Gate {
-    /// A gate before this store.
+impl LoadLimiter {
+    /// Creates a limiter of loads from `store`.
     pub fn new(store: Store) -> Self {
         Self { store, limit: (store.concurrent / 2).max(1), running: 0, next_start: None }
     }
 
-    /// Notes what the settings say of the store now.
+    /// Applies changed settings of the store.
     pub fn set_store(&mut self, store: Store) {
         self.store = store;
         self.limit = self.limit.min(store.concurrent.max(1));
     }
 
-    /// Loads that this agent may have on their way.
+    /// Returns how many loads this agent may run at once.
     pub const fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Starts a load if it may start now.
+    /// Starts a load if the limits allow it now.
     pub fn try_start(&mut self, now: Instant) -> bool {
         if self.running >= self.limit || self.next_start.is_some_and(|at| now < at) {
             return false;
@@ -66,21 +62,21 @@
         true
     }
 
-    /// Whether no load may start until one has ended.
+    /// Returns whether no load may start until one has ended.
     pub const fn is_full(&self) -> bool {
         self.running >= self.limit
     }
 
-    /// When [`Gate::try_start`] is worth another try; `None` until a load has ended.
+    /// Returns when to call [`LoadLimiter::try_start`] again; `None` if a load has to end first.
     pub fn next_start(&self) -> Option<Instant> {
         (self.running < self.limit).then_some(self.next_start).flatten()
     }
 
-    /// A load that this gate let through has ended.
+    /// Records the end of a load that [`LoadLimiter::try_start`] allowed, and adapts the limit.
     pub fn ended(&mut self, took: Duration, expected: Duration, succeeded: bool) {
         self.running = self.running.saturating_sub(1);
-        let crowded = took > expected * CROWDED_PERCENT / 100;
-        self.limit = if crowded || !succeeded {
+        let congested = took > expected * CONGESTED_PERCENT / 100;
+        self.limit = if congested || !succeeded {
             (self.limit / 2).max(1)
         } else {
             (self.limit + 1).min(self.store.concurrent.max(1))
@@ -88,51 +84,50 @@
     }
 }
 
-/// An agent's wish to load something.
+/// An agent's request for permission to load weights.
 #[derives(data)]
 #[derive(Eq)]
-pub struct Ask {
-    /// Whose engine loads.
+pub struct LoadRequest {
+    /// The target whose engine loads.
     pub target: TargetId,
-    /// What.
+    /// The weights to load.
     pub weights: Weights,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When the first who waits must be answered.
+    /// Earliest deadline of the requests that wait for the weights.
     pub deadline: Instant,
-    /// Time it is expected to take.
+    /// Expected duration of the load.
     pub load_time: Duration,
 }
 
-type Load = (TargetId, Weights);
+type LoadKey = (TargetId, Weights);
 
 #[derives(name)]
 struct Rank {
-    less_urgent: u8,
-    due: u64,
+    urgency_rank: u8,
+    deadline_bucket: u64,
     load_time: Duration,
-    number: u64,
+    sequence: u64,
 }
 
-/// One queue of loads for the whole deployment.
+/// The queue of loads of the whole deployment.
 ///
-/// Made for a burst of first requests. All loads at once would share the store, and all would
-/// become ready together at the end; in turn, the first are ready after one load's time and only
-/// the last as late as before. Urgent ones go first, then those due soon, then the shortest.
+/// Grants no more loads at once than the store serves at full speed: urgent loads first, then
+/// those with the earliest deadlines, then the shortest.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     store: Store,
     epoch: Instant,
-    waiting: BTreeMap<Rank, Ask>,
-    ranks: BTreeMap<Load, Rank>,
-    running: BTreeMap<Load, Instant>,
-    expiries: BTreeSet<(Instant, Load)>,
+    waiting: BTreeMap<Rank, LoadRequest>,
+    ranks: BTreeMap<LoadKey, Rank>,
+    running: BTreeMap<LoadKey, Instant>,
+    expiries: BTreeSet<(Instant, LoadKey)>,
     next_start: Instant,
-    number: u64,
+    sequence: u64,
 }
 
 impl Coordinator {
-    /// An empty queue before this store.
+    /// Creates an empty queue for `store`.
     pub fn new(now: Instant, store: Store) -> Self {
         Self {
             store,
@@ -142,29 +137,29 @@
             running: BTreeMap::new(),
             expiries: BTreeSet::new(),
             next_start: now,
-            number: 0,
+            sequence: 0,
         }
     }
 
-    /// Takes an agent's wish; the same one twice counts once.
-    pub fn ask(&mut self, ask: Ask) {
-        let load = (ask.target.clone(), ask.weights.clone());
+    /// Enqueues a load; a load that is queued or running already is ignored.
+    pub fn request(&mut self, request: LoadRequest) {
+        let load = (request.target.clone(), request.weights.clone());
         if self.ranks.contains_key(&load) || self.running.contains_key(&load) {
             return;
         }
-        self.number += 1;
-        let due = ask.deadline.saturating_duration_since(self.epoch);
+        self.sequence += 1;
+        let until_deadline = request.deadline.saturating_duration_since(self.epoch);
         let rank = Rank {
-            less_urgent: u8::MAX - ask.urgency,
-            due: due.as_secs() / DEADLINE_STEP.as_secs(),
-            load_time: ask.load_time,
-            number: self.number,
+            urgency_rank: u8::MAX - request.urgency,
+            deadline_bucket: until_deadline.as_secs() / DEADLINE_BUCKET.as_secs(),
+            load_time: request.load_time,
+            sequence: self.sequence,
         };
         self.ranks.insert(load, rank.clone());
-        self.waiting.insert(rank, ask);
+        self.waiting.insert(rank, request);
     }
 
-    /// A load has ended, or is no longer wanted.
+    /// Removes a load that has ended or was cancelled.
     pub fn done(&mut self, target: &TargetId, weights: &Weights) {
         let load = (target.clone(), weights.clone());
         if let Some(rank) = self.ranks.remove(&load) {
@@ -175,34 +170,33 @@
         }
     }
 
-    /// An agent is gone, and its loads with it.
-    pub fn gone(&mut self, target: &TargetId) {
-        let of_target = |load: &&Load| load.0 == *target;
+    /// Removes all loads of a target whose agent has disappeared.
+    pub fn remove_target(&mut self, target: &TargetId) {
+        let of_target = |load: &&LoadKey| load.0 == *target;
         let loads = self.ranks.keys().chain(self.running.keys()).filter(of_target);
-        for (target, weights) in loads.cloned().collect::<Vec<Load>>() {
+        for (target, weights) in loads.cloned().collect::<Vec<LoadKey>>() {
             self.done(&target, &weights);
         }
     }
 
-    /// Loads that may start now.
-    pub fn step(&mut self, now: Instant) -> Vec<Ask> {
+    /// Grants and returns the loads that may start now.
+    pub fn grant_due_loads(&mut self, now: Instant) -> Vec<LoadRequest> {
         self.drop_expired(now);
         let mut granted = Vec::new();
         while (self.running.len() as u32) < self.store.concurrent.max(1) && now >= self.next_start {
-            let Some((_, ask)) = self.waiting.pop_first() else { break };
-            let load = (ask.target.clone(), ask.weights.clone());
+            let Some((_, request)) = self.waiting.pop_first() else { break };
+            let load = (request.target.clone(), request.weights.clone());
             self.ranks.remove(&load);
-            let expiry = now + ask.load_time * GRANT_EXPIRY;
+            let expiry = now + request.load_time * GRANT_EXPIRY_FACTOR;
             self.running.insert(load.clone(), expiry);
             self.expiries.insert((expiry, load));
             self.next_start = now + Duration::from_secs(1) / self.store.per_second.max(1);
-            granted.push(ask);
+            granted.push(request);
         }
         granted
     }
 
-    /// An agent that died in the middle of a load never says that it is done; its grant would
-    /// narrow the store for all others for ever.
+    /// Releases the grants of agents that died while loading.
     fn drop_expired(&mut self, now: Instant) {
         while self.expiries.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, load)) = self.expiries.pop_first() else { return };
@@ -210,11 +204,11 @@
         }
     }
 
-    /// When [`Coordinator::step`] is worth calling next.
+    /// Returns when to call [`Coordinator::grant_due_loads`] next.
     pub fn next_wake(&self) -> Option<Instant> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
-        let room = (self.running.len() as u32) < self.store.concurrent.max(1);
-        let start = (room && !self.waiting.is_empty()).then_some(self.next_start);
+        let has_capacity = (self.running.len() as u32) < self.store.concurrent.max(1);
+        let start = (has_capacity && !self.waiting.is_empty()).then_some(self.next_start);
         start.into_iter().chain(expiry).min()
     }
 }
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,6 +1,4 @@
-//! The queue alone.
-
-use super::{Length, Order, Queue, Waiting};
+use super::{Length, Queue, QueueDiscipline, QueuedRequest};
 use crate::work::RequestKey;
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
@@ -19,17 +17,17 @@
     ) -> RequestKey {
         let key = self.0.insert(());
         let length = Length::Short;
-        let waiting = Waiting { team: team.into(), length, urgency, deadline, missing: None };
+        let waiting = QueuedRequest { team: team.into(), length, urgency, deadline, missing: None };
         queue.push(key, 100, waiting);
         key
     }
 }
 
 #[rstest]
-fn within_a_team_urgent_goes_first_then_the_earlier_deadline() {
+fn within_a_team_urgency_precedes_deadline() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
-    let mut queue = Queue::new(3, Order::Fair);
+    let mut queue = Queue::new(3, QueueDiscipline::Fair);
     let late = keys.push(&mut queue, "crew", 1, now + Duration::from_secs(60));
     let soon = keys.push(&mut queue, "crew", 1, now + Duration::from_secs(10));
     let urgent = keys.push(&mut queue, "crew", 2, now + Duration::from_secs(90));
@@ -38,22 +36,21 @@
 }
 
 #[rstest]
-fn the_baseline_takes_them_as_they_came() {
+fn fifo_dequeues_in_order_of_arrival() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
-    let mut queue = Queue::new(2, Order::FirstCome);
+    let mut queue = Queue::new(2, QueueDiscipline::Fifo);
     let first = keys.push(&mut queue, "crew", 0, now + Duration::from_secs(90));
     let second = keys.push(&mut queue, "coach", 2, now + Duration::from_secs(10));
     assert_eq!([queue.pop(), queue.pop()], [Some(first), Some(second)]);
 }
 
-/// A wait is foretold for the place that a request would get, not for the end of the queue: an
-/// urgent one is not refused for the sake of work that it would overtake.
+/// Guards against refusing an urgent request because of queued requests that it would precede.
 #[rstest]
-fn the_wait_is_that_of_the_place_in_the_queue() {
+fn expected_wait_depends_on_the_queue_position() {
     let now = ManualClock::default().now();
     let mut keys = Keys(SlotMap::with_key());
-    let mut queue = Queue::new(2, Order::Fair);
+    let mut queue = Queue::new(2, QueueDiscipline::Fair);
     for _ in 0..22 {
         keys.push(&mut queue, "crew", 1, now + Duration::from_secs(600));
     }
@@ -61,8 +58,8 @@
     let wait = |urgency, seconds| {
         let deadline = now + Duration::from_secs(seconds);
         let (team, length) = ("coach".into(), Length::Short);
-        let asked = Waiting { team, length, urgency, deadline, missing: None };
-        queue.expected_wait(&asked, 100, Duration::from_secs(1))
+        let request = QueuedRequest { team, length, urgency, deadline, missing: None };
+        queue.expected_wait(&request, 100, Duration::from_secs(1))
     };
     assert!(wait(2, 600) <= Duration::from_secs(1));
     assert!(wait(1, 60) <= Duration::from_secs(1));
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -1,9 +1,7 @@
-//! Decisions at a router: which target a request goes to, and when to give up.
+//! Routing decisions: which target a request is sent to, and when it is refused.
 //!
-//! [`Router`] weighs for a few candidates what each would cost the request in time: waiting,
-//! slowness, a cold model, distance, a prompt not cached. `owners` are the targets that can
-//! serve a model, `health` tells the slow ones, `prefixes` where prompts are cached, and
-//! `budget` how often a request is tried again.
+//! [`Router`] compares a few candidates by the time that each would cost the request: queueing,
+//! slowness, a cold start, another zone, a prefix cache miss.
 
 mod budget;
 mod choose;
@@ -14,14 +12,14 @@
 mod tests;
 
 use crate::work::{Need, Refusal, RequestKey, Work};
-use budget::Budget;
+use budget::RetryBudget;
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::names::{AvailabilityZoneId, ModelId, ServiceId, TargetId};
 use health::Health;
 use owners::Owners;
 pub use prefixes::CacheEvent;
-use prefixes::Prefixes;
+use prefixes::PrefixIndex;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use slotmap::{SlotMap, new_key_type};
@@ -36,47 +34,47 @@
     pub struct TargetKey;
 }
 
-/// What a router knows of a target.
+/// A router's state of one target.
 #[derives(data)]
 pub struct Target {
-    /// Its name.
+    /// The target's name.
     pub name: TargetId,
-    /// Its availability zone.
-    pub place: AvailabilityZoneId,
-    /// Whether there is a live connection to its agent.
+    /// The target's availability zone.
+    pub zone: AvailabilityZoneId,
+    /// Whether the connection to its agent is up.
     pub connected: bool,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub draining: bool,
-    /// Requests this router has there.
+    /// Requests that this router has sent and that haven't ended.
     pub outstanding: u32,
-    /// Its load when it last told.
+    /// The last reported load.
     pub load: Load,
-    told: Option<Instant>,
-    sent_since_told: u32,
+    load_reported_at: Option<Instant>,
+    sent_since_report: u32,
     health: Health,
 }
 
 impl Target {
-    /// Whether it gets a trickle only, as it makes slow progress.
-    pub const fn is_out(&self) -> bool {
-        self.health.is_out()
+    /// Returns whether it is ejected for slow progress and gets probe requests only.
+    pub const fn is_ejected(&self) -> bool {
+        self.health.is_ejected()
     }
 
-    fn note_load(&mut self, now: Instant, load: Load) {
+    fn record_load(&mut self, now: Instant, load: Load) {
         self.load = load;
-        self.told = Some(now);
-        self.sent_since_told = 0;
+        self.load_reported_at = Some(now);
+        self.sent_since_report = 0;
     }
 }
 
-/// How a target is chosen.
+/// How a target is selected.
 #[derives(key)]
 #[derive(Default)]
-pub enum Placement {
-    /// By what it would cost the request.
+pub enum BalancingPolicy {
+    /// The candidate with the lowest estimated cost.
     #[default]
-    Weighed,
-    /// Any that is connected: the baseline of the measurements.
+    LeastCost,
+    /// Any usable target, at random: the baseline of the benchmarks.
     Random,
 }
 
@@ -86,105 +84,104 @@
 pub enum Decision {
     /// Send it to a target.
     Send(TargetKey),
-    /// Answer that it is not run.
+    /// Refuse it.
     Refuse(Refusal),
 }
 
 #[derives(data)]
-struct Held {
+struct PendingRequest {
     work: Work,
     target: Option<TargetKey>,
-    tried: Vec<TargetKey>,
+    attempted: Vec<TargetKey>,
 }
 
-/// Targets a request may be tried at before it is refused: each try costs a round trip, and in
-/// an overload further tries only spread it.
-pub const MAX_TRIES: usize = 3;
-/// When to come back if no target serves what was asked for.
-const RETRY_NO_TARGET: Duration = Duration::from_secs(1);
+/// Targets that a request is sent to before it is refused. More attempts would amplify an overload.
+pub const MAX_ATTEMPTS: usize = 3;
+/// Retry delay returned if no target serves the model or service.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The state of a router's decisions.
+/// Selects targets for requests, and tracks what the selection depends on.
 #[derive(Clone, Debug)]
 pub struct Router {
-    place: AvailabilityZoneId,
+    zone: AvailabilityZoneId,
     targets: SlotMap<TargetKey, Target>,
     by_name: BTreeMap<TargetId, TargetKey>,
-    placement: Placement,
+    policy: BalancingPolicy,
     by_model: HashMap<ModelId, Owners>,
     by_service: HashMap<ServiceId, Owners>,
-    prefixes: Prefixes,
-    budget: Budget,
-    out: BTreeSet<TargetKey>,
-    requests: SlotMap<RequestKey, Held>,
+    prefixes: PrefixIndex,
+    retry_budget: RetryBudget,
+    ejected: BTreeSet<TargetKey>,
+    requests: SlotMap<RequestKey, PendingRequest>,
     rng: ChaCha8Rng,
 }
 
 impl Router {
-    /// A router in `place`; `seed` fixes its random choices.
-    pub fn new(place: AvailabilityZoneId, seed: u64) -> Self {
-        Self::with_placement(place, seed, Placement::default())
+    /// Creates a router in `zone`; `seed` makes its random choices reproducible.
+    pub fn new(zone: AvailabilityZoneId, seed: u64) -> Self {
+        Self::with_policy(zone, seed, BalancingPolicy::default())
     }
 
-    /// A router that chooses in one of the ways compared in the measurements.
-    pub fn with_placement(place: AvailabilityZoneId, seed: u64, placement: Placement) -> Self {
+    /// Creates a router with a balancing policy.
+    pub fn with_policy(zone: AvailabilityZoneId, seed: u64, policy: BalancingPolicy) -> Self {
         Self {
-            place,
-            placement,
+            zone,
+            policy,
             targets: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             by_model: HashMap::new(),
             by_service: HashMap::new(),
-            prefixes: Prefixes::default(),
-            budget: Budget::default(),
-            out: BTreeSet::new(),
+            prefixes: PrefixIndex::default(),
+            retry_budget: RetryBudget::default(),
+            ejected: BTreeSet::new(),
             requests: SlotMap::with_key(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Notes a target; one that is known keeps its counts.
-    pub fn add_target(&mut self, name: &TargetId, place: &AvailabilityZoneId) -> TargetKey {
+    /// Adds a target; a known target keeps its state.
+    pub fn add_target(&mut self, name: &TargetId, zone: &AvailabilityZoneId) -> TargetKey {
         if let Some(key) = self.by_name.get(name) {
             return *key;
         }
         let load = Load { running: 0, queued: 0, wait_ms: 0 };
         let key = self.targets.insert(Target {
             name: name.clone(),
-            place: place.clone(),
+            zone: zone.clone(),
             connected: false,
             draining: false,
             outstanding: 0,
             load,
-            told: None,
-            sent_since_told: 0,
+            load_reported_at: None,
+            sent_since_report: 0,
             health: Health::default(),
         });
         self.by_name.insert(name.clone(), key);
         key
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn remove_target(&mut self, name: &TargetId) {
         if let Some(key) = self.by_name.remove(name) {
-            self.prefixes.forget(key);
+            self.prefixes.invalidate_target(key);
             self.targets.remove(key);
-            self.out.remove(&key);
+            self.ejected.remove(&key);
         }
     }
 
-    /// Sets which targets own slots of each model.
+    /// Sets the targets that own replica slots of each model.
     pub fn set_owners(&mut self, owners: BTreeMap<ModelId, Vec<TargetKey>>) {
         let known = std::mem::take(&mut self.by_model);
-        self.by_model = self.rings(known, owners);
+        self.by_model = self.build_rings(known, owners);
     }
 
-    /// Sets which targets offer each service.
+    /// Sets the targets that offer each service.
     pub fn set_services(&mut self, services: BTreeMap<ServiceId, Vec<TargetKey>>) {
         let known = std::mem::take(&mut self.by_service);
-        self.by_service = self.rings(known, services);
+        self.by_service = self.build_rings(known, services);
     }
 
-    fn rings<K: Ord + Hash>(
+    fn build_rings<K: Ord + Hash>(
         &self,
         mut known: HashMap<K, Owners>,
         wanted: BTreeMap<K, Vec<TargetKey>>,
@@ -195,59 +192,61 @@
         };
         let ring = |(name, keys): (K, Vec<TargetKey>)| {
             let mut owners = known.remove(&name).unwrap_or_default();
-            owners.set(keys.into_iter().map(hash).collect());
+            owners.set_targets(keys.into_iter().map(hash).collect());
             (name, owners)
         };
         wanted.into_iter().map(ring).collect()
     }
 
-    /// A target by name.
+    /// Returns the key of a target.
     pub fn target(&self, name: &TargetId) -> Option<TargetKey> {
         self.by_name.get(name).copied()
     }
 
-    /// What is known of a target.
+    /// Returns the state of a target.
     pub fn target_state(&self, key: TargetKey) -> Option<&Target> {
         self.targets.get(key)
     }
 
-    /// All targets.
+    /// Iterates over all targets.
     pub fn targets(&self) -> impl Iterator<Item = &Target> {
         self.targets.values()
     }
 
-    /// Notes whether there is a connection.
+    /// Sets whether the connection to a target's agent is up.
     pub fn set_connected(&mut self, key: TargetKey, connected: bool) {
         if let Some(target) = self.targets.get_mut(key) {
             target.connected = connected;
         }
     }
 
-    /// Notes whether it takes new work.
+    /// Sets whether a target is draining.
     pub fn set_draining(&mut self, key: TargetKey, draining: bool) {
         if let Some(target) = self.targets.get_mut(key) {
             target.draining = draining;
         }
     }
 
-    /// Whether a request may be sent to a second target after the first may have begun it.
+    /// Returns whether a request may be sent again after a target may have begun it.
     pub fn is_repeatable(&self, key: RequestKey) -> bool {
-        self.requests.get(key).is_some_and(|held| held.work.repeatable)
+        self.requests.get(key).is_some_and(|request| request.work.repeatable)
     }
 
-    /// Requests held.
-    pub fn held(&self) -> usize {
+    /// Returns the number of requests that haven't ended.
+    pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes a request and chooses its target, or refuses it.
+    /// Accepts a request and sends it to a target, or refuses it.
     pub fn submit(&mut self, now: Instant, work: Work) -> (RequestKey, Decision) {
-        self.budget.earn();
-        let key = self.requests.insert(Held { work, target: None, tried: Vec::new() });
+        self.retry_budget.deposit();
+        let key =
+            self.requests.insert(PendingRequest { work, target: None, attempted: Vec::new() });
         (key, self.choose(now, key, None))
     }
 
-    /// A target refused a request: another may take it, within the budget of tries.
+    /// Retries a refused request at another target, unless the refusal is final or the retry budget
+    /// is used up.
     pub fn refused(
         &mut self,
         now: Instant,
@@ -255,8 +254,8 @@
         refusal: Refusal,
         load: Load,
     ) -> Decision {
-        let target = self.leave_target(now, key, Some(load));
-        let hopeless = matches!(
+        let target = self.release_target(now, key, Some(load));
+        let is_final = matches!(
             refusal.reason,
             RefusalReason::BadRequest | RefusalReason::KeyConflict | RefusalReason::LogDown
         );
@@ -264,70 +263,75 @@
             && let Some(target) = target
             && let Some(owners) = self.owners_of(key)
         {
-            owners.note_cold(target);
+            owners.mark_cold(target);
         }
-        if hopeless || !self.budget.spend() {
+        if is_final || !self.retry_budget.try_withdraw() {
             self.requests.remove(key);
             return Decision::Refuse(refusal);
         }
         self.choose(now, key, Some(refusal))
     }
 
-    /// The connection to a request's target broke before anything of the answer came. `None` if
-    /// it may have run and may not be repeated: then its caller must be told so.
-    pub fn lost(&mut self, now: Instant, key: RequestKey, refusal: Refusal) -> Option<Decision> {
+    /// Handles the loss of the connection to a request's target. Returns `None` if the request may
+    /// have run and isn't repeatable, which the caller has to be told.
+    pub fn connection_lost(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        refusal: Refusal,
+    ) -> Option<Decision> {
         let repeatable = self.is_repeatable(key);
-        if let Some(target) = self.leave_target(now, key, None) {
-            self.observe_health(target, |health, may_put_out| health.lost(now, may_put_out));
+        if let Some(target) = self.release_target(now, key, None) {
+            self.observe_health(target, |health, may_eject| health.observe_loss(now, may_eject));
         }
         if !repeatable {
             self.requests.remove(key);
             return None;
         }
-        if !self.budget.spend() {
+        if !self.retry_budget.try_withdraw() {
             self.requests.remove(key);
             return Some(Decision::Refuse(refusal));
         }
         Some(self.choose(now, key, Some(refusal)))
     }
 
-    /// Parts of an answer came in this time, between the first and the last.
+    /// Records that `parts` of a response took `took`, for the target's health.
     ///
-    /// Made for one slow target among many. It gets less as its answers become slower, and a
-    /// trickle beyond a limit, so that its recovery is seen. The length of the answer does not
-    /// count: a target with long chats is not slow.
+    /// Uses the time for each part, so that long responses don't make a target look slow.
     pub fn progressed(&mut self, now: Instant, key: RequestKey, parts: u64, took: Duration) {
-        let each = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
-        let Some(ratio) = self.owners_of(key).map(|owners| owners.usual.observe(each)) else {
+        let time_per_part = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
+        let Some(ratio) = self.owners_of(key).map(|owners| owners.baseline.observe(time_per_part))
+        else {
             return;
         };
-        if let Some(target) = self.requests.get(key).and_then(|held| held.target) {
-            self.observe_health(target, |health, may_put_out| {
-                health.observe(now, ratio, may_put_out);
+        if let Some(target) = self.requests.get(key).and_then(|request| request.target) {
+            self.observe_health(target, |health, may_eject| {
+                health.observe(now, ratio, may_eject);
             });
         }
     }
 
-    /// A target said what is in its prefix cache.
-    pub fn cache_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
-        self.prefixes.take(now, target, event);
+    /// Applies an event of a target's prefix cache.
+    pub fn apply_cache_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
+        self.prefixes.apply_event(now, target, event);
     }
 
-    /// A target told how busy it is.
-    pub fn note_load(&mut self, now: Instant, target: TargetKey, load: Load) {
+    /// Records the load that a target has reported.
+    pub fn record_load(&mut self, now: Instant, target: TargetKey, load: Load) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.note_load(now, load);
+            target.record_load(now, load);
         }
     }
 
     fn observe_health(&mut self, target: TargetKey, observe: impl FnOnce(&mut Health, bool)) {
-        let may_put_out = (self.out.len() + 1) * health::MOST_OUT_DIVISOR <= self.targets.len();
+        let may_eject =
+            (self.ejected.len() + 1) * health::MAX_EJECTED_DIVISOR <= self.targets.len();
         let Some(state) = self.targets.get_mut(target) else { return };
-        observe(&mut state.health, may_put_out);
-        if state.is_out() {
-            self.out.insert(target);
+        observe(&mut state.health, may_eject);
+        if state.is_ejected() {
+            self.ejected.insert(target);
         } else {
-            self.out.remove(&target);
+            self.ejected.remove(&target);
         }
     }
 
@@ -338,29 +342,29 @@
         }
     }
 
-    /// A request is over.
+    /// Removes a request that has ended; `load` is present if its target completed the response.
     pub fn finished(&mut self, now: Instant, key: RequestKey, load: Option<Load>) {
         let answered = load.is_some();
-        let target = self.leave_target(now, key, load);
+        let target = self.release_target(now, key, load);
         if let Some(target) = target.filter(|_| answered)
             && let Some(owners) = self.owners_of(key)
         {
-            owners.note_served(now, target);
+            owners.mark_served(now, target);
         }
         self.requests.remove(key);
     }
 
-    fn leave_target(
+    fn release_target(
         &mut self,
         now: Instant,
         key: RequestKey,
         load: Option<Load>,
     ) -> Option<TargetKey> {
-        let key = self.requests.get_mut(key).and_then(|held| held.target.take())?;
+        let key = self.requests.get_mut(key).and_then(|request| request.target.take())?;
         let target = self.targets.get_mut(key)?;
         target.outstanding = target.outstanding.saturating_sub(1);
         if let Some(load) = load {
-            target.note_load(now, load);
+            target.record_load(now, load);
         }
         Some(key)
     }
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -99,7 +99,7 @@
         let mut keys = Vec::new();
         let mut routers = Vec::new();
         for (seed, place) in header.routers.iter().enumerate() {
-            let mut router = Router::with_placement(place.clone(), seed as u64, way.placement);
+            let mut router = Router::with_policy(place.clone(), seed as u64, way.placement);
             let add = |line: &crate::trace::EngineLine| router.add_target(&line.name, &line.place);
             keys = header.engines.iter().map(add).collect();
             keys.iter().for_each(|key| router.set_connected(*key, true));
@@ -315,7 +315,7 @@
             Action::AskLoad(mut ask) => {
                 ask.target = self.engines[engine].line.name.clone();
                 if let Some(coordinator) = &mut self.coordinator {
-                    coordinator.ask(ask);
+                    coordinator.request(ask);
                 }
                 self.plan_coordinate(now);
             }
@@ -425,7 +425,7 @@
         self.coordinate_at = None;
         let now = self.now();
         let Some(coordinator) = &mut self.coordinator else { return };
-        let granted = coordinator.step(now);
+        let granted = coordinator.grant_due_loads(now);
         let next = coordinator.next_wake();
         for ask in granted {
             let engine = self.engine(&ask.target);
--- a/crates/corianderstand_replay/src/ways.rs
+++ b/crates/corianderstand_replay/src/ways.rs
@@ -2,8 +2,8 @@
 
 use corianderstand_decide::{
     agent::{Eviction, Keep, Policy},
-    queue::Order,
-    router::Placement,
+    queue::QueueDiscipline,
+    router::BalancingPolicy,
 };
 use corianderstand_derives::derives;
 use smol_str::SmolStr;
@@ -20,7 +20,7 @@
     /// How agents decide.
     pub policy: Policy,
     /// How routers choose.
-    pub placement: Placement,
+    pub placement: BalancingPolicy,
     /// Whether one process paces loads for all.
     pub coordinated: bool,
     /// Weights of the two measures, in place of those of the trace.
@@ -33,7 +33,7 @@
         Self {
             name: "ours".into(),
             policy: Policy::default(),
-            placement: Placement::Weighed,
+            placement: BalancingPolicy::LeastCost,
             coordinated: true,
             weighing: None,
         }
@@ -58,13 +58,13 @@
 
     /// Ours, but requests run as they came and nothing is refused for its deadline.
     pub fn first_come() -> Self {
-        let policy = Policy { order: Order::FirstCome, ..Policy::default() };
+        let policy = Policy { order: QueueDiscipline::Fifo, ..Policy::default() };
         Self { name: "fcfs".into(), policy, ..Self::ours() }
     }
 
     /// Ours, but any target is taken.
     pub fn random() -> Self {
-        Self { name: "random".into(), placement: Placement::Random, ..Self::ours() }
+        Self { name: "random".into(), placement: BalancingPolicy::Random, ..Self::ours() }
     }
 
     /// Ours with these weights in place of the trace's.
