--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -11,39 +11,39 @@
 use std::time::{Duration, Instant};
 
 /// Expected run of short work before any was seen.
-const FIRST_SHORT_RUN: Duration = Duration::from_millis(100);
+const INITIAL_SHORT_RUN_TIME: Duration = Duration::from_millis(100);
 /// Expected run of long work before any was seen.
-const FIRST_LONG_RUN: Duration = Duration::from_secs(2);
+const INITIAL_LONG_RUN_TIME: Duration = Duration::from_secs(2);
 /// Part of the difference that each run moves the expectation by: one in this many.
-const RUN_SMOOTHING: u32 = 8;
+const RUN_TIME_SMOOTHING_DIVISOR: u32 = 8;
 /// Longest time to come back that a refusal names. Booked further ahead, callers would stay away
 /// long after a burst is over.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Callers refused for a load come back within this part of its time after it: together they
 /// would fill the queue in one instant, much later they would find the model idle for long.
-const COLD_SPREAD_DIVISOR: u32 = 8;
+const COLD_START_JITTER_DIVISOR: u32 = 8;
 /// Odd factor of the multiplicative spread of those who find no place before
 /// [`MAX_RETRY_AFTER`]; consecutive multiples of it modulo 2^64 lie far apart.
-const SPREAD_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
+const JITTER_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// Expected length of a run.
 #[derives(data)]
 #[derive(Copy)]
-pub struct MeanRun {
+pub struct RunTimeEstimate {
     mean: Duration,
     deviation: Duration,
 }
 
-impl MeanRun {
+impl RunTimeEstimate {
     /// Expectations for short and long work.
-    pub const fn both() -> [Self; 2] {
+    pub const fn initial() -> [Self; 2] {
         let deviation = Duration::ZERO;
-        let short = Self { mean: FIRST_SHORT_RUN, deviation };
-        [short, Self { mean: FIRST_LONG_RUN, deviation }]
+        let short = Self { mean: INITIAL_SHORT_RUN_TIME, deviation };
+        [short, Self { mean: INITIAL_LONG_RUN_TIME, deviation }]
     }
 
     /// A length that a run has at the least, as far as can be expected.
-    pub const fn least(self) -> Duration {
+    pub const fn lower_bound(self) -> Duration {
         self.mean.saturating_sub(self.deviation)
     }
 
@@ -53,10 +53,12 @@
     }
 
     /// Folds the length of a run into it.
-    pub fn observe(&mut self, took: Duration) {
-        let off = took.abs_diff(self.mean);
-        self.deviation = (self.deviation * (RUN_SMOOTHING - 1) + off) / RUN_SMOOTHING;
-        self.mean = (self.mean * (RUN_SMOOTHING - 1) + took) / RUN_SMOOTHING;
+    pub fn observe(&mut self, run_time: Duration) {
+        let error = run_time.abs_diff(self.mean);
+        self.deviation = (self.deviation * (RUN_TIME_SMOOTHING_DIVISOR - 1) + error)
+            / RUN_TIME_SMOOTHING_DIVISOR;
+        self.mean =
+            (self.mean * (RUN_TIME_SMOOTHING_DIVISOR - 1) + run_time) / RUN_TIME_SMOOTHING_DIVISOR;
     }
 }
 
@@ -67,14 +69,14 @@
 /// off requests, so that whoever comes back finds room.
 #[derives(data)]
 #[derive(Default)]
-pub struct Returns {
+pub struct RetrySchedule {
     next: Option<Instant>,
-    beyond: u64,
+    jitter_state: u64,
 }
 
-impl Returns {
+impl RetrySchedule {
     /// Books a time no sooner than `base` from now, and `spacing` after the one before.
-    pub fn book(&mut self, now: Instant, base: Duration, spacing: Duration) -> Duration {
+    pub fn schedule(&mut self, now: Instant, base: Duration, spacing: Duration) -> Duration {
         let base = base.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
         let at = self.next.map_or(now + base, |next| next.max(now + base));
         let after = at.saturating_duration_since(now);
@@ -83,13 +85,13 @@
             return after;
         }
         // No place is left before the limit: spread over its second half.
-        MAX_RETRY_AFTER / 2 + self.spread(MAX_RETRY_AFTER / 2)
+        MAX_RETRY_AFTER / 2 + self.jitter(MAX_RETRY_AFTER / 2)
     }
 
     /// A time below `width`, far from those given before.
-    pub fn spread(&mut self, width: Duration) -> Duration {
-        self.beyond = self.beyond.wrapping_add(SPREAD_FACTOR);
-        width.mul_f64(self.beyond as f64 / u64::MAX as f64)
+    pub fn jitter(&mut self, width: Duration) -> Duration {
+        self.jitter_state = self.jitter_state.wrapping_add(JITTER_MULTIPLIER);
+        width.mul_f64(self.jitter_state as f64 / u64::MAX as f64)
     }
 }
 
@@ -102,7 +104,7 @@
         now: Instant,
         work: &Work,
         waiting: &Waiting,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> Option<Refusal> {
         if self.draining {
             return Some(Refusal { reason: RefusalReason::Draining, retry_after: MIN_RETRY_AFTER });
@@ -116,33 +118,33 @@
             });
         }
         let length = work.shape.length;
-        let share = sizes.share(&work.team);
-        let mean = self.runs[length as usize].mean();
+        let share = config.share(&work.team);
+        let mean = self.run_times[length as usize].mean();
         let wait = self.queue.expected_wait(waiting, share, mean);
-        if self.is_full_for(&work.team, share, sizes.total_shares()) {
-            let retry_after = self.book_return(now, wait, length);
+        if self.is_queue_full_for(&work.team, share, config.total_shares()) {
+            let retry_after = self.schedule_retry(now, wait, length);
             return Some(Refusal { reason: RefusalReason::QueueFull, retry_after });
         }
         if self.policy.order == Order::FirstCome {
             return None;
         }
-        let load = self.expected_load(now, work, sizes);
+        let load = self.expected_load_wait(now, work, config);
         let excess = (now + wait.max(load) + mean).checked_duration_since(work.deadline)?;
         if excess.is_zero() {
             return None;
         }
         let retry_after = if load > wait {
             // It comes back to a model that is loaded: the load is ordered all the same.
-            load.max(MIN_RETRY_AFTER) + self.returns.spread(load / COLD_SPREAD_DIVISOR)
+            load.max(MIN_RETRY_AFTER) + self.retry_schedule.jitter(load / COLD_START_JITTER_DIVISOR)
         } else {
-            self.book_return(now, excess, length)
+            self.schedule_retry(now, excess, length)
         };
         Some(Refusal { reason: RefusalReason::Deadline, retry_after })
     }
 
     /// Made for one team's flood: it may fill the queue, but a team that has less waiting than
     /// its share of the queue still gets in. The queue grows to twice its limit at most.
-    fn is_full_for(&self, team: &WorkspaceId, share: u32, total_shares: u32) -> bool {
+    fn is_queue_full_for(&self, team: &WorkspaceId, share: u32, total_shares: u32) -> bool {
         if self.queue.len() < self.limits.queue as usize {
             return false;
         }
@@ -151,27 +153,32 @@
     }
 
     /// Time until all that a request needs is loaded.
-    fn expected_load(&self, now: Instant, work: &Work, sizes: &dyn Sizes) -> Duration {
-        let left = |weights| {
+    fn expected_load_wait(&self, now: Instant, work: &Work, config: &dyn Sizes) -> Duration {
+        let remaining = |weights| {
             if self.is_usable(weights) {
                 return Duration::ZERO;
             }
-            self.loads.left(now, weights, sizes.load_time(weights))
+            self.loads.remaining(now, weights, config.load_time(weights))
         };
-        work.weights().map(left).sum()
+        work.weights().map(remaining).sum()
     }
 
-    pub(super) fn book_return(&mut self, now: Instant, base: Duration, length: Length) -> Duration {
-        let spacing = self.runs[length as usize].mean() / self.limits.concurrency.max(1);
-        self.returns.book(now, base, spacing)
+    pub(super) fn schedule_retry(
+        &mut self,
+        now: Instant,
+        base: Duration,
+        length: Length,
+    ) -> Duration {
+        let spacing = self.run_times[length as usize].mean() / self.limits.concurrency.max(1);
+        self.retry_schedule.schedule(now, base, spacing)
     }
 
     /// Time that a short request of ordinary urgency would wait, as told to routers.
-    pub(super) fn typical_wait(&self) -> Duration {
+    pub(super) fn typical_queue_wait(&self) -> Duration {
         if self.queue.running() < self.limits.concurrency {
             return Duration::ZERO;
         }
-        let mean = self.runs[Length::Short as usize].mean();
+        let mean = self.run_times[Length::Short as usize].mean();
         mean * (self.queue.len() as u32 + 1) / self.limits.concurrency.max(1)
     }
 }
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -9,7 +9,7 @@
 };
 
 /// Look-ahead over which the worth of keeping a model is judged.
-const WORTH_HORIZON: Duration = Duration::from_secs(30 * 60);
+const UTILITY_HORIZON: Duration = Duration::from_secs(30 * 60);
 
 impl Agent {
     /// Unloads what is least worth keeping of what nobody uses, until enough will be free;
@@ -22,56 +22,63 @@
         &mut self,
         now: Instant,
         missing: Mib,
-        keep: &Weights,
-        sizes: &dyn Sizes,
+        loading: &Weights,
+        config: &dyn Sizes,
         actions: &mut Vec<Action>,
     ) -> bool {
         let unloading = self.ledger.entries().filter(|(_, entry)| entry.stage == Stage::Unloading);
-        let mut coming: u64 = unloading.map(|(_, entry)| entry.memory.0).sum();
-        coming += self.keep.leaving(&self.ledger);
-        if coming >= missing.0 {
+        let mut reclaimable_mib: u64 = unloading.map(|(_, entry)| entry.memory.0).sum();
+        reclaimable_mib += self.keep_alive.unloading_mib(&self.ledger);
+        if reclaimable_mib >= missing.0 {
             return true;
         }
-        for (_, weights, memory) in self.victims(now, keep, sizes) {
-            if coming >= missing.0 {
+        for (_, weights, memory) in self.victims(now, loading, config) {
+            if reclaimable_mib >= missing.0 {
                 break;
             }
-            coming += memory;
-            self.leave(&weights, actions);
+            reclaimable_mib += memory;
+            self.begin_unload(&weights, actions);
         }
-        coming >= missing.0
+        reclaimable_mib >= missing.0
     }
 
     /// Models and single adapters that may be unloaded, the least worth first, each with the
     /// memory that comes free.
-    fn victims(&self, now: Instant, keep: &Weights, sizes: &dyn Sizes) -> Vec<(u64, Weights, u64)> {
+    fn victims(
+        &self,
+        now: Instant,
+        loading: &Weights,
+        config: &dyn Sizes,
+    ) -> Vec<(u64, Weights, u64)> {
         let idle = self.ledger.entries().filter(|(weights, entry)| {
-            let needed = weights.model == keep.model && weights.adapter.is_none();
+            let needed = weights.model == loading.model && weights.adapter.is_none();
             let free = entry.users == 0 && !self.loads.is_awaited(weights);
-            entry.stage == Stage::Ready && free && !needed && !self.keep.is_leaving(weights)
+            entry.stage == Stage::Ready && free && !needed && !self.keep_alive.is_unloading(weights)
         });
-        let whole =
+        let no_group_in_use =
             |weights: &&Weights| weights.adapter.is_some() || !self.is_in_use(&weights.model);
-        let idle = idle.filter(|(weights, _)| whole(weights));
+        let idle = idle.filter(|(weights, _)| no_group_in_use(weights));
         let mut victims: Vec<(u64, Weights, u64)> = idle
             .map(|(weights, entry)| {
                 let memory = match weights.adapter {
                     Some(_) => entry.memory.0,
-                    None => self.group_memory(weights),
+                    None => self.group_memory_mib(weights),
                 };
-                let worth = match self.policy.eviction {
-                    Eviction::LeastRecent => self.keep.last_used(entry.last_used),
-                    Eviction::LeastWorth => self.worth(now, weights, memory, sizes),
+                let utility = match self.policy.eviction {
+                    Eviction::LeastRecent => self.keep_alive.last_used_ms(entry.last_used),
+                    Eviction::LeastWorth => self.utility(now, weights, memory, config),
                 };
-                (worth, weights.clone(), memory)
+                (utility, weights.clone(), memory)
             })
             .collect();
         // Of equal worth the larger goes first, as fewer models are lost.
-        victims.sort_by_key(|(worth, weights, memory)| (*worth, Reverse(*memory), weights.clone()));
+        victims.sort_by_key(|(utility, weights, memory)| {
+            (*utility, Reverse(*memory), weights.clone())
+        });
         victims
     }
 
-    fn group_memory(&self, base: &Weights) -> u64 {
+    fn group_memory_mib(&self, base: &Weights) -> u64 {
         let of_model = self
             .ledger
             .entries()
@@ -80,10 +87,10 @@
     }
 
     /// Expected waiting, weighed by its teams, that keeping it spares for each GiB.
-    fn worth(&self, now: Instant, weights: &Weights, memory: u64, sizes: &dyn Sizes) -> u64 {
-        let weighing = sizes.weighing(&weights.model);
-        let probability = self.keep.probability(now, weights, WORTH_HORIZON);
-        let load_ms = sizes.load_time(weights).as_millis() as f64;
+    fn utility(&self, now: Instant, weights: &Weights, memory: u64, config: &dyn Sizes) -> u64 {
+        let weighing = config.weighing(&weights.model);
+        let probability = self.keep_alive.probability(now, weights, UTILITY_HORIZON);
+        let load_ms = config.load_time(weights).as_millis() as f64;
         (probability * load_ms * f64::from(weighing.tail.max(1)) * 1024.0 / memory.max(1) as f64)
             as u64
     }
--- a/crates/corianderstand_decide/src/agent/keep.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -1,6 +1,6 @@
 //! How long a model that nobody calls stays loaded, and starting ahead of a burst.
 
-use super::{Action, Agent, Keep, loads::Wanted};
+use super::{Action, Agent, Keep, loads::LoadDemand};
 use crate::{
     history::{self, Histories, Window},
     ledger::{Ledger, Stage},
@@ -13,42 +13,42 @@
 };
 
 /// Time between two looks at which models are due soon.
-const PLAN_INTERVAL: Duration = Duration::from_secs(15);
+const PREWARM_SCAN_INTERVAL: Duration = Duration::from_secs(15);
 /// Load times by which a model is started ahead of when it is due, as others start with it.
-const LEAD_LOADS: u32 = 3;
+const PREWARM_LEAD_LOADS: u32 = 3;
 
 /// What this agent knows of the calls of its models, and what it keeps until when.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Keeping {
+pub(super) struct KeepAliveState {
     histories: Histories,
-    origin: Option<(Instant, u64)>,
+    wall_origin: Option<(Instant, u64)>,
     expiries: BTreeSet<(Instant, Weights)>,
-    expiry_of: BTreeMap<Weights, Instant>,
-    leaving: BTreeSet<Weights>,
-    next_plan: Option<Instant>,
-    look_at_all: bool,
-    windows: BTreeMap<Weights, Known>,
+    expiry_by_weights: BTreeMap<Weights, Instant>,
+    unloading: BTreeSet<Weights>,
+    next_prewarm_scan: Option<Instant>,
+    rescan: bool,
+    windows: BTreeMap<Weights, CachedWindow>,
 }
 
 /// A window that was worked out, and until when that holds: until the model is called again or
 /// the window is over.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct CachedWindow {
     window: Option<Window>,
     until: u64,
 }
 
 /// Without a window, it is looked for again after this time, in seconds.
-const NO_WINDOW_FOR: u64 = 3600;
+const NO_WINDOW_TTL_S: u64 = 3600;
 
-impl Keeping {
+impl KeepAliveState {
     pub fn set_wall(&mut self, now: Instant, wall: u64) {
-        self.origin = Some((now, wall));
-        self.next_plan.get_or_insert(now);
+        self.wall_origin = Some((now, wall));
+        self.next_prewarm_scan.get_or_insert(now);
     }
 
-    pub const fn look_at_all(&mut self) {
-        self.look_at_all = true;
+    pub const fn request_rescan(&mut self) {
+        self.rescan = true;
     }
 
     pub const fn histories(&self) -> &Histories {
@@ -60,26 +60,26 @@
     }
 
     fn wall(&self, now: Instant) -> u64 {
-        self.origin.map_or(0, |(at, wall)| wall + now.saturating_duration_since(at).as_secs())
+        self.wall_origin.map_or(0, |(at, wall)| wall + now.saturating_duration_since(at).as_secs())
     }
 
     pub fn called(&mut self, now: Instant, weights: &Weights) {
-        self.origin.get_or_insert((now, 0));
+        self.wall_origin.get_or_insert((now, 0));
         let wall = self.wall(now);
         self.histories.called(weights, wall);
         self.windows.remove(weights);
-        self.forget(weights);
+        self.cancel_expiry(weights);
     }
 
-    fn forget(&mut self, weights: &Weights) {
-        if let Some(at) = self.expiry_of.remove(weights) {
+    fn cancel_expiry(&mut self, weights: &Weights) {
+        if let Some(at) = self.expiry_by_weights.remove(weights) {
             self.expiries.remove(&(at, weights.clone()));
         }
     }
 
-    fn keep_until(&mut self, weights: &Weights, at: Instant) {
-        self.forget(weights);
-        self.expiry_of.insert(weights.clone(), at);
+    fn set_expiry(&mut self, weights: &Weights, at: Instant) {
+        self.cancel_expiry(weights);
+        self.expiry_by_weights.insert(weights.clone(), at);
         self.expiries.insert((at, weights.clone()));
     }
 
@@ -90,34 +90,36 @@
     }
 
     /// Milliseconds from the beginning to the last use, for the baseline.
-    pub fn last_used(&self, last_used: Option<Instant>) -> u64 {
-        let origin = self.origin.map(|(at, _)| at);
-        let since = last_used.zip(origin).map(|(at, origin)| at.saturating_duration_since(origin));
+    pub fn last_used_ms(&self, last_used: Option<Instant>) -> u64 {
+        let wall_origin = self.wall_origin.map(|(at, _)| at);
+        let since = last_used
+            .zip(wall_origin)
+            .map(|(at, wall_origin)| at.saturating_duration_since(wall_origin));
         since.map_or(0, |since| since.as_millis() as u64)
     }
 
-    pub fn is_leaving(&self, weights: &Weights) -> bool {
-        self.leaving.contains(weights)
+    pub fn is_unloading(&self, weights: &Weights) -> bool {
+        self.unloading.contains(weights)
     }
 
     /// Memory of models that wait for their adapters to be unloaded.
-    pub fn leaving(&self, ledger: &Ledger) -> u64 {
+    pub fn unloading_mib(&self, ledger: &Ledger) -> u64 {
         let ready = |weights: &&Weights| {
             ledger.find(weights).is_some_and(|entry| entry.stage == Stage::Ready)
         };
-        let leaving = self.leaving.iter().filter(ready);
-        leaving.filter_map(|weights| ledger.find(weights)).map(|entry| entry.memory.0).sum()
+        let unloading = self.unloading.iter().filter(ready);
+        unloading.filter_map(|weights| ledger.find(weights)).map(|entry| entry.memory.0).sum()
     }
 
     pub fn next_wake(&self) -> Option<Instant> {
         let expiry = self.expiries.first().map(|(at, _)| *at);
-        expiry.into_iter().chain(self.next_plan).min()
+        expiry.into_iter().chain(self.next_prewarm_scan).min()
     }
 }
 
 impl Agent {
     /// Decides how long a model stays once nobody uses it.
-    pub(super) fn note_idle(&mut self, now: Instant, weights: &Weights, sizes: &dyn Sizes) {
+    pub(super) fn schedule_expiry(&mut self, now: Instant, weights: &Weights, config: &dyn Sizes) {
         let base = Weights { adapter: None, ..weights.clone() };
         if weights.adapter.is_some() || !self.ledger.is_ready(&base) || self.is_in_use(&base.model)
         {
@@ -125,129 +127,134 @@
         }
         if !self.slots.contains(&base.model) {
             // Kept without a slot it would be a replica more than was decided.
-            self.keep.keep_until(&base, now);
+            self.keep_alive.set_expiry(&base, now);
             return;
         }
-        let mut until = now + self.keep_time(&base, sizes);
+        let mut until = now + self.keep_time(&base, config);
         if self.policy.keep == Keep::Learned {
-            let window = self.due(now, &base, sizes);
+            let window = self.due_window(now, &base, config);
             until = until.max(window.map_or(now, |(_, until)| until));
         }
-        until = until.max(self.loads.wanted_until(&base).unwrap_or(now));
-        self.keep.keep_until(&base, until);
+        until = until.max(self.loads.demanded_until(&base).unwrap_or(now));
+        self.keep_alive.set_expiry(&base, until);
     }
 
-    fn keep_time(&self, weights: &Weights, sizes: &dyn Sizes) -> Duration {
+    fn keep_time(&self, weights: &Weights, config: &dyn Sizes) -> Duration {
         match self.policy.keep {
             Keep::Fixed(time) => time,
             Keep::Learned => {
-                let cost = self.cold_cost(weights, sizes);
+                let cost = self.cold_cost(weights, config);
                 let unknown = history::History::default();
-                self.keep.histories.find(weights).unwrap_or(&unknown).keep_time(cost)
+                self.keep_alive.histories.find(weights).unwrap_or(&unknown).keep_time(cost)
             }
         }
     }
 
-    fn cold_cost(&self, weights: &Weights, sizes: &dyn Sizes) -> f64 {
-        let weighing = sizes.weighing(&weights.model);
-        history::cold_cost(sizes.load_time(weights), weighing.tail, weighing.idle)
+    fn cold_cost(&self, weights: &Weights, config: &dyn Sizes) -> f64 {
+        let weighing = config.weighing(&weights.model);
+        history::cold_cost(config.load_time(weights), weighing.tail, weighing.idle)
     }
 
     /// The window in which a model should be loaded now, if there is one.
-    fn due(
+    fn due_window(
         &mut self,
         now: Instant,
         weights: &Weights,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> Option<(Instant, Instant)> {
-        let wall = self.keep.wall(now);
-        let Window { from, until } = self.window(wall, weights, sizes)?;
-        let lead = sizes.load_time(weights) * LEAD_LOADS;
+        let wall = self.keep_alive.wall(now);
+        let Window { from, until } = self.window(wall, weights, config)?;
+        let lead = config.load_time(weights) * PREWARM_LEAD_LOADS;
         let begin = Duration::from_secs(from.saturating_sub(wall)).saturating_sub(lead);
         let end = Duration::from_secs(until.saturating_sub(wall));
         begin.is_zero().then_some((now + begin, now + end))
     }
 
-    fn window(&mut self, wall: u64, weights: &Weights, sizes: &dyn Sizes) -> Option<Window> {
-        if let Some(known) = self.keep.windows.get(weights)
-            && wall < known.until
+    fn window(&mut self, wall: u64, weights: &Weights, config: &dyn Sizes) -> Option<Window> {
+        if let Some(cached) = self.keep_alive.windows.get(weights)
+            && wall < cached.until
         {
-            return known.window;
+            return cached.window;
         }
-        let history = self.keep.histories.find(weights)?;
-        let window = history.window(wall, self.cold_cost(weights, sizes));
-        let until = window.map_or(wall + NO_WINDOW_FOR, |window| window.until);
-        self.keep.windows.insert(weights.clone(), Known { window, until });
+        let history = self.keep_alive.histories.find(weights)?;
+        let window = history.window(wall, self.cold_cost(weights, config));
+        let until = window.map_or(wall + NO_WINDOW_TTL_S, |window| window.until);
+        self.keep_alive.windows.insert(weights.clone(), CachedWindow { window, until });
         window
     }
 
     /// Drops what was kept long enough and loads what is due soon.
-    pub(super) fn drop_idle(&mut self, now: Instant, sizes: &dyn Sizes, actions: &mut Vec<Action>) {
-        if std::mem::take(&mut self.keep.look_at_all) {
-            self.look_at_all(now, sizes);
+    pub(super) fn unload_expired(
+        &mut self,
+        now: Instant,
+        config: &dyn Sizes,
+        actions: &mut Vec<Action>,
+    ) {
+        if std::mem::take(&mut self.keep_alive.rescan) {
+            self.rescan_idle(now, config);
         }
-        while let Some((at, weights)) = self.keep.expiries.first().cloned() {
+        while let Some((at, weights)) = self.keep_alive.expiries.first().cloned() {
             if at > now {
                 break;
             }
-            self.keep.forget(&weights);
+            self.keep_alive.cancel_expiry(&weights);
             if !self.is_in_use(&weights.model) && self.ledger.is_ready(&weights) {
-                self.leave(&weights, actions);
+                self.begin_unload(&weights, actions);
             }
         }
-        self.unload_leaving(actions);
-        if self.keep.next_plan.is_some_and(|at| now >= at) {
-            self.keep.next_plan = Some(now + PLAN_INTERVAL);
-            self.loads.drop_unwanted(now);
+        self.continue_unloading(actions);
+        if self.keep_alive.next_prewarm_scan.is_some_and(|at| now >= at) {
+            self.keep_alive.next_prewarm_scan = Some(now + PREWARM_SCAN_INTERVAL);
+            self.loads.drop_expired_demand(now);
             if self.policy.keep == Keep::Learned {
-                self.load_ahead(now, sizes);
+                self.prewarm(now, config);
             }
         }
     }
 
     /// What a new process finds loaded, or lost its slot, is idle too.
-    fn look_at_all(&mut self, now: Instant, sizes: &dyn Sizes) {
+    fn rescan_idle(&mut self, now: Instant, config: &dyn Sizes) {
         let ready =
             self.ledger.entries().filter(|(w, e)| e.stage == Stage::Ready && w.adapter.is_none());
         let bases: Vec<Weights> = ready.map(|(weights, _)| weights.clone()).collect();
         for base in bases {
-            self.note_idle(now, &base, sizes);
+            self.schedule_expiry(now, &base, config);
         }
     }
 
     /// Made for a crew's morning: what is called at about this time each day is loaded before
     /// the first request, and ahead of it by a few load times, as other models are due then too.
-    fn load_ahead(&mut self, now: Instant, sizes: &dyn Sizes) {
-        let known = self.keep.histories.iter().map(|(weights, _)| weights);
+    fn prewarm(&mut self, now: Instant, config: &dyn Sizes) {
+        let known = self.keep_alive.histories.iter().map(|(weights, _)| weights);
         let cold = known.filter(|weights| {
             self.slots.contains(&weights.model) && self.ledger.find(weights).is_none()
         });
         let cold: Vec<Weights> = cold.cloned().collect();
         for weights in cold {
-            if let Some((_, until)) = self.due(now, &weights, sizes) {
-                self.loads.want(&weights, Wanted { urgency: 0, until });
+            if let Some((_, until)) = self.due_window(now, &weights, config) {
+                self.loads.record_demand(&weights, LoadDemand { urgency: 0, until });
             }
         }
     }
 
     /// Begins to unload a model, its adapters first, or a single adapter.
-    pub(super) fn leave(&mut self, weights: &Weights, actions: &mut Vec<Action>) {
-        self.keep.forget(weights);
+    pub(super) fn begin_unload(&mut self, weights: &Weights, actions: &mut Vec<Action>) {
+        self.keep_alive.cancel_expiry(weights);
         if weights.adapter.is_some() {
             self.unload(weights, actions);
         } else {
-            self.keep.leaving.insert(weights.clone());
-            self.unload_leaving(actions);
+            self.keep_alive.unloading.insert(weights.clone());
+            self.continue_unloading(actions);
         }
     }
 
     /// An engine holds an adapter on its model, so the adapters go first and the model once
     /// they are gone.
-    fn unload_leaving(&mut self, actions: &mut Vec<Action>) {
-        if self.keep.leaving.is_empty() {
+    fn continue_unloading(&mut self, actions: &mut Vec<Action>) {
+        if self.keep_alive.unloading.is_empty() {
             return;
         }
-        for base in std::mem::take(&mut self.keep.leaving) {
+        for base in std::mem::take(&mut self.keep_alive.unloading) {
             if self.is_in_use(&base.model) || !self.ledger.is_ready(&base) {
                 continue;
             }
@@ -267,7 +274,7 @@
                     self.unload(&adapter, actions);
                 }
             }
-            self.keep.leaving.insert(base);
+            self.keep_alive.unloading.insert(base);
         }
     }
 
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -17,36 +17,36 @@
 /// Time a coordinator has to grant or queue a load before the agent falls back to its own pace.
 /// A coordinator answers within a round trip; this is long enough for a change of lease, and
 /// short against any load.
-pub const GRANT_PATIENCE: Duration = Duration::from_secs(5);
+pub const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time that requests wait for room in memory while all of it is in use. Longer, they would find
 /// out only at their deadline that another replica should have served them.
-const ROOM_PATIENCE: Duration = Duration::from_secs(2);
+const CAPACITY_WAIT_LIMIT: Duration = Duration::from_secs(2);
 /// How long a load stays wanted for callers that were told to come back for it.
-const WANTED_FOR: Duration = Duration::from_secs(60);
+const DEMAND_TTL: Duration = Duration::from_secs(60);
 /// Pause before an order of unknown outcome is repeated; engines take a repeat as the same order.
-const REPEAT_PAUSE: Duration = Duration::from_secs(2);
+const COMMAND_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Memory is set aside, the order is not sent yet.
 #[derives(data)]
-struct Pending {
+struct PendingLoad {
     less_urgent: u8,
     deadline: Instant,
     load_time: Duration,
     memory: Mib,
-    asked: Instant,
+    requested_at: Instant,
     granted: bool,
 }
 
 /// Wanted although nobody waits: callers were told to come back, or a burst is due.
 #[derives(data)]
-pub(super) struct Wanted {
+pub(super) struct LoadDemand {
     pub urgency: u8,
     pub until: Instant,
 }
 
 /// The order was sent.
 #[derives(data)]
-struct Started {
+struct StartedLoad {
     at: Instant,
     expected: Duration,
     by_gate: bool,
@@ -57,32 +57,32 @@
 pub(super) struct Loads {
     gate: Gate,
     coordinated: bool,
-    unordered: BTreeSet<Weights>,
-    wanted: BTreeMap<Weights, Wanted>,
-    pending: BTreeMap<Weights, Pending>,
-    started: BTreeMap<Weights, Started>,
-    repeats: BTreeMap<Weights, (Instant, bool)>,
-    without_room: BTreeMap<Weights, Instant>,
+    unreserved: BTreeSet<Weights>,
+    demands: BTreeMap<Weights, LoadDemand>,
+    pending: BTreeMap<Weights, PendingLoad>,
+    started: BTreeMap<Weights, StartedLoad>,
+    retries: BTreeMap<Weights, (Instant, bool)>,
+    without_capacity: BTreeMap<Weights, Instant>,
     waiting: BTreeMap<Weights, u32>,
-    slowness: f64,
+    slowdown: f64,
 }
 
 /// Part of the difference by which one load moves what the next is expected to take.
-const SLOWNESS_STEP: f64 = 0.5;
+const SLOWDOWN_SMOOTHING_RATIO: f64 = 0.5;
 
 impl Default for Loads {
     fn default() -> Self {
         Self {
             gate: Gate::new(Store::default()),
             coordinated: false,
-            unordered: BTreeSet::new(),
-            wanted: BTreeMap::new(),
+            unreserved: BTreeSet::new(),
+            demands: BTreeMap::new(),
             pending: BTreeMap::new(),
             started: BTreeMap::new(),
-            repeats: BTreeMap::new(),
-            without_room: BTreeMap::new(),
+            retries: BTreeMap::new(),
+            without_capacity: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            slowness: 1.0,
+            slowdown: 1.0,
         }
     }
 }
@@ -114,127 +114,133 @@
     }
 
     /// Time until it is loaded.
-    pub fn left(&self, now: Instant, weights: &Weights, load_time: Duration) -> Duration {
+    pub fn remaining(&self, now: Instant, weights: &Weights, load_time: Duration) -> Duration {
         match self.started.get(weights) {
             // Overdue: the store is slow, and may need as long again as it already took.
             Some(started) => {
                 let took = now.saturating_duration_since(started.at);
-                let expected = started.expected.mul_f64(self.slowness);
+                let expected = started.expected.mul_f64(self.slowdown);
                 expected.checked_sub(took).unwrap_or(took)
             }
-            None => load_time.mul_f64(self.slowness),
+            None => load_time.mul_f64(self.slowdown),
         }
     }
 
     /// When orders may be due without any other event. Never a time at which nothing would be
     /// done: the caller would come back at once, for ever.
     pub fn next_wake(&self) -> Option<Instant> {
-        let pending = self.pending.values().filter_map(|pending| self.turn_of(pending));
-        let repeats = self.repeats.values().map(|(at, _)| *at);
-        let room = self.without_room.values().map(|since| *since + ROOM_PATIENCE);
-        pending.chain(repeats).chain(room).min()
+        let pending = self.pending.values().filter_map(|pending| self.next_start_of(pending));
+        let retries = self.retries.values().map(|(at, _)| *at);
+        let capacity = self.without_capacity.values().map(|since| *since + CAPACITY_WAIT_LIMIT);
+        pending.chain(retries).chain(capacity).min()
     }
 
-    fn turn_of(&self, pending: &Pending) -> Option<Instant> {
+    fn next_start_of(&self, pending: &PendingLoad) -> Option<Instant> {
         let gate = self.gate.next_start();
         if !self.coordinated {
             return gate;
         }
-        let patience = pending.asked + GRANT_PATIENCE;
+        let grant_deadline = pending.requested_at + GRANT_TIMEOUT;
         if self.gate.is_full() {
             None
         } else {
-            Some(gate.map_or(patience, |gate| gate.max(patience)))
+            Some(gate.map_or(grant_deadline, |gate| gate.max(grant_deadline)))
         }
     }
 
     /// Made for a store that is slower than stated: callers told the stated time would come back
     /// too early, again and again.
     fn observe(&mut self, took: Duration, expected: Duration) {
-        let times = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
-        self.slowness += (times.max(1.0) - self.slowness) * SLOWNESS_STEP;
+        let ratio = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
+        self.slowdown += (ratio.max(1.0) - self.slowdown) * SLOWDOWN_SMOOTHING_RATIO;
     }
 
-    pub fn want(&mut self, weights: &Weights, wanted: Wanted) {
-        self.unordered.insert(weights.clone());
-        self.wanted.insert(weights.clone(), wanted);
+    pub fn record_demand(&mut self, weights: &Weights, demand: LoadDemand) {
+        self.unreserved.insert(weights.clone());
+        self.demands.insert(weights.clone(), demand);
     }
 
     /// Forgets what is wanted no longer.
-    pub fn drop_unwanted(&mut self, now: Instant) {
-        self.wanted.retain(|_, wanted| now < wanted.until);
+    pub fn drop_expired_demand(&mut self, now: Instant) {
+        self.demands.retain(|_, demand| now < demand.until);
     }
 
     /// Until when it is kept for those who were told to come back.
-    pub fn wanted_until(&self, weights: &Weights) -> Option<Instant> {
-        self.wanted.get(weights).map(|wanted| wanted.until)
+    pub fn demanded_until(&self, weights: &Weights) -> Option<Instant> {
+        self.demands.get(weights).map(|demand| demand.until)
     }
 }
 
 impl Agent {
     /// A load that some request waits for.
-    pub(super) fn note_missing(&mut self, weights: &Weights) {
+    pub(super) fn record_missing(&mut self, weights: &Weights) {
         if self.ledger.find(weights).is_none_or(|entry| entry.stage == Stage::Unloading) {
-            self.loads.unordered.insert(weights.clone());
+            self.loads.unreserved.insert(weights.clone());
         }
     }
 
     /// Made for first requests with a short deadline: the request is refused, yet what it needs
     /// is loaded, so that its caller finds it when coming back. Without this a model whose
     /// callers all wait less than its load takes would stay cold for ever.
-    pub(super) fn want(&mut self, now: Instant, work: &Work, sizes: &dyn Sizes) {
+    pub(super) fn record_demand(&mut self, now: Instant, work: &Work, config: &dyn Sizes) {
         let Some(weights) = self.missing(work) else { return };
         if self.ledger.find(&weights).is_some() {
             return;
         }
-        let until = now + sizes.load_time(&weights) + WANTED_FOR;
-        self.loads.want(&weights, Wanted { urgency: work.urgency, until });
+        let until = now + config.load_time(&weights) + DEMAND_TTL;
+        self.loads.record_demand(&weights, LoadDemand { urgency: work.urgency, until });
     }
 
     /// Sets memory aside for what is missing and sends the orders whose turn it is.
     ///
     /// Made for a burst of first requests for several models: urgent ones first, then those due
     /// soon, then the shortest.
-    pub(super) fn order_loads(
+    pub(super) fn schedule_loads(
         &mut self,
         now: Instant,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
         actions: &mut Vec<Action>,
     ) {
-        if !self.loads.unordered.is_empty() || !self.loads.without_room.is_empty() {
-            self.reserve_unordered(now, sizes, actions);
+        if !self.loads.unreserved.is_empty() || !self.loads.without_capacity.is_empty() {
+            self.reserve_unreserved(now, config, actions);
         }
         self.start_pending(now, actions);
-        self.repeat_orders(now, sizes, actions);
+        self.retry_commands(now, config, actions);
     }
 
-    fn reserve_unordered(&mut self, now: Instant, sizes: &dyn Sizes, actions: &mut Vec<Action>) {
-        let firsts: BTreeMap<&Weights, (u8, Instant)> = self
+    fn reserve_unreserved(&mut self, now: Instant, config: &dyn Sizes, actions: &mut Vec<Action>) {
+        let first_waiting: BTreeMap<&Weights, (u8, Instant)> = self
             .queue
             .missing()
-            .map(|(weights, place)| (weights, (place.less_urgent(), place.deadline())))
+            .map(|(weights, entry)| (weights, (entry.less_urgent(), entry.deadline())))
             .collect();
         let mut ranked: Vec<(u8, Instant, Duration, Weights)> = Vec::new();
-        for weights in &self.loads.unordered {
-            let waiting = firsts.get(weights).copied();
-            let wanted = self.loads.wanted.get(weights).filter(|wanted| now < wanted.until);
-            let wanted = wanted.map(|wanted| (u8::MAX - wanted.urgency, wanted.until));
-            if let Some((less_urgent, deadline)) = waiting.into_iter().chain(wanted).min() {
-                let load_time = sizes.load_time(weights);
+        for weights in &self.loads.unreserved {
+            let waiting = first_waiting.get(weights).copied();
+            let demand = self.loads.demands.get(weights).filter(|demand| now < demand.until);
+            let demand = demand.map(|demand| (u8::MAX - demand.urgency, demand.until));
+            if let Some((less_urgent, deadline)) = waiting.into_iter().chain(demand).min() {
+                let load_time = config.load_time(weights);
                 ranked.push((less_urgent, deadline, load_time, weights.clone()));
             }
         }
-        self.loads.unordered.retain(|weights| ranked.iter().any(|(.., kept)| kept == weights));
-        self.loads.without_room.retain(|weights, _| self.loads.unordered.contains(weights));
+        self.loads.unreserved.retain(|weights| ranked.iter().any(|(.., kept)| kept == weights));
+        self.loads.without_capacity.retain(|weights, _| self.loads.unreserved.contains(weights));
         ranked.sort();
         for (less_urgent, deadline, load_time, weights) in ranked {
-            let Some(memory) = sizes.memory(&weights) else {
-                self.loads.unordered.remove(&weights);
+            let Some(memory) = config.memory(&weights) else {
+                self.loads.unreserved.remove(&weights);
                 continue;
             };
-            let pending =
-                Pending { less_urgent, deadline, load_time, memory, asked: now, granted: false };
-            self.reserve(now, &weights, pending, sizes, actions);
+            let pending = PendingLoad {
+                less_urgent,
+                deadline,
+                load_time,
+                memory,
+                requested_at: now,
+                granted: false,
+            };
+            self.reserve(now, &weights, pending, config, actions);
         }
     }
 
@@ -242,33 +248,33 @@
         &mut self,
         now: Instant,
         weights: &Weights,
-        pending: Pending,
-        sizes: &dyn Sizes,
+        pending: PendingLoad,
+        config: &dyn Sizes,
         actions: &mut Vec<Action>,
     ) {
         match self.ledger.reserve(weights, pending.memory) {
             Ok(()) => {
-                self.loads.unordered.remove(weights);
-                self.loads.without_room.remove(weights);
+                self.loads.unreserved.remove(weights);
+                self.loads.without_capacity.remove(weights);
                 if self.loads.coordinated {
-                    actions.push(Action::AskLoad(self.ask(weights, &pending)));
+                    actions.push(Action::AskLoad(self.grant_request(weights, &pending)));
                 }
                 self.loads.pending.insert(weights.clone(), pending);
             }
             Err(LedgerError::Reserved) => {
                 let stage = self.ledger.find(weights).map(|entry| entry.stage);
                 if stage != Some(Stage::Unloading) {
-                    self.loads.unordered.remove(weights);
+                    self.loads.unreserved.remove(weights);
                 }
             }
             Err(LedgerError::NoRoom { missing }) => {
-                let coming = self.evict(now, missing, weights, sizes, actions);
-                self.note_room(now, weights, coming, sizes, actions);
+                let will_fit = self.evict(now, missing, weights, config, actions);
+                self.check_capacity_wait(now, weights, will_fit, config, actions);
             }
         }
     }
 
-    fn ask(&self, weights: &Weights, pending: &Pending) -> Ask {
+    fn grant_request(&self, weights: &Weights, pending: &PendingLoad) -> Ask {
         Ask {
             // The process that sends the wish fills in its own name.
             target: corianderstand_types::names::TargetId::default(),
@@ -281,26 +287,26 @@
 
     /// Made for memory that is all in use: those who wait for a load that finds no room are told
     /// soon, so that another replica may serve them, instead of at their deadline.
-    fn note_room(
+    fn check_capacity_wait(
         &mut self,
         now: Instant,
         weights: &Weights,
-        coming: bool,
-        sizes: &dyn Sizes,
+        will_fit: bool,
+        config: &dyn Sizes,
         actions: &mut Vec<Action>,
     ) {
-        if coming {
-            self.loads.without_room.remove(weights);
+        if will_fit {
+            self.loads.without_capacity.remove(weights);
             return;
         }
-        let since = *self.loads.without_room.entry(weights.clone()).or_insert(now);
-        if now < since + ROOM_PATIENCE {
+        let since = *self.loads.without_capacity.entry(weights.clone()).or_insert(now);
+        if now < since + CAPACITY_WAIT_LIMIT {
             return;
         }
-        self.loads.without_room.remove(weights);
-        self.loads.unordered.remove(weights);
-        self.loads.wanted.remove(weights);
-        let refused = self.refuse_waiting(now, weights, RefusalReason::QueueFull, sizes);
+        self.loads.without_capacity.remove(weights);
+        self.loads.unreserved.remove(weights);
+        self.loads.demands.remove(weights);
+        let refused = self.refuse_waiting(now, weights, RefusalReason::QueueFull, config);
         actions.extend(refused);
     }
 
@@ -308,41 +314,44 @@
         if self.loads.pending.is_empty() {
             return;
         }
-        let mut turns: Vec<(u8, Instant, Duration, Weights)> = self
+        let mut order: Vec<(u8, Instant, Duration, Weights)> = self
             .loads
             .pending
             .iter()
             .map(|(w, p)| (p.less_urgent, p.deadline, p.load_time, w.clone()))
             .collect();
-        turns.sort();
-        for (.., weights) in turns {
+        order.sort();
+        for (.., weights) in order {
             let pending = &self.loads.pending[&weights];
-            let waits = self.loads.coordinated && now < pending.asked + GRANT_PATIENCE;
-            let by_gate = !pending.granted && !waits && self.loads.gate.try_start(now);
+            let awaiting_grant =
+                self.loads.coordinated && now < pending.requested_at + GRANT_TIMEOUT;
+            let by_gate = !pending.granted && !awaiting_grant && self.loads.gate.try_start(now);
             if pending.granted || by_gate {
                 let (memory, expected) = (pending.memory, pending.load_time);
                 self.loads.pending.remove(&weights);
-                self.loads.started.insert(weights.clone(), Started { at: now, expected, by_gate });
+                self.loads
+                    .started
+                    .insert(weights.clone(), StartedLoad { at: now, expected, by_gate });
                 actions.push(Action::Load(weights, memory));
             }
         }
     }
 
     /// The coordinator lets a load start.
-    pub fn granted(&mut self, now: Instant, weights: &Weights, sizes: &dyn Sizes) -> Vec<Action> {
+    pub fn granted(&mut self, now: Instant, weights: &Weights, config: &dyn Sizes) -> Vec<Action> {
         if let Some(pending) = self.loads.pending.get_mut(weights) {
             pending.granted = true;
         }
-        self.step(now, sizes)
+        self.step(now, config)
     }
 
     /// An order's outcome may be unknown for ever if its answer was lost; asking the same again
     /// settles it, and until then its memory counts as used.
-    fn repeat_orders(&mut self, now: Instant, sizes: &dyn Sizes, actions: &mut Vec<Action>) {
-        let due = self.loads.repeats.iter().filter(|(_, (at, _))| now >= *at);
+    fn retry_commands(&mut self, now: Instant, config: &dyn Sizes, actions: &mut Vec<Action>) {
+        let due = self.loads.retries.iter().filter(|(_, (at, _))| now >= *at);
         let due: Vec<(Weights, bool)> = due.map(|(w, (_, load))| (w.clone(), *load)).collect();
         for (weights, load) in due {
-            self.loads.repeats.remove(&weights);
+            self.loads.retries.remove(&weights);
             // Settled meanwhile by asking the engine: a repeat could undo what followed.
             let unknown = self.ledger.find(&weights).filter(|e| e.stage == Stage::Unknown);
             let Some(memory) = unknown.map(|entry| entry.memory) else { continue };
@@ -350,8 +359,8 @@
             let stage = if load { Stage::Loading } else { Stage::Unloading };
             self.ledger.set_stage(&weights, stage);
             if load {
-                let expected = sizes.load_time(&weights);
-                let started = Started { at: now, expected, by_gate: false };
+                let expected = config.load_time(&weights);
+                let started = StartedLoad { at: now, expected, by_gate: false };
                 self.loads.started.insert(weights.clone(), started);
                 actions.push(Action::Load(weights, memory));
             } else {
@@ -366,7 +375,7 @@
         now: Instant,
         weights: &Weights,
         outcome: Option<bool>,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> Vec<Action> {
         if let Some(started) = self.loads.started.remove(weights) {
             let took = now.saturating_duration_since(started.at);
@@ -382,20 +391,20 @@
                 for key in self.queue.waiting_for(weights) {
                     self.refresh_missing(key);
                 }
-                self.note_idle(now, weights, sizes);
+                self.schedule_expiry(now, weights, config);
             }
             Some(false) => {
                 self.ledger.remove(weights);
-                self.loads.wanted.remove(weights);
-                actions = self.refuse_waiting(now, weights, RefusalReason::NotLoaded, sizes);
+                self.loads.demands.remove(weights);
+                actions = self.refuse_waiting(now, weights, RefusalReason::NotLoaded, config);
             }
             None => {
                 self.ledger.set_stage(weights, Stage::Unknown);
-                self.loads.repeats.insert(weights.clone(), (now + REPEAT_PAUSE, true));
-                actions = self.refuse_waiting(now, weights, RefusalReason::NotLoaded, sizes);
+                self.loads.retries.insert(weights.clone(), (now + COMMAND_RETRY_DELAY, true));
+                actions = self.refuse_waiting(now, weights, RefusalReason::NotLoaded, config);
             }
         }
-        actions.extend(self.step(now, sizes));
+        actions.extend(self.step(now, config));
         actions
     }
 
@@ -405,18 +414,18 @@
         now: Instant,
         weights: &Weights,
         confirmed: bool,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> Vec<Action> {
         if confirmed {
             self.ledger.remove(weights);
             if self.loads.is_awaited(weights) {
-                self.loads.unordered.insert(weights.clone());
+                self.loads.unreserved.insert(weights.clone());
             }
         } else {
             self.ledger.set_stage(weights, Stage::Unknown);
-            self.loads.repeats.insert(weights.clone(), (now + REPEAT_PAUSE, false));
+            self.loads.retries.insert(weights.clone(), (now + COMMAND_RETRY_DELAY, false));
         }
-        self.step(now, sizes)
+        self.step(now, config)
     }
 
     /// Those who wait for a load that failed are told at once rather than at their deadline.
@@ -425,10 +434,10 @@
         now: Instant,
         weights: &Weights,
         reason: RefusalReason,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> Vec<Action> {
         let refusal = Refusal { reason, retry_after: MIN_RETRY_AFTER };
         let keys = self.queue.waiting_for(weights);
-        keys.into_iter().map(|key| self.refuse(now, key, refusal, sizes)).collect()
+        keys.into_iter().map(|key| self.refuse(now, key, refusal, config)).collect()
     }
 }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -6,7 +6,7 @@
 
 mod admit;
 mod evict;
-mod keep;
+mod keep_alive;
 mod loads;
 #[cfg(test)]
 mod tests;
@@ -95,12 +95,12 @@
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// Time between two looks at all that wait for those that have become hopeless. Each look costs
 /// time in proportion to the queue; a caller learns a quarter of a second late at most.
-const SHED_INTERVAL: Duration = Duration::from_millis(250);
+const SHED_SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derives(data)]
-struct Held {
+struct HeldRequest {
     work: Work,
-    since: Option<Instant>,
+    started_at: Option<Instant>,
 }
 
 /// The state of the decisions beside one target.
@@ -110,14 +110,14 @@
     policy: Policy,
     ledger: Ledger,
     queue: Queue,
-    requests: SlotMap<RequestKey, Held>,
-    users: BTreeMap<ModelId, u32>,
+    requests: SlotMap<RequestKey, HeldRequest>,
+    model_users: BTreeMap<ModelId, u32>,
     slots: BTreeSet<ModelId>,
     draining: bool,
-    runs: [admit::MeanRun; 2],
-    returns: admit::Returns,
+    run_times: [admit::RunTimeEstimate; 2],
+    retry_schedule: admit::RetrySchedule,
     loads: loads::Loads,
-    keep: keep::Keeping,
+    keep_alive: keep_alive::KeepAliveState,
     next_shed: Option<Instant>,
 }
 
@@ -135,13 +135,13 @@
             ledger: Ledger::new(memory),
             queue: Queue::new(limits.concurrency, policy.order),
             requests: SlotMap::with_key(),
-            users: BTreeMap::new(),
+            model_users: BTreeMap::new(),
             slots: BTreeSet::new(),
             draining: false,
-            runs: admit::MeanRun::both(),
-            returns: admit::Returns::default(),
+            run_times: admit::RunTimeEstimate::initial(),
+            retry_schedule: admit::RetrySchedule::default(),
             loads: loads::Loads::default(),
-            keep: keep::Keeping::default(),
+            keep_alive: keep_alive::KeepAliveState::default(),
             next_shed: None,
         }
     }
@@ -164,7 +164,7 @@
     /// Takes over what the engine says is loaded.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.ledger.rebuild(loaded);
-        self.keep.look_at_all();
+        self.keep_alive.request_rescan();
         let keys: Vec<RequestKey> = self.requests.keys().collect();
         for key in keys {
             self.refresh_missing(key);
@@ -174,12 +174,12 @@
     /// Models of which this target owns a slot.
     pub fn set_slots(&mut self, slots: BTreeSet<ModelId>) {
         self.slots = slots;
-        self.keep.look_at_all();
+        self.keep_alive.request_rescan();
     }
 
     /// Tells the time of day: `wall` is in seconds since the Unix epoch.
     pub fn set_wall(&mut self, now: Instant, wall: u64) {
-        self.keep.set_wall(now, wall);
+        self.keep_alive.set_wall(now, wall);
     }
 
     /// Whether a coordinator paces loads; without one this agent falls back to its own pace.
@@ -189,12 +189,12 @@
 
     /// What is known of the calls of each model, for a peer to keep.
     pub const fn histories(&self) -> &Histories {
-        self.keep.histories()
+        self.keep_alive.histories()
     }
 
     /// Takes over what a peer kept.
     pub fn merge_histories(&mut self, histories: Histories) {
-        self.keep.merge(histories);
+        self.keep_alive.merge(histories);
     }
 
     /// Settles orders of unknown outcome by what the engine says, asked as of a version of the
@@ -204,22 +204,22 @@
         now: Instant,
         version: u64,
         loaded: &[(Weights, Mib, bool)],
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> Vec<Action> {
         self.ledger.reconcile(now, version, loaded);
         if self.ledger.version() != version {
-            self.keep.look_at_all();
+            self.keep_alive.request_rescan();
             let keys: Vec<RequestKey> = self.requests.keys().collect();
             for key in keys {
                 self.refresh_missing(key);
             }
         }
-        self.step(now, sizes)
+        self.step(now, config)
     }
 
     /// Models that a request held here needs.
     pub fn models_in_use(&self) -> BTreeSet<ModelId> {
-        self.users.keys().cloned().collect()
+        self.model_users.keys().cloned().collect()
     }
 
     /// Sets whether new work is refused.
@@ -234,12 +234,12 @@
 
     /// Whether a request runs.
     pub fn is_running(&self, key: RequestKey) -> bool {
-        self.requests.get(key).is_some_and(|held| held.since.is_some())
+        self.requests.get(key).is_some_and(|held| held.started_at.is_some())
     }
 
     /// How busy the target is.
     pub fn load(&self) -> Load {
-        let wait_ms = self.typical_wait().as_millis() as u64;
+        let wait_ms = self.typical_queue_wait().as_millis() as u64;
         Load { running: self.queue.running(), queued: self.queue.len() as u32, wait_ms }
     }
 
@@ -248,41 +248,41 @@
         &mut self,
         now: Instant,
         work: Work,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> (RequestKey, Vec<Action>) {
-        self.queue.set_total_shares(sizes.total_shares());
-        self.loads.set_store(sizes.store());
+        self.queue.set_total_shares(config.total_shares());
+        self.loads.set_store(config.store());
         let waiting = self.waiting(&work);
-        let refusal = self.refusal(now, &work, &waiting, sizes);
+        let refusal = self.refusal(now, &work, &waiting, config);
         if let Need::Weights { base, .. } = &work.need
             && self.slots.contains(&base.model)
         {
-            self.keep.called(now, base);
+            self.keep_alive.called(now, base);
         }
-        let share = sizes.share(&work.team);
+        let share = config.share(&work.team);
         if let Some(refusal) = refusal {
             if refusal.reason == RefusalReason::Deadline {
-                self.want(now, &work, sizes);
+                self.record_demand(now, &work, config);
             }
-            let key = self.requests.insert(Held { work, since: None });
+            let key = self.requests.insert(HeldRequest { work, started_at: None });
             self.requests.remove(key);
             let mut actions = vec![Action::Refuse(key, refusal)];
-            actions.extend(self.step(now, sizes));
+            actions.extend(self.step(now, config));
             return (key, actions);
         }
         for weights in work.weights() {
             self.loads.begin_waiting(weights);
         }
         if let Some(base) = work.weights().next() {
-            *self.users.entry(base.model.clone()).or_default() += 1;
+            *self.model_users.entry(base.model.clone()).or_default() += 1;
         }
         if let Some(missing) = &waiting.missing {
-            self.note_missing(missing);
+            self.record_missing(missing);
         }
-        let key = self.requests.insert(Held { work, since: None });
+        let key = self.requests.insert(HeldRequest { work, started_at: None });
         self.queue.push(key, share, waiting);
-        self.next_shed.get_or_insert(now + SHED_INTERVAL);
-        (key, self.step(now, sizes))
+        self.next_shed.get_or_insert(now + SHED_SCAN_INTERVAL);
+        (key, self.step(now, config))
     }
 
     fn waiting(&self, work: &Work) -> Waiting {
@@ -307,48 +307,48 @@
 
     fn refresh_missing(&mut self, key: RequestKey) {
         let Some(held) = self.requests.get(key) else { return };
-        if held.since.is_some() {
+        if held.started_at.is_some() {
             return;
         }
         let missing = self.missing(&held.work);
         if let Some(weights) = &missing {
-            self.note_missing(weights);
+            self.record_missing(weights);
         }
         self.queue.set_missing(key, missing);
     }
 
     /// A request has ended or its caller has left.
-    pub fn finished(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) -> Vec<Action> {
-        self.release(now, key, sizes);
-        self.step(now, sizes)
+    pub fn finished(&mut self, now: Instant, key: RequestKey, config: &dyn Sizes) -> Vec<Action> {
+        self.release(now, key, config);
+        self.step(now, config)
     }
 
-    fn release(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) {
+    fn release(&mut self, now: Instant, key: RequestKey, config: &dyn Sizes) {
         let Some(held) = self.requests.remove(key) else { return };
         if self.queue.remove(key).is_some() {
             for weights in held.work.weights() {
                 self.loads.end_waiting(weights);
             }
         }
-        if let Some(since) = held.since {
+        if let Some(started_at) = held.started_at {
             let length = held.work.shape.length;
             self.queue.ended(&held.work.team, length);
-            self.runs[length as usize].observe(now.saturating_duration_since(since));
+            self.run_times[length as usize].observe(now.saturating_duration_since(started_at));
             for weights in held.work.weights() {
                 self.ledger.end_use(weights, now);
             }
         }
         if let Need::Weights { base, .. } = &held.work.need {
-            self.end_user(&base.model);
-            self.note_idle(now, base, sizes);
+            self.release_model(&base.model);
+            self.schedule_expiry(now, base, config);
         }
     }
 
-    fn end_user(&mut self, model: &ModelId) {
-        let Some(count) = self.users.get_mut(model) else { return };
+    fn release_model(&mut self, model: &ModelId) {
+        let Some(count) = self.model_users.get_mut(model) else { return };
         *count -= 1;
         if *count == 0 {
-            self.users.remove(model);
+            self.model_users.remove(model);
         }
     }
 
@@ -357,30 +357,30 @@
         now: Instant,
         key: RequestKey,
         refusal: Refusal,
-        sizes: &dyn Sizes,
+        config: &dyn Sizes,
     ) -> Action {
-        self.release(now, key, sizes);
+        self.release(now, key, config);
         Action::Refuse(key, refusal)
     }
 
     /// When [`Agent::step`] must be called next, if nothing happens before.
     pub fn next_wake(&self) -> Option<Instant> {
         let shed = self.next_shed.filter(|_| !self.queue.is_empty());
-        let wakes =
-            [self.queue.next_deadline(), shed, self.keep.next_wake(), self.loads.next_wake()];
-        wakes.into_iter().flatten().min()
+        let wake_times =
+            [self.queue.next_deadline(), shed, self.keep_alive.next_wake(), self.loads.next_wake()];
+        wake_times.into_iter().flatten().min()
     }
 
     /// Refuses what is too late, starts what can start, orders what is missing.
-    pub fn step(&mut self, now: Instant, sizes: &dyn Sizes) -> Vec<Action> {
+    pub fn step(&mut self, now: Instant, config: &dyn Sizes) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.give_up_late(now, sizes, &mut actions);
-        self.drop_idle(now, sizes, &mut actions);
-        self.order_loads(now, sizes, &mut actions);
+        self.refuse_expired(now, config, &mut actions);
+        self.unload_expired(now, config, &mut actions);
+        self.schedule_loads(now, config, &mut actions);
         while let Some(key) = self.queue.pop() {
             self.run(now, key);
-            if self.is_too_late(now, key) {
-                actions.push(self.refuse_late(now, key, sizes));
+            if self.cannot_finish(now, key) {
+                actions.push(self.refuse_dequeued(now, key, config));
             } else {
                 actions.push(Action::Run(key));
             }
@@ -391,26 +391,26 @@
     /// Made for saturation: whoever waited until too little time was left even for a short run
     /// is told now. Run all the same, it would be cut at its deadline, and its room is lost to
     /// another that could still be answered.
-    fn is_too_late(&self, now: Instant, key: RequestKey) -> bool {
+    fn cannot_finish(&self, now: Instant, key: RequestKey) -> bool {
         let work = &self.requests[key].work;
-        let least = self.runs[work.shape.length as usize].least();
-        self.policy.order == Order::Fair && now + least > work.deadline
+        let lower_bound = self.run_times[work.shape.length as usize].lower_bound();
+        self.policy.order == Order::Fair && now + lower_bound > work.deadline
     }
 
-    fn refuse_late(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) -> Action {
+    fn refuse_dequeued(&mut self, now: Instant, key: RequestKey, config: &dyn Sizes) -> Action {
         let length = self.requests[key].work.shape.length;
-        let retry_after = self.book_return(now, MIN_RETRY_AFTER, length);
-        self.requests[key].since = None;
+        let retry_after = self.schedule_retry(now, MIN_RETRY_AFTER, length);
+        self.requests[key].started_at = None;
         let team = self.requests[key].work.team.clone();
         self.queue.ended(&team, length);
         for weights in self.requests[key].work.clone().weights() {
             self.ledger.end_use(weights, now);
         }
-        self.refuse(now, key, Refusal { reason: RefusalReason::Deadline, retry_after }, sizes)
+        self.refuse(now, key, Refusal { reason: RefusalReason::Deadline, retry_after }, config)
     }
 
     fn run(&mut self, now: Instant, key: RequestKey) {
-        self.requests[key].since = Some(now);
+        self.requests[key].started_at = Some(now);
         let work = self.requests[key].work.clone();
         for weights in work.weights() {
             self.loads.end_waiting(weights);
@@ -418,19 +418,19 @@
         }
     }
 
-    fn give_up_late(&mut self, now: Instant, sizes: &dyn Sizes, actions: &mut Vec<Action>) {
+    fn refuse_expired(&mut self, now: Instant, config: &dyn Sizes, actions: &mut Vec<Action>) {
         let mut late = self.queue.expired(now);
         if self.next_shed.is_some_and(|at| now >= at) {
-            late.extend(self.queue.hopeless(now, self.runs.map(admit::MeanRun::mean)));
-            self.next_shed = Some(now + SHED_INTERVAL);
+            late.extend(self.queue.hopeless(now, self.run_times.map(admit::RunTimeEstimate::mean)));
+            self.next_shed = Some(now + SHED_SCAN_INTERVAL);
         }
         for key in late {
             if !self.requests.contains_key(key) {
                 continue;
             }
-            let retry_after = self.book_return(now, MIN_RETRY_AFTER, Length::Short);
+            let retry_after = self.schedule_retry(now, MIN_RETRY_AFTER, Length::Short);
             let refusal = Refusal { reason: RefusalReason::Deadline, retry_after };
-            actions.push(self.refuse(now, key, refusal, sizes));
+            actions.push(self.refuse(now, key, refusal, config));
         }
         if self.queue.is_empty() {
             self.next_shed = None;
@@ -439,6 +439,6 @@
 
     /// Whether any request waits for a model or runs on it.
     fn is_in_use(&self, model: &ModelId) -> bool {
-        self.users.contains_key(model)
+        self.model_users.contains_key(model)
     }
 }
