--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -15,23 +15,23 @@
 pub use wakes::Window;
 
 /// Gaps are counted in buckets that double every second one, from one second to twelve days.
-const BUCKETS: usize = 40;
+const GAP_BUCKETS: usize = 40;
 /// What remains of a count after a day, so that the last week or so counts.
-const DAILY_DECAY: f64 = 0.8;
+const DAILY_DECAY_RATIO: f64 = 0.8;
 /// Weight of the assumption that all lengths of gap are alike, against what was seen: a model
 /// that was called once or twice must not be judged by that alone.
-const PRIOR: f64 = 1.0;
+const PRIOR_WEIGHT: f64 = 1.0;
 /// Models whose history is kept; the one not called for longest is dropped beyond it.
 pub const MAX_HISTORIES: usize = 1024;
 /// Seconds of an idle replica that one second of waiting for a cold start is worth, if a team
 /// weighs both measures alike. At 30 a load of 20 s is worth keeping a replica for 10 minutes.
 pub const IDLE_SECONDS_PER_COLD_SECOND: f64 = 30.0;
 /// Longest time a replica is kept warm without a call.
-const MAX_KEEP_SECONDS: f64 = 3.0 * 86_400.0;
+const MAX_KEEP_ALIVE_S: f64 = 3.0 * 86_400.0;
 
 /// What one cold start costs, in seconds of an idle replica.
-pub fn cold_cost(load_time: Duration, weight_tail: u32, weight_idle: u32) -> f64 {
-    let ratio = f64::from(weight_tail) / f64::from(weight_idle).max(0.01);
+pub fn cold_cost(load_time: Duration, cold_start_weight: u32, idle_weight: u32) -> f64 {
+    let ratio = f64::from(cold_start_weight) / f64::from(idle_weight).max(0.01);
     load_time.as_secs_f64() * ratio * IDLE_SECONDS_PER_COLD_SECOND
 }
 
@@ -46,21 +46,21 @@
 
 impl Default for History {
     fn default() -> Self {
-        Self { gaps: vec![0.0; BUCKETS], last_call: None, day: 0, wakes: Wakes::default() }
+        Self { gaps: vec![0.0; GAP_BUCKETS], last_call: None, day: 0, wakes: Wakes::default() }
     }
 }
 
-fn bucket(seconds: f64) -> usize {
-    ((2.0 * seconds.max(1.0).log2()) as usize).min(BUCKETS - 1)
+fn bucket_index(seconds: f64) -> usize {
+    ((2.0 * seconds.max(1.0).log2()) as usize).min(GAP_BUCKETS - 1)
 }
 
 /// Middle of a bucket, in seconds.
-fn middle(bucket: usize) -> f64 {
+fn bucket_midpoint_s(bucket: usize) -> f64 {
     ((bucket as f64 + 0.5) / 2.0).exp2()
 }
 
 /// End of a bucket, in seconds.
-fn end(bucket: usize) -> f64 {
+fn bucket_end_s(bucket: usize) -> f64 {
     ((bucket as f64 + 1.0) / 2.0).exp2()
 }
 
@@ -71,22 +71,22 @@
         let gap = self.last_call.map(|last| wall.saturating_sub(last));
         self.wakes.called(wall, gap);
         if let Some(gap) = gap {
-            self.gaps[bucket(gap as f64)] += 1.0;
+            self.gaps[bucket_index(gap as f64)] += 1.0;
         }
         self.last_call = Some(wall);
     }
 
     fn decay(&mut self, wall: u64) {
-        let day = wall / wakes::DAY;
+        let day = wall / wakes::DAY_S;
         if day > self.day {
-            let factor = DAILY_DECAY.powi((day - self.day).min(365) as i32) as f32;
+            let factor = DAILY_DECAY_RATIO.powi((day - self.day).min(365) as i32) as f32;
             self.gaps.iter_mut().for_each(|count| *count *= factor);
             self.day = day;
         }
     }
 
-    fn weights(&self) -> impl Iterator<Item = f64> + '_ {
-        self.gaps.iter().map(|count| f64::from(*count) + PRIOR / BUCKETS as f64)
+    fn smoothed_counts(&self) -> impl Iterator<Item = f64> + '_ {
+        self.gaps.iter().map(|count| f64::from(*count) + PRIOR_WEIGHT / GAP_BUCKETS as f64)
     }
 
     /// How long to keep the model after a call, if a cold start costs this many idle seconds.
@@ -96,19 +96,19 @@
     /// and a cold start if the next call comes later. The cheapest is taken. One time for all
     /// models would drop some just before each call and keep others through the night.
     pub fn keep_time(&self, cold_cost: f64) -> Duration {
-        let total: f64 = self.weights().sum();
+        let total: f64 = self.smoothed_counts().sum();
         let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_cost, 0.0));
-        for (bucket, weight) in self.weights().enumerate() {
-            idle += weight * middle(bucket);
+        for (bucket, weight) in self.smoothed_counts().enumerate() {
+            idle += weight * bucket_midpoint_s(bucket);
             within += weight;
-            let keep = end(bucket);
+            let keep_alive = bucket_end_s(bucket);
             let later = (total - within).max(0.0);
-            let cost = (idle + later * (keep + cold_cost)) / total;
+            let cost = (idle + later * (keep_alive + cold_cost)) / total;
             if cost < best.0 {
-                best = (cost, keep);
+                best = (cost, keep_alive);
             }
         }
-        Duration::from_secs_f64(best.1.min(MAX_KEEP_SECONDS))
+        Duration::from_secs_f64(best.1.min(MAX_KEEP_ALIVE_S))
     }
 
     /// Probability of a call within `horizon`, after what has been idle since the last one.
@@ -116,10 +116,10 @@
         let idle = self.last_call.map_or(0, |last| wall.saturating_sub(last)) as f64;
         let until = idle + horizon.as_secs_f64();
         let (mut soon, mut all) = (0.0, 0.0);
-        for (bucket, weight) in self.weights().enumerate() {
-            if middle(bucket) >= idle {
+        for (bucket, weight) in self.smoothed_counts().enumerate() {
+            if bucket_midpoint_s(bucket) >= idle {
                 all += weight;
-                soon += if middle(bucket) < until { weight } else { 0.0 };
+                soon += if bucket_midpoint_s(bucket) < until { weight } else { 0.0 };
             }
         }
         if all > 0.0 { soon / all } else { 0.0 }
@@ -143,12 +143,12 @@
     /// Notes a call.
     pub fn called(&mut self, weights: &Weights, wall: u64) {
         if !self.by_weights.contains_key(weights) && self.by_weights.len() >= MAX_HISTORIES {
-            self.drop_oldest();
+            self.evict_least_recent();
         }
         self.by_weights.entry(weights.clone()).or_default().called(wall);
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_least_recent(&mut self) {
         let oldest = self.by_weights.iter().min_by_key(|(_, history)| history.last_call);
         if let Some(weights) = oldest.map(|(weights, _)| weights.clone()) {
             self.by_weights.remove(&weights);
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -1,6 +1,6 @@
 //! Histories made up call by call.
 
-use super::{Histories, History, MAX_HISTORIES, cold_cost, wakes::DAY};
+use super::{Histories, History, MAX_HISTORIES, cold_cost, wakes::DAY_S};
 use corianderstand_types::weights::Weights;
 use rstest::rstest;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     let mut history = History::default();
     for day in 0..7 {
         for minute in 0..60 {
-            history.called(day * DAY + 7 * 3600 + minute * 60);
+            history.called(day * DAY_S + 7 * 3600 + minute * 60);
         }
     }
     let keep = history.keep_time(cold_cost(LOAD, 50, 50));
@@ -40,13 +40,13 @@
 fn a_day_of_rest_is_left_alone() {
     let mut history = History::default();
     for day in (0..13).filter(|day| day % 7 != 6) {
-        history.called(day * DAY + 7 * 3600 + day * 60);
+        history.called(day * DAY_S + 7 * 3600 + day * 60);
     }
     let cost = cold_cost(LOAD, 80, 20);
-    let monday = history.window(14 * DAY, cost);
-    assert!(monday.is_some_and(|window| window.from / DAY == 14));
-    let rest = history.window(13 * DAY, cost);
-    assert!(rest.is_none_or(|window| window.from / DAY != 13), "{rest:?}");
+    let monday = history.window(14 * DAY_S, cost);
+    assert!(monday.is_some_and(|window| window.from / DAY_S == 14));
+    let rest = history.window(13 * DAY_S, cost);
+    assert!(rest.is_none_or(|window| window.from / DAY_S != 13), "{rest:?}");
 }
 
 /// Market days come without pattern. Nothing is loaded ahead, as it would mostly wait in vain.
@@ -54,9 +54,9 @@
 fn calls_without_pattern_have_no_window() {
     let mut history = History::default();
     for (day, hour) in [(0, 3), (1, 11), (3, 18), (6, 7), (8, 22), (11, 14)] {
-        history.called(day * DAY + hour * 3600);
+        history.called(day * DAY_S + hour * 3600);
     }
-    assert_eq!(history.window(12 * DAY, cold_cost(LOAD, 50, 50)), None);
+    assert_eq!(history.window(12 * DAY_S, cold_cost(LOAD, 50, 50)), None);
 }
 
 /// Histories survive a restart through a peer, and their number is bounded.
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -4,19 +4,19 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Seconds of a day.
-pub const DAY: u64 = 86_400;
+pub const DAY_S: u64 = 86_400;
 /// A call after at least this long an idle time is a wake.
-const WAKE_GAP: u64 = 30 * 60;
+const MIN_IDLE_S: u64 = 30 * 60;
 /// Wakes remembered for each model: two weeks with a morning and an evening.
 const MAX_WAKES: usize = 28;
 /// Days that are looked back on.
-const DAYS: u64 = 14;
+const LOOKBACK_DAYS: u64 = 14;
 /// Wakes closer together than this belong to the same habit.
-const HABIT_GAP: u64 = 45 * 60;
+const CLUSTER_GAP_S: u64 = 45 * 60;
 /// Days on which a habit must have shown before it is acted upon: two may be chance.
-const MIN_DAYS: usize = 3;
+const MIN_CLUSTER_DAYS: usize = 3;
 /// Kept beyond the latest wake seen, as today's may be a little later.
-const SLACK: u64 = 5 * 60;
+const WINDOW_SLACK_S: u64 = 5 * 60;
 
 /// A time in which a model is expected to be called.
 #[derives(key)]
@@ -39,7 +39,7 @@
     /// Notes a call after this gap.
     pub fn called(&mut self, wall: u64, gap: Option<u64>) {
         self.first.get_or_insert(wall);
-        if gap.is_some_and(|gap| gap < WAKE_GAP) {
+        if gap.is_some_and(|gap| gap < MIN_IDLE_S) {
             return;
         }
         if self.times.len() >= MAX_WAKES {
@@ -56,67 +56,72 @@
     /// beginning. A habit that did not show on this day of last week is left alone today, so
     /// that nothing waits on each day of rest.
     pub fn window(&self, wall: u64, cold_cost: f64) -> Option<Window> {
-        let recent: Vec<u64> =
-            self.times.iter().copied().filter(|t| wall.saturating_sub(*t) < DAYS * DAY).collect();
+        let recent: Vec<u64> = self
+            .times
+            .iter()
+            .copied()
+            .filter(|t| wall.saturating_sub(*t) < LOOKBACK_DAYS * DAY_S)
+            .collect();
         let first = self.first?;
-        let days_seen = ((wall / DAY).saturating_sub(first / DAY)).clamp(1, DAYS) as usize;
-        habits(&recent)
+        let days_seen =
+            ((wall / DAY_S).saturating_sub(first / DAY_S)).clamp(1, LOOKBACK_DAYS) as usize;
+        cluster_by_time_of_day(&recent)
             .into_iter()
-            .filter_map(|habit| best_window(&habit, days_seen, cold_cost))
-            .map(|(from, until)| next(wall, from, until))
-            .filter(|window| !self.rested_last_week(first, *window))
+            .filter_map(|cluster| best_window(&cluster, days_seen, cold_cost))
+            .map(|(from, until)| next_occurrence(wall, from, until))
+            .filter(|window| !self.idle_last_week(first, *window))
             .min()
     }
 
-    fn rested_last_week(&self, first: u64, window: Window) -> bool {
-        let week_ago = window.from.saturating_sub(7 * DAY);
-        let span =
-            week_ago.saturating_sub(HABIT_GAP)..week_ago + HABIT_GAP + (window.until - window.from);
+    fn idle_last_week(&self, first: u64, window: Window) -> bool {
+        let week_ago = window.from.saturating_sub(7 * DAY_S);
+        let span = week_ago.saturating_sub(CLUSTER_GAP_S)
+            ..week_ago + CLUSTER_GAP_S + (window.until - window.from);
         week_ago > first && !self.times.iter().any(|time| span.contains(time))
     }
 }
 
 /// Wakes grouped by time of day; each sorted.
-fn habits(wakes: &[u64]) -> Vec<Vec<u64>> {
+fn cluster_by_time_of_day(wakes: &[u64]) -> Vec<Vec<u64>> {
     let mut wakes: Vec<u64> = wakes.to_vec();
-    wakes.sort_by_key(|wake| wake % DAY);
-    let mut habits: Vec<Vec<u64>> = Vec::new();
+    wakes.sort_by_key(|wake| wake % DAY_S);
+    let mut clusters: Vec<Vec<u64>> = Vec::new();
     for wake in wakes {
-        let last = habits.last().and_then(|habit| habit.last()).copied();
+        let last = clusters.last().and_then(|cluster| cluster.last()).copied();
         match last {
-            Some(last) if wake % DAY - last % DAY < HABIT_GAP => {
-                habits.last_mut().expect("it has a last wake").push(wake);
+            Some(last) if wake % DAY_S - last % DAY_S < CLUSTER_GAP_S => {
+                clusters.last_mut().expect("it has a last wake").push(wake);
             }
-            _ => habits.push(vec![wake]),
+            _ => clusters.push(vec![wake]),
         }
     }
-    habits
+    clusters
 }
 
 /// The cheapest beginning and the end, as seconds of the day.
-fn best_window(habit: &[u64], days_seen: usize, cold_cost: f64) -> Option<(u64, u64)> {
-    let days: BTreeSet<u64> = habit.iter().map(|wake| wake / DAY).collect();
-    if days.len() < MIN_DAYS {
+fn best_window(cluster: &[u64], days_seen: usize, cold_cost: f64) -> Option<(u64, u64)> {
+    let days: BTreeSet<u64> = cluster.iter().map(|wake| wake / DAY_S).collect();
+    if days.len() < MIN_CLUSTER_DAYS {
         return None;
     }
     let misses = days_seen.saturating_sub(days.len()) as f64;
-    let until = habit.last()? % DAY + SLACK;
+    let until = cluster.last()? % DAY_S + WINDOW_SLACK_S;
     let cost_from = |from: u64| -> f64 {
         let of_wake = |wake: &u64| {
-            let time = wake % DAY;
+            let time = wake % DAY_S;
             if time < from { cold_cost } else { (time - from) as f64 }
         };
-        habit.iter().map(of_wake).sum::<f64>() + misses * (until - from) as f64
+        cluster.iter().map(of_wake).sum::<f64>() + misses * (until - from) as f64
     };
-    let starts = habit.iter().map(|wake| wake % DAY);
+    let starts = cluster.iter().map(|wake| wake % DAY_S);
     let best = starts.min_by(|a, b| cost_from(*a).total_cmp(&cost_from(*b)))?;
-    let never = habit.len() as f64 * cold_cost;
-    (cost_from(best) < never).then_some((best, until))
+    let without_prewarm = cluster.len() as f64 * cold_cost;
+    (cost_from(best) < without_prewarm).then_some((best, until))
 }
 
 /// The first time after `wall` at which a daily window ends.
-fn next(wall: u64, from: u64, until: u64) -> Window {
-    let today = wall - wall % DAY;
-    let day = if today + until > wall { today } else { today + DAY };
+fn next_occurrence(wall: u64, from: u64, until: u64) -> Window {
+    let today = wall - wall % DAY_S;
+    let day = if today + until > wall { today } else { today + DAY_S };
     Window { from: day + from, until: day + until }
 }
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -36,7 +36,7 @@
     /// When it was last used.
     pub last_used: Option<Instant>,
     /// Version of the ledger at which its stage was set.
-    pub changed: u64,
+    pub stage_version: u64,
     /// Since when the engine has said that it is not there, while its stage is unknown.
     pub absent_since: Option<Instant>,
 }
@@ -124,8 +124,8 @@
 
     fn insert(&mut self, weights: Weights, memory: Mib, stage: Stage) {
         self.version += 1;
-        let (changed, absent_since) = (self.version, None);
-        let entry = Entry { memory, stage, users: 0, last_used: None, changed, absent_since };
+        let (stage_version, absent_since) = (self.version, None);
+        let entry = Entry { memory, stage, users: 0, last_used: None, stage_version, absent_since };
         self.entries.insert(weights, entry);
     }
 
@@ -133,7 +133,7 @@
     pub fn set_stage(&mut self, weights: &Weights, stage: Stage) {
         self.version += 1;
         if let Some(entry) = self.entries.get_mut(weights) {
-            (entry.stage, entry.changed, entry.absent_since) = (stage, self.version, None);
+            (entry.stage, entry.stage_version, entry.absent_since) = (stage, self.version, None);
         }
     }
 
@@ -182,7 +182,7 @@
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.entries.clear();
         for (weights, memory, ready) in loaded {
-            self.insert(weights, memory, reported(ready));
+            self.insert(weights, memory, reported_stage(ready));
         }
     }
 
@@ -195,21 +195,25 @@
         let unchanged = version == self.version;
         for (weights, memory, ready) in loaded {
             if unchanged && !self.entries.contains_key(weights) {
-                self.insert(weights.clone(), *memory, reported(*ready));
+                self.insert(weights.clone(), *memory, reported_stage(*ready));
             }
         }
-        let answers: BTreeMap<&Weights, bool> = loaded.iter().map(|(w, _, r)| (w, *r)).collect();
-        let old = |entry: &Entry| entry.changed <= version;
-        let names: Vec<Weights> =
-            self.entries.iter().filter(|(_, e)| old(e)).map(|(w, _)| w.clone()).collect();
-        for weights in names {
-            self.settle(now, &weights, answers.get(&weights).copied());
+        let reported: BTreeMap<&Weights, bool> = loaded.iter().map(|(w, _, r)| (w, *r)).collect();
+        let unchanged_since = |entry: &Entry| entry.stage_version <= version;
+        let resolvable: Vec<Weights> = self
+            .entries
+            .iter()
+            .filter(|(_, e)| unchanged_since(e))
+            .map(|(w, _)| w.clone())
+            .collect();
+        for weights in resolvable {
+            self.resolve(now, &weights, reported.get(&weights).copied());
         }
     }
 
-    fn settle(&mut self, now: Instant, weights: &Weights, answer: Option<bool>) {
+    fn resolve(&mut self, now: Instant, weights: &Weights, reported_ready: Option<bool>) {
         let Some(entry) = self.entries.get_mut(weights) else { return };
-        match (entry.stage, answer) {
+        match (entry.stage, reported_ready) {
             (Stage::Unknown, Some(true)) => self.set_stage(weights, Stage::Ready),
             (Stage::Unknown, Some(false)) => entry.absent_since = None,
             (Stage::Unknown, None) => {
@@ -227,7 +231,7 @@
 
 /// The stage of what the engine reports; something not ready may have been ordered by an agent
 /// that died, so how that order ends is not known.
-const fn reported(ready: bool) -> Stage {
+const fn reported_stage(ready: bool) -> Stage {
     if ready { Stage::Ready } else { Stage::Unknown }
 }
 
