--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -44,7 +44,7 @@
 /// How long a model that nobody calls is kept.
 #[derives(key)]
 #[derive(Default)]
-pub enum Keep {
+pub enum KeepAlive {
     /// By its own history and what a cold start costs.
     #[default]
     Learned,
@@ -68,7 +68,7 @@
 #[derive(Default)]
 pub struct Policy {
     /// How long idle models are kept.
-    pub keep: Keep,
+    pub keep_alive: KeepAlive,
     /// What makes room.
     pub eviction: Eviction,
     /// Who goes next.
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -1,6 +1,6 @@
 //! One agent, driven without sockets or an engine: orders are answered by the test.
 
-use super::{Action, Agent, Eviction, Keep, Limits, Policy};
+use super::{Action, Agent, Eviction, KeepAlive, Limits, Policy};
 use crate::{
     queue::Length,
     work::{Need, Refusal, RequestKey, Shape, Sizes, Store, Weighing, Work},
@@ -266,7 +266,7 @@
 #[rstest]
 fn the_least_worth_is_evicted_and_never_what_is_in_use() {
     let mut bench =
-        Bench::new(8, 3, Policy { keep: Keep::Fixed(LOAD * 1000), ..Policy::default() });
+        Bench::new(8, 3, Policy { keep_alive: KeepAlive::Fixed(LOAD * 1000), ..Policy::default() });
     let ready = ["a", "b", "c"].map(|name| (model(name), Mib(MODEL_MIB), true));
     bench.agent.rebuild(ready);
     bench.short("crew", "a", 86_400);
--- a/crates/corianderstand_replay/src/ways.rs
+++ b/crates/corianderstand_replay/src/ways.rs
@@ -1,7 +1,7 @@
 //! The ways to decide that are compared: ours, and one baseline for each decision.
 
 use corianderstand_decide::{
-    agent::{Eviction, Keep, Policy},
+    agent::{Eviction, KeepAlive, Policy},
     queue::Order,
     router::Placement,
 };
@@ -46,7 +46,7 @@
 
     /// Ours, but each model is kept for a fixed time.
     pub fn fixed(keep: Duration) -> Self {
-        let policy = Policy { keep: Keep::Fixed(keep), ..Policy::default() };
+        let policy = Policy { keep_alive: KeepAlive::Fixed(keep), ..Policy::default() };
         Self { name: format!("fixed {} s", keep.as_secs()).into(), policy, ..Self::ours() }
     }
 
