--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -131,7 +131,7 @@
             return;
         }
         let mut until = now + self.keep_time(&base, config);
-        if self.policy.keep_alive == KeepAlive::Learned {
+        if self.policy.keep_alive == KeepAlive::Adaptive {
             let window = self.due_window(now, &base, config);
             until = until.max(window.map_or(now, |(_, until)| until));
         }
@@ -142,7 +142,7 @@
     fn keep_time(&self, weights: &Weights, config: &dyn Sizes) -> Duration {
         match self.policy.keep_alive {
             KeepAlive::Fixed(time) => time,
-            KeepAlive::Learned => {
+            KeepAlive::Adaptive => {
                 let cost = self.cold_cost(weights, config);
                 let unknown = history::History::default();
                 self.keep_alive.histories.find(weights).unwrap_or(&unknown).keep_time(cost)
@@ -206,7 +206,7 @@
         if self.keep_alive.next_prewarm_scan.is_some_and(|at| now >= at) {
             self.keep_alive.next_prewarm_scan = Some(now + PREWARM_SCAN_INTERVAL);
             self.loads.drop_expired_demand(now);
-            if self.policy.keep_alive == KeepAlive::Learned {
+            if self.policy.keep_alive == KeepAlive::Adaptive {
                 self.prewarm(now, config);
             }
         }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -47,7 +47,7 @@
 pub enum KeepAlive {
     /// By its own history and what a cold start costs.
     #[default]
-    Learned,
+    Adaptive,
     /// A fixed time after the last call: the baseline of the measurements.
     Fixed(Duration),
 }
