--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -66,7 +66,7 @@
                 };
                 let utility = match self.policy.eviction {
                     Eviction::LeastRecent => self.keep_alive.last_used_ms(entry.last_used),
-                    Eviction::LeastWorth => self.utility(now, weights, memory, config),
+                    Eviction::LowestUtility => self.utility(now, weights, memory, config),
                 };
                 (utility, weights.clone(), memory)
             })
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -58,7 +58,7 @@
 pub enum Eviction {
     /// What is least worth keeping.
     #[default]
-    LeastWorth,
+    LowestUtility,
     /// The least recently used: the baseline of the measurements.
     LeastRecent,
 }
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -293,7 +293,7 @@
 #[rstest]
 fn without_room_in_memory_callers_are_told_soon() {
     let mut bench =
-        Bench::new(8, 1, Policy { eviction: Eviction::LeastWorth, ..Policy::default() });
+        Bench::new(8, 1, Policy { eviction: Eviction::LowestUtility, ..Policy::default() });
     bench.agent.rebuild([(model("a"), Mib(MODEL_MIB), true)]);
     bench.short("crew", "a", 600);
     let (_, actions) = bench.short("crew", "b", 600);
