--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -65,7 +65,7 @@
                     None => self.group_memory_mib(weights),
                 };
                 let utility = match self.policy.eviction {
-                    Eviction::LeastRecent => self.keep_alive.last_used_ms(entry.last_used),
+                    Eviction::LeastRecentlyUsed => self.keep_alive.last_used_ms(entry.last_used),
                     Eviction::LowestUtility => self.utility(now, weights, memory, config),
                 };
                 (utility, weights.clone(), memory)
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -60,7 +60,7 @@
     #[default]
     LowestUtility,
     /// The least recently used: the baseline of the measurements.
-    LeastRecent,
+    LeastRecentlyUsed,
 }
 
 /// Which of the ways to decide are used; [`Policy::default`] is the one to run.
--- a/crates/corianderstand_replay/src/ways.rs
+++ b/crates/corianderstand_replay/src/ways.rs
@@ -52,7 +52,7 @@
 
     /// Ours, but the least recently used makes room.
     pub fn least_recent() -> Self {
-        let policy = Policy { eviction: Eviction::LeastRecent, ..Policy::default() };
+        let policy = Policy { eviction: Eviction::LeastRecentlyUsed, ..Policy::default() };
         Self { name: "lru".into(), policy, ..Self::ours() }
     }
 
