--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -307,7 +307,7 @@
                     Job::Unload { weights, memory, fence }
                 }
                 // Asked for only under a coordinator, which no process is yet.
-                Action::AskLoad(_) => continue,
+                Action::RequestLoadGrant(_) => continue,
             };
             // The logic bounds runs and orders; refusals are as many as requests come (docs/design/0007).
             drop(self.jobs.send(job));
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -257,7 +257,7 @@
                 self.loads.unreserved.remove(weights);
                 self.loads.without_capacity.remove(weights);
                 if self.loads.coordinated {
-                    actions.push(Action::AskLoad(self.grant_request(weights, &pending)));
+                    actions.push(Action::RequestLoadGrant(self.grant_request(weights, &pending)));
                 }
                 self.loads.pending.insert(weights.clone(), pending);
             }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -88,7 +88,7 @@
     /// Order the engine to unload.
     Unload(Weights, Mib),
     /// Ask whoever paces loads in the deployment for a grant.
-    AskLoad(Ask),
+    RequestLoadGrant(Ask),
 }
 
 /// Shortest time to come back that a refusal names.
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -312,7 +312,7 @@
             Action::Unload(weights, _) => {
                 self.plan(now + UNLOAD, Event::Unloaded { engine, weights });
             }
-            Action::AskLoad(mut ask) => {
+            Action::RequestLoadGrant(mut ask) => {
                 ask.target = self.engines[engine].line.name.clone();
                 if let Some(coordinator) = &mut self.coordinator {
                     coordinator.ask(ask);
