--- a/crates/corianderstand_agent/src/sizes.rs
+++ b/crates/corianderstand_agent/src/sizes.rs
@@ -1,6 +1,6 @@
 //! Memory and load times from the settings in force.
 
-use corianderstand_decide::work::{DEFAULT_SHARE, Sizes, Store, Weighing};
+use corianderstand_decide::work::{DEFAULT_SHARE, SchedulingConfig, Store, Weighing};
 use corianderstand_state::view::View;
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -12,7 +12,7 @@
 /// Sizes as one version of the settings gives them.
 pub struct ViewSizes<'a>(pub &'a View);
 
-impl Sizes for ViewSizes<'_> {
+impl SchedulingConfig for ViewSizes<'_> {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         let model = self.0.models.get(&weights.model)?;
         let adapter = weights.adapter.is_some();
--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -3,7 +3,7 @@
 use super::{Agent, MIN_RETRY_AFTER};
 use crate::{
     queue::{Length, Order, Waiting},
-    work::{Need, Refusal, Sizes, Work},
+    work::{Need, Refusal, SchedulingConfig, Work},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
@@ -104,7 +104,7 @@
         now: Instant,
         work: &Work,
         waiting: &Waiting,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Option<Refusal> {
         if self.draining {
             return Some(Refusal { reason: RefusalReason::Draining, retry_after: MIN_RETRY_AFTER });
@@ -153,7 +153,12 @@
     }
 
     /// Time until all that a request needs is loaded.
-    fn expected_load_wait(&self, now: Instant, work: &Work, config: &dyn Sizes) -> Duration {
+    fn expected_load_wait(
+        &self,
+        now: Instant,
+        work: &Work,
+        config: &dyn SchedulingConfig,
+    ) -> Duration {
         let remaining = |weights| {
             if self.is_usable(weights) {
                 return Duration::ZERO;
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -1,7 +1,7 @@
 //! What makes room in an engine's memory.
 
 use super::{Action, Agent, Eviction};
-use crate::{ledger::Stage, work::Sizes};
+use crate::{ledger::Stage, work::SchedulingConfig};
 use corianderstand_types::{units::Mib, weights::Weights};
 use std::{
     cmp::Reverse,
@@ -23,7 +23,7 @@
         now: Instant,
         missing: Mib,
         loading: &Weights,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
         actions: &mut Vec<Action>,
     ) -> bool {
         let unloading = self.ledger.entries().filter(|(_, entry)| entry.stage == Stage::Unloading);
@@ -48,7 +48,7 @@
         &self,
         now: Instant,
         loading: &Weights,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Vec<(u64, Weights, u64)> {
         let idle = self.ledger.entries().filter(|(weights, entry)| {
             let needed = weights.model == loading.model && weights.adapter.is_none();
@@ -87,7 +87,13 @@
     }
 
     /// Expected waiting, weighed by its teams, that keeping it spares for each GiB.
-    fn utility(&self, now: Instant, weights: &Weights, memory: u64, config: &dyn Sizes) -> u64 {
+    fn utility(
+        &self,
+        now: Instant,
+        weights: &Weights,
+        memory: u64,
+        config: &dyn SchedulingConfig,
+    ) -> u64 {
         let weighing = config.weighing(&weights.model);
         let probability = self.keep_alive.probability(now, weights, UTILITY_HORIZON);
         let load_ms = config.load_time(weights).as_millis() as f64;
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -4,7 +4,7 @@
 use crate::{
     history::{self, Histories, Window},
     ledger::{Ledger, Stage},
-    work::Sizes,
+    work::SchedulingConfig,
 };
 use corianderstand_types::weights::Weights;
 use std::{
@@ -119,7 +119,12 @@
 
 impl Agent {
     /// Decides how long a model stays once nobody uses it.
-    pub(super) fn schedule_expiry(&mut self, now: Instant, weights: &Weights, config: &dyn Sizes) {
+    pub(super) fn schedule_expiry(
+        &mut self,
+        now: Instant,
+        weights: &Weights,
+        config: &dyn SchedulingConfig,
+    ) {
         let base = Weights { adapter: None, ..weights.clone() };
         if weights.adapter.is_some() || !self.ledger.is_ready(&base) || self.is_in_use(&base.model)
         {
@@ -139,7 +144,7 @@
         self.keep_alive.set_expiry(&base, until);
     }
 
-    fn keep_time(&self, weights: &Weights, config: &dyn Sizes) -> Duration {
+    fn keep_time(&self, weights: &Weights, config: &dyn SchedulingConfig) -> Duration {
         match self.policy.keep_alive {
             KeepAlive::Fixed(time) => time,
             KeepAlive::Adaptive => {
@@ -150,7 +155,7 @@
         }
     }
 
-    fn cold_cost(&self, weights: &Weights, config: &dyn Sizes) -> f64 {
+    fn cold_cost(&self, weights: &Weights, config: &dyn SchedulingConfig) -> f64 {
         let weighing = config.weighing(&weights.model);
         history::cold_cost(config.load_time(weights), weighing.tail, weighing.idle)
     }
@@ -160,7 +165,7 @@
         &mut self,
         now: Instant,
         weights: &Weights,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Option<(Instant, Instant)> {
         let wall = self.keep_alive.wall(now);
         let Window { from, until } = self.window(wall, weights, config)?;
@@ -170,7 +175,12 @@
         begin.is_zero().then_some((now + begin, now + end))
     }
 
-    fn window(&mut self, wall: u64, weights: &Weights, config: &dyn Sizes) -> Option<Window> {
+    fn window(
+        &mut self,
+        wall: u64,
+        weights: &Weights,
+        config: &dyn SchedulingConfig,
+    ) -> Option<Window> {
         if let Some(cached) = self.keep_alive.windows.get(weights)
             && wall < cached.until
         {
@@ -187,7 +197,7 @@
     pub(super) fn unload_expired(
         &mut self,
         now: Instant,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
         actions: &mut Vec<Action>,
     ) {
         if std::mem::take(&mut self.keep_alive.rescan) {
@@ -213,7 +223,7 @@
     }
 
     /// What a new process finds loaded, or lost its slot, is idle too.
-    fn rescan_idle(&mut self, now: Instant, config: &dyn Sizes) {
+    fn rescan_idle(&mut self, now: Instant, config: &dyn SchedulingConfig) {
         let ready =
             self.ledger.entries().filter(|(w, e)| e.stage == Stage::Ready && w.adapter.is_none());
         let bases: Vec<Weights> = ready.map(|(weights, _)| weights.clone()).collect();
@@ -224,7 +234,7 @@
 
     /// Made for a crew's morning: what is called at about this time each day is loaded before
     /// the first request, and ahead of it by a few load times, as other models are due then too.
-    fn prewarm(&mut self, now: Instant, config: &dyn Sizes) {
+    fn prewarm(&mut self, now: Instant, config: &dyn SchedulingConfig) {
         let known = self.keep_alive.histories.iter().map(|(weights, _)| weights);
         let cold = known.filter(|weights| {
             self.slots.contains(&weights.model) && self.ledger.find(weights).is_none()
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -4,7 +4,7 @@
 use crate::{
     ledger::{LedgerError, Stage},
     pacing::{Ask, Gate},
-    work::{Refusal, Sizes, Store, Work},
+    work::{Refusal, SchedulingConfig, Store, Work},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
@@ -182,7 +182,12 @@
     /// Made for first requests with a short deadline: the request is refused, yet what it needs
     /// is loaded, so that its caller finds it when coming back. Without this a model whose
     /// callers all wait less than its load takes would stay cold for ever.
-    pub(super) fn record_demand(&mut self, now: Instant, work: &Work, config: &dyn Sizes) {
+    pub(super) fn record_demand(
+        &mut self,
+        now: Instant,
+        work: &Work,
+        config: &dyn SchedulingConfig,
+    ) {
         let Some(weights) = self.missing(work) else { return };
         if self.ledger.find(&weights).is_some() {
             return;
@@ -198,7 +203,7 @@
     pub(super) fn schedule_loads(
         &mut self,
         now: Instant,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
         actions: &mut Vec<Action>,
     ) {
         if !self.loads.unreserved.is_empty() || !self.loads.without_capacity.is_empty() {
@@ -208,7 +213,12 @@
         self.retry_commands(now, config, actions);
     }
 
-    fn reserve_unreserved(&mut self, now: Instant, config: &dyn Sizes, actions: &mut Vec<Action>) {
+    fn reserve_unreserved(
+        &mut self,
+        now: Instant,
+        config: &dyn SchedulingConfig,
+        actions: &mut Vec<Action>,
+    ) {
         let first_waiting: BTreeMap<&Weights, (u8, Instant)> = self
             .queue
             .missing()
@@ -249,7 +259,7 @@
         now: Instant,
         weights: &Weights,
         pending: PendingLoad,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
         actions: &mut Vec<Action>,
     ) {
         match self.ledger.reserve(weights, pending.memory) {
@@ -292,7 +302,7 @@
         now: Instant,
         weights: &Weights,
         will_fit: bool,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
         actions: &mut Vec<Action>,
     ) {
         if will_fit {
@@ -338,7 +348,12 @@
     }
 
     /// The coordinator lets a load start.
-    pub fn granted(&mut self, now: Instant, weights: &Weights, config: &dyn Sizes) -> Vec<Action> {
+    pub fn granted(
+        &mut self,
+        now: Instant,
+        weights: &Weights,
+        config: &dyn SchedulingConfig,
+    ) -> Vec<Action> {
         if let Some(pending) = self.loads.pending.get_mut(weights) {
             pending.granted = true;
         }
@@ -347,7 +362,12 @@
 
     /// An order's outcome may be unknown for ever if its answer was lost; asking the same again
     /// settles it, and until then its memory counts as used.
-    fn retry_commands(&mut self, now: Instant, config: &dyn Sizes, actions: &mut Vec<Action>) {
+    fn retry_commands(
+        &mut self,
+        now: Instant,
+        config: &dyn SchedulingConfig,
+        actions: &mut Vec<Action>,
+    ) {
         let due = self.loads.retries.iter().filter(|(_, (at, _))| now >= *at);
         let due: Vec<(Weights, bool)> = due.map(|(w, (_, load))| (w.clone(), *load)).collect();
         for (weights, load) in due {
@@ -375,7 +395,7 @@
         now: Instant,
         weights: &Weights,
         outcome: Option<bool>,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Vec<Action> {
         if let Some(started) = self.loads.started.remove(weights) {
             let took = now.saturating_duration_since(started.at);
@@ -414,7 +434,7 @@
         now: Instant,
         weights: &Weights,
         confirmed: bool,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Vec<Action> {
         if confirmed {
             self.ledger.remove(weights);
@@ -434,7 +454,7 @@
         now: Instant,
         weights: &Weights,
         reason: RefusalReason,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Vec<Action> {
         let refusal = Refusal { reason, retry_after: MIN_RETRY_AFTER };
         let keys = self.queue.waiting_for(weights);
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -16,7 +16,7 @@
     ledger::Ledger,
     pacing::Ask,
     queue::{Length, Order, Queue, Waiting},
-    work::{Need, Refusal, RequestKey, Sizes, Work},
+    work::{Need, Refusal, RequestKey, SchedulingConfig, Work},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
@@ -204,7 +204,7 @@
         now: Instant,
         version: u64,
         loaded: &[(Weights, Mib, bool)],
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Vec<Action> {
         self.ledger.reconcile(now, version, loaded);
         if self.ledger.version() != version {
@@ -248,7 +248,7 @@
         &mut self,
         now: Instant,
         work: Work,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> (RequestKey, Vec<Action>) {
         self.queue.set_total_shares(config.total_shares());
         self.loads.set_store(config.store());
@@ -318,12 +318,17 @@
     }
 
     /// A request has ended or its caller has left.
-    pub fn finished(&mut self, now: Instant, key: RequestKey, config: &dyn Sizes) -> Vec<Action> {
+    pub fn finished(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        config: &dyn SchedulingConfig,
+    ) -> Vec<Action> {
         self.release(now, key, config);
         self.step(now, config)
     }
 
-    fn release(&mut self, now: Instant, key: RequestKey, config: &dyn Sizes) {
+    fn release(&mut self, now: Instant, key: RequestKey, config: &dyn SchedulingConfig) {
         let Some(held) = self.requests.remove(key) else { return };
         if self.queue.remove(key).is_some() {
             for weights in held.work.weights() {
@@ -357,7 +362,7 @@
         now: Instant,
         key: RequestKey,
         refusal: Refusal,
-        config: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Action {
         self.release(now, key, config);
         Action::Refuse(key, refusal)
@@ -372,7 +377,7 @@
     }
 
     /// Refuses what is too late, starts what can start, orders what is missing.
-    pub fn step(&mut self, now: Instant, config: &dyn Sizes) -> Vec<Action> {
+    pub fn step(&mut self, now: Instant, config: &dyn SchedulingConfig) -> Vec<Action> {
         let mut actions = Vec::new();
         self.refuse_expired(now, config, &mut actions);
         self.unload_expired(now, config, &mut actions);
@@ -397,7 +402,12 @@
         self.policy.order == Order::Fair && now + lower_bound > work.deadline
     }
 
-    fn refuse_dequeued(&mut self, now: Instant, key: RequestKey, config: &dyn Sizes) -> Action {
+    fn refuse_dequeued(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        config: &dyn SchedulingConfig,
+    ) -> Action {
         let length = self.requests[key].work.shape.length;
         let retry_after = self.schedule_retry(now, MIN_RETRY_AFTER, length);
         self.requests[key].started_at = None;
@@ -418,7 +428,12 @@
         }
     }
 
-    fn refuse_expired(&mut self, now: Instant, config: &dyn Sizes, actions: &mut Vec<Action>) {
+    fn refuse_expired(
+        &mut self,
+        now: Instant,
+        config: &dyn SchedulingConfig,
+        actions: &mut Vec<Action>,
+    ) {
         let mut late = self.queue.expired(now);
         if self.next_shed.is_some_and(|at| now >= at) {
             late.extend(self.queue.hopeless(now, self.run_times.map(admit::RunTimeEstimate::mean)));
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, Eviction, KeepAlive, Limits, Policy};
 use crate::{
     queue::Length,
-    work::{Need, Refusal, RequestKey, Shape, Sizes, Store, Weighing, Work},
+    work::{Need, Refusal, RequestKey, SchedulingConfig, Shape, Store, Weighing, Work},
 };
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::{
@@ -27,7 +27,7 @@
     weighing: Weighing,
 }
 
-impl Sizes for TestSizes {
+impl SchedulingConfig for TestSizes {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         Some(Mib(if weights.adapter.is_some() { 10 } else { MODEL_MIB }))
     }
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -94,7 +94,7 @@
 }
 
 /// What the settings in force say about models and teams, as far as decisions need it.
-pub trait Sizes {
+pub trait SchedulingConfig {
     /// Memory of what is to be loaded; `None` if it is not in the settings.
     fn memory(&self, weights: &Weights) -> Option<Mib>;
     /// Time a load is expected to take.
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -7,7 +7,7 @@
 use corianderstand_decide::{
     agent::{Agent, Limits},
     ledger::Stage,
-    work::{RequestKey, Sizes, Store, Weighing},
+    work::{RequestKey, SchedulingConfig, Store, Weighing},
 };
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -52,7 +52,7 @@
     }
 }
 
-impl Sizes for TraceSizes {
+impl SchedulingConfig for TraceSizes {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         let (memory, ..) = self.models.get(&weights.model)?;
         Some(Mib(if weights.adapter.is_some() { ADAPTER_MIB } else { *memory }))
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -15,7 +15,7 @@
     pacing::Coordinator,
     queue::Length,
     router::{Decision, Router, TargetKey},
-    work::{self, LONG_ANSWER_TOKENS, Need, Refusal, RequestKey, Shape, Sizes, Work},
+    work::{self, LONG_ANSWER_TOKENS, Need, Refusal, RequestKey, SchedulingConfig, Shape, Work},
 };
 use corianderstand_types::{
     clock::{Clock, ManualClock},
@@ -276,7 +276,7 @@
     fn drive(
         &mut self,
         engine: usize,
-        decide: impl FnOnce(&mut Engine, Instant, &dyn Sizes) -> Vec<Action>,
+        decide: impl FnOnce(&mut Engine, Instant, &dyn SchedulingConfig) -> Vec<Action>,
     ) {
         let (elapsed, now) = (self.clock.elapsed(), self.now());
         let state = &mut self.engines[engine];
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -3,7 +3,7 @@
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
     router::{Decision, Router, TargetKey},
-    work::{Need, Shape, Sizes, Work},
+    work::{Need, SchedulingConfig, Shape, Work},
 };
 use corianderstand_schema::messages::Load;
 use corianderstand_types::{
@@ -25,7 +25,7 @@
 
 struct Plain;
 
-impl Sizes for Plain {
+impl SchedulingConfig for Plain {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         Some(Mib(if weights.adapter.is_some() { 1 } else { 1000 }))
     }
