--- a/crates/corianderstand_agent/src/sizes.rs
+++ b/crates/corianderstand_agent/src/sizes.rs
@@ -1,6 +1,6 @@
 //! Memory and load times from the settings in force.
 
-use corianderstand_decide::work::{DEFAULT_SHARE, SchedulingConfig, Store, Weighing};
+use corianderstand_decide::work::{CostFactors, DEFAULT_SHARE, SchedulingConfig, Store};
 use corianderstand_state::view::View;
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -32,13 +32,13 @@
     }
 
     /// The mean of the teams that may hold replicas of the model.
-    fn weighing(&self, model: &ModelId) -> Weighing {
+    fn cost_factors(&self, model: &ModelId) -> CostFactors {
         let demand = self.0.demand(model);
         if demand.teams == 0 {
-            return Weighing::default();
+            return CostFactors::default();
         }
         let (tail, idle) = (demand.weight_tail / demand.teams, demand.weight_idle / demand.teams);
-        Weighing { tail, idle }
+        CostFactors { tail, idle }
     }
 
     fn store(&self) -> Store {
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -156,8 +156,8 @@
     }
 
     fn cold_cost(&self, weights: &Weights, config: &dyn SchedulingConfig) -> f64 {
-        let weighing = config.weighing(&weights.model);
-        history::cold_cost(config.load_time(weights), weighing.tail, weighing.idle)
+        let factors = config.cost_factors(&weights.model);
+        history::cold_cost(config.load_time(weights), factors.tail, factors.idle)
     }
 
     /// The window in which a model should be loaded now, if there is one.
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, Eviction, KeepAlive, Limits, Policy};
 use crate::{
     queue::Length,
-    work::{Need, Refusal, RequestKey, SchedulingConfig, Shape, Store, Weighing, Work},
+    work::{CostFactors, Need, Refusal, RequestKey, SchedulingConfig, Shape, Store, Work},
 };
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::{
@@ -24,7 +24,7 @@
 #[derive(Default)]
 struct TestSizes {
     shares: BTreeMap<WorkspaceId, u32>,
-    weighing: Weighing,
+    weighing: CostFactors,
 }
 
 impl SchedulingConfig for TestSizes {
@@ -40,7 +40,7 @@
         self.shares.get(team).copied().unwrap_or(100)
     }
 
-    fn weighing(&self, _: &ModelId) -> Weighing {
+    fn cost_factors(&self, _: &ModelId) -> CostFactors {
         self.weighing
     }
 
@@ -305,10 +305,10 @@
 /// A model that nobody calls any more is dropped; its team weighs idle hours, so sooner than for
 /// a team that weighs the cold start.
 #[rstest]
-#[case::minds_idle_hours(Weighing { tail: 10, idle: 90 }, 300, true)]
-#[case::minds_cold_starts(Weighing { tail: 90, idle: 10 }, 300, false)]
+#[case::minds_idle_hours(CostFactors { tail: 10, idle: 90 }, 300, true)]
+#[case::minds_cold_starts(CostFactors { tail: 90, idle: 10 }, 300, false)]
 fn an_idle_model_is_dropped_as_the_weights_say(
-    #[case] weighing: Weighing,
+    #[case] weighing: CostFactors,
     #[case] after: u64,
     #[case] dropped: bool,
 ) {
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -108,8 +108,8 @@
         WHOLE_SHARE
     }
     /// How much the teams that call a model mind each measure.
-    fn weighing(&self, _model: &ModelId) -> Weighing {
-        Weighing::default()
+    fn cost_factors(&self, _model: &ModelId) -> CostFactors {
+        CostFactors::default()
     }
     /// What the weight store can do, and how many engines share it.
     fn store(&self) -> Store {
@@ -122,14 +122,14 @@
 
 /// How much the two measures count, 0 to 100 each.
 #[derives(key)]
-pub struct Weighing {
+pub struct CostFactors {
     /// A slow cold start.
     pub tail: u32,
     /// Idle accelerator hours.
     pub idle: u32,
 }
 
-impl Default for Weighing {
+impl Default for CostFactors {
     fn default() -> Self {
         Self { tail: 50, idle: 50 }
     }
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -7,7 +7,7 @@
 use corianderstand_decide::{
     agent::{Agent, Limits},
     ledger::Stage,
-    work::{RequestKey, SchedulingConfig, Store, Weighing},
+    work::{CostFactors, RequestKey, SchedulingConfig, Store},
 };
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -29,7 +29,7 @@
 
 /// What a trace says of models and teams.
 pub struct TraceSizes {
-    models: BTreeMap<ModelId, (u64, Duration, Weighing)>,
+    models: BTreeMap<ModelId, (u64, Duration, CostFactors)>,
     shares: BTreeMap<WorkspaceId, u32>,
     store: Store,
 }
@@ -40,7 +40,7 @@
         let models = header.models.iter().map(|model| {
             let (tail, idle) = way.weighing.unwrap_or((model.weight_tail, model.weight_idle));
             let load = Duration::from_millis(model.load_ms);
-            (model.name.clone(), (model.memory_mib, load, Weighing { tail, idle }))
+            (model.name.clone(), (model.memory_mib, load, CostFactors { tail, idle }))
         });
         let shares = header.teams.iter().map(|team| (team.name.clone(), team.share));
         let store = Store {
@@ -73,8 +73,8 @@
         self.shares.values().sum()
     }
 
-    fn weighing(&self, model: &ModelId) -> Weighing {
-        self.models.get(model).map_or_else(Weighing::default, |(.., weighing)| *weighing)
+    fn cost_factors(&self, model: &ModelId) -> CostFactors {
+        self.models.get(model).map_or_else(CostFactors::default, |(.., weighing)| *weighing)
     }
 
     fn store(&self) -> Store {
