--- a/crates/corianderstand_agent/src/sizes.rs
+++ b/crates/corianderstand_agent/src/sizes.rs
@@ -1,6 +1,6 @@
 //! Memory and load times from the settings in force.
 
-use corianderstand_decide::work::{CostFactors, DEFAULT_SHARE, SchedulingConfig, Store};
+use corianderstand_decide::work::{CostFactors, DEFAULT_SHARE, SchedulingConfig, StoreLimits};
 use corianderstand_state::view::View;
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -41,12 +41,12 @@
         CostFactors { tail, idle }
     }
 
-    fn store(&self) -> Store {
+    fn store(&self) -> StoreLimits {
         let deployment = &self.0.deployment;
-        Store {
+        StoreLimits {
             per_second: deployment.weight_loads_per_second,
             concurrent: deployment.weight_concurrent_loads,
-            ..Store::default()
+            ..StoreLimits::default()
         }
     }
 }
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -4,7 +4,7 @@
 use crate::{
     ledger::{LedgerError, Stage},
     pacing::{Ask, Gate},
-    work::{Refusal, SchedulingConfig, Store, Work},
+    work::{Refusal, SchedulingConfig, StoreLimits, Work},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
@@ -73,7 +73,7 @@
 impl Default for Loads {
     fn default() -> Self {
         Self {
-            gate: Gate::new(Store::default()),
+            gate: Gate::new(StoreLimits::default()),
             coordinated: false,
             unreserved: BTreeSet::new(),
             demands: BTreeMap::new(),
@@ -88,7 +88,7 @@
 }
 
 impl Loads {
-    pub fn set_store(&mut self, store: Store) {
+    pub fn set_store(&mut self, store: StoreLimits) {
         self.gate.set_store(store);
     }
 
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, Eviction, KeepAlive, Limits, Policy};
 use crate::{
     queue::Length,
-    work::{CostFactors, Need, Refusal, RequestKey, SchedulingConfig, Shape, Store, Work},
+    work::{CostFactors, Need, Refusal, RequestKey, SchedulingConfig, Shape, StoreLimits, Work},
 };
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::{
@@ -44,8 +44,8 @@
         self.weighing
     }
 
-    fn store(&self) -> Store {
-        Store { per_second: 1000, concurrent: 4, engines: 1 }
+    fn store(&self) -> StoreLimits {
+        StoreLimits { per_second: 1000, concurrent: 4, engines: 1 }
     }
 }
 
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::Store;
+use crate::work::StoreLimits;
 use corianderstand_derives::derives;
 use corianderstand_types::{names::TargetId, weights::Weights};
 use std::{
@@ -33,7 +33,7 @@
 /// as stated, and halves after one that was slow: together they settle near what it bears.
 #[derives(data)]
 pub struct Gate {
-    store: Store,
+    store: StoreLimits,
     limit: u32,
     running: u32,
     next_start: Option<Instant>,
@@ -41,12 +41,12 @@
 
 impl Gate {
     /// A gate before this store.
-    pub fn new(store: Store) -> Self {
+    pub fn new(store: StoreLimits) -> Self {
         Self { store, limit: (store.concurrent / 2).max(1), running: 0, next_start: None }
     }
 
     /// Notes what the settings say of the store now.
-    pub fn set_store(&mut self, store: Store) {
+    pub fn set_store(&mut self, store: StoreLimits) {
         self.store = store;
         self.limit = self.limit.min(store.concurrent.max(1));
     }
@@ -121,7 +121,7 @@
 /// the last as late as before. Urgent ones go first, then those due soon, then the shortest.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
-    store: Store,
+    store: StoreLimits,
     epoch: Instant,
     waiting: BTreeMap<Rank, Ask>,
     ranks: BTreeMap<Load, Rank>,
@@ -133,7 +133,7 @@
 
 impl Coordinator {
     /// An empty queue before this store.
-    pub fn new(now: Instant, store: Store) -> Self {
+    pub fn new(now: Instant, store: StoreLimits) -> Self {
         Self {
             store,
             epoch: now,
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,7 +1,7 @@
 //! Pacing without a store: the test answers for it.
 
 use super::{Ask, Coordinator, Gate};
-use crate::work::Store;
+use crate::work::StoreLimits;
 use corianderstand_types::{
     clock::{Clock, ManualClock},
     weights::Weights,
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-const STORE: Store = Store { per_second: 2, concurrent: 4, engines: 12 };
+const STORE: StoreLimits = StoreLimits { per_second: 2, concurrent: 4, engines: 12 };
 const LOAD: Duration = Duration::from_secs(20);
 
 fn ask(now: Instant, number: usize, urgency: u8, load_time: Duration) -> Ask {
@@ -62,7 +62,7 @@
 #[rstest]
 fn the_grant_of_a_dead_agent_lapses() {
     let clock = ManualClock::default();
-    let store = Store { concurrent: 1, ..STORE };
+    let store = StoreLimits { concurrent: 1, ..STORE };
     let mut coordinator = Coordinator::new(clock.now(), store);
     coordinator.ask(ask(clock.now(), 0, 1, LOAD));
     assert_eq!(coordinator.step(clock.now()).len(), 1);
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -112,8 +112,8 @@
         CostFactors::default()
     }
     /// What the weight store can do, and how many engines share it.
-    fn store(&self) -> Store {
-        Store::default()
+    fn store(&self) -> StoreLimits {
+        StoreLimits::default()
     }
 }
 
@@ -137,7 +137,7 @@
 
 /// What the weight store can do.
 #[derives(key)]
-pub struct Store {
+pub struct StoreLimits {
     /// Loads that may start in a second, over the whole deployment.
     pub per_second: u32,
     /// Loads that run side by side at full speed.
@@ -146,7 +146,7 @@
     pub engines: u32,
 }
 
-impl Default for Store {
+impl Default for StoreLimits {
     fn default() -> Self {
         Self { per_second: 2, concurrent: 4, engines: 1 }
     }
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -7,7 +7,7 @@
 use corianderstand_decide::{
     agent::{Agent, Limits},
     ledger::Stage,
-    work::{CostFactors, RequestKey, SchedulingConfig, Store},
+    work::{CostFactors, RequestKey, SchedulingConfig, StoreLimits},
 };
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -31,7 +31,7 @@
 pub struct TraceSizes {
     models: BTreeMap<ModelId, (u64, Duration, CostFactors)>,
     shares: BTreeMap<WorkspaceId, u32>,
-    store: Store,
+    store: StoreLimits,
 }
 
 impl TraceSizes {
@@ -43,7 +43,7 @@
             (model.name.clone(), (model.memory_mib, load, CostFactors { tail, idle }))
         });
         let shares = header.teams.iter().map(|team| (team.name.clone(), team.share));
-        let store = Store {
+        let store = StoreLimits {
             per_second: header.store.per_second,
             concurrent: header.store.concurrent,
             engines: header.engines.len() as u32,
@@ -77,7 +77,7 @@
         self.models.get(model).map_or_else(CostFactors::default, |(.., weighing)| *weighing)
     }
 
-    fn store(&self) -> Store {
+    fn store(&self) -> StoreLimits {
         self.store
     }
 }
