--- a/crates/corianderstand_agent/src/release/tests/random.rs
+++ b/crates/corianderstand_agent/src/release/tests/random.rs
@@ -4,7 +4,7 @@
     AgentSim, EngineSim, LEASE_TTL_MS, MODEL_MIB, MODELS, Reader, World, settings, target_up,
 };
 use crate::release::Release;
-use corianderstand_decide::ledger::{Ledger, SETTLE, Stage};
+use corianderstand_decide::ledger::{ABSENCE_TIMEOUT, Ledger, Stage};
 use corianderstand_schema::records::{Body, Record};
 use corianderstand_state::{checkpoint, fold::Outcome, plan, view::View};
 use corianderstand_types::{
@@ -373,7 +373,7 @@
 
 /// Gives an order whose answer may be lost, and which may be carried out late then.
 fn order(world: &mut World, agent: &mut AgentSim, load: bool, weights: &Weights, memory: Mib) {
-    assert!(SETTLE > Duration::from_millis(STRAY_MS));
+    assert!(ABSENCE_TIMEOUT > Duration::from_millis(STRAY_MS));
     let confirmed = if load { Some(Stage::Ready) } else { None };
     match world.rng.random_range(0..10) {
         0 => {
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -45,7 +45,7 @@
 /// outcome is believed to have failed. An order whose connection broke may still lie in the
 /// engine's socket and be carried out after a later question was answered; giving its memory
 /// away at once would let the next load go beyond what the engine has.
-pub const SETTLE: Duration = Duration::from_secs(2);
+pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// No room for a load.
 #[derives(data)]
@@ -218,7 +218,7 @@
             (Stage::Unknown, Some(false)) => entry.absent_since = None,
             (Stage::Unknown, None) => {
                 let since = *entry.absent_since.get_or_insert(now);
-                if now >= since + SETTLE {
+                if now >= since + ABSENCE_TIMEOUT {
                     self.remove(weights);
                 }
             }
--- a/crates/corianderstand_decide/src/ledger/tests.rs
+++ b/crates/corianderstand_decide/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-use super::{Ledger, SETTLE, Stage};
+use super::{ABSENCE_TIMEOUT, Ledger, Stage};
 use corianderstand_types::{
     clock::{Clock, ManualClock},
     units::Mib,
@@ -24,7 +24,7 @@
     let (mut ledger, clock) = unknown();
     ledger.reconcile(clock.now(), ledger.version(), &[]);
     assert!(ledger.reserve(&model("b"), Mib(60)).is_err());
-    clock.advance(SETTLE);
+    clock.advance(ABSENCE_TIMEOUT);
     ledger.reconcile(clock.now(), ledger.version(), &[]);
     assert_eq!(ledger.reserve(&model("b"), Mib(60)), Ok(()));
 }
