--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -277,7 +277,7 @@
                     self.loads.unreserved.remove(weights);
                 }
             }
-            Err(LedgerError::NoRoom { missing }) => {
+            Err(LedgerError::InsufficientMemory { missing }) => {
                 let will_fit = self.evict(now, missing, weights, config, actions);
                 self.check_capacity_wait(now, weights, will_fit, config, actions);
             }
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -52,7 +52,7 @@
 #[derive(Copy, Eq, displaydoc::Display)]
 pub enum LedgerError {
     /// {missing} too little memory is free: unload something or wait
-    NoRoom {
+    InsufficientMemory {
         /// How much is missing.
         missing: Mib,
     },
@@ -110,13 +110,13 @@
     ///
     /// # Errors
     ///
-    /// [`LedgerError::NoRoom`] if it does not fit.
+    /// [`LedgerError::InsufficientMemory`] if it does not fit.
     pub fn reserve(&mut self, weights: &Weights, memory: Mib) -> Result<(), LedgerError> {
         if self.entries.contains_key(weights) {
             return Err(LedgerError::Reserved);
         }
         if memory > self.free() {
-            return Err(LedgerError::NoRoom { missing: Mib(memory.0 - self.free().0) });
+            return Err(LedgerError::InsufficientMemory { missing: Mib(memory.0 - self.free().0) });
         }
         self.insert(weights.clone(), memory, Stage::Loading);
         Ok(())
