--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -271,7 +271,7 @@
                 }
                 self.loads.pending.insert(weights.clone(), pending);
             }
-            Err(LedgerError::Reserved) => {
+            Err(LedgerError::AlreadyReserved) => {
                 let stage = self.ledger.find(weights).map(|entry| entry.stage);
                 if stage != Some(Stage::Unloading) {
                     self.loads.unreserved.remove(weights);
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -57,7 +57,7 @@
         missing: Mib,
     },
     /// it is reserved already: wait for the order that is on its way
-    Reserved,
+    AlreadyReserved,
 }
 
 impl std::error::Error for LedgerError {}
@@ -113,7 +113,7 @@
     /// [`LedgerError::InsufficientMemory`] if it does not fit.
     pub fn reserve(&mut self, weights: &Weights, memory: Mib) -> Result<(), LedgerError> {
         if self.entries.contains_key(weights) {
-            return Err(LedgerError::Reserved);
+            return Err(LedgerError::AlreadyReserved);
         }
         if memory > self.free() {
             return Err(LedgerError::InsufficientMemory { missing: Mib(memory.0 - self.free().0) });
