--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -201,7 +201,7 @@
             }
             Event::Ended { key } => {
                 self.forget(key);
-                self.agent.finished(now, key, &sizes)
+                self.agent.on_request_finished(now, key, &sizes)
             }
             Event::Loaded(weights, outcome) => self.agent.loaded(now, &weights, outcome, &sizes),
             Event::Unloaded(weights, confirmed) => {
@@ -259,7 +259,7 @@
             return Vec::new();
         }
         self.forget(key);
-        self.agent.finished(self.clock.now(), key, sizes)
+        self.agent.on_request_finished(self.clock.now(), key, sizes)
     }
 
     fn forget(&mut self, key: RequestKey) -> Option<Request> {
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -318,7 +318,7 @@
     }
 
     /// A request has ended or its caller has left.
-    pub fn finished(
+    pub fn on_request_finished(
         &mut self,
         now: Instant,
         key: RequestKey,
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -103,7 +103,7 @@
     }
 
     fn finish(&mut self, key: RequestKey) -> Vec<Action> {
-        self.agent.finished(self.now(), key, &self.sizes)
+        self.agent.on_request_finished(self.now(), key, &self.sizes)
     }
 
     fn pass(&mut self, time: Duration) -> Vec<Action> {
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -351,7 +351,7 @@
         *self.outcome.served_by_minute.entry(elapsed.as_secs() / 60).or_default() += 1;
         let took = elapsed - flight.began.unwrap_or(elapsed);
         self.routers[flight.router].progressed(now, flight.key, tokens, took);
-        self.drive(engine, |engine, now, sizes| engine.agent.finished(now, key, sizes));
+        self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
         let load = self.engines[engine].agent.load();
         self.routers[flight.router].finished(now, flight.key, Some(load));
     }
@@ -363,7 +363,7 @@
         self.outcome.late += 1;
         let now = self.now();
         self.routers[flight.router].finished(now, flight.key, None);
-        self.drive(engine, |engine, now, sizes| engine.agent.finished(now, key, sizes));
+        self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
     }
 
     fn refused(&mut self, caller: usize, refusal: Refusal) {
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -126,7 +126,7 @@
         let work = works[round as usize % works.len()].clone();
         let (_, actions) = agent.submit(clock.now(), work, &Plain);
         if let Some(key) = note(actions) {
-            let actions = agent.finished(clock.now(), key, &Plain);
+            let actions = agent.on_request_finished(clock.now(), key, &Plain);
             note(actions);
         }
     })
