--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -203,7 +203,9 @@
                 self.forget(key);
                 self.agent.on_request_finished(now, key, &sizes)
             }
-            Event::Loaded(weights, outcome) => self.agent.loaded(now, &weights, outcome, &sizes),
+            Event::Loaded(weights, outcome) => {
+                self.agent.on_load_finished(now, &weights, outcome, &sizes)
+            }
             Event::Unloaded(weights, confirmed) => {
                 self.agent.unloaded(now, &weights, confirmed, &sizes)
             }
@@ -317,7 +319,7 @@
     /// Takes an order back that must not be given now; who waits for it goes elsewhere.
     fn decline(&mut self, weights: &Weights, snapshot: &Snapshot) {
         let sizes = ViewSizes(&snapshot.view);
-        let actions = self.agent.loaded(self.clock.now(), weights, Some(false), &sizes);
+        let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &sizes);
         self.perform(actions, snapshot);
     }
 
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -390,7 +390,7 @@
     }
 
     /// An order to load has been answered; `None` if its outcome is unknown.
-    pub fn loaded(
+    pub fn on_load_finished(
         &mut self,
         now: Instant,
         weights: &Weights,
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -112,7 +112,7 @@
     }
 
     fn loaded(&mut self, name: &str) -> Vec<Action> {
-        self.agent.loaded(self.now(), &model(name), Some(true), &self.sizes)
+        self.agent.on_load_finished(self.now(), &model(name), Some(true), &self.sizes)
     }
 }
 
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -403,7 +403,7 @@
                 coordinator.done(&self.engines[engine].line.name, &weights);
             }
             self.drive(engine, |engine, now, sizes| {
-                engine.agent.loaded(now, &weights, Some(true), sizes)
+                engine.agent.on_load_finished(now, &weights, Some(true), sizes)
             });
             self.plan_coordinate(self.clock.elapsed());
         }
