--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -207,7 +207,7 @@
                 self.agent.on_load_finished(now, &weights, outcome, &sizes)
             }
             Event::Unloaded(weights, confirmed) => {
-                self.agent.unloaded(now, &weights, confirmed, &sizes)
+                self.agent.on_unload_finished(now, &weights, confirmed, &sizes)
             }
             Event::Rebuilt(loaded) => {
                 self.agent.rebuild(loaded);
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -429,7 +429,7 @@
     }
 
     /// An order to unload has been answered.
-    pub fn unloaded(
+    pub fn on_unload_finished(
         &mut self,
         now: Instant,
         weights: &Weights,
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -336,7 +336,7 @@
                 bench.loaded("a");
             }
             if let Some(Action::Unload(weights, _)) = actions.first() {
-                bench.agent.unloaded(bench.now(), weights, true, &bench.sizes);
+                bench.agent.on_unload_finished(bench.now(), weights, true, &bench.sizes);
             }
         }
         let (key, actions) = bench.short("crew", "a", 60);
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -190,7 +190,7 @@
             }
             Event::Unloaded { engine, weights } => {
                 self.drive(engine, |engine, now, sizes| {
-                    engine.agent.unloaded(now, &weights, true, sizes)
+                    engine.agent.on_unload_finished(now, &weights, true, sizes)
                 });
             }
             Event::SlotsMoved(engine) => self.move_slots(engine),
