--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -348,7 +348,7 @@
     }
 
     /// The coordinator lets a load start.
-    pub fn granted(
+    pub fn on_load_granted(
         &mut self,
         now: Instant,
         weights: &Weights,
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -429,7 +429,9 @@
         let next = coordinator.next_wake();
         for ask in granted {
             let engine = self.engine(&ask.target);
-            self.drive(engine, |engine, now, sizes| engine.agent.granted(now, &ask.weights, sizes));
+            self.drive(engine, |engine, now, sizes| {
+                engine.agent.on_load_granted(now, &ask.weights, sizes)
+            });
         }
         if let Some(at) = next.filter(|at| *at > now) {
             self.plan_coordinate(at - self.start);
