--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -111,7 +111,7 @@
     fn step(&mut self, snapshot: &Snapshot) {
         self.refresh_slots(snapshot);
         let now = self.clock.now();
-        self.agent.set_wall(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
+        self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
         let actions = self.agent.step(now, &ViewSizes(&snapshot.view));
         self.perform(actions, snapshot);
     }
@@ -176,7 +176,7 @@
     fn take(&mut self, event: Event, snapshot: &Snapshot) {
         self.refresh_slots(snapshot);
         let now = self.clock.now();
-        self.agent.set_wall(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
+        self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
         let sizes = ViewSizes(&snapshot.view);
         let actions = match event {
             Event::Submit(submitted) => {
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -42,7 +42,7 @@
 const NO_WINDOW_TTL_S: u64 = 3600;
 
 impl KeepAliveState {
-    pub fn set_wall(&mut self, now: Instant, wall: u64) {
+    pub fn set_unix_time(&mut self, now: Instant, wall: u64) {
         self.wall_origin = Some((now, wall));
         self.next_prewarm_scan.get_or_insert(now);
     }
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -67,7 +67,7 @@
         agent.set_slots(slots.collect::<BTreeSet<_>>());
         let mut bench = Self { agent, sizes: TestSizes::default(), clock: ManualClock::default() };
         let now = bench.now();
-        bench.agent.set_wall(now, 0);
+        bench.agent.set_unix_time(now, 0);
         bench
     }
 
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -93,7 +93,7 @@
             .collect();
         let engines = header.engines.iter().enumerate().map(|(number, line)| {
             let mut engine = Engine::new(line, way, owned(&slots, number));
-            engine.agent.set_wall(start, header.begins);
+            engine.agent.set_unix_time(start, header.begins);
             engine
         });
         let mut keys = Vec::new();
