--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -63,10 +63,10 @@
         self.wall_origin.map_or(0, |(at, wall)| wall + now.saturating_duration_since(at).as_secs())
     }
 
-    pub fn called(&mut self, now: Instant, weights: &Weights) {
+    pub fn record_call(&mut self, now: Instant, weights: &Weights) {
         self.wall_origin.get_or_insert((now, 0));
         let wall = self.wall(now);
-        self.histories.called(weights, wall);
+        self.histories.record_call(weights, wall);
         self.windows.remove(weights);
         self.cancel_expiry(weights);
     }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -257,7 +257,7 @@
         if let Need::Weights { base, .. } = &work.need
             && self.slots.contains(&base.model)
         {
-            self.keep_alive.called(now, base);
+            self.keep_alive.record_call(now, base);
         }
         let share = config.share(&work.team);
         if let Some(refusal) = refusal {
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -66,10 +66,10 @@
 
 impl History {
     /// Notes a call at `wall`, in seconds since the Unix epoch.
-    pub fn called(&mut self, wall: u64) {
+    pub fn record_call(&mut self, wall: u64) {
         self.decay(wall);
         let gap = self.last_call.map(|last| wall.saturating_sub(last));
-        self.wakes.called(wall, gap);
+        self.wakes.record_call(wall, gap);
         if let Some(gap) = gap {
             self.gaps[bucket_index(gap as f64)] += 1.0;
         }
@@ -141,11 +141,11 @@
 
 impl Histories {
     /// Notes a call.
-    pub fn called(&mut self, weights: &Weights, wall: u64) {
+    pub fn record_call(&mut self, weights: &Weights, wall: u64) {
         if !self.by_weights.contains_key(weights) && self.by_weights.len() >= MAX_HISTORIES {
             self.evict_least_recent();
         }
-        self.by_weights.entry(weights.clone()).or_default().called(wall);
+        self.by_weights.entry(weights.clone()).or_default().record_call(wall);
     }
 
     fn evict_least_recent(&mut self) {
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -13,7 +13,7 @@
     let mut history = History::default();
     for day in 0..7 {
         for minute in 0..60 {
-            history.called(day * DAY_S + 7 * 3600 + minute * 60);
+            history.record_call(day * DAY_S + 7 * 3600 + minute * 60);
         }
     }
     let keep = history.keep_time(cold_cost(LOAD, 50, 50));
@@ -27,7 +27,7 @@
     let mut at = 0;
     for step in 0..200 {
         at += 30 + step * 37 % 3000;
-        history.called(at);
+        history.record_call(at);
     }
     let cheap = history.keep_time(cold_cost(LOAD, 10, 90));
     let dear = history.keep_time(cold_cost(LOAD, 90, 10));
@@ -40,7 +40,7 @@
 fn a_day_of_rest_is_left_alone() {
     let mut history = History::default();
     for day in (0..13).filter(|day| day % 7 != 6) {
-        history.called(day * DAY_S + 7 * 3600 + day * 60);
+        history.record_call(day * DAY_S + 7 * 3600 + day * 60);
     }
     let cost = cold_cost(LOAD, 80, 20);
     let monday = history.window(14 * DAY_S, cost);
@@ -54,7 +54,7 @@
 fn calls_without_pattern_have_no_window() {
     let mut history = History::default();
     for (day, hour) in [(0, 3), (1, 11), (3, 18), (6, 7), (8, 22), (11, 14)] {
-        history.called(day * DAY_S + hour * 3600);
+        history.record_call(day * DAY_S + hour * 3600);
     }
     assert_eq!(history.window(12 * DAY_S, cold_cost(LOAD, 50, 50)), None);
 }
@@ -65,13 +65,13 @@
     let mut histories = Histories::default();
     let weights = |number: usize| Weights::model(format!("m{number}").as_str().into(), "1".into());
     for number in 0..MAX_HISTORIES + 10 {
-        histories.called(&weights(number), number as u64);
-        histories.called(&weights(number), number as u64 + 1);
+        histories.record_call(&weights(number), number as u64);
+        histories.record_call(&weights(number), number as u64 + 1);
     }
     assert_eq!(histories.iter().count(), MAX_HISTORIES);
     assert!(histories.find(&weights(0)).is_none());
     let mut fresh = Histories::default();
-    fresh.called(&weights(500), 1);
+    fresh.record_call(&weights(500), 1);
     fresh.merge(histories.clone());
     assert_eq!(fresh.find(&weights(500)), histories.find(&weights(500)));
 }
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -37,7 +37,7 @@
 
 impl Wakes {
     /// Notes a call after this gap.
-    pub fn called(&mut self, wall: u64, gap: Option<u64>) {
+    pub fn record_call(&mut self, wall: u64, gap: Option<u64>) {
         self.first.get_or_insert(wall);
         if gap.is_some_and(|gap| gap < MIN_IDLE_S) {
             return;
