--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -135,7 +135,7 @@
             self.keep_alive.set_expiry(&base, now);
             return;
         }
-        let mut until = now + self.keep_time(&base, config);
+        let mut until = now + self.keep_alive_time(&base, config);
         if self.policy.keep_alive == KeepAlive::Adaptive {
             let window = self.due_window(now, &base, config);
             until = until.max(window.map_or(now, |(_, until)| until));
@@ -144,13 +144,13 @@
         self.keep_alive.set_expiry(&base, until);
     }
 
-    fn keep_time(&self, weights: &Weights, config: &dyn SchedulingConfig) -> Duration {
+    fn keep_alive_time(&self, weights: &Weights, config: &dyn SchedulingConfig) -> Duration {
         match self.policy.keep_alive {
             KeepAlive::Fixed(time) => time,
             KeepAlive::Adaptive => {
                 let cost = self.cold_cost(weights, config);
                 let unknown = history::History::default();
-                self.keep_alive.histories.find(weights).unwrap_or(&unknown).keep_time(cost)
+                self.keep_alive.histories.find(weights).unwrap_or(&unknown).keep_alive_time(cost)
             }
         }
     }
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -95,7 +95,7 @@
     /// expected from the model's own gaps: idle time until the next call or until it is dropped,
     /// and a cold start if the next call comes later. The cheapest is taken. One time for all
     /// models would drop some just before each call and keep others through the night.
-    pub fn keep_time(&self, cold_cost: f64) -> Duration {
+    pub fn keep_alive_time(&self, cold_cost: f64) -> Duration {
         let total: f64 = self.smoothed_counts().sum();
         let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_cost, 0.0));
         for (bucket, weight) in self.smoothed_counts().enumerate() {
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -16,7 +16,7 @@
             history.record_call(day * DAY_S + 7 * 3600 + minute * 60);
         }
     }
-    let keep = history.keep_time(cold_cost(LOAD, 50, 50));
+    let keep = history.keep_alive_time(cold_cost(LOAD, 50, 50));
     assert!(keep > Duration::from_secs(60) && keep < Duration::from_secs(1800), "{keep:?}");
 }
 
@@ -29,8 +29,8 @@
         at += 30 + step * 37 % 3000;
         history.record_call(at);
     }
-    let cheap = history.keep_time(cold_cost(LOAD, 10, 90));
-    let dear = history.keep_time(cold_cost(LOAD, 90, 10));
+    let cheap = history.keep_alive_time(cold_cost(LOAD, 10, 90));
+    let dear = history.keep_alive_time(cold_cost(LOAD, 90, 10));
     assert!(dear > cheap, "{dear:?} {cheap:?}");
 }
 
