--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Agent, KeepAlive, loads::LoadDemand};
 use crate::{
-    history::{self, Histories, Window},
+    history::{self, Histories, PrewarmWindow},
     ledger::{Ledger, Stage},
     work::SchedulingConfig,
 };
@@ -34,7 +34,7 @@
 /// the window is over.
 #[derive(Clone, Copy, Debug)]
 struct CachedWindow {
-    window: Option<Window>,
+    window: Option<PrewarmWindow>,
     until: u64,
 }
 
@@ -168,26 +168,26 @@
         config: &dyn SchedulingConfig,
     ) -> Option<(Instant, Instant)> {
         let wall = self.keep_alive.wall(now);
-        let Window { from, until } = self.window(wall, weights, config)?;
+        let PrewarmWindow { from, until } = self.prewarm_window(wall, weights, config)?;
         let lead = config.load_time(weights) * PREWARM_LEAD_LOADS;
         let begin = Duration::from_secs(from.saturating_sub(wall)).saturating_sub(lead);
         let end = Duration::from_secs(until.saturating_sub(wall));
         begin.is_zero().then_some((now + begin, now + end))
     }
 
-    fn window(
+    fn prewarm_window(
         &mut self,
         wall: u64,
         weights: &Weights,
         config: &dyn SchedulingConfig,
-    ) -> Option<Window> {
+    ) -> Option<PrewarmWindow> {
         if let Some(cached) = self.keep_alive.windows.get(weights)
             && wall < cached.until
         {
             return cached.window;
         }
         let history = self.keep_alive.histories.find(weights)?;
-        let window = history.window(wall, self.cold_cost(weights, config));
+        let window = history.prewarm_window(wall, self.cold_cost(weights, config));
         let until = window.map_or(wall + NO_WINDOW_TTL_S, |window| window.until);
         self.keep_alive.windows.insert(weights.clone(), CachedWindow { window, until });
         window
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -11,8 +11,8 @@
 use corianderstand_derives::derives;
 use corianderstand_types::weights::Weights;
 use std::{collections::BTreeMap, time::Duration};
+pub use wakes::PrewarmWindow;
 use wakes::Wakes;
-pub use wakes::Window;
 
 /// Gaps are counted in buckets that double every second one, from one second to twelve days.
 const GAP_BUCKETS: usize = 40;
@@ -127,8 +127,8 @@
 
     /// The time of day, today or tomorrow, in which the model should be loaded before it is
     /// called; `None` if a cold start costs less than waiting for the call.
-    pub fn window(&self, wall: u64, cold_cost: f64) -> Option<Window> {
-        self.wakes.window(wall, cold_cost)
+    pub fn prewarm_window(&self, wall: u64, cold_cost: f64) -> Option<PrewarmWindow> {
+        self.wakes.prewarm_window(wall, cold_cost)
     }
 }
 
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -43,9 +43,9 @@
         history.record_call(day * DAY_S + 7 * 3600 + day * 60);
     }
     let cost = cold_cost(LOAD, 80, 20);
-    let monday = history.window(14 * DAY_S, cost);
+    let monday = history.prewarm_window(14 * DAY_S, cost);
     assert!(monday.is_some_and(|window| window.from / DAY_S == 14));
-    let rest = history.window(13 * DAY_S, cost);
+    let rest = history.prewarm_window(13 * DAY_S, cost);
     assert!(rest.is_none_or(|window| window.from / DAY_S != 13), "{rest:?}");
 }
 
@@ -56,7 +56,7 @@
     for (day, hour) in [(0, 3), (1, 11), (3, 18), (6, 7), (8, 22), (11, 14)] {
         history.record_call(day * DAY_S + hour * 3600);
     }
-    assert_eq!(history.window(12 * DAY_S, cold_cost(LOAD, 50, 50)), None);
+    assert_eq!(history.prewarm_window(12 * DAY_S, cold_cost(LOAD, 50, 50)), None);
 }
 
 /// Histories survive a restart through a peer, and their number is bounded.
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -20,7 +20,7 @@
 
 /// A time in which a model is expected to be called.
 #[derives(key)]
-pub struct Window {
+pub struct PrewarmWindow {
     /// When it should be ready, in seconds since the Unix epoch.
     pub from: u64,
     /// Until when it is worth keeping.
@@ -55,7 +55,7 @@
     /// with a wake, the whole window on days without, and a cold start for each wake before the
     /// beginning. A habit that did not show on this day of last week is left alone today, so
     /// that nothing waits on each day of rest.
-    pub fn window(&self, wall: u64, cold_cost: f64) -> Option<Window> {
+    pub fn prewarm_window(&self, wall: u64, cold_cost: f64) -> Option<PrewarmWindow> {
         let recent: Vec<u64> = self
             .times
             .iter()
@@ -73,7 +73,7 @@
             .min()
     }
 
-    fn idle_last_week(&self, first: u64, window: Window) -> bool {
+    fn idle_last_week(&self, first: u64, window: PrewarmWindow) -> bool {
         let week_ago = window.from.saturating_sub(7 * DAY_S);
         let span = week_ago.saturating_sub(CLUSTER_GAP_S)
             ..week_ago + CLUSTER_GAP_S + (window.until - window.from);
@@ -120,8 +120,8 @@
 }
 
 /// The first time after `wall` at which a daily window ends.
-fn next_occurrence(wall: u64, from: u64, until: u64) -> Window {
+fn next_occurrence(wall: u64, from: u64, until: u64) -> PrewarmWindow {
     let today = wall - wall % DAY_S;
     let day = if today + until > wall { today } else { today + DAY_S };
-    Window { from: day + from, until: day + until }
+    PrewarmWindow { from: day + from, until: day + until }
 }
