--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -148,16 +148,16 @@
         match self.policy.keep_alive {
             KeepAlive::Fixed(time) => time,
             KeepAlive::Adaptive => {
-                let cost = self.cold_cost(weights, config);
+                let cost = self.cold_start_cost(weights, config);
                 let unknown = history::History::default();
                 self.keep_alive.histories.find(weights).unwrap_or(&unknown).keep_alive_time(cost)
             }
         }
     }
 
-    fn cold_cost(&self, weights: &Weights, config: &dyn SchedulingConfig) -> f64 {
+    fn cold_start_cost(&self, weights: &Weights, config: &dyn SchedulingConfig) -> f64 {
         let factors = config.cost_factors(&weights.model);
-        history::cold_cost(config.load_time(weights), factors.tail, factors.idle)
+        history::cold_start_cost(config.load_time(weights), factors.tail, factors.idle)
     }
 
     /// The window in which a model should be loaded now, if there is one.
@@ -187,7 +187,7 @@
             return cached.window;
         }
         let history = self.keep_alive.histories.find(weights)?;
-        let window = history.prewarm_window(wall, self.cold_cost(weights, config));
+        let window = history.prewarm_window(wall, self.cold_start_cost(weights, config));
         let until = window.map_or(wall + NO_WINDOW_TTL_S, |window| window.until);
         self.keep_alive.windows.insert(weights.clone(), CachedWindow { window, until });
         window
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -30,7 +30,7 @@
 const MAX_KEEP_ALIVE_S: f64 = 3.0 * 86_400.0;
 
 /// What one cold start costs, in seconds of an idle replica.
-pub fn cold_cost(load_time: Duration, cold_start_weight: u32, idle_weight: u32) -> f64 {
+pub fn cold_start_cost(load_time: Duration, cold_start_weight: u32, idle_weight: u32) -> f64 {
     let ratio = f64::from(cold_start_weight) / f64::from(idle_weight).max(0.01);
     load_time.as_secs_f64() * ratio * IDLE_SECONDS_PER_COLD_SECOND
 }
@@ -95,15 +95,15 @@
     /// expected from the model's own gaps: idle time until the next call or until it is dropped,
     /// and a cold start if the next call comes later. The cheapest is taken. One time for all
     /// models would drop some just before each call and keep others through the night.
-    pub fn keep_alive_time(&self, cold_cost: f64) -> Duration {
+    pub fn keep_alive_time(&self, cold_start_cost: f64) -> Duration {
         let total: f64 = self.smoothed_counts().sum();
-        let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_cost, 0.0));
+        let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_start_cost, 0.0));
         for (bucket, weight) in self.smoothed_counts().enumerate() {
             idle += weight * bucket_midpoint_s(bucket);
             within += weight;
             let keep_alive = bucket_end_s(bucket);
             let later = (total - within).max(0.0);
-            let cost = (idle + later * (keep_alive + cold_cost)) / total;
+            let cost = (idle + later * (keep_alive + cold_start_cost)) / total;
             if cost < best.0 {
                 best = (cost, keep_alive);
             }
@@ -127,8 +127,8 @@
 
     /// The time of day, today or tomorrow, in which the model should be loaded before it is
     /// called; `None` if a cold start costs less than waiting for the call.
-    pub fn prewarm_window(&self, wall: u64, cold_cost: f64) -> Option<PrewarmWindow> {
-        self.wakes.prewarm_window(wall, cold_cost)
+    pub fn prewarm_window(&self, wall: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
+        self.wakes.prewarm_window(wall, cold_start_cost)
     }
 }
 
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -1,6 +1,6 @@
 //! Histories made up call by call.
 
-use super::{Histories, History, MAX_HISTORIES, cold_cost, wakes::DAY_S};
+use super::{Histories, History, MAX_HISTORIES, cold_start_cost, wakes::DAY_S};
 use corianderstand_types::weights::Weights;
 use rstest::rstest;
 use std::time::Duration;
@@ -16,7 +16,7 @@
             history.record_call(day * DAY_S + 7 * 3600 + minute * 60);
         }
     }
-    let keep = history.keep_alive_time(cold_cost(LOAD, 50, 50));
+    let keep = history.keep_alive_time(cold_start_cost(LOAD, 50, 50));
     assert!(keep > Duration::from_secs(60) && keep < Duration::from_secs(1800), "{keep:?}");
 }
 
@@ -29,8 +29,8 @@
         at += 30 + step * 37 % 3000;
         history.record_call(at);
     }
-    let cheap = history.keep_alive_time(cold_cost(LOAD, 10, 90));
-    let dear = history.keep_alive_time(cold_cost(LOAD, 90, 10));
+    let cheap = history.keep_alive_time(cold_start_cost(LOAD, 10, 90));
+    let dear = history.keep_alive_time(cold_start_cost(LOAD, 90, 10));
     assert!(dear > cheap, "{dear:?} {cheap:?}");
 }
 
@@ -42,7 +42,7 @@
     for day in (0..13).filter(|day| day % 7 != 6) {
         history.record_call(day * DAY_S + 7 * 3600 + day * 60);
     }
-    let cost = cold_cost(LOAD, 80, 20);
+    let cost = cold_start_cost(LOAD, 80, 20);
     let monday = history.prewarm_window(14 * DAY_S, cost);
     assert!(monday.is_some_and(|window| window.from / DAY_S == 14));
     let rest = history.prewarm_window(13 * DAY_S, cost);
@@ -56,7 +56,7 @@
     for (day, hour) in [(0, 3), (1, 11), (3, 18), (6, 7), (8, 22), (11, 14)] {
         history.record_call(day * DAY_S + hour * 3600);
     }
-    assert_eq!(history.prewarm_window(12 * DAY_S, cold_cost(LOAD, 50, 50)), None);
+    assert_eq!(history.prewarm_window(12 * DAY_S, cold_start_cost(LOAD, 50, 50)), None);
 }
 
 /// Histories survive a restart through a peer, and their number is bounded.
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -55,7 +55,7 @@
     /// with a wake, the whole window on days without, and a cold start for each wake before the
     /// beginning. A habit that did not show on this day of last week is left alone today, so
     /// that nothing waits on each day of rest.
-    pub fn prewarm_window(&self, wall: u64, cold_cost: f64) -> Option<PrewarmWindow> {
+    pub fn prewarm_window(&self, wall: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
         let recent: Vec<u64> = self
             .times
             .iter()
@@ -67,7 +67,7 @@
             ((wall / DAY_S).saturating_sub(first / DAY_S)).clamp(1, LOOKBACK_DAYS) as usize;
         cluster_by_time_of_day(&recent)
             .into_iter()
-            .filter_map(|cluster| best_window(&cluster, days_seen, cold_cost))
+            .filter_map(|cluster| best_window(&cluster, days_seen, cold_start_cost))
             .map(|(from, until)| next_occurrence(wall, from, until))
             .filter(|window| !self.idle_last_week(first, *window))
             .min()
@@ -99,7 +99,7 @@
 }
 
 /// The cheapest beginning and the end, as seconds of the day.
-fn best_window(cluster: &[u64], days_seen: usize, cold_cost: f64) -> Option<(u64, u64)> {
+fn best_window(cluster: &[u64], days_seen: usize, cold_start_cost: f64) -> Option<(u64, u64)> {
     let days: BTreeSet<u64> = cluster.iter().map(|wake| wake / DAY_S).collect();
     if days.len() < MIN_CLUSTER_DAYS {
         return None;
@@ -109,13 +109,13 @@
     let cost_from = |from: u64| -> f64 {
         let of_wake = |wake: &u64| {
             let time = wake % DAY_S;
-            if time < from { cold_cost } else { (time - from) as f64 }
+            if time < from { cold_start_cost } else { (time - from) as f64 }
         };
         cluster.iter().map(of_wake).sum::<f64>() + misses * (until - from) as f64
     };
     let starts = cluster.iter().map(|wake| wake % DAY_S);
     let best = starts.min_by(|a, b| cost_from(*a).total_cmp(&cost_from(*b)))?;
-    let without_prewarm = cluster.len() as f64 * cold_cost;
+    let without_prewarm = cluster.len() as f64 * cold_start_cost;
     (cost_from(best) < without_prewarm).then_some((best, until))
 }
 
