--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -25,14 +25,14 @@
 pub const MAX_HISTORIES: usize = 1024;
 /// Seconds of an idle replica that one second of waiting for a cold start is worth, if a team
 /// weighs both measures alike. At 30 a load of 20 s is worth keeping a replica for 10 minutes.
-pub const IDLE_SECONDS_PER_COLD_SECOND: f64 = 30.0;
+pub const IDLE_S_PER_COLD_START_S: f64 = 30.0;
 /// Longest time a replica is kept warm without a call.
 const MAX_KEEP_ALIVE_S: f64 = 3.0 * 86_400.0;
 
 /// What one cold start costs, in seconds of an idle replica.
 pub fn cold_start_cost(load_time: Duration, cold_start_weight: u32, idle_weight: u32) -> f64 {
     let ratio = f64::from(cold_start_weight) / f64::from(idle_weight).max(0.01);
-    load_time.as_secs_f64() * ratio * IDLE_SECONDS_PER_COLD_SECOND
+    load_time.as_secs_f64() * ratio * IDLE_S_PER_COLD_START_S
 }
 
 /// The calls of one model.
