--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct KeepAliveState {
     histories: Histories,
-    wall_origin: Option<(Instant, u64)>,
+    unix_time_origin: Option<(Instant, u64)>,
     expiries: BTreeSet<(Instant, Weights)>,
     expiry_by_weights: BTreeMap<Weights, Instant>,
     unloading: BTreeSet<Weights>,
@@ -42,8 +42,8 @@
 const NO_WINDOW_TTL_S: u64 = 3600;
 
 impl KeepAliveState {
-    pub fn set_unix_time(&mut self, now: Instant, wall: u64) {
-        self.wall_origin = Some((now, wall));
+    pub fn set_unix_time(&mut self, now: Instant, unix_s: u64) {
+        self.unix_time_origin = Some((now, unix_s));
         self.next_prewarm_scan.get_or_insert(now);
     }
 
@@ -59,14 +59,15 @@
         self.histories.merge(histories);
     }
 
-    fn wall(&self, now: Instant) -> u64 {
-        self.wall_origin.map_or(0, |(at, wall)| wall + now.saturating_duration_since(at).as_secs())
+    fn unix_s(&self, now: Instant) -> u64 {
+        self.unix_time_origin
+            .map_or(0, |(at, unix_s)| unix_s + now.saturating_duration_since(at).as_secs())
     }
 
     pub fn record_call(&mut self, now: Instant, weights: &Weights) {
-        self.wall_origin.get_or_insert((now, 0));
-        let wall = self.wall(now);
-        self.histories.record_call(weights, wall);
+        self.unix_time_origin.get_or_insert((now, 0));
+        let unix_s = self.unix_s(now);
+        self.histories.record_call(weights, unix_s);
         self.windows.remove(weights);
         self.cancel_expiry(weights);
     }
@@ -86,15 +87,15 @@
     pub fn probability(&self, now: Instant, weights: &Weights, horizon: Duration) -> f64 {
         let base = Weights { adapter: None, ..weights.clone() };
         let history = self.histories.find(weights).or_else(|| self.histories.find(&base));
-        history.map_or(0.0, |history| history.probability(self.wall(now), horizon))
+        history.map_or(0.0, |history| history.probability(self.unix_s(now), horizon))
     }
 
     /// Milliseconds from the beginning to the last use, for the baseline.
     pub fn last_used_ms(&self, last_used: Option<Instant>) -> u64 {
-        let wall_origin = self.wall_origin.map(|(at, _)| at);
+        let unix_time_origin = self.unix_time_origin.map(|(at, _)| at);
         let since = last_used
-            .zip(wall_origin)
-            .map(|(at, wall_origin)| at.saturating_duration_since(wall_origin));
+            .zip(unix_time_origin)
+            .map(|(at, unix_time_origin)| at.saturating_duration_since(unix_time_origin));
         since.map_or(0, |since| since.as_millis() as u64)
     }
 
@@ -167,28 +168,28 @@
         weights: &Weights,
         config: &dyn SchedulingConfig,
     ) -> Option<(Instant, Instant)> {
-        let wall = self.keep_alive.wall(now);
-        let PrewarmWindow { from, until } = self.prewarm_window(wall, weights, config)?;
+        let unix_s = self.keep_alive.unix_s(now);
+        let PrewarmWindow { from, until } = self.prewarm_window(unix_s, weights, config)?;
         let lead = config.load_time(weights) * PREWARM_LEAD_LOADS;
-        let begin = Duration::from_secs(from.saturating_sub(wall)).saturating_sub(lead);
-        let end = Duration::from_secs(until.saturating_sub(wall));
+        let begin = Duration::from_secs(from.saturating_sub(unix_s)).saturating_sub(lead);
+        let end = Duration::from_secs(until.saturating_sub(unix_s));
         begin.is_zero().then_some((now + begin, now + end))
     }
 
     fn prewarm_window(
         &mut self,
-        wall: u64,
+        unix_s: u64,
         weights: &Weights,
         config: &dyn SchedulingConfig,
     ) -> Option<PrewarmWindow> {
         if let Some(cached) = self.keep_alive.windows.get(weights)
-            && wall < cached.until
+            && unix_s < cached.until
         {
             return cached.window;
         }
         let history = self.keep_alive.histories.find(weights)?;
-        let window = history.prewarm_window(wall, self.cold_start_cost(weights, config));
-        let until = window.map_or(wall + NO_WINDOW_TTL_S, |window| window.until);
+        let window = history.prewarm_window(unix_s, self.cold_start_cost(weights, config));
+        let until = window.map_or(unix_s + NO_WINDOW_TTL_S, |window| window.until);
         self.keep_alive.windows.insert(weights.clone(), CachedWindow { window, until });
         window
     }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -178,8 +178,8 @@
     }
 
     /// Tells the time of day: `wall` is in seconds since the Unix epoch.
-    pub fn set_unix_time(&mut self, now: Instant, wall: u64) {
-        self.keep_alive.set_unix_time(now, wall);
+    pub fn set_unix_time(&mut self, now: Instant, unix_s: u64) {
+        self.keep_alive.set_unix_time(now, unix_s);
     }
 
     /// Whether a coordinator paces loads; without one this agent falls back to its own pace.
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -66,18 +66,18 @@
 
 impl History {
     /// Notes a call at `wall`, in seconds since the Unix epoch.
-    pub fn record_call(&mut self, wall: u64) {
-        self.decay(wall);
-        let gap = self.last_call.map(|last| wall.saturating_sub(last));
-        self.wakes.record_call(wall, gap);
+    pub fn record_call(&mut self, unix_s: u64) {
+        self.decay(unix_s);
+        let gap = self.last_call.map(|last| unix_s.saturating_sub(last));
+        self.wakes.record_call(unix_s, gap);
         if let Some(gap) = gap {
             self.gaps[bucket_index(gap as f64)] += 1.0;
         }
-        self.last_call = Some(wall);
+        self.last_call = Some(unix_s);
     }
 
-    fn decay(&mut self, wall: u64) {
-        let day = wall / wakes::DAY_S;
+    fn decay(&mut self, unix_s: u64) {
+        let day = unix_s / wakes::DAY_S;
         if day > self.day {
             let factor = DAILY_DECAY_RATIO.powi((day - self.day).min(365) as i32) as f32;
             self.gaps.iter_mut().for_each(|count| *count *= factor);
@@ -112,8 +112,8 @@
     }
 
     /// Probability of a call within `horizon`, after what has been idle since the last one.
-    pub fn probability(&self, wall: u64, horizon: Duration) -> f64 {
-        let idle = self.last_call.map_or(0, |last| wall.saturating_sub(last)) as f64;
+    pub fn probability(&self, unix_s: u64, horizon: Duration) -> f64 {
+        let idle = self.last_call.map_or(0, |last| unix_s.saturating_sub(last)) as f64;
         let until = idle + horizon.as_secs_f64();
         let (mut soon, mut all) = (0.0, 0.0);
         for (bucket, weight) in self.smoothed_counts().enumerate() {
@@ -127,8 +127,8 @@
 
     /// The time of day, today or tomorrow, in which the model should be loaded before it is
     /// called; `None` if a cold start costs less than waiting for the call.
-    pub fn prewarm_window(&self, wall: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
-        self.wakes.prewarm_window(wall, cold_start_cost)
+    pub fn prewarm_window(&self, unix_s: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
+        self.wakes.prewarm_window(unix_s, cold_start_cost)
     }
 }
 
@@ -141,11 +141,11 @@
 
 impl Histories {
     /// Notes a call.
-    pub fn record_call(&mut self, weights: &Weights, wall: u64) {
+    pub fn record_call(&mut self, weights: &Weights, unix_s: u64) {
         if !self.by_weights.contains_key(weights) && self.by_weights.len() >= MAX_HISTORIES {
             self.evict_least_recent();
         }
-        self.by_weights.entry(weights.clone()).or_default().record_call(wall);
+        self.by_weights.entry(weights.clone()).or_default().record_call(unix_s);
     }
 
     fn evict_least_recent(&mut self) {
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -37,15 +37,15 @@
 
 impl Wakes {
     /// Notes a call after this gap.
-    pub fn record_call(&mut self, wall: u64, gap: Option<u64>) {
-        self.first.get_or_insert(wall);
+    pub fn record_call(&mut self, unix_s: u64, gap: Option<u64>) {
+        self.first.get_or_insert(unix_s);
         if gap.is_some_and(|gap| gap < MIN_IDLE_S) {
             return;
         }
         if self.times.len() >= MAX_WAKES {
             self.times.pop_front();
         }
-        self.times.push_back(wall);
+        self.times.push_back(unix_s);
     }
 
     /// The next window in which having the model ready costs less than a cold start.
@@ -55,20 +55,20 @@
     /// with a wake, the whole window on days without, and a cold start for each wake before the
     /// beginning. A habit that did not show on this day of last week is left alone today, so
     /// that nothing waits on each day of rest.
-    pub fn prewarm_window(&self, wall: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
+    pub fn prewarm_window(&self, unix_s: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
         let recent: Vec<u64> = self
             .times
             .iter()
             .copied()
-            .filter(|t| wall.saturating_sub(*t) < LOOKBACK_DAYS * DAY_S)
+            .filter(|t| unix_s.saturating_sub(*t) < LOOKBACK_DAYS * DAY_S)
             .collect();
         let first = self.first?;
         let days_seen =
-            ((wall / DAY_S).saturating_sub(first / DAY_S)).clamp(1, LOOKBACK_DAYS) as usize;
+            ((unix_s / DAY_S).saturating_sub(first / DAY_S)).clamp(1, LOOKBACK_DAYS) as usize;
         cluster_by_time_of_day(&recent)
             .into_iter()
             .filter_map(|cluster| best_window(&cluster, days_seen, cold_start_cost))
-            .map(|(from, until)| next_occurrence(wall, from, until))
+            .map(|(from, until)| next_occurrence(unix_s, from, until))
             .filter(|window| !self.idle_last_week(first, *window))
             .min()
     }
@@ -120,8 +120,8 @@
 }
 
 /// The first time after `wall` at which a daily window ends.
-fn next_occurrence(wall: u64, from: u64, until: u64) -> PrewarmWindow {
-    let today = wall - wall % DAY_S;
-    let day = if today + until > wall { today } else { today + DAY_S };
+fn next_occurrence(unix_s: u64, from: u64, until: u64) -> PrewarmWindow {
+    let today = unix_s - unix_s % DAY_S;
+    let day = if today + until > unix_s { today } else { today + DAY_S };
     PrewarmWindow { from: day + from, until: day + until }
 }
