--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request can be answered in time, and when to come back if not.
+//! Admission control and retry hints.
 
 use super::{Agent, MIN_RETRY_AFTER};
 use crate::{
@@ -10,23 +10,20 @@
 use corianderstand_types::names::WorkspaceId;
 use std::time::{Duration, Instant};
 
-/// Expected run of short work before any was seen.
+/// Initial estimate for short requests.
 const INITIAL_SHORT_RUN_TIME: Duration = Duration::from_millis(100);
-/// Expected run of long work before any was seen.
+/// Initial estimate for long requests.
 const INITIAL_LONG_RUN_TIME: Duration = Duration::from_secs(2);
-/// Part of the difference that each run moves the expectation by: one in this many.
+/// Inverse of the smoothing factor of the run-time averages.
 const RUN_TIME_SMOOTHING_DIVISOR: u32 = 8;
-/// Longest time to come back that a refusal names. Booked further ahead, callers would stay away
-/// long after a burst is over.
+/// Maximum `retry_after` of a refusal, so that callers return soon after a burst.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Callers refused for a load come back within this part of its time after it: together they
-/// would fill the queue in one instant, much later they would find the model idle for long.
+/// Retries after a cold start are spread over the load time divided by this.
 const COLD_START_JITTER_DIVISOR: u32 = 8;
-/// Odd factor of the multiplicative spread of those who find no place before
-/// [`MAX_RETRY_AFTER`]; consecutive multiples of it modulo 2^64 lie far apart.
-const JITTER_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Increment of the low-discrepancy jitter sequence: 2^64 divided by the golden ratio.
+const JITTER_INCREMENT: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Expected length of a run.
+/// Exponentially weighted mean and mean deviation of run times.
 #[derives(data)]
 #[derive(Copy)]
 pub struct RunTimeEstimate {
@@ -35,24 +32,24 @@
 }
 
 impl RunTimeEstimate {
-    /// Expectations for short and long work.
+    /// Initial estimates for short and long requests.
     pub const fn initial() -> [Self; 2] {
         let deviation = Duration::ZERO;
         let short = Self { mean: INITIAL_SHORT_RUN_TIME, deviation };
         [short, Self { mean: INITIAL_LONG_RUN_TIME, deviation }]
     }
 
-    /// A length that a run has at the least, as far as can be expected.
+    /// The mean less one deviation.
     pub const fn lower_bound(self) -> Duration {
         self.mean.saturating_sub(self.deviation)
     }
 
-    /// The expectation.
+    /// The mean run time.
     pub const fn mean(self) -> Duration {
         self.mean
     }
 
-    /// Folds the length of a run into it.
+    /// Adds an observed run time.
     pub fn observe(&mut self, run_time: Duration) {
         let error = run_time.abs_diff(self.mean);
         self.deviation = (self.deviation * (RUN_TIME_SMOOTHING_DIVISOR - 1) + error)
@@ -62,11 +59,10 @@
     }
 }
 
-/// Times to come back that were handed out.
+/// Schedule of the retry times given to refused callers.
 ///
-/// Made for bursts that are refused: callers told the same time return together and are refused
-/// together again. Each is booked after the one before, at the pace at which the target works
-/// off requests, so that whoever comes back finds room.
+/// Retries are spaced at the rate at which the target completes requests, so that the callers of a
+/// refused burst don't return together.
 #[derives(data)]
 #[derive(Default)]
 pub struct RetrySchedule {
@@ -75,7 +71,8 @@
 }
 
 impl RetrySchedule {
-    /// Books a time no sooner than `base` from now, and `spacing` after the one before.
+    /// Returns a retry delay of at least `base` that ends no sooner than `spacing` after the
+    /// previous one.
     pub fn schedule(&mut self, now: Instant, base: Duration, spacing: Duration) -> Duration {
         let base = base.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
         let at = self.next.map_or(now + base, |next| next.max(now + base));
@@ -84,21 +81,20 @@
             self.next = Some(at + spacing);
             return after;
         }
-        // No place is left before the limit: spread over its second half.
+        // The schedule is full up to the limit: spread over its second half.
         MAX_RETRY_AFTER / 2 + self.jitter(MAX_RETRY_AFTER / 2)
     }
 
-    /// A time below `width`, far from those given before.
+    /// Returns a delay below `width` that is spread evenly from previous ones.
     pub fn jitter(&mut self, width: Duration) -> Duration {
-        self.jitter_state = self.jitter_state.wrapping_add(JITTER_MULTIPLIER);
+        self.jitter_state = self.jitter_state.wrapping_add(JITTER_INCREMENT);
         width.mul_f64(self.jitter_state as f64 / u64::MAX as f64)
     }
 }
 
 impl Agent {
-    /// Made for bursts: a request that cannot be answered in time, or finds no room to wait, is
-    /// refused on arrival. Admitting it would use the target for an answer nobody awaits and
-    /// make those behind it late too.
+    /// Refuses a request on arrival if its target is draining, holds no slot for its model, has a
+    /// full queue, or can't meet its deadline.
     pub(super) fn refusal(
         &mut self,
         now: Instant,
@@ -134,7 +130,7 @@
             return None;
         }
         let retry_after = if load > wait {
-            // It comes back to a model that is loaded: the load is ordered all the same.
+            // The load is scheduled despite the refusal, so a retry finds the model loaded.
             load.max(MIN_RETRY_AFTER) + self.retry_schedule.jitter(load / COLD_START_JITTER_DIVISOR)
         } else {
             self.schedule_retry(now, excess, length)
@@ -142,8 +138,8 @@
         Some(Refusal { reason: RefusalReason::Deadline, retry_after })
     }
 
-    /// Made for one team's flood: it may fill the queue, but a team that has less waiting than
-    /// its share of the queue still gets in. The queue grows to twice its limit at most.
+    /// Whether the queue is full for a team. A team below its share of the queue is still admitted,
+    /// so the queue holds at most twice its limit.
     fn is_queue_full_for(&self, team: &WorkspaceId, share: u32, total_shares: u32) -> bool {
         if self.queue.len() < self.limits.queue as usize {
             return false;
@@ -152,7 +148,7 @@
         self.queue.waiting_of(team) as u64 >= owed
     }
 
-    /// Time until all that a request needs is loaded.
+    /// Expected time until all weights of a request are loaded.
     fn expected_load_wait(
         &self,
         now: Instant,
@@ -178,7 +174,7 @@
         self.retry_schedule.schedule(now, base, spacing)
     }
 
-    /// Time that a short request of ordinary urgency would wait, as told to routers.
+    /// Expected wait of a short request of normal urgency, as reported to routers.
     pub(super) fn typical_queue_wait(&self) -> Duration {
         if self.queue.running() < self.limits.concurrency {
             return Duration::ZERO;
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -1,4 +1,4 @@
-//! What makes room in an engine's memory.
+//! Eviction of idle weights from an engine's memory.
 
 use super::{Action, Agent, Eviction};
 use crate::{ledger::Stage, work::SchedulingConfig};
@@ -8,16 +8,14 @@
     time::{Duration, Instant},
 };
 
-/// Look-ahead over which the worth of keeping a model is judged.
+/// Horizon of the call probability that the utility uses.
 const UTILITY_HORIZON: Duration = Duration::from_secs(30 * 60);
 
 impl Agent {
-    /// Unloads what is least worth keeping of what nobody uses, until enough will be free;
-    /// false if that is not enough.
+    /// Unloads idle weights in eviction order until `missing` will be free; returns whether it will
+    /// be.
     ///
-    /// Made for more models than fit. What is unloaded too soon costs its next caller a load, so
-    /// the probability of a call soon and the time of loading again are weighed against the
-    /// memory that is won. What runs or is waited for is never unloaded.
+    /// Weights that a request uses or waits for are never evicted.
     pub(super) fn evict(
         &mut self,
         now: Instant,
@@ -42,8 +40,8 @@
         reclaimable_mib >= missing.0
     }
 
-    /// Models and single adapters that may be unloaded, the least worth first, each with the
-    /// memory that comes free.
+    /// Evictable models and adapters in eviction order, each with its utility and the memory in MiB
+    /// that it frees.
     fn victims(
         &self,
         now: Instant,
@@ -71,7 +69,7 @@
                 (utility, weights.clone(), memory)
             })
             .collect();
-        // Of equal worth the larger goes first, as fewer models are lost.
+        // At equal utility the larger is evicted first, so that fewer are.
         victims.sort_by_key(|(utility, weights, memory)| {
             (*utility, Reverse(*memory), weights.clone())
         });
@@ -86,7 +84,7 @@
         of_model.map(|(_, entry)| entry.memory.0).sum()
     }
 
-    /// Expected waiting, weighed by its teams, that keeping it spares for each GiB.
+    /// Expected cold-start time avoided by keeping the weights, weighted by cost factor, per GiB.
     fn utility(
         &self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -1,4 +1,4 @@
-//! How long a model that nobody calls stays loaded, and starting ahead of a burst.
+//! Keep-alive times of idle models, and prewarming.
 
 use super::{Action, Agent, KeepAlive, loads::LoadDemand};
 use crate::{
@@ -12,12 +12,12 @@
     time::{Duration, Instant},
 };
 
-/// Time between two looks at which models are due soon.
+/// Interval between scans for models to prewarm.
 const PREWARM_SCAN_INTERVAL: Duration = Duration::from_secs(15);
-/// Load times by which a model is started ahead of when it is due, as others start with it.
+/// Lead of a prewarm, in load times; leaves time for other loads that start with it.
 const PREWARM_LEAD_LOADS: u32 = 3;
 
-/// What this agent knows of the calls of its models, and what it keeps until when.
+/// Call histories, keep-alive expiries and pending unloads of one agent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KeepAliveState {
     histories: Histories,
@@ -30,15 +30,14 @@
     windows: BTreeMap<Weights, CachedWindow>,
 }
 
-/// A window that was worked out, and until when that holds: until the model is called again or
-/// the window is over.
+/// A computed prewarm window, valid until `until` or the model's next call.
 #[derive(Clone, Copy, Debug)]
 struct CachedWindow {
     window: Option<PrewarmWindow>,
     until: u64,
 }
 
-/// Without a window, it is looked for again after this time, in seconds.
+/// Time after which a model without a prewarm window is evaluated again.
 const NO_WINDOW_TTL_S: u64 = 3600;
 
 impl KeepAliveState {
@@ -90,7 +89,7 @@
         history.map_or(0.0, |history| history.probability(self.unix_s(now), horizon))
     }
 
-    /// Milliseconds from the beginning to the last use, for the baseline.
+    /// Time of the last use, in milliseconds since the origin of the wall clock.
     pub fn last_used_ms(&self, last_used: Option<Instant>) -> u64 {
         let unix_time_origin = self.unix_time_origin.map(|(at, _)| at);
         let since = last_used
@@ -103,7 +102,7 @@
         self.unloading.contains(weights)
     }
 
-    /// Memory of models that wait for their adapters to be unloaded.
+    /// Memory of models that are unloaded once their adapters are.
     pub fn unloading_mib(&self, ledger: &Ledger) -> u64 {
         let ready = |weights: &&Weights| {
             ledger.find(weights).is_some_and(|entry| entry.stage == Stage::Ready)
@@ -119,7 +118,7 @@
 }
 
 impl Agent {
-    /// Decides how long a model stays once nobody uses it.
+    /// Schedules the expiry of a model that no request uses.
     pub(super) fn schedule_expiry(
         &mut self,
         now: Instant,
@@ -132,7 +131,7 @@
             return;
         }
         if !self.slots.contains(&base.model) {
-            // Kept without a slot it would be a replica more than was decided.
+            // Without a slot it would be an unplanned replica.
             self.keep_alive.set_expiry(&base, now);
             return;
         }
@@ -161,7 +160,7 @@
         history::cold_start_cost(config.load_time(weights), factors.tail, factors.idle)
     }
 
-    /// The window in which a model should be loaded now, if there is one.
+    /// The prewarm window of a model, if its lead has begun.
     fn due_window(
         &mut self,
         now: Instant,
@@ -194,7 +193,7 @@
         window
     }
 
-    /// Drops what was kept long enough and loads what is due soon.
+    /// Unloads models whose keep-alive expired, and prewarms those that are due.
     pub(super) fn unload_expired(
         &mut self,
         now: Instant,
@@ -223,7 +222,7 @@
         }
     }
 
-    /// What a new process finds loaded, or lost its slot, is idle too.
+    /// Schedules expiries for all loaded models, as after a restart or a change of slots.
     fn rescan_idle(&mut self, now: Instant, config: &dyn SchedulingConfig) {
         let ready =
             self.ledger.entries().filter(|(w, e)| e.stage == Stage::Ready && w.adapter.is_none());
@@ -233,8 +232,7 @@
         }
     }
 
-    /// Made for a crew's morning: what is called at about this time each day is loaded before
-    /// the first request, and ahead of it by a few load times, as other models are due then too.
+    /// Requests loads of models whose prewarm window is due.
     fn prewarm(&mut self, now: Instant, config: &dyn SchedulingConfig) {
         let known = self.keep_alive.histories.iter().map(|(weights, _)| weights);
         let cold = known.filter(|weights| {
@@ -248,7 +246,7 @@
         }
     }
 
-    /// Begins to unload a model, its adapters first, or a single adapter.
+    /// Starts to unload an adapter, or a model after its adapters.
     pub(super) fn begin_unload(&mut self, weights: &Weights, actions: &mut Vec<Action>) {
         self.keep_alive.cancel_expiry(weights);
         if weights.adapter.is_some() {
@@ -259,8 +257,7 @@
         }
     }
 
-    /// An engine holds an adapter on its model, so the adapters go first and the model once
-    /// they are gone.
+    /// Unloads the adapters of models that are being unloaded, then the models.
     fn continue_unloading(&mut self, actions: &mut Vec<Action>) {
         if self.keep_alive.unloading.is_empty() {
             return;
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -1,4 +1,4 @@
-//! What is loaded, in which order, and what makes room for it.
+//! Scheduling of loads.
 
 use super::{Action, Agent, MIN_RETRY_AFTER};
 use crate::{
@@ -14,19 +14,18 @@
     time::{Duration, Instant},
 };
 
-/// Time a coordinator has to grant or queue a load before the agent falls back to its own pace.
-/// A coordinator answers within a round trip; this is long enough for a change of lease, and
-/// short against any load.
+/// Time to wait for a coordinator's grant before the agent starts a load at its own pace; long
+/// enough for a change of the coordinator's lease.
 pub const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that requests wait for room in memory while all of it is in use. Longer, they would find
-/// out only at their deadline that another replica should have served them.
+/// Time that requests wait for memory before they are refused, so that they can be retried on
+/// another replica before their deadline.
 const CAPACITY_WAIT_LIMIT: Duration = Duration::from_secs(2);
-/// How long a load stays wanted for callers that were told to come back for it.
+/// Time beyond the expected load that a load demand of refused callers stays valid.
 const DEMAND_TTL: Duration = Duration::from_secs(60);
-/// Pause before an order of unknown outcome is repeated; engines take a repeat as the same order.
+/// Delay before a command of unknown outcome is retried; engines treat retries as idempotent.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Memory is set aside, the order is not sent yet.
+/// A load with reserved memory whose command is not sent yet.
 #[derives(data)]
 struct PendingLoad {
     less_urgent: u8,
@@ -37,14 +36,14 @@
     granted: bool,
 }
 
-/// Wanted although nobody waits: callers were told to come back, or a burst is due.
+/// Demand for a load without queued requests: for refused callers, or for a prewarm.
 #[derives(data)]
 pub(super) struct LoadDemand {
     pub urgency: u8,
     pub until: Instant,
 }
 
-/// The order was sent.
+/// A load whose command was sent.
 #[derives(data)]
 struct StartedLoad {
     at: Instant,
@@ -52,7 +51,7 @@
     by_gate: bool,
 }
 
-/// Loads that are wanted, wait for their turn, or are on their way.
+/// Loads that are in demand, pending or started.
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
     gate: Gate,
@@ -67,7 +66,7 @@
     slowdown: f64,
 }
 
-/// Part of the difference by which one load moves what the next is expected to take.
+/// Smoothing factor of the observed slowdown.
 const SLOWDOWN_SMOOTHING_RATIO: f64 = 0.5;
 
 impl Default for Loads {
@@ -108,15 +107,15 @@
         }
     }
 
-    /// Whether anyone waits for it or was told to come back for it.
+    /// Whether queued requests wait for the weights.
     pub fn is_awaited(&self, weights: &Weights) -> bool {
         self.waiting.contains_key(weights)
     }
 
-    /// Time until it is loaded.
+    /// Expected time until the weights are loaded.
     pub fn remaining(&self, now: Instant, weights: &Weights, load_time: Duration) -> Duration {
         match self.started.get(weights) {
-            // Overdue: the store is slow, and may need as long again as it already took.
+            // An overdue load is expected to take as long again as it already took.
             Some(started) => {
                 let took = now.saturating_duration_since(started.at);
                 let expected = started.expected.mul_f64(self.slowdown);
@@ -126,8 +125,8 @@
         }
     }
 
-    /// When orders may be due without any other event. Never a time at which nothing would be
-    /// done: the caller would come back at once, for ever.
+    /// When a command may be due without any other event. Must not return a time at which nothing
+    /// is due, or the caller spins.
     pub fn next_wake(&self) -> Option<Instant> {
         let pending = self.pending.values().filter_map(|pending| self.next_start_of(pending));
         let retries = self.retries.values().map(|(at, _)| *at);
@@ -148,8 +147,7 @@
         }
     }
 
-    /// Made for a store that is slower than stated: callers told the stated time would come back
-    /// too early, again and again.
+    /// Updates the slowdown of loads against their configured time, which scales retry hints.
     fn observe(&mut self, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
         self.slowdown += (ratio.max(1.0) - self.slowdown) * SLOWDOWN_SMOOTHING_RATIO;
@@ -160,28 +158,26 @@
         self.demands.insert(weights.clone(), demand);
     }
 
-    /// Forgets what is wanted no longer.
     pub fn drop_expired_demand(&mut self, now: Instant) {
         self.demands.retain(|_, demand| now < demand.until);
     }
 
-    /// Until when it is kept for those who were told to come back.
+    /// Time until which there is demand for the weights.
     pub fn demanded_until(&self, weights: &Weights) -> Option<Instant> {
         self.demands.get(weights).map(|demand| demand.until)
     }
 }
 
 impl Agent {
-    /// A load that some request waits for.
+    /// Adds weights that a request waits for to the loads to reserve memory for.
     pub(super) fn record_missing(&mut self, weights: &Weights) {
         if self.ledger.find(weights).is_none_or(|entry| entry.stage == Stage::Unloading) {
             self.loads.unreserved.insert(weights.clone());
         }
     }
 
-    /// Made for first requests with a short deadline: the request is refused, yet what it needs
-    /// is loaded, so that its caller finds it when coming back. Without this a model whose
-    /// callers all wait less than its load takes would stay cold for ever.
+    /// Loads the weights of a refused request, so that its retry succeeds. Without it a model whose
+    /// callers have deadlines shorter than its load time would never be loaded.
     pub(super) fn record_demand(
         &mut self,
         now: Instant,
@@ -196,10 +192,8 @@
         self.loads.record_demand(&weights, LoadDemand { urgency: work.urgency, until });
     }
 
-    /// Sets memory aside for what is missing and sends the orders whose turn it is.
-    ///
-    /// Made for a burst of first requests for several models: urgent ones first, then those due
-    /// soon, then the shortest.
+    /// Reserves memory for missing weights and starts the loads that may start, ordered by
+    /// urgency, deadline and load time.
     pub(super) fn schedule_loads(
         &mut self,
         now: Instant,
@@ -286,7 +280,7 @@
 
     fn grant_request(&self, weights: &Weights, pending: &PendingLoad) -> Ask {
         Ask {
-            // The process that sends the wish fills in its own name.
+            // The sender fills in its own target.
             target: corianderstand_types::names::TargetId::default(),
             weights: weights.clone(),
             urgency: u8::MAX - pending.less_urgent,
@@ -295,8 +289,8 @@
         }
     }
 
-    /// Made for memory that is all in use: those who wait for a load that finds no room are told
-    /// soon, so that another replica may serve them, instead of at their deadline.
+    /// Refuses the requests that wait for weights once these didn't fit in memory for
+    /// [`CAPACITY_WAIT_LIMIT`].
     fn check_capacity_wait(
         &mut self,
         now: Instant,
@@ -347,7 +341,7 @@
         }
     }
 
-    /// The coordinator lets a load start.
+    /// Handles the coordinator's grant of a load.
     pub fn on_load_granted(
         &mut self,
         now: Instant,
@@ -360,8 +354,7 @@
         self.step(now, config)
     }
 
-    /// An order's outcome may be unknown for ever if its answer was lost; asking the same again
-    /// settles it, and until then its memory counts as used.
+    /// Retries commands of unknown outcome, whose memory counts as used until it is known.
     fn retry_commands(
         &mut self,
         now: Instant,
@@ -372,10 +365,10 @@
         let due: Vec<(Weights, bool)> = due.map(|(w, (_, load))| (w.clone(), *load)).collect();
         for (weights, load) in due {
             self.loads.retries.remove(&weights);
-            // Settled meanwhile by asking the engine: a repeat could undo what followed.
+            // If a query resolved the outcome meanwhile, a retry could undo a later command.
             let unknown = self.ledger.find(&weights).filter(|e| e.stage == Stage::Unknown);
             let Some(memory) = unknown.map(|entry| entry.memory) else { continue };
-            // It is on its way again, so an older answer of the engine settles nothing.
+            // Marks the entry as changed, so that an older query response doesn't resolve it.
             let stage = if load { Stage::Loading } else { Stage::Unloading };
             self.ledger.set_stage(&weights, stage);
             if load {
@@ -389,7 +382,7 @@
         }
     }
 
-    /// An order to load has been answered; `None` if its outcome is unknown.
+    /// Handles the result of a load command; `None` if its outcome is unknown.
     pub fn on_load_finished(
         &mut self,
         now: Instant,
@@ -428,7 +421,7 @@
         actions
     }
 
-    /// An order to unload has been answered.
+    /// Handles the result of an unload command.
     pub fn on_unload_finished(
         &mut self,
         now: Instant,
@@ -448,7 +441,7 @@
         self.step(now, config)
     }
 
-    /// Those who wait for a load that failed are told at once rather than at their deadline.
+    /// Refuses all requests that wait for the weights.
     fn refuse_waiting(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions beside one target: admit, queue, refuse, load, keep, unload.
+//! Admission, queueing, loading and eviction for one target.
 //!
-//! [`Agent`] takes events and the time and returns [`Action`]s. `admit` decides whether a request
-//! can be answered in time, `loads` what is loaded, `evict` what makes room for it, `keep` how long a
-//! model that nobody calls stays loaded.
+//! [`Agent`] is a state machine that takes events and the current time and returns [`Action`]s. It
+//! is split into `admit` (admission control), `loads` (load scheduling), `evict` (eviction) and
+//! `keep_alive` (keep-alive times and prewarming).
 
 mod admit;
 mod evict;
@@ -31,70 +31,70 @@
     time::{Duration, Instant},
 };
 
-/// Limits of one agent.
+/// Capacity limits of one agent.
 #[derives(data)]
 #[derive(Copy)]
 pub struct Limits {
-    /// Requests that run at once: what the target can batch. More would slow all of them.
+    /// Maximum number of running requests: the batch size of the target.
     pub concurrency: u32,
-    /// Requests that wait: beyond it a queue only turns refusals into late refusals.
+    /// Maximum number of queued requests.
     pub queue: u32,
 }
 
-/// How long a model that nobody calls is kept.
+/// How long an idle model stays loaded.
 #[derives(key)]
 #[derive(Default)]
 pub enum KeepAlive {
-    /// By its own history and what a cold start costs.
+    /// Derived from the model's call history and cold-start cost.
     #[default]
     Adaptive,
-    /// A fixed time after the last call: the baseline of the measurements.
+    /// A fixed time after the last call; the baseline of comparisons.
     Fixed(Duration),
 }
 
-/// What is unloaded to make room.
+/// Which weights are evicted when memory is needed.
 #[derives(key)]
 #[derive(Default)]
 pub enum Eviction {
-    /// What is least worth keeping.
+    /// Those with the lowest utility.
     #[default]
     LowestUtility,
-    /// The least recently used: the baseline of the measurements.
+    /// The least recently used; the baseline of comparisons.
     LeastRecentlyUsed,
 }
 
-/// Which of the ways to decide are used; [`Policy::default`] is the one to run.
+/// The decision policies of an agent; [`Policy::default`] is the one for production.
 #[derives(key)]
 #[derive(Default)]
 pub struct Policy {
-    /// How long idle models are kept.
+    /// How long idle models stay loaded.
     pub keep_alive: KeepAlive,
-    /// What makes room.
+    /// Which weights are evicted.
     pub eviction: Eviction,
-    /// Who goes next.
+    /// Dequeue order.
     pub order: Order,
 }
 
-/// What is to be done.
+/// An effect that the caller of [`Agent`] must carry out.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Action {
-    /// Run a request.
+    /// Start a request.
     Run(RequestKey),
-    /// Tell a request's router that it is not run.
+    /// Send a refusal to the request's router.
     Refuse(RequestKey, Refusal),
-    /// Order the engine to load.
+    /// Send the engine a load command.
     Load(Weights, Mib),
-    /// Order the engine to unload.
+    /// Send the engine an unload command.
     Unload(Weights, Mib),
-    /// Ask whoever paces loads in the deployment for a grant.
+    /// Request a grant for a load from the coordinator.
     RequestLoadGrant(Ask),
 }
 
-/// Shortest time to come back that a refusal names.
+/// Minimum `retry_after` of a refusal.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Time between two looks at all that wait for those that have become hopeless. Each look costs
-/// time in proportion to the queue; a caller learns a quarter of a second late at most.
+/// Interval between scans for queued requests that can't meet their deadline any more; each scan
+/// is linear in the queue length.
 const SHED_SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derives(data)]
@@ -103,7 +103,7 @@
     started_at: Option<Instant>,
 }
 
-/// The state of the decisions beside one target.
+/// The decision state of one target.
 #[derive(Clone, Debug)]
 pub struct Agent {
     limits: Limits,
@@ -122,12 +122,12 @@
 }
 
 impl Agent {
-    /// An idle agent whose engine has `memory`.
+    /// Creates an idle agent for an engine with `memory`.
     pub fn new(limits: Limits, memory: Mib) -> Self {
         Self::with_policy(limits, memory, Policy::default())
     }
 
-    /// An idle agent that decides in one of the ways compared in the measurements.
+    /// Creates an idle agent with a given policy.
     pub fn with_policy(limits: Limits, memory: Mib, policy: Policy) -> Self {
         Self {
             limits,
@@ -146,22 +146,22 @@
         }
     }
 
-    /// The ledger, to look at.
+    /// The memory ledger of the engine.
     pub const fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Requests of a team that run here.
+    /// Number of running requests of a team.
     pub fn running_of(&self, team: &WorkspaceId) -> u32 {
         self.queue.running_of(team)
     }
 
-    /// Requests of a team that wait here for room only.
+    /// Number of queued requests of a team whose weights are loaded.
     pub fn ready_of(&self, team: &WorkspaceId) -> usize {
         self.queue.ready_of(team)
     }
 
-    /// Takes over what the engine says is loaded.
+    /// Rebuilds the ledger from what the engine reports as loaded.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.ledger.rebuild(loaded);
         self.keep_alive.request_rescan();
@@ -171,34 +171,33 @@
         }
     }
 
-    /// Models of which this target owns a slot.
+    /// Sets the models for which this target owns a replica slot.
     pub fn set_slots(&mut self, slots: BTreeSet<ModelId>) {
         self.slots = slots;
         self.keep_alive.request_rescan();
     }
 
-    /// Tells the time of day: `wall` is in seconds since the Unix epoch.
+    /// Sets the wall-clock time at `now`, in seconds since the Unix epoch.
     pub fn set_unix_time(&mut self, now: Instant, unix_s: u64) {
         self.keep_alive.set_unix_time(now, unix_s);
     }
 
-    /// Whether a coordinator paces loads; without one this agent falls back to its own pace.
+    /// Sets whether a coordinator paces loads; without one this agent paces its own.
     pub fn set_coordinated(&mut self, coordinated: bool) {
         self.loads.set_coordinated(coordinated);
     }
 
-    /// What is known of the calls of each model, for a peer to keep.
+    /// Call histories by model, for replication to a peer.
     pub const fn histories(&self) -> &Histories {
         self.keep_alive.histories()
     }
 
-    /// Takes over what a peer kept.
+    /// Merges the call histories that a peer kept.
     pub fn merge_histories(&mut self, histories: Histories) {
         self.keep_alive.merge(histories);
     }
 
-    /// Settles orders of unknown outcome by what the engine says, asked as of a version of the
-    /// ledger.
+    /// Reconciles the ledger with the engine's response to a query sent at a ledger version.
     pub fn reconcile(
         &mut self,
         now: Instant,
@@ -217,33 +216,33 @@
         self.step(now, config)
     }
 
-    /// Models that a request held here needs.
+    /// Models that queued or running requests need.
     pub fn models_in_use(&self) -> BTreeSet<ModelId> {
         self.model_users.keys().cloned().collect()
     }
 
-    /// Sets whether new work is refused.
+    /// Sets whether new requests are refused.
     pub const fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no request is queued or running.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether a request runs.
+    /// Whether a request is running.
     pub fn is_running(&self, key: RequestKey) -> bool {
         self.requests.get(key).is_some_and(|held| held.started_at.is_some())
     }
 
-    /// How busy the target is.
+    /// The current load of the target.
     pub fn load(&self) -> Load {
         let wait_ms = self.typical_queue_wait().as_millis() as u64;
         Load { running: self.queue.running(), queued: self.queue.len() as u32, wait_ms }
     }
 
-    /// Takes a request, or refuses it at once.
+    /// Queues a request, or refuses it immediately.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -295,8 +294,8 @@
         }
     }
 
-    /// The first of what a request needs that is not loaded: the model itself before its
-    /// adapter, as an engine takes an adapter only for a model that it holds.
+    /// The first weights of a request that are not loaded; the base model precedes its adapter, as
+    /// an engine accepts an adapter only for a loaded model.
     fn missing(&self, work: &Work) -> Option<Weights> {
         work.weights().find(|weights| !self.is_usable(weights)).cloned()
     }
@@ -317,7 +316,7 @@
         self.queue.set_missing(key, missing);
     }
 
-    /// A request has ended or its caller has left.
+    /// Handles the end or the cancellation of a request.
     pub fn on_request_finished(
         &mut self,
         now: Instant,
@@ -368,7 +367,7 @@
         Action::Refuse(key, refusal)
     }
 
-    /// When [`Agent::step`] must be called next, if nothing happens before.
+    /// When [`Agent::step`] must be called next, if no event arrives before.
     pub fn next_wake(&self) -> Option<Instant> {
         let shed = self.next_shed.filter(|_| !self.queue.is_empty());
         let wake_times =
@@ -376,7 +375,7 @@
         wake_times.into_iter().flatten().min()
     }
 
-    /// Refuses what is too late, starts what can start, orders what is missing.
+    /// Refuses expired requests, unloads idle weights, schedules loads and starts ready requests.
     pub fn step(&mut self, now: Instant, config: &dyn SchedulingConfig) -> Vec<Action> {
         let mut actions = Vec::new();
         self.refuse_expired(now, config, &mut actions);
@@ -393,9 +392,8 @@
         actions
     }
 
-    /// Made for saturation: whoever waited until too little time was left even for a short run
-    /// is told now. Run all the same, it would be cut at its deadline, and its room is lost to
-    /// another that could still be answered.
+    /// Whether even a fast run would miss the request's deadline, so that its capacity is better
+    /// used for another request.
     fn cannot_finish(&self, now: Instant, key: RequestKey) -> bool {
         let work = &self.requests[key].work;
         let lower_bound = self.run_times[work.shape.length as usize].lower_bound();
@@ -452,7 +450,7 @@
         }
     }
 
-    /// Whether any request waits for a model or runs on it.
+    /// Whether any request is queued for a model or runs on it.
     fn is_in_use(&self, model: &ModelId) -> bool {
         self.model_users.contains_key(model)
     }
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -1,33 +1,33 @@
-//! Times of day at which a model wakes from a long idle time.
+//! Prediction of recurring wakes: calls of a model after a long idle period.
 
 use corianderstand_derives::derives;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Seconds of a day.
+/// Length of a day.
 pub const DAY_S: u64 = 86_400;
-/// A call after at least this long an idle time is a wake.
+/// Minimum idle time before a call that counts as a wake.
 const MIN_IDLE_S: u64 = 30 * 60;
-/// Wakes remembered for each model: two weeks with a morning and an evening.
+/// Maximum number of wakes kept per model: two weeks with two wakes a day.
 const MAX_WAKES: usize = 28;
-/// Days that are looked back on.
+/// Number of past days that predictions consider.
 const LOOKBACK_DAYS: u64 = 14;
-/// Wakes closer together than this belong to the same habit.
+/// Wakes closer together than this in time of day belong to one cluster.
 const CLUSTER_GAP_S: u64 = 45 * 60;
-/// Days on which a habit must have shown before it is acted upon: two may be chance.
+/// Distinct days that a cluster must cover before it is used for prewarming.
 const MIN_CLUSTER_DAYS: usize = 3;
-/// Kept beyond the latest wake seen, as today's may be a little later.
+/// Margin added after the latest wake of a cluster.
 const WINDOW_SLACK_S: u64 = 5 * 60;
 
-/// A time in which a model is expected to be called.
+/// A period in which a model is expected to be called.
 #[derives(key)]
 pub struct PrewarmWindow {
-    /// When it should be ready, in seconds since the Unix epoch.
+    /// Time at which the model should be ready, in seconds since the Unix epoch.
     pub from: u64,
-    /// Until when it is worth keeping.
+    /// Time until which it should stay loaded, in seconds since the Unix epoch.
     pub until: u64,
 }
 
-/// Wakes of one model, in seconds since the Unix epoch.
+/// Recent wakes of one model, in seconds since the Unix epoch.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Wakes {
@@ -36,7 +36,7 @@
 }
 
 impl Wakes {
-    /// Notes a call after this gap.
+    /// Records a call if it is a wake; `gap` is the time since the previous call, if any.
     pub fn record_call(&mut self, unix_s: u64, gap: Option<u64>) {
         self.first.get_or_insert(unix_s);
         if gap.is_some_and(|gap| gap < MIN_IDLE_S) {
@@ -48,13 +48,12 @@
         self.times.push_back(unix_s);
     }
 
-    /// The next window in which having the model ready costs less than a cold start.
+    /// The next window in which prewarming costs less than a cold start.
     ///
-    /// Made for a crew's morning: first requests at about the same time each day. From each
-    /// habit's times of day the beginning is chosen that costs least, counting idle time on days
-    /// with a wake, the whole window on days without, and a cold start for each wake before the
-    /// beginning. A habit that did not show on this day of last week is left alone today, so
-    /// that nothing waits on each day of rest.
+    /// Each cluster's window starts where the expected cost is lowest: idle time on days with a
+    /// wake, the whole window on days without, and a cold start for each wake before the start.
+    /// A cluster without a wake on the same weekday of the previous week is skipped, which
+    /// excludes weekly days off.
     pub fn prewarm_window(&self, unix_s: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
         let recent: Vec<u64> = self
             .times
@@ -81,7 +80,7 @@
     }
 }
 
-/// Wakes grouped by time of day; each sorted.
+/// Groups wakes by time of day; each cluster is sorted by it.
 fn cluster_by_time_of_day(wakes: &[u64]) -> Vec<Vec<u64>> {
     let mut wakes: Vec<u64> = wakes.to_vec();
     wakes.sort_by_key(|wake| wake % DAY_S);
@@ -90,7 +89,7 @@
         let last = clusters.last().and_then(|cluster| cluster.last()).copied();
         match last {
             Some(last) if wake % DAY_S - last % DAY_S < CLUSTER_GAP_S => {
-                clusters.last_mut().expect("it has a last wake").push(wake);
+                clusters.last_mut().expect("a last wake implies a cluster").push(wake);
             }
             _ => clusters.push(vec![wake]),
         }
@@ -98,7 +97,7 @@
     clusters
 }
 
-/// The cheapest beginning and the end, as seconds of the day.
+/// The start with the lowest cost and the end of a cluster's window, in seconds of the day.
 fn best_window(cluster: &[u64], days_seen: usize, cold_start_cost: f64) -> Option<(u64, u64)> {
     let days: BTreeSet<u64> = cluster.iter().map(|wake| wake / DAY_S).collect();
     if days.len() < MIN_CLUSTER_DAYS {
@@ -119,7 +118,7 @@
     (cost_from(best) < without_prewarm).then_some((best, until))
 }
 
-/// The first time after `wall` at which a daily window ends.
+/// The occurrence of a daily window that ends first after `unix_s`.
 fn next_occurrence(unix_s: u64, from: u64, until: u64) -> PrewarmWindow {
     let today = unix_s - unix_s % DAY_S;
     let day = if today + until > unix_s { today } else { today + DAY_S };
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -1,8 +1,8 @@
-//! The memory of one engine, as its agent commits it.
+//! Accounting of one engine's memory by its agent.
 //!
-//! Memory is reserved before an order is sent and given back only after the engine confirmed.
-//! Load reports lag and an order's answer may be lost, so the engine's own figures would allow
-//! two orders into the same memory; the ledger counts an order of unknown outcome as loaded.
+//! Memory is reserved before a load command is sent and released only after the engine confirms
+//! the unload. Weights whose command has an unknown outcome count as loaded: the engine's own
+//! reports lag, so relying on them could commit the same memory twice.
 
 use corianderstand_derives::derives;
 use corianderstand_types::{names::ModelId, units::Mib, weights::Weights};
@@ -11,58 +11,58 @@
     time::{Duration, Instant},
 };
 
-/// How far an entry has come.
+/// Lifecycle stage of an entry.
 #[derives(key)]
 pub enum Stage {
-    /// Ordered; the engine has not confirmed.
+    /// The load command was sent or is about to be; the engine has not confirmed it.
     Loading,
-    /// Confirmed.
+    /// The engine confirmed the load.
     Ready,
-    /// Ordered away; the memory is not free yet.
+    /// The unload command was issued; the memory is not free yet.
     Unloading,
-    /// An order's outcome is unknown until the engine is asked.
+    /// The outcome of a command is unknown until the engine is queried.
     Unknown,
 }
 
 /// One model or adapter in the engine's memory.
 #[derives(data)]
 pub struct Entry {
-    /// Memory set aside for it.
+    /// Reserved memory.
     pub memory: Mib,
-    /// How far it has come.
+    /// Lifecycle stage.
     pub stage: Stage,
-    /// Requests that run on it.
+    /// Number of running requests that use it.
     pub users: u32,
-    /// When it was last used.
+    /// Start or end of its most recent use.
     pub last_used: Option<Instant>,
-    /// Version of the ledger at which its stage was set.
+    /// Ledger version at which `stage` was set.
     pub stage_version: u64,
-    /// Since when the engine has said that it is not there, while its stage is unknown.
+    /// When the engine first reported it absent, while its stage is [`Stage::Unknown`].
     pub absent_since: Option<Instant>,
 }
 
-/// Time for which the engine must say that something is not loaded before an order of unknown
-/// outcome is believed to have failed. An order whose connection broke may still lie in the
-/// engine's socket and be carried out after a later question was answered; giving its memory
-/// away at once would let the next load go beyond what the engine has.
+/// Time for which the engine must report weights as absent before their memory is released.
+///
+/// A command whose connection broke may still be buffered in the engine's socket and execute
+/// after a later query was answered.
 pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// No room for a load.
+/// A reservation failed.
 #[derives(data)]
 #[derive(Copy, Eq, displaydoc::Display)]
 pub enum LedgerError {
-    /// {missing} too little memory is free: unload something or wait
+    /// {missing} more memory is needed: unload other weights or wait
     InsufficientMemory {
-        /// How much is missing.
+        /// Memory missing for the reservation.
         missing: Mib,
     },
-    /// it is reserved already: wait for the order that is on its way
+    /// memory is already reserved for these weights: wait for the pending command
     AlreadyReserved,
 }
 
 impl std::error::Error for LedgerError {}
 
-/// All that is committed of one engine's memory.
+/// Memory reservations of one engine.
 #[derives(data)]
 pub struct Ledger {
     capacity: Mib,
@@ -71,46 +71,47 @@
 }
 
 impl Ledger {
-    /// An empty engine with this much memory.
+    /// Creates an empty ledger for an engine with this much memory.
     pub const fn new(capacity: Mib) -> Self {
         Self { capacity, entries: BTreeMap::new(), version: 0 }
     }
 
-    /// Memory committed, orders of unknown outcome included.
+    /// Reserved memory, including entries of unknown outcome.
     pub fn committed(&self) -> Mib {
         Mib(self.entries.values().map(|entry| entry.memory.0).sum())
     }
 
-    /// Memory not committed.
+    /// Memory that is not reserved.
     pub fn free(&self) -> Mib {
         Mib(self.capacity.0.saturating_sub(self.committed().0))
     }
 
-    /// The engine's memory.
+    /// Total memory of the engine.
     pub const fn capacity(&self) -> Mib {
         self.capacity
     }
 
-    /// All entries.
+    /// Iterates over all entries.
     pub fn entries(&self) -> impl Iterator<Item = (&Weights, &Entry)> {
         self.entries.iter()
     }
 
-    /// One entry.
+    /// The entry of these weights, if any.
     pub fn find(&self, weights: &Weights) -> Option<&Entry> {
         self.entries.get(weights)
     }
 
-    /// Whether requests can run on it now.
+    /// Whether the weights are loaded and usable.
     pub fn is_ready(&self, weights: &Weights) -> bool {
         self.find(weights).is_some_and(|entry| entry.stage == Stage::Ready)
     }
 
-    /// Sets memory aside, before the order is sent.
+    /// Reserves memory before the load command is sent.
     ///
     /// # Errors
     ///
-    /// [`LedgerError::InsufficientMemory`] if it does not fit.
+    /// [`LedgerError::InsufficientMemory`] if it does not fit, [`LedgerError::AlreadyReserved`] if the
+    /// weights have an entry.
     pub fn reserve(&mut self, weights: &Weights, memory: Mib) -> Result<(), LedgerError> {
         if self.entries.contains_key(weights) {
             return Err(LedgerError::AlreadyReserved);
@@ -129,7 +130,7 @@
         self.entries.insert(weights, entry);
     }
 
-    /// Notes how far an entry has come.
+    /// Sets the stage of an entry and clears its absence timer.
     pub fn set_stage(&mut self, weights: &Weights, stage: Stage) {
         self.version += 1;
         if let Some(entry) = self.entries.get_mut(weights) {
@@ -137,28 +138,28 @@
         }
     }
 
-    /// Counts changes; a question to the engine is asked as of a version.
+    /// Change counter, against which a query of the engine is reconciled.
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether an order's outcome is unknown, so that the engine must be asked.
+    /// Whether any entry has an unknown outcome, so that the engine must be queried.
     pub fn has_unknown(&self) -> bool {
         self.entries.values().any(|entry| entry.stage == Stage::Unknown)
     }
 
-    /// Models of which something is counted, whatever its stage.
+    /// Whether the model or one of its adapters has an entry in any stage.
     pub fn holds(&self, model: &ModelId) -> bool {
         self.entries.keys().any(|weights| weights.model == *model)
     }
 
-    /// Gives memory back, after the engine confirmed that it is free.
+    /// Removes an entry and releases its memory.
     pub fn remove(&mut self, weights: &Weights) {
         self.version += 1;
         self.entries.remove(weights);
     }
 
-    /// Notes that a request runs on it.
+    /// Records that a request started using the weights.
     pub fn begin_use(&mut self, weights: &Weights, now: Instant) {
         if let Some(entry) = self.entries.get_mut(weights) {
             entry.users += 1;
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Notes that a request has ended.
+    /// Records that a request stopped using the weights.
     pub fn end_use(&mut self, weights: &Weights, now: Instant) {
         if let Some(entry) = self.entries.get_mut(weights) {
             entry.users = entry.users.saturating_sub(1);
@@ -174,11 +175,10 @@
         }
     }
 
-    /// Takes over what the engine itself says is loaded, before any new order.
+    /// Replaces all entries with those that the engine reports, before any command is sent.
     ///
-    /// After a restart the agent knows nothing, while the engine may hold models or still be
-    /// loading one. Counting them first keeps the next order within the memory that is left.
-    /// What the engine reports beyond its capacity is counted too.
+    /// After an agent restart the engine may hold models or still be loading one. Entries beyond the
+    /// engine's capacity are counted too.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.entries.clear();
         for (weights, memory, ready) in loaded {
@@ -186,11 +186,11 @@
         }
     }
 
-    /// Settles what is unknown by the engine's answer to a question asked as of `version`.
+    /// Reconciles the ledger with the engine's response to a query sent at `version`.
     ///
-    /// An entry that changed since the question is left alone: the answer may be older than the
-    /// change. What the engine has and the ledger does not is counted from now on; what it no
-    /// longer has although it was confirmed, as after its own restart, is given back.
+    /// Entries that changed after the query are skipped, as the response may predate the change.
+    /// Weights missing from the ledger are added; ready entries that the engine no longer reports, as
+    /// after its own restart, are removed.
     pub fn reconcile(&mut self, now: Instant, version: u64, loaded: &[(Weights, Mib, bool)]) {
         let unchanged = version == self.version;
         for (weights, memory, ready) in loaded {
@@ -229,8 +229,8 @@
     }
 }
 
-/// The stage of what the engine reports; something not ready may have been ordered by an agent
-/// that died, so how that order ends is not known.
+/// Stage of weights that the engine reports. Weights that are not ready may belong to a command of
+/// a previous agent process, whose outcome is unknown.
 const fn reported_stage(ready: bool) -> Stage {
     if ready { Stage::Ready } else { Stage::Unknown }
 }
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -1,4 +1,4 @@
-//! What is known of a request when something is decided about it.
+//! Request properties and configuration that scheduling decisions use.
 
 use crate::queue::{Length, WHOLE_SHARE};
 use corianderstand_derives::derives;
@@ -12,49 +12,50 @@
 use std::time::{Duration, Instant};
 
 new_key_type! {
-    /// A request held by this process.
+    /// Key of a request held by this process.
     pub struct RequestKey;
 }
 
-/// What a request needs.
+/// What must be available on a target before a request can run there.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Need {
     /// A model, or a model with an adapter.
     Weights {
-        /// The model itself.
+        /// The base model.
         base: Weights,
-        /// The adapter on it.
+        /// The adapter applied to the base model.
         adapter: Option<Weights>,
     },
-    /// A plain service.
+    /// A service without model weights.
     Service(ServiceId),
 }
 
-/// One request as decisions see it.
+/// The properties of a request that scheduling decisions use.
 #[derives(data)]
 #[derive(Eq)]
 pub struct Work {
-    /// The team that asks.
+    /// The team that sent the request.
     pub team: WorkspaceId,
-    /// What it needs.
+    /// The model or service that serves it.
     pub need: Need,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When it must be answered.
+    /// Time by which it must be answered.
     pub deadline: Instant,
-    /// Whether it may be sent to a second target after the first may have begun it.
+    /// Whether it is idempotent, so that it may be retried on a second target after the first may
+    /// have started it.
     pub repeatable: bool,
-    /// How long it is likely to run, and which session it continues.
+    /// Expected length and prefix of the request.
     pub shape: Shape,
 }
 
-/// What a request's body tells about the work it makes.
+/// Properties of a request that are derived from its body.
 #[derives(key)]
 pub struct Shape {
-    /// Whether it holds its room for long.
+    /// Expected run-time class.
     pub length: Length,
-    /// Hash of the beginning of its prompt; requests that share it share cached prefixes.
+    /// Hash of the start of the prompt; requests with the same hash can share a cached prefix.
     pub prefix: Option<u64>,
 }
 
@@ -64,16 +65,15 @@
     }
 }
 
-/// Answers of more tokens than this are long: at 27 ms a token it runs for about seven seconds,
-/// beyond what a waiting summary can bear behind it.
+/// Requests for more tokens than this are classified as [`Length::Long`].
 pub const LONG_ANSWER_TOKENS: u64 = 256;
-/// Bytes of a prompt that tell one session from another: the system prompt and the first words.
+/// Length of the prompt prefix that is hashed to identify a session.
 pub const PREFIX_BYTES: usize = 1024;
 
 impl Shape {
-    /// The shape of a request for `max_tokens`, whose prompt begins with `prompt`.
+    /// Classifies a request by its token limit and the start of its prompt.
     ///
-    /// A request that names no limit may run as long as it likes, so a chat counts as long.
+    /// A chat without a token limit is classified as long.
     pub fn of(max_tokens: Option<u64>, chat: bool, prompt: &[u8]) -> Self {
         let long = max_tokens.map_or(chat, |tokens| tokens > LONG_ANSWER_TOKENS);
         let length = if long { Length::Long } else { Length::Short };
@@ -83,23 +83,23 @@
     }
 }
 
-/// A request that is not run, and why.
+/// The reason for refusing a request, with a retry hint.
 #[derives(data)]
 #[derive(Copy, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason reported to the caller.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Delay after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// What the settings in force say about models and teams, as far as decisions need it.
+/// The current settings of models, teams and the weight store that scheduling depends on.
 pub trait SchedulingConfig {
-    /// Memory of what is to be loaded; `None` if it is not in the settings.
+    /// Memory required by the weights; `None` if the settings don't define them.
     fn memory(&self, weights: &Weights) -> Option<Mib>;
-    /// Time a load is expected to take.
+    /// Expected load time of the weights.
     fn load_time(&self, weights: &Weights) -> Duration;
-    /// Guaranteed share of a team, in thousandths.
+    /// Guaranteed share of a team, in thousandths of the capacity.
     fn share(&self, _team: &WorkspaceId) -> u32 {
         DEFAULT_SHARE
     }
@@ -107,25 +107,25 @@
     fn total_shares(&self) -> u32 {
         WHOLE_SHARE
     }
-    /// How much the teams that call a model mind each measure.
+    /// Relative cost of cold starts and idle time for the teams that call a model.
     fn cost_factors(&self, _model: &ModelId) -> CostFactors {
         CostFactors::default()
     }
-    /// What the weight store can do, and how many engines share it.
+    /// Limits of the weight store, and the number of engines that share it.
     fn store(&self) -> StoreLimits {
         StoreLimits::default()
     }
 }
 
-/// Share of a team that the settings do not name.
+/// Share, in thousandths, of a team that the settings don't define.
 pub const DEFAULT_SHARE: u32 = 100;
 
-/// How much the two measures count, 0 to 100 each.
+/// Relative weights, 0 to 100, of the two costs of a keep-alive decision.
 #[derives(key)]
 pub struct CostFactors {
-    /// A slow cold start.
+    /// Weight of cold-start latency.
     pub tail: u32,
-    /// Idle accelerator hours.
+    /// Weight of idle accelerator time.
     pub idle: u32,
 }
 
@@ -135,14 +135,14 @@
     }
 }
 
-/// What the weight store can do.
+/// Rate and concurrency limits of the weight store.
 #[derives(key)]
 pub struct StoreLimits {
-    /// Loads that may start in a second, over the whole deployment.
+    /// Loads that may start per second across the deployment.
     pub per_second: u32,
-    /// Loads that run side by side at full speed.
+    /// Loads that can run concurrently at full speed.
     pub concurrent: u32,
-    /// Engines that load from it.
+    /// Number of engines that load from it.
     pub engines: u32,
 }
 
@@ -153,7 +153,7 @@
 }
 
 impl Work {
-    /// What must be loaded before it can run.
+    /// The weights that must be loaded before the request can run, the base model first.
     pub fn weights(&self) -> impl Iterator<Item = &Weights> {
         let (base, adapter) = match &self.need {
             Need::Weights { base, adapter } => (Some(base), adapter.as_ref()),
