--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -18,22 +18,22 @@
     time::{Duration, Instant},
 };
 
-const LOAD: Duration = Duration::from_secs(20);
+const LOAD_TIME: Duration = Duration::from_secs(20);
 const MODEL_MIB: u64 = 1000;
 
 #[derive(Default)]
-struct TestSizes {
+struct TestConfig {
     shares: BTreeMap<WorkspaceId, u32>,
-    weighing: CostFactors,
+    cost_factors: CostFactors,
 }
 
-impl SchedulingConfig for TestSizes {
+impl SchedulingConfig for TestConfig {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         Some(Mib(if weights.adapter.is_some() { 10 } else { MODEL_MIB }))
     }
 
     fn load_time(&self, weights: &Weights) -> Duration {
-        if weights.adapter.is_some() { Duration::from_secs(1) } else { LOAD }
+        if weights.adapter.is_some() { Duration::from_secs(1) } else { LOAD_TIME }
     }
 
     fn share(&self, team: &WorkspaceId) -> u32 {
@@ -41,7 +41,7 @@
     }
 
     fn cost_factors(&self, _: &ModelId) -> CostFactors {
-        self.weighing
+        self.cost_factors
     }
 
     fn store(&self) -> StoreLimits {
@@ -49,9 +49,9 @@
     }
 }
 
-struct Bench {
+struct Harness {
     agent: Agent,
-    sizes: TestSizes,
+    config: TestConfig,
     clock: ManualClock,
 }
 
@@ -59,23 +59,24 @@
     Weights::model(name.into(), "1".into())
 }
 
-impl Bench {
+impl Harness {
     fn new(concurrency: u32, models: u64, policy: Policy) -> Self {
         let limits = Limits { concurrency, queue: 64 };
         let mut agent = Agent::with_policy(limits, Mib(models * MODEL_MIB), policy);
         let slots = ["a", "b", "c", "d"].into_iter().map(ModelId::from);
         agent.set_slots(slots.collect::<BTreeSet<_>>());
-        let mut bench = Self { agent, sizes: TestSizes::default(), clock: ManualClock::default() };
-        let now = bench.now();
-        bench.agent.set_unix_time(now, 0);
-        bench
+        let mut harness =
+            Self { agent, config: TestConfig::default(), clock: ManualClock::default() };
+        let now = harness.now();
+        harness.agent.set_unix_time(now, 0);
+        harness
     }
 
     fn warm(concurrency: u32, names: &[&str]) -> Self {
-        let mut bench = Self::new(concurrency, 4, Policy::default());
+        let mut harness = Self::new(concurrency, 4, Policy::default());
         let ready = names.iter().map(|name| (model(name), Mib(MODEL_MIB), true));
-        bench.agent.rebuild(ready.collect::<Vec<_>>());
-        bench
+        harness.agent.rebuild(ready.collect::<Vec<_>>());
+        harness
     }
 
     fn now(&self) -> Instant {
@@ -94,7 +95,7 @@
     }
 
     fn submit(&mut self, work: Work) -> (RequestKey, Vec<Action>) {
-        self.agent.submit(self.now(), work, &self.sizes)
+        self.agent.submit(self.now(), work, &self.config)
     }
 
     fn short(&mut self, team: &str, name: &str, seconds: u64) -> (RequestKey, Vec<Action>) {
@@ -103,16 +104,16 @@
     }
 
     fn finish(&mut self, key: RequestKey) -> Vec<Action> {
-        self.agent.on_request_finished(self.now(), key, &self.sizes)
+        self.agent.on_request_finished(self.now(), key, &self.config)
     }
 
-    fn pass(&mut self, time: Duration) -> Vec<Action> {
+    fn advance(&mut self, time: Duration) -> Vec<Action> {
         self.clock.advance(time);
-        self.agent.step(self.now(), &self.sizes)
+        self.agent.step(self.now(), &self.config)
     }
 
     fn loaded(&mut self, name: &str) -> Vec<Action> {
-        self.agent.on_load_finished(self.now(), &model(name), Some(true), &self.sizes)
+        self.agent.on_load_finished(self.now(), &model(name), Some(true), &self.config)
     }
 }
 
@@ -135,42 +136,42 @@
 /// Several routers pass on the first requests for a cold model in the same moment. With a load
 /// for each the engine's memory would be taken twice; callers notice nothing but one wait.
 #[rstest]
-fn many_first_requests_make_one_load() {
-    let mut bench = Bench::new(8, 4, Policy::default());
+fn concurrent_first_requests_start_one_load() {
+    let mut harness = Harness::new(8, 4, Policy::default());
     let mut actions = Vec::new();
     for _ in 0..50 {
-        actions.extend(bench.short("crew", "a", 60).1);
+        actions.extend(harness.short("crew", "a", 60).1);
     }
     let loads = actions.iter().filter(|action| matches!(action, Action::Load(..)));
     assert_eq!(loads.count(), 1);
-    bench.clock.advance(LOAD);
-    assert_eq!(runs(&bench.loaded("a")).len(), 8, "they run as soon as it is ready");
+    harness.clock.advance(LOAD_TIME);
+    assert_eq!(runs(&harness.loaded("a")).len(), 8, "they run as soon as it is ready");
 }
 
 /// A caller waits less than the load takes. It is refused at once with the time of the load, and
 /// when it comes back the model is there; were nothing loaded, it would never get an answer.
 #[rstest]
-fn a_caller_with_little_time_is_refused_yet_wakes_the_model() {
-    let mut bench = Bench::new(8, 4, Policy::default());
-    let (_, actions) = bench.short("crew", "a", 5);
+fn a_request_refused_for_its_deadline_still_loads_the_model() {
+    let mut harness = Harness::new(8, 4, Policy::default());
+    let (_, actions) = harness.short("crew", "a", 5);
     let refusal = refusals(&actions)[0];
     assert_eq!(refusal.reason, RefusalReason::Deadline);
-    assert!(refusal.retry_after >= LOAD && refusal.retry_after <= LOAD * 5 / 4);
+    assert!(refusal.retry_after >= LOAD_TIME && refusal.retry_after <= LOAD_TIME * 5 / 4);
     assert!(actions.iter().any(|action| matches!(action, Action::Load(..))));
-    bench.clock.advance(LOAD);
-    bench.loaded("a");
-    bench.pass(refusal.retry_after - LOAD);
-    assert_eq!(runs(&bench.short("crew", "a", 5).1).len(), 1);
+    harness.clock.advance(LOAD_TIME);
+    harness.loaded("a");
+    harness.advance(refusal.retry_after - LOAD_TIME);
+    assert_eq!(runs(&harness.short("crew", "a", 5).1).len(), 1);
 }
 
 /// A burst meets a target that can serve only a part in time. The others are refused at once,
 /// each with another time to come back; told the same time they would collide again.
 #[rstest]
-fn a_burst_is_refused_at_once_and_spread() {
-    let mut bench = Bench::warm(2, &["a"]);
+fn a_refused_burst_gets_spread_retry_times() {
+    let mut harness = Harness::warm(2, &["a"]);
     let mut refused = Vec::new();
     for _ in 0..400 {
-        let actions = bench.short("crew", "a", 1).1;
+        let actions = harness.short("crew", "a", 1).1;
         refused.extend(refusals(&actions));
     }
     assert!(refused.len() > 300);
@@ -185,99 +186,102 @@
 /// The target turns slow after requests were admitted. Those who cannot be answered any more are
 /// told before their deadline, not at it.
 #[rstest]
-fn what_has_become_hopeless_is_told_before_its_deadline() {
-    let mut bench = Bench::warm(1, &["a"]);
-    let (first, _) = bench.short("crew", "a", 60);
+fn hopeless_requests_are_refused_before_their_deadline() {
+    let mut harness = Harness::warm(1, &["a"]);
+    let (first, _) = harness.short("crew", "a", 60);
     for _ in 0..20 {
-        bench.short("crew", "a", 60);
+        harness.short("crew", "a", 60);
     }
-    bench.clock.advance(Duration::from_secs(30));
-    bench.finish(first);
-    let mut told = 0;
+    harness.clock.advance(Duration::from_secs(30));
+    harness.finish(first);
+    let mut refused = 0;
     for _ in 0..40 {
-        told += refusals(&bench.pass(Duration::from_millis(250))).len();
+        refused += refusals(&harness.advance(Duration::from_millis(250))).len();
     }
-    assert!(told > 0, "told within 40 s of 60 s");
+    assert!(refused > 0, "told within 40 s of 60 s");
 }
 
 /// One team floods the target with urgent work. Another team, owed most of it, gets its share
 /// back with the next runs that end, although its work is not urgent.
 #[rstest]
-fn a_lent_share_comes_back_with_the_next_runs_that_end() {
-    let mut bench = Bench::warm(10, &["a"]);
-    bench.sizes.shares = BTreeMap::from([("a".into(), 800), ("b".into(), 200)]);
+fn a_borrowed_share_is_returned_as_requests_finish() {
+    let mut harness = Harness::warm(10, &["a"]);
+    harness.config.shares = BTreeMap::from([("a".into(), 800), ("b".into(), 200)]);
     let mut running = Vec::new();
     for _ in 0..60 {
-        let mut work = bench.work("b", "a", Length::Short, 600);
+        let mut work = harness.work("b", "a", Length::Short, 600);
         work.urgency = 2;
-        running.extend(runs(&bench.submit(work).1));
+        running.extend(runs(&harness.submit(work).1));
     }
-    assert_eq!(bench.agent.running_of(&"b".into()), 10, "idle capacity is lent");
+    assert_eq!(harness.agent.running_of(&"b".into()), 10, "idle capacity is lent");
     for _ in 0..20 {
-        bench.short("a", "a", 600);
+        harness.short("a", "a", 600);
     }
     for key in running.into_iter().take(8) {
-        bench.clock.advance(Duration::from_millis(100));
-        bench.finish(key);
+        harness.clock.advance(Duration::from_millis(100));
+        harness.finish(key);
     }
-    assert_eq!(bench.agent.running_of(&"a".into()), 8, "eight of ten after eight ends");
-    assert_eq!(bench.agent.running_of(&"b".into()), 2, "the lender's own share is kept");
+    assert_eq!(harness.agent.running_of(&"a".into()), 8, "eight of ten after eight ends");
+    assert_eq!(harness.agent.running_of(&"b".into()), 2, "the lender's own share is kept");
 }
 
 /// One team fills the queue. The other's request would be refused for a full queue although it
 /// is owed room; its callers would see refusals through no doing of their own.
 #[rstest]
-fn a_full_queue_still_takes_a_team_below_its_share() {
-    let mut bench = Bench::warm(1, &["a"]);
-    bench.sizes.shares = BTreeMap::from([("a".into(), 500), ("b".into(), 500)]);
+fn a_full_queue_admits_a_team_below_its_share() {
+    let mut harness = Harness::warm(1, &["a"]);
+    harness.config.shares = BTreeMap::from([("a".into(), 500), ("b".into(), 500)]);
     for _ in 0..200 {
-        bench.short("b", "a", 600);
+        harness.short("b", "a", 600);
     }
-    let (_, actions) = bench.short("a", "a", 600);
+    let (_, actions) = harness.short("a", "a", 600);
     assert!(refusals(&actions).is_empty());
 }
 
 /// Design chats fill the target for minutes. A summary that comes then would wait behind all of
 /// them; room kept for short work lets it run at once.
 #[rstest]
-fn long_chats_leave_room_for_summaries_and_the_reverse() {
-    let mut bench = Bench::warm(8, &["a"]);
+fn neither_length_starves_the_other() {
+    let mut harness = Harness::warm(8, &["a"]);
     let mut chats = 0;
     for _ in 0..20 {
-        let chat = bench.work("coach", "a", Length::Long, 600);
-        chats += runs(&bench.submit(chat).1).len();
+        let chat = harness.work("coach", "a", Length::Long, 600);
+        chats += runs(&harness.submit(chat).1).len();
     }
     assert_eq!(chats, 6, "three quarters of the room");
-    assert_eq!(runs(&bench.short("manager", "a", 10).1).len(), 1);
+    assert_eq!(runs(&harness.short("manager", "a", 10).1).len(), 1);
 
-    let mut bench = Bench::warm(8, &["a"]);
+    let mut harness = Harness::warm(8, &["a"]);
     let mut running = Vec::new();
     for _ in 0..40 {
-        running.extend(runs(&bench.short("manager", "a", 600).1));
+        running.extend(runs(&harness.short("manager", "a", 600).1));
     }
-    let chat = bench.work("manager", "a", Length::Long, 900);
-    let (chat, _) = bench.submit(chat);
-    bench.finish(running[0]);
-    assert!(bench.agent.is_running(chat), "a flood of summaries does not hold up a chat");
+    let chat = harness.work("manager", "a", Length::Long, 900);
+    let (chat, _) = harness.submit(chat);
+    harness.finish(running[0]);
+    assert!(harness.agent.is_running(chat), "a flood of summaries does not hold up a chat");
 }
 
 /// More models than fit. The one in use stays although it was used least recently; of the
 /// others the one that is called often stays, and the one hardly ever called makes room.
 #[rstest]
-fn the_least_worth_is_evicted_and_never_what_is_in_use() {
-    let mut bench =
-        Bench::new(8, 3, Policy { keep_alive: KeepAlive::Fixed(LOAD * 1000), ..Policy::default() });
+fn the_lowest_utility_is_evicted_and_never_weights_in_use() {
+    let mut harness = Harness::new(
+        8,
+        3,
+        Policy { keep_alive: KeepAlive::Fixed(LOAD_TIME * 1000), ..Policy::default() },
+    );
     let ready = ["a", "b", "c"].map(|name| (model(name), Mib(MODEL_MIB), true));
-    bench.agent.rebuild(ready);
-    bench.short("crew", "a", 86_400);
+    harness.agent.rebuild(ready);
+    harness.short("crew", "a", 86_400);
     for _ in 0..20 {
-        bench.pass(Duration::from_secs(60));
-        let (key, _) = bench.short("crew", "b", 60);
-        bench.finish(key);
+        harness.advance(Duration::from_secs(60));
+        let (key, _) = harness.short("crew", "b", 60);
+        harness.finish(key);
     }
-    let (key, _) = bench.short("crew", "c", 60);
-    bench.finish(key);
-    let (_, actions) = bench.short("crew", "d", 60);
+    let (key, _) = harness.short("crew", "c", 60);
+    harness.finish(key);
+    let (_, actions) = harness.short("crew", "d", 60);
     let unloaded: Vec<_> = actions
         .iter()
         .filter_map(|action| match action {
@@ -291,61 +295,61 @@
 /// Memory is all in use, and a request for another model comes. It is told within seconds, so
 /// that its router can try another replica; held to its deadline it would have lost a minute.
 #[rstest]
-fn without_room_in_memory_callers_are_told_soon() {
-    let mut bench =
-        Bench::new(8, 1, Policy { eviction: Eviction::LowestUtility, ..Policy::default() });
-    bench.agent.rebuild([(model("a"), Mib(MODEL_MIB), true)]);
-    bench.short("crew", "a", 600);
-    let (_, actions) = bench.short("crew", "b", 600);
+fn requests_are_refused_soon_when_memory_is_full() {
+    let mut harness =
+        Harness::new(8, 1, Policy { eviction: Eviction::LowestUtility, ..Policy::default() });
+    harness.agent.rebuild([(model("a"), Mib(MODEL_MIB), true)]);
+    harness.short("crew", "a", 600);
+    let (_, actions) = harness.short("crew", "b", 600);
     assert!(refusals(&actions).is_empty());
-    let told = refusals(&bench.pass(Duration::from_secs(3)));
-    assert_eq!(told.len(), 1);
+    let refused = refusals(&harness.advance(Duration::from_secs(3)));
+    assert_eq!(refused.len(), 1);
 }
 
 /// A model that nobody calls any more is dropped; its team weighs idle hours, so sooner than for
 /// a team that weighs the cold start.
 #[rstest]
-#[case::minds_idle_hours(CostFactors { tail: 10, idle: 90 }, 300, true)]
-#[case::minds_cold_starts(CostFactors { tail: 90, idle: 10 }, 300, false)]
-fn an_idle_model_is_dropped_as_the_weights_say(
-    #[case] weighing: CostFactors,
+#[case::idle_time_weighted(CostFactors { tail: 10, idle: 90 }, 300, true)]
+#[case::cold_start_weighted(CostFactors { tail: 90, idle: 10 }, 300, false)]
+fn cost_factors_set_the_keep_alive_time(
+    #[case] factors: CostFactors,
     #[case] after: u64,
-    #[case] dropped: bool,
+    #[case] unloaded: bool,
 ) {
-    let mut bench = Bench::warm(8, &["a"]);
-    bench.sizes.weighing = weighing;
-    let (key, _) = bench.short("crew", "a", 60);
-    bench.finish(key);
-    let actions = bench.pass(Duration::from_secs(after));
-    assert_eq!(actions.iter().any(|action| matches!(action, Action::Unload(..))), dropped);
+    let mut harness = Harness::warm(8, &["a"]);
+    harness.config.cost_factors = factors;
+    let (key, _) = harness.short("crew", "a", 60);
+    harness.finish(key);
+    let actions = harness.advance(Duration::from_secs(after));
+    assert_eq!(actions.iter().any(|action| matches!(action, Action::Unload(..))), unloaded);
 }
 
 /// A crew calls at about seven each morning. After some days the model is loaded before the
 /// first call; on the first day its crew had to wait for the load.
 #[rstest]
-fn a_morning_burst_finds_its_model_loaded() {
-    let mut bench = Bench::new(8, 4, Policy::default());
+fn a_daily_burst_is_prewarmed() {
+    let mut harness = Harness::new(8, 4, Policy::default());
     let day = Duration::from_secs(86_400);
     let mut waited = Vec::new();
     let mut at = Duration::from_secs(7 * 3600);
     for number in 0..6 {
-        while bench.clock.elapsed() < at {
-            let actions = bench.pass(Duration::from_secs(30));
+        while harness.clock.elapsed() < at {
+            let actions = harness.advance(Duration::from_secs(30));
             if actions.iter().any(|action| matches!(action, Action::Load(..))) {
-                bench.clock.advance(LOAD);
-                bench.loaded("a");
+                harness.clock.advance(LOAD_TIME);
+                harness.loaded("a");
             }
             if let Some(Action::Unload(weights, _)) = actions.first() {
-                bench.agent.on_unload_finished(bench.now(), weights, true, &bench.sizes);
+                harness.agent.on_unload_finished(harness.now(), weights, true, &harness.config);
             }
         }
-        let (key, actions) = bench.short("crew", "a", 60);
+        let (key, actions) = harness.short("crew", "a", 60);
         waited.push(runs(&actions).is_empty());
-        bench.clock.advance(LOAD);
+        harness.clock.advance(LOAD_TIME);
         if runs(&actions).is_empty() {
-            bench.loaded("a");
+            harness.loaded("a");
         }
-        bench.finish(key);
+        harness.finish(key);
         at = day * (number + 1) + Duration::from_secs(7 * 3600 + u64::from(number * 40 % 120));
     }
     assert!(waited[0]);
--- a/crates/corianderstand_decide/src/ledger/tests.rs
+++ b/crates/corianderstand_decide/src/ledger/tests.rs
@@ -10,7 +10,7 @@
     Weights::model(name.into(), "1".into())
 }
 
-fn unknown() -> (Ledger, ManualClock) {
+fn ledger_with_unknown() -> (Ledger, ManualClock) {
     let mut ledger = Ledger::new(Mib(100));
     assert_eq!(ledger.reserve(&model("a"), Mib(60)), Ok(()));
     ledger.set_stage(&model("a"), Stage::Unknown);
@@ -20,8 +20,8 @@
 /// An order's answer was lost and the engine, asked at once, does not show the model: the order
 /// may still lie in its socket. Given away, the memory would be committed twice.
 #[rstest]
-fn an_order_of_unknown_outcome_counts_until_the_engine_has_long_denied_it() {
-    let (mut ledger, clock) = unknown();
+fn unknown_outcome_counts_until_absence_timeout() {
+    let (mut ledger, clock) = ledger_with_unknown();
     ledger.reconcile(clock.now(), ledger.version(), &[]);
     assert!(ledger.reserve(&model("b"), Mib(60)).is_err());
     clock.advance(ABSENCE_TIMEOUT);
@@ -30,8 +30,8 @@
 }
 
 #[rstest]
-fn an_order_that_was_carried_out_is_found_ready() {
-    let (mut ledger, clock) = unknown();
+fn an_executed_load_becomes_ready() {
+    let (mut ledger, clock) = ledger_with_unknown();
     ledger.reconcile(clock.now(), ledger.version(), &[(model("a"), Mib(60), false)]);
     assert!(!ledger.is_ready(&model("a")), "it is still loading");
     ledger.reconcile(clock.now(), ledger.version(), &[(model("a"), Mib(60), true)]);
@@ -41,19 +41,19 @@
 /// The engine's answer was on its way while a load was confirmed. Taken as newer, it would give
 /// the memory of a loaded model away.
 #[rstest]
-fn an_answer_older_than_a_change_settles_nothing() {
-    let (mut ledger, clock) = unknown();
-    let asked = ledger.version();
+fn a_response_older_than_a_change_is_ignored() {
+    let (mut ledger, clock) = ledger_with_unknown();
+    let queried_version = ledger.version();
     ledger.set_stage(&model("a"), Stage::Ready);
-    ledger.reconcile(clock.now(), asked, &[]);
+    ledger.reconcile(clock.now(), queried_version, &[]);
     assert!(ledger.is_ready(&model("a")));
 }
 
 /// The engine restarts by itself and holds nothing any more. Without asking, the agent would send
 /// requests to a model that is not there, and never load it again.
 #[rstest]
-fn what_an_engine_lost_by_its_own_restart_is_given_back() {
-    let (mut ledger, clock) = unknown();
+fn an_engine_restart_releases_memory() {
+    let (mut ledger, clock) = ledger_with_unknown();
     ledger.set_stage(&model("a"), Stage::Ready);
     ledger.reconcile(clock.now(), ledger.version(), &[]);
     assert_eq!(ledger.free(), Mib(100));
@@ -61,8 +61,8 @@
 
 /// Somebody else's order, or one of an agent that died, shows in the engine's answer.
 #[rstest]
-fn what_the_engine_holds_besides_is_counted() {
-    let (mut ledger, clock) = unknown();
+fn unrecorded_weights_are_counted() {
+    let (mut ledger, clock) = ledger_with_unknown();
     let loaded = [(model("a"), Mib(60), true), (model("z"), Mib(30), true)];
     ledger.reconcile(clock.now(), ledger.version(), &loaded);
     assert_eq!(ledger.free(), Mib(10));
