--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -1,4 +1,4 @@
-//! One agent, driven without sockets or an engine: orders are answered by the test.
+//! Drives one agent without sockets or an engine; the tests supply the results of commands.
 
 use super::{Action, Agent, Eviction, KeepAlive, Limits, Policy};
 use crate::{
@@ -133,8 +133,7 @@
     actions.iter().filter_map(refusal).collect()
 }
 
-/// Several routers pass on the first requests for a cold model in the same moment. With a load
-/// for each the engine's memory would be taken twice; callers notice nothing but one wait.
+/// Guards against concurrent first requests for a cold model reserving memory more than once.
 #[rstest]
 fn concurrent_first_requests_start_one_load() {
     let mut harness = Harness::new(8, 4, Policy::default());
@@ -145,11 +144,10 @@
     let loads = actions.iter().filter(|action| matches!(action, Action::Load(..)));
     assert_eq!(loads.count(), 1);
     harness.clock.advance(LOAD_TIME);
-    assert_eq!(runs(&harness.loaded("a")).len(), 8, "they run as soon as it is ready");
+    assert_eq!(runs(&harness.loaded("a")).len(), 8, "requests start once the load finishes");
 }
 
-/// A caller waits less than the load takes. It is refused at once with the time of the load, and
-/// when it comes back the model is there; were nothing loaded, it would never get an answer.
+/// Guards against a model never being loaded because all deadlines are shorter than its load.
 #[rstest]
 fn a_request_refused_for_its_deadline_still_loads_the_model() {
     let mut harness = Harness::new(8, 4, Policy::default());
@@ -164,8 +162,7 @@
     assert_eq!(runs(&harness.short("crew", "a", 5).1).len(), 1);
 }
 
-/// A burst meets a target that can serve only a part in time. The others are refused at once,
-/// each with another time to come back; told the same time they would collide again.
+/// Guards against the callers of a refused burst all retrying at the same time.
 #[rstest]
 fn a_refused_burst_gets_spread_retry_times() {
     let mut harness = Harness::warm(2, &["a"]);
@@ -178,13 +175,18 @@
     let mut times: Vec<Duration> = refused.iter().map(|refusal| refusal.retry_after).collect();
     times.sort();
     times.dedup();
-    assert!(times.len() * 10 > refused.len() * 9, "{} times for {}", times.len(), refused.len());
+    assert!(
+        times.len() * 10 > refused.len() * 9,
+        "{} retry times for {} refusals",
+        times.len(),
+        refused.len()
+    );
     let first = refused[0].retry_after;
-    assert!(first < Duration::from_secs(2), "soon enough to be worth following: {first:?}");
+    assert!(first < Duration::from_secs(2), "the first retry time is short: {first:?}");
 }
 
-/// The target turns slow after requests were admitted. Those who cannot be answered any more are
-/// told before their deadline, not at it.
+/// After the target slows down, admitted requests that can't finish in time are refused before
+/// their deadline, not at it.
 #[rstest]
 fn hopeless_requests_are_refused_before_their_deadline() {
     let mut harness = Harness::warm(1, &["a"]);
@@ -198,11 +200,10 @@
     for _ in 0..40 {
         refused += refusals(&harness.advance(Duration::from_millis(250))).len();
     }
-    assert!(refused > 0, "told within 40 s of 60 s");
+    assert!(refused > 0, "some are refused within 40 s of admission");
 }
 
-/// One team floods the target with urgent work. Another team, owed most of it, gets its share
-/// back with the next runs that end, although its work is not urgent.
+/// Guards against urgent requests of one team holding capacity that is guaranteed to another.
 #[rstest]
 fn a_borrowed_share_is_returned_as_requests_finish() {
     let mut harness = Harness::warm(10, &["a"]);
@@ -221,12 +222,15 @@
         harness.clock.advance(Duration::from_millis(100));
         harness.finish(key);
     }
-    assert_eq!(harness.agent.running_of(&"a".into()), 8, "eight of ten after eight ends");
-    assert_eq!(harness.agent.running_of(&"b".into()), 2, "the lender's own share is kept");
+    assert_eq!(
+        harness.agent.running_of(&"a".into()),
+        8,
+        "eight of ten slots after eight requests finished"
+    );
+    assert_eq!(harness.agent.running_of(&"b".into()), 2, "the borrower keeps its own share");
 }
 
-/// One team fills the queue. The other's request would be refused for a full queue although it
-/// is owed room; its callers would see refusals through no doing of their own.
+/// Guards against a team being refused because another team filled the queue.
 #[rstest]
 fn a_full_queue_admits_a_team_below_its_share() {
     let mut harness = Harness::warm(1, &["a"]);
@@ -238,8 +242,8 @@
     assert!(refusals(&actions).is_empty());
 }
 
-/// Design chats fill the target for minutes. A summary that comes then would wait behind all of
-/// them; room kept for short work lets it run at once.
+/// Part of the capacity is reserved for each length, so that long requests don't block short ones,
+/// nor a flood of short ones a long one.
 #[rstest]
 fn neither_length_starves_the_other() {
     let mut harness = Harness::warm(8, &["a"]);
@@ -248,7 +252,7 @@
         let chat = harness.work("coach", "a", Length::Long, 600);
         chats += runs(&harness.submit(chat).1).len();
     }
-    assert_eq!(chats, 6, "three quarters of the room");
+    assert_eq!(chats, 6, "three quarters of the capacity");
     assert_eq!(runs(&harness.short("manager", "a", 10).1).len(), 1);
 
     let mut harness = Harness::warm(8, &["a"]);
@@ -262,8 +266,8 @@
     assert!(harness.agent.is_running(chat), "a flood of summaries does not hold up a chat");
 }
 
-/// More models than fit. The one in use stays although it was used least recently; of the
-/// others the one that is called often stays, and the one hardly ever called makes room.
+/// With more models than fit, weights in use are kept even if least recently used, and of the idle
+/// ones those called rarely are evicted.
 #[rstest]
 fn the_lowest_utility_is_evicted_and_never_weights_in_use() {
     let mut harness = Harness::new(
@@ -289,11 +293,11 @@
             _ => None,
         })
         .collect();
-    assert_eq!(unloaded, [ModelId::from("c")], "the least recent of the idle would be b");
+    assert_eq!(unloaded, [ModelId::from("c")], "c has the lowest utility");
 }
 
-/// Memory is all in use, and a request for another model comes. It is told within seconds, so
-/// that its router can try another replica; held to its deadline it would have lost a minute.
+/// Guards against a request waiting for memory until its deadline instead of being refused, so
+/// that its router can try another replica.
 #[rstest]
 fn requests_are_refused_soon_when_memory_is_full() {
     let mut harness =
@@ -306,8 +310,7 @@
     assert_eq!(refused.len(), 1);
 }
 
-/// A model that nobody calls any more is dropped; its team weighs idle hours, so sooner than for
-/// a team that weighs the cold start.
+/// An idle model is unloaded sooner if idle time outweighs cold starts.
 #[rstest]
 #[case::idle_time_weighted(CostFactors { tail: 10, idle: 90 }, 300, true)]
 #[case::cold_start_weighted(CostFactors { tail: 90, idle: 10 }, 300, false)]
@@ -324,8 +327,7 @@
     assert_eq!(actions.iter().any(|action| matches!(action, Action::Unload(..))), unloaded);
 }
 
-/// A crew calls at about seven each morning. After some days the model is loaded before the
-/// first call; on the first day its crew had to wait for the load.
+/// A model called at about the same time each day is loaded ahead of the call after some days.
 #[rstest]
 fn a_daily_burst_is_prewarmed() {
     let mut harness = Harness::new(8, 4, Policy::default());
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -14,8 +14,7 @@
 pub use wakes::PrewarmWindow;
 use wakes::Wakes;
 
-/// Number of histogram buckets; each is √2 times as wide as the previous, from one second to twelve
-/// days.
+/// Number of histogram buckets: two per doubling, from one second to twelve days.
 const GAP_BUCKETS: usize = 40;
 /// Factor by which counts decay per day.
 const DAILY_DECAY_RATIO: f64 = 0.8;
@@ -121,8 +120,8 @@
         if all > 0.0 { soon / all } else { 0.0 }
     }
 
-    /// The next time window in which the model should be loaded ahead of its first call; `None` if a
-    /// cold start is expected to cost less.
+    /// The next time window in which the model should be loaded ahead of its first call; `None` if
+    /// a cold start is expected to cost less.
     pub fn prewarm_window(&self, unix_s: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
         self.wakes.prewarm_window(unix_s, cold_start_cost)
     }
@@ -161,7 +160,7 @@
         self.by_weights.iter()
     }
 
-    /// Merges a peer's histories; for each model the one with more calls wins.
+    /// Merges a peer's histories; for each model the one with the larger decayed call count wins.
     pub fn merge(&mut self, other: Self) {
         for (weights, history) in other.by_weights {
             let known = self.by_weights.get(&weights).map_or(0.0, |h| h.gaps.iter().sum());
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -1,4 +1,4 @@
-//! Histories made up call by call.
+//! Predictions from synthetic call histories.
 
 use super::{Histories, History, MAX_HISTORIES, cold_start_cost, wakes::DAY_S};
 use corianderstand_types::weights::Weights;
@@ -7,7 +7,7 @@
 
 const LOAD_TIME: Duration = Duration::from_secs(20);
 
-/// Calls a minute apart for an hour each day: the hour is bridged, the night is not.
+/// Calls a minute apart for an hour a day: the keep-alive covers the gaps but not the night.
 #[rstest]
 fn keep_alive_covers_gaps_in_a_session_but_not_nights() {
     let mut history = History::default();
@@ -20,7 +20,6 @@
     assert!(keep > Duration::from_secs(60) && keep < Duration::from_secs(1800), "{keep:?}");
 }
 
-/// The costlier a cold start against an idle hour, the longer a model is kept.
 #[rstest]
 fn a_costlier_cold_start_extends_the_keep_alive() {
     let mut history = History::default();
@@ -34,8 +33,7 @@
     assert!(expensive > cheap, "{expensive:?} {cheap:?}");
 }
 
-/// A crew works on six days of the week. After one free day was seen, nothing is loaded on the
-/// next; without that a replica would wait each week for nobody.
+/// Guards against prewarming on a weekly day without calls.
 #[rstest]
 fn a_weekly_day_off_is_not_prewarmed() {
     let mut history = History::default();
@@ -49,7 +47,6 @@
     assert!(day_off.is_none_or(|window| window.from / DAY_S != 13), "{day_off:?}");
 }
 
-/// Market days come without pattern. Nothing is loaded ahead, as it would mostly wait in vain.
 #[rstest]
 fn irregular_calls_are_not_prewarmed() {
     let mut history = History::default();
@@ -59,7 +56,7 @@
     assert_eq!(history.prewarm_window(12 * DAY_S, cold_start_cost(LOAD_TIME, 50, 50)), None);
 }
 
-/// Histories survive a restart through a peer, and their number is bounded.
+/// Guards against unbounded growth, and against losing histories kept by a peer.
 #[rstest]
 fn histories_are_bounded_and_merge() {
     let mut histories = Histories::default();
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -110,8 +110,8 @@
     ///
     /// # Errors
     ///
-    /// [`LedgerError::InsufficientMemory`] if it does not fit, [`LedgerError::AlreadyReserved`] if the
-    /// weights have an entry.
+    /// [`LedgerError::InsufficientMemory`] if it does not fit, [`LedgerError::AlreadyReserved`] if
+    /// the weights have an entry.
     pub fn reserve(&mut self, weights: &Weights, memory: Mib) -> Result<(), LedgerError> {
         if self.entries.contains_key(weights) {
             return Err(LedgerError::AlreadyReserved);
@@ -177,8 +177,8 @@
 
     /// Replaces all entries with those that the engine reports, before any command is sent.
     ///
-    /// After an agent restart the engine may hold models or still be loading one. Entries beyond the
-    /// engine's capacity are counted too.
+    /// After an agent restart the engine may hold models or still be loading one. Entries beyond
+    /// the engine's capacity are counted too.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.entries.clear();
         for (weights, memory, ready) in loaded {
@@ -189,8 +189,8 @@
     /// Reconciles the ledger with the engine's response to a query sent at `version`.
     ///
     /// Entries that changed after the query are skipped, as the response may predate the change.
-    /// Weights missing from the ledger are added; ready entries that the engine no longer reports, as
-    /// after its own restart, are removed.
+    /// Weights missing from the ledger are added if it has not changed; ready entries that the
+    /// engine no longer reports, as after its own restart, are removed.
     pub fn reconcile(&mut self, now: Instant, version: u64, loaded: &[(Weights, Mib, bool)]) {
         let unchanged = version == self.version;
         for (weights, memory, ready) in loaded {
--- a/crates/corianderstand_decide/src/ledger/tests.rs
+++ b/crates/corianderstand_decide/src/ledger/tests.rs
@@ -17,8 +17,8 @@
     (ledger, ManualClock::default())
 }
 
-/// An order's answer was lost and the engine, asked at once, does not show the model: the order
-/// may still lie in its socket. Given away, the memory would be committed twice.
+/// Guards against committing memory twice while a load command of unknown outcome may still be
+/// buffered in the engine's socket.
 #[rstest]
 fn unknown_outcome_counts_until_absence_timeout() {
     let (mut ledger, clock) = ledger_with_unknown();
@@ -38,8 +38,7 @@
     assert!(ledger.is_ready(&model("a")));
 }
 
-/// The engine's answer was on its way while a load was confirmed. Taken as newer, it would give
-/// the memory of a loaded model away.
+/// Guards against releasing a loaded model's memory because of an older query response.
 #[rstest]
 fn a_response_older_than_a_change_is_ignored() {
     let (mut ledger, clock) = ledger_with_unknown();
@@ -49,8 +48,7 @@
     assert!(ledger.is_ready(&model("a")));
 }
 
-/// The engine restarts by itself and holds nothing any more. Without asking, the agent would send
-/// requests to a model that is not there, and never load it again.
+/// Guards against running requests on a model that the engine lost in its own restart.
 #[rstest]
 fn an_engine_restart_releases_memory() {
     let (mut ledger, clock) = ledger_with_unknown();
@@ -59,7 +57,7 @@
     assert_eq!(ledger.free(), Mib(100));
 }
 
-/// Somebody else's order, or one of an agent that died, shows in the engine's answer.
+/// Weights loaded by another process, such as a previous agent, count as used memory.
 #[rstest]
 fn unrecorded_weights_are_counted() {
     let (mut ledger, clock) = ledger_with_unknown();
