--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -201,13 +201,13 @@
         actions: &mut Vec<Action>,
     ) {
         if !self.loads.unreserved.is_empty() || !self.loads.without_capacity.is_empty() {
-            self.reserve_unreserved(now, config, actions);
+            self.reserve_memory(now, config, actions);
         }
         self.start_pending(now, actions);
         self.retry_commands(now, config, actions);
     }
 
-    fn reserve_unreserved(
+    fn reserve_memory(
         &mut self,
         now: Instant,
         config: &dyn SchedulingConfig,
