--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -53,9 +53,9 @@
             let free = entry.users == 0 && !self.loads.is_awaited(weights);
             entry.stage == Stage::Ready && free && !needed && !self.keep_alive.is_unloading(weights)
         });
-        let no_group_in_use =
+        let is_evictable =
             |weights: &&Weights| weights.adapter.is_some() || !self.is_in_use(&weights.model);
-        let idle = idle.filter(|(weights, _)| no_group_in_use(weights));
+        let idle = idle.filter(|(weights, _)| is_evictable(weights));
         let mut victims: Vec<(u64, Weights, u64)> = idle
             .map(|(weights, entry)| {
                 let memory = match weights.adapter {
