--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -10,11 +10,8 @@
 use corianderstand_types::names::WorkspaceId;
 use std::time::{Duration, Instant};
 
-/// Initial estimate for short requests.
 const INITIAL_SHORT_RUN_TIME: Duration = Duration::from_millis(100);
-/// Initial estimate for long requests.
 const INITIAL_LONG_RUN_TIME: Duration = Duration::from_secs(2);
-/// Inverse of the smoothing factor of the run-time averages.
 const RUN_TIME_SMOOTHING_DIVISOR: u32 = 8;
 /// Maximum `retry_after` of a refusal, so that callers return soon after a burst.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
@@ -32,24 +29,21 @@
 }
 
 impl RunTimeEstimate {
-    /// Initial estimates for short and long requests.
+    /// Estimates for short and long requests, indexed by [`Length`].
     pub const fn initial() -> [Self; 2] {
         let deviation = Duration::ZERO;
         let short = Self { mean: INITIAL_SHORT_RUN_TIME, deviation };
         [short, Self { mean: INITIAL_LONG_RUN_TIME, deviation }]
     }
 
-    /// The mean less one deviation.
     pub const fn lower_bound(self) -> Duration {
         self.mean.saturating_sub(self.deviation)
     }
 
-    /// The mean run time.
     pub const fn mean(self) -> Duration {
         self.mean
     }
 
-    /// Adds an observed run time.
     pub fn observe(&mut self, run_time: Duration) {
         let error = run_time.abs_diff(self.mean);
         self.deviation = (self.deviation * (RUN_TIME_SMOOTHING_DIVISOR - 1) + error)
@@ -85,7 +79,7 @@
         MAX_RETRY_AFTER / 2 + self.jitter(MAX_RETRY_AFTER / 2)
     }
 
-    /// Returns a delay below `width` that is spread evenly from previous ones.
+    /// Returns a delay below `width`, far from the previous ones.
     pub fn jitter(&mut self, width: Duration) -> Duration {
         self.jitter_state = self.jitter_state.wrapping_add(JITTER_INCREMENT);
         width.mul_f64(self.jitter_state as f64 / u64::MAX as f64)
@@ -148,7 +142,6 @@
         self.queue.waiting_of(team) as u64 >= owed
     }
 
-    /// Expected time until all weights of a request are loaded.
     fn expected_load_wait(
         &self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -8,7 +8,6 @@
     time::{Duration, Instant},
 };
 
-/// Horizon of the call probability that the utility uses.
 const UTILITY_HORIZON: Duration = Duration::from_secs(30 * 60);
 
 impl Agent {
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -12,12 +12,10 @@
     time::{Duration, Instant},
 };
 
-/// Interval between scans for models to prewarm.
 const PREWARM_SCAN_INTERVAL: Duration = Duration::from_secs(15);
 /// Lead of a prewarm, in load times; leaves time for other loads that start with it.
 const PREWARM_LEAD_LOADS: u32 = 3;
 
-/// Call histories, keep-alive expiries and pending unloads of one agent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KeepAliveState {
     histories: Histories,
@@ -37,7 +35,7 @@
     until: u64,
 }
 
-/// Time after which a model without a prewarm window is evaluated again.
+/// Validity of a cached result without a window.
 const NO_WINDOW_TTL_S: u64 = 3600;
 
 impl KeepAliveState {
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -25,7 +25,7 @@
 /// Delay before a command of unknown outcome is retried; engines treat retries as idempotent.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// A load with reserved memory whose command is not sent yet.
+/// A load with reserved memory whose command has not been sent.
 #[derives(data)]
 struct PendingLoad {
     less_urgent: u8,
@@ -43,7 +43,6 @@
     pub until: Instant,
 }
 
-/// A load whose command was sent.
 #[derives(data)]
 struct StartedLoad {
     at: Instant,
@@ -51,7 +50,6 @@
     by_gate: bool,
 }
 
-/// Loads that are in demand, pending or started.
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
     gate: Gate,
@@ -66,7 +64,6 @@
     slowdown: f64,
 }
 
-/// Smoothing factor of the observed slowdown.
 const SLOWDOWN_SMOOTHING_RATIO: f64 = 0.5;
 
 impl Default for Loads {
@@ -126,7 +123,7 @@
     }
 
     /// When a command may be due without any other event. Must not return a time at which nothing
-    /// is due, or the caller spins.
+    /// is due, or the event loop spins.
     pub fn next_wake(&self) -> Option<Instant> {
         let pending = self.pending.values().filter_map(|pending| self.next_start_of(pending));
         let retries = self.retries.values().map(|(at, _)| *at);
@@ -162,14 +159,12 @@
         self.demands.retain(|_, demand| now < demand.until);
     }
 
-    /// Time until which there is demand for the weights.
     pub fn demanded_until(&self, weights: &Weights) -> Option<Instant> {
         self.demands.get(weights).map(|demand| demand.until)
     }
 }
 
 impl Agent {
-    /// Adds weights that a request waits for to the loads to reserve memory for.
     pub(super) fn record_missing(&mut self, weights: &Weights) {
         if self.ledger.find(weights).is_none_or(|entry| entry.stage == Stage::Unloading) {
             self.loads.unreserved.insert(weights.clone());
@@ -441,7 +436,6 @@
         self.step(now, config)
     }
 
-    /// Refuses all requests that wait for the weights.
     fn refuse_waiting(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -75,7 +75,7 @@
     pub order: Order,
 }
 
-/// An effect that the caller of [`Agent`] must carry out.
+/// An effect that the code driving [`Agent`] must carry out.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Action {
@@ -450,7 +450,6 @@
         }
     }
 
-    /// Whether any request is queued for a model or runs on it.
     fn is_in_use(&self, model: &ModelId) -> bool {
         self.model_users.contains_key(model)
     }
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -16,7 +16,6 @@
 
 /// Number of histogram buckets: two per doubling, from one second to twelve days.
 const GAP_BUCKETS: usize = 40;
-/// Factor by which counts decay per day.
 const DAILY_DECAY_RATIO: f64 = 0.8;
 /// Weight of a uniform prior over the buckets, which smooths histograms of few calls.
 const PRIOR_WEIGHT: f64 = 1.0;
@@ -24,7 +23,6 @@
 pub const MAX_HISTORIES: usize = 1024;
 /// Idle replica seconds that cost as much as one second of cold start, at equal weights.
 pub const IDLE_S_PER_COLD_START_S: f64 = 30.0;
-/// Upper bound of the keep-alive time.
 const MAX_KEEP_ALIVE_S: f64 = 3.0 * 86_400.0;
 
 /// Cost of one cold start, in idle replica seconds.
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -3,13 +3,11 @@
 use corianderstand_derives::derives;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Length of a day.
 pub const DAY_S: u64 = 86_400;
-/// Minimum idle time before a call that counts as a wake.
+/// Minimum idle time before a wake.
 const MIN_IDLE_S: u64 = 30 * 60;
 /// Maximum number of wakes kept per model: two weeks with two wakes a day.
 const MAX_WAKES: usize = 28;
-/// Number of past days that predictions consider.
 const LOOKBACK_DAYS: u64 = 14;
 /// Wakes closer together than this in time of day belong to one cluster.
 const CLUSTER_GAP_S: u64 = 45 * 60;
@@ -27,7 +25,7 @@
     pub until: u64,
 }
 
-/// Recent wakes of one model, in seconds since the Unix epoch.
+/// Recent wakes of one model.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Wakes {
