--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -25,7 +25,7 @@
     ) -> bool {
         let unloading = self.ledger.entries().filter(|(_, entry)| entry.stage == Stage::Unloading);
         let mut reclaimable_mib: u64 = unloading.map(|(_, entry)| entry.memory.0).sum();
-        reclaimable_mib += self.keep_alive.unloading_mib(&self.ledger);
+        reclaimable_mib += self.keep_alive.pending_unload_mib(&self.ledger);
         if reclaimable_mib >= missing.0 {
             return true;
         }
@@ -50,7 +50,10 @@
         let idle = self.ledger.entries().filter(|(weights, entry)| {
             let needed = weights.model == loading.model && weights.adapter.is_none();
             let free = entry.users == 0 && !self.loads.is_awaited(weights);
-            entry.stage == Stage::Ready && free && !needed && !self.keep_alive.is_unloading(weights)
+            entry.stage == Stage::Ready
+                && free
+                && !needed
+                && !self.keep_alive.is_unload_pending(weights)
         });
         let is_evictable =
             |weights: &&Weights| weights.adapter.is_some() || !self.is_in_use(&weights.model);
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -22,7 +22,7 @@
     unix_time_origin: Option<(Instant, u64)>,
     expiries: BTreeSet<(Instant, Weights)>,
     expiry_by_weights: BTreeMap<Weights, Instant>,
-    unloading: BTreeSet<Weights>,
+    pending_unloads: BTreeSet<Weights>,
     next_prewarm_scan: Option<Instant>,
     rescan: bool,
     windows: BTreeMap<Weights, CachedWindow>,
@@ -96,17 +96,17 @@
         since.map_or(0, |since| since.as_millis() as u64)
     }
 
-    pub fn is_unloading(&self, weights: &Weights) -> bool {
-        self.unloading.contains(weights)
+    pub fn is_unload_pending(&self, weights: &Weights) -> bool {
+        self.pending_unloads.contains(weights)
     }
 
     /// Memory of models that are unloaded once their adapters are.
-    pub fn unloading_mib(&self, ledger: &Ledger) -> u64 {
+    pub fn pending_unload_mib(&self, ledger: &Ledger) -> u64 {
         let ready = |weights: &&Weights| {
             ledger.find(weights).is_some_and(|entry| entry.stage == Stage::Ready)
         };
-        let unloading = self.unloading.iter().filter(ready);
-        unloading.filter_map(|weights| ledger.find(weights)).map(|entry| entry.memory.0).sum()
+        let pending = self.pending_unloads.iter().filter(ready);
+        pending.filter_map(|weights| ledger.find(weights)).map(|entry| entry.memory.0).sum()
     }
 
     pub fn next_wake(&self) -> Option<Instant> {
@@ -250,17 +250,17 @@
         if weights.adapter.is_some() {
             self.unload(weights, actions);
         } else {
-            self.keep_alive.unloading.insert(weights.clone());
+            self.keep_alive.pending_unloads.insert(weights.clone());
             self.continue_unloading(actions);
         }
     }
 
     /// Unloads the adapters of models that are being unloaded, then the models.
     fn continue_unloading(&mut self, actions: &mut Vec<Action>) {
-        if self.keep_alive.unloading.is_empty() {
+        if self.keep_alive.pending_unloads.is_empty() {
             return;
         }
-        for base in std::mem::take(&mut self.keep_alive.unloading) {
+        for base in std::mem::take(&mut self.keep_alive.pending_unloads) {
             if self.is_in_use(&base.model) || !self.ledger.is_ready(&base) {
                 continue;
             }
@@ -280,7 +280,7 @@
                     self.unload(&adapter, actions);
                 }
             }
-            self.keep_alive.unloading.insert(base);
+            self.keep_alive.pending_unloads.insert(base);
         }
     }
 
