--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -5,7 +5,7 @@
     shape,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Need, Work};
+use corianderstand_decide::work::{Need, RequestSpec};
 use corianderstand_link::{
     PROTOCOL,
     connection::{self, Reader},
@@ -179,7 +179,7 @@
     }
 }
 
-fn work(open: &OpenStream, body: &[u8], now: std::time::Instant) -> Work {
+fn work(open: &OpenStream, body: &[u8], now: std::time::Instant) -> RequestSpec {
     let need = match &open.operation {
         Operation::Completion { model, version, adapter }
         | Operation::Chat { model, version, adapter } => {
@@ -193,7 +193,7 @@
         }
         Operation::Call { service, .. } => Need::Service(service.clone()),
     };
-    Work {
+    RequestSpec {
         team: open.team.clone(),
         need,
         urgency: open.urgency,
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -16,7 +16,7 @@
 use corianderstand_decide::{
     agent::{Action, Agent},
     ledger::Stage,
-    work::{Refusal, RequestKey, Work},
+    work::{Refusal, RequestKey, RequestSpec},
 };
 use corianderstand_link::frame;
 use corianderstand_schema::messages::{Holding, HoldingStage, Load, ToRouter};
@@ -81,7 +81,7 @@
     /// When to ask the engine what is loaded.
     pub asking: Asking,
     /// Requests that came before the records they were chosen by.
-    pub early: Early<Box<(Work, Request)>>,
+    pub early: Early<Box<(RequestSpec, Request)>>,
 }
 
 impl Decider {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn submit(&mut self, submitted: (Work, Request), snapshot: &Snapshot) -> Vec<Action> {
+    fn submit(&mut self, submitted: (RequestSpec, Request), snapshot: &Snapshot) -> Vec<Action> {
         let (work, request) = submitted;
         let now = self.clock.now();
         let (key, actions) = self.agent.submit(now, work, &ViewSizes(&snapshot.view));
--- a/crates/corianderstand_agent/src/event.rs
+++ b/crates/corianderstand_agent/src/event.rs
@@ -1,7 +1,7 @@
 //! What the threads of an agent tell each other.
 
 use bytes::Bytes;
-use corianderstand_decide::work::{RequestKey, Work};
+use corianderstand_decide::work::{RequestKey, RequestSpec};
 use corianderstand_schema::messages::{OpenStream, ToRouter};
 use corianderstand_types::{units::Mib, weights::Weights};
 use std::time::Instant;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// A request has come.
-    Submit(Box<(Work, Request)>),
+    Submit(Box<(RequestSpec, Request)>),
     /// A router no longer waits.
     Cancelled {
         /// The connection.
--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -3,7 +3,7 @@
 use super::{Agent, MIN_RETRY_AFTER};
 use crate::{
     queue::{Length, Order, Waiting},
-    work::{Need, Refusal, SchedulingConfig, Work},
+    work::{Need, Refusal, RequestSpec, SchedulingConfig},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
@@ -92,7 +92,7 @@
     pub(super) fn refusal(
         &mut self,
         now: Instant,
-        work: &Work,
+        work: &RequestSpec,
         waiting: &Waiting,
         config: &dyn SchedulingConfig,
     ) -> Option<Refusal> {
@@ -145,7 +145,7 @@
     fn expected_load_wait(
         &self,
         now: Instant,
-        work: &Work,
+        work: &RequestSpec,
         config: &dyn SchedulingConfig,
     ) -> Duration {
         let remaining = |weights| {
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -4,7 +4,7 @@
 use crate::{
     ledger::{LedgerError, Stage},
     pacing::{Ask, Gate},
-    work::{Refusal, SchedulingConfig, StoreLimits, Work},
+    work::{Refusal, RequestSpec, SchedulingConfig, StoreLimits},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
@@ -176,7 +176,7 @@
     pub(super) fn record_demand(
         &mut self,
         now: Instant,
-        work: &Work,
+        work: &RequestSpec,
         config: &dyn SchedulingConfig,
     ) {
         let Some(weights) = self.missing(work) else { return };
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -16,7 +16,7 @@
     ledger::Ledger,
     pacing::Ask,
     queue::{Length, Order, Queue, Waiting},
-    work::{Need, Refusal, RequestKey, SchedulingConfig, Work},
+    work::{Need, Refusal, RequestKey, RequestSpec, SchedulingConfig},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
@@ -99,7 +99,7 @@
 
 #[derives(data)]
 struct HeldRequest {
-    work: Work,
+    work: RequestSpec,
     started_at: Option<Instant>,
 }
 
@@ -246,7 +246,7 @@
     pub fn submit(
         &mut self,
         now: Instant,
-        work: Work,
+        work: RequestSpec,
         config: &dyn SchedulingConfig,
     ) -> (RequestKey, Vec<Action>) {
         self.queue.set_total_shares(config.total_shares());
@@ -284,7 +284,7 @@
         (key, self.step(now, config))
     }
 
-    fn waiting(&self, work: &Work) -> Waiting {
+    fn waiting(&self, work: &RequestSpec) -> Waiting {
         Waiting {
             team: work.team.clone(),
             length: work.shape.length,
@@ -296,7 +296,7 @@
 
     /// The first weights of a request that are not loaded; the base model precedes its adapter, as
     /// an engine accepts an adapter only for a loaded model.
-    fn missing(&self, work: &Work) -> Option<Weights> {
+    fn missing(&self, work: &RequestSpec) -> Option<Weights> {
         work.weights().find(|weights| !self.is_usable(weights)).cloned()
     }
 
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -3,7 +3,9 @@
 use super::{Action, Agent, Eviction, KeepAlive, Limits, Policy};
 use crate::{
     queue::Length,
-    work::{CostFactors, Need, Refusal, RequestKey, SchedulingConfig, Shape, StoreLimits, Work},
+    work::{
+        CostFactors, Need, Refusal, RequestKey, RequestSpec, SchedulingConfig, Shape, StoreLimits,
+    },
 };
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::{
@@ -83,8 +85,8 @@
         self.clock.now()
     }
 
-    fn work(&self, team: &str, name: &str, length: Length, seconds: u64) -> Work {
-        Work {
+    fn work(&self, team: &str, name: &str, length: Length, seconds: u64) -> RequestSpec {
+        RequestSpec {
             team: team.into(),
             need: Need::Weights { base: model(name), adapter: None },
             urgency: 1,
@@ -94,7 +96,7 @@
         }
     }
 
-    fn submit(&mut self, work: Work) -> (RequestKey, Vec<Action>) {
+    fn submit(&mut self, work: RequestSpec) -> (RequestKey, Vec<Action>) {
         self.agent.submit(self.now(), work, &self.config)
     }
 
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -3,7 +3,7 @@
 use super::{
     Decision, MAX_TRIES, Placement, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
 };
-use crate::work::{Need, Refusal, RequestKey, Work};
+use crate::work::{Need, Refusal, RequestKey, RequestSpec};
 use corianderstand_schema::messages::RefusalReason;
 use rand::RngExt;
 use std::time::{Duration, Instant};
@@ -155,13 +155,13 @@
     /// A slow target whose turn it is to be tried again. Its recovery shows only in an answer, so
     /// now and then a request goes there whatever it costs: one that is not urgent and may be
     /// tried elsewhere.
-    fn probed(&self, owners: &Owners, work: &Work) -> impl Iterator<Item = TargetKey> {
+    fn probed(&self, owners: &Owners, work: &RequestSpec) -> impl Iterator<Item = TargetKey> {
         let bears = work.repeatable && work.urgency < URGENT;
         let out = self.out.iter().take(if bears { MAX_PROBED } else { 0 });
         out.copied().filter(|key| owners.contains(*key))
     }
 
-    fn owners(&self, work: &Work) -> Option<&Owners> {
+    fn owners(&self, work: &RequestSpec) -> Option<&Owners> {
         match &work.need {
             Need::Weights { base, .. } => self.by_model.get(&base.model),
             Need::Service(service) => self.by_service.get(service),
@@ -172,7 +172,7 @@
         &self,
         now: Instant,
         owners: &Owners,
-        work: &Work,
+        work: &RequestSpec,
         seed: u64,
         usable: &impl Fn(TargetKey) -> bool,
     ) -> Candidates {
@@ -199,7 +199,7 @@
         now: Instant,
         key: TargetKey,
         owners: &Owners,
-        work: &Work,
+        work: &RequestSpec,
         rank: u32,
     ) -> Duration {
         let target = &self.targets[key];
@@ -230,7 +230,7 @@
 
 /// Requests of one session meet at one place of the ring, and the first requests of all sessions
 /// of a cold model at another; calls to plain services, which have nothing to load, spread.
-fn ring_hash(work: &Work, seed: u64, warm: bool) -> u64 {
+fn ring_hash(work: &RequestSpec, seed: u64, warm: bool) -> u64 {
     match (&work.need, work.shape.prefix) {
         (Need::Service(_), _) => seed,
         (Need::Weights { .. }, Some(prefix)) if warm => prefix,
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::{Need, Refusal, RequestKey, Work};
+use crate::work::{Need, Refusal, RequestKey, RequestSpec};
 use budget::Budget;
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
@@ -92,7 +92,7 @@
 
 #[derives(data)]
 struct Held {
-    work: Work,
+    work: RequestSpec,
     target: Option<TargetKey>,
     tried: Vec<TargetKey>,
 }
@@ -241,7 +241,7 @@
     }
 
     /// Takes a request and chooses its target, or refuses it.
-    pub fn submit(&mut self, now: Instant, work: Work) -> (RequestKey, Decision) {
+    pub fn submit(&mut self, now: Instant, work: RequestSpec) -> (RequestKey, Decision) {
         self.budget.earn();
         let key = self.requests.insert(Held { work, target: None, tried: Vec::new() });
         (key, self.choose(now, key, None))
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -3,7 +3,7 @@
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
     queue::Length,
-    work::{Need, Refusal, RequestKey, Shape, Work},
+    work::{Need, Refusal, RequestKey, RequestSpec, Shape},
 };
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::{
@@ -38,8 +38,8 @@
         Self { router, clock: ManualClock::default(), keys }
     }
 
-    fn work(&self, prefix: Option<u64>) -> Work {
-        Work {
+    fn work(&self, prefix: Option<u64>) -> RequestSpec {
+        RequestSpec {
             team: "crew".into(),
             need: Need::Weights { base: Weights::model("a".into(), "1".into()), adapter: None },
             urgency: 1,
@@ -246,7 +246,7 @@
 #[case::booking(false)]
 fn only_what_may_be_repeated_is_tried_again(#[case] repeatable: bool) {
     let mut bench = Bench::new(3, 13);
-    let work = Work { repeatable, ..bench.work(None) };
+    let work = RequestSpec { repeatable, ..bench.work(None) };
     let (key, _) = bench.router.submit(bench.clock.now(), work);
     let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: Duration::from_secs(1) };
     let decision = bench.router.lost(bench.clock.now(), key, refusal);
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -34,7 +34,7 @@
 /// The properties of a request that scheduling decisions use.
 #[derives(data)]
 #[derive(Eq)]
-pub struct Work {
+pub struct RequestSpec {
     /// The team that sent the request.
     pub team: WorkspaceId,
     /// The model or service that serves it.
@@ -152,7 +152,7 @@
     }
 }
 
-impl Work {
+impl RequestSpec {
     /// The weights that must be loaded before the request can run, the base model first.
     pub fn weights(&self) -> impl Iterator<Item = &Weights> {
         let (base, adapter) = match &self.need {
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -15,7 +15,9 @@
     pacing::Coordinator,
     queue::Length,
     router::{Decision, Router, TargetKey},
-    work::{self, LONG_ANSWER_TOKENS, Need, Refusal, RequestKey, SchedulingConfig, Shape, Work},
+    work::{
+        self, LONG_ANSWER_TOKENS, Need, Refusal, RequestKey, RequestSpec, SchedulingConfig, Shape,
+    },
 };
 use corianderstand_types::{
     clock::{Clock, ManualClock},
@@ -228,7 +230,7 @@
         self.ask(self.callers.len() - 1);
     }
 
-    fn work(&self, caller: &Caller) -> Work {
+    fn work(&self, caller: &Caller) -> RequestSpec {
         let call = &caller.call;
         let base = Weights::model(call.model.clone(), "1".into());
         let adapter = call
@@ -237,7 +239,7 @@
             .map(|name| Weights { adapter: Some(name.as_str().into()), ..base.clone() });
         let long = call.tokens > LONG_ANSWER_TOKENS;
         let length = if long { Length::Long } else { Length::Short };
-        Work {
+        RequestSpec {
             team: call.team.clone(),
             need: Need::Weights { base, adapter },
             urgency: call.urgency,
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -9,7 +9,7 @@
     problem::Problem,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Refusal, Work};
+use corianderstand_decide::work::{Refusal, RequestSpec};
 use corianderstand_schema::messages::{Ending, OpenStream, RefusalReason};
 use smol_str::SmolStr;
 use std::{sync::mpsc::SyncSender, time::Duration};
@@ -60,7 +60,7 @@
 /// What was asked, so that it can be asked again.
 struct Asked {
     events: SyncSender<Event>,
-    work: Work,
+    work: RequestSpec,
     open: OpenStream,
     body: Bytes,
 }
@@ -104,7 +104,7 @@
     /// A full ring is a refusal: waiting for room would only make the answer late.
     pub fn submit(
         events: &SyncSender<Event>,
-        work: Work,
+        work: RequestSpec,
         mut open: OpenStream,
         body: Bytes,
     ) -> Result<Self, Problem> {
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -4,7 +4,7 @@
     problem::Problem,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Need, Refusal, Shape, Work};
+use corianderstand_decide::work::{Need, Refusal, RequestSpec, Shape};
 use corianderstand_schema::messages::{Ending, OpenStream, Operation, RefusalReason};
 use corianderstand_types::names::{ServiceId, WorkspaceId};
 use rstest::rstest;
@@ -23,7 +23,7 @@
         let team = WorkspaceId::new("vidrio").expect("a good name");
         let deadline = Instant::now().into_std() + Duration::from_secs(60);
         let need = Need::Service(service.clone());
-        let work = Work {
+        let work = RequestSpec {
             team: team.clone(),
             need,
             urgency: 1,
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -9,7 +9,7 @@
 };
 use bytes::Bytes;
 use corianderstand_control::metrics::Metric;
-use corianderstand_decide::work::{self, Need, Work};
+use corianderstand_decide::work::{self, Need, RequestSpec};
 use corianderstand_schema::{
     messages::{AdapterRef, OpenStream, Operation},
     settings,
@@ -120,7 +120,7 @@
     chat: bool,
     urgency: u8,
     budget: Duration,
-) -> (Work, OpenStream) {
+) -> (RequestSpec, OpenStream) {
     let (model, version) = (wanted.base.model.clone(), wanted.base.version.clone());
     let adapter = wanted.adapter.as_ref().and_then(|weights| {
         let name = weights.adapter.clone()?;
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -1,7 +1,7 @@
 //! What the threads of a router tell each other.
 
 use bytes::Bytes;
-use corianderstand_decide::work::{Refusal, RequestKey, Work};
+use corianderstand_decide::work::{Refusal, RequestKey, RequestSpec};
 use corianderstand_schema::messages::{Ending, Load, OpenStream};
 use corianderstand_types::names::TargetId;
 use smol_str::SmolStr;
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// A request has come.
-    Submit(Box<(Work, Call)>),
+    Submit(Box<(RequestSpec, Call)>),
     /// A connection is up.
     Connected {
         /// The target.
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -17,7 +17,7 @@
     snapshot::Snapshot,
     start::Handle,
 };
-use corianderstand_decide::work::{Need, Shape, Work};
+use corianderstand_decide::work::{Need, RequestSpec, Shape};
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
     messages::{OpenStream, Operation, RefusalReason},
@@ -407,10 +407,11 @@
         urgency: u8,
         budget: Duration,
         repeatable: bool,
-    ) -> (Work, OpenStream) {
+    ) -> (RequestSpec, OpenStream) {
         let deadline = self.clock.now() + budget;
         let shape = Shape::default();
-        let work = Work { team: self.team.clone(), need, urgency, deadline, repeatable, shape };
+        let work =
+            RequestSpec { team: self.team.clone(), need, urgency, deadline, repeatable, shape };
         let open = OpenStream {
             stream: 0,
             request: self.request.clone(),
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -3,7 +3,7 @@
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
     router::{Decision, Router, TargetKey},
-    work::{Need, SchedulingConfig, Shape, Work},
+    work::{Need, RequestSpec, SchedulingConfig, Shape},
 };
 use corianderstand_schema::messages::Load;
 use corianderstand_types::{
@@ -35,13 +35,18 @@
     }
 }
 
-fn work(clock: &ManualClock, model: usize, adapter: Option<usize>, prefix: Option<u64>) -> Work {
+fn work(
+    clock: &ManualClock,
+    model: usize,
+    adapter: Option<usize>,
+    prefix: Option<u64>,
+) -> RequestSpec {
     let base = Weights::model(format!("model-{model}").as_str().into(), "1".into());
     let adapter = adapter.map(|number| Weights {
         adapter: Some(format!("adapter-{number}").as_str().into()),
         ..base.clone()
     });
-    Work {
+    RequestSpec {
         team: "crew".into(),
         need: Need::Weights { base, adapter },
         urgency: 1,
@@ -75,7 +80,7 @@
         (ModelId::from(format!("model-{model}").as_str()), owners)
     };
     router.set_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
-    let works: Vec<Work> = (0..1024)
+    let works: Vec<RequestSpec> = (0..1024)
         .map(|number| {
             work(&clock, number % models, Some(number * 53 % adapters), Some(number as u64 * 7919))
         })
@@ -120,7 +125,7 @@
             }
         }
     }
-    let works: Vec<Work> =
+    let works: Vec<RequestSpec> =
         (0..1024).map(|n| work(&clock, 0, Some(n * 53 % adapters), None)).collect();
     best(|round| {
         let work = works[round as usize % works.len()].clone();
