--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -5,7 +5,7 @@
     shape,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Need, RequestSpec};
+use corianderstand_decide::work::{RequestSpec, Requirement};
 use corianderstand_link::{
     PROTOCOL,
     connection::{self, Reader},
@@ -189,9 +189,9 @@
                 version: adapter.version.clone(),
                 adapter: Some(adapter.name.clone()),
             });
-            Need::Weights { base, adapter }
+            Requirement::Weights { base, adapter }
         }
-        Operation::Call { service, .. } => Need::Service(service.clone()),
+        Operation::Call { service, .. } => Requirement::Service(service.clone()),
     };
     RequestSpec {
         team: open.team.clone(),
--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -3,7 +3,7 @@
 use super::{Agent, MIN_RETRY_AFTER};
 use crate::{
     queue::{Length, Order, Waiting},
-    work::{Need, Refusal, RequestSpec, SchedulingConfig},
+    work::{Refusal, RequestSpec, Requirement, SchedulingConfig},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
@@ -99,7 +99,7 @@
         if self.draining {
             return Some(Refusal { reason: RefusalReason::Draining, retry_after: MIN_RETRY_AFTER });
         }
-        if let Need::Weights { base, .. } = &work.need
+        if let Requirement::Weights { base, .. } = &work.need
             && !self.slots.contains(&base.model)
         {
             return Some(Refusal {
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -4,7 +4,8 @@
 use crate::{
     queue::Length,
     work::{
-        CostFactors, Need, Refusal, RequestKey, RequestSpec, SchedulingConfig, Shape, StoreLimits,
+        CostFactors, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig, Shape,
+        StoreLimits,
     },
 };
 use corianderstand_schema::messages::RefusalReason;
@@ -88,7 +89,7 @@
     fn work(&self, team: &str, name: &str, length: Length, seconds: u64) -> RequestSpec {
         RequestSpec {
             team: team.into(),
-            need: Need::Weights { base: model(name), adapter: None },
+            need: Requirement::Weights { base: model(name), adapter: None },
             urgency: 1,
             deadline: self.now() + Duration::from_secs(seconds),
             repeatable: true,
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -3,7 +3,7 @@
 use super::{
     Decision, MAX_TRIES, Placement, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
 };
-use crate::work::{Need, Refusal, RequestKey, RequestSpec};
+use crate::work::{Refusal, RequestKey, RequestSpec, Requirement};
 use corianderstand_schema::messages::RefusalReason;
 use rand::RngExt;
 use std::time::{Duration, Instant};
@@ -102,7 +102,7 @@
             refused_by.is_none_or(|target| !owners.is_serving(now, *target))
         };
         too_late
-            && matches!(held.work.need, Need::Weights { .. })
+            && matches!(held.work.need, Requirement::Weights { .. })
             && !owners.is_warm(now, chosen)
             && loading()
     }
@@ -163,8 +163,8 @@
 
     fn owners(&self, work: &RequestSpec) -> Option<&Owners> {
         match &work.need {
-            Need::Weights { base, .. } => self.by_model.get(&base.model),
-            Need::Service(service) => self.by_service.get(service),
+            Requirement::Weights { base, .. } => self.by_model.get(&base.model),
+            Requirement::Service(service) => self.by_service.get(service),
         }
     }
 
@@ -207,7 +207,7 @@
         let mut cost = run + STEP_COST * rank;
         // Where a model is loaded, routers of all places must agree; a round trip is nothing to
         // a load, and each place for itself would load it once more.
-        if matches!(work.need, Need::Weights { .. }) && !owners.is_warm(now, key) {
+        if matches!(work.need, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + WAKING_COST + COLD_STEP_COST * rank;
         }
         if target.place != self.place {
@@ -232,9 +232,9 @@
 /// of a cold model at another; calls to plain services, which have nothing to load, spread.
 fn ring_hash(work: &RequestSpec, seed: u64, warm: bool) -> u64 {
     match (&work.need, work.shape.prefix) {
-        (Need::Service(_), _) => seed,
-        (Need::Weights { .. }, Some(prefix)) if warm => prefix,
-        (Need::Weights { base, .. }, _) => {
+        (Requirement::Service(_), _) => seed,
+        (Requirement::Weights { .. }, Some(prefix)) if warm => prefix,
+        (Requirement::Weights { base, .. }, _) => {
             xxhash_rust::xxh3::xxh3_64(base.model.as_str().as_bytes())
         }
     }
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::{Need, Refusal, RequestKey, RequestSpec};
+use crate::work::{Refusal, RequestKey, RequestSpec, Requirement};
 use budget::Budget;
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
@@ -333,8 +333,8 @@
 
     fn owners_of(&mut self, key: RequestKey) -> Option<&mut Owners> {
         match &self.requests.get(key)?.work.need {
-            Need::Weights { base, .. } => self.by_model.get_mut(&base.model),
-            Need::Service(service) => self.by_service.get_mut(service),
+            Requirement::Weights { base, .. } => self.by_model.get_mut(&base.model),
+            Requirement::Service(service) => self.by_service.get_mut(service),
         }
     }
 
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -3,7 +3,7 @@
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
     queue::Length,
-    work::{Need, Refusal, RequestKey, RequestSpec, Shape},
+    work::{Refusal, RequestKey, RequestSpec, Requirement, Shape},
 };
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::{
@@ -41,7 +41,10 @@
     fn work(&self, prefix: Option<u64>) -> RequestSpec {
         RequestSpec {
             team: "crew".into(),
-            need: Need::Weights { base: Weights::model("a".into(), "1".into()), adapter: None },
+            need: Requirement::Weights {
+                base: Weights::model("a".into(), "1".into()),
+                adapter: None,
+            },
             urgency: 1,
             deadline: self.clock.now() + Duration::from_secs(600),
             repeatable: true,
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -19,7 +19,7 @@
 /// What must be available on a target before a request can run there.
 #[derives(data)]
 #[derive(Eq)]
-pub enum Need {
+pub enum Requirement {
     /// A model, or a model with an adapter.
     Weights {
         /// The base model.
@@ -38,7 +38,7 @@
     /// The team that sent the request.
     pub team: WorkspaceId,
     /// The model or service that serves it.
-    pub need: Need,
+    pub need: Requirement,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
     /// Time by which it must be answered.
@@ -156,8 +156,8 @@
     /// The weights that must be loaded before the request can run, the base model first.
     pub fn weights(&self) -> impl Iterator<Item = &Weights> {
         let (base, adapter) = match &self.need {
-            Need::Weights { base, adapter } => (Some(base), adapter.as_ref()),
-            Need::Service(_) => (None, None),
+            Requirement::Weights { base, adapter } => (Some(base), adapter.as_ref()),
+            Requirement::Service(_) => (None, None),
         };
         base.into_iter().chain(adapter)
     }
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -16,7 +16,8 @@
     queue::Length,
     router::{Decision, Router, TargetKey},
     work::{
-        self, LONG_ANSWER_TOKENS, Need, Refusal, RequestKey, RequestSpec, SchedulingConfig, Shape,
+        self, LONG_ANSWER_TOKENS, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig,
+        Shape,
     },
 };
 use corianderstand_types::{
@@ -241,7 +242,7 @@
         let length = if long { Length::Long } else { Length::Short };
         RequestSpec {
             team: call.team.clone(),
-            need: Need::Weights { base, adapter },
+            need: Requirement::Weights { base, adapter },
             urgency: call.urgency,
             deadline: self.start + caller.deadline,
             repeatable: true,
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -4,7 +4,7 @@
     problem::Problem,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Need, Refusal, RequestSpec, Shape};
+use corianderstand_decide::work::{Refusal, RequestSpec, Requirement, Shape};
 use corianderstand_schema::messages::{Ending, OpenStream, Operation, RefusalReason};
 use corianderstand_types::names::{ServiceId, WorkspaceId};
 use rstest::rstest;
@@ -22,7 +22,7 @@
         let service = ServiceId::new("agenda").expect("a good name");
         let team = WorkspaceId::new("vidrio").expect("a good name");
         let deadline = Instant::now().into_std() + Duration::from_secs(60);
-        let need = Need::Service(service.clone());
+        let need = Requirement::Service(service.clone());
         let work = RequestSpec {
             team: team.clone(),
             need,
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -9,7 +9,7 @@
 };
 use bytes::Bytes;
 use corianderstand_control::metrics::Metric;
-use corianderstand_decide::work::{self, Need, RequestSpec};
+use corianderstand_decide::work::{self, RequestSpec, Requirement};
 use corianderstand_schema::{
     messages::{AdapterRef, OpenStream, Operation},
     settings,
@@ -131,7 +131,7 @@
     } else {
         Operation::Completion { model, version, adapter }
     };
-    let need = Need::Weights { base: wanted.base.clone(), adapter: wanted.adapter.clone() };
+    let need = Requirement::Weights { base: wanted.base.clone(), adapter: wanted.adapter.clone() };
     asked.open(need, operation, urgency, budget, true)
 }
 
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -17,7 +17,7 @@
     snapshot::Snapshot,
     start::Handle,
 };
-use corianderstand_decide::work::{Need, RequestSpec, Shape};
+use corianderstand_decide::work::{RequestSpec, Requirement, Shape};
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
     messages::{OpenStream, Operation, RefusalReason},
@@ -402,7 +402,7 @@
     /// What the decisions and the agent need to know.
     pub fn open(
         &self,
-        need: Need,
+        need: Requirement,
         operation: Operation,
         urgency: u8,
         budget: Duration,
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -6,7 +6,7 @@
     once::{self, Answer, Once},
     problem::{self, Problem},
 };
-use corianderstand_decide::work::Need;
+use corianderstand_decide::work::Requirement;
 use corianderstand_schema::{messages::Operation, records::CallKey};
 use corianderstand_state::{calls, view::View};
 use corianderstand_types::names::ServiceId;
@@ -58,7 +58,7 @@
         content_type,
         idempotency_key: idempotency_key.clone(),
     };
-    let need = Need::Service(service.clone());
+    let need = Requirement::Service(service.clone());
     let (work, mut open) = asked.open(need, operation, urgency, budget, !once);
     if once {
         open.expires_ms = asked.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -3,7 +3,7 @@
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
     router::{Decision, Router, TargetKey},
-    work::{Need, RequestSpec, SchedulingConfig, Shape},
+    work::{RequestSpec, Requirement, SchedulingConfig, Shape},
 };
 use corianderstand_schema::messages::Load;
 use corianderstand_types::{
@@ -48,7 +48,7 @@
     });
     RequestSpec {
         team: "crew".into(),
-        need: Need::Weights { base, adapter },
+        need: Requirement::Weights { base, adapter },
         urgency: 1,
         deadline: clock.now() + Duration::from_secs(600),
         repeatable: true,
