--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -195,7 +195,7 @@
     };
     RequestSpec {
         team: open.team.clone(),
-        need,
+        requirement: need,
         urgency: open.urgency,
         deadline: now + Duration::from_millis(open.deadline_ms),
         repeatable: true,
--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -99,7 +99,7 @@
         if self.draining {
             return Some(Refusal { reason: RefusalReason::Draining, retry_after: MIN_RETRY_AFTER });
         }
-        if let Requirement::Weights { base, .. } = &work.need
+        if let Requirement::Weights { base, .. } = &work.requirement
             && !self.slots.contains(&base.model)
         {
             return Some(Refusal {
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -253,7 +253,7 @@
         self.loads.set_store(config.store());
         let waiting = self.waiting(&work);
         let refusal = self.refusal(now, &work, &waiting, config);
-        if let Requirement::Weights { base, .. } = &work.need
+        if let Requirement::Weights { base, .. } = &work.requirement
             && self.slots.contains(&base.model)
         {
             self.keep_alive.record_call(now, base);
@@ -342,7 +342,7 @@
                 self.ledger.end_use(weights, now);
             }
         }
-        if let Requirement::Weights { base, .. } = &held.work.need {
+        if let Requirement::Weights { base, .. } = &held.work.requirement {
             self.release_model(&base.model);
             self.schedule_expiry(now, base, config);
         }
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -89,7 +89,7 @@
     fn work(&self, team: &str, name: &str, length: Length, seconds: u64) -> RequestSpec {
         RequestSpec {
             team: team.into(),
-            need: Requirement::Weights { base: model(name), adapter: None },
+            requirement: Requirement::Weights { base: model(name), adapter: None },
             urgency: 1,
             deadline: self.now() + Duration::from_secs(seconds),
             repeatable: true,
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -102,7 +102,7 @@
             refused_by.is_none_or(|target| !owners.is_serving(now, *target))
         };
         too_late
-            && matches!(held.work.need, Requirement::Weights { .. })
+            && matches!(held.work.requirement, Requirement::Weights { .. })
             && !owners.is_warm(now, chosen)
             && loading()
     }
@@ -162,7 +162,7 @@
     }
 
     fn owners(&self, work: &RequestSpec) -> Option<&Owners> {
-        match &work.need {
+        match &work.requirement {
             Requirement::Weights { base, .. } => self.by_model.get(&base.model),
             Requirement::Service(service) => self.by_service.get(service),
         }
@@ -207,7 +207,7 @@
         let mut cost = run + STEP_COST * rank;
         // Where a model is loaded, routers of all places must agree; a round trip is nothing to
         // a load, and each place for itself would load it once more.
-        if matches!(work.need, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
+        if matches!(work.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + WAKING_COST + COLD_STEP_COST * rank;
         }
         if target.place != self.place {
@@ -231,7 +231,7 @@
 /// Requests of one session meet at one place of the ring, and the first requests of all sessions
 /// of a cold model at another; calls to plain services, which have nothing to load, spread.
 fn ring_hash(work: &RequestSpec, seed: u64, warm: bool) -> u64 {
-    match (&work.need, work.shape.prefix) {
+    match (&work.requirement, work.shape.prefix) {
         (Requirement::Service(_), _) => seed,
         (Requirement::Weights { .. }, Some(prefix)) if warm => prefix,
         (Requirement::Weights { base, .. }, _) => {
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -332,7 +332,7 @@
     }
 
     fn owners_of(&mut self, key: RequestKey) -> Option<&mut Owners> {
-        match &self.requests.get(key)?.work.need {
+        match &self.requests.get(key)?.work.requirement {
             Requirement::Weights { base, .. } => self.by_model.get_mut(&base.model),
             Requirement::Service(service) => self.by_service.get_mut(service),
         }
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -41,7 +41,7 @@
     fn work(&self, prefix: Option<u64>) -> RequestSpec {
         RequestSpec {
             team: "crew".into(),
-            need: Requirement::Weights {
+            requirement: Requirement::Weights {
                 base: Weights::model("a".into(), "1".into()),
                 adapter: None,
             },
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -38,7 +38,7 @@
     /// The team that sent the request.
     pub team: WorkspaceId,
     /// The model or service that serves it.
-    pub need: Requirement,
+    pub requirement: Requirement,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
     /// Time by which it must be answered.
@@ -155,7 +155,7 @@
 impl RequestSpec {
     /// The weights that must be loaded before the request can run, the base model first.
     pub fn weights(&self) -> impl Iterator<Item = &Weights> {
-        let (base, adapter) = match &self.need {
+        let (base, adapter) = match &self.requirement {
             Requirement::Weights { base, adapter } => (Some(base), adapter.as_ref()),
             Requirement::Service(_) => (None, None),
         };
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -242,7 +242,7 @@
         let length = if long { Length::Long } else { Length::Short };
         RequestSpec {
             team: call.team.clone(),
-            need: Requirement::Weights { base, adapter },
+            requirement: Requirement::Weights { base, adapter },
             urgency: call.urgency,
             deadline: self.start + caller.deadline,
             repeatable: true,
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -25,7 +25,7 @@
         let need = Requirement::Service(service.clone());
         let work = RequestSpec {
             team: team.clone(),
-            need,
+            requirement: need,
             urgency: 1,
             deadline,
             repeatable,
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -410,8 +410,14 @@
     ) -> (RequestSpec, OpenStream) {
         let deadline = self.clock.now() + budget;
         let shape = Shape::default();
-        let work =
-            RequestSpec { team: self.team.clone(), need, urgency, deadline, repeatable, shape };
+        let work = RequestSpec {
+            team: self.team.clone(),
+            requirement: need,
+            urgency,
+            deadline,
+            repeatable,
+            shape,
+        };
         let open = OpenStream {
             stream: 0,
             request: self.request.clone(),
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -48,7 +48,7 @@
     });
     RequestSpec {
         team: "crew".into(),
-        need: Requirement::Weights { base, adapter },
+        requirement: Requirement::Weights { base, adapter },
         urgency: 1,
         deadline: clock.now() + Duration::from_secs(600),
         repeatable: true,
