--- a/crates/corianderstand_agent/src/sizes.rs
+++ b/crates/corianderstand_agent/src/sizes.rs
@@ -38,7 +38,7 @@
             return CostFactors::default();
         }
         let (tail, idle) = (demand.weight_tail / demand.teams, demand.weight_idle / demand.teams);
-        CostFactors { tail, idle }
+        CostFactors { cold_start: tail, idle }
     }
 
     fn store(&self) -> StoreLimits {
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -97,7 +97,7 @@
         let factors = config.cost_factors(&weights.model);
         let probability = self.keep_alive.probability(now, weights, UTILITY_HORIZON);
         let load_ms = config.load_time(weights).as_millis() as f64;
-        (probability * load_ms * f64::from(factors.tail.max(1)) * 1024.0 / memory.max(1) as f64)
-            as u64
+        (probability * load_ms * f64::from(factors.cold_start.max(1)) * 1024.0
+            / memory.max(1) as f64) as u64
     }
 }
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -155,7 +155,7 @@
 
     fn cold_start_cost(&self, weights: &Weights, config: &dyn SchedulingConfig) -> f64 {
         let factors = config.cost_factors(&weights.model);
-        history::cold_start_cost(config.load_time(weights), factors.tail, factors.idle)
+        history::cold_start_cost(config.load_time(weights), factors.cold_start, factors.idle)
     }
 
     /// The prewarm window of a model, if its lead has begun.
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -315,8 +315,8 @@
 
 /// An idle model is unloaded sooner if idle time outweighs cold starts.
 #[rstest]
-#[case::idle_time_weighted(CostFactors { tail: 10, idle: 90 }, 300, true)]
-#[case::cold_start_weighted(CostFactors { tail: 90, idle: 10 }, 300, false)]
+#[case::idle_time_weighted(CostFactors { cold_start: 10, idle: 90 }, 300, true)]
+#[case::cold_start_weighted(CostFactors { cold_start: 90, idle: 10 }, 300, false)]
 fn cost_factors_set_the_keep_alive_time(
     #[case] factors: CostFactors,
     #[case] after: u64,
--- a/crates/corianderstand_decide/src/work.rs
+++ b/crates/corianderstand_decide/src/work.rs
@@ -124,14 +124,14 @@
 #[derives(key)]
 pub struct CostFactors {
     /// Weight of cold-start latency.
-    pub tail: u32,
+    pub cold_start: u32,
     /// Weight of idle accelerator time.
     pub idle: u32,
 }
 
 impl Default for CostFactors {
     fn default() -> Self {
-        Self { tail: 50, idle: 50 }
+        Self { cold_start: 50, idle: 50 }
     }
 }
 
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -40,7 +40,7 @@
         let models = header.models.iter().map(|model| {
             let (tail, idle) = way.weighing.unwrap_or((model.weight_tail, model.weight_idle));
             let load = Duration::from_millis(model.load_ms);
-            (model.name.clone(), (model.memory_mib, load, CostFactors { tail, idle }))
+            (model.name.clone(), (model.memory_mib, load, CostFactors { cold_start: tail, idle }))
         });
         let shares = header.teams.iter().map(|team| (team.name.clone(), team.share));
         let store = StoreLimits {
