--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -5,7 +5,7 @@
     shape,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{RequestSpec, Requirement};
+use corianderstand_decide::request::{RequestSpec, Requirement};
 use corianderstand_link::{
     PROTOCOL,
     connection::{self, Reader},
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -16,7 +16,7 @@
 use corianderstand_decide::{
     agent::{Action, Agent},
     ledger::Stage,
-    work::{Refusal, RequestKey, RequestSpec},
+    request::{Refusal, RequestKey, RequestSpec},
 };
 use corianderstand_link::frame;
 use corianderstand_schema::messages::{Holding, HoldingStage, Load, ToRouter};
--- a/crates/corianderstand_agent/src/event.rs
+++ b/crates/corianderstand_agent/src/event.rs
@@ -1,7 +1,7 @@
 //! What the threads of an agent tell each other.
 
 use bytes::Bytes;
-use corianderstand_decide::work::{RequestKey, RequestSpec};
+use corianderstand_decide::request::{RequestKey, RequestSpec};
 use corianderstand_schema::messages::{OpenStream, ToRouter};
 use corianderstand_types::{units::Mib, weights::Weights};
 use std::time::Instant;
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -8,7 +8,7 @@
     metrics::{Metric, Metrics},
     start::Handle,
 };
-use corianderstand_decide::work::RequestKey;
+use corianderstand_decide::request::RequestKey;
 use corianderstand_derives::derives;
 use corianderstand_edge::{
     EdgeError,
--- a/crates/corianderstand_agent/src/shape.rs
+++ b/crates/corianderstand_agent/src/shape.rs
@@ -1,6 +1,6 @@
 //! How long a request is likely to run, as its body tells.
 
-use corianderstand_decide::work::Shape;
+use corianderstand_decide::request::Shape;
 use corianderstand_schema::messages::Operation;
 use serde::Deserialize;
 
--- a/crates/corianderstand_agent/src/sizes.rs
+++ b/crates/corianderstand_agent/src/sizes.rs
@@ -1,6 +1,6 @@
 //! Memory and load times from the settings in force.
 
-use corianderstand_decide::work::{CostFactors, DEFAULT_SHARE, SchedulingConfig, StoreLimits};
+use corianderstand_decide::request::{CostFactors, DEFAULT_SHARE, SchedulingConfig, StoreLimits};
 use corianderstand_state::view::View;
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -3,7 +3,7 @@
 use super::{Agent, MIN_RETRY_AFTER};
 use crate::{
     queue::{Length, Order, Waiting},
-    work::{Refusal, RequestSpec, Requirement, SchedulingConfig},
+    request::{Refusal, RequestSpec, Requirement, SchedulingConfig},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -1,7 +1,7 @@
 //! Eviction of idle weights from an engine's memory.
 
 use super::{Action, Agent, Eviction};
-use crate::{ledger::Stage, work::SchedulingConfig};
+use crate::{ledger::Stage, request::SchedulingConfig};
 use corianderstand_types::{units::Mib, weights::Weights};
 use std::{
     cmp::Reverse,
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -4,7 +4,7 @@
 use crate::{
     history::{self, Histories, PrewarmWindow},
     ledger::{Ledger, Stage},
-    work::SchedulingConfig,
+    request::SchedulingConfig,
 };
 use corianderstand_types::weights::Weights;
 use std::{
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -4,7 +4,7 @@
 use crate::{
     ledger::{LedgerError, Stage},
     pacing::{Ask, Gate},
-    work::{Refusal, RequestSpec, SchedulingConfig, StoreLimits},
+    request::{Refusal, RequestSpec, SchedulingConfig, StoreLimits},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::RefusalReason;
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -16,7 +16,7 @@
     ledger::Ledger,
     pacing::Ask,
     queue::{Length, Order, Queue, Waiting},
-    work::{Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig},
+    request::{Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -3,7 +3,7 @@
 use super::{Action, Agent, Eviction, KeepAlive, Limits, Policy};
 use crate::{
     queue::Length,
-    work::{
+    request::{
         CostFactors, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig, Shape,
         StoreLimits,
     },
--- a/crates/corianderstand_decide/src/lib.rs
+++ b/crates/corianderstand_decide/src/lib.rs
@@ -20,5 +20,5 @@
 pub mod ledger;
 pub mod pacing;
 pub mod queue;
+pub mod request;
 pub mod router;
-pub mod work;
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::StoreLimits;
+use crate::request::StoreLimits;
 use corianderstand_derives::derives;
 use corianderstand_types::{names::TargetId, weights::Weights};
 use std::{
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,7 +1,7 @@
 //! Pacing without a store: the test answers for it.
 
 use super::{Ask, Coordinator, Gate};
-use crate::work::StoreLimits;
+use crate::request::StoreLimits;
 use corianderstand_types::{
     clock::{Clock, ManualClock},
     weights::Weights,
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::RequestKey;
+use crate::request::RequestKey;
 use backlog::Backlog;
 use corianderstand_derives::derives;
 use corianderstand_types::{names::WorkspaceId, weights::Weights};
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,7 +1,7 @@
 //! The queue alone.
 
 use super::{Length, Order, Queue, Waiting};
-use crate::work::RequestKey;
+use crate::request::RequestKey;
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
 use slotmap::SlotMap;
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -3,7 +3,7 @@
 use super::{
     Decision, MAX_TRIES, Placement, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
 };
-use crate::work::{Refusal, RequestKey, RequestSpec, Requirement};
+use crate::request::{Refusal, RequestKey, RequestSpec, Requirement};
 use corianderstand_schema::messages::RefusalReason;
 use rand::RngExt;
 use std::time::{Duration, Instant};
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::{Refusal, RequestKey, RequestSpec, Requirement};
+use crate::request::{Refusal, RequestKey, RequestSpec, Requirement};
 use budget::Budget;
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -3,7 +3,7 @@
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
     queue::Length,
-    work::{Refusal, RequestKey, RequestSpec, Requirement, Shape},
+    request::{Refusal, RequestKey, RequestSpec, Requirement, Shape},
 };
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::{
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -7,7 +7,7 @@
 use corianderstand_decide::{
     agent::{Agent, Limits},
     ledger::Stage,
-    work::{CostFactors, RequestKey, SchedulingConfig, StoreLimits},
+    request::{CostFactors, RequestKey, SchedulingConfig, StoreLimits},
 };
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -14,11 +14,11 @@
     agent::Action,
     pacing::Coordinator,
     queue::Length,
-    router::{Decision, Router, TargetKey},
-    work::{
+    request::{
         self, LONG_ANSWER_TOKENS, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig,
         Shape,
     },
+    router::{Decision, Router, TargetKey},
 };
 use corianderstand_types::{
     clock::{Clock, ManualClock},
@@ -444,7 +444,7 @@
     /// How long a team with ready work is below what it is owed.
     fn watch_shares(&mut self, engine: usize) {
         let now = self.clock.elapsed();
-        let total = self.sizes.total_shares().max(work::DEFAULT_SHARE);
+        let total = self.sizes.total_shares().max(request::DEFAULT_SHARE);
         let state = &mut self.engines[engine];
         for team in &self.trace.header.teams {
             let owed = state.line.concurrency * team.share / total.max(1000);
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, Replay, owned};
 use crate::engines::Flight;
-use corianderstand_decide::work::Refusal;
+use corianderstand_decide::request::Refusal;
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::names::ModelId;
 use std::time::Duration;
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -9,7 +9,7 @@
     problem::Problem,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Refusal, RequestSpec};
+use corianderstand_decide::request::{Refusal, RequestSpec};
 use corianderstand_schema::messages::{Ending, OpenStream, RefusalReason};
 use smol_str::SmolStr;
 use std::{sync::mpsc::SyncSender, time::Duration};
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -4,7 +4,7 @@
     problem::Problem,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Refusal, RequestSpec, Requirement, Shape};
+use corianderstand_decide::request::{Refusal, RequestSpec, Requirement, Shape};
 use corianderstand_schema::messages::{Ending, OpenStream, Operation, RefusalReason};
 use corianderstand_types::names::{ServiceId, WorkspaceId};
 use rstest::rstest;
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -9,7 +9,7 @@
 };
 use bytes::Bytes;
 use corianderstand_control::metrics::Metric;
-use corianderstand_decide::work::{self, RequestSpec, Requirement};
+use corianderstand_decide::request::{self, RequestSpec, Requirement};
 use corianderstand_schema::{
     messages::{AdapterRef, OpenStream, Operation},
     settings,
@@ -31,7 +31,7 @@
     adapter: Option<Weights>,
     name: String,
     stream: bool,
-    shape: work::Shape,
+    shape: request::Shape,
     usage: bool,
     body: Bytes,
 }
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -9,8 +9,8 @@
     snapshot::{Current, Hosts, Snapshot},
 };
 use corianderstand_decide::{
+    request::{Refusal, RequestKey},
     router::{Decision, Router, TargetKey},
-    work::{Refusal, RequestKey},
 };
 use corianderstand_schema::messages::{Load, Operation, RefusalReason};
 use corianderstand_types::{
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -14,7 +14,7 @@
     link::{self, Ended, Shared},
 };
 use corianderstand_control::snapshot::Current;
-use corianderstand_decide::work::Refusal;
+use corianderstand_decide::request::Refusal;
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_state::targets::Target;
 use corianderstand_types::names::TargetId;
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -1,7 +1,7 @@
 //! What the threads of a router tell each other.
 
 use bytes::Bytes;
-use corianderstand_decide::work::{Refusal, RequestKey, RequestSpec};
+use corianderstand_decide::request::{Refusal, RequestKey, RequestSpec};
 use corianderstand_schema::messages::{Ending, Load, OpenStream};
 use corianderstand_types::names::TargetId;
 use smol_str::SmolStr;
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -17,7 +17,7 @@
     snapshot::Snapshot,
     start::Handle,
 };
-use corianderstand_decide::work::{RequestSpec, Requirement, Shape};
+use corianderstand_decide::request::{RequestSpec, Requirement, Shape};
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
     messages::{OpenStream, Operation, RefusalReason},
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -8,7 +8,7 @@
 };
 use bytes::Bytes;
 use corianderstand_control::budget::{Budget, Duty};
-use corianderstand_decide::work::{Refusal, RequestKey};
+use corianderstand_decide::request::{Refusal, RequestKey};
 use corianderstand_link::{
     PROTOCOL,
     connection::{self, Reader},
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -6,7 +6,7 @@
 //! that is null counts as absent.
 
 use crate::problem::Problem;
-use corianderstand_decide::work;
+use corianderstand_decide::request;
 use serde::{Deserialize, de::IgnoredAny};
 use serde_json::Value;
 use std::ops::RangeInclusive;
@@ -121,13 +121,13 @@
 
     /// What decisions know of the request; a session keeps its first messages, so they tell
     /// where its prompt may be cached.
-    pub fn shape(&self, chat: bool) -> work::Shape {
+    pub fn shape(&self, chat: bool) -> request::Shape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
         let text = |index: usize| content(index).unwrap_or_default();
         let beginning = format!("{}\n{}", text(0), text(1));
         let tokens = self.max_completion_tokens.or(self.max_tokens).map(u64::from);
-        work::Shape::of(tokens, chat, beginning.as_bytes())
+        request::Shape::of(tokens, chat, beginning.as_bytes())
     }
 
     fn check(&self, chat: bool) -> Result<(), Problem> {
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -1,6 +1,6 @@
 //! Errors as callers see them: a stable code, a message with the remedy, a request id.
 
-use corianderstand_decide::work::Refusal;
+use corianderstand_decide::request::Refusal;
 use corianderstand_schema::messages::RefusalReason;
 use salvo::{Response, http::StatusCode};
 use serde_json::json;
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -6,7 +6,7 @@
     once::{self, Answer, Once},
     problem::{self, Problem},
 };
-use corianderstand_decide::work::Requirement;
+use corianderstand_decide::request::Requirement;
 use corianderstand_schema::{messages::Operation, records::CallKey};
 use corianderstand_state::{calls, view::View};
 use corianderstand_types::names::ServiceId;
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -2,8 +2,8 @@
 
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
+    request::{RequestSpec, Requirement, SchedulingConfig, Shape},
     router::{Decision, Router, TargetKey},
-    work::{RequestSpec, Requirement, SchedulingConfig, Shape},
 };
 use corianderstand_schema::messages::Load;
 use corianderstand_types::{
