--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -92,14 +92,14 @@
     pub(super) fn refusal(
         &mut self,
         now: Instant,
-        work: &RequestSpec,
+        spec: &RequestSpec,
         waiting: &Waiting,
         config: &dyn SchedulingConfig,
     ) -> Option<Refusal> {
         if self.draining {
             return Some(Refusal { reason: RefusalReason::Draining, retry_after: MIN_RETRY_AFTER });
         }
-        if let Requirement::Weights { base, .. } = &work.requirement
+        if let Requirement::Weights { base, .. } = &spec.requirement
             && !self.slots.contains(&base.model)
         {
             return Some(Refusal {
@@ -107,19 +107,19 @@
                 retry_after: MIN_RETRY_AFTER,
             });
         }
-        let length = work.shape.length;
-        let share = config.share(&work.team);
+        let length = spec.shape.length;
+        let share = config.share(&spec.team);
         let mean = self.run_times[length as usize].mean();
         let wait = self.queue.expected_wait(waiting, share, mean);
-        if self.is_queue_full_for(&work.team, share, config.total_shares()) {
+        if self.is_queue_full_for(&spec.team, share, config.total_shares()) {
             let retry_after = self.schedule_retry(now, wait, length);
             return Some(Refusal { reason: RefusalReason::QueueFull, retry_after });
         }
         if self.policy.order == Order::FirstCome {
             return None;
         }
-        let load = self.expected_load_wait(now, work, config);
-        let excess = (now + wait.max(load) + mean).checked_duration_since(work.deadline)?;
+        let load = self.expected_load_wait(now, spec, config);
+        let excess = (now + wait.max(load) + mean).checked_duration_since(spec.deadline)?;
         if excess.is_zero() {
             return None;
         }
@@ -145,7 +145,7 @@
     fn expected_load_wait(
         &self,
         now: Instant,
-        work: &RequestSpec,
+        spec: &RequestSpec,
         config: &dyn SchedulingConfig,
     ) -> Duration {
         let remaining = |weights| {
@@ -154,7 +154,7 @@
             }
             self.loads.remaining(now, weights, config.load_time(weights))
         };
-        work.weights().map(remaining).sum()
+        spec.weights().map(remaining).sum()
     }
 
     pub(super) fn schedule_retry(
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -176,15 +176,15 @@
     pub(super) fn record_demand(
         &mut self,
         now: Instant,
-        work: &RequestSpec,
+        spec: &RequestSpec,
         config: &dyn SchedulingConfig,
     ) {
-        let Some(weights) = self.missing(work) else { return };
+        let Some(weights) = self.missing(spec) else { return };
         if self.ledger.find(&weights).is_some() {
             return;
         }
         let until = now + config.load_time(&weights) + DEMAND_TTL;
-        self.loads.record_demand(&weights, LoadDemand { urgency: work.urgency, until });
+        self.loads.record_demand(&weights, LoadDemand { urgency: spec.urgency, until });
     }
 
     /// Reserves memory for missing weights and starts the loads that may start, ordered by
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -99,7 +99,7 @@
 
 #[derives(data)]
 struct HeldRequest {
-    work: RequestSpec,
+    spec: RequestSpec,
     started_at: Option<Instant>,
 }
 
@@ -246,58 +246,58 @@
     pub fn submit(
         &mut self,
         now: Instant,
-        work: RequestSpec,
+        spec: RequestSpec,
         config: &dyn SchedulingConfig,
     ) -> (RequestKey, Vec<Action>) {
         self.queue.set_total_shares(config.total_shares());
         self.loads.set_store(config.store());
-        let waiting = self.waiting(&work);
-        let refusal = self.refusal(now, &work, &waiting, config);
-        if let Requirement::Weights { base, .. } = &work.requirement
+        let waiting = self.waiting(&spec);
+        let refusal = self.refusal(now, &spec, &waiting, config);
+        if let Requirement::Weights { base, .. } = &spec.requirement
             && self.slots.contains(&base.model)
         {
             self.keep_alive.record_call(now, base);
         }
-        let share = config.share(&work.team);
+        let share = config.share(&spec.team);
         if let Some(refusal) = refusal {
             if refusal.reason == RefusalReason::Deadline {
-                self.record_demand(now, &work, config);
+                self.record_demand(now, &spec, config);
             }
-            let key = self.requests.insert(HeldRequest { work, started_at: None });
+            let key = self.requests.insert(HeldRequest { spec, started_at: None });
             self.requests.remove(key);
             let mut actions = vec![Action::Refuse(key, refusal)];
             actions.extend(self.step(now, config));
             return (key, actions);
         }
-        for weights in work.weights() {
+        for weights in spec.weights() {
             self.loads.begin_waiting(weights);
         }
-        if let Some(base) = work.weights().next() {
+        if let Some(base) = spec.weights().next() {
             *self.model_users.entry(base.model.clone()).or_default() += 1;
         }
         if let Some(missing) = &waiting.missing {
             self.record_missing(missing);
         }
-        let key = self.requests.insert(HeldRequest { work, started_at: None });
+        let key = self.requests.insert(HeldRequest { spec, started_at: None });
         self.queue.push(key, share, waiting);
         self.next_shed.get_or_insert(now + SHED_SCAN_INTERVAL);
         (key, self.step(now, config))
     }
 
-    fn waiting(&self, work: &RequestSpec) -> Waiting {
+    fn waiting(&self, spec: &RequestSpec) -> Waiting {
         Waiting {
-            team: work.team.clone(),
-            length: work.shape.length,
-            urgency: work.urgency,
-            deadline: work.deadline,
-            missing: self.missing(work),
+            team: spec.team.clone(),
+            length: spec.shape.length,
+            urgency: spec.urgency,
+            deadline: spec.deadline,
+            missing: self.missing(spec),
         }
     }
 
     /// The first weights of a request that are not loaded; the base model precedes its adapter, as
     /// an engine accepts an adapter only for a loaded model.
-    fn missing(&self, work: &RequestSpec) -> Option<Weights> {
-        work.weights().find(|weights| !self.is_usable(weights)).cloned()
+    fn missing(&self, spec: &RequestSpec) -> Option<Weights> {
+        spec.weights().find(|weights| !self.is_usable(weights)).cloned()
     }
 
     fn is_usable(&self, weights: &Weights) -> bool {
@@ -309,7 +309,7 @@
         if held.started_at.is_some() {
             return;
         }
-        let missing = self.missing(&held.work);
+        let missing = self.missing(&held.spec);
         if let Some(weights) = &missing {
             self.record_missing(weights);
         }
@@ -330,19 +330,19 @@
     fn release(&mut self, now: Instant, key: RequestKey, config: &dyn SchedulingConfig) {
         let Some(held) = self.requests.remove(key) else { return };
         if self.queue.remove(key).is_some() {
-            for weights in held.work.weights() {
+            for weights in held.spec.weights() {
                 self.loads.end_waiting(weights);
             }
         }
         if let Some(started_at) = held.started_at {
-            let length = held.work.shape.length;
-            self.queue.ended(&held.work.team, length);
+            let length = held.spec.shape.length;
+            self.queue.ended(&held.spec.team, length);
             self.run_times[length as usize].observe(now.saturating_duration_since(started_at));
-            for weights in held.work.weights() {
+            for weights in held.spec.weights() {
                 self.ledger.end_use(weights, now);
             }
         }
-        if let Requirement::Weights { base, .. } = &held.work.requirement {
+        if let Requirement::Weights { base, .. } = &held.spec.requirement {
             self.release_model(&base.model);
             self.schedule_expiry(now, base, config);
         }
@@ -395,9 +395,9 @@
     /// Whether even a fast run would miss the request's deadline, so that its capacity is better
     /// used for another request.
     fn cannot_finish(&self, now: Instant, key: RequestKey) -> bool {
-        let work = &self.requests[key].work;
-        let lower_bound = self.run_times[work.shape.length as usize].lower_bound();
-        self.policy.order == Order::Fair && now + lower_bound > work.deadline
+        let spec = &self.requests[key].spec;
+        let lower_bound = self.run_times[spec.shape.length as usize].lower_bound();
+        self.policy.order == Order::Fair && now + lower_bound > spec.deadline
     }
 
     fn refuse_dequeued(
@@ -406,12 +406,12 @@
         key: RequestKey,
         config: &dyn SchedulingConfig,
     ) -> Action {
-        let length = self.requests[key].work.shape.length;
+        let length = self.requests[key].spec.shape.length;
         let retry_after = self.schedule_retry(now, MIN_RETRY_AFTER, length);
         self.requests[key].started_at = None;
-        let team = self.requests[key].work.team.clone();
+        let team = self.requests[key].spec.team.clone();
         self.queue.ended(&team, length);
-        for weights in self.requests[key].work.clone().weights() {
+        for weights in self.requests[key].spec.clone().weights() {
             self.ledger.end_use(weights, now);
         }
         self.refuse(now, key, Refusal { reason: RefusalReason::Deadline, retry_after }, config)
@@ -419,8 +419,8 @@
 
     fn run(&mut self, now: Instant, key: RequestKey) {
         self.requests[key].started_at = Some(now);
-        let work = self.requests[key].work.clone();
-        for weights in work.weights() {
+        let spec = self.requests[key].spec.clone();
+        for weights in spec.weights() {
             self.loads.end_waiting(weights);
             self.ledger.begin_use(weights, now);
         }
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -86,7 +86,7 @@
         self.clock.now()
     }
 
-    fn work(&self, team: &str, name: &str, length: Length, seconds: u64) -> RequestSpec {
+    fn spec(&self, team: &str, name: &str, length: Length, seconds: u64) -> RequestSpec {
         RequestSpec {
             team: team.into(),
             requirement: Requirement::Weights { base: model(name), adapter: None },
@@ -97,13 +97,13 @@
         }
     }
 
-    fn submit(&mut self, work: RequestSpec) -> (RequestKey, Vec<Action>) {
-        self.agent.submit(self.now(), work, &self.config)
+    fn submit(&mut self, spec: RequestSpec) -> (RequestKey, Vec<Action>) {
+        self.agent.submit(self.now(), spec, &self.config)
     }
 
     fn short(&mut self, team: &str, name: &str, seconds: u64) -> (RequestKey, Vec<Action>) {
-        let work = self.work(team, name, Length::Short, seconds);
-        self.submit(work)
+        let spec = self.spec(team, name, Length::Short, seconds);
+        self.submit(spec)
     }
 
     fn finish(&mut self, key: RequestKey) -> Vec<Action> {
@@ -213,9 +213,9 @@
     harness.config.shares = BTreeMap::from([("a".into(), 800), ("b".into(), 200)]);
     let mut running = Vec::new();
     for _ in 0..60 {
-        let mut work = harness.work("b", "a", Length::Short, 600);
-        work.urgency = 2;
-        running.extend(runs(&harness.submit(work).1));
+        let mut spec = harness.spec("b", "a", Length::Short, 600);
+        spec.urgency = 2;
+        running.extend(runs(&harness.submit(spec).1));
     }
     assert_eq!(harness.agent.running_of(&"b".into()), 10, "idle capacity is lent");
     for _ in 0..20 {
@@ -252,7 +252,7 @@
     let mut harness = Harness::warm(8, &["a"]);
     let mut chats = 0;
     for _ in 0..20 {
-        let chat = harness.work("coach", "a", Length::Long, 600);
+        let chat = harness.spec("coach", "a", Length::Long, 600);
         chats += runs(&harness.submit(chat).1).len();
     }
     assert_eq!(chats, 6, "three quarters of the capacity");
@@ -263,7 +263,7 @@
     for _ in 0..40 {
         running.extend(runs(&harness.short("manager", "a", 600).1));
     }
-    let chat = harness.work("manager", "a", Length::Long, 900);
+    let chat = harness.spec("manager", "a", Length::Long, 900);
     let (chat, _) = harness.submit(chat);
     harness.finish(running[0]);
     assert!(harness.agent.is_running(chat), "a flood of summaries does not hold up a chat");
