--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -5,7 +5,7 @@
     shape,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Need, Work};
+use corianderstand_decide::request::{RequestSpec, Requirement};
 use corianderstand_link::{
     PROTOCOL,
     connection::{self, Reader},
@@ -179,7 +179,7 @@
     }
 }
 
-fn work(open: &OpenStream, body: &[u8], now: std::time::Instant) -> Work {
+fn work(open: &OpenStream, body: &[u8], now: std::time::Instant) -> RequestSpec {
     let need = match &open.operation {
         Operation::Completion { model, version, adapter }
         | Operation::Chat { model, version, adapter } => {
@@ -189,13 +189,13 @@
                 version: adapter.version.clone(),
                 adapter: Some(adapter.name.clone()),
             });
-            Need::Weights { base, adapter }
+            Requirement::Weights { base, adapter }
         }
-        Operation::Call { service, .. } => Need::Service(service.clone()),
+        Operation::Call { service, .. } => Requirement::Service(service.clone()),
     };
-    Work {
+    RequestSpec {
         team: open.team.clone(),
-        need,
+        requirement: need,
         urgency: open.urgency,
         deadline: now + Duration::from_millis(open.deadline_ms),
         repeatable: true,
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -16,7 +16,7 @@
 use corianderstand_decide::{
     agent::{Action, Agent},
     ledger::Stage,
-    work::{Refusal, RequestKey, Work},
+    request::{Refusal, RequestKey, RequestSpec},
 };
 use corianderstand_link::frame;
 use corianderstand_schema::messages::{Holding, HoldingStage, Load, ToRouter};
@@ -81,7 +81,7 @@
     /// When to ask the engine what is loaded.
     pub asking: Asking,
     /// Requests that came before the records they were chosen by.
-    pub early: Early<Box<(Work, Request)>>,
+    pub early: Early<Box<(RequestSpec, Request)>>,
 }
 
 impl Decider {
@@ -111,7 +111,7 @@
     fn step(&mut self, snapshot: &Snapshot) {
         self.refresh_slots(snapshot);
         let now = self.clock.now();
-        self.agent.set_wall(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
+        self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
         let actions = self.agent.step(now, &ViewSizes(&snapshot.view));
         self.perform(actions, snapshot);
     }
@@ -163,7 +163,7 @@
         }
     }
 
-    fn submit(&mut self, submitted: (Work, Request), snapshot: &Snapshot) -> Vec<Action> {
+    fn submit(&mut self, submitted: (RequestSpec, Request), snapshot: &Snapshot) -> Vec<Action> {
         let (work, request) = submitted;
         let now = self.clock.now();
         let (key, actions) = self.agent.submit(now, work, &ViewSizes(&snapshot.view));
@@ -176,7 +176,7 @@
     fn take(&mut self, event: Event, snapshot: &Snapshot) {
         self.refresh_slots(snapshot);
         let now = self.clock.now();
-        self.agent.set_wall(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
+        self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
         let sizes = ViewSizes(&snapshot.view);
         let actions = match event {
             Event::Submit(submitted) => {
@@ -201,11 +201,13 @@
             }
             Event::Ended { key } => {
                 self.forget(key);
-                self.agent.finished(now, key, &sizes)
+                self.agent.on_request_finished(now, key, &sizes)
+            }
+            Event::Loaded(weights, outcome) => {
+                self.agent.on_load_finished(now, &weights, outcome, &sizes)
             }
-            Event::Loaded(weights, outcome) => self.agent.loaded(now, &weights, outcome, &sizes),
             Event::Unloaded(weights, confirmed) => {
-                self.agent.unloaded(now, &weights, confirmed, &sizes)
+                self.agent.on_unload_finished(now, &weights, confirmed, &sizes)
             }
             Event::Rebuilt(loaded) => {
                 self.agent.rebuild(loaded);
@@ -259,7 +261,7 @@
             return Vec::new();
         }
         self.forget(key);
-        self.agent.finished(self.clock.now(), key, sizes)
+        self.agent.on_request_finished(self.clock.now(), key, sizes)
     }
 
     fn forget(&mut self, key: RequestKey) -> Option<Request> {
@@ -307,7 +309,7 @@
                     Job::Unload { weights, memory, fence }
                 }
                 // Asked for only under a coordinator, which no process is yet.
-                Action::AskLoad(_) => continue,
+                Action::RequestLoadGrant(_) => continue,
             };
             // The logic bounds runs and orders; refusals are as many as requests come (docs/design/0007).
             drop(self.jobs.send(job));
@@ -317,7 +319,7 @@
     /// Takes an order back that must not be given now; who waits for it goes elsewhere.
     fn decline(&mut self, weights: &Weights, snapshot: &Snapshot) {
         let sizes = ViewSizes(&snapshot.view);
-        let actions = self.agent.loaded(self.clock.now(), weights, Some(false), &sizes);
+        let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &sizes);
         self.perform(actions, snapshot);
     }
 
--- a/crates/corianderstand_agent/src/sizes.rs
+++ b/crates/corianderstand_agent/src/sizes.rs
@@ -1,6 +1,6 @@
 //! Memory and load times from the settings in force.
 
-use corianderstand_decide::work::{DEFAULT_SHARE, Sizes, Store, Weighing};
+use corianderstand_decide::request::{CostFactors, DEFAULT_SHARE, SchedulingConfig, StoreLimits};
 use corianderstand_state::view::View;
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -12,7 +12,7 @@
 /// Sizes as one version of the settings gives them.
 pub struct ViewSizes<'a>(pub &'a View);
 
-impl Sizes for ViewSizes<'_> {
+impl SchedulingConfig for ViewSizes<'_> {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         let model = self.0.models.get(&weights.model)?;
         let adapter = weights.adapter.is_some();
@@ -32,21 +32,21 @@
     }
 
     /// The mean of the teams that may hold replicas of the model.
-    fn weighing(&self, model: &ModelId) -> Weighing {
+    fn cost_factors(&self, model: &ModelId) -> CostFactors {
         let demand = self.0.demand(model);
         if demand.teams == 0 {
-            return Weighing::default();
+            return CostFactors::default();
         }
         let (tail, idle) = (demand.weight_tail / demand.teams, demand.weight_idle / demand.teams);
-        Weighing { tail, idle }
+        CostFactors { cold_start: tail, idle }
     }
 
-    fn store(&self) -> Store {
+    fn store(&self) -> StoreLimits {
         let deployment = &self.0.deployment;
-        Store {
+        StoreLimits {
             per_second: deployment.weight_loads_per_second,
             concurrent: deployment.weight_concurrent_loads,
-            ..Store::default()
+            ..StoreLimits::default()
         }
     }
 }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -1,12 +1,12 @@
-//! Decisions beside one target: admit, queue, refuse, load, keep, unload.
+//! Admission, queueing, loading and eviction for one target.
 //!
-//! [`Agent`] takes events and the time and returns [`Action`]s. `admit` decides whether a request
-//! can be answered in time, `loads` what is loaded, `evict` what makes room for it, `keep` how long a
-//! model that nobody calls stays loaded.
+//! [`Agent`] is a state machine that takes events and the current time and returns [`Action`]s. It
+//! is split into `admit` (admission control), `loads` (load scheduling), `evict` (eviction) and
+//! `keep_alive` (keep-alive times and prewarming).
 
 mod admit;
 mod evict;
-mod keep;
+mod keep_alive;
 mod loads;
 #[cfg(test)]
 mod tests;
@@ -16,7 +16,7 @@
     ledger::Ledger,
     pacing::LoadRequest,
     queue::{Length, Queue, QueueDiscipline, QueuedRequest},
-    work::{Need, Refusal, RequestKey, Sizes, Work},
+    request::{Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig},
 };
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
@@ -31,103 +31,103 @@
     time::{Duration, Instant},
 };
 
-/// Limits of one agent.
+/// Capacity limits of one agent.
 #[derives(data)]
 #[derive(Copy)]
 pub struct Limits {
-    /// Requests that run at once: what the target can batch. More would slow all of them.
+    /// Maximum number of running requests: the batch size of the target.
     pub concurrency: u32,
-    /// Requests that wait: beyond it a queue only turns refusals into late refusals.
+    /// Maximum number of queued requests.
     pub queue: u32,
 }
 
-/// How long a model that nobody calls is kept.
+/// How long an idle model stays loaded.
 #[derives(key)]
 #[derive(Default)]
-pub enum Keep {
-    /// By its own history and what a cold start costs.
+pub enum KeepAlive {
+    /// Derived from the model's call history and cold-start cost.
     #[default]
-    Learned,
-    /// A fixed time after the last call: the baseline of the measurements.
+    Adaptive,
+    /// A fixed time after the last call; the baseline of comparisons.
     Fixed(Duration),
 }
 
-/// What is unloaded to make room.
+/// Which weights are evicted when memory is needed.
 #[derives(key)]
 #[derive(Default)]
 pub enum Eviction {
-    /// What is least worth keeping.
+    /// Those with the lowest utility.
     #[default]
-    LeastWorth,
-    /// The least recently used: the baseline of the measurements.
-    LeastRecent,
+    LowestUtility,
+    /// The least recently used; the baseline of comparisons.
+    LeastRecentlyUsed,
 }
 
-/// Which of the ways to decide are used; [`Policy::default`] is the one to run.
+/// The decision policies of an agent; [`Policy::default`] is the one for production.
 #[derives(key)]
 #[derive(Default)]
 pub struct Policy {
-    /// How long idle models are kept.
-    pub keep: Keep,
-    /// What makes room.
+    /// How long idle models stay loaded.
+    pub keep_alive: KeepAlive,
+    /// Which weights are evicted.
     pub eviction: Eviction,
-    /// Who goes next.
+    /// Dequeue order.
     pub order: QueueDiscipline,
 }
 
-/// What is to be done.
+/// An effect that the code driving [`Agent`] must carry out.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Action {
-    /// Run a request.
+    /// Start a request.
     Run(RequestKey),
-    /// Tell a request's router that it is not run.
+    /// Send a refusal to the request's router.
     Refuse(RequestKey, Refusal),
-    /// Order the engine to load.
+    /// Send the engine a load command.
     Load(Weights, Mib),
-    /// Order the engine to unload.
+    /// Send the engine an unload command.
     Unload(Weights, Mib),
-    /// Ask whoever paces loads in the deployment for a grant.
-    AskLoad(LoadRequest),
+    /// Request a grant for a load from the coordinator.
+    RequestLoadGrant(LoadRequest),
 }
 
-/// Shortest time to come back that a refusal names.
+/// Minimum `retry_after` of a refusal.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Time between two looks at all that wait for those that have become hopeless. Each look costs
-/// time in proportion to the queue; a caller learns a quarter of a second late at most.
-const SHED_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between scans for queued requests that can't meet their deadline any more; each scan
+/// is linear in the queue length.
+const SHED_SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derives(data)]
-struct Held {
-    work: Work,
-    since: Option<Instant>,
+struct HeldRequest {
+    spec: RequestSpec,
+    started_at: Option<Instant>,
 }
 
-/// The state of the decisions beside one target.
+/// The decision state of one target.
 #[derive(Clone, Debug)]
 pub struct Agent {
     limits: Limits,
     policy: Policy,
     ledger: Ledger,
     queue: Queue,
-    requests: SlotMap<RequestKey, Held>,
-    users: BTreeMap<ModelId, u32>,
+    requests: SlotMap<RequestKey, HeldRequest>,
+    model_users: BTreeMap<ModelId, u32>,
     slots: BTreeSet<ModelId>,
     draining: bool,
-    runs: [admit::MeanRun; 2],
-    returns: admit::Returns,
+    run_times: [admit::RunTimeEstimate; 2],
+    retry_schedule: admit::RetrySchedule,
     loads: loads::Loads,
-    keep: keep::Keeping,
+    keep_alive: keep_alive::KeepAliveState,
     next_shed: Option<Instant>,
 }
 
 impl Agent {
-    /// An idle agent whose engine has `memory`.
+    /// Creates an idle agent for an engine with `memory`.
     pub fn new(limits: Limits, memory: Mib) -> Self {
         Self::with_policy(limits, memory, Policy::default())
     }
 
-    /// An idle agent that decides in one of the ways compared in the measurements.
+    /// Creates an idle agent with a given policy.
     pub fn with_policy(limits: Limits, memory: Mib, policy: Policy) -> Self {
         Self {
             limits,
@@ -135,170 +135,169 @@
             ledger: Ledger::new(memory),
             queue: Queue::new(limits.concurrency, policy.order),
             requests: SlotMap::with_key(),
-            users: BTreeMap::new(),
+            model_users: BTreeMap::new(),
             slots: BTreeSet::new(),
             draining: false,
-            runs: admit::MeanRun::both(),
-            returns: admit::Returns::default(),
+            run_times: admit::RunTimeEstimate::initial(),
+            retry_schedule: admit::RetrySchedule::default(),
             loads: loads::Loads::default(),
-            keep: keep::Keeping::default(),
+            keep_alive: keep_alive::KeepAliveState::default(),
             next_shed: None,
         }
     }
 
-    /// The ledger, to look at.
+    /// The memory ledger of the engine.
     pub const fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Requests of a team that run here.
+    /// Number of running requests of a team.
     pub fn running_of(&self, team: &WorkspaceId) -> u32 {
         self.queue.running_of(team)
     }
 
-    /// Requests of a team that wait here for room only.
+    /// Number of queued requests of a team whose weights are loaded.
     pub fn ready_of(&self, team: &WorkspaceId) -> usize {
         self.queue.ready_of(team)
     }
 
-    /// Takes over what the engine says is loaded.
+    /// Rebuilds the ledger from what the engine reports as loaded.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.ledger.rebuild(loaded);
-        self.keep.look_at_all();
+        self.keep_alive.request_rescan();
         let keys: Vec<RequestKey> = self.requests.keys().collect();
         for key in keys {
             self.refresh_missing(key);
         }
     }
 
-    /// Models of which this target owns a slot.
+    /// Sets the models for which this target owns a replica slot.
     pub fn set_slots(&mut self, slots: BTreeSet<ModelId>) {
         self.slots = slots;
-        self.keep.look_at_all();
+        self.keep_alive.request_rescan();
     }
 
-    /// Tells the time of day: `wall` is in seconds since the Unix epoch.
-    pub fn set_wall(&mut self, now: Instant, wall: u64) {
-        self.keep.set_wall(now, wall);
+    /// Sets the wall-clock time at `now`, in seconds since the Unix epoch.
+    pub fn set_unix_time(&mut self, now: Instant, unix_s: u64) {
+        self.keep_alive.set_unix_time(now, unix_s);
     }
 
-    /// Whether a coordinator paces loads; without one this agent falls back to its own pace.
+    /// Sets whether a coordinator paces loads; without one this agent paces its own.
     pub fn set_coordinated(&mut self, coordinated: bool) {
         self.loads.set_coordinated(coordinated);
     }
 
-    /// What is known of the calls of each model, for a peer to keep.
+    /// Call histories by model, for replication to a peer.
     pub const fn histories(&self) -> &Histories {
-        self.keep.histories()
+        self.keep_alive.histories()
     }
 
-    /// Takes over what a peer kept.
+    /// Merges the call histories that a peer kept.
     pub fn merge_histories(&mut self, histories: Histories) {
-        self.keep.merge(histories);
+        self.keep_alive.merge(histories);
     }
 
-    /// Settles orders of unknown outcome by what the engine says, asked as of a version of the
-    /// ledger.
+    /// Reconciles the ledger with the engine's response to a query sent at a ledger version.
     pub fn reconcile(
         &mut self,
         now: Instant,
         version: u64,
         loaded: &[(Weights, Mib, bool)],
-        sizes: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Vec<Action> {
         self.ledger.reconcile(now, version, loaded);
         if self.ledger.version() != version {
-            self.keep.look_at_all();
+            self.keep_alive.request_rescan();
             let keys: Vec<RequestKey> = self.requests.keys().collect();
             for key in keys {
                 self.refresh_missing(key);
             }
         }
-        self.step(now, sizes)
+        self.step(now, config)
     }
 
-    /// Models that a request held here needs.
+    /// Models that queued or running requests need.
     pub fn models_in_use(&self) -> BTreeSet<ModelId> {
-        self.users.keys().cloned().collect()
+        self.model_users.keys().cloned().collect()
     }
 
-    /// Sets whether new work is refused.
+    /// Sets whether new requests are refused.
     pub const fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no request is queued or running.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether a request runs.
+    /// Whether a request is running.
     pub fn is_running(&self, key: RequestKey) -> bool {
-        self.requests.get(key).is_some_and(|held| held.since.is_some())
+        self.requests.get(key).is_some_and(|held| held.started_at.is_some())
     }
 
-    /// How busy the target is.
+    /// The current load of the target.
     pub fn load(&self) -> Load {
-        let wait_ms = self.typical_wait().as_millis() as u64;
+        let wait_ms = self.typical_queue_wait().as_millis() as u64;
         Load { running: self.queue.running(), queued: self.queue.len() as u32, wait_ms }
     }
 
-    /// Takes a request, or refuses it at once.
+    /// Queues a request, or refuses it immediately.
     pub fn submit(
         &mut self,
         now: Instant,
-        work: Work,
-        sizes: &dyn Sizes,
+        spec: RequestSpec,
+        config: &dyn SchedulingConfig,
     ) -> (RequestKey, Vec<Action>) {
-        self.queue.set_total_shares(sizes.total_shares());
-        self.loads.set_store(sizes.store());
-        let waiting = self.waiting(&work);
-        let refusal = self.refusal(now, &work, &waiting, sizes);
-        if let Need::Weights { base, .. } = &work.need
+        self.queue.set_total_shares(config.total_shares());
+        self.loads.set_store(config.store());
+        let waiting = self.waiting(&spec);
+        let refusal = self.refusal(now, &spec, &waiting, config);
+        if let Requirement::Weights { base, .. } = &spec.requirement
             && self.slots.contains(&base.model)
         {
-            self.keep.called(now, base);
+            self.keep_alive.record_call(now, base);
         }
-        let share = sizes.share(&work.team);
+        let share = config.share(&spec.team);
         if let Some(refusal) = refusal {
             if refusal.reason == RefusalReason::Deadline {
-                self.want(now, &work, sizes);
+                self.record_demand(now, &spec, config);
             }
-            let key = self.requests.insert(Held { work, since: None });
+            let key = self.requests.insert(HeldRequest { spec, started_at: None });
             self.requests.remove(key);
             let mut actions = vec![Action::Refuse(key, refusal)];
-            actions.extend(self.step(now, sizes));
+            actions.extend(self.step(now, config));
             return (key, actions);
         }
-        for weights in work.weights() {
+        for weights in spec.weights() {
             self.loads.begin_waiting(weights);
         }
-        if let Some(base) = work.weights().next() {
-            *self.users.entry(base.model.clone()).or_default() += 1;
+        if let Some(base) = spec.weights().next() {
+            *self.model_users.entry(base.model.clone()).or_default() += 1;
         }
         if let Some(missing) = &waiting.missing {
-            self.note_missing(missing);
+            self.record_missing(missing);
         }
-        let key = self.requests.insert(Held { work, since: None });
+        let key = self.requests.insert(HeldRequest { spec, started_at: None });
         self.queue.push(key, share, waiting);
-        self.next_shed.get_or_insert(now + SHED_INTERVAL);
-        (key, self.step(now, sizes))
+        self.next_shed.get_or_insert(now + SHED_SCAN_INTERVAL);
+        (key, self.step(now, config))
     }
 
-    fn waiting(&self, work: &Work) -> QueuedRequest {
+    fn waiting(&self, spec: &RequestSpec) -> QueuedRequest {
         QueuedRequest {
-            team: work.team.clone(),
-            length: work.shape.length,
-            urgency: work.urgency,
-            deadline: work.deadline,
-            missing: self.missing(work),
+            team: spec.team.clone(),
+            length: spec.shape.length,
+            urgency: spec.urgency,
+            deadline: spec.deadline,
+            missing: self.missing(spec),
         }
     }
 
-    /// The first of what a request needs that is not loaded: the model itself before its
-    /// adapter, as an engine takes an adapter only for a model that it holds.
-    fn missing(&self, work: &Work) -> Option<Weights> {
-        work.weights().find(|weights| !self.is_usable(weights)).cloned()
+    /// The first weights of a request that are not loaded; the base model precedes its adapter, as
+    /// an engine accepts an adapter only for a loaded model.
+    fn missing(&self, spec: &RequestSpec) -> Option<Weights> {
+        spec.weights().find(|weights| !self.is_usable(weights)).cloned()
     }
 
     fn is_usable(&self, weights: &Weights) -> bool {
@@ -307,48 +306,53 @@
 
     fn refresh_missing(&mut self, key: RequestKey) {
         let Some(held) = self.requests.get(key) else { return };
-        if held.since.is_some() {
+        if held.started_at.is_some() {
             return;
         }
-        let missing = self.missing(&held.work);
+        let missing = self.missing(&held.spec);
         if let Some(weights) = &missing {
-            self.note_missing(weights);
+            self.record_missing(weights);
         }
         self.queue.set_missing(key, missing);
     }
 
-    /// A request has ended or its caller has left.
-    pub fn finished(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) -> Vec<Action> {
-        self.release(now, key, sizes);
-        self.step(now, sizes)
+    /// Handles the end or the cancellation of a request.
+    pub fn on_request_finished(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        config: &dyn SchedulingConfig,
+    ) -> Vec<Action> {
+        self.release(now, key, config);
+        self.step(now, config)
     }
 
-    fn release(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) {
+    fn release(&mut self, now: Instant, key: RequestKey, config: &dyn SchedulingConfig) {
         let Some(held) = self.requests.remove(key) else { return };
         if self.queue.remove(key).is_some() {
-            for weights in held.work.weights() {
+            for weights in held.spec.weights() {
                 self.loads.end_waiting(weights);
             }
         }
-        if let Some(since) = held.since {
-            let length = held.work.shape.length;
-            self.queue.ended(&held.work.team, length);
-            self.runs[length as usize].observe(now.saturating_duration_since(since));
-            for weights in held.work.weights() {
+        if let Some(started_at) = held.started_at {
+            let length = held.spec.shape.length;
+            self.queue.ended(&held.spec.team, length);
+            self.run_times[length as usize].observe(now.saturating_duration_since(started_at));
+            for weights in held.spec.weights() {
                 self.ledger.end_use(weights, now);
             }
         }
-        if let Need::Weights { base, .. } = &held.work.need {
-            self.end_user(&base.model);
-            self.note_idle(now, base, sizes);
+        if let Requirement::Weights { base, .. } = &held.spec.requirement {
+            self.release_model(&base.model);
+            self.schedule_expiry(now, base, config);
         }
     }
 
-    fn end_user(&mut self, model: &ModelId) {
-        let Some(count) = self.users.get_mut(model) else { return };
+    fn release_model(&mut self, model: &ModelId) {
+        let Some(count) = self.model_users.get_mut(model) else { return };
         *count -= 1;
         if *count == 0 {
-            self.users.remove(model);
+            self.model_users.remove(model);
         }
     }
 
@@ -357,30 +361,30 @@
         now: Instant,
         key: RequestKey,
         refusal: Refusal,
-        sizes: &dyn Sizes,
+        config: &dyn SchedulingConfig,
     ) -> Action {
-        self.release(now, key, sizes);
+        self.release(now, key, config);
         Action::Refuse(key, refusal)
     }
 
-    /// When [`Agent::step`] must be called next, if nothing happens before.
+    /// When [`Agent::step`] must be called next, if no event arrives before.
     pub fn next_wake(&self) -> Option<Instant> {
         let shed = self.next_shed.filter(|_| !self.queue.is_empty());
-        let wakes =
-            [self.queue.next_deadline(), shed, self.keep.next_wake(), self.loads.next_wake()];
-        wakes.into_iter().flatten().min()
+        let wake_times =
+            [self.queue.next_deadline(), shed, self.keep_alive.next_wake(), self.loads.next_wake()];
+        wake_times.into_iter().flatten().min()
     }
 
-    /// Refuses what is too late, starts what can start, orders what is missing.
-    pub fn step(&mut self, now: Instant, sizes: &dyn Sizes) -> Vec<Action> {
+    /// Refuses expired requests, unloads idle weights, schedules loads and starts ready requests.
+    pub fn step(&mut self, now: Instant, config: &dyn SchedulingConfig) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.give_up_late(now, sizes, &mut actions);
-        self.drop_idle(now, sizes, &mut actions);
-        self.order_loads(now, sizes, &mut actions);
+        self.refuse_expired(now, config, &mut actions);
+        self.unload_expired(now, config, &mut actions);
+        self.schedule_loads(now, config, &mut actions);
         while let Some(key) = self.queue.pop() {
             self.run(now, key);
-            if self.is_too_late(now, key) {
-                actions.push(self.refuse_late(now, key, sizes));
+            if self.cannot_finish(now, key) {
+                actions.push(self.refuse_dequeued(now, key, config));
             } else {
                 actions.push(Action::Run(key));
             }
@@ -388,57 +392,67 @@
         actions
     }
 
-    /// Made for saturation: whoever waited until too little time was left even for a short run
-    /// is told now. Run all the same, it would be cut at its deadline, and its room is lost to
-    /// another that could still be answered.
-    fn is_too_late(&self, now: Instant, key: RequestKey) -> bool {
-        let work = &self.requests[key].work;
-        let least = self.runs[work.shape.length as usize].least();
-        self.policy.order == QueueDiscipline::Fair && now + least > work.deadline
+    /// Whether even a fast run would miss the request's deadline, so that its capacity is better
+    /// used for another request.
+    fn cannot_finish(&self, now: Instant, key: RequestKey) -> bool {
+        let spec = &self.requests[key].spec;
+        let lower_bound = self.run_times[spec.shape.length as usize].lower_bound();
+        self.policy.order == QueueDiscipline::Fair && now + lower_bound > spec.deadline
     }
 
-    fn refuse_late(&mut self, now: Instant, key: RequestKey, sizes: &dyn Sizes) -> Action {
-        let length = self.requests[key].work.shape.length;
-        let retry_after = self.book_return(now, MIN_RETRY_AFTER, length);
-        self.requests[key].since = None;
-        let team = self.requests[key].work.team.clone();
+    fn refuse_dequeued(
+        &mut self,
+        now: Instant,
+        key: RequestKey,
+        config: &dyn SchedulingConfig,
+    ) -> Action {
+        let length = self.requests[key].spec.shape.length;
+        let retry_after = self.schedule_retry(now, MIN_RETRY_AFTER, length);
+        self.requests[key].started_at = None;
+        let team = self.requests[key].spec.team.clone();
         self.queue.ended(&team, length);
-        for weights in self.requests[key].work.clone().weights() {
+        for weights in self.requests[key].spec.clone().weights() {
             self.ledger.end_use(weights, now);
         }
-        self.refuse(now, key, Refusal { reason: RefusalReason::Deadline, retry_after }, sizes)
+        self.refuse(now, key, Refusal { reason: RefusalReason::Deadline, retry_after }, config)
     }
 
     fn run(&mut self, now: Instant, key: RequestKey) {
-        self.requests[key].since = Some(now);
-        let work = self.requests[key].work.clone();
-        for weights in work.weights() {
+        self.requests[key].started_at = Some(now);
+        let spec = self.requests[key].spec.clone();
+        for weights in spec.weights() {
             self.loads.end_waiting(weights);
             self.ledger.begin_use(weights, now);
         }
     }
 
-    fn give_up_late(&mut self, now: Instant, sizes: &dyn Sizes, actions: &mut Vec<Action>) {
+    fn refuse_expired(
+        &mut self,
+        now: Instant,
+        config: &dyn SchedulingConfig,
+        actions: &mut Vec<Action>,
+    ) {
         let mut late = self.queue.expired(now);
         if self.next_shed.is_some_and(|at| now >= at) {
-            late.extend(self.queue.infeasible(now, self.runs.map(admit::MeanRun::mean)));
-            self.next_shed = Some(now + SHED_INTERVAL);
+            late.extend(
+                self.queue.infeasible(now, self.run_times.map(admit::RunTimeEstimate::mean)),
+            );
+            self.next_shed = Some(now + SHED_SCAN_INTERVAL);
         }
         for key in late {
             if !self.requests.contains_key(key) {
                 continue;
             }
-            let retry_after = self.book_return(now, MIN_RETRY_AFTER, Length::Short);
+            let retry_after = self.schedule_retry(now, MIN_RETRY_AFTER, Length::Short);
             let refusal = Refusal { reason: RefusalReason::Deadline, retry_after };
-            actions.push(self.refuse(now, key, refusal, sizes));
+            actions.push(self.refuse(now, key, refusal, config));
         }
         if self.queue.is_empty() {
             self.next_shed = None;
         }
     }
 
-    /// Whether any request waits for a model or runs on it.
     fn is_in_use(&self, model: &ModelId) -> bool {
-        self.users.contains_key(model)
+        self.model_users.contains_key(model)
     }
 }
--- a/crates/corianderstand_decide/src/ledger/tests.rs
+++ b/crates/corianderstand_decide/src/ledger/tests.rs
@@ -1,4 +1,4 @@
-use super::{Ledger, SETTLE, Stage};
+use super::{ABSENCE_TIMEOUT, Ledger, Stage};
 use corianderstand_types::{
     clock::{Clock, ManualClock},
     units::Mib,
@@ -10,59 +10,57 @@
     Weights::model(name.into(), "1".into())
 }
 
-fn unknown() -> (Ledger, ManualClock) {
+fn ledger_with_unknown() -> (Ledger, ManualClock) {
     let mut ledger = Ledger::new(Mib(100));
     assert_eq!(ledger.reserve(&model("a"), Mib(60)), Ok(()));
     ledger.set_stage(&model("a"), Stage::Unknown);
     (ledger, ManualClock::default())
 }
 
-/// An order's answer was lost and the engine, asked at once, does not show the model: the order
-/// may still lie in its socket. Given away, the memory would be committed twice.
+/// Guards against committing memory twice while a load command of unknown outcome may still be
+/// buffered in the engine's socket.
 #[rstest]
-fn an_order_of_unknown_outcome_counts_until_the_engine_has_long_denied_it() {
-    let (mut ledger, clock) = unknown();
+fn unknown_outcome_counts_until_absence_timeout() {
+    let (mut ledger, clock) = ledger_with_unknown();
     ledger.reconcile(clock.now(), ledger.version(), &[]);
     assert!(ledger.reserve(&model("b"), Mib(60)).is_err());
-    clock.advance(SETTLE);
+    clock.advance(ABSENCE_TIMEOUT);
     ledger.reconcile(clock.now(), ledger.version(), &[]);
     assert_eq!(ledger.reserve(&model("b"), Mib(60)), Ok(()));
 }
 
 #[rstest]
-fn an_order_that_was_carried_out_is_found_ready() {
-    let (mut ledger, clock) = unknown();
+fn an_executed_load_becomes_ready() {
+    let (mut ledger, clock) = ledger_with_unknown();
     ledger.reconcile(clock.now(), ledger.version(), &[(model("a"), Mib(60), false)]);
     assert!(!ledger.is_ready(&model("a")), "it is still loading");
     ledger.reconcile(clock.now(), ledger.version(), &[(model("a"), Mib(60), true)]);
     assert!(ledger.is_ready(&model("a")));
 }
 
-/// The engine's answer was on its way while a load was confirmed. Taken as newer, it would give
-/// the memory of a loaded model away.
+/// Guards against releasing a loaded model's memory because of an older query response.
 #[rstest]
-fn an_answer_older_than_a_change_settles_nothing() {
-    let (mut ledger, clock) = unknown();
-    let asked = ledger.version();
+fn a_response_older_than_a_change_is_ignored() {
+    let (mut ledger, clock) = ledger_with_unknown();
+    let queried_version = ledger.version();
     ledger.set_stage(&model("a"), Stage::Ready);
-    ledger.reconcile(clock.now(), asked, &[]);
+    ledger.reconcile(clock.now(), queried_version, &[]);
     assert!(ledger.is_ready(&model("a")));
 }
 
-/// The engine restarts by itself and holds nothing any more. Without asking, the agent would send
-/// requests to a model that is not there, and never load it again.
+/// Guards against running requests on a model that the engine lost in its own restart.
 #[rstest]
-fn what_an_engine_lost_by_its_own_restart_is_given_back() {
-    let (mut ledger, clock) = unknown();
+fn an_engine_restart_releases_memory() {
+    let (mut ledger, clock) = ledger_with_unknown();
     ledger.set_stage(&model("a"), Stage::Ready);
     ledger.reconcile(clock.now(), ledger.version(), &[]);
     assert_eq!(ledger.free(), Mib(100));
 }
 
-/// Somebody else's order, or one of an agent that died, shows in the engine's answer.
+/// Weights loaded by another process, such as a previous agent, count as used memory.
 #[rstest]
-fn what_the_engine_holds_besides_is_counted() {
-    let (mut ledger, clock) = unknown();
+fn unrecorded_weights_are_counted() {
+    let (mut ledger, clock) = ledger_with_unknown();
     let loaded = [(model("a"), Mib(60), true), (model("z"), Mib(30), true)];
     ledger.reconcile(clock.now(), ledger.version(), &loaded);
     assert_eq!(ledger.free(), Mib(10));
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::Store;
+use crate::request::StoreLimits;
 use corianderstand_derives::derives;
 use corianderstand_types::{names::TargetId, weights::Weights};
 use std::{
@@ -29,7 +29,7 @@
 /// store's concurrency. A fixed fraction would leave the store idle when few engines load.
 #[derives(data)]
 pub struct LoadLimiter {
-    store: Store,
+    store: StoreLimits,
     limit: u32,
     running: u32,
     next_start: Option<Instant>,
@@ -37,12 +37,12 @@
 
 impl LoadLimiter {
     /// Creates a limiter of loads from `store`.
-    pub fn new(store: Store) -> Self {
+    pub fn new(store: StoreLimits) -> Self {
         Self { store, limit: (store.concurrent / 2).max(1), running: 0, next_start: None }
     }
 
     /// Applies changed settings of the store.
-    pub fn set_store(&mut self, store: Store) {
+    pub fn set_store(&mut self, store: StoreLimits) {
         self.store = store;
         self.limit = self.limit.min(store.concurrent.max(1));
     }
@@ -116,7 +116,7 @@
 /// those with the earliest deadlines, then the shortest.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
-    store: Store,
+    store: StoreLimits,
     epoch: Instant,
     waiting: BTreeMap<Rank, LoadRequest>,
     ranks: BTreeMap<LoadKey, Rank>,
@@ -128,7 +128,7 @@
 
 impl Coordinator {
     /// Creates an empty queue for `store`.
-    pub fn new(now: Instant, store: Store) -> Self {
+    pub fn new(now: Instant, store: StoreLimits) -> Self {
         Self {
             store,
             epoch: now,
--- a/crates/corianderstand_decide/src/pacing/tests.rs
+++ b/crates/corianderstand_decide/src/pacing/tests.rs
@@ -1,5 +1,5 @@
 use super::{Coordinator, LoadLimiter, LoadRequest};
-use crate::work::Store;
+use crate::request::StoreLimits;
 use corianderstand_types::{
     clock::{Clock, ManualClock},
     weights::Weights,
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-const STORE: Store = Store { per_second: 2, concurrent: 4, engines: 12 };
+const STORE: StoreLimits = StoreLimits { per_second: 2, concurrent: 4, engines: 12 };
 const LOAD: Duration = Duration::from_secs(20);
 
 fn load_request(now: Instant, number: usize, urgency: u8, load_time: Duration) -> LoadRequest {
@@ -58,7 +58,7 @@
 #[rstest]
 fn the_grant_of_a_dead_agent_expires() {
     let clock = ManualClock::default();
-    let store = Store { concurrent: 1, ..STORE };
+    let store = StoreLimits { concurrent: 1, ..STORE };
     let mut coordinator = Coordinator::new(clock.now(), store);
     coordinator.request(load_request(clock.now(), 0, 1, LOAD));
     assert_eq!(coordinator.grant_due_loads(clock.now()).len(), 1);
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -1,5 +1,5 @@
 use super::{Length, Queue, QueueDiscipline, QueuedRequest};
-use crate::work::RequestKey;
+use crate::request::RequestKey;
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
 use slotmap::SlotMap;
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -4,7 +4,7 @@
     BalancingPolicy, Decision, MAX_ATTEMPTS, NO_TARGET_RETRY_AFTER, Router, Target, TargetKey,
     owners::Owners,
 };
-use crate::work::{Need, Refusal, RequestKey, Work};
+use crate::request::{Refusal, RequestKey, RequestSpec, Requirement};
 use corianderstand_schema::messages::RefusalReason;
 use rand::RngExt;
 use std::time::{Duration, Instant};
@@ -96,7 +96,7 @@
             refused_by.is_none_or(|target| !owners.is_serving(now, *target))
         };
         too_late
-            && matches!(request.work.need, Need::Weights { .. })
+            && matches!(request.work.requirement, Requirement::Weights { .. })
             && !owners.is_warm(now, chosen)
             && loading()
     }
@@ -148,16 +148,20 @@
 
     /// Returns ejected targets that this request may probe for recovery. Only requests that are
     /// repeatable and not urgent are used as probes.
-    fn probe_targets(&self, owners: &Owners, work: &Work) -> impl Iterator<Item = TargetKey> {
+    fn probe_targets(
+        &self,
+        owners: &Owners,
+        work: &RequestSpec,
+    ) -> impl Iterator<Item = TargetKey> {
         let may_probe = work.repeatable && work.urgency < MIN_UNPROBED_URGENCY;
         let ejected = self.ejected.iter().take(if may_probe { MAX_PROBE_CANDIDATES } else { 0 });
         ejected.copied().filter(|key| owners.contains(*key))
     }
 
-    fn owners(&self, work: &Work) -> Option<&Owners> {
-        match &work.need {
-            Need::Weights { base, .. } => self.by_model.get(&base.model),
-            Need::Service(service) => self.by_service.get(service),
+    fn owners(&self, work: &RequestSpec) -> Option<&Owners> {
+        match &work.requirement {
+            Requirement::Weights { base, .. } => self.by_model.get(&base.model),
+            Requirement::Service(service) => self.by_service.get(service),
         }
     }
 
@@ -165,7 +169,7 @@
         &self,
         now: Instant,
         owners: &Owners,
-        work: &Work,
+        work: &RequestSpec,
         seed: u64,
         usable: &impl Fn(TargetKey) -> bool,
     ) -> Candidates {
@@ -192,7 +196,7 @@
         now: Instant,
         key: TargetKey,
         owners: &Owners,
-        work: &Work,
+        work: &RequestSpec,
         rank: u32,
     ) -> Duration {
         let target = &self.targets[key];
@@ -200,7 +204,7 @@
         let mut cost = run + RING_STEP_COST * rank;
         // Ignores the zone of a cold target: routers of all zones have to load a model at the same
         // target, and a round trip is negligible against a load.
-        if matches!(work.need, Need::Weights { .. }) && !owners.is_warm(now, key) {
+        if matches!(work.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
         if target.zone != self.zone {
@@ -225,11 +229,11 @@
 
 /// Hashes a request to its start on the ring: by prefix for a warm model, by model for a cold one,
 /// at random for a service.
-fn ring_hash(work: &Work, seed: u64, warm: bool) -> u64 {
-    match (&work.need, work.shape.prefix) {
-        (Need::Service(_), _) => seed,
-        (Need::Weights { .. }, Some(prefix)) if warm => prefix,
-        (Need::Weights { base, .. }, _) => {
+fn ring_hash(work: &RequestSpec, seed: u64, warm: bool) -> u64 {
+    match (&work.requirement, work.shape.prefix) {
+        (Requirement::Service(_), _) => seed,
+        (Requirement::Weights { .. }, Some(prefix)) if warm => prefix,
+        (Requirement::Weights { base, .. }, _) => {
             xxhash_rust::xxh3::xxh3_64(base.model.as_str().as_bytes())
         }
     }
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::work::{Need, Refusal, RequestKey, Work};
+use crate::request::{Refusal, RequestKey, RequestSpec, Requirement};
 use budget::RetryBudget;
 use corianderstand_derives::derives;
 use corianderstand_schema::messages::{Load, RefusalReason};
@@ -90,7 +90,7 @@
 
 #[derives(data)]
 struct PendingRequest {
-    work: Work,
+    work: RequestSpec,
     target: Option<TargetKey>,
     attempted: Vec<TargetKey>,
 }
@@ -238,7 +238,7 @@
     }
 
     /// Accepts a request and sends it to a target, or refuses it.
-    pub fn submit(&mut self, now: Instant, work: Work) -> (RequestKey, Decision) {
+    pub fn submit(&mut self, now: Instant, work: RequestSpec) -> (RequestKey, Decision) {
         self.retry_budget.deposit();
         let key =
             self.requests.insert(PendingRequest { work, target: None, attempted: Vec::new() });
@@ -336,9 +336,9 @@
     }
 
     fn owners_of(&mut self, key: RequestKey) -> Option<&mut Owners> {
-        match &self.requests.get(key)?.work.need {
-            Need::Weights { base, .. } => self.by_model.get_mut(&base.model),
-            Need::Service(service) => self.by_service.get_mut(service),
+        match &self.requests.get(key)?.work.requirement {
+            Requirement::Weights { base, .. } => self.by_model.get_mut(&base.model),
+            Requirement::Service(service) => self.by_service.get_mut(service),
         }
     }
 
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -1,7 +1,7 @@
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
     queue::Length,
-    work::{Need, Refusal, RequestKey, Shape, Work},
+    request::{Refusal, RequestKey, RequestSpec, Requirement, Shape},
 };
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::{
@@ -36,10 +36,13 @@
         Self { router, clock: ManualClock::default(), keys }
     }
 
-    fn work(&self, prefix: Option<u64>) -> Work {
-        Work {
+    fn work(&self, prefix: Option<u64>) -> RequestSpec {
+        RequestSpec {
             team: "crew".into(),
-            need: Need::Weights { base: Weights::model("a".into(), "1".into()), adapter: None },
+            requirement: Requirement::Weights {
+                base: Weights::model("a".into(), "1".into()),
+                adapter: None,
+            },
             urgency: 1,
             deadline: self.clock.now() + Duration::from_secs(600),
             repeatable: true,
@@ -253,7 +256,7 @@
 #[case::not_repeatable(false)]
 fn only_repeatable_requests_are_retried_after_a_lost_connection(#[case] repeatable: bool) {
     let mut bench = Bench::new(3, 13);
-    let work = Work { repeatable, ..bench.work(None) };
+    let work = RequestSpec { repeatable, ..bench.work(None) };
     let (key, _) = bench.router.submit(bench.clock.now(), work);
     let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: Duration::from_secs(1) };
     let decision = bench.router.connection_lost(bench.clock.now(), key, refusal);
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -7,7 +7,7 @@
 use corianderstand_decide::{
     agent::{Agent, Limits},
     ledger::Stage,
-    work::{RequestKey, Sizes, Store, Weighing},
+    request::{CostFactors, RequestKey, SchedulingConfig, StoreLimits},
 };
 use corianderstand_types::{
     names::{ModelId, WorkspaceId},
@@ -29,9 +29,9 @@
 
 /// What a trace says of models and teams.
 pub struct TraceSizes {
-    models: BTreeMap<ModelId, (u64, Duration, Weighing)>,
+    models: BTreeMap<ModelId, (u64, Duration, CostFactors)>,
     shares: BTreeMap<WorkspaceId, u32>,
-    store: Store,
+    store: StoreLimits,
 }
 
 impl TraceSizes {
@@ -40,10 +40,10 @@
         let models = header.models.iter().map(|model| {
             let (tail, idle) = way.weighing.unwrap_or((model.weight_tail, model.weight_idle));
             let load = Duration::from_millis(model.load_ms);
-            (model.name.clone(), (model.memory_mib, load, Weighing { tail, idle }))
+            (model.name.clone(), (model.memory_mib, load, CostFactors { cold_start: tail, idle }))
         });
         let shares = header.teams.iter().map(|team| (team.name.clone(), team.share));
-        let store = Store {
+        let store = StoreLimits {
             per_second: header.store.per_second,
             concurrent: header.store.concurrent,
             engines: header.engines.len() as u32,
@@ -52,7 +52,7 @@
     }
 }
 
-impl Sizes for TraceSizes {
+impl SchedulingConfig for TraceSizes {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         let (memory, ..) = self.models.get(&weights.model)?;
         Some(Mib(if weights.adapter.is_some() { ADAPTER_MIB } else { *memory }))
@@ -73,11 +73,11 @@
         self.shares.values().sum()
     }
 
-    fn weighing(&self, model: &ModelId) -> Weighing {
-        self.models.get(model).map_or_else(Weighing::default, |(.., weighing)| *weighing)
+    fn cost_factors(&self, model: &ModelId) -> CostFactors {
+        self.models.get(model).map_or_else(CostFactors::default, |(.., weighing)| *weighing)
     }
 
-    fn store(&self) -> Store {
+    fn store(&self) -> StoreLimits {
         self.store
     }
 }
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -14,8 +14,11 @@
     agent::Action,
     pacing::Coordinator,
     queue::Length,
+    request::{
+        self, LONG_ANSWER_TOKENS, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig,
+        Shape,
+    },
     router::{Decision, Router, TargetKey},
-    work::{self, LONG_ANSWER_TOKENS, Need, Refusal, RequestKey, Shape, Sizes, Work},
 };
 use corianderstand_types::{
     clock::{Clock, ManualClock},
@@ -93,7 +96,7 @@
             .collect();
         let engines = header.engines.iter().enumerate().map(|(number, line)| {
             let mut engine = Engine::new(line, way, owned(&slots, number));
-            engine.agent.set_wall(start, header.begins);
+            engine.agent.set_unix_time(start, header.begins);
             engine
         });
         let mut keys = Vec::new();
@@ -190,7 +193,7 @@
             }
             Event::Unloaded { engine, weights } => {
                 self.drive(engine, |engine, now, sizes| {
-                    engine.agent.unloaded(now, &weights, true, sizes)
+                    engine.agent.on_unload_finished(now, &weights, true, sizes)
                 });
             }
             Event::SlotsMoved(engine) => self.move_slots(engine),
@@ -228,7 +231,7 @@
         self.ask(self.callers.len() - 1);
     }
 
-    fn work(&self, caller: &Caller) -> Work {
+    fn work(&self, caller: &Caller) -> RequestSpec {
         let call = &caller.call;
         let base = Weights::model(call.model.clone(), "1".into());
         let adapter = call
@@ -237,9 +240,9 @@
             .map(|name| Weights { adapter: Some(name.as_str().into()), ..base.clone() });
         let long = call.tokens > LONG_ANSWER_TOKENS;
         let length = if long { Length::Long } else { Length::Short };
-        Work {
+        RequestSpec {
             team: call.team.clone(),
-            need: Need::Weights { base, adapter },
+            requirement: Requirement::Weights { base, adapter },
             urgency: call.urgency,
             deadline: self.start + caller.deadline,
             repeatable: true,
@@ -276,7 +279,7 @@
     fn drive(
         &mut self,
         engine: usize,
-        decide: impl FnOnce(&mut Engine, Instant, &dyn Sizes) -> Vec<Action>,
+        decide: impl FnOnce(&mut Engine, Instant, &dyn SchedulingConfig) -> Vec<Action>,
     ) {
         let (elapsed, now) = (self.clock.elapsed(), self.now());
         let state = &mut self.engines[engine];
@@ -312,7 +315,7 @@
             Action::Unload(weights, _) => {
                 self.plan(now + UNLOAD, Event::Unloaded { engine, weights });
             }
-            Action::AskLoad(mut ask) => {
+            Action::RequestLoadGrant(mut ask) => {
                 ask.target = self.engines[engine].line.name.clone();
                 if let Some(coordinator) = &mut self.coordinator {
                     coordinator.request(ask);
@@ -351,7 +354,7 @@
         *self.outcome.served_by_minute.entry(elapsed.as_secs() / 60).or_default() += 1;
         let took = elapsed - flight.began.unwrap_or(elapsed);
         self.routers[flight.router].progressed(now, flight.key, tokens, took);
-        self.drive(engine, |engine, now, sizes| engine.agent.finished(now, key, sizes));
+        self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
         let load = self.engines[engine].agent.load();
         self.routers[flight.router].finished(now, flight.key, Some(load));
     }
@@ -363,7 +366,7 @@
         self.outcome.late += 1;
         let now = self.now();
         self.routers[flight.router].finished(now, flight.key, None);
-        self.drive(engine, |engine, now, sizes| engine.agent.finished(now, key, sizes));
+        self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
     }
 
     fn refused(&mut self, caller: usize, refusal: Refusal) {
@@ -403,7 +406,7 @@
                 coordinator.done(&self.engines[engine].line.name, &weights);
             }
             self.drive(engine, |engine, now, sizes| {
-                engine.agent.loaded(now, &weights, Some(true), sizes)
+                engine.agent.on_load_finished(now, &weights, Some(true), sizes)
             });
             self.plan_coordinate(self.clock.elapsed());
         }
@@ -429,7 +432,9 @@
         let next = coordinator.next_wake();
         for ask in granted {
             let engine = self.engine(&ask.target);
-            self.drive(engine, |engine, now, sizes| engine.agent.granted(now, &ask.weights, sizes));
+            self.drive(engine, |engine, now, sizes| {
+                engine.agent.on_load_granted(now, &ask.weights, sizes)
+            });
         }
         if let Some(at) = next.filter(|at| *at > now) {
             self.plan_coordinate(at - self.start);
@@ -439,7 +444,7 @@
     /// How long a team with ready work is below what it is owed.
     fn watch_shares(&mut self, engine: usize) {
         let now = self.clock.elapsed();
-        let total = self.sizes.total_shares().max(work::DEFAULT_SHARE);
+        let total = self.sizes.total_shares().max(request::DEFAULT_SHARE);
         let state = &mut self.engines[engine];
         for team in &self.trace.header.teams {
             let owed = state.line.concurrency * team.share / total.max(1000);
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -9,7 +9,7 @@
 };
 use bytes::Bytes;
 use corianderstand_control::metrics::Metric;
-use corianderstand_decide::work::{self, Need, Work};
+use corianderstand_decide::request::{self, RequestSpec, Requirement};
 use corianderstand_schema::{
     messages::{AdapterRef, OpenStream, Operation},
     settings,
@@ -31,7 +31,7 @@
     adapter: Option<Weights>,
     name: String,
     stream: bool,
-    shape: work::Shape,
+    shape: request::Shape,
     usage: bool,
     body: Bytes,
 }
@@ -120,7 +120,7 @@
     chat: bool,
     urgency: u8,
     budget: Duration,
-) -> (Work, OpenStream) {
+) -> (RequestSpec, OpenStream) {
     let (model, version) = (wanted.base.model.clone(), wanted.base.version.clone());
     let adapter = wanted.adapter.as_ref().and_then(|weights| {
         let name = weights.adapter.clone()?;
@@ -131,7 +131,7 @@
     } else {
         Operation::Completion { model, version, adapter }
     };
-    let need = Need::Weights { base: wanted.base.clone(), adapter: wanted.adapter.clone() };
+    let need = Requirement::Weights { base: wanted.base.clone(), adapter: wanted.adapter.clone() };
     asked.open(need, operation, urgency, budget, true)
 }
 
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -17,7 +17,7 @@
     snapshot::Snapshot,
     start::Handle,
 };
-use corianderstand_decide::work::{Need, Shape, Work};
+use corianderstand_decide::request::{RequestSpec, Requirement, Shape};
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
     messages::{OpenStream, Operation, RefusalReason},
@@ -402,15 +402,22 @@
     /// What the decisions and the agent need to know.
     pub fn open(
         &self,
-        need: Need,
+        need: Requirement,
         operation: Operation,
         urgency: u8,
         budget: Duration,
         repeatable: bool,
-    ) -> (Work, OpenStream) {
+    ) -> (RequestSpec, OpenStream) {
         let deadline = self.clock.now() + budget;
         let shape = Shape::default();
-        let work = Work { team: self.team.clone(), need, urgency, deadline, repeatable, shape };
+        let work = RequestSpec {
+            team: self.team.clone(),
+            requirement: need,
+            urgency,
+            deadline,
+            repeatable,
+            shape,
+        };
         let open = OpenStream {
             stream: 0,
             request: self.request.clone(),
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -2,8 +2,8 @@
 
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
+    request::{RequestSpec, Requirement, SchedulingConfig, Shape},
     router::{Decision, Router, TargetKey},
-    work::{Need, Shape, Sizes, Work},
 };
 use corianderstand_schema::messages::Load;
 use corianderstand_types::{
@@ -25,7 +25,7 @@
 
 struct Plain;
 
-impl Sizes for Plain {
+impl SchedulingConfig for Plain {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         Some(Mib(if weights.adapter.is_some() { 1 } else { 1000 }))
     }
@@ -35,15 +35,20 @@
     }
 }
 
-fn work(clock: &ManualClock, model: usize, adapter: Option<usize>, prefix: Option<u64>) -> Work {
+fn work(
+    clock: &ManualClock,
+    model: usize,
+    adapter: Option<usize>,
+    prefix: Option<u64>,
+) -> RequestSpec {
     let base = Weights::model(format!("model-{model}").as_str().into(), "1".into());
     let adapter = adapter.map(|number| Weights {
         adapter: Some(format!("adapter-{number}").as_str().into()),
         ..base.clone()
     });
-    Work {
+    RequestSpec {
         team: "crew".into(),
-        need: Need::Weights { base, adapter },
+        requirement: Requirement::Weights { base, adapter },
         urgency: 1,
         deadline: clock.now() + Duration::from_secs(600),
         repeatable: true,
@@ -75,7 +80,7 @@
         (ModelId::from(format!("model-{model}").as_str()), owners)
     };
     router.set_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
-    let works: Vec<Work> = (0..1024)
+    let works: Vec<RequestSpec> = (0..1024)
         .map(|number| {
             work(&clock, number % models, Some(number * 53 % adapters), Some(number as u64 * 7919))
         })
@@ -120,13 +125,13 @@
             }
         }
     }
-    let works: Vec<Work> =
+    let works: Vec<RequestSpec> =
         (0..1024).map(|n| work(&clock, 0, Some(n * 53 % adapters), None)).collect();
     best(|round| {
         let work = works[round as usize % works.len()].clone();
         let (_, actions) = agent.submit(clock.now(), work, &Plain);
         if let Some(key) = note(actions) {
-            let actions = agent.finished(clock.now(), key, &Plain);
+            let actions = agent.on_request_finished(clock.now(), key, &Plain);
             note(actions);
         }
     })
