--- a/crates/corianderstand_fleet/src/lib.rs
+++ b/crates/corianderstand_fleet/src/lib.rs
@@ -5,7 +5,7 @@
 //! what this process itself has seen. On these rest the decisions, each in a module of its own and
 //! without input or output: [`choose`] picks a target for one attempt, [`patience`] says how long
 //! a request waits for a model and when it is refused, [`prefill`] says whose prompt an engine reads
-//! next, [`budget`] limits second attempts, and [`plan`] says which engine holds which models. [`steps`] turns an engine's part of the plan
+//! next, [`budget`] limits second attempts, and [`plan`] says which engine holds which models. [`reconcile`] turns an engine's part of the plan
 //! into one order at a time.
 //!
 //! ```
@@ -34,6 +34,6 @@
 pub mod prefixes;
 pub mod routes;
 pub mod snapshot;
-pub mod steps;
+pub mod reconcile;
 pub mod targets;
 mod worth;
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
-use corianderstand_fleet::{config, demand, plan, snapshot, steps, targets};
+use corianderstand_fleet::{config, demand, plan, reconcile, snapshot, targets};
 use corianderstand_types::names::{ModelId, TargetId};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -40,7 +40,7 @@
 struct Engine {
     key: targets::TargetKey,
     holdings: targets::Holdings,
-    order: Option<(steps::Order, f64)>,
+    order: Option<(reconcile::Order, f64)>,
     runs: Vec<(ModelId, Instant)>,
     up: bool,
 }
@@ -206,7 +206,7 @@
         for request in std::mem::take(&mut self.waiting) {
             let waited = now.saturating_duration_since(request.came);
             let holder = self.engines.iter_mut().filter(|engine| {
-                let gone = matches!(&engine.order, Some((steps::Order::Unload(gone), _)) if *gone == request.model);
+                let gone = matches!(&engine.order, Some((reconcile::Order::Unload(gone), _)) if *gone == request.model);
                 engine.up && !gone && engine.holdings.resident(&request.model).is_some()
             });
             let tally = self.tallies.entry(request.model.clone()).or_default();
@@ -225,31 +225,31 @@
         let models = self.model_views();
         let views = self.engine_views();
         let wants = self.planner.plan(self.now, &views, &models).clone();
-        let room = steps::Room { weights_mb: ENGINE_MB, adapter_places: 8 };
+        let room = reconcile::Room { weights_mb: ENGINE_MB, adapter_places: 8 };
         for engine in self.engines.iter_mut().filter(|engine| engine.up && engine.order.is_none()) {
             let wanted = wants.get(&engine.key).cloned().unwrap_or_default();
             let held = engine.holdings.resident.iter().map(|resident| resident.model.clone());
             let extra = held.filter(|model| !wanted.contains(model));
-            let parts: Vec<steps::Part> = wanted
+            let parts: Vec<reconcile::Part> = wanted
                 .iter()
                 .cloned()
                 .chain(extra)
-                .map(|model| steps::Part {
+                .map(|model| reconcile::Part {
                     wanted: wanted.contains(&model),
                     model,
                     weights_mb: MODEL_MB,
                     adapter_mb: 0,
                 })
                 .collect();
-            if let Some(order) = steps::next_model(room, &parts, &engine.holdings) {
+            if let Some(order) = reconcile::next_model(room, &parts, &engine.holdings) {
                 let takes = match &order {
-                    steps::Order::Load(model) => takes(&engine.holdings, model),
+                    reconcile::Order::Load(model) => takes(&engine.holdings, model),
                     _ => DROP.as_secs_f64(),
                 };
                 if takes > 1.0 {
                     self.store_loads += 1;
                 }
-                if matches!(order, steps::Order::Load(_)) {
+                if matches!(order, reconcile::Order::Load(_)) {
                     let used = (engine.holdings.resident.len() as u64 + 1) * MODEL_MB;
                     self.most_mb = self.most_mb.max(used);
                 }
@@ -277,14 +277,14 @@
                 *running.entry(model.clone()).or_default() += 1;
             }
             let ongoing = engine.order.as_ref().map(|(order, left)| match order {
-                steps::Order::Load(model) => targets::Ongoing::Loading {
+                reconcile::Order::Load(model) => targets::Ongoing::Loading {
                     model: model.clone(),
                     ready_at: self.now + Duration::from_secs_f64(left.max(0.0)),
                     from_store: takes(&engine.holdings, model) > 1.0,
                 },
-                steps::Order::Unload(model)
-                | steps::Order::LoadAdapter(model, _)
-                | steps::Order::UnloadAdapter(model, _) => {
+                reconcile::Order::Unload(model)
+                | reconcile::Order::LoadAdapter(model, _)
+                | reconcile::Order::UnloadAdapter(model, _) => {
                     targets::Ongoing::Unloading { model: model.clone() }
                 }
             });
@@ -304,7 +304,7 @@
 
     fn work_off_orders(&mut self) {
         let loading = |engine: &Engine| match &engine.order {
-            Some((steps::Order::Load(model), _)) => takes(&engine.holdings, model) > 1.0,
+            Some((reconcile::Order::Load(model), _)) => takes(&engine.holdings, model) > 1.0,
             _ => false,
         };
         let store = self.engines.iter().filter(|engine| loading(engine)).count() as f64;
@@ -313,7 +313,7 @@
             let from_store = loading(engine);
             let Some((order, left)) = &mut engine.order else { continue };
             let waits = match order {
-                steps::Order::Unload(model) => engine.runs.iter().any(|(own, _)| own == model),
+                reconcile::Order::Unload(model) => engine.runs.iter().any(|(own, _)| own == model),
                 _ => false,
             };
             if waits {
@@ -340,9 +340,9 @@
     }
 }
 
-fn carry_out(holdings: &mut targets::Holdings, order: steps::Order) {
+fn carry_out(holdings: &mut targets::Holdings, order: reconcile::Order) {
     match order {
-        steps::Order::Load(model) => {
+        reconcile::Order::Load(model) => {
             if !holdings.on_disk.contains(&model) {
                 holdings.on_disk.push(model.clone());
             }
@@ -351,10 +351,10 @@
             holdings.in_memory.truncate(2);
             holdings.resident.push(targets::Resident { model, adapters: Vec::new() });
         }
-        steps::Order::Unload(model) => {
+        reconcile::Order::Unload(model) => {
             holdings.resident.retain(|resident| resident.model != model);
         }
-        steps::Order::LoadAdapter(..) | steps::Order::UnloadAdapter(..) => {}
+        reconcile::Order::LoadAdapter(..) | reconcile::Order::UnloadAdapter(..) => {}
     }
 }
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::id;
-use corianderstand_fleet::{budget, choose, config, health, patience, routes, steps, targets};
+use corianderstand_fleet::{budget, choose, config, health, patience, reconcile, routes, targets};
 use corianderstand_types::names::ModelId;
 use rand::RngExt;
 use std::{
@@ -411,8 +411,8 @@
     }
 }
 
-fn parts(models: &[(&str, bool)]) -> Vec<steps::Part> {
-    let parts = models.iter().map(|(model, wanted)| steps::Part {
+fn parts(models: &[(&str, bool)]) -> Vec<reconcile::Part> {
+    let parts = models.iter().map(|(model, wanted)| reconcile::Part {
         model: (*model).into(),
         weights_mb: 70,
         adapter_mb: 5,
@@ -421,16 +421,16 @@
     parts.collect()
 }
 
-const ROOM: steps::Room = steps::Room { weights_mb: 150, adapter_places: 2 };
+const ROOM: reconcile::Room = reconcile::Room { weights_mb: 150, adapter_places: 2 };
 
 #[test]
 fn what_is_not_wanted_goes_before_what_is_wanted_comes() {
     let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
-    let order = steps::next_model(ROOM, &parts, &holdings(&["keep", "old"]));
-    assert_eq!(order, Some(steps::Order::Unload("old".into())));
-    let order = steps::next_model(ROOM, &parts, &holdings(&["keep"]));
-    assert_eq!(order, Some(steps::Order::Load("new".into())));
-    assert_eq!(steps::next_model(ROOM, &parts, &holdings(&["keep", "new"])), None);
+    let order = reconcile::next_model(ROOM, &parts, &holdings(&["keep", "old"]));
+    assert_eq!(order, Some(reconcile::Order::Unload("old".into())));
+    let order = reconcile::next_model(ROOM, &parts, &holdings(&["keep"]));
+    assert_eq!(order, Some(reconcile::Order::Load("new".into())));
+    assert_eq!(reconcile::next_model(ROOM, &parts, &holdings(&["keep", "new"])), None);
 }
 
 /// The plan is older than what the engine holds: the size of a model that it holds is not in it. An
@@ -438,14 +438,14 @@
 #[test]
 fn nothing_is_loaded_beside_a_model_of_unknown_size() {
     let parts = parts(&[("new", true)]);
-    assert_eq!(steps::next_model(ROOM, &parts, &holdings(&["stranger"])), None);
+    assert_eq!(reconcile::next_model(ROOM, &parts, &holdings(&["stranger"])), None);
 }
 
 #[test]
 fn an_adapter_takes_the_place_of_the_one_not_asked_for_the_longest() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| steps::AskedAdapter {
+    let asked = |name: &str, ago: u64| reconcile::AskedAdapter {
         model: "m".into(),
         adapter: name.into(),
         at: now - Duration::from_millis(ago),
@@ -455,9 +455,9 @@
         ..Default::default()
     };
     let next =
-        |asked: &[steps::AskedAdapter]| steps::next_adapter(now, ROOM, &parts, &held, 0, asked);
+        |asked: &[reconcile::AskedAdapter]| reconcile::next_adapter(now, ROOM, &parts, &held, 0, asked);
     let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
-    assert_eq!(order, Some(steps::Order::UnloadAdapter("m".into(), "a".into())));
+    assert_eq!(order, Some(reconcile::Order::UnloadAdapter("m".into(), "a".into())));
     let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
     assert_eq!(order, None, "both are in use: routers have just named them");
 }
@@ -469,7 +469,7 @@
 fn an_adapter_asked_for_earlier_does_not_push_out_a_later_one() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| steps::AskedAdapter {
+    let asked = |name: &str, ago: u64| reconcile::AskedAdapter {
         model: "m".into(),
         adapter: name.into(),
         at: now - Duration::from_millis(ago),
@@ -480,11 +480,11 @@
         ..Default::default()
     };
     let mut orders = 0;
-    while let Some(order) = steps::next_adapter(now, ROOM, &parts, &held, 0, &asked) {
+    while let Some(order) = reconcile::next_adapter(now, ROOM, &parts, &held, 0, &asked) {
         let adapters = &mut held.resident[0].adapters;
         match order {
-            steps::Order::LoadAdapter(_, adapter) => adapters.push(adapter),
-            steps::Order::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
+            reconcile::Order::LoadAdapter(_, adapter) => adapters.push(adapter),
+            reconcile::Order::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
             other => panic!("{other:?} is no order for an adapter"),
         }
         orders += 1;
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -10,7 +10,7 @@
 
 use crate::{control, dialect, router};
 use corianderstand_derives::derives;
-use corianderstand_fleet::{prefill, steps};
+use corianderstand_fleet::{prefill, reconcile};
 use corianderstand_schema::peers::{self, PeerMessage};
 use corianderstand_types::{clock, names};
 use smol_str::SmolStr;
@@ -58,7 +58,7 @@
 /// An order that is under way.
 #[derive(Clone, Debug)]
 struct Ongoing {
-    order: steps::Order,
+    order: reconcile::Order,
     since: Instant,
     takes: Duration,
     from_store: bool,
@@ -88,7 +88,7 @@
 #[derive(Default)]
 struct State {
     plan: Option<Plan>,
-    asked: Vec<steps::AskedAdapter>,
+    asked: Vec<reconcile::AskedAdapter>,
     ongoing: Option<Ongoing>,
     said: Option<(Instant, peers::EngineNews)>,
     /// The engine said that it is not this one: the plan is for one that has ended.
@@ -202,7 +202,7 @@
         state.askers.retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
         for ask in asked.adapters {
             state.asked.retain(|old| old.model != ask.model || old.adapter != ask.adapter);
-            let ask = steps::AskedAdapter { model: ask.model, adapter: ask.adapter, at: now };
+            let ask = reconcile::AskedAdapter { model: ask.model, adapter: ask.adapter, at: now };
             state.asked.insert(0, ask);
         }
         state.asked.retain(|ask| now.saturating_duration_since(ask.at) < ASKED_FOR);
@@ -336,22 +336,22 @@
         now: Instant,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
-    ) -> Option<steps::Order> {
+    ) -> Option<reconcile::Order> {
         let state = self.state.borrow();
         if state.ongoing.is_some() || state.ended.as_ref() == Some(&plan.target) {
             return None;
         }
-        let room = steps::Room {
+        let room = reconcile::Room {
             weights_mb: plan.weights_mb,
             adapter_places: plan.adapter_places as usize,
         };
         let parts = account::parts(plan);
         let coming = report.adapters_coming;
         let adapter =
-            || steps::next_adapter(now, room, &parts, &report.holdings, coming, &state.asked);
+            || reconcile::next_adapter(now, room, &parts, &report.holdings, coming, &state.asked);
         let model = || match report.busy {
             true => None,
-            false => steps::next_model(room, &parts, &report.holdings),
+            false => reconcile::next_model(room, &parts, &report.holdings),
         };
         // An adapter takes some ms and its request waits; a model takes a second and more.
         if report.busy { None } else { adapter().or_else(model) }
@@ -362,7 +362,7 @@
         now: Instant,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
-        order: steps::Order,
+        order: reconcile::Order,
     ) {
         let (takes, from_store) = account::takes(plan, report, &order);
         let after_orders = report.holdings.orders;
@@ -374,7 +374,7 @@
             answered: false,
             after_orders,
         };
-        let model_order = matches!(order, steps::Order::Load(_) | steps::Order::Unload(_));
+        let model_order = matches!(order, reconcile::Order::Load(_) | reconcile::Order::Unload(_));
         if model_order {
             self.state.borrow_mut().ongoing = Some(ongoing);
             // Routers hear that a model goes before it does, and send nothing there any more.
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -2,7 +2,7 @@
 
 use super::Ongoing;
 use crate::dialect;
-use corianderstand_fleet::{steps, targets};
+use corianderstand_fleet::{reconcile, targets};
 use corianderstand_schema::peers;
 use corianderstand_types::names;
 use std::time::{Duration, Instant};
@@ -21,8 +21,8 @@
         || order(said) != order(news)
 }
 
-pub(super) fn parts(plan: &peers::EnginePlan) -> Vec<steps::Part> {
-    let parts = plan.parts.iter().map(|part| steps::Part {
+pub(super) fn parts(plan: &peers::EnginePlan) -> Vec<reconcile::Part> {
+    let parts = plan.parts.iter().map(|part| reconcile::Part {
         model: part.model.clone(),
         weights_mb: part.weights_mb,
         adapter_mb: part.adapter_mb,
@@ -35,9 +35,9 @@
 pub(super) fn takes(
     plan: &peers::EnginePlan,
     report: &dialect::EngineReport,
-    order: &steps::Order,
+    order: &reconcile::Order,
 ) -> (Duration, bool) {
-    let steps::Order::Load(model) = order else { return (Duration::from_millis(100), false) };
+    let reconcile::Order::Load(model) = order else { return (Duration::from_millis(100), false) };
     let Some(part) = plan.parts.iter().find(|part| part.model == *model) else {
         return (Duration::from_secs(1), true);
     };
@@ -63,8 +63,8 @@
     });
     let ongoing = ongoing.and_then(|ongoing| {
         let (model, loads): (&names::ModelId, bool) = match &ongoing.order {
-            steps::Order::Load(model) => (model, true),
-            steps::Order::Unload(model) => (model, false),
+            reconcile::Order::Load(model) => (model, true),
+            reconcile::Order::Unload(model) => (model, false),
             _ => return None,
         };
         let passed = now.saturating_duration_since(ongoing.since);
