--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -16,7 +16,7 @@
 
 /// An order to an engine.
 #[derives(name)]
-pub enum Order {
+pub enum Command {
     /// Load a model.
     Load(names::ModelId),
     /// Drop a model once its runs have ended.
@@ -62,17 +62,17 @@
 }
 
 /// The next order for a model; none if all that is wanted is there, or sizes are not known.
-pub fn next_model(room: Room, parts: &[Part], holdings: &targets::Holdings) -> Option<Order> {
+pub fn next_model(room: Room, parts: &[Part], holdings: &targets::Holdings) -> Option<Command> {
     let missing =
         parts.iter().find(|part| part.wanted && holdings.resident(&part.model).is_none())?;
     let used = used_mb(parts, holdings)?;
     if used + missing.weights_mb <= room.weights_mb {
-        return Some(Order::Load(missing.model.clone()));
+        return Some(Command::Load(missing.model.clone()));
     }
     let wanted =
         |model: &names::ModelId| parts.iter().any(|part| part.wanted && part.model == *model);
     let victim = holdings.resident.iter().find(|resident| !wanted(&resident.model))?;
-    Some(Order::Unload(victim.model.clone()))
+    Some(Command::Unload(victim.model.clone()))
 }
 
 /// The next order for an adapter: the newest request first, in place of the adapter that was not
@@ -87,7 +87,7 @@
     holdings: &targets::Holdings,
     coming: usize,
     asked: &[AskedAdapter],
-) -> Option<Order> {
+) -> Option<Command> {
     let missing = asked.iter().find(|ask| {
         let resident = holdings.resident(&ask.model);
         resident.is_some_and(|resident| !resident.adapters.contains(&ask.adapter))
@@ -96,7 +96,7 @@
     let held: usize = holdings.resident.iter().map(|resident| resident.adapters.len()).sum();
     let fits_memory = used_mb(parts, holdings)? + size * (coming as u64 + 1) <= room.weights_mb;
     if held + coming < room.adapter_places && fits_memory {
-        return Some(Order::LoadAdapter(missing.model.clone(), missing.adapter.clone()));
+        return Some(Command::LoadAdapter(missing.model.clone(), missing.adapter.clone()));
     }
     let asked_at = |model: &names::ModelId, adapter: &names::AdapterId| {
         let ask = asked.iter().find(|ask| ask.model == *model && ask.adapter == *adapter);
@@ -108,7 +108,7 @@
     let oldest = pairs.min_by_key(|(model, adapter)| asked_at(model, adapter))?;
     let stays = asked_at(oldest.0, oldest.1)
         .is_some_and(|at| at >= missing.at || now.saturating_duration_since(at) < ADAPTER_STAY);
-    (!stays).then(|| Order::UnloadAdapter(oldest.0.clone(), oldest.1.clone()))
+    (!stays).then(|| Command::UnloadAdapter(oldest.0.clone(), oldest.1.clone()))
 }
 
 /// Memory that is used, in MB; none if the size of something that is held is not known.
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -40,7 +40,7 @@
 struct Engine {
     key: targets::TargetKey,
     holdings: targets::Holdings,
-    order: Option<(reconcile::Order, f64)>,
+    order: Option<(reconcile::Command, f64)>,
     runs: Vec<(ModelId, Instant)>,
     up: bool,
 }
@@ -206,7 +206,7 @@
         for request in std::mem::take(&mut self.waiting) {
             let waited = now.saturating_duration_since(request.came);
             let holder = self.engines.iter_mut().filter(|engine| {
-                let gone = matches!(&engine.order, Some((reconcile::Order::Unload(gone), _)) if *gone == request.model);
+                let gone = matches!(&engine.order, Some((reconcile::Command::Unload(gone), _)) if *gone == request.model);
                 engine.up && !gone && engine.holdings.resident(&request.model).is_some()
             });
             let tally = self.tallies.entry(request.model.clone()).or_default();
@@ -243,13 +243,13 @@
                 .collect();
             if let Some(order) = reconcile::next_model(room, &parts, &engine.holdings) {
                 let takes = match &order {
-                    reconcile::Order::Load(model) => takes(&engine.holdings, model),
+                    reconcile::Command::Load(model) => takes(&engine.holdings, model),
                     _ => DROP.as_secs_f64(),
                 };
                 if takes > 1.0 {
                     self.store_loads += 1;
                 }
-                if matches!(order, reconcile::Order::Load(_)) {
+                if matches!(order, reconcile::Command::Load(_)) {
                     let used = (engine.holdings.resident.len() as u64 + 1) * MODEL_MB;
                     self.most_mb = self.most_mb.max(used);
                 }
@@ -277,14 +277,14 @@
                 *running.entry(model.clone()).or_default() += 1;
             }
             let ongoing = engine.order.as_ref().map(|(order, left)| match order {
-                reconcile::Order::Load(model) => targets::Ongoing::Loading {
+                reconcile::Command::Load(model) => targets::Ongoing::Loading {
                     model: model.clone(),
                     ready_at: self.now + Duration::from_secs_f64(left.max(0.0)),
                     from_store: takes(&engine.holdings, model) > 1.0,
                 },
-                reconcile::Order::Unload(model)
-                | reconcile::Order::LoadAdapter(model, _)
-                | reconcile::Order::UnloadAdapter(model, _) => {
+                reconcile::Command::Unload(model)
+                | reconcile::Command::LoadAdapter(model, _)
+                | reconcile::Command::UnloadAdapter(model, _) => {
                     targets::Ongoing::Unloading { model: model.clone() }
                 }
             });
@@ -304,7 +304,7 @@
 
     fn work_off_orders(&mut self) {
         let loading = |engine: &Engine| match &engine.order {
-            Some((reconcile::Order::Load(model), _)) => takes(&engine.holdings, model) > 1.0,
+            Some((reconcile::Command::Load(model), _)) => takes(&engine.holdings, model) > 1.0,
             _ => false,
         };
         let store = self.engines.iter().filter(|engine| loading(engine)).count() as f64;
@@ -313,7 +313,7 @@
             let from_store = loading(engine);
             let Some((order, left)) = &mut engine.order else { continue };
             let waits = match order {
-                reconcile::Order::Unload(model) => engine.runs.iter().any(|(own, _)| own == model),
+                reconcile::Command::Unload(model) => engine.runs.iter().any(|(own, _)| own == model),
                 _ => false,
             };
             if waits {
@@ -340,9 +340,9 @@
     }
 }
 
-fn carry_out(holdings: &mut targets::Holdings, order: reconcile::Order) {
+fn carry_out(holdings: &mut targets::Holdings, order: reconcile::Command) {
     match order {
-        reconcile::Order::Load(model) => {
+        reconcile::Command::Load(model) => {
             if !holdings.on_disk.contains(&model) {
                 holdings.on_disk.push(model.clone());
             }
@@ -351,10 +351,10 @@
             holdings.in_memory.truncate(2);
             holdings.resident.push(targets::Resident { model, adapters: Vec::new() });
         }
-        reconcile::Order::Unload(model) => {
+        reconcile::Command::Unload(model) => {
             holdings.resident.retain(|resident| resident.model != model);
         }
-        reconcile::Order::LoadAdapter(..) | reconcile::Order::UnloadAdapter(..) => {}
+        reconcile::Command::LoadAdapter(..) | reconcile::Command::UnloadAdapter(..) => {}
     }
 }
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -427,9 +427,9 @@
 fn what_is_not_wanted_goes_before_what_is_wanted_comes() {
     let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
     let order = reconcile::next_model(ROOM, &parts, &holdings(&["keep", "old"]));
-    assert_eq!(order, Some(reconcile::Order::Unload("old".into())));
+    assert_eq!(order, Some(reconcile::Command::Unload("old".into())));
     let order = reconcile::next_model(ROOM, &parts, &holdings(&["keep"]));
-    assert_eq!(order, Some(reconcile::Order::Load("new".into())));
+    assert_eq!(order, Some(reconcile::Command::Load("new".into())));
     assert_eq!(reconcile::next_model(ROOM, &parts, &holdings(&["keep", "new"])), None);
 }
 
@@ -457,7 +457,7 @@
     let next =
         |asked: &[reconcile::AskedAdapter]| reconcile::next_adapter(now, ROOM, &parts, &held, 0, asked);
     let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
-    assert_eq!(order, Some(reconcile::Order::UnloadAdapter("m".into(), "a".into())));
+    assert_eq!(order, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
     let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
     assert_eq!(order, None, "both are in use: routers have just named them");
 }
@@ -483,8 +483,8 @@
     while let Some(order) = reconcile::next_adapter(now, ROOM, &parts, &held, 0, &asked) {
         let adapters = &mut held.resident[0].adapters;
         match order {
-            reconcile::Order::LoadAdapter(_, adapter) => adapters.push(adapter),
-            reconcile::Order::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
+            reconcile::Command::LoadAdapter(_, adapter) => adapters.push(adapter),
+            reconcile::Command::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
             other => panic!("{other:?} is no order for an adapter"),
         }
         orders += 1;
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -58,7 +58,7 @@
 /// An order that is under way.
 #[derive(Clone, Debug)]
 struct Ongoing {
-    order: reconcile::Order,
+    order: reconcile::Command,
     since: Instant,
     takes: Duration,
     from_store: bool,
@@ -336,7 +336,7 @@
         now: Instant,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
-    ) -> Option<reconcile::Order> {
+    ) -> Option<reconcile::Command> {
         let state = self.state.borrow();
         if state.ongoing.is_some() || state.ended.as_ref() == Some(&plan.target) {
             return None;
@@ -362,7 +362,7 @@
         now: Instant,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
-        order: reconcile::Order,
+        order: reconcile::Command,
     ) {
         let (takes, from_store) = account::takes(plan, report, &order);
         let after_orders = report.holdings.orders;
@@ -374,7 +374,7 @@
             answered: false,
             after_orders,
         };
-        let model_order = matches!(order, reconcile::Order::Load(_) | reconcile::Order::Unload(_));
+        let model_order = matches!(order, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
         if model_order {
             self.state.borrow_mut().ongoing = Some(ongoing);
             // Routers hear that a model goes before it does, and send nothing there any more.
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -35,9 +35,9 @@
 pub(super) fn takes(
     plan: &peers::EnginePlan,
     report: &dialect::EngineReport,
-    order: &reconcile::Order,
+    order: &reconcile::Command,
 ) -> (Duration, bool) {
-    let reconcile::Order::Load(model) = order else { return (Duration::from_millis(100), false) };
+    let reconcile::Command::Load(model) = order else { return (Duration::from_millis(100), false) };
     let Some(part) = plan.parts.iter().find(|part| part.model == *model) else {
         return (Duration::from_secs(1), true);
     };
@@ -63,8 +63,8 @@
     });
     let ongoing = ongoing.and_then(|ongoing| {
         let (model, loads): (&names::ModelId, bool) = match &ongoing.order {
-            reconcile::Order::Load(model) => (model, true),
-            reconcile::Order::Unload(model) => (model, false),
+            reconcile::Command::Load(model) => (model, true),
+            reconcile::Command::Unload(model) => (model, false),
             _ => return None,
         };
         let passed = now.saturating_duration_since(ongoing.since);
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Shelf {
     holdings: targets::Holdings,
-    given: Vec<(Instant, reconcile::Order, u64)>,
+    given: Vec<(Instant, reconcile::Command, u64)>,
     /// Orders that get no answer and are not carried out.
     to_lose: usize,
     has_ended: bool,
@@ -76,11 +76,11 @@
         }
         shelf.holdings.orders += 1;
         match order.order {
-            reconcile::Order::Load(model) => {
+            reconcile::Command::Load(model) => {
                 let resident = targets::Resident { model: model.clone(), adapters: Vec::new() };
                 shelf.holdings.resident.push(resident);
             }
-            reconcile::Order::Unload(model) => {
+            reconcile::Command::Unload(model) => {
                 shelf.holdings.resident.retain(|resident| resident.model != *model);
             }
             other => panic!("{other:?} was not planned"),
@@ -184,8 +184,8 @@
     running.wait_for(2, &["b", "c"]).await;
     let shelf = running.engine.0.lock().unwrap();
     let orders: Vec<_> = shelf.given.iter().map(|(_, order, _)| order.clone()).collect();
-    let load = |model: &str| reconcile::Order::Load(model.into());
-    assert_eq!(orders, [load("a"), load("b"), reconcile::Order::Unload("a".into()), load("c")]);
+    let load = |model: &str| reconcile::Command::Load(model.into());
+    assert_eq!(orders, [load("a"), load("b"), reconcile::Command::Unload("a".into()), load("c")]);
     let numbers: Vec<_> = shelf.given.iter().map(|(_, _, after)| *after).collect();
     assert_eq!(numbers, [0, 1, 2, 3], "each order says what it was worked out at");
 }
