--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -29,7 +29,7 @@
 
 /// Size of a model on this engine, and whether it is wanted.
 #[derives(data)]
-pub struct Part {
+pub struct PlannedModel {
     /// The model.
     pub model: names::ModelId,
     /// Memory of its weights, in MB.
@@ -62,7 +62,7 @@
 }
 
 /// The next order for a model; none if all that is wanted is there, or sizes are not known.
-pub fn next_model(room: Room, parts: &[Part], holdings: &targets::Holdings) -> Option<Command> {
+pub fn next_model(room: Room, parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<Command> {
     let missing =
         parts.iter().find(|part| part.wanted && holdings.resident(&part.model).is_none())?;
     let used = used_mb(parts, holdings)?;
@@ -83,7 +83,7 @@
 pub fn next_adapter(
     now: Instant,
     room: Room,
-    parts: &[Part],
+    parts: &[PlannedModel],
     holdings: &targets::Holdings,
     coming: usize,
     asked: &[AskedAdapter],
@@ -112,7 +112,7 @@
 }
 
 /// Memory that is used, in MB; none if the size of something that is held is not known.
-fn used_mb(parts: &[Part], holdings: &targets::Holdings) -> Option<u64> {
+fn used_mb(parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<u64> {
     let mut used = 0;
     for resident in &holdings.resident {
         let part = parts.iter().find(|part| part.model == resident.model)?;
