--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -43,7 +43,7 @@
 /// What an engine has room for.
 #[derives(data)]
 #[derive(Copy, Default)]
-pub struct Room {
+pub struct Capacity {
     /// Memory for weights and adapters, in MB.
     pub weights_mb: u64,
     /// Adapters at once.
@@ -62,7 +62,7 @@
 }
 
 /// The next order for a model; none if all that is wanted is there, or sizes are not known.
-pub fn next_model(room: Room, parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<Command> {
+pub fn next_model(room: Capacity, parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<Command> {
     let missing =
         parts.iter().find(|part| part.wanted && holdings.resident(&part.model).is_none())?;
     let used = used_mb(parts, holdings)?;
@@ -82,7 +82,7 @@
 /// turns for as long as both requests are remembered, at thirty orders a second.
 pub fn next_adapter(
     now: Instant,
-    room: Room,
+    room: Capacity,
     parts: &[PlannedModel],
     holdings: &targets::Holdings,
     coming: usize,
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -341,7 +341,7 @@
         if state.ongoing.is_some() || state.ended.as_ref() == Some(&plan.target) {
             return None;
         }
-        let room = reconcile::Room {
+        let room = reconcile::Capacity {
             weights_mb: plan.weights_mb,
             adapter_places: plan.adapter_places as usize,
         };
