--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -52,7 +52,7 @@
 
 /// An adapter that routers asked for.
 #[derives(data)]
-pub struct AskedAdapter {
+pub struct AdapterRequest {
     /// Its model.
     pub model: names::ModelId,
     /// The adapter.
@@ -86,7 +86,7 @@
     parts: &[PlannedModel],
     holdings: &targets::Holdings,
     coming: usize,
-    asked: &[AskedAdapter],
+    asked: &[AdapterRequest],
 ) -> Option<Command> {
     let missing = asked.iter().find(|ask| {
         let resident = holdings.resident(&ask.model);
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -445,7 +445,7 @@
 fn an_adapter_takes_the_place_of_the_one_not_asked_for_the_longest() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| reconcile::AskedAdapter {
+    let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
         at: now - Duration::from_millis(ago),
@@ -455,7 +455,7 @@
         ..Default::default()
     };
     let next =
-        |asked: &[reconcile::AskedAdapter]| reconcile::next_adapter(now, ROOM, &parts, &held, 0, asked);
+        |asked: &[reconcile::AdapterRequest]| reconcile::next_adapter(now, ROOM, &parts, &held, 0, asked);
     let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
     assert_eq!(order, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
     let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
@@ -469,7 +469,7 @@
 fn an_adapter_asked_for_earlier_does_not_push_out_a_later_one() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| reconcile::AskedAdapter {
+    let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
         at: now - Duration::from_millis(ago),
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -88,7 +88,7 @@
 #[derive(Default)]
 struct State {
     plan: Option<Plan>,
-    asked: Vec<reconcile::AskedAdapter>,
+    asked: Vec<reconcile::AdapterRequest>,
     ongoing: Option<Ongoing>,
     said: Option<(Instant, peers::EngineNews)>,
     /// The engine said that it is not this one: the plan is for one that has ended.
@@ -202,7 +202,7 @@
         state.askers.retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
         for ask in asked.adapters {
             state.asked.retain(|old| old.model != ask.model || old.adapter != ask.adapter);
-            let ask = reconcile::AskedAdapter { model: ask.model, adapter: ask.adapter, at: now };
+            let ask = reconcile::AdapterRequest { model: ask.model, adapter: ask.adapter, at: now };
             state.asked.insert(0, ask);
         }
         state.asked.retain(|ask| now.saturating_duration_since(ask.at) < ASKED_FOR);
