--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -62,7 +62,7 @@
 }
 
 /// The next order for a model; none if all that is wanted is there, or sizes are not known.
-pub fn next_model(room: Capacity, parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<Command> {
+pub fn next_model_command(room: Capacity, parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<Command> {
     let missing =
         parts.iter().find(|part| part.wanted && holdings.resident(&part.model).is_none())?;
     let used = used_mb(parts, holdings)?;
@@ -80,7 +80,7 @@
 ///
 /// One that was asked for earlier than all that are there makes none of them go. Otherwise two take
 /// turns for as long as both requests are remembered, at thirty orders a second.
-pub fn next_adapter(
+pub fn next_adapter_command(
     now: Instant,
     room: Capacity,
     parts: &[PlannedModel],
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -241,7 +241,7 @@
                     adapter_mb: 0,
                 })
                 .collect();
-            if let Some(order) = reconcile::next_model(room, &parts, &engine.holdings) {
+            if let Some(order) = reconcile::next_model_command(room, &parts, &engine.holdings) {
                 let takes = match &order {
                     reconcile::Command::Load(model) => takes(&engine.holdings, model),
                     _ => DROP.as_secs_f64(),
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -426,11 +426,11 @@
 #[test]
 fn what_is_not_wanted_goes_before_what_is_wanted_comes() {
     let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
-    let order = reconcile::next_model(ROOM, &parts, &holdings(&["keep", "old"]));
+    let order = reconcile::next_model_command(ROOM, &parts, &holdings(&["keep", "old"]));
     assert_eq!(order, Some(reconcile::Command::Unload("old".into())));
-    let order = reconcile::next_model(ROOM, &parts, &holdings(&["keep"]));
+    let order = reconcile::next_model_command(ROOM, &parts, &holdings(&["keep"]));
     assert_eq!(order, Some(reconcile::Command::Load("new".into())));
-    assert_eq!(reconcile::next_model(ROOM, &parts, &holdings(&["keep", "new"])), None);
+    assert_eq!(reconcile::next_model_command(ROOM, &parts, &holdings(&["keep", "new"])), None);
 }
 
 /// The plan is older than what the engine holds: the size of a model that it holds is not in it. An
@@ -438,7 +438,7 @@
 #[test]
 fn nothing_is_loaded_beside_a_model_of_unknown_size() {
     let parts = parts(&[("new", true)]);
-    assert_eq!(reconcile::next_model(ROOM, &parts, &holdings(&["stranger"])), None);
+    assert_eq!(reconcile::next_model_command(ROOM, &parts, &holdings(&["stranger"])), None);
 }
 
 #[test]
@@ -455,7 +455,7 @@
         ..Default::default()
     };
     let next =
-        |asked: &[reconcile::AdapterRequest]| reconcile::next_adapter(now, ROOM, &parts, &held, 0, asked);
+        |asked: &[reconcile::AdapterRequest]| reconcile::next_adapter_command(now, ROOM, &parts, &held, 0, asked);
     let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
     assert_eq!(order, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
     let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
@@ -480,7 +480,7 @@
         ..Default::default()
     };
     let mut orders = 0;
-    while let Some(order) = reconcile::next_adapter(now, ROOM, &parts, &held, 0, &asked) {
+    while let Some(order) = reconcile::next_adapter_command(now, ROOM, &parts, &held, 0, &asked) {
         let adapters = &mut held.resident[0].adapters;
         match order {
             reconcile::Command::LoadAdapter(_, adapter) => adapters.push(adapter),
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -348,10 +348,10 @@
         let parts = account::parts(plan);
         let coming = report.adapters_coming;
         let adapter =
-            || reconcile::next_adapter(now, room, &parts, &report.holdings, coming, &state.asked);
+            || reconcile::next_adapter_command(now, room, &parts, &report.holdings, coming, &state.asked);
         let model = || match report.busy {
             true => None,
-            false => reconcile::next_model(room, &parts, &report.holdings),
+            false => reconcile::next_model_command(room, &parts, &report.holdings),
         };
         // An adapter takes some ms and its request waits; a model takes a second and more.
         if report.busy { None } else { adapter().or_else(model) }
