--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -59,7 +59,7 @@
 /// How much one model is asked for.
 #[derives(data)]
 #[derive(Copy, Default)]
-pub struct Asked {
+pub struct ModelDemand {
     /// Requests a second.
     pub per_s: f64,
     /// Of these, those that want an adapter.
@@ -72,7 +72,7 @@
     pub aim: Duration,
 }
 
-impl Asked {
+impl ModelDemand {
     /// Both together, as from two routers.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
@@ -141,20 +141,20 @@
     }
 
     /// How much a model is asked for.
-    pub fn asked(&self, now: Instant, model: &names::ModelId) -> Asked {
-        self.rates.get(model).map_or_else(Asked::default, |rate| rate.asked(now))
+    pub fn asked(&self, now: Instant, model: &names::ModelId) -> ModelDemand {
+        self.rates.get(model).map_or_else(ModelDemand::default, |rate| rate.asked(now))
     }
 
     /// All models that are asked for.
-    pub fn all(&mut self, now: Instant) -> Vec<(names::ModelId, Asked)> {
+    pub fn all(&mut self, now: Instant) -> Vec<(names::ModelId, ModelDemand)> {
         self.rates.retain(|_, rate| rate.asked(now).per_s >= NEGLIGIBLE);
         self.rates.iter().map(|(model, rate)| (model.clone(), rate.asked(now))).collect()
     }
 }
 
 impl Rate {
-    fn asked(&self, now: Instant) -> Asked {
-        Asked {
+    fn asked(&self, now: Instant) -> ModelDemand {
+        ModelDemand {
             per_s: self.quick.value(now, QUICK).max(self.slow.value(now, SLOW)),
             adapted_per_s: self.adapted.value(now, QUICK),
             prompt_tokens_per_s: self.prompt_tokens.value(now, QUICK),
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -141,7 +141,7 @@
     let mut now = Instant::now();
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let keys: Vec<_> = (0..12).map(|_| keys.insert(())).collect();
-    let asked = demand::Asked {
+    let asked = demand::ModelDemand {
         per_s: 150.0,
         prompt_tokens_per_s: 200_000.0,
         aim: Duration::from_millis(300),
@@ -155,7 +155,7 @@
     };
     let busy = ModelId::from("busy");
     let mut models: BTreeMap<_, _> =
-        idle.iter().map(|model| (model.clone(), view(model, demand::Asked::default()))).collect();
+        idle.iter().map(|model| (model.clone(), view(model, demand::ModelDemand::default()))).collect();
     models.insert(busy.clone(), view(&busy, asked));
     let mut held: Vec<Vec<ModelId>> = idle.iter().map(|model| vec![model.clone()]).collect();
     held[0] = vec![busy.clone()];
@@ -245,7 +245,7 @@
         };
         let models = [&first, &next].map(|model| {
             let waiting = if model == waiting { 5 } else { 0 };
-            let asked = demand::Asked::default();
+            let asked = demand::ModelDemand::default();
             (model.clone(), snapshot::ModelView { spec: common::spec(model), asked, waiting })
         });
         let now = start + Duration::from_millis(after_ms);
@@ -277,7 +277,7 @@
         running: BTreeMap::new(),
     };
     let models = [(&stored, 2), (&on_disk, 1)].map(|(model, waiting)| {
-        let asked = demand::Asked::default();
+        let asked = demand::ModelDemand::default();
         (model.clone(), snapshot::ModelView { spec: common::spec(model), asked, waiting })
     });
     let mut planner = plan::Planner::default();
@@ -308,7 +308,7 @@
         }
     });
     let engines: Vec<_> = engines.collect();
-    let asked = demand::Asked {
+    let asked = demand::ModelDemand {
         per_s: 70.0,
         prompt_tokens_per_s: 70.0 * 1_100.0,
         read_s_per_token: 40e-6,
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -37,7 +37,7 @@
         load_from_memory: Duration::from_millis(400),
         ..Default::default()
     };
-    let asked = demand::Asked {
+    let asked = demand::ModelDemand {
         per_s,
         prompt_tokens_per_s: per_s * 500.0,
         aim: Duration::from_millis(if index < 32 { 300 } else { 3_000 }),
@@ -98,7 +98,7 @@
     }
     let held: BTreeSet<_> = fleet.engines.iter().flat_map(resident).cloned().collect();
     for (name, model) in &mut fleet.models {
-        model.asked = demand::Asked::default();
+        model.asked = demand::ModelDemand::default();
         model.waiting = u32::from(!held.contains(name));
     }
     let keeps = |wants: &HashMap<targets::TargetKey, Vec<ModelId>>| {
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -302,7 +302,7 @@
     let now = shared.clock.now();
     let hello = hello(shared);
     let mut view = shared.view.borrow_mut();
-    let mut models: BTreeMap<names::ModelId, (demand::Asked, u32)> =
+    let mut models: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> =
         view.demand.all(now).into_iter().map(|(model, asked)| (model, (asked, 0))).collect();
     for (model, waiting) in &view.waiting {
         models.entry(model.clone()).or_default().1 = *waiting;
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -167,11 +167,11 @@
     }
 
     /// What the other routers are asked for, and how many requests wait there.
-    pub fn demand(&self, now: Instant) -> BTreeMap<names::ModelId, (demand::Asked, u32)> {
-        let mut sums: BTreeMap<names::ModelId, (demand::Asked, u32)> = BTreeMap::new();
+    pub fn demand(&self, now: Instant) -> BTreeMap<names::ModelId, (demand::ModelDemand, u32)> {
+        let mut sums: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = BTreeMap::new();
         for said in self.news(now).flat_map(|news| &news.models) {
             let sum = sums.entry(said.model.clone()).or_default();
-            sum.0 = sum.0.and(demand::Asked {
+            sum.0 = sum.0.and(demand::ModelDemand {
                 per_s: f64::from(said.per_1000_s) / 1_000.0,
                 adapted_per_s: f64::from(said.adapted_per_1000_s) / 1_000.0,
                 prompt_tokens_per_s: f64::from(said.prompt_tokens_per_s),
