--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -75,7 +75,7 @@
 impl ModelDemand {
     /// Both together, as from two routers.
     #[must_use]
-    pub fn and(self, other: Self) -> Self {
+    pub fn combine(self, other: Self) -> Self {
         let aim = if self.per_s >= other.per_s { self.aim } else { other.aim };
         let known = [self.read_s_per_token, other.read_s_per_token];
         let known = known.into_iter().filter(|time| *time > 0.0);
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -171,7 +171,7 @@
         let mut sums: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = BTreeMap::new();
         for said in self.news(now).flat_map(|news| &news.models) {
             let sum = sums.entry(said.model.clone()).or_default();
-            sum.0 = sum.0.and(demand::ModelDemand {
+            sum.0 = sum.0.combine(demand::ModelDemand {
                 per_s: f64::from(said.per_1000_s) / 1_000.0,
                 adapted_per_s: f64::from(said.adapted_per_1000_s) / 1_000.0,
                 prompt_tokens_per_s: f64::from(said.prompt_tokens_per_s),
