--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -47,7 +47,7 @@
 /// What one request weighs.
 #[derives(data)]
 #[derive(Copy)]
-pub struct Weight {
+pub struct RequestCost {
     /// Tokens of its prompt.
     pub prompt_tokens: u64,
     /// It wants an adapter.
@@ -97,8 +97,8 @@
 
 impl Demand {
     /// A request for a model has come.
-    pub fn add(&mut self, now: Instant, model: &names::ModelId, weight: Weight) {
-        let Weight { prompt_tokens, adapted, aim } = weight;
+    pub fn add(&mut self, now: Instant, model: &names::ModelId, weight: RequestCost) {
+        let RequestCost { prompt_tokens, adapted, aim } = weight;
         let none = Fading::new(now);
         let fresh = Rate {
             quick: none,
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -160,7 +160,7 @@
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         if let Some(wanted) = &job.call.wanted {
-            let weight = demand::Weight {
+            let weight = demand::RequestCost {
                 prompt_tokens: job.call.prompt_tokens,
                 adapted: wanted.adapter.is_some(),
                 aim: job.route.aim,
