--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -51,7 +51,7 @@
     /// Tokens of its prompt.
     pub prompt_tokens: u64,
     /// It wants an adapter.
-    pub adapted: bool,
+    pub uses_adapter: bool,
     /// Time to its first event.
     pub aim: Duration,
 }
@@ -98,7 +98,7 @@
 impl Demand {
     /// A request for a model has come.
     pub fn add(&mut self, now: Instant, model: &names::ModelId, weight: RequestCost) {
-        let RequestCost { prompt_tokens, adapted, aim } = weight;
+        let RequestCost { prompt_tokens, uses_adapter, aim } = weight;
         let none = Fading::new(now);
         let fresh = Rate {
             quick: none,
@@ -115,7 +115,7 @@
         rate.quick.add(now, QUICK, 1.0);
         rate.slow.add(now, SLOW, 1.0);
         rate.prompt_tokens.add(now, QUICK, prompt_tokens as f64);
-        if adapted {
+        if uses_adapter {
             rate.adapted.add(now, QUICK, 1.0);
         }
         rate.aim = rate.aim.mul_f64(1.0 - AIM_STEP) + aim.mul_f64(AIM_STEP);
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -162,7 +162,7 @@
         if let Some(wanted) = &job.call.wanted {
             let weight = demand::RequestCost {
                 prompt_tokens: job.call.prompt_tokens,
-                adapted: wanted.adapter.is_some(),
+                uses_adapter: wanted.adapter.is_some(),
                 aim: job.route.aim,
             };
             view.demand.add(now, &wanted.model, weight);
