--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -20,7 +20,7 @@
 /// spread of a quarter.
 const SLOW: Duration = Duration::from_secs(12);
 /// Time that an engine takes to read a prompt token where none was seen yet: 38 tokens in a ms.
-pub const USUAL_READ_S: f64 = 26e-6;
+pub const DEFAULT_PREFILL_S_PER_TOKEN: f64 = 26e-6;
 /// Time to the first event that is not spent on reading the prompt: two ways and a step.
 const BEFORE_READING: Duration = Duration::from_millis(7);
 /// Prompts below this many tokens tell little of the time to read one.
@@ -131,7 +131,7 @@
             return;
         }
         let seen = took.saturating_sub(BEFORE_READING).as_secs_f64() / prompt_tokens as f64;
-        let seen = seen.clamp(USUAL_READ_S / 8.0, USUAL_READ_S * 4.0);
+        let seen = seen.clamp(DEFAULT_PREFILL_S_PER_TOKEN / 8.0, DEFAULT_PREFILL_S_PER_TOKEN * 4.0);
         let known = &mut rate.read_s_per_token;
         if *known == 0.0 {
             *known = seen;
