--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -40,7 +40,7 @@
     slow: Fading,
     adapted: Fading,
     prompt_tokens: Fading,
-    read_s_per_token: f64,
+    prefill_s_per_token: f64,
     aim: Duration,
 }
 
@@ -67,7 +67,7 @@
     /// Tokens of prompts a second.
     pub prompt_tokens_per_s: f64,
     /// Time that an engine takes to read one prompt token, in seconds.
-    pub read_s_per_token: f64,
+    pub prefill_s_per_token: f64,
     /// Time to the first event within which most of the requests are of full use.
     pub aim: Duration,
 }
@@ -77,10 +77,10 @@
     #[must_use]
     pub fn combine(self, other: Self) -> Self {
         let aim = if self.per_s >= other.per_s { self.aim } else { other.aim };
-        let known = [self.read_s_per_token, other.read_s_per_token];
+        let known = [self.prefill_s_per_token, other.prefill_s_per_token];
         let known = known.into_iter().filter(|time| *time > 0.0);
         Self {
-            read_s_per_token: known.reduce(f64::min).unwrap_or(0.0),
+            prefill_s_per_token: known.reduce(f64::min).unwrap_or(0.0),
             per_s: self.per_s + other.per_s,
             adapted_per_s: self.adapted_per_s + other.adapted_per_s,
             prompt_tokens_per_s: self.prompt_tokens_per_s + other.prompt_tokens_per_s,
@@ -105,7 +105,7 @@
             slow: none,
             adapted: none,
             prompt_tokens: none,
-            read_s_per_token: 0.0,
+            prefill_s_per_token: 0.0,
             aim,
         };
         let rate = match self.rates.get_mut(model) {
@@ -132,7 +132,7 @@
         }
         let seen = took.saturating_sub(BEFORE_READING).as_secs_f64() / prompt_tokens as f64;
         let seen = seen.clamp(DEFAULT_PREFILL_S_PER_TOKEN / 8.0, DEFAULT_PREFILL_S_PER_TOKEN * 4.0);
-        let known = &mut rate.read_s_per_token;
+        let known = &mut rate.prefill_s_per_token;
         if *known == 0.0 {
             *known = seen;
         }
@@ -158,7 +158,7 @@
             per_s: self.quick.value(now, QUICK).max(self.slow.value(now, SLOW)),
             adapted_per_s: self.adapted.value(now, QUICK),
             prompt_tokens_per_s: self.prompt_tokens.value(now, QUICK),
-            read_s_per_token: self.read_s_per_token,
+            prefill_s_per_token: self.prefill_s_per_token,
             aim: self.aim,
         }
     }
--- a/crates/corianderstand_fleet/src/worth.rs
+++ b/crates/corianderstand_fleet/src/worth.rs
@@ -68,7 +68,7 @@
 
 /// Engines that reading the model's prompts keeps busy.
 pub fn reading(model: &ModelView) -> f64 {
-    let known = model.asked.read_s_per_token;
+    let known = model.asked.prefill_s_per_token;
     let read_s = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
     model.asked.prompt_tokens_per_s * read_s
 }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -311,7 +311,7 @@
     let asked = demand::ModelDemand {
         per_s: 70.0,
         prompt_tokens_per_s: 70.0 * 1_100.0,
-        read_s_per_token: 40e-6,
+        prefill_s_per_token: 40e-6,
         aim: Duration::from_millis(500),
         ..Default::default()
     };
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -175,7 +175,7 @@
                 per_s: f64::from(said.per_1000_s) / 1_000.0,
                 adapted_per_s: f64::from(said.adapted_per_1000_s) / 1_000.0,
                 prompt_tokens_per_s: f64::from(said.prompt_tokens_per_s),
-                read_s_per_token: f64::from(said.read_ns_per_token) / 1e9,
+                prefill_s_per_token: f64::from(said.read_ns_per_token) / 1e9,
                 aim: Duration::from_millis(u64::from(said.aim_ms)),
             });
             sum.1 += said.waiting;
