--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -63,7 +63,7 @@
     /// Requests a second.
     pub per_s: f64,
     /// Of these, those that want an adapter.
-    pub adapted_per_s: f64,
+    pub adapter_requests_per_s: f64,
     /// Tokens of prompts a second.
     pub prompt_tokens_per_s: f64,
     /// Time that an engine takes to read one prompt token, in seconds.
@@ -82,7 +82,7 @@
         Self {
             prefill_s_per_token: known.reduce(f64::min).unwrap_or(0.0),
             per_s: self.per_s + other.per_s,
-            adapted_per_s: self.adapted_per_s + other.adapted_per_s,
+            adapter_requests_per_s: self.adapter_requests_per_s + other.adapter_requests_per_s,
             prompt_tokens_per_s: self.prompt_tokens_per_s + other.prompt_tokens_per_s,
             aim,
         }
@@ -156,7 +156,7 @@
     fn asked(&self, now: Instant) -> ModelDemand {
         ModelDemand {
             per_s: self.quick.value(now, QUICK).max(self.slow.value(now, SLOW)),
-            adapted_per_s: self.adapted.value(now, QUICK),
+            adapter_requests_per_s: self.adapted.value(now, QUICK),
             prompt_tokens_per_s: self.prompt_tokens.value(now, QUICK),
             prefill_s_per_token: self.prefill_s_per_token,
             aim: self.aim,
