--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -61,7 +61,7 @@
 #[derive(Copy, Default)]
 pub struct ModelDemand {
     /// Requests a second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Of these, those that want an adapter.
     pub adapter_requests_per_s: f64,
     /// Tokens of prompts a second.
@@ -76,12 +76,12 @@
     /// Both together, as from two routers.
     #[must_use]
     pub fn combine(self, other: Self) -> Self {
-        let aim = if self.per_s >= other.per_s { self.aim } else { other.aim };
+        let aim = if self.requests_per_s >= other.requests_per_s { self.aim } else { other.aim };
         let known = [self.prefill_s_per_token, other.prefill_s_per_token];
         let known = known.into_iter().filter(|time| *time > 0.0);
         Self {
             prefill_s_per_token: known.reduce(f64::min).unwrap_or(0.0),
-            per_s: self.per_s + other.per_s,
+            requests_per_s: self.requests_per_s + other.requests_per_s,
             adapter_requests_per_s: self.adapter_requests_per_s + other.adapter_requests_per_s,
             prompt_tokens_per_s: self.prompt_tokens_per_s + other.prompt_tokens_per_s,
             aim,
@@ -147,7 +147,7 @@
 
     /// All models that are asked for.
     pub fn all(&mut self, now: Instant) -> Vec<(names::ModelId, ModelDemand)> {
-        self.rates.retain(|_, rate| rate.asked(now).per_s >= NEGLIGIBLE);
+        self.rates.retain(|_, rate| rate.asked(now).requests_per_s >= NEGLIGIBLE);
         self.rates.iter().map(|(model, rate)| (model.clone(), rate.asked(now))).collect()
     }
 }
@@ -155,7 +155,7 @@
 impl Rate {
     fn asked(&self, now: Instant) -> ModelDemand {
         ModelDemand {
-            per_s: self.quick.value(now, QUICK).max(self.slow.value(now, SLOW)),
+            requests_per_s: self.quick.value(now, QUICK).max(self.slow.value(now, SLOW)),
             adapter_requests_per_s: self.adapted.value(now, QUICK),
             prompt_tokens_per_s: self.prompt_tokens.value(now, QUICK),
             prefill_s_per_token: self.prefill_s_per_token,
--- a/crates/corianderstand_fleet/src/worth.rs
+++ b/crates/corianderstand_fleet/src/worth.rs
@@ -48,7 +48,7 @@
 
 /// Requests within [`HORIZON_S`].
 pub fn requests(model: &ModelView) -> f64 {
-    model.asked.per_s.max(PRIOR_PER_S) * HORIZON_S
+    model.asked.requests_per_s.max(PRIOR_PER_S) * HORIZON_S
 }
 
 /// What one request loses when the model is on no engine: little if it is loaded within the aim.
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -142,7 +142,7 @@
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let keys: Vec<_> = (0..12).map(|_| keys.insert(())).collect();
     let asked = demand::ModelDemand {
-        per_s: 150.0,
+        requests_per_s: 150.0,
         prompt_tokens_per_s: 200_000.0,
         aim: Duration::from_millis(300),
         ..Default::default()
@@ -309,7 +309,7 @@
     });
     let engines: Vec<_> = engines.collect();
     let asked = demand::ModelDemand {
-        per_s: 70.0,
+        requests_per_s: 70.0,
         prompt_tokens_per_s: 70.0 * 1_100.0,
         prefill_s_per_token: 40e-6,
         aim: Duration::from_millis(500),
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -38,7 +38,7 @@
         ..Default::default()
     };
     let asked = demand::ModelDemand {
-        per_s,
+        requests_per_s: per_s,
         prompt_tokens_per_s: per_s * 500.0,
         aim: Duration::from_millis(if index < 32 { 300 } else { 3_000 }),
         ..Default::default()
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -309,7 +309,7 @@
     }
     let models = models.into_iter().map(|(model, (asked, waiting))| wire::ModelDemand {
         model,
-        per_1000_s: (asked.per_s * 1_000.0) as u32,
+        per_1000_s: (asked.requests_per_s * 1_000.0) as u32,
         adapted_per_1000_s: (asked.adapter_requests_per_s * 1_000.0) as u32,
         prompt_tokens_per_s: asked.prompt_tokens_per_s as u32,
         read_ns_per_token: (asked.prefill_s_per_token * 1e9) as u32,
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -172,7 +172,7 @@
         for said in self.news(now).flat_map(|news| &news.models) {
             let sum = sums.entry(said.model.clone()).or_default();
             sum.0 = sum.0.combine(demand::ModelDemand {
-                per_s: f64::from(said.per_1000_s) / 1_000.0,
+                requests_per_s: f64::from(said.per_1000_s) / 1_000.0,
                 adapter_requests_per_s: f64::from(said.adapted_per_1000_s) / 1_000.0,
                 prompt_tokens_per_s: f64::from(said.prompt_tokens_per_s),
                 prefill_s_per_token: f64::from(said.read_ns_per_token) / 1e9,
