--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -58,7 +58,7 @@
     /// Longest time that a request is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer, or a stream's first event, is of full use.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Longest pause between events of a stream that is of full use.
     pub pause_aim: Option<Duration>,
     /// Rank; 0 is the most urgent.
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -164,7 +164,7 @@
     >,
 ) -> Head {
     tokio::pin!(sending);
-    let silence = (job.route.aim * SILENT_AIMS).max(LEAST_SILENCE);
+    let silence = (job.route.latency_objective * SILENT_AIMS).max(LEAST_SILENCE);
     let mut look = (shared.clock.now() + silence).min(shared.latest(job));
     loop {
         tokio::select! {
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -117,7 +117,7 @@
         if self.allows(kind, now) {
             let (ms, tried, status) = (ms(now, job.arrived), job.tried.len(), status.as_u16());
             let trouble = job.last_trouble;
-            let aim_ms = job.route.aim.as_millis() as u64;
+            let aim_ms = job.route.latency_objective.as_millis() as u64;
             tracing::info!(id = %job.call.id, route = %job.route.name, status, how, trouble, tried, ms, aim_ms, "answered");
         }
     }
@@ -133,7 +133,7 @@
             let (total_ms, tried) = (ms(now, job.arrived), job.tried.len());
             let first_ms = end.pace.first.map(|first| ms(first, job.arrived));
             let longest_pause_ms = end.pace.longest.as_millis() as u64;
-            let aim_ms = job.route.aim.as_millis() as u64;
+            let aim_ms = job.route.latency_objective.as_millis() as u64;
             let pause_aim_ms = job.route.pause_aim.map(|pause| pause.as_millis() as u64);
             let target = job.last_target.as_str();
             let model = job.model().map(names::ModelId::as_str);
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -101,7 +101,7 @@
             return self.latest;
         }
         let pause = self.route.pause_aim.unwrap_or_default() * LEFT_AFTER_PAUSES;
-        let silence = LEFT_AFTER.max(self.route.aim * LEFT_AFTER_AIMS).max(pause);
+        let silence = LEFT_AFTER.max(self.route.latency_objective * LEFT_AFTER_AIMS).max(pause);
         self.latest.min(self.silent_since + silence)
     }
 
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -516,7 +516,7 @@
         host: "desk.example".into(),
         prefix: prefix.into(),
         timeout: Duration::from_secs(10),
-        aim: Duration::from_millis(300),
+        latency_objective: Duration::from_millis(300),
         most_targets: 2,
         services: vec![(service.into(), 1)],
         ..Default::default()
