--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -60,7 +60,7 @@
     /// Time within which an answer, or a stream's first event, is of full use.
     pub latency_objective: Duration,
     /// Longest pause between events of a stream that is of full use.
-    pub pause_aim: Option<Duration>,
+    pub gap_objective: Option<Duration>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Most targets that one attempt of a caller may be sent to.
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -134,7 +134,7 @@
             let first_ms = end.pace.first.map(|first| ms(first, job.arrived));
             let longest_pause_ms = end.pace.longest.as_millis() as u64;
             let aim_ms = job.route.latency_objective.as_millis() as u64;
-            let pause_aim_ms = job.route.pause_aim.map(|pause| pause.as_millis() as u64);
+            let pause_aim_ms = job.route.gap_objective.map(|pause| pause.as_millis() as u64);
             let target = job.last_target.as_str();
             let model = job.model().map(names::ModelId::as_str);
             tracing::info!(id = %job.call.id, route = %job.route.name, at = target, model, prompt = job.call.prompt_tokens, how, events, resumes, tried, first_ms, longest_pause_ms, ms = total_ms, aim_ms, pause_aim_ms, "streamed");
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -100,7 +100,7 @@
         if !self.route.streams {
             return self.latest;
         }
-        let pause = self.route.pause_aim.unwrap_or_default() * LEFT_AFTER_PAUSES;
+        let pause = self.route.gap_objective.unwrap_or_default() * LEFT_AFTER_PAUSES;
         let silence = LEFT_AFTER.max(self.route.latency_objective * LEFT_AFTER_AIMS).max(pause);
         self.latest.min(self.silent_since + silence)
     }
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -113,7 +113,7 @@
             work_us: work.as_micros() as u32,
             aim_in_ms: 0,
             useful_ms: 0,
-            pause_ms: job.route.pause_aim.unwrap_or_default().as_millis() as u32,
+            pause_ms: job.route.gap_objective.unwrap_or_default().as_millis() as u32,
         };
         Some(Self { shared, agent, ask, waiting, given: false })
     }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -160,7 +160,7 @@
 
     async fn step(&mut self) -> Step {
         let end = self.job.latest + GRACE;
-        let silence = match self.job.route.pause_aim {
+        let silence = match self.job.route.gap_objective {
             Some(pause) => pause * SILENT_PAUSES,
             None => DEFAULT_SILENCE,
         };
