--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -64,7 +64,7 @@
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Most targets that one attempt of a caller may be sent to.
-    pub most_targets: u32,
+    pub max_targets: u32,
     /// Services, each with its share of the requests.
     pub services: Vec<(names::ServiceId, u32)>,
 }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -241,7 +241,7 @@
 
 /// Whether another target may get the request; takes it from the budget.
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
-    (job.tried.len() as u32) < job.route.most_targets
+    (job.tried.len() as u32) < job.route.max_targets
         && job.offers < MOST_OFFERS
         && shared.spend_repeat(&job.service)
 }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -228,7 +228,7 @@
     /// Whether another target could take a request now that is at `key`.
     pub fn has_alternative(&self, now: Instant, job: &job::Job, key: targets::TargetKey) -> bool {
         debug_assert!(job.tried.contains(&key));
-        (job.tried.len() as u32) < job.route.most_targets
+        (job.tried.len() as u32) < job.route.max_targets
             && matches!(self.choose(now, job), choose::Choice::Send(_))
     }
 
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -517,7 +517,7 @@
         prefix: prefix.into(),
         timeout: Duration::from_secs(10),
         latency_objective: Duration::from_millis(300),
-        most_targets: 2,
+        max_targets: 2,
         services: vec![(service.into(), 1)],
         ..Default::default()
     }
