--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -41,7 +41,7 @@
     adapted: Fading,
     prompt_tokens: Fading,
     prefill_s_per_token: f64,
-    aim: Duration,
+    latency_objective: Duration,
 }
 
 /// What one request weighs.
@@ -53,7 +53,7 @@
     /// It wants an adapter.
     pub uses_adapter: bool,
     /// Time to its first event.
-    pub aim: Duration,
+    pub latency_objective: Duration,
 }
 
 /// How much one model is asked for.
@@ -69,14 +69,14 @@
     /// Time that an engine takes to read one prompt token, in seconds.
     pub prefill_s_per_token: f64,
     /// Time to the first event within which most of the requests are of full use.
-    pub aim: Duration,
+    pub latency_objective: Duration,
 }
 
 impl ModelDemand {
     /// Both together, as from two routers.
     #[must_use]
     pub fn combine(self, other: Self) -> Self {
-        let aim = if self.requests_per_s >= other.requests_per_s { self.aim } else { other.aim };
+        let latency_objective = if self.requests_per_s >= other.requests_per_s { self.latency_objective } else { other.latency_objective };
         let known = [self.prefill_s_per_token, other.prefill_s_per_token];
         let known = known.into_iter().filter(|time| *time > 0.0);
         Self {
@@ -84,7 +84,7 @@
             requests_per_s: self.requests_per_s + other.requests_per_s,
             adapter_requests_per_s: self.adapter_requests_per_s + other.adapter_requests_per_s,
             prompt_tokens_per_s: self.prompt_tokens_per_s + other.prompt_tokens_per_s,
-            aim,
+            latency_objective,
         }
     }
 }
@@ -98,7 +98,7 @@
 impl Demand {
     /// A request for a model has come.
     pub fn add(&mut self, now: Instant, model: &names::ModelId, weight: RequestCost) {
-        let RequestCost { prompt_tokens, uses_adapter, aim } = weight;
+        let RequestCost { prompt_tokens, uses_adapter, latency_objective } = weight;
         let none = Fading::new(now);
         let fresh = Rate {
             quick: none,
@@ -106,7 +106,7 @@
             adapted: none,
             prompt_tokens: none,
             prefill_s_per_token: 0.0,
-            aim,
+            latency_objective,
         };
         let rate = match self.rates.get_mut(model) {
             Some(rate) => rate,
@@ -118,7 +118,7 @@
         if uses_adapter {
             rate.adapted.add(now, QUICK, 1.0);
         }
-        rate.aim = rate.aim.mul_f64(1.0 - AIM_STEP) + aim.mul_f64(AIM_STEP);
+        rate.latency_objective = rate.latency_objective.mul_f64(1.0 - AIM_STEP) + latency_objective.mul_f64(AIM_STEP);
     }
 
     /// A request's first event came this long after it was sent to an engine that had room.
@@ -159,7 +159,7 @@
             adapter_requests_per_s: self.adapted.value(now, QUICK),
             prompt_tokens_per_s: self.prompt_tokens.value(now, QUICK),
             prefill_s_per_token: self.prefill_s_per_token,
-            aim: self.aim,
+            latency_objective: self.latency_objective,
         }
     }
 }
--- a/crates/corianderstand_fleet/src/worth.rs
+++ b/crates/corianderstand_fleet/src/worth.rs
@@ -54,7 +54,7 @@
 /// What one request loses when the model is on no engine: little if it is loaded within the aim.
 pub fn miss(model: &ModelView) -> f64 {
     let ready = model.spec.load_from_disk + DECISION;
-    if ready < model.asked.aim { PATIENT_MISS } else { URGENT_MISS }
+    if ready < model.asked.latency_objective { PATIENT_MISS } else { URGENT_MISS }
 }
 
 /// A model's load, in engines that spend all of their time on its prompts.
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -187,7 +187,7 @@
             if self.rng.random::<f64>() >= asked.per_s * step {
                 continue;
             }
-            let weight = demand::RequestCost { prompt_tokens: 600, uses_adapter: false, aim: asked.aim };
+            let weight = demand::RequestCost { prompt_tokens: 600, uses_adapter: false, latency_objective: asked.aim };
             self.demand.add(self.now, name, weight);
             self.tallies.entry(name.clone()).or_default().asked += 1;
             let request = Request { model: name.clone(), came: self.now, aim: asked.aim };
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -144,7 +144,7 @@
     let asked = demand::ModelDemand {
         requests_per_s: 150.0,
         prompt_tokens_per_s: 200_000.0,
-        aim: Duration::from_millis(300),
+        latency_objective: Duration::from_millis(300),
         ..Default::default()
     };
     let idle: Vec<ModelId> = (0..12).map(|index| format!("idle-{index}").as_str().into()).collect();
@@ -312,7 +312,7 @@
         requests_per_s: 70.0,
         prompt_tokens_per_s: 70.0 * 1_100.0,
         prefill_s_per_token: 40e-6,
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         ..Default::default()
     };
     let spec = config::Model { load: Duration::from_millis(13_200), ..common::spec(&busy) };
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -40,7 +40,7 @@
     let asked = demand::ModelDemand {
         requests_per_s: per_s,
         prompt_tokens_per_s: per_s * 500.0,
-        aim: Duration::from_millis(if index < 32 { 300 } else { 3_000 }),
+        latency_objective: Duration::from_millis(if index < 32 { 300 } else { 3_000 }),
         ..Default::default()
     };
     (spec.name.clone(), snapshot::ModelView { spec, asked, waiting })
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -313,7 +313,7 @@
         adapted_per_1000_s: (asked.adapter_requests_per_s * 1_000.0) as u32,
         prompt_tokens_per_s: asked.prompt_tokens_per_s as u32,
         read_ns_per_token: (asked.prefill_s_per_token * 1e9) as u32,
-        aim_ms: asked.aim.as_millis() as u32,
+        aim_ms: asked.latency_objective.as_millis() as u32,
         waiting,
     });
     let running = view.targets.iter().flat_map(|(_, target)| {
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -176,7 +176,7 @@
                 adapter_requests_per_s: f64::from(said.adapted_per_1000_s) / 1_000.0,
                 prompt_tokens_per_s: f64::from(said.prompt_tokens_per_s),
                 prefill_s_per_token: f64::from(said.read_ns_per_token) / 1e9,
-                aim: Duration::from_millis(u64::from(said.aim_ms)),
+                latency_objective: Duration::from_millis(u64::from(said.aim_ms)),
             });
             sum.1 += said.waiting;
         }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -163,7 +163,7 @@
             let weight = demand::RequestCost {
                 prompt_tokens: job.call.prompt_tokens,
                 uses_adapter: wanted.adapter.is_some(),
-                aim: job.route.latency_objective,
+                latency_objective: job.route.latency_objective,
             };
             view.demand.add(now, &wanted.model, weight);
         }
