--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -31,7 +31,7 @@
 /// How often a request may run.
 #[derives(key)]
 #[derive(Default)]
-pub enum Repeats {
+pub enum RetryPolicy {
     /// Any number of times.
     Allowed,
     /// Once at most for each attempt of a caller.
@@ -50,7 +50,7 @@
     /// Start of their path; begins and ends with a slash.
     pub prefix: SmolStr,
     /// Whether a request whose fate is unknown may be sent again.
-    pub repeats: Repeats,
+    pub retry_policy: RetryPolicy,
     /// The answer is a stream of events.
     pub streams: bool,
     /// A stream may be taken up at another target after the last event that arrived.
@@ -72,7 +72,7 @@
 impl Route {
     /// Whether a request that may have run can be sent to another target.
     pub fn may_repeat(&self) -> bool {
-        if self.streams { self.resumable } else { self.repeats == Repeats::Allowed }
+        if self.streams { self.resumable } else { self.retry_policy == RetryPolicy::Allowed }
     }
 
     /// Whether a request has an effect that must not come late or twice, such as a booking.
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -246,11 +246,11 @@
 }
 
 const fn kind(route: &config::Route) -> &'static str {
-    match (route.streams, route.repeats) {
+    match (route.streams, route.retry_policy) {
         (true, _) if route.resumable => "resumable stream",
         (true, _) => "stream",
-        (false, config::Repeats::Allowed) => "repeatable",
-        (false, config::Repeats::Never) => "once",
+        (false, config::RetryPolicy::Allowed) => "repeatable",
+        (false, config::RetryPolicy::Never) => "once",
     }
 }
 
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -5,7 +5,7 @@
 use common::{Got, MemoryStore, Running, Target};
 use corianderstand_fleet::{
     budget,
-    config::{self, Repeats, Route},
+    config::{self, RetryPolicy, Route},
     targets,
 };
 use corianderstand_schema::peers;
@@ -39,7 +39,7 @@
 }
 
 fn repeatable() -> Route {
-    Route { repeats: Repeats::Allowed, ..once() }
+    Route { retry_policy: RetryPolicy::Allowed, ..once() }
 }
 
 fn resumable() -> Route {
