--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -71,13 +71,13 @@
 
 impl Route {
     /// Whether a request that may have run can be sent to another target.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         if self.streams { self.resumable } else { self.retry_policy == RetryPolicy::Allowed }
     }
 
     /// Whether a request has an effect that must not come late or twice, such as a booking.
-    pub fn runs_once(&self) -> bool {
-        !self.streams && !self.may_repeat()
+    pub fn runs_at_most_once(&self) -> bool {
+        !self.streams && !self.may_retry()
     }
 
     /// The service for a request, by its hash: each service gets its share of the hashes.
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -183,7 +183,7 @@
         if now >= shared.latest(job) {
             return Head::TimeOver;
         }
-        if job.route.may_repeat() && shared.has_alternative(now, job, key) {
+        if job.route.may_retry() && shared.has_alternative(now, job, key) {
             return Head::Silent;
         }
         look = (now + silence).min(shared.latest(job));
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -86,7 +86,7 @@
         }
         Ok(Err(_)) | Err(_) => return Err(Broken::ByCaller),
     };
-    if route.runs_once() && shared.pauses.is_doubtful(shared.clock.since_boot(), connection) {
+    if route.runs_at_most_once() && shared.pauses.is_doubtful(shared.clock.since_boot(), connection) {
         // It may have lain in the socket while this process stood still, and its caller may have
         // given up and have booked elsewhere. Who still waits asks again.
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
@@ -228,7 +228,7 @@
                 shared.log.attempt_failed(&job, why, None, shared.clock.now());
                 job.last_trouble = why;
                 job.may_have_run = true;
-                if !(job.route.may_repeat() && may_try_another(&shared, &job)) {
+                if !(job.route.may_retry() && may_try_another(&shared, &job)) {
                     return fail(&shared, &job, StatusCode::BAD_GATEWAY, why);
                 }
             }
@@ -271,7 +271,7 @@
     drop(flight);
     if head.status.is_server_error() {
         shared.target_failed(key, "error of the target");
-        if job.route.may_repeat() && may_try_another(shared, &job) {
+        if job.route.may_retry() && may_try_another(shared, &job) {
             return Err(Box::new(job));
         }
     } else {
@@ -293,7 +293,7 @@
     shared.log.attempt_failed(&job, why, None, shared.clock.now());
     job.last_trouble = why;
     job.may_have_run = true;
-    if job.route.may_repeat() && may_try_another(shared, &job) {
+    if job.route.may_retry() && may_try_another(shared, &job) {
         return Err(Box::new(job));
     }
     Ok(fail(shared, &job, StatusCode::BAD_GATEWAY, why))
