--- a/crates/corianderstand_fleet/src/census.rs
+++ b/crates/corianderstand_fleet/src/census.rs
@@ -20,7 +20,7 @@
     /// Requests in one batch of the smallest engine.
     pub slots: u32,
     /// Adapter places of the engine with the fewest.
-    pub adapter_places: usize,
+    pub adapter_slots: usize,
     /// Engines that take orders.
     pub orderable: usize,
     /// Engines that load from the weight store, or are planned to.
@@ -58,7 +58,7 @@
         }
         Self {
             slots: engines.iter().map(|engine| engine.slots).min().unwrap_or(1).max(1),
-            adapter_places: engines.iter().map(|e| e.adapter_places).min().unwrap_or(1).max(1),
+            adapter_slots: engines.iter().map(|e| e.adapter_slots).min().unwrap_or(1).max(1),
             orderable: engines.iter().filter(|engine| engine.orderable).count(),
             store_loads: store_loads(engines, models, wants),
             running,
--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -119,7 +119,7 @@
     /// Memory for weights, in MB.
     pub weights_mb: u64,
     /// Adapters that fit beside the models.
-    pub adapter_places: usize,
+    pub adapter_slots: usize,
     /// Loads a second that the weight store allows over all engines.
     pub loads_per_s: f64,
     /// What may be loaded.
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -47,7 +47,7 @@
     /// Memory for weights and adapters, in MB.
     pub weights_mb: u64,
     /// Adapters at once.
-    pub adapter_places: usize,
+    pub adapter_slots: usize,
 }
 
 /// An adapter that routers asked for.
@@ -95,7 +95,7 @@
     let size = parts.iter().find(|part| part.model == missing.model)?.adapter_mb;
     let held: usize = holdings.resident.iter().map(|resident| resident.adapters.len()).sum();
     let fits_memory = used_mb(parts, holdings)? + size * (coming as u64 + 1) <= room.weights_mb;
-    if held + coming < room.adapter_places && fits_memory {
+    if held + coming < room.adapter_slots && fits_memory {
         return Some(Command::LoadAdapter(missing.model.clone(), missing.adapter.clone()));
     }
     let asked_at = |model: &names::ModelId, adapter: &names::AdapterId| {
--- a/crates/corianderstand_fleet/src/snapshot.rs
+++ b/crates/corianderstand_fleet/src/snapshot.rs
@@ -17,7 +17,7 @@
     /// Requests in one batch.
     pub slots: u32,
     /// Adapters that fit at once.
-    pub adapter_places: usize,
+    pub adapter_slots: usize,
     /// What it holds.
     pub holdings: targets::Holdings,
     /// The order that it is carrying out.
--- a/crates/corianderstand_fleet/src/worth.rs
+++ b/crates/corianderstand_fleet/src/worth.rs
@@ -61,7 +61,7 @@
 pub fn load(census: &census::Census, model: &ModelView) -> f64 {
     let running = census.running(&model.spec.name);
     let batches = f64::from(running + model.waiting) / (f64::from(census.slots) * TARGET_SHARE);
-    let places = census.adapter_places as f64 * ADAPTER_SHARE;
+    let places = census.adapter_slots as f64 * ADAPTER_SHARE;
     let adapters = model.asked.adapter_requests_per_s * ADAPTER_TIME_S / places;
     reading(model).max(batches.max(adapters) * FULL)
 }
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -225,7 +225,7 @@
         let models = self.model_views();
         let views = self.engine_views();
         let wants = self.planner.plan(self.now, &views, &models).clone();
-        let room = reconcile::Capacity { weights_mb: ENGINE_MB, adapter_places: 8 };
+        let room = reconcile::Capacity { weights_mb: ENGINE_MB, adapter_slots: 8 };
         for engine in self.engines.iter_mut().filter(|engine| engine.up && engine.order.is_none()) {
             let wanted = wants.get(&engine.key).cloned().unwrap_or_default();
             let held = engine.holdings.resident.iter().map(|resident| resident.model.clone());
@@ -293,7 +293,7 @@
                 orderable: true,
                 weights_mb: ENGINE_MB,
                 slots: 64,
-                adapter_places: 8,
+                adapter_slots: 8,
                 holdings: engine.holdings.clone(),
                 ongoing,
                 running,
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -421,7 +421,7 @@
     parts.collect()
 }
 
-const ROOM: reconcile::Capacity = reconcile::Capacity { weights_mb: 150, adapter_places: 2 };
+const ROOM: reconcile::Capacity = reconcile::Capacity { weights_mb: 150, adapter_slots: 2 };
 
 #[test]
 fn what_is_not_wanted_goes_before_what_is_wanted_comes() {
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -58,7 +58,7 @@
                 orderable: true,
                 weights_mb: FIT as u64 * MODEL_MB + MODEL_MB / 7,
                 slots: 12,
-                adapter_places: 8,
+                adapter_slots: 8,
                 holdings: targets::Holdings { on_disk, ..Default::default() },
                 ongoing: None,
                 running: BTreeMap::new(),
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -343,7 +343,7 @@
         }
         let room = reconcile::Capacity {
             weights_mb: plan.weights_mb,
-            adapter_places: plan.adapter_places as usize,
+            adapter_slots: plan.adapter_places as usize,
         };
         let parts = account::parts(plan);
         let coming = report.adapters_coming;
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -95,7 +95,7 @@
             orderable: target.has_agent(now),
             weights_mb: spec.weights_mb,
             slots: target.entry.slots,
-            adapter_places: spec.adapter_places,
+            adapter_slots: spec.adapter_slots,
             holdings: target.entry.holdings.clone(),
             ongoing: target.ongoing.clone(),
             running,
@@ -166,7 +166,7 @@
         target: target.entry.id.clone(),
         health_path: service.health_path.clone(),
         weights_mb: spec.weights_mb,
-        adapter_places: spec.adapter_places as u32,
+        adapter_places: spec.adapter_slots as u32,
         parts,
         routers: routers.map(|addr| addr.to_string().into()).collect(),
     };
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -216,7 +216,7 @@
             wanted: job.call.wanted.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
-            adapter_places: engine.map_or(0, |engine| engine.adapter_places),
+            adapter_places: engine.map_or(0, |engine| engine.adapter_slots),
             zone: &self.settings.zone,
             tried: &job.tried,
             hash: job.hash,
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -98,7 +98,7 @@
                 orderable: true,
                 weights_mb: 0,
                 slots: 0,
-                adapter_places: 0,
+                adapter_slots: 0,
                 holdings: target.entry.holdings.clone(),
                 ongoing: None,
                 running: BTreeMap::new(),
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -307,7 +307,7 @@
     let mut config = common::config(1, vec![resumable()]);
     let model = config::Model { name: "m".into(), adapters: 4, ..Default::default() };
     let engine =
-        config::Engine { slots: 8, adapter_places: 4, models: vec![model], ..Default::default() };
+        config::Engine { slots: 8, adapter_slots: 4, models: vec![model], ..Default::default() };
     config.services = vec![config::Service {
         name: "desk".into(),
         connections: 9,
