--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -97,7 +97,7 @@
 
 impl Demand {
     /// A request for a model has come.
-    pub fn add(&mut self, now: Instant, model: &names::ModelId, weight: RequestCost) {
+    pub fn record_request(&mut self, now: Instant, model: &names::ModelId, weight: RequestCost) {
         let RequestCost { prompt_tokens, uses_adapter, latency_objective } = weight;
         let none = Fading::new(now);
         let fresh = Rate {
@@ -125,7 +125,7 @@
     ///
     /// What shortens the time says more than what lengthens it: a request that met others waited
     /// for their prompts as well.
-    pub fn note_first(&mut self, model: &names::ModelId, prompt_tokens: u64, took: Duration) {
+    pub fn record_first_event(&mut self, model: &names::ModelId, prompt_tokens: u64, took: Duration) {
         let Some(rate) = self.rates.get_mut(model) else { return };
         if prompt_tokens < LEAST_PROMPT {
             return;
@@ -141,12 +141,12 @@
     }
 
     /// How much a model is asked for.
-    pub fn asked(&self, now: Instant, model: &names::ModelId) -> ModelDemand {
+    pub fn model_demand(&self, now: Instant, model: &names::ModelId) -> ModelDemand {
         self.rates.get(model).map_or_else(ModelDemand::default, |rate| rate.asked(now))
     }
 
     /// All models that are asked for.
-    pub fn all(&mut self, now: Instant) -> Vec<(names::ModelId, ModelDemand)> {
+    pub fn active_models(&mut self, now: Instant) -> Vec<(names::ModelId, ModelDemand)> {
         self.rates.retain(|_, rate| rate.asked(now).requests_per_s >= NEGLIGIBLE);
         self.rates.iter().map(|(model, rate)| (model.clone(), rate.asked(now))).collect()
     }
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -188,7 +188,7 @@
                 continue;
             }
             let weight = demand::RequestCost { prompt_tokens: 600, uses_adapter: false, latency_objective: asked.aim };
-            self.demand.add(self.now, name, weight);
+            self.demand.record_request(self.now, name, weight);
             self.tallies.entry(name.clone()).or_default().asked += 1;
             let request = Request { model: name.clone(), came: self.now, aim: asked.aim };
             self.waiting.push_back(request);
@@ -263,7 +263,7 @@
     fn model_views(&self) -> BTreeMap<ModelId, snapshot::ModelView> {
         let views = self.models.keys().map(|name| {
             let waiting = self.waiting.iter().filter(|request| request.model == *name).count();
-            let asked = self.demand.asked(self.now, name);
+            let asked = self.demand.model_demand(self.now, name);
             (name.clone(), snapshot::ModelView { spec: spec(name), asked, waiting: waiting as u32 })
         });
         views.collect()
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -89,7 +89,7 @@
     ) -> Option<Duration> {
         let unread = self.unread(view, key);
         let model = self.model().filter(|_| unread > 0)?;
-        let known = view.demand.asked(now, model).prefill_s_per_token;
+        let known = view.demand.model_demand(now, model).prefill_s_per_token;
         let each = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
         Some(Duration::from_secs_f64(unread as f64 * each))
     }
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -114,7 +114,7 @@
     let models = spec.models.iter().map(|model| {
         let (asked, waiting) = others.get(&model.name).copied().unwrap_or_default();
         let own = view.waiting.get(&model.name).copied().unwrap_or(0);
-        let asked = asked.combine(view.demand.asked(now, &model.name));
+        let asked = asked.combine(view.demand.model_demand(now, &model.name));
         (
             model.name.clone(),
             snapshot::ModelView { spec: model.clone(), asked, waiting: waiting + own },
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -165,7 +165,7 @@
                 uses_adapter: wanted.adapter.is_some(),
                 latency_objective: job.route.latency_objective,
             };
-            view.demand.add(now, &wanted.model, weight);
+            view.demand.record_request(now, &wanted.model, weight);
         }
         let allowance = self.bounds.borrow().allowance;
         view.budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
@@ -310,7 +310,7 @@
     pub fn note_first(&self, job: &job::Job, now: Instant) {
         let (Some(model), Some(sent)) = (job.model(), job.sent) else { return };
         let took = now.saturating_duration_since(sent);
-        self.view.borrow_mut().demand.note_first(model, job.unread_tokens, took);
+        self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, took);
     }
 
     /// A target told its load.
