--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -208,7 +208,7 @@
             free || wish.gain * later(place) > place.loss + MARGIN
         });
         // While it is on its way, its requests wait or are refused.
-        let rate = f64::from(wish.model.waiting) + wish.model.asked.requests_per_s.max(worth::PRIOR_PER_S);
+        let rate = f64::from(wish.model.waiting) + wish.model.demand.requests_per_s.max(worth::PRIOR_PER_S);
         let cost = |place: &Place| rate * place.ready_in.as_secs_f64() + place.loss;
         let best = places.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
         (!best.later).then_some(best)
@@ -304,7 +304,7 @@
         let others: f64 = wants.map(|view| share(view, census.replicas(&view.spec.name))).sum();
         let replicas = census.replicas(&model.spec.name) + 1;
         let own = share(model, replicas);
-        let requests = model.asked.requests_per_s / replicas as f64 * worth::HORIZON_S;
+        let requests = model.demand.requests_per_s / replicas as f64 * worth::HORIZON_S;
         requests * (worth::lost(others + own) - worth::lost(own))
     }
 
--- a/crates/corianderstand_fleet/src/snapshot.rs
+++ b/crates/corianderstand_fleet/src/snapshot.rs
@@ -32,7 +32,7 @@
     /// What is configured of it.
     pub spec: config::Model,
     /// How much all routers are asked for it.
-    pub asked: demand::ModelDemand,
+    pub demand: demand::ModelDemand,
     /// Requests that wait for it.
     pub waiting: u32,
 }
--- a/crates/corianderstand_fleet/src/worth.rs
+++ b/crates/corianderstand_fleet/src/worth.rs
@@ -48,13 +48,13 @@
 
 /// Requests within [`HORIZON_S`].
 pub fn requests(model: &ModelView) -> f64 {
-    model.asked.requests_per_s.max(PRIOR_PER_S) * HORIZON_S
+    model.demand.requests_per_s.max(PRIOR_PER_S) * HORIZON_S
 }
 
 /// What one request loses when the model is on no engine: little if it is loaded within the aim.
 pub fn miss(model: &ModelView) -> f64 {
     let ready = model.spec.load_from_disk + DECISION;
-    if ready < model.asked.latency_objective { PATIENT_MISS } else { URGENT_MISS }
+    if ready < model.demand.latency_objective { PATIENT_MISS } else { URGENT_MISS }
 }
 
 /// A model's load, in engines that spend all of their time on its prompts.
@@ -62,15 +62,15 @@
     let running = census.running(&model.spec.name);
     let batches = f64::from(running + model.waiting) / (f64::from(census.slots) * TARGET_SHARE);
     let places = census.adapter_slots as f64 * ADAPTER_SHARE;
-    let adapters = model.asked.adapter_requests_per_s * ADAPTER_TIME_S / places;
+    let adapters = model.demand.adapter_requests_per_s * ADAPTER_TIME_S / places;
     reading(model).max(batches.max(adapters) * FULL)
 }
 
 /// Engines that reading the model's prompts keeps busy.
 pub fn reading(model: &ModelView) -> f64 {
-    let known = model.asked.prefill_s_per_token;
+    let known = model.demand.prefill_s_per_token;
     let read_s = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
-    model.asked.prompt_tokens_per_s * read_s
+    model.demand.prompt_tokens_per_s * read_s
 }
 
 /// What a request loses on an engine at a load: its stream pauses for too long, or, beyond what the
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -264,7 +264,7 @@
         let views = self.models.keys().map(|name| {
             let waiting = self.waiting.iter().filter(|request| request.model == *name).count();
             let asked = self.demand.model_demand(self.now, name);
-            (name.clone(), snapshot::ModelView { spec: spec(name), asked, waiting: waiting as u32 })
+            (name.clone(), snapshot::ModelView { spec: spec(name), demand: asked, waiting: waiting as u32 })
         });
         views.collect()
     }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -141,22 +141,22 @@
     let mut now = Instant::now();
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let keys: Vec<_> = (0..12).map(|_| keys.insert(())).collect();
-    let asked = demand::ModelDemand {
+    let demand = demand::ModelDemand {
         requests_per_s: 150.0,
         prompt_tokens_per_s: 200_000.0,
         latency_objective: Duration::from_millis(300),
         ..Default::default()
     };
     let idle: Vec<ModelId> = (0..12).map(|index| format!("idle-{index}").as_str().into()).collect();
-    let view = |model: &ModelId, asked| snapshot::ModelView {
+    let view = |model: &ModelId, demand| snapshot::ModelView {
         spec: common::spec(model),
-        asked,
+        demand,
         waiting: 0,
     };
     let busy = ModelId::from("busy");
     let mut models: BTreeMap<_, _> =
         idle.iter().map(|model| (model.clone(), view(model, demand::ModelDemand::default()))).collect();
-    models.insert(busy.clone(), view(&busy, asked));
+    models.insert(busy.clone(), view(&busy, demand));
     let mut held: Vec<Vec<ModelId>> = idle.iter().map(|model| vec![model.clone()]).collect();
     held[0] = vec![busy.clone()];
     let mut planner = plan::Planner::default();
@@ -245,8 +245,8 @@
         };
         let models = [&first, &next].map(|model| {
             let waiting = if model == waiting { 5 } else { 0 };
-            let asked = demand::ModelDemand::default();
-            (model.clone(), snapshot::ModelView { spec: common::spec(model), asked, waiting })
+            let demand = demand::ModelDemand::default();
+            (model.clone(), snapshot::ModelView { spec: common::spec(model), demand, waiting })
         });
         let now = start + Duration::from_millis(after_ms);
         planner.plan(now, &[engine], &models.into())[&key].clone()
@@ -277,8 +277,8 @@
         running: BTreeMap::new(),
     };
     let models = [(&stored, 2), (&on_disk, 1)].map(|(model, waiting)| {
-        let asked = demand::ModelDemand::default();
-        (model.clone(), snapshot::ModelView { spec: common::spec(model), asked, waiting })
+        let demand = demand::ModelDemand::default();
+        (model.clone(), snapshot::ModelView { spec: common::spec(model), demand, waiting })
     });
     let mut planner = plan::Planner::default();
     let wants = planner.plan(Instant::now(), &[engine], &models.into());
@@ -308,7 +308,7 @@
         }
     });
     let engines: Vec<_> = engines.collect();
-    let asked = demand::ModelDemand {
+    let demand = demand::ModelDemand {
         requests_per_s: 70.0,
         prompt_tokens_per_s: 70.0 * 1_100.0,
         prefill_s_per_token: 40e-6,
@@ -316,7 +316,7 @@
         ..Default::default()
     };
     let spec = config::Model { load: Duration::from_millis(13_200), ..common::spec(&busy) };
-    let models = BTreeMap::from([(busy.clone(), snapshot::ModelView { spec, asked, waiting: 0 })]);
+    let models = BTreeMap::from([(busy.clone(), snapshot::ModelView { spec, demand, waiting: 0 })]);
     let mut planner = plan::Planner::default();
     let wants = planner.plan(Instant::now(), &engines, &models);
     let replicas = wants.values().filter(|wants| wants.contains(&busy)).count();
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -37,13 +37,13 @@
         load_from_memory: Duration::from_millis(400),
         ..Default::default()
     };
-    let asked = demand::ModelDemand {
+    let demand = demand::ModelDemand {
         requests_per_s: per_s,
         prompt_tokens_per_s: per_s * 500.0,
         latency_objective: Duration::from_millis(if index < 32 { 300 } else { 3_000 }),
         ..Default::default()
     };
-    (spec.name.clone(), snapshot::ModelView { spec, asked, waiting })
+    (spec.name.clone(), snapshot::ModelView { spec, demand, waiting })
 }
 
 impl Fleet {
@@ -98,7 +98,7 @@
     }
     let held: BTreeSet<_> = fleet.engines.iter().flat_map(resident).cloned().collect();
     for (name, model) in &mut fleet.models {
-        model.asked = demand::ModelDemand::default();
+        model.demand = demand::ModelDemand::default();
         model.waiting = u32::from(!held.contains(name));
     }
     let keeps = |wants: &HashMap<targets::TargetKey, Vec<ModelId>>| {
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -117,7 +117,7 @@
         let asked = asked.combine(view.demand.model_demand(now, &model.name));
         (
             model.name.clone(),
-            snapshot::ModelView { spec: model.clone(), asked, waiting: waiting + own },
+            snapshot::ModelView { spec: model.clone(), demand: asked, waiting: waiting + own },
         )
     });
     models.collect()
