--- a/crates/corianderstand_fleet/src/census.rs
+++ b/crates/corianderstand_fleet/src/census.rs
@@ -45,7 +45,7 @@
                 *running.entry(model).or_default() += count;
             }
             let held = engine.holdings.in_memory.iter().chain(&engine.holdings.on_disk);
-            for model in held.filter(|_| engine.orderable) {
+            for model in held.filter(|_| engine.accepts_commands) {
                 let there = copies.entry(model).or_default();
                 if there.last() != Some(&index) {
                     there.push(index);
@@ -59,7 +59,7 @@
         Self {
             slots: engines.iter().map(|engine| engine.slots).min().unwrap_or(1).max(1),
             adapter_slots: engines.iter().map(|e| e.adapter_slots).min().unwrap_or(1).max(1),
-            orderable: engines.iter().filter(|engine| engine.orderable).count(),
+            orderable: engines.iter().filter(|engine| engine.accepts_commands).count(),
             store_loads: store_loads(engines, models, wants),
             running,
             copies,
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -173,7 +173,7 @@
         let name = &wish.model.spec.name;
         let on = |index: usize| {
             let engine = &engines[index];
-            let free = engine.orderable && !self.wants[&engine.key].contains(name);
+            let free = engine.accepts_commands && !self.wants[&engine.key].contains(name);
             free.then(|| self.place_on(now, engine, index, models, census, wish)).flatten()
         };
         // A copy on some engine's disk is there in a second, also if that engine has to end another
--- a/crates/corianderstand_fleet/src/snapshot.rs
+++ b/crates/corianderstand_fleet/src/snapshot.rs
@@ -11,7 +11,7 @@
     /// Its key.
     pub key: targets::TargetKey,
     /// Its agent is there to carry out orders; if not, it serves what it holds.
-    pub orderable: bool,
+    pub accepts_commands: bool,
     /// Memory for weights, in MB.
     pub weights_mb: u64,
     /// Requests in one batch.
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -290,7 +290,7 @@
             });
             snapshot::EngineView {
                 key: engine.key,
-                orderable: true,
+                accepts_commands: true,
                 weights_mb: ENGINE_MB,
                 slots: 64,
                 adapter_slots: 8,
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -169,7 +169,7 @@
             let on_disk = idle.iter().cloned().chain([busy.clone()]).collect();
             snapshot::EngineView {
                 key,
-                orderable: true,
+                accepts_commands: true,
                 weights_mb: 80_000,
                 slots: 64,
                 adapter_slots: 8,
@@ -231,7 +231,7 @@
             resident.map(|model| targets::Resident { model: model.clone(), adapters: Vec::new() });
         let engine = snapshot::EngineView {
             key,
-            orderable: true,
+            accepts_commands: true,
             weights_mb: 80_000,
             slots: 64,
             adapter_slots: 8,
@@ -268,7 +268,7 @@
     let (stored, on_disk) = (ModelId::from("stored"), ModelId::from("on-disk"));
     let engine = snapshot::EngineView {
         key,
-        orderable: true,
+        accepts_commands: true,
         weights_mb: 80_000,
         slots: 64,
         adapter_slots: 8,
@@ -298,7 +298,7 @@
         let resident = if index < 2 { vec![resident] } else { Vec::new() };
         snapshot::EngineView {
             key,
-            orderable: true,
+            accepts_commands: true,
             weights_mb: 80_000,
             slots: 64,
             adapter_slots: 8,
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -55,7 +55,7 @@
             let on_disk = (0..2 * FIT).map(|_| name(rng.random_range(0..MODELS))).collect();
             snapshot::EngineView {
                 key: keys.insert(()),
-                orderable: true,
+                accepts_commands: true,
                 weights_mb: FIT as u64 * MODEL_MB + MODEL_MB / 7,
                 slots: 12,
                 adapter_slots: 8,
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -92,7 +92,7 @@
         }
         snapshot::EngineView {
             key,
-            orderable: target.has_agent(now),
+            accepts_commands: target.has_agent(now),
             weights_mb: spec.weights_mb,
             slots: target.entry.slots,
             adapter_slots: spec.adapter_slots,
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -95,7 +95,7 @@
             }
             let view = snapshot::EngineView {
                 key,
-                orderable: true,
+                accepts_commands: true,
                 weights_mb: 0,
                 slots: 0,
                 adapter_slots: 0,
