--- a/crates/corianderstand_fleet/src/census.rs
+++ b/crates/corianderstand_fleet/src/census.rs
@@ -85,7 +85,7 @@
     /// Time in which a model that is on no engine can be back: from the quickest copy.
     pub fn back_in(&self, engines: &[EngineView], model: &config::Model) -> Duration {
         let there = self.with_copy(&model.name).iter();
-        let times = there.map(|&index| snapshot::source(&engines[index], model).0);
+        let times = there.map(|&index| snapshot::load_source(&engines[index], model).0);
         times.min().unwrap_or(model.load)
     }
 
@@ -111,7 +111,7 @@
         let wants = wants.get(&engine.key).into_iter().flatten();
         let mut missing = wants.filter(|name| engine.holdings.resident(name).is_none());
         missing
-            .any(|name| models.get(name).is_some_and(|view| snapshot::source(engine, &view.spec).1))
+            .any(|name| models.get(name).is_some_and(|view| snapshot::load_source(engine, &view.spec).1))
     };
     engines.iter().filter(coming).count() as u32
 }
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -230,7 +230,7 @@
         let wants = &self.wants[&engine.key];
         let missing = wants.iter().filter(|name| engine.holdings.resident(name).is_none());
         let missing = missing.filter_map(|name| models.get(name));
-        let loads: Duration = missing.map(|view| snapshot::source(engine, &view.spec).0).sum();
+        let loads: Duration = missing.map(|view| snapshot::load_source(engine, &view.spec).0).sum();
         match &engine.ongoing {
             Some(targets::Ongoing::Loading { ready_at, .. }) => {
                 ready_at.saturating_duration_since(now).max(worth::DECISION)
@@ -252,7 +252,7 @@
         let model = wish.model;
         let wants = &self.wants[&engine.key];
         let settled_in = self.settled_in(now, engine, models);
-        let (load, from_store) = snapshot::source(engine, &model.spec);
+        let (load, from_store) = snapshot::load_source(engine, &model.spec);
         let mut place = Place {
             engine: index,
             victims: Vec::new(),
--- a/crates/corianderstand_fleet/src/snapshot.rs
+++ b/crates/corianderstand_fleet/src/snapshot.rs
@@ -41,7 +41,7 @@
 pub type Models = BTreeMap<names::ModelId, ModelView>;
 
 /// How long an engine takes to load a model, and whether from the weight store.
-pub fn source(engine: &EngineView, model: &config::Model) -> (Duration, bool) {
+pub fn load_source(engine: &EngineView, model: &config::Model) -> (Duration, bool) {
     if engine.holdings.in_memory.contains(&model.name) {
         (model.load_from_memory, false)
     } else if engine.holdings.on_disk.contains(&model.name) {
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -103,7 +103,7 @@
                 ongoing: None,
                 running: BTreeMap::new(),
             };
-            let (time, _) = snapshot::source(&view, model);
+            let (time, _) = snapshot::load_source(&view, model);
             fastest = Some(fastest.map_or(time, |least| least.min(time)));
         }
         fastest.map_or(patience::Expected::Unknown, patience::Expected::Takes)
