--- a/crates/corianderstand_fleet/src/census.rs
+++ b/crates/corianderstand_fleet/src/census.rs
@@ -86,7 +86,7 @@
     pub fn back_in(&self, engines: &[EngineView], model: &config::Model) -> Duration {
         let there = self.with_copy(&model.name).iter();
         let times = there.map(|&index| snapshot::load_source(&engines[index], model).0);
-        times.min().unwrap_or(model.load)
+        times.min().unwrap_or(model.load_from_store)
     }
 
     /// An engine is to hold a model in place of others.
--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -146,7 +146,7 @@
     /// Number of its adapters.
     pub adapters: u32,
     /// Time to load it from the weight store.
-    pub load: Duration,
+    pub load_from_store: Duration,
     /// Time to load it from the engine's disk.
     pub load_from_disk: Duration,
     /// Time to load it from the engine's host memory.
--- a/crates/corianderstand_fleet/src/pace.rs
+++ b/crates/corianderstand_fleet/src/pace.rs
@@ -55,7 +55,7 @@
             let there = engines.iter().find(|engine| engine.key == key);
             let there = there.is_some_and(|e| e.holdings.resident(&load.model).is_some());
             if let (true, Some(model)) = (there, models.get(&load.model)) {
-                self.learn(now, &load, model.spec.load);
+                self.learn(now, &load, model.spec.load_from_store);
             }
         }
         for (key, model) in loading {
--- a/crates/corianderstand_fleet/src/snapshot.rs
+++ b/crates/corianderstand_fleet/src/snapshot.rs
@@ -47,6 +47,6 @@
     } else if engine.holdings.on_disk.contains(&model.name) {
         (model.load_from_disk, false)
     } else {
-        (model.load, true)
+        (model.load_from_store, true)
     }
 }
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -89,7 +89,7 @@
     config::Model {
         name: name.clone(),
         weights_mb: MODEL_MB,
-        load: Duration::from_secs(6),
+        load_from_store: Duration::from_secs(6),
         load_from_disk: Duration::from_millis(800),
         load_from_memory: Duration::from_millis(400),
         ..Default::default()
@@ -336,7 +336,7 @@
     } else if holdings.on_disk.contains(model) {
         spec.load_from_disk.as_secs_f64()
     } else {
-        spec.load.as_secs_f64()
+        spec.load_from_store.as_secs_f64()
     }
 }
 
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -315,7 +315,7 @@
         latency_objective: Duration::from_millis(500),
         ..Default::default()
     };
-    let spec = config::Model { load: Duration::from_millis(13_200), ..common::spec(&busy) };
+    let spec = config::Model { load_from_store: Duration::from_millis(13_200), ..common::spec(&busy) };
     let models = BTreeMap::from([(busy.clone(), snapshot::ModelView { spec, demand, waiting: 0 })]);
     let mut planner = plan::Planner::default();
     let wants = planner.plan(Instant::now(), &engines, &models);
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -32,7 +32,7 @@
     let spec = config::Model {
         name: name(index),
         weights_mb: MODEL_MB,
-        load: Duration::from_millis(13_200),
+        load_from_store: Duration::from_millis(13_200),
         load_from_disk: Duration::from_millis(1_200),
         load_from_memory: Duration::from_millis(400),
         ..Default::default()
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -139,7 +139,7 @@
             weights_mb: spec.weights_mb,
             adapter_mb: spec.adapter_mb,
             wanted: wants.contains(name),
-            load_ms: millis(spec.load),
+            load_ms: millis(spec.load_from_store),
             disk_ms: millis(spec.load_from_disk),
             memory_ms: millis(spec.load_from_memory),
         })
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -16,7 +16,7 @@
     let model = Model {
         name: "m".into(),
         weights_mb: 70,
-        load: Duration::from_millis(500),
+        load_from_store: Duration::from_millis(500),
         load_from_disk: Duration::from_millis(500),
         load_from_memory: Duration::from_millis(500),
         ..Default::default()
--- a/crates/corianderstand_forward/tests/stops.rs
+++ b/crates/corianderstand_forward/tests/stops.rs
@@ -14,7 +14,7 @@
     let mut config = common::config(1, vec![common::route("/ask/", "models")]);
     let model = Model {
         name: "m".into(),
-        load: Duration::from_millis(500),
+        load_from_store: Duration::from_millis(500),
         load_from_disk: Duration::from_millis(500),
         load_from_memory: Duration::from_millis(500),
         ..Default::default()
