--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -58,7 +58,7 @@
     /// The adapter.
     pub adapter: names::AdapterId,
     /// When it was last asked for.
-    pub at: Instant,
+    pub requested_at: Instant,
 }
 
 /// The next order for a model; none if all that is wanted is there, or sizes are not known.
@@ -100,14 +100,14 @@
     }
     let asked_at = |model: &names::ModelId, adapter: &names::AdapterId| {
         let ask = asked.iter().find(|ask| ask.model == *model && ask.adapter == *adapter);
-        ask.map(|ask| ask.at)
+        ask.map(|ask| ask.requested_at)
     };
     let pairs = holdings.resident.iter().flat_map(|resident| {
         resident.adapters.iter().map(move |adapter| (&resident.model, adapter))
     });
     let oldest = pairs.min_by_key(|(model, adapter)| asked_at(model, adapter))?;
     let stays = asked_at(oldest.0, oldest.1)
-        .is_some_and(|at| at >= missing.at || now.saturating_duration_since(at) < ADAPTER_STAY);
+        .is_some_and(|at| at >= missing.requested_at || now.saturating_duration_since(at) < ADAPTER_STAY);
     (!stays).then(|| Command::UnloadAdapter(oldest.0.clone(), oldest.1.clone()))
 }
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -448,7 +448,7 @@
     let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
-        at: now - Duration::from_millis(ago),
+        requested_at: now - Duration::from_millis(ago),
     };
     let held = Holdings {
         resident: vec![Resident { model: "m".into(), adapters: vec!["a".into(), "b".into()] }],
@@ -472,7 +472,7 @@
     let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
-        at: now - Duration::from_millis(ago),
+        requested_at: now - Duration::from_millis(ago),
     };
     let asked = [asked("b", 900), asked("a", 1_000), asked("c", 2_000)];
     let mut held = Holdings {
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -202,10 +202,10 @@
         state.askers.retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
         for ask in asked.adapters {
             state.asked.retain(|old| old.model != ask.model || old.adapter != ask.adapter);
-            let ask = reconcile::AdapterRequest { model: ask.model, adapter: ask.adapter, at: now };
+            let ask = reconcile::AdapterRequest { model: ask.model, adapter: ask.adapter, requested_at: now };
             state.asked.insert(0, ask);
         }
-        state.asked.retain(|ask| now.saturating_duration_since(ask.at) < ASKED_FOR);
+        state.asked.retain(|ask| now.saturating_duration_since(ask.requested_at) < ASKED_FOR);
         self.wake.notify_one();
     }
 
