--- a/crates/corianderstand_fleet/src/census.rs
+++ b/crates/corianderstand_fleet/src/counts.rs
@@ -16,7 +16,7 @@
 
 /// Counts over all engines.
 #[derive(Debug)]
-pub struct Census<'a> {
+pub struct FleetCounts<'a> {
     /// Requests in one batch of the smallest engine.
     pub slots: u32,
     /// Adapter places of the engine with the fewest.
@@ -31,7 +31,7 @@
     replicas: HashMap<names::ModelId, usize>,
 }
 
-impl<'a> Census<'a> {
+impl<'a> FleetCounts<'a> {
     /// Counts engines, and the replicas that `wants` gives to each model.
     pub fn new(
         engines: &'a [EngineView],
@@ -78,19 +78,19 @@
     }
 
     /// Engines that take orders and can load a model without the weight store.
-    pub fn with_copy(&self, model: &names::ModelId) -> &[usize] {
+    pub fn engines_with_cached_weights(&self, model: &names::ModelId) -> &[usize] {
         self.copies.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// Time in which a model that is on no engine can be back: from the quickest copy.
-    pub fn back_in(&self, engines: &[EngineView], model: &config::Model) -> Duration {
-        let there = self.with_copy(&model.name).iter();
+    pub fn fastest_load(&self, engines: &[EngineView], model: &config::Model) -> Duration {
+        let there = self.engines_with_cached_weights(&model.name).iter();
         let times = there.map(|&index| snapshot::load_source(&engines[index], model).0);
         times.min().unwrap_or(model.load_from_store)
     }
 
     /// An engine is to hold a model in place of others.
-    pub fn note_placed(&mut self, model: &names::ModelId, victims: &[names::ModelId], store: bool) {
+    pub fn record_placement(&mut self, model: &names::ModelId, victims: &[names::ModelId], store: bool) {
         *self.replicas.entry(model.clone()).or_default() += 1;
         for victim in victims {
             if let Some(count) = self.replicas.get_mut(victim) {
--- a/crates/corianderstand_fleet/src/lib.rs
+++ b/crates/corianderstand_fleet/src/lib.rs
@@ -21,7 +21,7 @@
 //! ```
 
 pub mod budget;
-pub mod census;
+pub mod counts;
 pub mod choose;
 pub mod config;
 pub mod demand;
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -11,7 +11,7 @@
 //! more than it says; only what stands in the way of something wanted is dropped. So a plan that is
 //! late, lost or made twice from different knowledge costs a load and breaks nothing.
 
-use crate::{census, fading, pace, snapshot, targets, worth};
+use crate::{counts, fading, pace, snapshot, targets, worth};
 use corianderstand_types::names;
 use std::{
     collections::HashMap,
@@ -103,23 +103,23 @@
     ) -> &HashMap<targets::TargetKey, Vec<names::ModelId>> {
         self.store.observe(now, engines, models);
         self.follow(now, engines, models);
-        let mut census = census::Census::new(engines, models, &self.wants);
+        let mut counts = counts::FleetCounts::new(engines, models, &self.wants);
         // Engines carry out one order at a time, so what counts is what an order gains for the time
         // that it takes: a model that is on a disk goes before one of like gain that takes an engine
         // six seconds. After a power cut engines had begun such loads for models that nobody asked
         // for, while the busy ones, on their disks, waited behind them.
         let rated = models.values().filter_map(|model| {
-            let wish = wish(&census, model)?;
-            let takes = census.back_in(engines, &model.spec) + worth::DECISION;
+            let wish = wish(&counts, model)?;
+            let takes = counts.fastest_load(engines, &model.spec) + worth::DECISION;
             Some((wish.gain / takes.as_secs_f64(), wish))
         });
         // Models come by name, and those that gain alike stay in this order.
         let mut wishes: Vec<(f64, Wish)> = rated.collect();
         wishes.sort_by(|(a, _), (b, _)| b.total_cmp(a));
         for (_, wish) in wishes {
-            if let Some(place) = self.place(now, engines, models, &census, &wish) {
+            if let Some(place) = self.place(now, engines, models, &counts, &wish) {
                 let model = &wish.model.spec.name;
-                census.note_placed(model, &place.victims, place.from_store);
+                counts.record_placement(model, &place.victims, place.from_store);
                 self.take(now, engines, &place, model);
                 if wish.cause == Cause::Absent {
                     let swaps = self.swaps.get_or_insert_with(|| fading::Fading::new(now));
@@ -167,21 +167,21 @@
         now: Instant,
         engines: &[snapshot::EngineView],
         models: &snapshot::Models,
-        census: &census::Census,
+        counts: &counts::FleetCounts,
         wish: &Wish,
     ) -> Option<Place> {
         let name = &wish.model.spec.name;
         let on = |index: usize| {
             let engine = &engines[index];
             let free = engine.accepts_commands && !self.wants[&engine.key].contains(name);
-            free.then(|| self.place_on(now, engine, index, models, census, wish)).flatten()
+            free.then(|| self.place_on(now, engine, index, models, counts, wish)).flatten()
         };
         // A copy on some engine's disk is there in a second, also if that engine has to end another
         // order first; the store takes six, and serves few at once.
         let mut places: Vec<Place> =
-            census.with_copy(name).iter().copied().filter_map(on).collect();
+            counts.engines_with_cached_weights(name).iter().copied().filter_map(on).collect();
         if places.is_empty() {
-            if census.store_loads >= self.store.at_once {
+            if counts.store_loads >= self.store.at_once {
                 return None;
             }
             places = (0..engines.len()).filter_map(on).collect();
@@ -191,7 +191,7 @@
             // than most replicas gain while models take turns for places. Not charged for them, a
             // replica makes engines load one busy model from the weight store at once, and rare
             // models are refused meanwhile.
-            let worth = self.worth_of_orders(now, census);
+            let worth = self.worth_of_orders(now, counts);
             for place in &mut places {
                 place.loss += worth * place.ready_in.as_secs_f64();
             }
@@ -215,9 +215,9 @@
     }
 
     /// What one engine's orders for absent models gain a second, in requests.
-    fn worth_of_orders(&self, now: Instant, census: &census::Census) -> f64 {
+    fn worth_of_orders(&self, now: Instant, counts: &counts::FleetCounts) -> f64 {
         let gained = self.swaps.map_or(0.0, |swaps| swaps.value(now, SWAPS));
-        gained / census.orderable.max(1) as f64
+        gained / counts.orderable.max(1) as f64
     }
 
     /// Time until the engine holds all that it should, and can be given another order.
@@ -246,7 +246,7 @@
         engine: &snapshot::EngineView,
         index: usize,
         models: &snapshot::Models,
-        census: &census::Census,
+        counts: &counts::FleetCounts,
         wish: &Wish,
     ) -> Option<Place> {
         let model = wish.model;
@@ -259,14 +259,14 @@
             later: !settled_in.is_zero(),
             ready_in: settled_in + load,
             from_store,
-            loss: self.crowding(engine, models, census, model),
+            loss: self.crowding(engine, models, counts, model),
         };
         let size = |name: &names::ModelId| models.get(name).map_or(0, |view| view.spec.weights_mb);
         let mut used: u64 = wants.iter().map(size).sum();
         let mut others: Vec<(f64, &names::ModelId)> = wants
             .iter()
             .filter(|name| self.may_go(now, engine.key, name))
-            .filter_map(|name| Some((loss(census, engine, models.get(name)?, wish.cause), name)))
+            .filter_map(|name| Some((loss(counts, engine, models.get(name)?, wish.cause), name)))
             .collect();
         others.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (loss, name) in others {
@@ -294,15 +294,15 @@
         &self,
         engine: &snapshot::EngineView,
         models: &snapshot::Models,
-        census: &census::Census,
+        counts: &counts::FleetCounts,
         model: &snapshot::ModelView,
     ) -> f64 {
         let share = |view: &snapshot::ModelView, replicas: usize| {
             worth::reading(view) / replicas.max(1) as f64
         };
         let wants = self.wants[&engine.key].iter().filter_map(|name| models.get(name));
-        let others: f64 = wants.map(|view| share(view, census.replicas(&view.spec.name))).sum();
-        let replicas = census.replicas(&model.spec.name) + 1;
+        let others: f64 = wants.map(|view| share(view, counts.replicas(&view.spec.name))).sum();
+        let replicas = counts.replicas(&model.spec.name) + 1;
         let own = share(model, replicas);
         let requests = model.demand.requests_per_s / replicas as f64 * worth::HORIZON_S;
         requests * (worth::lost(others + own) - worth::lost(own))
@@ -327,13 +327,13 @@
 }
 
 /// What one more replica of the model gains; none if it needs no more.
-fn wish<'a>(census: &census::Census, model: &'a snapshot::ModelView) -> Option<Wish<'a>> {
-    let replicas = census.replicas(&model.spec.name);
+fn wish<'a>(counts: &counts::FleetCounts, model: &'a snapshot::ModelView) -> Option<Wish<'a>> {
+    let replicas = counts.replicas(&model.spec.name);
     if replicas == 0 {
         let gain = f64::from(model.waiting) + worth::away(model);
         return Some(Wish { model, cause: Cause::Absent, gain });
     }
-    let load = worth::load(census, model);
+    let load = worth::load(counts, model);
     let share = |replicas: usize| worth::lost(load / replicas as f64);
     let gain = worth::requests(model) * (share(replicas) - share(replicas + 1));
     (gain > LEAST_GAIN).then_some(Wish { model, cause: Cause::Load, gain })
@@ -341,12 +341,12 @@
 
 /// What is lost within [`worth::HORIZON_S`], in requests, when the model leaves this engine.
 fn loss(
-    census: &census::Census,
+    counts: &counts::FleetCounts,
     engine: &snapshot::EngineView,
     model: &snapshot::ModelView,
     cause: Cause,
 ) -> f64 {
-    let others = census.replicas(&model.spec.name).saturating_sub(1);
+    let others = counts.replicas(&model.spec.name).saturating_sub(1);
     let running = engine.running.get(&model.spec.name).copied().unwrap_or(0);
     let running = f64::from(running.min(2)) * RUNNING;
     if others == 0 {
@@ -356,7 +356,7 @@
         };
         return f64::from(model.waiting) + gone + running;
     }
-    let load = worth::load(census, model);
+    let load = worth::load(counts, model);
     let more = worth::lost(load / others as f64) - worth::lost(load / (others + 1) as f64);
     worth::requests(model) * (more + SPARE / others as f64) + running
 }
--- a/crates/corianderstand_fleet/src/worth.rs
+++ b/crates/corianderstand_fleet/src/worth.rs
@@ -1,6 +1,6 @@
 //! What requests for a model gain and lose by where it is, in requests.
 
-use crate::{census, demand, snapshot::ModelView};
+use crate::{counts, demand, snapshot::ModelView};
 use std::time::Duration;
 
 /// Requests a second that a model without any counts as, so that models come to engines before
@@ -58,10 +58,10 @@
 }
 
 /// A model's load, in engines that spend all of their time on its prompts.
-pub fn load(census: &census::Census, model: &ModelView) -> f64 {
-    let running = census.running(&model.spec.name);
-    let batches = f64::from(running + model.waiting) / (f64::from(census.slots) * TARGET_SHARE);
-    let places = census.adapter_slots as f64 * ADAPTER_SHARE;
+pub fn load(counts: &counts::FleetCounts, model: &ModelView) -> f64 {
+    let running = counts.running(&model.spec.name);
+    let batches = f64::from(running + model.waiting) / (f64::from(counts.slots) * TARGET_SHARE);
+    let places = counts.adapter_slots as f64 * ADAPTER_SHARE;
     let adapters = model.demand.adapter_requests_per_s * ADAPTER_TIME_S / places;
     reading(model).max(batches.max(adapters) * FULL)
 }
