--- a/crates/corianderstand_fleet/src/fading.rs
+++ b/crates/corianderstand_fleet/src/decaying_rate.rs
@@ -4,12 +4,12 @@
 
 /// An average of events a second that fades.
 #[derive(Clone, Copy, Debug)]
-pub struct Fading {
+pub struct DecayingRate {
     per_s: f64,
     at: Instant,
 }
 
-impl Fading {
+impl DecayingRate {
     /// No events yet.
     pub const fn new(now: Instant) -> Self {
         Self { per_s: 0.0, at: now }
--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -6,7 +6,7 @@
 //! tokens of their prompts, which an engine reads at a limited rate, and how soon they want an
 //! answer.
 
-use crate::fading::Fading;
+use crate::decaying_rate::DecayingRate;
 use corianderstand_derives::derives;
 use corianderstand_types::names;
 use std::{
@@ -36,10 +36,10 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Rate {
-    quick: Fading,
-    slow: Fading,
-    adapted: Fading,
-    prompt_tokens: Fading,
+    quick: DecayingRate,
+    slow: DecayingRate,
+    adapted: DecayingRate,
+    prompt_tokens: DecayingRate,
     prefill_s_per_token: f64,
     latency_objective: Duration,
 }
@@ -99,7 +99,7 @@
     /// A request for a model has come.
     pub fn record_request(&mut self, now: Instant, model: &names::ModelId, weight: RequestCost) {
         let RequestCost { prompt_tokens, uses_adapter, latency_objective } = weight;
-        let none = Fading::new(now);
+        let none = DecayingRate::new(now);
         let fresh = Rate {
             quick: none,
             slow: none,
--- a/crates/corianderstand_fleet/src/lib.rs
+++ b/crates/corianderstand_fleet/src/lib.rs
@@ -25,7 +25,7 @@
 pub mod choose;
 pub mod config;
 pub mod demand;
-mod fading;
+mod decaying_rate;
 pub mod health;
 mod pace;
 pub mod patience;
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -11,7 +11,7 @@
 //! more than it says; only what stands in the way of something wanted is dropped. So a plan that is
 //! late, lost or made twice from different knowledge costs a load and breaks nothing.
 
-use crate::{counts, fading, pace, snapshot, targets, worth};
+use crate::{counts, decaying_rate, pace, snapshot, targets, worth};
 use corianderstand_types::names;
 use std::{
     collections::HashMap,
@@ -55,7 +55,7 @@
     /// Until then it learns what is asked for.
     learns_until: Option<Instant>,
     /// What placing absent models gained, in requests.
-    swaps: Option<fading::Fading>,
+    swaps: Option<decaying_rate::DecayingRate>,
 }
 
 /// Why a model should get one more place.
@@ -122,7 +122,7 @@
                 counts.record_placement(model, &place.victims, place.from_store);
                 self.take(now, engines, &place, model);
                 if wish.cause == Cause::Absent {
-                    let swaps = self.swaps.get_or_insert_with(|| fading::Fading::new(now));
+                    let swaps = self.swaps.get_or_insert_with(|| decaying_rate::DecayingRate::new(now));
                     swaps.add(now, SWAPS, wish.gain);
                 }
             }
