--- a/crates/corianderstand_fleet/src/lib.rs
+++ b/crates/corianderstand_fleet/src/lib.rs
@@ -27,7 +27,6 @@
 pub mod demand;
 mod decaying_rate;
 pub mod health;
-mod pace;
 pub mod patience;
 pub mod plan;
 pub mod prefill;
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -11,7 +11,7 @@
 //! more than it says; only what stands in the way of something wanted is dropped. So a plan that is
 //! late, lost or made twice from different knowledge costs a load and breaks nothing.
 
-use crate::{counts, decaying_rate, pace, snapshot, targets, worth};
+use crate::{counts, decaying_rate, snapshot, store_concurrency, targets, utility};
 use corianderstand_types::names;
 use std::{
     collections::HashMap,
@@ -51,7 +51,7 @@
 pub struct Planner {
     wants: HashMap<targets::TargetKey, Vec<names::ModelId>>,
     placed: HashMap<(targets::TargetKey, names::ModelId), Instant>,
-    store: pace::StorePace,
+    store: store_concurrency::StoreConcurrency,
     /// Until then it learns what is asked for.
     learns_until: Option<Instant>,
     /// What placing absent models gained, in requests.
@@ -181,7 +181,7 @@
         let mut places: Vec<Place> =
             counts.engines_with_cached_weights(name).iter().copied().filter_map(on).collect();
         if places.is_empty() {
-            if counts.store_loads >= self.store.at_once {
+            if counts.store_loads >= self.store.limit {
                 return None;
             }
             places = (0..engines.len()).filter_map(on).collect();
