--- a/crates/corianderstand_fleet/src/lib.rs
+++ b/crates/corianderstand_fleet/src/lib.rs
@@ -21,11 +21,11 @@
 //! ```
 
 pub mod budget;
-pub mod counts;
 pub mod choose;
 pub mod config;
-pub mod demand;
+pub mod counts;
 mod decaying_rate;
+pub mod demand;
 pub mod health;
 pub mod patience;
 pub mod plan;
@@ -33,6 +33,7 @@
 pub mod prefixes;
 pub mod routes;
 pub mod snapshot;
+mod store_concurrency;
 pub mod reconcile;
 pub mod targets;
-mod worth;
+mod utility;
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -19,7 +19,7 @@
 };
 
 /// A replica beyond those needed is worth this much, as a part of the model's requests: it is there
-/// when an engine crashes, which a few in a hundred do within [`worth::HORIZON_S`].
+/// when an engine crashes, which a few in a hundred do within [`utility::HORIZON_S`].
 const SPARE: f64 = 0.02;
 /// A model with requests at the engine is dropped only when they have ended; until then the engine
 /// takes no other order. Each of up to two counts as this many requests.
@@ -72,7 +72,7 @@
 struct Wish<'a> {
     model: &'a snapshot::ModelView,
     cause: Cause,
-    /// What that gains within [`worth::HORIZON_S`], in requests.
+    /// What that gains within [`utility::HORIZON_S`], in requests.
     gain: f64,
 }
 
@@ -110,7 +110,7 @@
         // for, while the busy ones, on their disks, waited behind them.
         let rated = models.values().filter_map(|model| {
             let wish = wish(&counts, model)?;
-            let takes = counts.fastest_load(engines, &model.spec) + worth::DECISION;
+            let takes = counts.fastest_load(engines, &model.spec) + utility::DECISION_LATENCY;
             Some((wish.gain / takes.as_secs_f64(), wish))
         });
         // Models come by name, and those that gain alike stay in this order.
@@ -208,7 +208,7 @@
             free || wish.gain * later(place) > place.loss + MARGIN
         });
         // While it is on its way, its requests wait or are refused.
-        let rate = f64::from(wish.model.waiting) + wish.model.demand.requests_per_s.max(worth::PRIOR_PER_S);
+        let rate = f64::from(wish.model.waiting) + wish.model.demand.requests_per_s.max(utility::MIN_REQUESTS_PER_S);
         let cost = |place: &Place| rate * place.ready_in.as_secs_f64() + place.loss;
         let best = places.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
         (!best.later).then_some(best)
@@ -233,7 +233,7 @@
         let loads: Duration = missing.map(|view| snapshot::load_source(engine, &view.spec).0).sum();
         match &engine.ongoing {
             Some(targets::Ongoing::Loading { ready_at, .. }) => {
-                ready_at.saturating_duration_since(now).max(worth::DECISION)
+                ready_at.saturating_duration_since(now).max(utility::DECISION_LATENCY)
             }
             Some(targets::Ongoing::Unloading { .. }) => loads + RUN / 2,
             None => loads,
@@ -288,7 +288,7 @@
         since.is_none_or(|&since| now.saturating_duration_since(since) >= LEAST_STAY)
     }
 
-    /// What is lost within [`worth::HORIZON_S`], in requests, because the engine has other work to do as
+    /// What is lost within [`utility::HORIZON_S`], in requests, because the engine has other work to do as
     /// well: the streams of both pause while it reads the prompts of both.
     fn crowding(
         &self,
@@ -298,14 +298,14 @@
         model: &snapshot::ModelView,
     ) -> f64 {
         let share = |view: &snapshot::ModelView, replicas: usize| {
-            worth::reading(view) / replicas.max(1) as f64
+            utility::prefill_utilization(view) / replicas.max(1) as f64
         };
         let wants = self.wants[&engine.key].iter().filter_map(|name| models.get(name));
         let others: f64 = wants.map(|view| share(view, counts.replicas(&view.spec.name))).sum();
         let replicas = counts.replicas(&model.spec.name) + 1;
         let own = share(model, replicas);
-        let requests = model.demand.requests_per_s / replicas as f64 * worth::HORIZON_S;
-        requests * (worth::lost(others + own) - worth::lost(own))
+        let requests = model.demand.requests_per_s / replicas as f64 * utility::HORIZON_S;
+        requests * (utility::overload_cost(others + own) - utility::overload_cost(own))
     }
 
     fn take(
@@ -330,16 +330,16 @@
 fn wish<'a>(counts: &counts::FleetCounts, model: &'a snapshot::ModelView) -> Option<Wish<'a>> {
     let replicas = counts.replicas(&model.spec.name);
     if replicas == 0 {
-        let gain = f64::from(model.waiting) + worth::away(model);
+        let gain = f64::from(model.waiting) + utility::absence_cost(model);
         return Some(Wish { model, cause: Cause::Absent, gain });
     }
-    let load = worth::load(counts, model);
-    let share = |replicas: usize| worth::lost(load / replicas as f64);
-    let gain = worth::requests(model) * (share(replicas) - share(replicas + 1));
+    let load = utility::utilization(counts, model);
+    let share = |replicas: usize| utility::overload_cost(load / replicas as f64);
+    let gain = utility::expected_requests(model) * (share(replicas) - share(replicas + 1));
     (gain > LEAST_GAIN).then_some(Wish { model, cause: Cause::Load, gain })
 }
 
-/// What is lost within [`worth::HORIZON_S`], in requests, when the model leaves this engine.
+/// What is lost within [`utility::HORIZON_S`], in requests, when the model leaves this engine.
 fn loss(
     counts: &counts::FleetCounts,
     engine: &snapshot::EngineView,
@@ -351,12 +351,12 @@
     let running = f64::from(running.min(2)) * RUNNING;
     if others == 0 {
         let gone = match cause {
-            Cause::Absent => worth::away(model),
-            Cause::Load => worth::requests(model) * worth::miss(model),
+            Cause::Absent => utility::absence_cost(model),
+            Cause::Load => utility::expected_requests(model) * utility::miss_cost(model),
         };
         return f64::from(model.waiting) + gone + running;
     }
-    let load = worth::load(counts, model);
-    let more = worth::lost(load / others as f64) - worth::lost(load / (others + 1) as f64);
-    worth::requests(model) * (more + SPARE / others as f64) + running
+    let load = utility::utilization(counts, model);
+    let more = utility::overload_cost(load / others as f64) - utility::overload_cost(load / (others + 1) as f64);
+    utility::expected_requests(model) * (more + SPARE / others as f64) + running
 }
