--- a/crates/corianderstand_fleet/src/counts.rs
+++ b/crates/corianderstand_fleet/src/counts.rs
@@ -90,7 +90,12 @@
     }
 
     /// An engine is to hold a model in place of others.
-    pub fn record_placement(&mut self, model: &names::ModelId, victims: &[names::ModelId], store: bool) {
+    pub fn record_placement(
+        &mut self,
+        model: &names::ModelId,
+        victims: &[names::ModelId],
+        store: bool,
+    ) {
         *self.replicas.entry(model.clone()).or_default() += 1;
         for victim in victims {
             if let Some(count) = self.replicas.get_mut(victim) {
@@ -110,8 +115,9 @@
     let coming = |engine: &&EngineView| {
         let wants = wants.get(&engine.key).into_iter().flatten();
         let mut missing = wants.filter(|name| engine.holdings.resident(name).is_none());
-        missing
-            .any(|name| models.get(name).is_some_and(|view| snapshot::load_source(engine, &view.spec).1))
+        missing.any(|name| {
+            models.get(name).is_some_and(|view| snapshot::load_source(engine, &view.spec).1)
+        })
     };
     engines.iter().filter(coming).count() as u32
 }
--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -76,7 +76,11 @@
     /// Both together, as from two routers.
     #[must_use]
     pub fn combine(self, other: Self) -> Self {
-        let latency_objective = if self.requests_per_s >= other.requests_per_s { self.latency_objective } else { other.latency_objective };
+        let latency_objective = if self.requests_per_s >= other.requests_per_s {
+            self.latency_objective
+        } else {
+            other.latency_objective
+        };
         let known = [self.prefill_s_per_token, other.prefill_s_per_token];
         let known = known.into_iter().filter(|time| *time > 0.0);
         Self {
@@ -118,14 +122,20 @@
         if uses_adapter {
             rate.adapted.add(now, QUICK, 1.0);
         }
-        rate.latency_objective = rate.latency_objective.mul_f64(1.0 - AIM_STEP) + latency_objective.mul_f64(AIM_STEP);
+        rate.latency_objective =
+            rate.latency_objective.mul_f64(1.0 - AIM_STEP) + latency_objective.mul_f64(AIM_STEP);
     }
 
     /// A request's first event came this long after it was sent to an engine that had room.
     ///
     /// What shortens the time says more than what lengthens it: a request that met others waited
     /// for their prompts as well.
-    pub fn record_first_event(&mut self, model: &names::ModelId, prompt_tokens: u64, took: Duration) {
+    pub fn record_first_event(
+        &mut self,
+        model: &names::ModelId,
+        prompt_tokens: u64,
+        took: Duration,
+    ) {
         let Some(rate) = self.rates.get_mut(model) else { return };
         if prompt_tokens < LEAST_PROMPT {
             return;
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -122,7 +122,8 @@
                 counts.record_placement(model, &place.victims, place.from_store);
                 self.take(now, engines, &place, model);
                 if wish.cause == Cause::Absent {
-                    let swaps = self.swaps.get_or_insert_with(|| decaying_rate::DecayingRate::new(now));
+                    let swaps =
+                        self.swaps.get_or_insert_with(|| decaying_rate::DecayingRate::new(now));
                     swaps.add(now, SWAPS, wish.gain);
                 }
             }
@@ -208,7 +209,8 @@
             free || wish.gain * later(place) > place.loss + MARGIN
         });
         // While it is on its way, its requests wait or are refused.
-        let rate = f64::from(wish.model.waiting) + wish.model.demand.requests_per_s.max(utility::MIN_REQUESTS_PER_S);
+        let rate = f64::from(wish.model.waiting)
+            + wish.model.demand.requests_per_s.max(utility::MIN_REQUESTS_PER_S);
         let cost = |place: &Place| rate * place.ready_in.as_secs_f64() + place.loss;
         let best = places.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
         (!best.later).then_some(best)
@@ -357,6 +359,7 @@
         return f64::from(model.waiting) + gone + running;
     }
     let load = utility::utilization(counts, model);
-    let more = utility::overload_cost(load / others as f64) - utility::overload_cost(load / (others + 1) as f64);
+    let more = utility::overload_cost(load / others as f64)
+        - utility::overload_cost(load / (others + 1) as f64);
     utility::expected_requests(model) * (more + SPARE / others as f64) + running
 }
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -62,7 +62,11 @@
 }
 
 /// The next order for a model; none if all that is wanted is there, or sizes are not known.
-pub fn next_model_command(room: Capacity, parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<Command> {
+pub fn next_model_command(
+    room: Capacity,
+    parts: &[PlannedModel],
+    holdings: &targets::Holdings,
+) -> Option<Command> {
     let missing =
         parts.iter().find(|part| part.wanted && holdings.resident(&part.model).is_none())?;
     let used = used_mb(parts, holdings)?;
@@ -106,8 +110,9 @@
         resident.adapters.iter().map(move |adapter| (&resident.model, adapter))
     });
     let oldest = pairs.min_by_key(|(model, adapter)| asked_at(model, adapter))?;
-    let stays = asked_at(oldest.0, oldest.1)
-        .is_some_and(|at| at >= missing.requested_at || now.saturating_duration_since(at) < ADAPTER_STAY);
+    let stays = asked_at(oldest.0, oldest.1).is_some_and(|at| {
+        at >= missing.requested_at || now.saturating_duration_since(at) < ADAPTER_STAY
+    });
     (!stays).then(|| Command::UnloadAdapter(oldest.0.clone(), oldest.1.clone()))
 }
 
--- a/crates/corianderstand_fleet/src/utility.rs
+++ b/crates/corianderstand_fleet/src/utility.rs
@@ -33,7 +33,7 @@
 const TARGET_BATCH_RATIO: f64 = 0.5;
 /// Load at which an engine's batch or its adapter places count as much as half of its time spent on
 /// reading prompts.
-const FULL_UTILIZATION: f64 = 0.5;
+const SLOT_UTILIZATION_WEIGHT: f64 = 0.5;
 /// Time for which a request keeps an adapter's place: its run of 0.3 to 2 s and the time for which
 /// an agent leaves an adapter alone.
 const ADAPTER_RESIDENCY_S: f64 = 1.3;
@@ -43,7 +43,9 @@
 /// What is lost within [`HORIZON_S`], in requests, when the model is on no engine: the same whether
 /// it leaves or comes, so that a model that has just left does not push out the next one at once.
 pub fn absence_cost(model: &ModelView) -> f64 {
-    MISSES_PER_ABSENCE * (1.0 - (-expected_requests(model) / MISSES_PER_ABSENCE).exp()) * miss_cost(model)
+    MISSES_PER_ABSENCE
+        * (1.0 - (-expected_requests(model) / MISSES_PER_ABSENCE).exp())
+        * miss_cost(model)
 }
 
 /// Requests within [`HORIZON_S`].
@@ -60,10 +62,11 @@
 /// A model's load, in engines that spend all of their time on its prompts.
 pub fn utilization(counts: &counts::FleetCounts, model: &ModelView) -> f64 {
     let running = counts.running(&model.spec.name);
-    let batches = f64::from(running + model.waiting) / (f64::from(counts.slots) * TARGET_BATCH_RATIO);
+    let batches =
+        f64::from(running + model.waiting) / (f64::from(counts.slots) * TARGET_BATCH_RATIO);
     let adapter_slots = counts.adapter_slots as f64 * TARGET_ADAPTER_RATIO;
     let adapters = model.demand.adapter_requests_per_s * ADAPTER_RESIDENCY_S / adapter_slots;
-    prefill_utilization(model).max(batches.max(adapters) * FULL_UTILIZATION)
+    prefill_utilization(model).max(batches.max(adapters) * SLOT_UTILIZATION_WEIGHT)
 }
 
 /// Engines that reading the model's prompts keeps busy.
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -187,7 +187,11 @@
             if self.rng.random::<f64>() >= asked.per_s * step {
                 continue;
             }
-            let weight = demand::RequestCost { prompt_tokens: 600, uses_adapter: false, latency_objective: asked.aim };
+            let weight = demand::RequestCost {
+                prompt_tokens: 600,
+                uses_adapter: false,
+                latency_objective: asked.aim,
+            };
             self.demand.record_request(self.now, name, weight);
             self.tallies.entry(name.clone()).or_default().asked += 1;
             let request = Request { model: name.clone(), came: self.now, aim: asked.aim };
@@ -264,7 +268,10 @@
         let views = self.models.keys().map(|name| {
             let waiting = self.waiting.iter().filter(|request| request.model == *name).count();
             let asked = self.demand.model_demand(self.now, name);
-            (name.clone(), snapshot::ModelView { spec: spec(name), demand: asked, waiting: waiting as u32 })
+            (
+                name.clone(),
+                snapshot::ModelView { spec: spec(name), demand: asked, waiting: waiting as u32 },
+            )
         });
         views.collect()
     }
@@ -313,7 +320,9 @@
             let from_store = loading(engine);
             let Some((order, left)) = &mut engine.order else { continue };
             let waits = match order {
-                reconcile::Command::Unload(model) => engine.runs.iter().any(|(own, _)| own == model),
+                reconcile::Command::Unload(model) => {
+                    engine.runs.iter().any(|(own, _)| own == model)
+                }
                 _ => false,
             };
             if waits {
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -454,8 +454,9 @@
         resident: vec![Resident { model: "m".into(), adapters: vec!["a".into(), "b".into()] }],
         ..Default::default()
     };
-    let next =
-        |asked: &[reconcile::AdapterRequest]| reconcile::next_adapter_command(now, ROOM, &parts, &held, 0, asked);
+    let next = |asked: &[reconcile::AdapterRequest]| {
+        reconcile::next_adapter_command(now, ROOM, &parts, &held, 0, asked)
+    };
     let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
     assert_eq!(order, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
     let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -154,8 +154,10 @@
         waiting: 0,
     };
     let busy = ModelId::from("busy");
-    let mut models: BTreeMap<_, _> =
-        idle.iter().map(|model| (model.clone(), view(model, demand::ModelDemand::default()))).collect();
+    let mut models: BTreeMap<_, _> = idle
+        .iter()
+        .map(|model| (model.clone(), view(model, demand::ModelDemand::default())))
+        .collect();
     models.insert(busy.clone(), view(&busy, demand));
     let mut held: Vec<Vec<ModelId>> = idle.iter().map(|model| vec![model.clone()]).collect();
     held[0] = vec![busy.clone()];
@@ -315,7 +317,8 @@
         latency_objective: Duration::from_millis(500),
         ..Default::default()
     };
-    let spec = config::Model { load_from_store: Duration::from_millis(13_200), ..common::spec(&busy) };
+    let spec =
+        config::Model { load_from_store: Duration::from_millis(13_200), ..common::spec(&busy) };
     let models = BTreeMap::from([(busy.clone(), snapshot::ModelView { spec, demand, waiting: 0 })]);
     let mut planner = plan::Planner::default();
     let wants = planner.plan(Instant::now(), &engines, &models);
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -202,7 +202,11 @@
         state.askers.retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
         for ask in asked.adapters {
             state.asked.retain(|old| old.model != ask.model || old.adapter != ask.adapter);
-            let ask = reconcile::AdapterRequest { model: ask.model, adapter: ask.adapter, requested_at: now };
+            let ask = reconcile::AdapterRequest {
+                model: ask.model,
+                adapter: ask.adapter,
+                requested_at: now,
+            };
             state.asked.insert(0, ask);
         }
         state.asked.retain(|ask| now.saturating_duration_since(ask.requested_at) < ASKED_FOR);
@@ -347,8 +351,16 @@
         };
         let parts = account::parts(plan);
         let coming = report.adapters_coming;
-        let adapter =
-            || reconcile::next_adapter_command(now, room, &parts, &report.holdings, coming, &state.asked);
+        let adapter = || {
+            reconcile::next_adapter_command(
+                now,
+                room,
+                &parts,
+                &report.holdings,
+                coming,
+                &state.asked,
+            )
+        };
         let model = || match report.busy {
             true => None,
             false => reconcile::next_model_command(room, &parts, &report.holdings),
@@ -374,7 +386,8 @@
             answered: false,
             after_orders,
         };
-        let model_order = matches!(order, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
+        let model_order =
+            matches!(order, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
         if model_order {
             self.state.borrow_mut().ongoing = Some(ongoing);
             // Routers hear that a model goes before it does, and send nothing there any more.
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -302,8 +302,12 @@
     let now = shared.clock.now();
     let hello = hello(shared);
     let mut view = shared.view.borrow_mut();
-    let mut models: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> =
-        view.demand.active_models(now).into_iter().map(|(model, asked)| (model, (asked, 0))).collect();
+    let mut models: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = view
+        .demand
+        .active_models(now)
+        .into_iter()
+        .map(|(model, asked)| (model, (asked, 0)))
+        .collect();
     for (model, waiting) in &view.waiting {
         models.entry(model.clone()).or_default().1 = *waiting;
     }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -86,7 +86,8 @@
         }
         Ok(Err(_)) | Err(_) => return Err(Broken::ByCaller),
     };
-    if route.runs_at_most_once() && shared.pauses.is_doubtful(shared.clock.since_boot(), connection) {
+    if route.runs_at_most_once() && shared.pauses.is_doubtful(shared.clock.since_boot(), connection)
+    {
         // It may have lain in the socket while this process stood still, and its caller may have
         // given up and have booked elsewhere. Who still waits asks again.
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
