--- a/crates/corianderstand_fleet/src/counts.rs
+++ b/crates/corianderstand_fleet/src/counts.rs
@@ -22,12 +22,12 @@
     /// Adapter places of the engine with the fewest.
     pub adapter_slots: usize,
     /// Engines that take orders.
-    pub orderable: usize,
+    pub commandable_engines: usize,
     /// Engines that load from the weight store, or are planned to.
     pub store_loads: u32,
     running: HashMap<&'a names::ModelId, u32>,
     /// Engines that take orders and have a copy of a model, in their order.
-    copies: HashMap<&'a names::ModelId, Vec<usize>>,
+    cached_weights: HashMap<&'a names::ModelId, Vec<usize>>,
     replicas: HashMap<names::ModelId, usize>,
 }
 
@@ -36,33 +36,33 @@
     pub fn new(
         engines: &'a [EngineView],
         models: &Models,
-        wants: &HashMap<targets::TargetKey, Vec<names::ModelId>>,
+        desired: &HashMap<targets::TargetKey, Vec<names::ModelId>>,
     ) -> Self {
         let mut running: HashMap<_, u32> = HashMap::new();
-        let mut copies: HashMap<_, Vec<usize>> = HashMap::new();
+        let mut cached_weights: HashMap<_, Vec<usize>> = HashMap::new();
         for (index, engine) in engines.iter().enumerate() {
             for (model, count) in &engine.running {
                 *running.entry(model).or_default() += count;
             }
-            let held = engine.holdings.in_memory.iter().chain(&engine.holdings.on_disk);
-            for model in held.filter(|_| engine.accepts_commands) {
-                let there = copies.entry(model).or_default();
-                if there.last() != Some(&index) {
-                    there.push(index);
+            let cached = engine.holdings.in_memory.iter().chain(&engine.holdings.on_disk);
+            for model in cached.filter(|_| engine.accepts_commands) {
+                let indices = cached_weights.entry(model).or_default();
+                if indices.last() != Some(&index) {
+                    indices.push(index);
                 }
             }
         }
         let mut replicas: HashMap<_, usize> = HashMap::new();
-        for model in wants.values().flatten() {
+        for model in desired.values().flatten() {
             *replicas.entry(model.clone()).or_default() += 1;
         }
         Self {
             slots: engines.iter().map(|engine| engine.slots).min().unwrap_or(1).max(1),
             adapter_slots: engines.iter().map(|e| e.adapter_slots).min().unwrap_or(1).max(1),
-            orderable: engines.iter().filter(|engine| engine.accepts_commands).count(),
-            store_loads: store_loads(engines, models, wants),
+            commandable_engines: engines.iter().filter(|engine| engine.accepts_commands).count(),
+            store_loads: store_loads(engines, models, desired),
             running,
-            copies,
+            cached_weights,
             replicas,
         }
     }
@@ -79,13 +79,13 @@
 
     /// Engines that take orders and can load a model without the weight store.
     pub fn engines_with_cached_weights(&self, model: &names::ModelId) -> &[usize] {
-        self.copies.get(model).map_or(&[], Vec::as_slice)
+        self.cached_weights.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// Time in which a model that is on no engine can be back: from the quickest copy.
     pub fn fastest_load(&self, engines: &[EngineView], model: &config::Model) -> Duration {
-        let there = self.engines_with_cached_weights(&model.name).iter();
-        let times = there.map(|&index| snapshot::load_source(&engines[index], model).0);
+        let cached_on = self.engines_with_cached_weights(&model.name).iter();
+        let times = cached_on.map(|&index| snapshot::load_source(&engines[index], model).0);
         times.min().unwrap_or(model.load_from_store)
     }
 
@@ -94,7 +94,7 @@
         &mut self,
         model: &names::ModelId,
         victims: &[names::ModelId],
-        store: bool,
+        from_store: bool,
     ) {
         *self.replicas.entry(model.clone()).or_default() += 1;
         for victim in victims {
@@ -102,7 +102,7 @@
                 *count = count.saturating_sub(1);
             }
         }
-        self.store_loads += u32::from(store);
+        self.store_loads += u32::from(from_store);
     }
 }
 
@@ -110,14 +110,14 @@
 fn store_loads(
     engines: &[EngineView],
     models: &BTreeMap<names::ModelId, ModelView>,
-    wants: &HashMap<targets::TargetKey, Vec<names::ModelId>>,
+    desired: &HashMap<targets::TargetKey, Vec<names::ModelId>>,
 ) -> u32 {
-    let coming = |engine: &&EngineView| {
-        let wants = wants.get(&engine.key).into_iter().flatten();
-        let mut missing = wants.filter(|name| engine.holdings.resident(name).is_none());
+    let loading_from_store = |engine: &&EngineView| {
+        let desired = desired.get(&engine.key).into_iter().flatten();
+        let mut missing = desired.filter(|name| engine.holdings.resident(name).is_none());
         missing.any(|name| {
             models.get(name).is_some_and(|view| snapshot::load_source(engine, &view.spec).1)
         })
     };
-    engines.iter().filter(coming).count() as u32
+    engines.iter().filter(loading_from_store).count() as u32
 }
