--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -15,30 +15,30 @@
 };
 
 /// Time of the quick average. Demand moves from one model to the next within 4 to 6 s.
-const QUICK: Duration = Duration::from_secs(2);
+const FAST_WINDOW: Duration = Duration::from_secs(2);
 /// Time of the slow average. A model asked for every two seconds is then seen as such with a
 /// spread of a quarter.
-const SLOW: Duration = Duration::from_secs(12);
+const SLOW_WINDOW: Duration = Duration::from_secs(12);
 /// Time that an engine takes to read a prompt token where none was seen yet: 38 tokens in a ms.
 pub const DEFAULT_PREFILL_S_PER_TOKEN: f64 = 26e-6;
 /// Time to the first event that is not spent on reading the prompt: two ways and a step.
-const BEFORE_READING: Duration = Duration::from_millis(7);
+const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(7);
 /// Prompts below this many tokens tell little of the time to read one.
-const LEAST_PROMPT: u64 = 250;
+const MIN_PROMPT_TOKENS: u64 = 250;
 /// Part of the distance that a shorter time moves what is known by; the least of some ten is taken.
-const SHORTER_STEP: f64 = 0.3;
+const DECREASE_SMOOTHING: f64 = 0.3;
 /// The same for a longer one, which may come from others' prompts.
-const LONGER_STEP: f64 = 0.03;
+const INCREASE_SMOOTHING: f64 = 0.03;
 /// Part of the distance that one request moves the aim by.
-const AIM_STEP: f64 = 0.2;
+const OBJECTIVE_SMOOTHING: f64 = 0.2;
 /// Requests below which a rate is taken as none, a second.
-const NEGLIGIBLE: f64 = 0.004;
+const MIN_REQUESTS_PER_S: f64 = 0.004;
 
 #[derive(Clone, Copy, Debug)]
-struct Rate {
-    quick: DecayingRate,
+struct ModelRates {
+    fast: DecayingRate,
     slow: DecayingRate,
-    adapted: DecayingRate,
+    adapter_requests: DecayingRate,
     prompt_tokens: DecayingRate,
     prefill_s_per_token: f64,
     latency_objective: Duration,
@@ -81,10 +81,10 @@
         } else {
             other.latency_objective
         };
-        let known = [self.prefill_s_per_token, other.prefill_s_per_token];
-        let known = known.into_iter().filter(|time| *time > 0.0);
+        let estimates = [self.prefill_s_per_token, other.prefill_s_per_token];
+        let estimates = estimates.into_iter().filter(|time| *time > 0.0);
         Self {
-            prefill_s_per_token: known.reduce(f64::min).unwrap_or(0.0),
+            prefill_s_per_token: estimates.reduce(f64::min).unwrap_or(0.0),
             requests_per_s: self.requests_per_s + other.requests_per_s,
             adapter_requests_per_s: self.adapter_requests_per_s + other.adapter_requests_per_s,
             prompt_tokens_per_s: self.prompt_tokens_per_s + other.prompt_tokens_per_s,
@@ -96,34 +96,34 @@
 /// Arrivals by model.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    rates: BTreeMap<names::ModelId, Rate>,
+    rates: BTreeMap<names::ModelId, ModelRates>,
 }
 
 impl Demand {
     /// A request for a model has come.
-    pub fn record_request(&mut self, now: Instant, model: &names::ModelId, weight: RequestCost) {
-        let RequestCost { prompt_tokens, uses_adapter, latency_objective } = weight;
+    pub fn record_request(&mut self, now: Instant, model: &names::ModelId, cost: RequestCost) {
+        let RequestCost { prompt_tokens, uses_adapter, latency_objective } = cost;
         let none = DecayingRate::new(now);
-        let fresh = Rate {
-            quick: none,
+        let initial = ModelRates {
+            fast: none,
             slow: none,
-            adapted: none,
+            adapter_requests: none,
             prompt_tokens: none,
             prefill_s_per_token: 0.0,
             latency_objective,
         };
-        let rate = match self.rates.get_mut(model) {
-            Some(rate) => rate,
-            None => self.rates.entry(model.clone()).or_insert(fresh),
+        let rates = match self.rates.get_mut(model) {
+            Some(rates) => rates,
+            None => self.rates.entry(model.clone()).or_insert(initial),
         };
-        rate.quick.add(now, QUICK, 1.0);
-        rate.slow.add(now, SLOW, 1.0);
-        rate.prompt_tokens.add(now, QUICK, prompt_tokens as f64);
+        rates.fast.add(now, FAST_WINDOW, 1.0);
+        rates.slow.add(now, SLOW_WINDOW, 1.0);
+        rates.prompt_tokens.add(now, FAST_WINDOW, prompt_tokens as f64);
         if uses_adapter {
-            rate.adapted.add(now, QUICK, 1.0);
+            rates.adapter_requests.add(now, FAST_WINDOW, 1.0);
         }
-        rate.latency_objective =
-            rate.latency_objective.mul_f64(1.0 - AIM_STEP) + latency_objective.mul_f64(AIM_STEP);
+        rates.latency_objective = rates.latency_objective.mul_f64(1.0 - OBJECTIVE_SMOOTHING)
+            + latency_objective.mul_f64(OBJECTIVE_SMOOTHING);
     }
 
     /// A request's first event came this long after it was sent to an engine that had room.
@@ -134,40 +134,45 @@
         &mut self,
         model: &names::ModelId,
         prompt_tokens: u64,
-        took: Duration,
+        elapsed: Duration,
     ) {
-        let Some(rate) = self.rates.get_mut(model) else { return };
-        if prompt_tokens < LEAST_PROMPT {
+        let Some(rates) = self.rates.get_mut(model) else { return };
+        if prompt_tokens < MIN_PROMPT_TOKENS {
             return;
         }
-        let seen = took.saturating_sub(BEFORE_READING).as_secs_f64() / prompt_tokens as f64;
-        let seen = seen.clamp(DEFAULT_PREFILL_S_PER_TOKEN / 8.0, DEFAULT_PREFILL_S_PER_TOKEN * 4.0);
-        let known = &mut rate.prefill_s_per_token;
-        if *known == 0.0 {
-            *known = seen;
+        let observed =
+            elapsed.saturating_sub(FIRST_EVENT_OVERHEAD).as_secs_f64() / prompt_tokens as f64;
+        let observed =
+            observed.clamp(DEFAULT_PREFILL_S_PER_TOKEN / 8.0, DEFAULT_PREFILL_S_PER_TOKEN * 4.0);
+        let estimate = &mut rates.prefill_s_per_token;
+        if *estimate == 0.0 {
+            *estimate = observed;
         }
-        let step = if seen < *known { SHORTER_STEP } else { LONGER_STEP };
-        *known += (seen - *known) * step;
+        let smoothing = if observed < *estimate { DECREASE_SMOOTHING } else { INCREASE_SMOOTHING };
+        *estimate += (observed - *estimate) * smoothing;
     }
 
     /// How much a model is asked for.
     pub fn model_demand(&self, now: Instant, model: &names::ModelId) -> ModelDemand {
-        self.rates.get(model).map_or_else(ModelDemand::default, |rate| rate.asked(now))
+        self.rates.get(model).map_or_else(ModelDemand::default, |rates| rates.demand(now))
     }
 
     /// All models that are asked for.
     pub fn active_models(&mut self, now: Instant) -> Vec<(names::ModelId, ModelDemand)> {
-        self.rates.retain(|_, rate| rate.asked(now).requests_per_s >= NEGLIGIBLE);
-        self.rates.iter().map(|(model, rate)| (model.clone(), rate.asked(now))).collect()
+        self.rates.retain(|_, rates| rates.demand(now).requests_per_s >= MIN_REQUESTS_PER_S);
+        self.rates.iter().map(|(model, rates)| (model.clone(), rates.demand(now))).collect()
     }
 }
 
-impl Rate {
-    fn asked(&self, now: Instant) -> ModelDemand {
+impl ModelRates {
+    fn demand(&self, now: Instant) -> ModelDemand {
         ModelDemand {
-            requests_per_s: self.quick.value(now, QUICK).max(self.slow.value(now, SLOW)),
-            adapter_requests_per_s: self.adapted.value(now, QUICK),
-            prompt_tokens_per_s: self.prompt_tokens.value(now, QUICK),
+            requests_per_s: self
+                .fast
+                .value(now, FAST_WINDOW)
+                .max(self.slow.value(now, SLOW_WINDOW)),
+            adapter_requests_per_s: self.adapter_requests.value(now, FAST_WINDOW),
+            prompt_tokens_per_s: self.prompt_tokens.value(now, FAST_WINDOW),
             prefill_s_per_token: self.prefill_s_per_token,
             latency_objective: self.latency_objective,
         }
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -12,7 +12,7 @@
 
 /// An adapter that was asked for stays at least this long, so that the request it was loaded for
 /// finds it; routers name those that are in use more often than that.
-const ADAPTER_STAY: Duration = Duration::from_millis(600);
+const MIN_ADAPTER_RESIDENCY: Duration = Duration::from_millis(600);
 
 /// An order to an engine.
 #[derives(name)]
@@ -63,18 +63,20 @@
 
 /// The next order for a model; none if all that is wanted is there, or sizes are not known.
 pub fn next_model_command(
-    room: Capacity,
-    parts: &[PlannedModel],
+    capacity: Capacity,
+    models: &[PlannedModel],
     holdings: &targets::Holdings,
 ) -> Option<Command> {
-    let missing =
-        parts.iter().find(|part| part.wanted && holdings.resident(&part.model).is_none())?;
-    let used = used_mb(parts, holdings)?;
-    if used + missing.weights_mb <= room.weights_mb {
+    let missing = models
+        .iter()
+        .find(|planned| planned.wanted && holdings.resident(&planned.model).is_none())?;
+    let used = used_mb(models, holdings)?;
+    if used + missing.weights_mb <= capacity.weights_mb {
         return Some(Command::Load(missing.model.clone()));
     }
-    let wanted =
-        |model: &names::ModelId| parts.iter().any(|part| part.wanted && part.model == *model);
+    let wanted = |model: &names::ModelId| {
+        models.iter().any(|planned| planned.wanted && planned.model == *model)
+    };
     let victim = holdings.resident.iter().find(|resident| !wanted(&resident.model))?;
     Some(Command::Unload(victim.model.clone()))
 }
@@ -86,42 +88,45 @@
 /// turns for as long as both requests are remembered, at thirty orders a second.
 pub fn next_adapter_command(
     now: Instant,
-    room: Capacity,
-    parts: &[PlannedModel],
+    capacity: Capacity,
+    models: &[PlannedModel],
     holdings: &targets::Holdings,
-    coming: usize,
-    asked: &[AdapterRequest],
+    loading: usize,
+    requests: &[AdapterRequest],
 ) -> Option<Command> {
-    let missing = asked.iter().find(|ask| {
-        let resident = holdings.resident(&ask.model);
-        resident.is_some_and(|resident| !resident.adapters.contains(&ask.adapter))
+    let missing = requests.iter().find(|request| {
+        let resident = holdings.resident(&request.model);
+        resident.is_some_and(|resident| !resident.adapters.contains(&request.adapter))
     })?;
-    let size = parts.iter().find(|part| part.model == missing.model)?.adapter_mb;
-    let held: usize = holdings.resident.iter().map(|resident| resident.adapters.len()).sum();
-    let fits_memory = used_mb(parts, holdings)? + size * (coming as u64 + 1) <= room.weights_mb;
-    if held + coming < room.adapter_slots && fits_memory {
+    let adapter_mb = models.iter().find(|planned| planned.model == missing.model)?.adapter_mb;
+    let resident_adapters: usize =
+        holdings.resident.iter().map(|resident| resident.adapters.len()).sum();
+    let fits_memory =
+        used_mb(models, holdings)? + adapter_mb * (loading as u64 + 1) <= capacity.weights_mb;
+    if resident_adapters + loading < capacity.adapter_slots && fits_memory {
         return Some(Command::LoadAdapter(missing.model.clone(), missing.adapter.clone()));
     }
-    let asked_at = |model: &names::ModelId, adapter: &names::AdapterId| {
-        let ask = asked.iter().find(|ask| ask.model == *model && ask.adapter == *adapter);
-        ask.map(|ask| ask.requested_at)
+    let requested_at = |model: &names::ModelId, adapter: &names::AdapterId| {
+        let request =
+            requests.iter().find(|request| request.model == *model && request.adapter == *adapter);
+        request.map(|request| request.requested_at)
     };
     let pairs = holdings.resident.iter().flat_map(|resident| {
         resident.adapters.iter().map(move |adapter| (&resident.model, adapter))
     });
-    let oldest = pairs.min_by_key(|(model, adapter)| asked_at(model, adapter))?;
-    let stays = asked_at(oldest.0, oldest.1).is_some_and(|at| {
-        at >= missing.requested_at || now.saturating_duration_since(at) < ADAPTER_STAY
+    let oldest = pairs.min_by_key(|(model, adapter)| requested_at(model, adapter))?;
+    let keep = requested_at(oldest.0, oldest.1).is_some_and(|at| {
+        at >= missing.requested_at || now.saturating_duration_since(at) < MIN_ADAPTER_RESIDENCY
     });
-    (!stays).then(|| Command::UnloadAdapter(oldest.0.clone(), oldest.1.clone()))
+    (!keep).then(|| Command::UnloadAdapter(oldest.0.clone(), oldest.1.clone()))
 }
 
 /// Memory that is used, in MB; none if the size of something that is held is not known.
-fn used_mb(parts: &[PlannedModel], holdings: &targets::Holdings) -> Option<u64> {
+fn used_mb(models: &[PlannedModel], holdings: &targets::Holdings) -> Option<u64> {
     let mut used = 0;
     for resident in &holdings.resident {
-        let part = parts.iter().find(|part| part.model == resident.model)?;
-        used += part.weights_mb + part.adapter_mb * resident.adapters.len() as u64;
+        let planned = models.iter().find(|planned| planned.model == resident.model)?;
+        used += planned.weights_mb + planned.adapter_mb * resident.adapters.len() as u64;
     }
     Some(used)
 }
