--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -30,7 +30,7 @@
 const MIN_REPLICA_UTILITY: f64 = 0.5;
 /// Gain has to exceed the loss by this many requests: rates are known to a third, and without a
 /// margin two models would take turns.
-const SWAP_MARGIN: f64 = 0.3;
+const UTILITY_MARGIN: f64 = 0.3;
 /// A model stays this long before another may take its place; a swap costs a second of serving
 /// neither.
 const MIN_RESIDENCY: Duration = Duration::from_millis(1_200);
@@ -79,7 +79,7 @@
 /// A place for a model on an engine, and what has to go for it.
 #[derive(Clone, Debug)]
 struct Placement {
-    engine: usize,
+    engine_index: usize,
     victims: Vec<names::ModelId>,
     /// The engine is carrying out something else first.
     deferred: bool,
@@ -152,8 +152,8 @@
                 Some(targets::Ongoing::Loading { model, .. }) => Some(model),
                 _ => None,
             };
-            let held = engine.holdings.resident.iter().map(|resident| &resident.model);
-            for model in held.chain(loading) {
+            let resident = engine.holdings.resident.iter().map(|resident| &resident.model);
+            for model in resident.chain(loading) {
                 let Some(view) = models.get(model) else { continue };
                 let used: u64 = desired.iter().map(|name| models[name].spec.weights_mb).sum();
                 if !desired.contains(model) && used + view.spec.weights_mb <= engine.weights_mb {
@@ -212,7 +212,7 @@
         };
         placements.retain(|placement| {
             let free = placement.victims.is_empty() && candidate.cause == Cause::Absent;
-            free || candidate.utility * decay(placement) > placement.cost + SWAP_MARGIN
+            free || candidate.utility * decay(placement) > placement.cost + UTILITY_MARGIN
         });
         // While it is on its way, its requests wait or are refused.
         let rate = f64::from(candidate.model.waiting)
@@ -230,7 +230,7 @@
     }
 
     /// Time until the engine holds all that it should, and can be given another order.
-    fn settles_in(
+    fn time_until_settled(
         &self,
         now: Instant,
         engine: &snapshot::EngineView,
@@ -260,13 +260,13 @@
     ) -> Option<Placement> {
         let model = candidate.model;
         let desired = &self.desired[&engine.key];
-        let settles_in = self.settles_in(now, engine, models);
+        let time_until_settled = self.time_until_settled(now, engine, models);
         let (load, from_store) = snapshot::load_source(engine, &model.spec);
         let mut placement = Placement {
-            engine: index,
+            engine_index: index,
             victims: Vec::new(),
-            deferred: !settles_in.is_zero(),
-            ready_in: settles_in + load,
+            deferred: !time_until_settled.is_zero(),
+            ready_in: time_until_settled + load,
             from_store,
             cost: self.interference_cost(engine, models, counts, model),
         };
@@ -326,7 +326,7 @@
         placement: &Placement,
         model: &names::ModelId,
     ) {
-        let key = engines[placement.engine].key;
+        let key = engines[placement.engine_index].key;
         let desired = self.desired.entry(key).or_default();
         desired.retain(|name| !placement.victims.contains(name));
         desired.push(model.clone());
--- a/crates/corianderstand_fleet/src/store_concurrency.rs
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -48,13 +48,14 @@
     pub fn observe(&mut self, now: Instant, engines: &[EngineView], models: &Models) {
         let loading: HashMap<_, _> = engines.iter().filter_map(store_load).collect();
         let count = loading.len() as u32;
-        let ended = self.loads.iter().filter(|(key, load)| loading.get(*key) != Some(&&load.model));
-        let ended: Vec<_> = ended.map(|(key, _)| *key).collect();
-        for key in ended {
+        let completed =
+            self.loads.iter().filter(|(key, load)| loading.get(*key) != Some(&&load.model));
+        let completed: Vec<_> = completed.map(|(key, _)| *key).collect();
+        for key in completed {
             let Some(load) = self.loads.remove(&key) else { continue };
-            let there = engines.iter().find(|engine| engine.key == key);
-            let there = there.is_some_and(|e| e.holdings.resident(&load.model).is_some());
-            if let (true, Some(model)) = (there, models.get(&load.model)) {
+            let engine = engines.iter().find(|engine| engine.key == key);
+            let resident = engine.is_some_and(|e| e.holdings.resident(&load.model).is_some());
+            if let (true, Some(model)) = (resident, models.get(&load.model)) {
                 self.update_limit(now, &load, model.spec.load_from_store);
             }
         }
@@ -66,8 +67,8 @@
     }
 
     fn update_limit(&mut self, now: Instant, load: &StoreLoad, expected: Duration) {
-        let took = now.saturating_duration_since(load.started_at).as_secs_f64();
-        let slowdown = took / expected.as_secs_f64().max(0.001);
+        let elapsed = now.saturating_duration_since(load.started_at).as_secs_f64();
+        let slowdown = elapsed / expected.as_secs_f64().max(0.001);
         if slowdown > CONGESTION_RATIO {
             let sustained = (f64::from(load.max_concurrent) / slowdown).round() as u32;
             self.limit = sustained.clamp(1, self.limit);
--- a/crates/corianderstand_fleet/src/utility.rs
+++ b/crates/corianderstand_fleet/src/utility.rs
@@ -27,7 +27,7 @@
 /// Of the streams on an engine that spends a part of its time on reading prompts, this many times
 /// the square of that part pause for too long: two long prompts at once make a pause, and one in
 /// twenty paused at 0.2, one in three at 0.5.
-const PAUSE_RATE: f64 = 1.4;
+const PAUSE_FACTOR: f64 = 1.4;
 /// Part of a batch that one replica is meant to work at. Beyond it steps grow slower and a burst of
 /// twice the usual finds no room.
 const TARGET_BATCH_RATIO: f64 = 0.5;
@@ -71,8 +71,8 @@
 
 /// Engines that reading the model's prompts keeps busy.
 pub fn prefill_utilization(model: &ModelView) -> f64 {
-    let known = model.demand.prefill_s_per_token;
-    let s_per_token = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
+    let estimate = model.demand.prefill_s_per_token;
+    let s_per_token = if estimate > 0.0 { estimate } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
     model.demand.prompt_tokens_per_s * s_per_token
 }
 
@@ -80,10 +80,10 @@
 /// engine can do, it finds no room. It has to rise for ever: where one more replica of many that are
 /// missing seems to gain nothing, none is ever added.
 pub fn overload_cost(utilization: f64) -> f64 {
-    let pause_probability = PAUSE_RATE * utilization * utilization;
+    let pause_probability = PAUSE_FACTOR * utilization * utilization;
     if pause_probability < 1.0 {
         return PAUSE_COST * pause_probability;
     }
-    let served_ratio = (1.0 / PAUSE_RATE).sqrt() / utilization;
+    let served_ratio = (1.0 / PAUSE_FACTOR).sqrt() / utilization;
     PAUSE_COST * served_ratio + (1.0 - served_ratio)
 }
