--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -1,86 +1,86 @@
-//! The configuration in force: routes, the services they lead to, and limits on callers.
+//! The active configuration: routes, services and request limits.
 //!
-//! It is replaced as a whole; a higher version replaces a lower one and never the reverse.
+//! A configuration is replaced as a whole, and only by one with a higher version.
 
 use corianderstand_derives::derives;
 use corianderstand_types::names;
 use smol_str::SmolStr;
 use std::{sync::Arc, time::Duration};
 
-/// All that an operator has put in force.
+/// The active configuration.
 #[derives(data)]
 #[derive(Default)]
 pub struct Config {
-    /// Rises with each change, in uneven steps.
+    /// Version number; increases with each change, not necessarily by one.
     pub version: u64,
-    /// Where requests go.
+    /// Routing rules.
     pub routes: Vec<Arc<Route>>,
-    /// What they go to.
+    /// Services that routes refer to.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on incoming requests.
     pub limits: Limits,
 }
 
 impl Config {
-    /// The service of that name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &names::ServiceId) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
 }
 
-/// How often a request may run.
+/// Whether a request may be executed more than once.
 #[derives(key)]
 #[derive(Default)]
 pub enum RetryPolicy {
     /// Any number of times.
     Allowed,
-    /// Once at most for each attempt of a caller.
+    /// At most once per request of a caller.
     #[default]
     Never,
 }
 
-/// Requests to one host below one path, and where they go.
+/// Routing rule for requests to a host and path prefix.
 #[derives(data)]
 #[derive(Default)]
 pub struct Route {
     /// Name, for logs.
     pub name: SmolStr,
-    /// `Host` of the requests, in lower case.
+    /// `Host` header to match, in lower case.
     pub host: SmolStr,
-    /// Start of their path; begins and ends with a slash.
+    /// Path prefix to match; begins and ends with a slash.
     pub prefix: SmolStr,
-    /// Whether a request whose fate is unknown may be sent again.
+    /// Whether a request with an unknown outcome may be retried.
     pub retry_policy: RetryPolicy,
-    /// The answer is a stream of events.
+    /// Whether the response is an event stream.
     pub streams: bool,
-    /// A stream may be taken up at another target after the last event that arrived.
+    /// Whether an interrupted stream can resume on another target after the last received event.
     pub resumable: bool,
-    /// Longest time that a request is kept waiting.
+    /// Maximum time that a request waits.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is of full use.
+    /// Objective for the time to the response, or to a stream's first event.
     pub latency_objective: Duration,
-    /// Longest pause between events of a stream that is of full use.
+    /// Objective for the gap between events of a stream.
     pub gap_objective: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Most targets that one attempt of a caller may be sent to.
+    /// Maximum number of targets that a request is sent to.
     pub max_targets: u32,
-    /// Services, each with its share of the requests.
+    /// Services with their traffic weights.
     pub services: Vec<(names::ServiceId, u32)>,
 }
 
 impl Route {
-    /// Whether a request that may have run can be sent to another target.
+    /// Whether a request that may have been executed can be sent to another target.
     pub fn may_retry(&self) -> bool {
         if self.streams { self.resumable } else { self.retry_policy == RetryPolicy::Allowed }
     }
 
-    /// Whether a request has an effect that must not come late or twice, such as a booking.
+    /// Whether a request has side effects that must not happen late or twice.
     pub fn runs_at_most_once(&self) -> bool {
         !self.streams && !self.may_retry()
     }
 
-    /// The service for a request, by its hash: each service gets its share of the hashes.
+    /// Selects a service by request hash, in proportion to the traffic weights.
     pub fn service(&self, hash: u64) -> Option<&names::ServiceId> {
         let total: u64 = self.services.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut at = hash.checked_rem(total)?;
@@ -94,80 +94,80 @@
     }
 }
 
-/// A group of targets that answer alike.
+/// A group of interchangeable targets.
 #[derives(data)]
 #[derive(Default)]
 pub struct Service {
-    /// Its name.
+    /// Service name.
     pub name: names::ServiceId,
-    /// Where a target answers whether it is well, and says its name.
+    /// Path of the health check, which also returns the target's name.
     pub health_path: SmolStr,
-    /// Connections that one target takes from all callers together.
+    /// Maximum number of connections to one target from all callers.
     pub connections: u32,
-    /// What its engines are like; none for a plain service.
+    /// Engine specification; `None` for a service without engines.
     pub engine: Option<Engine>,
 }
 
-/// What the engines of a service are like.
+/// Specification of a service's engines.
 #[derives(data)]
 #[derive(Default)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Number of requests in one batch.
     pub slots: u32,
-    /// Tokens that fit into its cache memory.
+    /// Cache capacity, in tokens.
     pub cache_tokens: u64,
     /// Memory for weights, in MB.
     pub weights_mb: u64,
-    /// Adapters that fit beside the models.
+    /// Number of adapters that can be resident at once.
     pub adapter_slots: usize,
-    /// Loads a second that the weight store allows over all engines.
+    /// Loads per second that the weight store allows across all engines.
     pub loads_per_s: f64,
-    /// What may be loaded.
+    /// Models that may be loaded.
     pub models: Vec<Model>,
 }
 
 impl Engine {
-    /// The model of that name.
+    /// Returns the model with this name.
     pub fn model(&self, name: &names::ModelId) -> Option<&Model> {
         self.models.iter().find(|model| model.name == *name)
     }
 }
 
-/// A model that engines may load.
+/// A model that engines can load.
 #[derives(data)]
 #[derive(Default)]
 pub struct Model {
-    /// Its name.
+    /// Model name.
     pub name: names::ModelId,
-    /// Memory that its weights take, in MB, rounded up.
+    /// Memory for its weights, in MB, rounded up.
     pub weights_mb: u64,
-    /// Memory that one of its adapters takes, in MB, rounded up.
+    /// Memory for each of its adapters, in MB, rounded up.
     pub adapter_mb: u64,
     /// Number of its adapters.
     pub adapters: u32,
-    /// Time to load it from the weight store.
+    /// Load time from the weight store.
     pub load_from_store: Duration,
-    /// Time to load it from the engine's disk.
+    /// Load time from the engine's disk.
     pub load_from_disk: Duration,
-    /// Time to load it from the engine's host memory.
+    /// Load time from host memory.
     pub load_from_memory: Duration,
 }
 
-/// What callers may send.
+/// Limits on incoming requests.
 #[derives(data)]
 pub struct Limits {
-    /// Most bytes of a request's headers.
+    /// Maximum size of the request headers, in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of the request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a request's headers to arrive.
+    /// Maximum time to receive the request headers.
     pub header_timeout: Duration,
-    /// Longest time that a connection may stay unused.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// In force until a configuration is known; requests are refused until then.
+    /// Returns the limits that apply until a configuration is received.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
--- a/crates/corianderstand_fleet/src/counts.rs
+++ b/crates/corianderstand_fleet/src/counts.rs
@@ -1,7 +1,4 @@
-//! What a plan needs to know of all engines again and again, counted once for each plan.
-//!
-//! Asked of the engines each time, a plan's time would grow with their square. The host that plans serves
-//! callers meanwhile, so they would wait, and engines stand idle until their next order.
+//! Fleet-wide counts, computed once per plan to keep planning time linear in the number of engines.
 
 use crate::{
     config,
@@ -17,22 +14,22 @@
 /// Counts over all engines.
 #[derive(Debug)]
 pub struct FleetCounts<'a> {
-    /// Requests in one batch of the smallest engine.
+    /// Smallest number of batch slots on any engine.
     pub slots: u32,
-    /// Adapter places of the engine with the fewest.
+    /// Smallest number of adapter slots on any engine.
     pub adapter_slots: usize,
-    /// Engines that take orders.
+    /// Number of engines that accept commands.
     pub commandable_engines: usize,
-    /// Engines that load from the weight store, or are planned to.
+    /// Number of engines that load from the weight store or are planned to.
     pub store_loads: u32,
     running: HashMap<&'a names::ModelId, u32>,
-    /// Engines that take orders and have a copy of a model, in their order.
+    /// Indices of the engines that accept commands and cache a model's weights, in ascending order.
     cached_weights: HashMap<&'a names::ModelId, Vec<usize>>,
     replicas: HashMap<names::ModelId, usize>,
 }
 
 impl<'a> FleetCounts<'a> {
-    /// Counts engines, and the replicas that `wants` gives to each model.
+    /// Counts the engines, and the replicas in the `desired` plan.
     pub fn new(
         engines: &'a [EngineView],
         models: &Models,
@@ -67,29 +64,29 @@
         }
     }
 
-    /// Requests that run for a model.
+    /// Returns the number of running requests for a model.
     pub fn running(&self, model: &names::ModelId) -> u32 {
         self.running.get(model).copied().unwrap_or(0)
     }
 
-    /// Engines that are to hold a model.
+    /// Returns the number of planned replicas of a model.
     pub fn replicas(&self, model: &names::ModelId) -> usize {
         self.replicas.get(model).copied().unwrap_or(0)
     }
 
-    /// Engines that take orders and can load a model without the weight store.
+    /// Returns the indices of engines that can load a model from cached weights.
     pub fn engines_with_cached_weights(&self, model: &names::ModelId) -> &[usize] {
         self.cached_weights.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Time in which a model that is on no engine can be back: from the quickest copy.
+    /// Returns the shortest time to load a model on any engine that accepts commands.
     pub fn fastest_load(&self, engines: &[EngineView], model: &config::Model) -> Duration {
         let cached_on = self.engines_with_cached_weights(&model.name).iter();
         let times = cached_on.map(|&index| snapshot::load_source(&engines[index], model).0);
         times.min().unwrap_or(model.load_from_store)
     }
 
-    /// An engine is to hold a model in place of others.
+    /// Records a planned placement and its evictions.
     pub fn record_placement(
         &mut self,
         model: &names::ModelId,
@@ -106,7 +103,7 @@
     }
 }
 
-/// Engines that are loading from the store or planned to.
+/// Counts the engines that load from the weight store or are planned to.
 fn store_loads(
     engines: &[EngineView],
     models: &BTreeMap<names::ModelId, ModelView>,
--- a/crates/corianderstand_fleet/src/decaying_rate.rs
+++ b/crates/corianderstand_fleet/src/decaying_rate.rs
@@ -1,8 +1,8 @@
-//! An average of events a second that fades with time.
+//! Exponentially decayed event rate.
 
 use std::time::{Duration, Instant};
 
-/// An average of events a second that fades.
+/// An exponentially decayed rate of events per second.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingRate {
     per_s: f64,
@@ -10,18 +10,18 @@
 }
 
 impl DecayingRate {
-    /// No events yet.
+    /// Creates a rate of zero.
     pub const fn new(now: Instant) -> Self {
         Self { per_s: 0.0, updated_at: now }
     }
 
-    /// Events a second, over about the time given.
+    /// Returns the events per second, averaged over about `window`.
     pub fn value(&self, now: Instant, window: Duration) -> f64 {
         let age = now.saturating_duration_since(self.updated_at).as_secs_f64();
         self.per_s * (-age / window.as_secs_f64()).exp()
     }
 
-    /// So many events more.
+    /// Adds `count` events.
     pub fn add(&mut self, now: Instant, window: Duration, count: f64) {
         self.per_s = self.value(now, window) + count / window.as_secs_f64();
         self.updated_at = now;
--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -1,10 +1,7 @@
-//! How much each model is asked for.
+//! Per-model demand: request rates, prompt tokens, prefill time and latency objectives.
 //!
-//! Two averages of the arrivals are kept, one over a few seconds and one over some ten: the larger
-//! counts. A model that is asked for rarely keeps a rate between its requests, and one that is
-//! suddenly asked for shows at once. Beside the number of requests, what they weigh is kept: the
-//! tokens of their prompts, which an engine reads at a limited rate, and how soon they want an
-//! answer.
+//! The request rate is the larger of two decaying rates: the fast one follows sudden demand, the
+//! slow one bridges the gaps between rare requests.
 
 use crate::decaying_rate::DecayingRate;
 use corianderstand_derives::derives;
@@ -14,24 +11,23 @@
     time::{Duration, Instant},
 };
 
-/// Time of the quick average. Demand moves from one model to the next within 4 to 6 s.
+/// Time constant of the fast rate.
 const FAST_WINDOW: Duration = Duration::from_secs(2);
-/// Time of the slow average. A model asked for every two seconds is then seen as such with a
-/// spread of a quarter.
+/// Time constant of the slow rate.
 const SLOW_WINDOW: Duration = Duration::from_secs(12);
-/// Time that an engine takes to read a prompt token where none was seen yet: 38 tokens in a ms.
+/// Prefill time per prompt token that is assumed until one is observed.
 pub const DEFAULT_PREFILL_S_PER_TOKEN: f64 = 26e-6;
-/// Time to the first event that is not spent on reading the prompt: two ways and a step.
+/// Time to the first event that is not spent on prefill: a network round trip and a decode step.
 const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(7);
-/// Prompts below this many tokens tell little of the time to read one.
+/// Minimum prompt length for which prefill time is estimated.
 const MIN_PROMPT_TOKENS: u64 = 250;
-/// Part of the distance that a shorter time moves what is known by; the least of some ten is taken.
+/// Smoothing factor for a decreasing prefill estimate.
 const DECREASE_SMOOTHING: f64 = 0.3;
-/// The same for a longer one, which may come from others' prompts.
+/// Smoothing factor for an increasing prefill estimate, which may include other requests' prefill.
 const INCREASE_SMOOTHING: f64 = 0.03;
-/// Part of the distance that one request moves the aim by.
+/// Smoothing factor of the latency objective.
 const OBJECTIVE_SMOOTHING: f64 = 0.2;
-/// Requests below which a rate is taken as none, a second.
+/// Request rate below which a model is dropped.
 const MIN_REQUESTS_PER_S: f64 = 0.004;
 
 #[derive(Clone, Copy, Debug)]
@@ -44,36 +40,36 @@
     latency_objective: Duration,
 }
 
-/// What one request weighs.
+/// Resources and latency that a request needs.
 #[derives(data)]
 #[derive(Copy)]
 pub struct RequestCost {
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// It wants an adapter.
+    /// Whether the request uses an adapter.
     pub uses_adapter: bool,
-    /// Time to its first event.
+    /// Objective for the time to the first event.
     pub latency_objective: Duration,
 }
 
-/// How much one model is asked for.
+/// Demand for one model.
 #[derives(data)]
 #[derive(Copy, Default)]
 pub struct ModelDemand {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Of these, those that want an adapter.
+    /// Requests per second that use an adapter.
     pub adapter_requests_per_s: f64,
-    /// Tokens of prompts a second.
+    /// Prompt tokens per second.
     pub prompt_tokens_per_s: f64,
-    /// Time that an engine takes to read one prompt token, in seconds.
+    /// Prefill time per prompt token, in seconds; 0 if unknown.
     pub prefill_s_per_token: f64,
-    /// Time to the first event within which most of the requests are of full use.
+    /// Typical objective for the time to the first event.
     pub latency_objective: Duration,
 }
 
 impl ModelDemand {
-    /// Both together, as from two routers.
+    /// Combines the demand at two routers.
     #[must_use]
     pub fn combine(self, other: Self) -> Self {
         let latency_objective = if self.requests_per_s >= other.requests_per_s {
@@ -93,14 +89,14 @@
     }
 }
 
-/// Arrivals by model.
+/// Tracks the demand for each model.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     rates: BTreeMap<names::ModelId, ModelRates>,
 }
 
 impl Demand {
-    /// A request for a model has come.
+    /// Records the arrival of a request.
     pub fn record_request(&mut self, now: Instant, model: &names::ModelId, cost: RequestCost) {
         let RequestCost { prompt_tokens, uses_adapter, latency_objective } = cost;
         let none = DecayingRate::new(now);
@@ -126,10 +122,10 @@
             + latency_objective.mul_f64(OBJECTIVE_SMOOTHING);
     }
 
-    /// A request's first event came this long after it was sent to an engine that had room.
+    /// Updates the prefill estimate from the time between sending a request to an engine with free
+    /// capacity and its first event.
     ///
-    /// What shortens the time says more than what lengthens it: a request that met others waited
-    /// for their prompts as well.
+    /// Shorter times weigh more, because longer ones may include the prefill of other requests.
     pub fn record_first_event(
         &mut self,
         model: &names::ModelId,
@@ -152,12 +148,12 @@
         *estimate += (observed - *estimate) * smoothing;
     }
 
-    /// How much a model is asked for.
+    /// Returns the current demand for a model.
     pub fn model_demand(&self, now: Instant, model: &names::ModelId) -> ModelDemand {
         self.rates.get(model).map_or_else(ModelDemand::default, |rates| rates.demand(now))
     }
 
-    /// All models that are asked for.
+    /// Returns all models with demand and removes the others.
     pub fn active_models(&mut self, now: Instant) -> Vec<(names::ModelId, ModelDemand)> {
         self.rates.retain(|_, rates| rates.demand(now).requests_per_s >= MIN_REQUESTS_PER_S);
         self.rates.iter().map(|(model, rates)| (model.clone(), rates.demand(now))).collect()
--- a/crates/corianderstand_fleet/src/lib.rs
+++ b/crates/corianderstand_fleet/src/lib.rs
@@ -1,12 +1,11 @@
-//! What a process believes of a deployment that forwards by route, and what it decides on that.
+//! Routing configuration, target state and the decisions based on them.
 //!
-//! A [`config::Config`] says which routes lead to which services. [`targets::Targets`] keeps what
-//! is known of each target of those services: what it registered, what its agent says of it, and
-//! what this process itself has seen. On these rest the decisions, each in a module of its own and
-//! without input or output: [`choose`] picks a target for one attempt, [`patience`] says how long
-//! a request waits for a model and when it is refused, [`prefill`] says whose prompt an engine reads
-//! next, [`budget`] limits second attempts, and [`plan`] says which engine holds which models. [`reconcile`] turns an engine's part of the plan
-//! into one order at a time.
+//! A [`config::Config`] maps routes to services. [`targets::Targets`] tracks each target of those
+//! services: its registration, its agent's reports and the results of this process's own requests.
+//! The decision modules perform no I/O: [`choose`] selects a target for an attempt, [`patience`]
+//! decides how long a request waits for a model, [`prefill`] schedules prompts on an engine,
+//! [`budget`] limits retries, and [`plan`] places models on engines. [`reconcile`] computes an
+//! engine's next command from its plan.
 //!
 //! ```
 //! use corianderstand_fleet::{config, routes};
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -1,15 +1,13 @@
-//! Which engine holds which models.
+//! Decides which engine holds which models.
 //!
-//! The load it is made for: about as many models as there are places for them, most of them asked
-//! for now and then, a few asked for all the time, and these few change within seconds. The harm it
-//! prevents: requests that wait six seconds and more for the weight store while an engine holds a
-//! model that nobody asks for, or a second copy of one that needs none. What is asked for and on no
-//! engine comes first; it takes the place of a copy that is not needed or of the model that is
-//! missed least, on the engine where it is there soonest.
+//! The planner targets fleets with about as many models as slots, where most models are requested
+//! rarely, a few constantly, and the busy ones change within seconds. Models that are requested
+//! and resident nowhere come first. A new placement evicts redundant replicas or the models with
+//! the lowest eviction cost, on the engine where the model is ready soonest.
 //!
-//! A plan is what each engine should hold. Agents carry it out, one order at a time, and may hold
-//! more than it says; only what stands in the way of something wanted is dropped. So a plan that is
-//! late, lost or made twice from different knowledge costs a load and breaks nothing.
+//! A plan lists the models that each engine should hold. Agents execute it one command at a time
+//! and unload other models only to free capacity, so a late, lost or conflicting plan costs at
+//! most a redundant load.
 
 use crate::{counts, decaying_rate, snapshot, store_concurrency, targets, utility};
 use corianderstand_types::names;
@@ -18,70 +16,66 @@
     time::{Duration, Instant},
 };
 
-/// A replica beyond those needed is worth this much, as a part of the model's requests: it is there
-/// when an engine crashes, which a few in a hundred do within [`utility::HORIZON_S`].
+/// Utility of a redundant replica, relative to the model's requests: it keeps the model available
+/// when an engine crashes.
 const SPARE_REPLICA_UTILITY: f64 = 0.02;
-/// A model with requests at the engine is dropped only when they have ended; until then the engine
-/// takes no other order. Each of up to two counts as this many requests.
+/// Cost of each running request, for up to two, of a model that is evicted: the engine accepts no
+/// other command until they end.
 const RUNNING_REQUEST_COST: f64 = 0.9;
-/// Time over which it is counted what placing absent models gains: some ten of them.
+/// Averaging window for the utility of placing absent models.
 const SWAP_WINDOW: Duration = Duration::from_secs(4);
-/// A replica that gains less than this many requests is not worth an order.
+/// Minimum utility, in requests, of an additional replica.
 const MIN_REPLICA_UTILITY: f64 = 0.5;
-/// Gain has to exceed the loss by this many requests: rates are known to a third, and without a
-/// margin two models would take turns.
+/// Amount, in requests, by which utility must exceed cost; prevents two models from evicting each
+/// other in turn.
 const UTILITY_MARGIN: f64 = 0.3;
-/// A model stays this long before another may take its place; a swap costs a second of serving
-/// neither.
+/// Minimum time that a model stays resident before it can be evicted.
 const MIN_RESIDENCY: Duration = Duration::from_millis(1_200);
-/// Time of a run that an unload has to wait for: some 300 tokens at 5 ms.
+/// Expected duration of a running request that an unload waits for.
 const EXPECTED_RUN: Duration = Duration::from_millis(1_400);
-/// What a replica gains fades with the time until it is there, as demand moves on: two fifths are left
-/// after the six seconds of a small deployment's weight store, an eighth after the 13 of a large one's.
-/// It must not end: where it did after ten seconds, models that had become busy stayed on three
-/// overloaded engines for as long as they were busy, and half of their callers were refused.
+/// Time constant by which a replica's utility decays with the time until it is ready. An
+/// exponential never reaches zero, so a slow weight store can't starve overloaded models.
 const REPLICA_UTILITY_DECAY: Duration = Duration::from_millis(6_500);
-/// A planner in a process that has just started knows little of what is asked for, and of models that nobody
-/// seems to ask for all are worth the same: within this time it drops none. By then a model that is asked
-/// for once a second has mostly been seen.
+/// Period after start in which the planner evicts nothing, because its demand rates are still
+/// incomplete.
 const WARM_UP: Duration = Duration::from_millis(1_500);
 
-/// The planner: the last plan, and what it has learnt of the weight store.
+/// Computes plans from demand, and tracks the last plan and the weight store's concurrency.
 #[derive(Debug, Default)]
 pub struct Planner {
     desired: HashMap<targets::TargetKey, Vec<names::ModelId>>,
     placed_at: HashMap<(targets::TargetKey, names::ModelId), Instant>,
     store: store_concurrency::StoreConcurrency,
-    /// Until then it learns what is asked for.
+    /// End of the warm-up period.
     warm_up_until: Option<Instant>,
-    /// What placing absent models gained, in requests.
+    /// Utility of placing absent models, in requests per second.
     swap_utility: Option<decaying_rate::DecayingRate>,
 }
 
-/// Why a model should get one more place.
+/// Reason to place one more replica of a model.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Cause {
-    /// It has none: it takes turns with the others for the places that there are.
+    /// The model has no replica.
     Absent,
-    /// Its load wants one more: there is one place less for the others from then on.
+    /// The load on the existing replicas is too high.
     Load,
 }
 
-/// A model that should get one more place.
+/// A model that should get one more replica.
 #[derive(Clone, Copy, Debug)]
 struct Candidate<'a> {
     model: &'a snapshot::ModelView,
     cause: Cause,
-    /// What that gains within [`utility::HORIZON_S`], in requests.
+    /// Utility within [`utility::HORIZON_S`], in requests.
     utility: f64,
 }
 
-/// A place for a model on an engine, and what has to go for it.
+/// A possible placement of a model on an engine, with the models to evict for it.
 #[derive(Clone, Debug)]
 struct Placement {
     engine_index: usize,
     victims: Vec<names::ModelId>,
-    /// The engine is carrying out something else first.
+    /// The engine must finish other commands first.
     deferred: bool,
     ready_in: Duration,
     from_store: bool,
@@ -89,12 +83,12 @@
 }
 
 impl Planner {
-    /// A planner in a process that starts now.
+    /// Creates a planner that evicts nothing during its warm-up period.
     pub fn starting(now: Instant) -> Self {
         Self { warm_up_until: Some(now + WARM_UP), ..Self::default() }
     }
 
-    /// What each engine should hold, made anew from what is known now.
+    /// Computes the models that each engine should hold.
     pub fn plan(
         &mut self,
         now: Instant,
@@ -104,17 +98,15 @@
         self.store.observe(now, engines, models);
         self.adopt_holdings(now, engines, models);
         let mut counts = counts::FleetCounts::new(engines, models, &self.desired);
-        // Engines carry out one order at a time, so what counts is what an order gains for the time
-        // that it takes: a model that is on a disk goes before one of like gain that takes an engine
-        // six seconds. After a power cut engines had begun such loads for models that nobody asked
-        // for, while the busy ones, on their disks, waited behind them.
+        // Engines execute one command at a time, so candidates are ordered by utility per second of
+        // command time: a load from disk precedes one from the weight store of similar utility.
         let ranked = models.values().filter_map(|model| {
             let candidate = candidate(&counts, model)?;
             let command_time =
                 counts.fastest_load(engines, &model.spec) + utility::DECISION_LATENCY;
             Some((candidate.utility / command_time.as_secs_f64(), candidate))
         });
-        // Models come by name, and those that gain alike stay in this order.
+        // The sort is stable: candidates of equal utility stay ordered by model name.
         let mut candidates: Vec<(f64, Candidate)> = ranked.collect();
         candidates.sort_by(|(a, _), (b, _)| b.total_cmp(a));
         for (_, candidate) in candidates {
@@ -135,8 +127,7 @@
         &self.desired
     }
 
-    /// Starts from what engines hold and are loading, so that a new planner changes nothing that
-    /// needs no change.
+    /// Adds the resident and loading models to the plan, so that a new planner keeps them in place.
     fn adopt_holdings(
         &mut self,
         now: Instant,
@@ -160,7 +151,7 @@
                     desired.push(model.clone());
                 }
             }
-            // Its stay begins when it is there, not when its load was planned.
+            // The minimum residency starts when the model is ready, not when its load is planned.
             for model in desired.iter().filter(|name| engine.holdings.resident(name).is_none()) {
                 self.placed_at.insert((engine.key, model.clone()), now);
             }
@@ -181,8 +172,7 @@
             let free = engine.accepts_commands && !self.desired[&engine.key].contains(name);
             free.then(|| self.placement_on(now, engine, index, models, counts, candidate)).flatten()
         };
-        // A copy on some engine's disk is there in a second, also if that engine has to end another
-        // order first; the store takes six, and serves few at once.
+        // Cached weights load much faster than from the weight store, even after another command.
         let mut placements: Vec<Placement> =
             counts.engines_with_cached_weights(name).iter().copied().filter_map(on).collect();
         if placements.is_empty() {
@@ -192,10 +182,8 @@
             placements = (0..engines.len()).filter_map(on).collect();
         }
         if candidate.cause == Cause::Load {
-            // An engine that loads carries out no other order, and six seconds of one are worth more
-            // than most replicas gain while models take turns for places. Not charged for them, a
-            // replica makes engines load one busy model from the weight store at once, and rare
-            // models are refused meanwhile.
+            // A load blocks the engine's other commands, so an additional replica is charged the
+            // utility of the absent models that could be placed instead.
             let utility_per_s = self.command_utility_per_s(now, counts);
             for placement in &mut placements {
                 placement.cost += utility_per_s * placement.ready_in.as_secs_f64();
@@ -214,7 +202,7 @@
             let free = placement.victims.is_empty() && candidate.cause == Cause::Absent;
             free || candidate.utility * decay(placement) > placement.cost + UTILITY_MARGIN
         });
-        // While it is on its way, its requests wait or are refused.
+        // The model's requests wait or are refused until the placement is ready.
         let rate = f64::from(candidate.model.waiting)
             + candidate.model.demand.requests_per_s.max(utility::MIN_REQUESTS_PER_S);
         let total_cost =
@@ -223,13 +211,13 @@
         (!best.deferred).then_some(best)
     }
 
-    /// What one engine's orders for absent models gain a second, in requests.
+    /// Returns the utility, in requests per second, of one engine's commands for absent models.
     fn command_utility_per_s(&self, now: Instant, counts: &counts::FleetCounts) -> f64 {
         let utility = self.swap_utility.map_or(0.0, |swaps| swaps.value(now, SWAP_WINDOW));
         utility / counts.commandable_engines.max(1) as f64
     }
 
-    /// Time until the engine holds all that it should, and can be given another order.
+    /// Returns the time until the engine holds its desired models and accepts another command.
     fn time_until_settled(
         &self,
         now: Instant,
@@ -299,8 +287,8 @@
         since.is_none_or(|&since| now.saturating_duration_since(since) >= MIN_RESIDENCY)
     }
 
-    /// What is lost within [`utility::HORIZON_S`], in requests, because the engine has other work to do as
-    /// well: the streams of both pause while it reads the prompts of both.
+    /// Returns the cost within [`utility::HORIZON_S`], in requests, of sharing the engine with
+    /// other models: a prompt of either pauses the streams of both.
     fn interference_cost(
         &self,
         engine: &snapshot::EngineView,
@@ -337,7 +325,7 @@
     }
 }
 
-/// What one more replica of the model gains; none if it needs no more.
+/// Returns the utility of one more replica, or `None` if the model needs no more.
 fn candidate<'a>(
     counts: &counts::FleetCounts,
     model: &'a snapshot::ModelView,
@@ -353,7 +341,7 @@
     (utility > MIN_REPLICA_UTILITY).then_some(Candidate { model, cause: Cause::Load, utility })
 }
 
-/// What is lost within [`utility::HORIZON_S`], in requests, when the model leaves this engine.
+/// Returns the cost within [`utility::HORIZON_S`], in requests, of evicting the model.
 fn eviction_cost(
     counts: &counts::FleetCounts,
     engine: &snapshot::EngineView,
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -1,67 +1,67 @@
-//! The next order to an engine, from what it should hold and what it holds.
+//! Computes the next command for an engine from its desired and its reported state.
 //!
-//! An engine carries out one order at a time, and crashes when it is ordered to hold more than fits.
-//! So each step is worked out from the engine's own account, and carries the number of orders that
-//! this account was made at: an order that arrives late, after another was accepted, is refused by
-//! the engine instead of being carried out on a state that it was not meant for.
+//! An engine executes one command at a time and crashes when its memory is overcommitted. So each
+//! command is computed from the engine's own report and carries that report's command count: the
+//! engine rejects a command that was computed before another one was accepted.
 
 use crate::targets;
 use corianderstand_derives::derives;
 use corianderstand_types::names;
 use std::time::{Duration, Instant};
 
-/// An adapter that was asked for stays at least this long, so that the request it was loaded for
-/// finds it; routers name those that are in use more often than that.
+/// Minimum time that a requested adapter stays resident, so that the request finds it. Routers
+/// renew requests for adapters in use more often.
 const MIN_ADAPTER_RESIDENCY: Duration = Duration::from_millis(600);
 
-/// An order to an engine.
+/// A command to an engine.
 #[derives(name)]
 pub enum Command {
     /// Load a model.
     Load(names::ModelId),
-    /// Drop a model once its runs have ended.
+    /// Unload a model after its running requests have ended.
     Unload(names::ModelId),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a resident model.
     LoadAdapter(names::ModelId, names::AdapterId),
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter(names::ModelId, names::AdapterId),
 }
 
-/// Size of a model on this engine, and whether it is wanted.
+/// Memory sizes of a model on an engine, and whether the plan places it there.
 #[derives(data)]
 pub struct PlannedModel {
-    /// The model.
+    /// Model name.
     pub model: names::ModelId,
-    /// Memory of its weights, in MB.
+    /// Memory for its weights, in MB.
     pub weights_mb: u64,
-    /// Memory of one of its adapters, in MB.
+    /// Memory for each of its adapters, in MB.
     pub adapter_mb: u64,
-    /// Whether the plan wants it here.
+    /// Whether the plan places the model on the engine.
     pub wanted: bool,
 }
 
-/// What an engine has room for.
+/// Capacity of an engine.
 #[derives(data)]
 #[derive(Copy, Default)]
 pub struct Capacity {
     /// Memory for weights and adapters, in MB.
     pub weights_mb: u64,
-    /// Adapters at once.
+    /// Number of adapters that can be resident at once.
     pub adapter_slots: usize,
 }
 
-/// An adapter that routers asked for.
+/// A router's request for an adapter.
 #[derives(data)]
 pub struct AdapterRequest {
-    /// Its model.
+    /// Model name.
     pub model: names::ModelId,
-    /// The adapter.
+    /// Adapter name.
     pub adapter: names::AdapterId,
-    /// When it was last asked for.
+    /// Time of the latest request.
     pub requested_at: Instant,
 }
 
-/// The next order for a model; none if all that is wanted is there, or sizes are not known.
+/// Returns the next model command, or `None` if all planned models are resident or the size of a
+/// resident model is unknown.
 pub fn next_model_command(
     capacity: Capacity,
     models: &[PlannedModel],
@@ -81,11 +81,11 @@
     Some(Command::Unload(victim.model.clone()))
 }
 
-/// The next order for an adapter: the newest request first, in place of the adapter that was not
-/// asked for the longest.
+/// Returns the next adapter command. Loads the most recently requested missing adapter, in place of
+/// the least recently requested resident one.
 ///
-/// One that was asked for earlier than all that are there makes none of them go. Otherwise two take
-/// turns for as long as both requests are remembered, at thirty orders a second.
+/// An adapter never displaces one that was requested later; otherwise two adapters would evict
+/// each other in turn.
 pub fn next_adapter_command(
     now: Instant,
     capacity: Capacity,
@@ -121,7 +121,7 @@
     (!keep).then(|| Command::UnloadAdapter(oldest.0.clone(), oldest.1.clone()))
 }
 
-/// Memory that is used, in MB; none if the size of something that is held is not known.
+/// Returns the memory in use, in MB, or `None` if the size of a resident model is unknown.
 fn used_mb(models: &[PlannedModel], holdings: &targets::Holdings) -> Option<u64> {
     let mut used = 0;
     for resident in &holdings.resident {
--- a/crates/corianderstand_fleet/src/snapshot.rs
+++ b/crates/corianderstand_fleet/src/snapshot.rs
@@ -1,46 +1,46 @@
-//! Engines and models as a plan sees them.
+//! Input of the planner: the state of engines and models.
 
 use crate::{config, demand, targets};
 use corianderstand_derives::derives;
 use corianderstand_types::names;
 use std::{collections::BTreeMap, time::Duration};
 
-/// An engine as the plan sees it.
+/// An engine as seen by the planner.
 #[derives(data)]
 pub struct EngineView {
-    /// Its key.
+    /// Target key.
     pub key: targets::TargetKey,
-    /// Its agent is there to carry out orders; if not, it serves what it holds.
+    /// Whether an agent executes commands for the engine; if not, it serves what is resident.
     pub accepts_commands: bool,
     /// Memory for weights, in MB.
     pub weights_mb: u64,
-    /// Requests in one batch.
+    /// Number of requests in one batch.
     pub slots: u32,
-    /// Adapters that fit at once.
+    /// Number of adapters that can be resident at once.
     pub adapter_slots: usize,
-    /// What it holds.
+    /// Resident models and adapters, and cached weights.
     pub holdings: targets::Holdings,
-    /// The order that it is carrying out.
+    /// Command being executed.
     pub ongoing: Option<targets::Ongoing>,
-    /// Requests at it by model, of all routers.
+    /// Running requests per model, from all routers.
     pub running: BTreeMap<names::ModelId, u32>,
 }
 
-/// A model as the plan sees it.
+/// A model as seen by the planner.
 #[derives(data)]
 pub struct ModelView {
-    /// What is configured of it.
+    /// Configuration of the model.
     pub spec: config::Model,
-    /// How much all routers are asked for it.
+    /// Demand at all routers.
     pub demand: demand::ModelDemand,
-    /// Requests that wait for it.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
 /// Models by name.
 pub type Models = BTreeMap<names::ModelId, ModelView>;
 
-/// How long an engine takes to load a model, and whether from the weight store.
+/// Returns the time to load a model on an engine, and whether it loads from the weight store.
 pub fn load_source(engine: &EngineView, model: &config::Model) -> (Duration, bool) {
     if engine.holdings.in_memory.contains(&model.name) {
         (model.load_from_memory, false)
--- a/crates/corianderstand_fleet/src/store_concurrency.rs
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -1,7 +1,7 @@
-//! How many loads the weight store carries at once.
+//! Estimates how many concurrent loads the weight store sustains.
 //!
-//! Nobody says it. A load that takes much longer than it should has shared the store with too many
-//! others; as many that take their expected time show that the store carries one more.
+//! The estimate drops when a load takes much longer than expected, and rises when a load takes its
+//! expected time at the current limit.
 
 use crate::{
     snapshot::{EngineView, Models},
@@ -13,19 +13,18 @@
     time::{Duration, Instant},
 };
 
-/// Loads from the weight store at once, until the time that loads take tells how many it carries. One
-/// that carries a single load gives nothing sooner when more share it: of four begun at once, of 13
-/// seconds each, none was there before 53. One that carries four is known to after two loads.
+/// Initial limit. A store that sustains one load at a time delays all concurrent ones, and a higher
+/// limit is found within a few loads.
 const INITIAL_LIMIT: u32 = 2;
-/// Factor by which more are tried after a load that took its expected time beside as many as allowed.
+/// Factor by which the limit rises after a load that wasn't slowed down at the limit.
 const PROBE_FACTOR: u32 = 2;
-/// A load that took this many times as long as it says shares the store with too many others.
+/// Ratio of actual to expected load time above which the store counts as congested.
 const CONGESTION_RATIO: f64 = 1.25;
 
-/// How many loads the weight store carries at once, learnt from the time that loads take.
+/// Limit on concurrent loads from the weight store, adapted to observed load times.
 #[derive(Debug)]
 pub struct StoreConcurrency {
-    /// Loads at once.
+    /// Maximum number of concurrent loads.
     pub limit: u32,
     loads: HashMap<targets::TargetKey, StoreLoad>,
 }
@@ -44,7 +43,7 @@
 }
 
 impl StoreConcurrency {
-    /// Sees which loads are under way, and learns from those that have ended.
+    /// Tracks the ongoing loads and updates the limit from those that have completed.
     pub fn observe(&mut self, now: Instant, engines: &[EngineView], models: &Models) {
         let loading: HashMap<_, _> = engines.iter().filter_map(store_load).collect();
         let count = loading.len() as u32;
