--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -27,7 +27,7 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn a_calm_day_serves_rare_and_busy_models(#[case] seed: u64) {
+fn steady_load_serves_rare_and_busy_models(#[case] seed: u64) {
     let mut models = rare(25, 0.5);
     models.extend([busy("busy-0", 25.0), busy("busy-1", 12.0)]);
     let mut world = world(9, models, 12, seed);
@@ -44,7 +44,7 @@
 /// Demand leaves one busy model and another that was on no engine rises within seconds. Its first
 /// requests wait for a load; after that it is served like the one before.
 #[test]
-fn a_shift_of_demand_is_followed_within_seconds() {
+fn demand_shift_is_followed_within_seconds() {
     let mut models = rare(20, 0.5);
     models.extend([busy("old", 25.0), busy("new", 0.0)]);
     let mut world = world(9, models, 12, 4);
@@ -62,7 +62,7 @@
 /// All callers of rare models come at once, with twice the usual requests. The busy model does not
 /// lose its places to them.
 #[test]
-fn a_burst_for_rare_models_leaves_busy_ones_alone() {
+fn burst_on_rare_models_does_not_evict_busy_models() {
     let mut models = rare(25, 0.5);
     models.push(busy("busy-0", 25.0));
     let mut world = world(9, models, 12, 5);
@@ -81,7 +81,7 @@
 /// An engine crashes and with it three models that were nowhere else. Other engines have copies on
 /// their disks, so callers wait a second and not for the weight store.
 #[test]
-fn models_of_a_crashed_engine_come_back_from_disks() {
+fn models_of_a_crashed_engine_are_reloaded_from_disk() {
     let mut models = rare(24, 0.5);
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 6);
@@ -97,7 +97,7 @@
 /// Each model that leaves an engine used to push out the next one at once, as its return was worth
 /// ten seconds of requests and its leave only two: engines did nothing but load, and callers waited.
 #[test]
-fn a_model_that_left_does_not_push_out_the_next() {
+fn evictions_do_not_trigger_further_evictions() {
     let mut models = rare(30, 0.3);
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 7);
@@ -111,7 +111,7 @@
 /// Nobody asks for anything yet, as before a deployment opens. Models that are on no engine come to
 /// one, in place of copies that are on several.
 #[test]
-fn before_the_first_request_every_model_finds_a_place() {
+fn every_model_is_placed_before_the_first_request() {
     let models = rare(26, 0.0);
     let mut world = world(9, models, 12, 8);
     world.run(Duration::from_secs(10));
@@ -137,7 +137,7 @@
 /// engines had one: a second seemed to gain nothing, as both would be overloaded, so callers were
 /// refused for as long as the load lasted.
 #[test]
-fn a_model_that_is_far_from_enough_places_gets_them() {
+fn severely_overloaded_model_gets_enough_replicas() {
     let mut now = Instant::now();
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let keys: Vec<_> = (0..12).map(|_| keys.insert(())).collect();
@@ -185,8 +185,8 @@
             }
         });
         let engines: Vec<_> = engines.collect();
-        let wants = planner.plan(now, &engines, &models);
-        held = keys.iter().map(|key| wants[key].clone()).collect();
+        let desired = planner.plan(now, &engines, &models);
+        held = keys.iter().map(|key| desired[key].clone()).collect();
     }
     let holders = held.iter().filter(|held| held.contains(&busy)).count();
     assert!(holders >= 6, "{holders} engines hold it");
@@ -196,8 +196,8 @@
 /// it. An engine that loads it from the weight store takes no other order for six seconds. When
 /// several do so at once, callers of rare models wait too long or are refused meanwhile.
 #[test]
-fn a_model_that_becomes_busy_leaves_engines_to_the_rare_ones() {
-    let after_the_rise = |seed: u64| {
+fn scaling_a_busy_model_does_not_starve_rare_models() {
+    let run_with_seed = |seed: u64| {
         let mut models = rare(26, 0.3);
         models.extend([busy("steady", 14.0), busy("next", 0.3)]);
         let mut world = world(8, models, 4, seed);
@@ -209,7 +209,7 @@
         assert!(next.share_in_aim() > 0.8, "the busy model at once: {next:?}");
         world.tally(is_rare)
     };
-    let tallies: Vec<_> = (1..6).map(after_the_rise).collect();
+    let tallies: Vec<_> = (1..6).map(run_with_seed).collect();
     let asked: u32 = tallies.iter().map(|tally| tally.asked).sum();
     let in_aim: u32 = tallies.iter().map(|tally| tally.in_aim).sum();
     let share = f64::from(in_aim) / f64::from(asked);
@@ -221,13 +221,13 @@
 /// counted from the plan, the next model pushed it out three tenths of a second after it was there,
 /// and its callers came back for another load.
 #[test]
-fn a_model_stays_for_a_while_after_it_is_there() {
+fn minimum_residency_starts_when_the_model_is_ready() {
     let start = Instant::now();
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let key = keys.insert(());
     let (first, next) = (ModelId::from("first"), ModelId::from("next"));
     let mut planner = plan::Planner::default();
-    let mut wanted = |after_ms: u64, resident: Option<&ModelId>, waiting: &ModelId| {
+    let mut plan_at = |after_ms: u64, resident: Option<&ModelId>, waiting: &ModelId| {
         let resident = resident.into_iter();
         let resident =
             resident.map(|model| targets::Resident { model: model.clone(), adapters: Vec::new() });
@@ -253,18 +253,18 @@
         let now = start + Duration::from_millis(after_ms);
         planner.plan(now, &[engine], &models.into())[&key].clone()
     };
-    assert_eq!(wanted(0, None, &first), std::slice::from_ref(&first));
-    assert_eq!(wanted(900, None, &first), std::slice::from_ref(&first));
-    assert_eq!(wanted(1_000, Some(&first), &first), std::slice::from_ref(&first));
-    assert_eq!(wanted(1_300, Some(&first), &next), std::slice::from_ref(&first));
-    assert_eq!(wanted(2_300, Some(&first), &next), std::slice::from_ref(&next));
+    assert_eq!(plan_at(0, None, &first), std::slice::from_ref(&first));
+    assert_eq!(plan_at(900, None, &first), std::slice::from_ref(&first));
+    assert_eq!(plan_at(1_000, Some(&first), &first), std::slice::from_ref(&first));
+    assert_eq!(plan_at(1_300, Some(&first), &next), std::slice::from_ref(&first));
+    assert_eq!(plan_at(2_300, Some(&first), &next), std::slice::from_ref(&next));
 }
 
 /// After a power cut an engine is empty. Two callers wait for a model that only the weight store has,
 /// and one for a model on the engine's disk. With the store's load first the one caller waits for
 /// seven seconds in place of one, and the two for six in place of seven.
 #[test]
-fn a_quick_load_goes_before_a_slow_one_that_gains_little_more() {
+fn fast_load_precedes_slow_load_of_similar_utility() {
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let key = keys.insert(());
     let (stored, on_disk) = (ModelId::from("stored"), ModelId::from("on-disk"));
@@ -283,15 +283,15 @@
         (model.clone(), snapshot::ModelView { spec: common::spec(model), demand, waiting })
     });
     let mut planner = plan::Planner::default();
-    let wants = planner.plan(Instant::now(), &[engine], &models.into());
-    assert_eq!(wants[&key], [on_disk]);
+    let desired = planner.plan(Instant::now(), &[engine], &models.into());
+    assert_eq!(desired[&key], [on_disk]);
 }
 
 /// A model has become busy and overloads the engines that hold it; other engines stand idle, but the
 /// weight store takes thirteen seconds. While a replica that late counted for nothing, half of the
 /// model's callers were refused for as long as it was busy.
 #[test]
-fn an_overloaded_model_gets_a_replica_although_its_load_is_long() {
+fn overloaded_model_gets_a_replica_despite_slow_load() {
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let keys: Vec<_> = (0..6).map(|_| keys.insert(())).collect();
     let busy = ModelId::from("busy");
@@ -321,7 +321,7 @@
         config::Model { load_from_store: Duration::from_millis(13_200), ..common::spec(&busy) };
     let models = BTreeMap::from([(busy.clone(), snapshot::ModelView { spec, demand, waiting: 0 })]);
     let mut planner = plan::Planner::default();
-    let wants = planner.plan(Instant::now(), &engines, &models);
-    let replicas = wants.values().filter(|wants| wants.contains(&busy)).count();
+    let desired = planner.plan(Instant::now(), &engines, &models);
+    let replicas = desired.values().filter(|desired| desired.contains(&busy)).count();
     assert!(replicas > 2, "{replicas} replicas for the work of three engines");
 }
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -10,14 +10,14 @@
 };
 
 /// Engines and models of the size, and models that fit into one engine.
-const ENGINES: usize = 96;
-const MODELS: usize = 354;
-const FIT: usize = 3;
+const ENGINE_COUNT: usize = 96;
+const MODEL_COUNT: usize = 354;
+const MODELS_PER_ENGINE: usize = 3;
 const MODEL_MB: u64 = 70_000;
 /// A tenth of the 250 ms between two messages of a router, on a whole core: the host that plans has half
 /// of one, and hears agents and serves callers beside it.
-const PLANNED_WITHIN: Duration = Duration::from_millis(25);
-const PLANS: u32 = 12;
+const MAX_PLAN_TIME: Duration = Duration::from_millis(25);
+const PLAN_COUNT: u32 = 12;
 
 struct Fleet {
     engines: Vec<snapshot::EngineView>,
@@ -48,15 +48,17 @@
 
 impl Fleet {
     /// All engines have lost their power and kept their disks.
-    fn after_a_power_cut(seed: u64) -> Self {
+    fn after_power_loss(seed: u64) -> Self {
         let mut rng = rngs::StdRng::seed_from_u64(seed);
         let mut keys = SlotMap::with_key();
-        let engines = (0..ENGINES).map(|_| {
-            let on_disk = (0..2 * FIT).map(|_| name(rng.random_range(0..MODELS))).collect();
+        let engines = (0..ENGINE_COUNT).map(|_| {
+            let on_disk = (0..2 * MODELS_PER_ENGINE)
+                .map(|_| name(rng.random_range(0..MODEL_COUNT)))
+                .collect();
             snapshot::EngineView {
                 key: keys.insert(()),
                 accepts_commands: true,
-                weights_mb: FIT as u64 * MODEL_MB + MODEL_MB / 7,
+                weights_mb: MODELS_PER_ENGINE as u64 * MODEL_MB + MODEL_MB / 7,
                 slots: 12,
                 adapter_slots: 8,
                 holdings: targets::Holdings { on_disk, ..Default::default() },
@@ -65,7 +67,7 @@
             }
         });
         let engines = engines.collect();
-        let models = (0..MODELS).map(|index| {
+        let models = (0..MODEL_COUNT).map(|index| {
             let per_s = if index < 32 { 40.0 / (index + 1) as f64 } else { 0.27 };
             model(index, per_s, rng.random_range(0..3))
         });
@@ -73,27 +75,27 @@
     }
 
     /// Carries out what was planned at once.
-    fn follow(&mut self, wants: &HashMap<targets::TargetKey, Vec<ModelId>>) {
+    fn execute(&mut self, desired: &HashMap<targets::TargetKey, Vec<ModelId>>) {
         for engine in &mut self.engines {
-            let Some(wants) = wants.get(&engine.key) else { continue };
-            let resident = wants
+            let Some(desired) = desired.get(&engine.key) else { continue };
+            let resident = desired
                 .iter()
                 .map(|model| targets::Resident { model: model.clone(), adapters: Vec::new() });
             engine.holdings.resident = resident.collect();
-            engine.running = wants.iter().take(2).map(|model| (model.clone(), 2)).collect();
+            engine.running = desired.iter().take(2).map(|model| (model.clone(), 2)).collect();
         }
     }
 }
 
 /// Engines drop busy models for the first requests that a router hears of after all routers were killed.
 #[test]
-fn a_planner_that_has_just_started_drops_no_model() {
-    let mut fleet = Fleet::after_a_power_cut(1);
+fn planner_evicts_nothing_during_warm_up() {
+    let mut fleet = Fleet::after_power_loss(1);
     let mut now = Instant::now();
     let mut planner = plan::Planner::default();
-    for _ in 0..FIT {
-        let wants = planner.plan(now, &fleet.engines, &fleet.models).clone();
-        fleet.follow(&wants);
+    for _ in 0..MODELS_PER_ENGINE {
+        let desired = planner.plan(now, &fleet.engines, &fleet.models).clone();
+        fleet.execute(&desired);
         now += Duration::from_millis(1_300);
     }
     let held: BTreeSet<_> = fleet.engines.iter().flat_map(resident).cloned().collect();
@@ -101,14 +103,17 @@
         model.demand = demand::ModelDemand::default();
         model.waiting = u32::from(!held.contains(name));
     }
-    let keeps = |wants: &HashMap<targets::TargetKey, Vec<ModelId>>| {
+    let keeps_all = |desired: &HashMap<targets::TargetKey, Vec<ModelId>>| {
         let mut engines = fleet.engines.iter();
-        engines.all(|engine| resident(engine).all(|model| wants[&engine.key].contains(model)))
+        engines.all(|engine| resident(engine).all(|model| desired[&engine.key].contains(model)))
     };
     let mut starting = plan::Planner::starting(now);
-    assert!(keeps(starting.plan(now, &fleet.engines, &fleet.models)));
-    let later = now + Duration::from_secs(2);
-    assert!(!keeps(starting.plan(later, &fleet.engines, &fleet.models)), "others wait for places");
+    assert!(keeps_all(starting.plan(now, &fleet.engines, &fleet.models)));
+    let after_warm_up = now + Duration::from_secs(2);
+    assert!(
+        !keeps_all(starting.plan(after_warm_up, &fleet.engines, &fleet.models)),
+        "others wait for places"
+    );
 }
 
 /// Models that an engine holds.
@@ -121,23 +126,24 @@
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn a_large_fleet_is_planned_in_time_after_a_power_cut(#[case] seed: u64) {
-    let mut fleet = Fleet::after_a_power_cut(seed);
+fn large_fleet_is_planned_in_time_after_power_loss(#[case] seed: u64) {
+    let mut fleet = Fleet::after_power_loss(seed);
     let mut planner = plan::Planner::default();
     let mut now = Instant::now();
-    let mut quickest = Duration::MAX;
-    for _ in 0..PLANS {
-        let began = Instant::now();
-        let wants = planner.plan(now, &fleet.engines, &fleet.models).clone();
-        quickest = quickest.min(began.elapsed());
-        fleet.follow(&wants);
+    let mut fastest = Duration::MAX;
+    for _ in 0..PLAN_COUNT {
+        let started_at = Instant::now();
+        let desired = planner.plan(now, &fleet.engines, &fleet.models).clone();
+        fastest = fastest.min(started_at.elapsed());
+        fleet.execute(&desired);
         now += Duration::from_millis(1_300);
     }
-    println!("seed {seed}: {quickest:?} a plan");
+    println!("seed {seed}: {fastest:?} a plan");
     let held: BTreeSet<_> = fleet.engines.iter().flat_map(resident).collect();
-    for engine in fleet.engines.iter().filter(|engine| resident(engine).count() < FIT) {
-        let idle = engine.holdings.on_disk.iter().find(|model| !held.contains(model));
-        assert_eq!(idle, None, "an engine has a copy and room for it, and nobody holds it");
+    for engine in fleet.engines.iter().filter(|engine| resident(engine).count() < MODELS_PER_ENGINE)
+    {
+        let unplaced = engine.holdings.on_disk.iter().find(|model| !held.contains(model));
+        assert_eq!(unplaced, None, "an engine has a copy and room for it, and nobody holds it");
     }
-    assert!(quickest < PLANNED_WITHIN, "a plan takes {quickest:?}");
+    assert!(fastest < MAX_PLAN_TIME, "a plan takes {fastest:?}");
 }
