--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans under load: what callers get when models want more places than there are.
+//! Planner behavior in a simulated fleet with more models than slots.
 
 mod common;
 
@@ -21,8 +21,7 @@
     name.starts_with("rare")
 }
 
-/// Twenty-five rare models and two busy ones want places on nine engines of three. All get their
-/// turn: the rare ones within two and a half seconds, the busy ones at once.
+/// All models are served within their latency objectives although they don't all fit.
 #[rstest::rstest]
 #[case(1)]
 #[case(2)]
@@ -35,14 +34,13 @@
     world.forget();
     world.run(Duration::from_secs(40));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
-    println!("rare {rare:?}, busy {busy:?}, {} orders", world.orders);
-    assert!(rare.share_in_aim() > 0.85, "rare models in time: {}", rare.share_in_aim());
-    assert!(busy.share_in_aim() > 0.97, "busy models at once: {}", busy.share_in_aim());
-    assert!(world.most_mb <= 220_000, "an engine was ordered to hold {} MB", world.most_mb);
+    println!("rare {rare:?}, busy {busy:?}, {} commands", world.orders);
+    assert!(rare.share_in_aim() > 0.85, "rare models within objective: {}", rare.share_in_aim());
+    assert!(busy.share_in_aim() > 0.97, "busy models within objective: {}", busy.share_in_aim());
+    assert!(world.most_mb <= 220_000, "an engine was commanded to hold {} MB", world.most_mb);
 }
 
-/// Demand leaves one busy model and another that was on no engine rises within seconds. Its first
-/// requests wait for a load; after that it is served like the one before.
+/// A model that becomes busy while on no engine is served in time after its first loads.
 #[test]
 fn demand_shift_is_followed_within_seconds() {
     let mut models = rare(20, 0.5);
@@ -56,11 +54,10 @@
     world.run(Duration::from_secs(15));
     let new = world.tally(|name| name == "new");
     assert!(new.share_in_aim() > 0.97, "after four seconds: {new:?}");
-    assert!(world.holders("new") >= 2, "one engine alone would make its streams pause");
+    assert!(world.holders("new") >= 2, "a single replica is overloaded");
 }
 
-/// All callers of rare models come at once, with twice the usual requests. The busy model does not
-/// lose its places to them.
+/// A burst of requests for rare models must not evict the busy model.
 #[test]
 fn burst_on_rare_models_does_not_evict_busy_models() {
     let mut models = rare(25, 0.5);
@@ -78,8 +75,7 @@
     assert!(rare.share_left() < 0.1, "{rare:?}");
 }
 
-/// An engine crashes and with it three models that were nowhere else. Other engines have copies on
-/// their disks, so callers wait a second and not for the weight store.
+/// Models lost in a crash are reloaded from cached weights, not from the weight store.
 #[test]
 fn models_of_a_crashed_engine_are_reloaded_from_disk() {
     let mut models = rare(24, 0.5);
@@ -91,11 +87,10 @@
     world.run(Duration::from_secs(8));
     let rare = world.tally(is_rare);
     assert!(rare.share_left() < 0.05, "{rare:?}");
-    assert_eq!(world.store_loads, 0, "all had copies on other disks");
+    assert_eq!(world.store_loads, 0, "all models are cached on other disks");
 }
 
-/// Each model that leaves an engine used to push out the next one at once, as its return was worth
-/// ten seconds of requests and its leave only two: engines did nothing but load, and callers waited.
+/// Guards against eviction cycles, which occur if placement and eviction value a model differently.
 #[test]
 fn evictions_do_not_trigger_further_evictions() {
     let mut models = rare(30, 0.3);
@@ -104,12 +99,11 @@
     world.run(Duration::from_secs(15));
     world.forget();
     world.run(Duration::from_secs(30));
-    // Thirty-one models on twenty-seven places: some turns are needed, two orders each.
-    assert!(world.orders < 240, "{} orders in 30 s", world.orders);
+    // 31 models compete for 27 slots, so some swaps of two commands each are needed.
+    assert!(world.orders < 240, "{} commands in 30 s", world.orders);
 }
 
-/// Nobody asks for anything yet, as before a deployment opens. Models that are on no engine come to
-/// one, in place of copies that are on several.
+/// Without requests, absent models replace redundant replicas.
 #[test]
 fn every_model_is_placed_before_the_first_request() {
     let models = rare(26, 0.0);
@@ -119,10 +113,10 @@
         .map(|index| format!("rare-{index:02}"))
         .filter(|name| world.holders(name) == 0)
         .collect();
-    assert!(missing.is_empty(), "on no engine: {missing:?}");
+    assert!(missing.is_empty(), "not placed: {missing:?}");
 }
 
-/// A deployment with one engine and more models than it can hold still serves all of them in turn.
+/// A single engine serves more models than fit by swapping them.
 #[test]
 fn one_engine_serves_more_models_than_it_holds() {
     let mut world = world(1, rare(5, 0.1), 5, 9);
@@ -133,9 +127,7 @@
     assert!(rare.share_left() < 0.1, "{rare:?}");
 }
 
-/// All engines have lost power and hold one of each model when traffic returns. A model that needs ten
-/// engines had one: a second seemed to gain nothing, as both would be overloaded, so callers were
-/// refused for as long as the load lasted.
+/// Guards against a model that stays overloaded because one more replica seems to have no utility.
 #[test]
 fn severely_overloaded_model_gets_enough_replicas() {
     let mut now = Instant::now();
@@ -189,12 +181,10 @@
         held = keys.iter().map(|key| desired[key].clone()).collect();
     }
     let holders = held.iter().filter(|held| held.contains(&busy)).count();
-    assert!(holders >= 6, "{holders} engines hold it");
+    assert!(holders >= 6, "{holders} replicas");
 }
 
-/// Rare models take turns on all engines when one model becomes busy, and few disks have a copy of
-/// it. An engine that loads it from the weight store takes no other order for six seconds. When
-/// several do so at once, callers of rare models wait too long or are refused meanwhile.
+/// Guards against replicas of one busy model that block several engines with slow loads at once.
 #[test]
 fn scaling_a_busy_model_does_not_starve_rare_models() {
     let run_with_seed = |seed: u64| {
@@ -206,20 +196,18 @@
         world.models.get_mut(&"next".into()).unwrap().per_s = 25.0;
         world.run(Duration::from_secs(12));
         let next = world.tally(|name| name == "next");
-        assert!(next.share_in_aim() > 0.8, "the busy model at once: {next:?}");
+        assert!(next.share_in_aim() > 0.8, "busy model within objective: {next:?}");
         world.tally(is_rare)
     };
     let tallies: Vec<_> = (1..6).map(run_with_seed).collect();
     let asked: u32 = tallies.iter().map(|tally| tally.asked).sum();
     let in_aim: u32 = tallies.iter().map(|tally| tally.in_aim).sum();
     let share = f64::from(in_aim) / f64::from(asked);
-    println!("rare models in time {share:.3}");
-    assert!(share > 0.93, "rare models in time: {share:.3}");
+    println!("rare models within objective {share:.3}");
+    assert!(share > 0.93, "rare models within objective: {share:.3}");
 }
 
-/// A model is loaded for the requests that wait for it, and the load takes a second. When its stay was
-/// counted from the plan, the next model pushed it out three tenths of a second after it was there,
-/// and its callers came back for another load.
+/// Guards against evicting a model right after its load, before it serves the waiting requests.
 #[test]
 fn minimum_residency_starts_when_the_model_is_ready() {
     let start = Instant::now();
@@ -260,9 +248,7 @@
     assert_eq!(plan_at(2_300, Some(&first), &next), std::slice::from_ref(&next));
 }
 
-/// After a power cut an engine is empty. Two callers wait for a model that only the weight store has,
-/// and one for a model on the engine's disk. With the store's load first the one caller waits for
-/// seven seconds in place of one, and the two for six in place of seven.
+/// Guards against a slow load for two requests that delays a fast load for one.
 #[test]
 fn fast_load_precedes_slow_load_of_similar_utility() {
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
@@ -287,9 +273,7 @@
     assert_eq!(desired[&key], [on_disk]);
 }
 
-/// A model has become busy and overloads the engines that hold it; other engines stand idle, but the
-/// weight store takes thirteen seconds. While a replica that late counted for nothing, half of the
-/// model's callers were refused for as long as it was busy.
+/// Guards against ignoring a replica because its load takes longer than the planning horizon.
 #[test]
 fn overloaded_model_gets_a_replica_despite_slow_load() {
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
@@ -323,5 +307,5 @@
     let mut planner = plan::Planner::default();
     let desired = planner.plan(Instant::now(), &engines, &models);
     let replicas = desired.values().filter(|desired| desired.contains(&busy)).count();
-    assert!(replicas > 2, "{replicas} replicas for the work of three engines");
+    assert!(replicas > 2, "{replicas} replicas for a load of three engines");
 }
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -1,4 +1,4 @@
-//! Plans for a large fleet: how long one takes, and that engines are used.
+//! Plans for a large fleet: planning time and engine usage.
 
 use corianderstand_fleet::{config, demand, plan, snapshot, targets};
 use corianderstand_types::names::ModelId;
@@ -9,13 +9,12 @@
     time::{Duration, Instant},
 };
 
-/// Engines and models of the size, and models that fit into one engine.
+/// Size of the fleet, and number of models that fit on one engine.
 const ENGINE_COUNT: usize = 96;
 const MODEL_COUNT: usize = 354;
 const MODELS_PER_ENGINE: usize = 3;
 const MODEL_MB: u64 = 70_000;
-/// A tenth of the 250 ms between two messages of a router, on a whole core: the host that plans has half
-/// of one, and hears agents and serves callers beside it.
+/// Keeps planning well below the 250 ms between reports on a host that also serves requests.
 const MAX_PLAN_TIME: Duration = Duration::from_millis(25);
 const PLAN_COUNT: u32 = 12;
 
@@ -47,7 +46,7 @@
 }
 
 impl Fleet {
-    /// All engines have lost their power and kept their disks.
+    /// All engines are empty but have cached weights on disk.
     fn after_power_loss(seed: u64) -> Self {
         let mut rng = rngs::StdRng::seed_from_u64(seed);
         let mut keys = SlotMap::with_key();
@@ -74,7 +73,7 @@
         Self { engines, models: models.collect() }
     }
 
-    /// Carries out what was planned at once.
+    /// Applies the plan immediately.
     fn execute(&mut self, desired: &HashMap<targets::TargetKey, Vec<ModelId>>) {
         for engine in &mut self.engines {
             let Some(desired) = desired.get(&engine.key) else { continue };
@@ -87,7 +86,7 @@
     }
 }
 
-/// Engines drop busy models for the first requests that a router hears of after all routers were killed.
+/// Guards against evicting busy models on the first requests after all routers restart.
 #[test]
 fn planner_evicts_nothing_during_warm_up() {
     let mut fleet = Fleet::after_power_loss(1);
@@ -112,16 +111,16 @@
     let after_warm_up = now + Duration::from_secs(2);
     assert!(
         !keeps_all(starting.plan(after_warm_up, &fleet.engines, &fleet.models)),
-        "others wait for places"
+        "absent models replace others"
     );
 }
 
-/// Models that an engine holds.
+/// Returns the models that are resident on an engine.
 fn resident(engine: &snapshot::EngineView) -> impl Iterator<Item = &ModelId> {
     engine.holdings.resident.iter().map(|resident| &resident.model)
 }
 
-/// Engines that come back empty stand idle while the next plan is made, and callers are refused.
+/// Guards against slow plans and idle engines after all engines restart empty.
 #[rstest::rstest]
 #[case(1)]
 #[case(2)]
@@ -138,12 +137,12 @@
         fleet.execute(&desired);
         now += Duration::from_millis(1_300);
     }
-    println!("seed {seed}: {fastest:?} a plan");
+    println!("seed {seed}: {fastest:?} per plan");
     let held: BTreeSet<_> = fleet.engines.iter().flat_map(resident).collect();
     for engine in fleet.engines.iter().filter(|engine| resident(engine).count() < MODELS_PER_ENGINE)
     {
         let unplaced = engine.holdings.on_disk.iter().find(|model| !held.contains(model));
-        assert_eq!(unplaced, None, "an engine has a copy and room for it, and nobody holds it");
+        assert_eq!(unplaced, None, "an unplaced model is cached on an engine with free capacity");
     }
-    assert!(fastest < MAX_PLAN_TIME, "a plan takes {fastest:?}");
+    assert!(fastest < MAX_PLAN_TIME, "planning takes {fastest:?}");
 }
