--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -28,7 +28,7 @@
 
 /// Memory sizes of a model on an engine, and whether the plan places it there.
 #[derives(data)]
-pub struct PlannedModel {
+pub struct EngineModel {
     /// Model name.
     pub model: names::ModelId,
     /// Memory for its weights, in MB.
@@ -64,7 +64,7 @@
 /// resident model is unknown.
 pub fn next_model_command(
     capacity: Capacity,
-    models: &[PlannedModel],
+    models: &[EngineModel],
     holdings: &targets::Holdings,
 ) -> Option<Command> {
     let missing = models
@@ -89,7 +89,7 @@
 pub fn next_adapter_command(
     now: Instant,
     capacity: Capacity,
-    models: &[PlannedModel],
+    models: &[EngineModel],
     holdings: &targets::Holdings,
     loading: usize,
     requests: &[AdapterRequest],
@@ -122,7 +122,7 @@
 }
 
 /// Returns the memory in use, in MB, or `None` if the size of a resident model is unknown.
-fn used_mb(models: &[PlannedModel], holdings: &targets::Holdings) -> Option<u64> {
+fn used_mb(models: &[EngineModel], holdings: &targets::Holdings) -> Option<u64> {
     let mut used = 0;
     for resident in &holdings.resident {
         let planned = models.iter().find(|planned| planned.model == resident.model)?;
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -234,11 +234,11 @@
             let wanted = wants.get(&engine.key).cloned().unwrap_or_default();
             let held = engine.holdings.resident.iter().map(|resident| resident.model.clone());
             let extra = held.filter(|model| !wanted.contains(model));
-            let parts: Vec<reconcile::PlannedModel> = wanted
+            let parts: Vec<reconcile::EngineModel> = wanted
                 .iter()
                 .cloned()
                 .chain(extra)
-                .map(|model| reconcile::PlannedModel {
+                .map(|model| reconcile::EngineModel {
                     wanted: wanted.contains(&model),
                     model,
                     weights_mb: MODEL_MB,
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -411,8 +411,8 @@
     }
 }
 
-fn parts(models: &[(&str, bool)]) -> Vec<reconcile::PlannedModel> {
-    let parts = models.iter().map(|(model, wanted)| reconcile::PlannedModel {
+fn parts(models: &[(&str, bool)]) -> Vec<reconcile::EngineModel> {
+    let parts = models.iter().map(|(model, wanted)| reconcile::EngineModel {
         model: (*model).into(),
         weights_mb: 70,
         adapter_mb: 5,
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -21,8 +21,8 @@
         || order(said) != order(news)
 }
 
-pub(super) fn parts(plan: &peers::EnginePlan) -> Vec<reconcile::PlannedModel> {
-    let parts = plan.parts.iter().map(|part| reconcile::PlannedModel {
+pub(super) fn parts(plan: &peers::EnginePlan) -> Vec<reconcile::EngineModel> {
+    let parts = plan.parts.iter().map(|part| reconcile::EngineModel {
         model: part.model.clone(),
         weights_mb: part.weights_mb,
         adapter_mb: part.adapter_mb,
