--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -36,7 +36,7 @@
     /// Memory for each of its adapters, in MB.
     pub adapter_mb: u64,
     /// Whether the plan places the model on the engine.
-    pub wanted: bool,
+    pub desired: bool,
 }
 
 /// Capacity of an engine.
@@ -69,15 +69,15 @@
 ) -> Option<Command> {
     let missing = models
         .iter()
-        .find(|planned| planned.wanted && holdings.resident(&planned.model).is_none())?;
+        .find(|entry| entry.desired && holdings.resident(&entry.model).is_none())?;
     let used = used_mb(models, holdings)?;
     if used + missing.weights_mb <= capacity.weights_mb {
         return Some(Command::Load(missing.model.clone()));
     }
-    let wanted = |model: &names::ModelId| {
-        models.iter().any(|planned| planned.wanted && planned.model == *model)
+    let desired = |model: &names::ModelId| {
+        models.iter().any(|entry| entry.desired && entry.model == *model)
     };
-    let victim = holdings.resident.iter().find(|resident| !wanted(&resident.model))?;
+    let victim = holdings.resident.iter().find(|resident| !desired(&resident.model))?;
     Some(Command::Unload(victim.model.clone()))
 }
 
@@ -98,7 +98,7 @@
         let resident = holdings.resident(&request.model);
         resident.is_some_and(|resident| !resident.adapters.contains(&request.adapter))
     })?;
-    let adapter_mb = models.iter().find(|planned| planned.model == missing.model)?.adapter_mb;
+    let adapter_mb = models.iter().find(|entry| entry.model == missing.model)?.adapter_mb;
     let resident_adapters: usize =
         holdings.resident.iter().map(|resident| resident.adapters.len()).sum();
     let fits_memory =
@@ -125,8 +125,8 @@
 fn used_mb(models: &[EngineModel], holdings: &targets::Holdings) -> Option<u64> {
     let mut used = 0;
     for resident in &holdings.resident {
-        let planned = models.iter().find(|planned| planned.model == resident.model)?;
-        used += planned.weights_mb + planned.adapter_mb * resident.adapters.len() as u64;
+        let entry = models.iter().find(|entry| entry.model == resident.model)?;
+        used += entry.weights_mb + entry.adapter_mb * resident.adapters.len() as u64;
     }
     Some(used)
 }
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -239,7 +239,7 @@
                 .cloned()
                 .chain(extra)
                 .map(|model| reconcile::EngineModel {
-                    wanted: wanted.contains(&model),
+                    desired: wanted.contains(&model),
                     model,
                     weights_mb: MODEL_MB,
                     adapter_mb: 0,
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -416,7 +416,7 @@
         model: (*model).into(),
         weights_mb: 70,
         adapter_mb: 5,
-        wanted: *wanted,
+        desired: *wanted,
     });
     parts.collect()
 }
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -26,7 +26,7 @@
         model: part.model.clone(),
         weights_mb: part.weights_mb,
         adapter_mb: part.adapter_mb,
-        wanted: part.wanted,
+        desired: part.wanted,
     });
     parts.collect()
 }
