--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -40,10 +40,10 @@
     latency_objective: Duration,
 }
 
-/// Resources and latency that a request needs.
+/// Properties of a request that determine its resource use.
 #[derives(data)]
 #[derive(Copy)]
-pub struct RequestCost {
+pub struct RequestProfile {
     /// Number of prompt tokens.
     pub prompt_tokens: u64,
     /// Whether the request uses an adapter.
@@ -97,8 +97,8 @@
 
 impl Demand {
     /// Records the arrival of a request.
-    pub fn record_request(&mut self, now: Instant, model: &names::ModelId, cost: RequestCost) {
-        let RequestCost { prompt_tokens, uses_adapter, latency_objective } = cost;
+    pub fn record_request(&mut self, now: Instant, model: &names::ModelId, profile: RequestProfile) {
+        let RequestProfile { prompt_tokens, uses_adapter, latency_objective } = profile;
         let none = DecayingRate::new(now);
         let initial = ModelRates {
             fast: none,
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -187,7 +187,7 @@
             if self.rng.random::<f64>() >= asked.per_s * step {
                 continue;
             }
-            let weight = demand::RequestCost {
+            let weight = demand::RequestProfile {
                 prompt_tokens: 600,
                 uses_adapter: false,
                 latency_objective: asked.aim,
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -160,7 +160,7 @@
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         if let Some(wanted) = &job.call.wanted {
-            let weight = demand::RequestCost {
+            let weight = demand::RequestProfile {
                 prompt_tokens: job.call.prompt_tokens,
                 uses_adapter: wanted.adapter.is_some(),
                 latency_objective: job.route.latency_objective,
