--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -84,7 +84,7 @@
 
 impl Planner {
     /// Creates a planner that evicts nothing during its warm-up period.
-    pub fn starting(now: Instant) -> Self {
+    pub fn with_warm_up(now: Instant) -> Self {
         Self { warm_up_until: Some(now + WARM_UP), ..Self::default() }
     }
 
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -106,7 +106,7 @@
         let mut engines = fleet.engines.iter();
         engines.all(|engine| resident(engine).all(|model| desired[&engine.key].contains(model)))
     };
-    let mut starting = plan::Planner::starting(now);
+    let mut starting = plan::Planner::with_warm_up(now);
     assert!(keeps_all(starting.plan(now, &fleet.engines, &fleet.models)));
     let after_warm_up = now + Duration::from_secs(2);
     assert!(
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -25,7 +25,7 @@
 impl Planning {
     /// The planning of a router that starts now.
     pub fn starting(now: Instant) -> Self {
-        Self { planner: plan::Planner::starting(now), ..Self::default() }
+        Self { planner: plan::Planner::with_warm_up(now), ..Self::default() }
     }
 
     /// Makes a plan for each service with engines, and tells agents what is new to them.
