--- a/crates/corianderstand_fleet/src/counts.rs
+++ b/crates/corianderstand_fleet/src/counts.rs
@@ -15,9 +15,9 @@
 #[derive(Debug)]
 pub struct FleetCounts<'a> {
     /// Smallest number of batch slots on any engine.
-    pub slots: u32,
+    pub min_batch_slots: u32,
     /// Smallest number of adapter slots on any engine.
-    pub adapter_slots: usize,
+    pub min_adapter_slots: usize,
     /// Number of engines that accept commands.
     pub commandable_engines: usize,
     /// Number of engines that load from the weight store or are planned to.
@@ -54,8 +54,8 @@
             *replicas.entry(model.clone()).or_default() += 1;
         }
         Self {
-            slots: engines.iter().map(|engine| engine.slots).min().unwrap_or(1).max(1),
-            adapter_slots: engines.iter().map(|e| e.adapter_slots).min().unwrap_or(1).max(1),
+            min_batch_slots: engines.iter().map(|engine| engine.slots).min().unwrap_or(1).max(1),
+            min_adapter_slots: engines.iter().map(|e| e.adapter_slots).min().unwrap_or(1).max(1),
             commandable_engines: engines.iter().filter(|engine| engine.accepts_commands).count(),
             store_loads: store_loads(engines, models, desired),
             running,
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -167,19 +167,19 @@
         candidate: &Candidate,
     ) -> Option<Placement> {
         let name = &candidate.model.spec.name;
-        let on = |index: usize| {
+        let placement_at = |index: usize| {
             let engine = &engines[index];
             let free = engine.accepts_commands && !self.desired[&engine.key].contains(name);
             free.then(|| self.placement_on(now, engine, index, models, counts, candidate)).flatten()
         };
         // Cached weights load much faster than from the weight store, even after another command.
         let mut placements: Vec<Placement> =
-            counts.engines_with_cached_weights(name).iter().copied().filter_map(on).collect();
+            counts.engines_with_cached_weights(name).iter().copied().filter_map(placement_at).collect();
         if placements.is_empty() {
             if counts.store_loads >= self.store.limit {
                 return None;
             }
-            placements = (0..engines.len()).filter_map(on).collect();
+            placements = (0..engines.len()).filter_map(placement_at).collect();
         }
         if candidate.cause == Cause::Load {
             // A load blocks the engine's other commands, so an additional replica is charged the
