--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -97,7 +97,12 @@
 
 impl Demand {
     /// Records the arrival of a request.
-    pub fn record_request(&mut self, now: Instant, model: &names::ModelId, profile: RequestProfile) {
+    pub fn record_request(
+        &mut self,
+        now: Instant,
+        model: &names::ModelId,
+        profile: RequestProfile,
+    ) {
         let RequestProfile { prompt_tokens, uses_adapter, latency_objective } = profile;
         let none = DecayingRate::new(now);
         let initial = ModelRates {
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -173,8 +173,12 @@
             free.then(|| self.placement_on(now, engine, index, models, counts, candidate)).flatten()
         };
         // Cached weights load much faster than from the weight store, even after another command.
-        let mut placements: Vec<Placement> =
-            counts.engines_with_cached_weights(name).iter().copied().filter_map(placement_at).collect();
+        let mut placements: Vec<Placement> = counts
+            .engines_with_cached_weights(name)
+            .iter()
+            .copied()
+            .filter_map(placement_at)
+            .collect();
         if placements.is_empty() {
             if counts.store_loads >= self.store.limit {
                 return None;
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -67,16 +67,14 @@
     models: &[EngineModel],
     holdings: &targets::Holdings,
 ) -> Option<Command> {
-    let missing = models
-        .iter()
-        .find(|entry| entry.desired && holdings.resident(&entry.model).is_none())?;
+    let missing =
+        models.iter().find(|entry| entry.desired && holdings.resident(&entry.model).is_none())?;
     let used = used_mb(models, holdings)?;
     if used + missing.weights_mb <= capacity.weights_mb {
         return Some(Command::Load(missing.model.clone()));
     }
-    let desired = |model: &names::ModelId| {
-        models.iter().any(|entry| entry.desired && entry.model == *model)
-    };
+    let desired =
+        |model: &names::ModelId| models.iter().any(|entry| entry.desired && entry.model == *model);
     let victim = holdings.resident.iter().find(|resident| !desired(&resident.model))?;
     Some(Command::Unload(victim.model.clone()))
 }
--- a/crates/corianderstand_fleet/src/utility.rs
+++ b/crates/corianderstand_fleet/src/utility.rs
@@ -52,8 +52,8 @@
 /// Returns the model's load as a number of fully utilized engines.
 pub fn utilization(counts: &counts::FleetCounts, model: &ModelView) -> f64 {
     let running = counts.running(&model.spec.name);
-    let batches =
-        f64::from(running + model.waiting) / (f64::from(counts.min_batch_slots) * TARGET_BATCH_RATIO);
+    let batches = f64::from(running + model.waiting)
+        / (f64::from(counts.min_batch_slots) * TARGET_BATCH_RATIO);
     let adapter_slots = counts.min_adapter_slots as f64 * TARGET_ADAPTER_RATIO;
     let adapters = model.demand.adapter_requests_per_s * ADAPTER_RESIDENCY_S / adapter_slots;
     prefill_utilization(model).max(batches.max(adapters) * SLOT_UTILIZATION_WEIGHT)
