--- a/crates/corianderstand_fleet/src/counts.rs
+++ b/crates/corianderstand_fleet/src/counts.rs
@@ -103,7 +103,6 @@
     }
 }
 
-/// Counts the engines that load from the weight store or are planned to.
 fn store_loads(
     engines: &[EngineView],
     models: &BTreeMap<names::ModelId, ModelView>,
--- a/crates/corianderstand_fleet/src/decaying_rate.rs
+++ b/crates/corianderstand_fleet/src/decaying_rate.rs
@@ -1,5 +1,3 @@
-//! Exponentially decayed event rate.
-
 use std::time::{Duration, Instant};
 
 /// An exponentially decayed rate of events per second.
@@ -10,7 +8,6 @@
 }
 
 impl DecayingRate {
-    /// Creates a rate of zero.
     pub const fn new(now: Instant) -> Self {
         Self { per_s: 0.0, updated_at: now }
     }
@@ -21,7 +18,6 @@
         self.per_s * (-age / window.as_secs_f64()).exp()
     }
 
-    /// Adds `count` events.
     pub fn add(&mut self, now: Instant, window: Duration, count: f64) {
         self.per_s = self.value(now, window) + count / window.as_secs_f64();
         self.updated_at = now;
--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -11,21 +11,16 @@
     time::{Duration, Instant},
 };
 
-/// Time constant of the fast rate.
 const FAST_WINDOW: Duration = Duration::from_secs(2);
-/// Time constant of the slow rate.
 const SLOW_WINDOW: Duration = Duration::from_secs(12);
 /// Prefill time per prompt token that is assumed until one is observed.
 pub const DEFAULT_PREFILL_S_PER_TOKEN: f64 = 26e-6;
 /// Time to the first event that is not spent on prefill: a network round trip and a decode step.
 const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(7);
-/// Minimum prompt length for which prefill time is estimated.
 const MIN_PROMPT_TOKENS: u64 = 250;
-/// Smoothing factor for a decreasing prefill estimate.
 const DECREASE_SMOOTHING: f64 = 0.3;
 /// Smoothing factor for an increasing prefill estimate, which may include other requests' prefill.
 const INCREASE_SMOOTHING: f64 = 0.03;
-/// Smoothing factor of the latency objective.
 const OBJECTIVE_SMOOTHING: f64 = 0.2;
 /// Request rate below which a model is dropped.
 const MIN_REQUESTS_PER_S: f64 = 0.004;
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -22,22 +22,17 @@
 /// Cost of each running request, for up to two, of a model that is evicted: the engine accepts no
 /// other command until they end.
 const RUNNING_REQUEST_COST: f64 = 0.9;
-/// Averaging window for the utility of placing absent models.
 const SWAP_WINDOW: Duration = Duration::from_secs(4);
-/// Minimum utility, in requests, of an additional replica.
 const MIN_REPLICA_UTILITY: f64 = 0.5;
-/// Amount, in requests, by which utility must exceed cost; prevents two models from evicting each
-/// other in turn.
+/// Prevents two models of similar utility from evicting each other in turn.
 const UTILITY_MARGIN: f64 = 0.3;
-/// Minimum time that a model stays resident before it can be evicted.
 const MIN_RESIDENCY: Duration = Duration::from_millis(1_200);
 /// Expected duration of a running request that an unload waits for.
 const EXPECTED_RUN: Duration = Duration::from_millis(1_400);
 /// Time constant by which a replica's utility decays with the time until it is ready. An
 /// exponential never reaches zero, so a slow weight store can't starve overloaded models.
 const REPLICA_UTILITY_DECAY: Duration = Duration::from_millis(6_500);
-/// Period after start in which the planner evicts nothing, because its demand rates are still
-/// incomplete.
+/// Period after start without evictions, until demand rates are reliable.
 const WARM_UP: Duration = Duration::from_millis(1_500);
 
 /// Computes plans from demand, and tracks the last plan and the weight store's concurrency.
@@ -46,22 +41,17 @@
     desired: HashMap<targets::TargetKey, Vec<names::ModelId>>,
     placed_at: HashMap<(targets::TargetKey, names::ModelId), Instant>,
     store: store_concurrency::StoreConcurrency,
-    /// End of the warm-up period.
     warm_up_until: Option<Instant>,
     /// Utility of placing absent models, in requests per second.
     swap_utility: Option<decaying_rate::DecayingRate>,
 }
 
-/// Reason to place one more replica of a model.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Cause {
-    /// The model has no replica.
     Absent,
-    /// The load on the existing replicas is too high.
     Load,
 }
 
-/// A model that should get one more replica.
 #[derive(Clone, Copy, Debug)]
 struct Candidate<'a> {
     model: &'a snapshot::ModelView,
--- a/crates/corianderstand_fleet/src/store_concurrency.rs
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -13,8 +13,7 @@
     time::{Duration, Instant},
 };
 
-/// Initial limit. A store that sustains one load at a time delays all concurrent ones, and a higher
-/// limit is found within a few loads.
+/// Low, because excess loads delay each other and a higher limit is found within a few loads.
 const INITIAL_LIMIT: u32 = 2;
 /// Factor by which the limit rises after a load that wasn't slowed down at the limit.
 const PROBE_FACTOR: u32 = 2;
@@ -24,7 +23,6 @@
 /// Limit on concurrent loads from the weight store, adapted to observed load times.
 #[derive(Debug)]
 pub struct StoreConcurrency {
-    /// Maximum number of concurrent loads.
     pub limit: u32,
     loads: HashMap<targets::TargetKey, StoreLoad>,
 }
--- a/crates/corianderstand_fleet/src/utility.rs
+++ b/crates/corianderstand_fleet/src/utility.rs
@@ -4,12 +4,9 @@
 use std::time::Duration;
 
 /// Minimum request rate assumed for a model, so that models without requests are placed as well.
-/// Well below the rate of any model that is requested.
 pub const MIN_REQUESTS_PER_S: f64 = 0.01;
-/// Horizon over which utilities and costs are computed.
 pub const HORIZON_S: f64 = 10.0;
-/// Cost of a request that waits for a load which could meet its latency objective: commands queue
-/// on engines, so many such loads are late.
+/// Cost of a request that waits for a load which could meet its latency objective.
 const RELAXED_MISS_COST: f64 = 0.7;
 /// Cost of a request whose model can't be loaded within its latency objective.
 const URGENT_MISS_COST: f64 = 1.0;
@@ -17,7 +14,6 @@
 const MISSES_PER_ABSENCE: f64 = 2.0;
 /// Time from a request for an absent model until its load starts.
 pub const DECISION_LATENCY: Duration = Duration::from_millis(250);
-/// Cost of a request whose stream pauses longer than its gap objective.
 const PAUSE_COST: f64 = 0.7;
 /// Probability that a stream pauses too long, relative to the squared prefill utilization.
 const PAUSE_FACTOR: f64 = 1.4;
@@ -27,7 +23,6 @@
 const SLOT_UTILIZATION_WEIGHT: f64 = 0.5;
 /// Time for which a request occupies an adapter slot: its run and the minimum adapter residency.
 const ADAPTER_RESIDENCY_S: f64 = 1.3;
-/// Target occupancy of the adapter slots.
 const TARGET_ADAPTER_RATIO: f64 = 0.8;
 
 /// Returns the cost within [`HORIZON_S`], in requests, of having the model on no engine. Placement
@@ -38,12 +33,10 @@
         * miss_cost(model)
 }
 
-/// Returns the number of requests within [`HORIZON_S`].
 pub fn expected_requests(model: &ModelView) -> f64 {
     model.demand.requests_per_s.max(MIN_REQUESTS_PER_S) * HORIZON_S
 }
 
-/// Returns the cost of one request while the model is on no engine.
 pub fn miss_cost(model: &ModelView) -> f64 {
     let ready_in = model.spec.load_from_disk + DECISION_LATENCY;
     if ready_in < model.demand.latency_objective { RELAXED_MISS_COST } else { URGENT_MISS_COST }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -116,7 +116,6 @@
     assert!(missing.is_empty(), "not placed: {missing:?}");
 }
 
-/// A single engine serves more models than fit by swapping them.
 #[test]
 fn one_engine_serves_more_models_than_it_holds() {
     let mut world = world(1, rare(5, 0.1), 5, 9);
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -73,7 +73,6 @@
         Self { engines, models: models.collect() }
     }
 
-    /// Applies the plan immediately.
     fn execute(&mut self, desired: &HashMap<targets::TargetKey, Vec<ModelId>>) {
         for engine in &mut self.engines {
             let Some(desired) = desired.get(&engine.key) else { continue };
@@ -115,7 +114,6 @@
     );
 }
 
-/// Returns the models that are resident on an engine.
 fn resident(engine: &snapshot::EngineView) -> impl Iterator<Item = &ModelId> {
     engine.holdings.resident.iter().map(|resident| &resident.model)
 }
