--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -1,12 +1,9 @@
-//! How much each model is asked for.
+//! Per-model demand: request rates, prompt tokens, prefill time and latency objectives.
 //!
-//! Two averages of the arrivals are kept, one over a few seconds and one over some ten: the larger
-//! counts. A model that is asked for rarely keeps a rate between its requests, and one that is
-//! suddenly asked for shows at once. Beside the number of requests, what they weigh is kept: the
-//! tokens of their prompts, which an engine reads at a limited rate, and how soon they want an
-//! answer.
+//! The request rate is the larger of two decaying rates: the fast one follows sudden demand, the
+//! slow one bridges the gaps between rare requests.
 
-use crate::fading::Fading;
+use crate::decaying_rate::DecayingRate;
 use corianderstand_derives::derives;
 use corianderstand_types::names;
 use std::{
@@ -14,152 +11,166 @@
     time::{Duration, Instant},
 };
 
-/// Time of the quick average. Demand moves from one model to the next within 4 to 6 s.
-const QUICK: Duration = Duration::from_secs(2);
-/// Time of the slow average. A model asked for every two seconds is then seen as such with a
-/// spread of a quarter.
-const SLOW: Duration = Duration::from_secs(12);
-/// Time that an engine takes to read a prompt token where none was seen yet: 38 tokens in a ms.
-pub const USUAL_READ_S: f64 = 26e-6;
-/// Time to the first event that is not spent on reading the prompt: two ways and a step.
-const BEFORE_READING: Duration = Duration::from_millis(7);
-/// Prompts below this many tokens tell little of the time to read one.
-const LEAST_PROMPT: u64 = 250;
-/// Part of the distance that a shorter time moves what is known by; the least of some ten is taken.
-const SHORTER_STEP: f64 = 0.3;
-/// The same for a longer one, which may come from others' prompts.
-const LONGER_STEP: f64 = 0.03;
-/// Part of the distance that one request moves the aim by.
-const AIM_STEP: f64 = 0.2;
-/// Requests below which a rate is taken as none, a second.
-const NEGLIGIBLE: f64 = 0.004;
+const FAST_WINDOW: Duration = Duration::from_secs(2);
+const SLOW_WINDOW: Duration = Duration::from_secs(12);
+/// Prefill time per prompt token that is assumed until one is observed.
+pub const DEFAULT_PREFILL_S_PER_TOKEN: f64 = 26e-6;
+/// Time to the first event that is not spent on prefill: a network round trip and a decode step.
+const FIRST_EVENT_OVERHEAD: Duration = Duration::from_millis(7);
+const MIN_PROMPT_TOKENS: u64 = 250;
+const DECREASE_SMOOTHING: f64 = 0.3;
+/// Smoothing factor for an increasing prefill estimate, which may include other requests' prefill.
+const INCREASE_SMOOTHING: f64 = 0.03;
+const OBJECTIVE_SMOOTHING: f64 = 0.2;
+/// Request rate below which a model is dropped.
+const MIN_REQUESTS_PER_S: f64 = 0.004;
 
 #[derive(Clone, Copy, Debug)]
-struct Rate {
-    quick: Fading,
-    slow: Fading,
-    adapted: Fading,
-    prompt_tokens: Fading,
-    read_s_per_token: f64,
-    aim: Duration,
+struct ModelRates {
+    fast: DecayingRate,
+    slow: DecayingRate,
+    adapter_requests: DecayingRate,
+    prompt_tokens: DecayingRate,
+    prefill_s_per_token: f64,
+    latency_objective: Duration,
 }
 
-/// What one request weighs.
+/// Properties of a request that determine its resource use.
 #[derives(data)]
 #[derive(Copy)]
-pub struct Weight {
-    /// Tokens of its prompt.
+pub struct RequestProfile {
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// It wants an adapter.
-    pub adapted: bool,
-    /// Time to its first event.
-    pub aim: Duration,
+    /// Whether the request uses an adapter.
+    pub uses_adapter: bool,
+    /// Objective for the time to the first event.
+    pub latency_objective: Duration,
 }
 
-/// How much one model is asked for.
+/// Demand for one model.
 #[derives(data)]
 #[derive(Copy, Default)]
-pub struct Asked {
-    /// Requests a second.
-    pub per_s: f64,
-    /// Of these, those that want an adapter.
-    pub adapted_per_s: f64,
-    /// Tokens of prompts a second.
+pub struct ModelDemand {
+    /// Requests per second.
+    pub requests_per_s: f64,
+    /// Requests per second that use an adapter.
+    pub adapter_requests_per_s: f64,
+    /// Prompt tokens per second.
     pub prompt_tokens_per_s: f64,
-    /// Time that an engine takes to read one prompt token, in seconds.
-    pub read_s_per_token: f64,
-    /// Time to the first event within which most of the requests are of full use.
-    pub aim: Duration,
+    /// Prefill time per prompt token, in seconds; 0 if unknown.
+    pub prefill_s_per_token: f64,
+    /// Typical objective for the time to the first event.
+    pub latency_objective: Duration,
 }
 
-impl Asked {
-    /// Both together, as from two routers.
+impl ModelDemand {
+    /// Combines the demand at two routers.
     #[must_use]
-    pub fn and(self, other: Self) -> Self {
-        let aim = if self.per_s >= other.per_s { self.aim } else { other.aim };
-        let known = [self.read_s_per_token, other.read_s_per_token];
-        let known = known.into_iter().filter(|time| *time > 0.0);
+    pub fn combine(self, other: Self) -> Self {
+        let latency_objective = if self.requests_per_s >= other.requests_per_s {
+            self.latency_objective
+        } else {
+            other.latency_objective
+        };
+        let estimates = [self.prefill_s_per_token, other.prefill_s_per_token];
+        let estimates = estimates.into_iter().filter(|time| *time > 0.0);
         Self {
-            read_s_per_token: known.reduce(f64::min).unwrap_or(0.0),
-            per_s: self.per_s + other.per_s,
-            adapted_per_s: self.adapted_per_s + other.adapted_per_s,
+            prefill_s_per_token: estimates.reduce(f64::min).unwrap_or(0.0),
+            requests_per_s: self.requests_per_s + other.requests_per_s,
+            adapter_requests_per_s: self.adapter_requests_per_s + other.adapter_requests_per_s,
             prompt_tokens_per_s: self.prompt_tokens_per_s + other.prompt_tokens_per_s,
-            aim,
+            latency_objective,
         }
     }
 }
 
-/// Arrivals by model.
+/// Tracks the demand for each model.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    rates: BTreeMap<names::ModelId, Rate>,
+    rates: BTreeMap<names::ModelId, ModelRates>,
 }
 
 impl Demand {
-    /// A request for a model has come.
-    pub fn add(&mut self, now: Instant, model: &names::ModelId, weight: Weight) {
-        let Weight { prompt_tokens, adapted, aim } = weight;
-        let none = Fading::new(now);
-        let fresh = Rate {
-            quick: none,
+    /// Records the arrival of a request.
+    pub fn record_request(
+        &mut self,
+        now: Instant,
+        model: &names::ModelId,
+        profile: RequestProfile,
+    ) {
+        let RequestProfile { prompt_tokens, uses_adapter, latency_objective } = profile;
+        let none = DecayingRate::new(now);
+        let initial = ModelRates {
+            fast: none,
             slow: none,
-            adapted: none,
+            adapter_requests: none,
             prompt_tokens: none,
-            read_s_per_token: 0.0,
-            aim,
+            prefill_s_per_token: 0.0,
+            latency_objective,
         };
-        let rate = match self.rates.get_mut(model) {
-            Some(rate) => rate,
-            None => self.rates.entry(model.clone()).or_insert(fresh),
+        let rates = match self.rates.get_mut(model) {
+            Some(rates) => rates,
+            None => self.rates.entry(model.clone()).or_insert(initial),
         };
-        rate.quick.add(now, QUICK, 1.0);
-        rate.slow.add(now, SLOW, 1.0);
-        rate.prompt_tokens.add(now, QUICK, prompt_tokens as f64);
-        if adapted {
-            rate.adapted.add(now, QUICK, 1.0);
+        rates.fast.add(now, FAST_WINDOW, 1.0);
+        rates.slow.add(now, SLOW_WINDOW, 1.0);
+        rates.prompt_tokens.add(now, FAST_WINDOW, prompt_tokens as f64);
+        if uses_adapter {
+            rates.adapter_requests.add(now, FAST_WINDOW, 1.0);
         }
-        rate.aim = rate.aim.mul_f64(1.0 - AIM_STEP) + aim.mul_f64(AIM_STEP);
+        rates.latency_objective = rates.latency_objective.mul_f64(1.0 - OBJECTIVE_SMOOTHING)
+            + latency_objective.mul_f64(OBJECTIVE_SMOOTHING);
     }
 
-    /// A request's first event came this long after it was sent to an engine that had room.
+    /// Updates the prefill estimate from the time between sending a request to an engine with free
+    /// capacity and its first event.
     ///
-    /// What shortens the time says more than what lengthens it: a request that met others waited
-    /// for their prompts as well.
-    pub fn note_first(&mut self, model: &names::ModelId, prompt_tokens: u64, took: Duration) {
-        let Some(rate) = self.rates.get_mut(model) else { return };
-        if prompt_tokens < LEAST_PROMPT {
+    /// Shorter times weigh more, because longer ones may include the prefill of other requests.
+    pub fn record_first_event(
+        &mut self,
+        model: &names::ModelId,
+        prompt_tokens: u64,
+        elapsed: Duration,
+    ) {
+        let Some(rates) = self.rates.get_mut(model) else { return };
+        if prompt_tokens < MIN_PROMPT_TOKENS {
             return;
         }
-        let seen = took.saturating_sub(BEFORE_READING).as_secs_f64() / prompt_tokens as f64;
-        let seen = seen.clamp(USUAL_READ_S / 8.0, USUAL_READ_S * 4.0);
-        let known = &mut rate.read_s_per_token;
-        if *known == 0.0 {
-            *known = seen;
+        let observed =
+            elapsed.saturating_sub(FIRST_EVENT_OVERHEAD).as_secs_f64() / prompt_tokens as f64;
+        let observed =
+            observed.clamp(DEFAULT_PREFILL_S_PER_TOKEN / 8.0, DEFAULT_PREFILL_S_PER_TOKEN * 4.0);
+        let estimate = &mut rates.prefill_s_per_token;
+        if *estimate == 0.0 {
+            *estimate = observed;
         }
-        let step = if seen < *known { SHORTER_STEP } else { LONGER_STEP };
-        *known += (seen - *known) * step;
+        let smoothing = if observed < *estimate { DECREASE_SMOOTHING } else { INCREASE_SMOOTHING };
+        *estimate += (observed - *estimate) * smoothing;
     }
 
-    /// How much a model is asked for.
-    pub fn asked(&self, now: Instant, model: &names::ModelId) -> Asked {
-        self.rates.get(model).map_or_else(Asked::default, |rate| rate.asked(now))
+    /// Returns the current demand for a model.
+    pub fn model_demand(&self, now: Instant, model: &names::ModelId) -> ModelDemand {
+        self.rates.get(model).map_or_else(ModelDemand::default, |rates| rates.demand(now))
     }
 
-    /// All models that are asked for.
-    pub fn all(&mut self, now: Instant) -> Vec<(names::ModelId, Asked)> {
-        self.rates.retain(|_, rate| rate.asked(now).per_s >= NEGLIGIBLE);
-        self.rates.iter().map(|(model, rate)| (model.clone(), rate.asked(now))).collect()
+    /// Returns all models with demand and removes the others.
+    pub fn active_models(&mut self, now: Instant) -> Vec<(names::ModelId, ModelDemand)> {
+        self.rates.retain(|_, rates| rates.demand(now).requests_per_s >= MIN_REQUESTS_PER_S);
+        self.rates.iter().map(|(model, rates)| (model.clone(), rates.demand(now))).collect()
     }
 }
 
-impl Rate {
-    fn asked(&self, now: Instant) -> Asked {
-        Asked {
-            per_s: self.quick.value(now, QUICK).max(self.slow.value(now, SLOW)),
-            adapted_per_s: self.adapted.value(now, QUICK),
-            prompt_tokens_per_s: self.prompt_tokens.value(now, QUICK),
-            read_s_per_token: self.read_s_per_token,
-            aim: self.aim,
+impl ModelRates {
+    fn demand(&self, now: Instant) -> ModelDemand {
+        ModelDemand {
+            requests_per_s: self
+                .fast
+                .value(now, FAST_WINDOW)
+                .max(self.slow.value(now, SLOW_WINDOW)),
+            adapter_requests_per_s: self.adapter_requests.value(now, FAST_WINDOW),
+            prompt_tokens_per_s: self.prompt_tokens.value(now, FAST_WINDOW),
+            prefill_s_per_token: self.prefill_s_per_token,
+            latency_objective: self.latency_objective,
         }
     }
 }
--- /dev/null
+++ b/crates/corianderstand_fleet/src/utility.rs
@@ -0,0 +1,71 @@
+//! Utilities and costs of placements, in requests.
+
+use crate::{counts, demand, snapshot::ModelView};
+use std::time::Duration;
+
+/// Minimum request rate assumed for a model, so that models without requests are placed as well.
+pub const MIN_REQUESTS_PER_S: f64 = 0.01;
+pub const HORIZON_S: f64 = 10.0;
+/// Cost of a request that waits for a load which could meet its latency objective.
+const RELAXED_MISS_COST: f64 = 0.7;
+/// Cost of a request whose model can't be loaded within its latency objective.
+const URGENT_MISS_COST: f64 = 1.0;
+/// Maximum number of misses after a model leaves its last engine, until it is loaded again.
+const MISSES_PER_ABSENCE: f64 = 2.0;
+/// Time from a request for an absent model until its load starts.
+pub const DECISION_LATENCY: Duration = Duration::from_millis(250);
+const PAUSE_COST: f64 = 0.7;
+/// Probability that a stream pauses too long, relative to the squared prefill utilization.
+const PAUSE_FACTOR: f64 = 1.4;
+/// Target batch occupancy of a replica; the rest absorbs bursts.
+const TARGET_BATCH_RATIO: f64 = 0.5;
+/// Weight of batch and adapter slot occupancy relative to prefill utilization.
+const SLOT_UTILIZATION_WEIGHT: f64 = 0.5;
+/// Time for which a request occupies an adapter slot: its run and the minimum adapter residency.
+const ADAPTER_RESIDENCY_S: f64 = 1.3;
+const TARGET_ADAPTER_RATIO: f64 = 0.8;
+
+/// Returns the cost within [`HORIZON_S`], in requests, of having the model on no engine. Placement
+/// and eviction use the same value, so that evicted models don't displace others at once.
+pub fn absence_cost(model: &ModelView) -> f64 {
+    MISSES_PER_ABSENCE
+        * (1.0 - (-expected_requests(model) / MISSES_PER_ABSENCE).exp())
+        * miss_cost(model)
+}
+
+pub fn expected_requests(model: &ModelView) -> f64 {
+    model.demand.requests_per_s.max(MIN_REQUESTS_PER_S) * HORIZON_S
+}
+
+pub fn miss_cost(model: &ModelView) -> f64 {
+    let ready_in = model.spec.load_from_disk + DECISION_LATENCY;
+    if ready_in < model.demand.latency_objective { RELAXED_MISS_COST } else { URGENT_MISS_COST }
+}
+
+/// Returns the model's load as a number of fully utilized engines.
+pub fn utilization(counts: &counts::FleetCounts, model: &ModelView) -> f64 {
+    let running = counts.running(&model.spec.name);
+    let batches = f64::from(running + model.waiting)
+        / (f64::from(counts.min_batch_slots) * TARGET_BATCH_RATIO);
+    let adapter_slots = counts.min_adapter_slots as f64 * TARGET_ADAPTER_RATIO;
+    let adapters = model.demand.adapter_requests_per_s * ADAPTER_RESIDENCY_S / adapter_slots;
+    prefill_utilization(model).max(batches.max(adapters) * SLOT_UTILIZATION_WEIGHT)
+}
+
+/// Returns the number of engines that the model's prefill keeps busy.
+pub fn prefill_utilization(model: &ModelView) -> f64 {
+    let estimate = model.demand.prefill_s_per_token;
+    let s_per_token = if estimate > 0.0 { estimate } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
+    model.demand.prompt_tokens_per_s * s_per_token
+}
+
+/// Returns the cost per request on an engine at this utilization, from streams that pause and
+/// requests that are refused. Strictly increasing, so that another replica always has utility.
+pub fn overload_cost(utilization: f64) -> f64 {
+    let pause_probability = PAUSE_FACTOR * utilization * utilization;
+    if pause_probability < 1.0 {
+        return PAUSE_COST * pause_probability;
+    }
+    let served_ratio = (1.0 / PAUSE_FACTOR).sqrt() / utilization;
+    PAUSE_COST * served_ratio + (1.0 - served_ratio)
+}
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
-use corianderstand_fleet::{config, demand, plan, snapshot, steps, targets};
+use corianderstand_fleet::{config, demand, plan, reconcile, snapshot, targets};
 use corianderstand_types::names::{ModelId, TargetId};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -36,7 +36,7 @@
 struct Engine {
     key: targets::TargetKey,
     holdings: targets::Holdings,
-    order: Option<(steps::Order, f64)>,
+    order: Option<(reconcile::Command, f64)>,
     runs: Vec<(ModelId, Instant)>,
     up: bool,
 }
@@ -83,7 +83,7 @@
     config::Model {
         name: name.clone(),
         weights_mb: MODEL_MB,
-        load: Duration::from_secs(6),
+        load_from_store: Duration::from_secs(6),
         load_from_disk: Duration::from_millis(800),
         load_from_memory: Duration::from_millis(400),
         ..Default::default()
@@ -181,12 +181,12 @@
             if self.rng.random::<f64>() >= workload.per_s * step {
                 continue;
             }
-            let weight = demand::Weight {
+            let weight = demand::RequestProfile {
                 prompt_tokens: 600,
-                adapted: false,
-                aim: workload.latency_objective,
+                uses_adapter: false,
+                latency_objective: workload.latency_objective,
             };
-            self.demand.add(self.now, name, weight);
+            self.demand.record_request(self.now, name, weight);
             self.tallies.entry(name.clone()).or_default().requests += 1;
             let request = Request {
                 model: name.clone(),
@@ -210,7 +210,7 @@
         for request in std::mem::take(&mut self.waiting) {
             let waited = now.saturating_duration_since(request.arrived_at);
             let holder = self.engines.iter_mut().filter(|engine| {
-                let gone = matches!(&engine.order, Some((steps::Order::Unload(gone), _)) if *gone == request.model);
+                let gone = matches!(&engine.order, Some((reconcile::Command::Unload(gone), _)) if *gone == request.model);
                 engine.up && !gone && engine.holdings.resident(&request.model).is_some()
             });
             let tally = self.tallies.entry(request.model.clone()).or_default();
@@ -231,31 +231,31 @@
         let models = self.model_views();
         let views = self.engine_views();
         let wants = self.planner.plan(self.now, &views, &models).clone();
-        let room = steps::Room { weights_mb: ENGINE_MB, adapter_places: 8 };
+        let room = reconcile::Capacity { weights_mb: ENGINE_MB, adapter_slots: 8 };
         for engine in self.engines.iter_mut().filter(|engine| engine.up && engine.order.is_none()) {
             let wanted = wants.get(&engine.key).cloned().unwrap_or_default();
             let held = engine.holdings.resident.iter().map(|resident| resident.model.clone());
             let extra = held.filter(|model| !wanted.contains(model));
-            let parts: Vec<steps::Part> = wanted
+            let parts: Vec<reconcile::EngineModel> = wanted
                 .iter()
                 .cloned()
                 .chain(extra)
-                .map(|model| steps::Part {
-                    wanted: wanted.contains(&model),
+                .map(|model| reconcile::EngineModel {
+                    desired: wanted.contains(&model),
                     model,
                     weights_mb: MODEL_MB,
                     adapter_mb: 0,
                 })
                 .collect();
-            if let Some(order) = steps::next_model(room, &parts, &engine.holdings) {
+            if let Some(order) = reconcile::next_model_command(room, &parts, &engine.holdings) {
                 let takes = match &order {
-                    steps::Order::Load(model) => load_time_s(&engine.holdings, model),
+                    reconcile::Command::Load(model) => load_time_s(&engine.holdings, model),
                     _ => UNLOAD_TIME.as_secs_f64(),
                 };
                 if takes > 1.0 {
                     self.store_loads += 1;
                 }
-                if matches!(order, steps::Order::Load(_)) {
+                if matches!(order, reconcile::Command::Load(_)) {
                     let used = (engine.holdings.resident.len() as u64 + 1) * MODEL_MB;
                     self.most_mb = self.most_mb.max(used);
                 }
@@ -269,8 +269,11 @@
     fn model_views(&self) -> BTreeMap<ModelId, snapshot::ModelView> {
         let views = self.models.keys().map(|name| {
             let waiting = self.waiting.iter().filter(|request| request.model == *name).count();
-            let asked = self.demand.asked(self.now, name);
-            (name.clone(), snapshot::ModelView { spec: spec(name), asked, waiting: waiting as u32 })
+            let asked = self.demand.model_demand(self.now, name);
+            (
+                name.clone(),
+                snapshot::ModelView { spec: spec(name), demand: asked, waiting: waiting as u32 },
+            )
         });
         views.collect()
     }
@@ -283,23 +286,23 @@
                 *running.entry(model.clone()).or_default() += 1;
             }
             let ongoing = engine.order.as_ref().map(|(order, left)| match order {
-                steps::Order::Load(model) => targets::Ongoing::Loading {
+                reconcile::Command::Load(model) => targets::Ongoing::Loading {
                     model: model.clone(),
                     ready_at: self.now + Duration::from_secs_f64(left.max(0.0)),
                     from_store: load_time_s(&engine.holdings, model) > 1.0,
                 },
-                steps::Order::Unload(model)
-                | steps::Order::LoadAdapter(model, _)
-                | steps::Order::UnloadAdapter(model, _) => {
+                reconcile::Command::Unload(model)
+                | reconcile::Command::LoadAdapter(model, _)
+                | reconcile::Command::UnloadAdapter(model, _) => {
                     targets::Ongoing::Unloading { model: model.clone() }
                 }
             });
             snapshot::EngineView {
                 key: engine.key,
-                orderable: true,
+                accepts_commands: true,
                 weights_mb: ENGINE_MB,
                 slots: 64,
-                adapter_places: 8,
+                adapter_slots: 8,
                 holdings: engine.holdings.clone(),
                 ongoing,
                 running,
@@ -310,7 +313,9 @@
 
     fn advance_commands(&mut self) {
         let loading = |engine: &Engine| match &engine.order {
-            Some((steps::Order::Load(model), _)) => load_time_s(&engine.holdings, model) > 1.0,
+            Some((reconcile::Command::Load(model), _)) => {
+                load_time_s(&engine.holdings, model) > 1.0
+            }
             _ => false,
         };
         let store = self.engines.iter().filter(|engine| loading(engine)).count() as f64;
@@ -319,7 +324,9 @@
             let from_store = loading(engine);
             let Some((order, left)) = &mut engine.order else { continue };
             let waits = match order {
-                steps::Order::Unload(model) => engine.runs.iter().any(|(own, _)| own == model),
+                reconcile::Command::Unload(model) => {
+                    engine.runs.iter().any(|(own, _)| own == model)
+                }
                 _ => false,
             };
             if waits {
@@ -342,13 +349,13 @@
     } else if holdings.on_disk.contains(model) {
         spec.load_from_disk.as_secs_f64()
     } else {
-        spec.load.as_secs_f64()
+        spec.load_from_store.as_secs_f64()
     }
 }
 
-fn execute(holdings: &mut targets::Holdings, order: steps::Order) {
+fn execute(holdings: &mut targets::Holdings, order: reconcile::Command) {
     match order {
-        steps::Order::Load(model) => {
+        reconcile::Command::Load(model) => {
             if !holdings.on_disk.contains(&model) {
                 holdings.on_disk.push(model.clone());
             }
@@ -357,10 +364,10 @@
             holdings.in_memory.truncate(2);
             holdings.resident.push(targets::Resident { model, adapters: Vec::new() });
         }
-        steps::Order::Unload(model) => {
+        reconcile::Command::Unload(model) => {
             holdings.resident.retain(|resident| resident.model != model);
         }
-        steps::Order::LoadAdapter(..) | steps::Order::UnloadAdapter(..) => {}
+        reconcile::Command::LoadAdapter(..) | reconcile::Command::UnloadAdapter(..) => {}
     }
 }
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::id;
-use corianderstand_fleet::{budget, choose, config, health, routes, steps, targets, wait_limit};
+use corianderstand_fleet::{
+    budget, choose, config, health, reconcile, routes, targets, wait_limit,
+};
 use corianderstand_types::names::ModelId;
 use rand::RngExt;
 use std::{
@@ -423,52 +425,53 @@
     }
 }
 
-fn parts(models: &[(&str, bool)]) -> Vec<steps::Part> {
-    let parts = models.iter().map(|(model, wanted)| steps::Part {
+fn parts(models: &[(&str, bool)]) -> Vec<reconcile::EngineModel> {
+    let parts = models.iter().map(|(model, wanted)| reconcile::EngineModel {
         model: (*model).into(),
         weights_mb: 70,
         adapter_mb: 5,
-        wanted: *wanted,
+        desired: *wanted,
     });
     parts.collect()
 }
 
-const CAPACITY: steps::Room = steps::Room { weights_mb: 150, adapter_places: 2 };
+const CAPACITY: reconcile::Capacity = reconcile::Capacity { weights_mb: 150, adapter_slots: 2 };
 
 #[test]
 fn unplanned_models_are_unloaded_before_planned_ones_are_loaded() {
     let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
-    let order = steps::next_model(CAPACITY, &parts, &holdings(&["keep", "old"]));
-    assert_eq!(order, Some(steps::Order::Unload("old".into())));
-    let order = steps::next_model(CAPACITY, &parts, &holdings(&["keep"]));
-    assert_eq!(order, Some(steps::Order::Load("new".into())));
-    assert_eq!(steps::next_model(CAPACITY, &parts, &holdings(&["keep", "new"])), None);
+    let order = reconcile::next_model_command(CAPACITY, &parts, &holdings(&["keep", "old"]));
+    assert_eq!(order, Some(reconcile::Command::Unload("old".into())));
+    let order = reconcile::next_model_command(CAPACITY, &parts, &holdings(&["keep"]));
+    assert_eq!(order, Some(reconcile::Command::Load("new".into())));
+    assert_eq!(reconcile::next_model_command(CAPACITY, &parts, &holdings(&["keep", "new"])), None);
 }
 
 /// Guards against exceeding an engine's memory when the plan lacks the size of a resident model.
 #[test]
 fn nothing_is_loaded_beside_a_model_of_unknown_size() {
     let parts = parts(&[("new", true)]);
-    assert_eq!(steps::next_model(CAPACITY, &parts, &holdings(&["stranger"])), None);
+    assert_eq!(reconcile::next_model_command(CAPACITY, &parts, &holdings(&["stranger"])), None);
 }
 
 #[test]
 fn the_least_recently_requested_adapter_is_evicted() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| steps::AskedAdapter {
+    let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
-        at: now - Duration::from_millis(ago),
+        requested_at: now - Duration::from_millis(ago),
     };
     let held = Holdings {
         resident: vec![Resident { model: "m".into(), adapters: vec!["a".into(), "b".into()] }],
         ..Default::default()
     };
-    let next =
-        |asked: &[steps::AskedAdapter]| steps::next_adapter(now, CAPACITY, &parts, &held, 0, asked);
+    let next = |asked: &[reconcile::AdapterRequest]| {
+        reconcile::next_adapter_command(now, CAPACITY, &parts, &held, 0, asked)
+    };
     let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
-    assert_eq!(order, Some(steps::Order::UnloadAdapter("m".into(), "a".into())));
+    assert_eq!(order, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
     let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
     assert_eq!(order, None, "both were requested recently");
 }
@@ -478,10 +481,10 @@
 fn an_adapter_requested_earlier_does_not_evict_a_later_one() {
     let now = Instant::now();
     let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| steps::AskedAdapter {
+    let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
-        at: now - Duration::from_millis(ago),
+        requested_at: now - Duration::from_millis(ago),
     };
     let asked = [asked("b", 900), asked("a", 1_000), asked("c", 2_000)];
     let mut held = Holdings {
@@ -489,11 +492,12 @@
         ..Default::default()
     };
     let mut orders = 0;
-    while let Some(order) = steps::next_adapter(now, CAPACITY, &parts, &held, 0, &asked) {
+    while let Some(order) = reconcile::next_adapter_command(now, CAPACITY, &parts, &held, 0, &asked)
+    {
         let adapters = &mut held.resident[0].adapters;
         match order {
-            steps::Order::LoadAdapter(_, adapter) => adapters.push(adapter),
-            steps::Order::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
+            reconcile::Command::LoadAdapter(_, adapter) => adapters.push(adapter),
+            reconcile::Command::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
             other => panic!("unexpected command {other:?}"),
         }
         orders += 1;
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans under load: what callers get when models want more places than there are.
+//! Planner behavior in a simulated fleet with more models than slots.
 
 mod common;
 
@@ -21,13 +21,12 @@
     name.starts_with("rare")
 }
 
-/// Twenty-five rare models and two busy ones want places on nine engines of three. All get their
-/// turn: the rare ones within two and a half seconds, the busy ones at once.
+/// All models are served within their latency objectives although they don't all fit.
 #[rstest::rstest]
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn a_calm_day_serves_rare_and_busy_models(#[case] seed: u64) {
+fn steady_load_serves_rare_and_busy_models(#[case] seed: u64) {
     let mut models = rare(25, 0.5);
     models.extend([busy("busy-0", 25.0), busy("busy-1", 12.0)]);
     let mut world = world(9, models, 12, seed);
@@ -35,16 +34,15 @@
     world.reset_counters();
     world.run(Duration::from_secs(40));
     let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
-    println!("rare {rare:?}, busy {busy:?}, {} orders", world.commands);
-    assert!(rare.on_time_ratio() > 0.85, "rare models in time: {}", rare.on_time_ratio());
-    assert!(busy.on_time_ratio() > 0.97, "busy models at once: {}", busy.on_time_ratio());
-    assert!(world.most_mb <= 220_000, "an engine was ordered to hold {} MB", world.most_mb);
+    println!("rare {rare:?}, busy {busy:?}, {} commands", world.commands);
+    assert!(rare.on_time_ratio() > 0.85, "rare models within objective: {}", rare.on_time_ratio());
+    assert!(busy.on_time_ratio() > 0.97, "busy models within objective: {}", busy.on_time_ratio());
+    assert!(world.most_mb <= 220_000, "an engine was commanded to hold {} MB", world.most_mb);
 }
 
-/// Demand leaves one busy model and another that was on no engine rises within seconds. Its first
-/// requests wait for a load; after that it is served like the one before.
+/// A model that becomes busy while on no engine is served in time after its first loads.
 #[test]
-fn a_shift_of_demand_is_followed_within_seconds() {
+fn demand_shift_is_followed_within_seconds() {
     let mut models = rare(20, 0.5);
     models.extend([busy("old", 25.0), busy("new", 0.0)]);
     let mut world = world(9, models, 12, 4);
@@ -56,13 +54,12 @@
     world.run(Duration::from_secs(15));
     let new = world.tally(|name| name == "new");
     assert!(new.on_time_ratio() > 0.97, "after four seconds: {new:?}");
-    assert!(world.holders("new") >= 2, "one engine alone would make its streams pause");
+    assert!(world.holders("new") >= 2, "a single replica is overloaded");
 }
 
-/// All callers of rare models come at once, with twice the usual requests. The busy model does not
-/// lose its places to them.
+/// A burst of requests for rare models must not evict the busy model.
 #[test]
-fn a_burst_for_rare_models_leaves_busy_ones_alone() {
+fn burst_on_rare_models_does_not_evict_busy_models() {
     let mut models = rare(25, 0.5);
     models.push(busy("busy-0", 25.0));
     let mut world = world(9, models, 12, 5);
@@ -78,10 +75,9 @@
     assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
 }
 
-/// An engine crashes and with it three models that were nowhere else. Other engines have copies on
-/// their disks, so callers wait a second and not for the weight store.
+/// Models lost in a crash are reloaded from cached weights, not from the weight store.
 #[test]
-fn models_of_a_crashed_engine_come_back_from_disks() {
+fn models_of_a_crashed_engine_are_reloaded_from_disk() {
     let mut models = rare(24, 0.5);
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 6);
@@ -91,27 +87,25 @@
     world.run(Duration::from_secs(8));
     let rare = world.tally(is_rare);
     assert!(rare.abandoned_ratio() < 0.05, "{rare:?}");
-    assert_eq!(world.store_loads, 0, "all had copies on other disks");
+    assert_eq!(world.store_loads, 0, "all models are cached on other disks");
 }
 
-/// Each model that leaves an engine used to push out the next one at once, as its return was worth
-/// ten seconds of requests and its leave only two: engines did nothing but load, and callers waited.
+/// Guards against eviction cycles, which occur if placement and eviction value a model differently.
 #[test]
-fn a_model_that_left_does_not_push_out_the_next() {
+fn evictions_do_not_trigger_further_evictions() {
     let mut models = rare(30, 0.3);
     models.push(busy("busy-0", 20.0));
     let mut world = world(9, models, 12, 7);
     world.run(Duration::from_secs(15));
     world.reset_counters();
     world.run(Duration::from_secs(30));
-    // Thirty-one models on twenty-seven places: some turns are needed, two orders each.
-    assert!(world.commands < 240, "{} orders in 30 s", world.commands);
+    // 31 models compete for 27 slots, so some swaps of two commands each are needed.
+    assert!(world.commands < 240, "{} commands in 30 s", world.commands);
 }
 
-/// Nobody asks for anything yet, as before a deployment opens. Models that are on no engine come to
-/// one, in place of copies that are on several.
+/// Without requests, absent models replace redundant replicas.
 #[test]
-fn before_the_first_request_every_model_finds_a_place() {
+fn every_model_is_placed_before_the_first_request() {
     let models = rare(26, 0.0);
     let mut world = world(9, models, 12, 8);
     world.run(Duration::from_secs(10));
@@ -119,10 +113,9 @@
         .map(|index| format!("rare-{index:02}"))
         .filter(|name| world.holders(name) == 0)
         .collect();
-    assert!(missing.is_empty(), "on no engine: {missing:?}");
+    assert!(missing.is_empty(), "not placed: {missing:?}");
 }
 
-/// A deployment with one engine and more models than it can hold still serves all of them in turn.
 #[test]
 fn one_engine_serves_more_models_than_it_holds() {
     let mut world = world(1, rare(5, 0.1), 5, 9);
@@ -133,30 +126,30 @@
     assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
 }
 
-/// All engines have lost power and hold one of each model when traffic returns. A model that needs ten
-/// engines had one: a second seemed to gain nothing, as both would be overloaded, so callers were
-/// refused for as long as the load lasted.
+/// Guards against a model that stays overloaded because one more replica seems to have no utility.
 #[test]
-fn a_model_that_is_far_from_enough_places_gets_them() {
+fn severely_overloaded_model_gets_enough_replicas() {
     let mut now = Instant::now();
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let keys: Vec<_> = (0..12).map(|_| keys.insert(())).collect();
-    let asked = demand::Asked {
-        per_s: 150.0,
+    let demand = demand::ModelDemand {
+        requests_per_s: 150.0,
         prompt_tokens_per_s: 200_000.0,
-        aim: Duration::from_millis(300),
+        latency_objective: Duration::from_millis(300),
         ..Default::default()
     };
     let idle: Vec<ModelId> = (0..12).map(|index| format!("idle-{index}").as_str().into()).collect();
-    let view = |model: &ModelId, asked| snapshot::ModelView {
+    let view = |model: &ModelId, demand| snapshot::ModelView {
         spec: common::spec(model),
-        asked,
+        demand,
         waiting: 0,
     };
     let busy = ModelId::from("busy");
-    let mut models: BTreeMap<_, _> =
-        idle.iter().map(|model| (model.clone(), view(model, demand::Asked::default()))).collect();
-    models.insert(busy.clone(), view(&busy, asked));
+    let mut models: BTreeMap<_, _> = idle
+        .iter()
+        .map(|model| (model.clone(), view(model, demand::ModelDemand::default())))
+        .collect();
+    models.insert(busy.clone(), view(&busy, demand));
     let mut held: Vec<Vec<ModelId>> = idle.iter().map(|model| vec![model.clone()]).collect();
     held[0] = vec![busy.clone()];
     let mut planner = plan::Planner::default();
@@ -169,10 +162,10 @@
             let on_disk = idle.iter().cloned().chain([busy.clone()]).collect();
             snapshot::EngineView {
                 key,
-                orderable: true,
+                accepts_commands: true,
                 weights_mb: 80_000,
                 slots: 64,
-                adapter_places: 8,
+                adapter_slots: 8,
                 holdings: targets::Holdings {
                     resident: resident.collect(),
                     on_disk,
@@ -183,19 +176,17 @@
             }
         });
         let engines: Vec<_> = engines.collect();
-        let wants = planner.plan(now, &engines, &models);
-        held = keys.iter().map(|key| wants[key].clone()).collect();
+        let desired = planner.plan(now, &engines, &models);
+        held = keys.iter().map(|key| desired[key].clone()).collect();
     }
     let holders = held.iter().filter(|held| held.contains(&busy)).count();
-    assert!(holders >= 6, "{holders} engines hold it");
+    assert!(holders >= 6, "{holders} replicas");
 }
 
-/// Rare models take turns on all engines when one model becomes busy, and few disks have a copy of
-/// it. An engine that loads it from the weight store takes no other order for six seconds. When
-/// several do so at once, callers of rare models wait too long or are refused meanwhile.
+/// Guards against replicas of one busy model that block several engines with slow loads at once.
 #[test]
-fn a_model_that_becomes_busy_leaves_engines_to_the_rare_ones() {
-    let after_the_rise = |seed: u64| {
+fn scaling_a_busy_model_does_not_starve_rare_models() {
+    let run_with_seed = |seed: u64| {
         let mut models = rare(26, 0.3);
         models.extend([busy("steady", 14.0), busy("next", 0.3)]);
         let mut world = world(8, models, 4, seed);
@@ -204,37 +195,35 @@
         world.models.get_mut(&"next".into()).unwrap().per_s = 25.0;
         world.run(Duration::from_secs(12));
         let next = world.tally(|name| name == "next");
-        assert!(next.on_time_ratio() > 0.8, "the busy model at once: {next:?}");
+        assert!(next.on_time_ratio() > 0.8, "busy model within objective: {next:?}");
         world.tally(is_rare)
     };
-    let tallies: Vec<_> = (1..6).map(after_the_rise).collect();
+    let tallies: Vec<_> = (1..6).map(run_with_seed).collect();
     let asked: u32 = tallies.iter().map(|tally| tally.requests).sum();
     let in_aim: u32 = tallies.iter().map(|tally| tally.on_time).sum();
     let share = f64::from(in_aim) / f64::from(asked);
-    println!("rare models in time {share:.3}");
-    assert!(share > 0.93, "rare models in time: {share:.3}");
+    println!("rare models within objective {share:.3}");
+    assert!(share > 0.93, "rare models within objective: {share:.3}");
 }
 
-/// A model is loaded for the requests that wait for it, and the load takes a second. When its stay was
-/// counted from the plan, the next model pushed it out three tenths of a second after it was there,
-/// and its callers came back for another load.
+/// Guards against evicting a model right after its load, before it serves the waiting requests.
 #[test]
-fn a_model_stays_for_a_while_after_it_is_there() {
+fn minimum_residency_starts_when_the_model_is_ready() {
     let start = Instant::now();
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let key = keys.insert(());
     let (first, next) = (ModelId::from("first"), ModelId::from("next"));
     let mut planner = plan::Planner::default();
-    let mut wanted = |after_ms: u64, resident: Option<&ModelId>, waiting: &ModelId| {
+    let mut plan_at = |after_ms: u64, resident: Option<&ModelId>, waiting: &ModelId| {
         let resident = resident.into_iter();
         let resident =
             resident.map(|model| targets::Resident { model: model.clone(), adapters: Vec::new() });
         let engine = snapshot::EngineView {
             key,
-            orderable: true,
+            accepts_commands: true,
             weights_mb: 80_000,
             slots: 64,
-            adapter_places: 8,
+            adapter_slots: 8,
             holdings: targets::Holdings {
                 resident: resident.collect(),
                 on_disk: vec![first.clone(), next.clone()],
@@ -245,51 +234,47 @@
         };
         let models = [&first, &next].map(|model| {
             let waiting = if model == waiting { 5 } else { 0 };
-            let asked = demand::Asked::default();
-            (model.clone(), snapshot::ModelView { spec: common::spec(model), asked, waiting })
+            let demand = demand::ModelDemand::default();
+            (model.clone(), snapshot::ModelView { spec: common::spec(model), demand, waiting })
         });
         let now = start + Duration::from_millis(after_ms);
         planner.plan(now, &[engine], &models.into())[&key].clone()
     };
-    assert_eq!(wanted(0, None, &first), std::slice::from_ref(&first));
-    assert_eq!(wanted(900, None, &first), std::slice::from_ref(&first));
-    assert_eq!(wanted(1_000, Some(&first), &first), std::slice::from_ref(&first));
-    assert_eq!(wanted(1_300, Some(&first), &next), std::slice::from_ref(&first));
-    assert_eq!(wanted(2_300, Some(&first), &next), std::slice::from_ref(&next));
+    assert_eq!(plan_at(0, None, &first), std::slice::from_ref(&first));
+    assert_eq!(plan_at(900, None, &first), std::slice::from_ref(&first));
+    assert_eq!(plan_at(1_000, Some(&first), &first), std::slice::from_ref(&first));
+    assert_eq!(plan_at(1_300, Some(&first), &next), std::slice::from_ref(&first));
+    assert_eq!(plan_at(2_300, Some(&first), &next), std::slice::from_ref(&next));
 }
 
-/// After a power cut an engine is empty. Two callers wait for a model that only the weight store has,
-/// and one for a model on the engine's disk. With the store's load first the one caller waits for
-/// seven seconds in place of one, and the two for six in place of seven.
+/// Guards against a slow load for two requests that delays a fast load for one.
 #[test]
-fn a_quick_load_goes_before_a_slow_one_that_gains_little_more() {
+fn fast_load_precedes_slow_load_of_similar_utility() {
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let key = keys.insert(());
     let (stored, on_disk) = (ModelId::from("stored"), ModelId::from("on-disk"));
     let engine = snapshot::EngineView {
         key,
-        orderable: true,
+        accepts_commands: true,
         weights_mb: 80_000,
         slots: 64,
-        adapter_places: 8,
+        adapter_slots: 8,
         holdings: targets::Holdings { on_disk: vec![on_disk.clone()], ..Default::default() },
         ongoing: None,
         running: BTreeMap::new(),
     };
     let models = [(&stored, 2), (&on_disk, 1)].map(|(model, waiting)| {
-        let asked = demand::Asked::default();
-        (model.clone(), snapshot::ModelView { spec: common::spec(model), asked, waiting })
+        let demand = demand::ModelDemand::default();
+        (model.clone(), snapshot::ModelView { spec: common::spec(model), demand, waiting })
     });
     let mut planner = plan::Planner::default();
-    let wants = planner.plan(Instant::now(), &[engine], &models.into());
-    assert_eq!(wants[&key], [on_disk]);
+    let desired = planner.plan(Instant::now(), &[engine], &models.into());
+    assert_eq!(desired[&key], [on_disk]);
 }
 
-/// A model has become busy and overloads the engines that hold it; other engines stand idle, but the
-/// weight store takes thirteen seconds. While a replica that late counted for nothing, half of the
-/// model's callers were refused for as long as it was busy.
+/// Guards against ignoring a replica because its load takes longer than the planning horizon.
 #[test]
-fn an_overloaded_model_gets_a_replica_although_its_load_is_long() {
+fn overloaded_model_gets_a_replica_despite_slow_load() {
     let mut keys: SlotMap<targets::TargetKey, ()> = SlotMap::with_key();
     let keys: Vec<_> = (0..6).map(|_| keys.insert(())).collect();
     let busy = ModelId::from("busy");
@@ -298,27 +283,28 @@
         let resident = if index < 2 { vec![resident] } else { Vec::new() };
         snapshot::EngineView {
             key,
-            orderable: true,
+            accepts_commands: true,
             weights_mb: 80_000,
             slots: 64,
-            adapter_places: 8,
+            adapter_slots: 8,
             holdings: targets::Holdings { resident, ..Default::default() },
             ongoing: None,
             running: BTreeMap::new(),
         }
     });
     let engines: Vec<_> = engines.collect();
-    let asked = demand::Asked {
-        per_s: 70.0,
+    let demand = demand::ModelDemand {
+        requests_per_s: 70.0,
         prompt_tokens_per_s: 70.0 * 1_100.0,
-        read_s_per_token: 40e-6,
-        aim: Duration::from_millis(500),
+        prefill_s_per_token: 40e-6,
+        latency_objective: Duration::from_millis(500),
         ..Default::default()
     };
-    let spec = config::Model { load: Duration::from_millis(13_200), ..common::spec(&busy) };
-    let models = BTreeMap::from([(busy.clone(), snapshot::ModelView { spec, asked, waiting: 0 })]);
+    let spec =
+        config::Model { load_from_store: Duration::from_millis(13_200), ..common::spec(&busy) };
+    let models = BTreeMap::from([(busy.clone(), snapshot::ModelView { spec, demand, waiting: 0 })]);
     let mut planner = plan::Planner::default();
-    let wants = planner.plan(Instant::now(), &engines, &models);
-    let replicas = wants.values().filter(|wants| wants.contains(&busy)).count();
-    assert!(replicas > 2, "{replicas} replicas for the work of three engines");
+    let desired = planner.plan(Instant::now(), &engines, &models);
+    let replicas = desired.values().filter(|desired| desired.contains(&busy)).count();
+    assert!(replicas > 2, "{replicas} replicas for a load of three engines");
 }
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -308,18 +308,22 @@
     let now = shared.clock.now();
     let hello = hello(shared);
     let mut view = shared.view.borrow_mut();
-    let mut models: BTreeMap<names::ModelId, (demand::Asked, u32)> =
-        view.demand.all(now).into_iter().map(|(model, asked)| (model, (asked, 0))).collect();
+    let mut models: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = view
+        .demand
+        .active_models(now)
+        .into_iter()
+        .map(|(model, asked)| (model, (asked, 0)))
+        .collect();
     for (model, waiting) in &view.waiting {
         models.entry(model.clone()).or_default().1 = *waiting;
     }
     let models = models.into_iter().map(|(model, (asked, waiting))| wire::ModelDemand {
         model,
-        per_1000_s: (asked.per_s * 1_000.0) as u32,
-        adapted_per_1000_s: (asked.adapted_per_s * 1_000.0) as u32,
+        per_1000_s: (asked.requests_per_s * 1_000.0) as u32,
+        adapted_per_1000_s: (asked.adapter_requests_per_s * 1_000.0) as u32,
         prompt_tokens_per_s: asked.prompt_tokens_per_s as u32,
-        read_ns_per_token: (asked.read_s_per_token * 1e9) as u32,
-        aim_ms: asked.aim.as_millis() as u32,
+        read_ns_per_token: (asked.prefill_s_per_token * 1e9) as u32,
+        aim_ms: asked.latency_objective.as_millis() as u32,
         waiting,
     });
     let running = view.targets.iter().flat_map(|(_, target)| {
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -89,8 +89,8 @@
     ) -> Option<Duration> {
         let unread = self.unread(view, key);
         let model = self.model().filter(|_| unread > 0)?;
-        let known = view.demand.asked(now, model).read_s_per_token;
-        let each = if known > 0.0 { known } else { demand::USUAL_READ_S };
+        let known = view.demand.model_demand(now, model).prefill_s_per_token;
+        let each = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
         Some(Duration::from_secs_f64(unread as f64 * each))
     }
 
@@ -100,8 +100,8 @@
         if !self.route.streams {
             return self.latest;
         }
-        let pause = self.route.pause_aim.unwrap_or_default() * LEFT_AFTER_PAUSES;
-        let silence = LEFT_AFTER.max(self.route.aim * LEFT_AFTER_AIMS).max(pause);
+        let pause = self.route.gap_objective.unwrap_or_default() * LEFT_AFTER_PAUSES;
+        let silence = LEFT_AFTER.max(self.route.latency_objective * LEFT_AFTER_AIMS).max(pause);
         self.latest.min(self.silent_since + silence)
     }
 
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -25,7 +25,7 @@
 impl Planning {
     /// The planning of a router that starts now.
     pub fn starting(now: Instant) -> Self {
-        Self { planner: plan::Planner::starting(now), ..Self::default() }
+        Self { planner: plan::Planner::with_warm_up(now), ..Self::default() }
     }
 
     /// Makes a plan for each service with engines, and tells agents what is new to them.
@@ -93,10 +93,10 @@
         }
         snapshot::EngineView {
             key,
-            orderable: target.agent_is_responsive(now),
+            accepts_commands: target.agent_is_responsive(now),
             weights_mb: spec.weights_mb,
             slots: target.entry.slots,
-            adapter_places: spec.adapter_places,
+            adapter_slots: spec.adapter_slots,
             holdings: target.entry.holdings.clone(),
             ongoing: target.ongoing.clone(),
             running,
@@ -115,10 +115,10 @@
     let models = spec.models.iter().map(|model| {
         let (asked, waiting) = others.get(&model.name).copied().unwrap_or_default();
         let own = view.waiting.get(&model.name).copied().unwrap_or(0);
-        let asked = asked.and(view.demand.asked(now, &model.name));
+        let asked = asked.combine(view.demand.model_demand(now, &model.name));
         (
             model.name.clone(),
-            snapshot::ModelView { spec: model.clone(), asked, waiting: waiting + own },
+            snapshot::ModelView { spec: model.clone(), demand: asked, waiting: waiting + own },
         )
     });
     models.collect()
@@ -140,7 +140,7 @@
             weights_mb: spec.weights_mb,
             adapter_mb: spec.adapter_mb,
             wanted: wants.contains(name),
-            load_ms: millis(spec.load),
+            load_ms: millis(spec.load_from_store),
             disk_ms: millis(spec.load_from_disk),
             memory_ms: millis(spec.load_from_memory),
         })
@@ -167,7 +167,7 @@
         target: target.entry.id.clone(),
         health_path: service.health_path.clone(),
         weights_mb: spec.weights_mb,
-        adapter_places: spec.adapter_places as u32,
+        adapter_places: spec.adapter_slots as u32,
         parts,
         routers: routers.map(|addr| addr.to_string().into()).collect(),
     };
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -113,7 +113,7 @@
             work_us: work.as_micros() as u32,
             aim_in_ms: 0,
             useful_ms: 0,
-            pause_ms: job.route.pause_aim.unwrap_or_default().as_millis() as u32,
+            pause_ms: job.route.gap_objective.unwrap_or_default().as_millis() as u32,
         };
         Some(Self { shared, agent, ask, waiting, given: false })
     }
@@ -121,7 +121,7 @@
     fn send(&mut self, job: &job::Job) {
         let now = self.shared.clock.now();
         let until = |at: Instant| at.saturating_duration_since(now).as_millis() as u32;
-        self.ask.aim_in_ms = until(job.silent_since + job.route.aim);
+        self.ask.aim_in_ms = until(job.silent_since + job.route.latency_objective);
         self.ask.useful_ms = until(self.useful_until(job));
         self.shared.outbox.send(self.agent, &PeerMessage::PrefillAsked(self.ask.clone()));
     }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -160,12 +160,12 @@
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         if let Some(wanted) = &job.call.wanted {
-            let weight = demand::Weight {
+            let weight = demand::RequestProfile {
                 prompt_tokens: job.call.prompt_tokens,
-                adapted: wanted.adapter.is_some(),
-                aim: job.route.aim,
+                uses_adapter: wanted.adapter.is_some(),
+                latency_objective: job.route.latency_objective,
             };
-            view.demand.add(now, &wanted.model, weight);
+            view.demand.record_request(now, &wanted.model, weight);
         }
         let allowance = self.bounds.borrow().allowance;
         view.budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
@@ -216,7 +216,7 @@
             requested: job.call.wanted.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
-            adapter_slots: engine.map_or(0, |engine| engine.adapter_places),
+            adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
             zone: &self.settings.zone,
             tried: &job.tried,
             hash: job.hash,
@@ -228,7 +228,7 @@
     /// Whether another target could take a request now that is at `key`.
     pub fn has_alternative(&self, now: Instant, job: &job::Job, key: targets::TargetKey) -> bool {
         debug_assert!(job.tried.contains(&key));
-        (job.tried.len() as u32) < job.route.most_targets
+        (job.tried.len() as u32) < job.route.max_targets
             && matches!(self.choose(now, job), choose::Choice::Send(_))
     }
 
@@ -311,7 +311,7 @@
     pub fn note_first(&self, job: &job::Job, now: Instant) {
         let (Some(model), Some(sent)) = (job.model(), job.sent) else { return };
         let took = now.saturating_duration_since(sent);
-        self.view.borrow_mut().demand.note_first(model, job.unread_tokens, took);
+        self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, took);
     }
 
     /// A target told its load.
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -95,15 +95,15 @@
             }
             let view = snapshot::EngineView {
                 key,
-                orderable: true,
+                accepts_commands: true,
                 weights_mb: 0,
                 slots: 0,
-                adapter_places: 0,
+                adapter_slots: 0,
                 holdings: target.entry.holdings.clone(),
                 ongoing: None,
                 running: BTreeMap::new(),
             };
-            let (time, _) = snapshot::source(&view, model);
+            let (time, _) = snapshot::load_source(&view, model);
             fastest = Some(fastest.map_or(time, |least| least.min(time)));
         }
         fastest.map_or(wait_limit::Readiness::Unknown, wait_limit::Readiness::LoadTime)
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -5,7 +5,7 @@
 use common::{Got, MemoryStore, Running, Target};
 use corianderstand_fleet::{
     budget,
-    config::{self, Repeats, Route},
+    config::{self, RetryPolicy, Route},
     targets,
 };
 use corianderstand_schema::peers;
@@ -39,7 +39,7 @@
 }
 
 fn repeatable() -> Route {
-    Route { repeats: Repeats::Allowed, ..once() }
+    Route { retry_policy: RetryPolicy::Allowed, ..once() }
 }
 
 fn resumable() -> Route {
@@ -307,7 +307,7 @@
     let mut config = common::config(1, vec![resumable()]);
     let model = config::Model { name: "m".into(), adapters: 4, ..Default::default() };
     let engine =
-        config::Engine { slots: 8, adapter_places: 4, models: vec![model], ..Default::default() };
+        config::Engine { slots: 8, adapter_slots: 4, models: vec![model], ..Default::default() };
     config.services = vec![config::Service {
         name: "desk".into(),
         connections: 9,
