--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -63,7 +63,7 @@
 
 /// What traffic is for.
 #[derives(key)]
-pub enum Duty {
+pub enum TrafficClass {
     /// Reading the log or a relay.
     Follow,
     /// Giving records to followers.
@@ -72,7 +72,7 @@
     Link,
 }
 
-impl Duty {
+impl TrafficClass {
     /// Its name in metrics.
     pub const fn name(self) -> &'static str {
         match self {
@@ -165,9 +165,9 @@
 }
 
 impl Inner {
-    fn spend(&mut self, duty: Duty, bytes: u64) {
+    fn spend(&mut self, duty: TrafficClass, bytes: u64) {
         self.node.spend(bytes);
-        if duty == Duty::Serve {
+        if duty == TrafficClass::Serve {
             self.serve.spend(bytes);
         }
         let spent = self.totals.of(duty);
@@ -207,7 +207,7 @@
     }
 
     /// Counts one message that has been sent or received.
-    pub fn spend(&self, duty: Duty, bytes: u64) {
+    pub fn spend(&self, duty: TrafficClass, bytes: u64) {
         self.lock().spend(duty, bytes);
     }
 
@@ -224,10 +224,10 @@
     }
 
     /// Counts further bytes of a message that was counted before.
-    pub fn add(&self, duty: Duty, bytes: u64) {
+    pub fn add(&self, duty: TrafficClass, bytes: u64) {
         let mut inner = self.lock();
         inner.node.bytes -= bytes as f64;
-        if duty == Duty::Serve {
+        if duty == TrafficClass::Serve {
             inner.serve.bytes -= bytes as f64;
         }
         inner.totals.of(duty).bytes += bytes;
@@ -242,7 +242,7 @@
         let mut inner = self.lock();
         let owed = inner.serve.owed().max(inner.node.owed());
         if owed.is_zero() {
-            inner.spend(Duty::Serve, bytes);
+            inner.spend(TrafficClass::Serve, bytes);
             return Ok(());
         }
         inner.totals.serve.limited += 1;
@@ -261,7 +261,7 @@
             let now = inner.totals;
             (now, std::mem::replace(&mut inner.reported, now))
         };
-        for duty in [Duty::Follow, Duty::Serve, Duty::Link] {
+        for duty in [TrafficClass::Follow, TrafficClass::Serve, TrafficClass::Link] {
             let (now, then) = (*now.of(duty), *then.of(duty));
             let count = |metric, count| metrics.count_as(metric, count, "duty", duty.name());
             count(Metric::ControlTrafficBytes, now.bytes - then.bytes);
@@ -272,11 +272,11 @@
 }
 
 impl Totals {
-    const fn of(&mut self, duty: Duty) -> &mut Spent {
+    const fn of(&mut self, duty: TrafficClass) -> &mut Spent {
         match duty {
-            Duty::Follow => &mut self.follow,
-            Duty::Serve => &mut self.serve,
-            Duty::Link => &mut self.link,
+            TrafficClass::Follow => &mut self.follow,
+            TrafficClass::Serve => &mut self.serve,
+            TrafficClass::Link => &mut self.link,
         }
     }
 }
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -1,7 +1,7 @@
 //! The budget under bursts.
 
 use super::{
-    BURST_SECONDS, Budget, Duty, HOST_LIST_BYTES, MAX_DELAY, NODE, SERVE, checkpoint_pause,
+    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_DELAY, NODE, SERVE, checkpoint_pause,
     host_list_pause,
 };
 use corianderstand_types::clock::ManualClock;
@@ -28,7 +28,7 @@
     for _ in 0..SECONDS * 10 {
         for _ in 0..1000 {
             if budget.admit_follower(400).is_ok() {
-                budget.add(Duty::Serve, bytes - 400);
+                budget.add(TrafficClass::Serve, bytes - 400);
             }
         }
         clock.advance(Duration::from_millis(100));
@@ -50,7 +50,7 @@
     while clock.elapsed() - began < end {
         let delay = budget.read_delay();
         clock.advance(delay + Duration::from_millis(1));
-        budget.spend(Duty::Follow, 400);
+        budget.spend(TrafficClass::Follow, 400);
     }
     let spent = budget.totals().follow;
     let allowed = SECONDS + BURST_SECONDS;
@@ -64,7 +64,7 @@
 #[rstest]
 fn a_debt_never_puts_a_read_off_for_long() {
     let (_clock, budget) = budget();
-    budget.spend(Duty::Follow, NODE.bytes * 1000);
+    budget.spend(TrafficClass::Follow, NODE.bytes * 1000);
     assert_eq!(budget.read_delay(), MAX_DELAY);
     assert!(budget.admit_follower(400).is_err(), "followers read elsewhere meanwhile");
 }
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::budget::{Budget, Duty};
+use crate::budget::{Budget, TrafficClass};
 use corianderstand_edge::log::{Entry, Page};
 use corianderstand_types::clock::SharedClock;
 use std::{
@@ -150,7 +150,7 @@
         // Without a record in time the page is empty, which tells that nothing has come.
         let _in_time = waited.await;
         let page = self.page(from, max)?;
-        self.budget.add(Duty::Serve, wire_bytes(&page) - HTTP_BYTES);
+        self.budget.add(TrafficClass::Serve, wire_bytes(&page) - HTTP_BYTES);
         Ok(page)
     }
 
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -16,7 +16,7 @@
 mod tests;
 
 use crate::{
-    budget::{Budget, Duty},
+    budget::{Budget, TrafficClass},
     relay::{self, Tail},
 };
 use async_trait::async_trait;
@@ -252,7 +252,7 @@
         // Catching up at a start is a single transfer, not a rate: charged to the budget, it
         // would keep a new process from its settings for minutes.
         if page.entries.len() < max as usize {
-            self.budget.spend(Duty::Follow, relay::wire_bytes(&page));
+            self.budget.spend(TrafficClass::Follow, relay::wire_bytes(&page));
         }
         Ok(page)
     }
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -7,7 +7,7 @@
     pulse::{Beat, Pulse},
 };
 use bytes::Bytes;
-use corianderstand_control::budget::{Budget, Duty};
+use corianderstand_control::budget::{Budget, TrafficClass};
 use corianderstand_decide::work::{Refusal, RequestKey};
 use corianderstand_link::{
     PROTOCOL,
@@ -162,7 +162,7 @@
     /// Sends what is not part of a caller's request.
     async fn control(&self, message: &ToAgent) -> Result<(), FrameError> {
         let frame = frame::encode(message, b"")?;
-        self.shared.budget.spend(Duty::Link, frame.len() as u64);
+        self.shared.budget.spend(TrafficClass::Link, frame.len() as u64);
         self.out.send(frame).await.map_err(|_| FrameError::Closed)
     }
 
