--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -95,7 +95,7 @@
     pub limited: u64,
 }
 
-/// All that has been spent, by duty.
+/// All that has been spent, by class.
 #[derives(key)]
 #[derive(Default)]
 pub struct Totals {
@@ -109,27 +109,27 @@
 
 /// A token bucket that may go into debt, as the size of an answer is known only afterwards.
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     rate: Rate,
     bytes: f64,
     messages: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: Rate, now: Instant) -> Self {
         let burst = BURST_SECONDS as f64;
         Self {
             rate,
             bytes: rate.bytes as f64 * burst,
             messages: rate.messages as f64 * burst,
-            at: now,
+            refilled_at: now,
         }
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = now;
+        let passed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
         let (bytes, messages) = (self.rate.bytes as f64, self.rate.messages as f64);
         let burst = BURST_SECONDS as f64;
         self.bytes = (self.bytes + bytes * passed).min(bytes * burst);
@@ -141,8 +141,8 @@
         self.messages -= 1.0;
     }
 
-    /// Time until nothing is owed.
-    fn owed(&self) -> Duration {
+    /// Time until nothing is time_until_available.
+    fn time_until_available(&self) -> Duration {
         let bytes = -self.bytes / self.rate.bytes as f64;
         let messages = (1.0 - self.messages) / self.rate.messages as f64;
         Duration::from_secs_f64(bytes.max(messages).max(0.0))
@@ -151,8 +151,8 @@
 
 #[derive(Debug)]
 struct Inner {
-    node: Bucket,
-    serve: Bucket,
+    node: TokenBucket,
+    serve: TokenBucket,
     totals: Totals,
     reported: Totals,
 }
@@ -160,27 +160,27 @@
 /// The budget of one process, shared by its threads.
 #[derive(Debug)]
 pub struct Budget {
-    clock: BudgetClock,
+    clock: DebugClock,
     inner: Mutex<Inner>,
 }
 
 impl Inner {
-    fn spend(&mut self, duty: TrafficClass, bytes: u64) {
+    fn spend(&mut self, class: TrafficClass, bytes: u64) {
         self.node.spend(bytes);
-        if duty == TrafficClass::Serve {
+        if class == TrafficClass::Serve {
             self.serve.spend(bytes);
         }
-        let spent = self.totals.of(duty);
+        let spent = self.totals.usage_mut(class);
         spent.messages += 1;
         spent.bytes += bytes;
     }
 }
 
-struct BudgetClock(SharedClock);
+struct DebugClock(SharedClock);
 
-impl std::fmt::Debug for BudgetClock {
+impl std::fmt::Debug for DebugClock {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("BudgetClock")
+        f.write_str("DebugClock")
     }
 }
 
@@ -188,14 +188,14 @@
     /// A full budget.
     pub fn new(clock: SharedClock) -> Self {
         let now = clock.now();
-        let (node, serve) = (Bucket::new(NODE, now), Bucket::new(SERVE, now));
+        let (node, serve) = (TokenBucket::new(NODE, now), TokenBucket::new(SERVE, now));
         let inner = Mutex::new(Inner {
             node,
             serve,
             totals: Totals::default(),
             reported: Totals::default(),
         });
-        Self { clock: BudgetClock(clock), inner }
+        Self { clock: DebugClock(clock), inner }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -207,8 +207,8 @@
     }
 
     /// Counts one message that has been sent or received.
-    pub fn spend(&self, duty: TrafficClass, bytes: u64) {
-        self.lock().spend(duty, bytes);
+    pub fn spend(&self, class: TrafficClass, bytes: u64) {
+        self.lock().spend(class, bytes);
     }
 
     /// How long to put off the next read; none while the budget lasts.
@@ -216,7 +216,7 @@
     /// A read is put off, never left out: what is in the log has to be folded everywhere.
     pub fn read_delay(&self) -> Duration {
         let mut inner = self.lock();
-        let delay = inner.node.owed().min(MAX_DELAY);
+        let delay = inner.node.time_until_available().min(MAX_DELAY);
         if !delay.is_zero() {
             inner.totals.follow.limited += 1;
         }
@@ -224,13 +224,13 @@
     }
 
     /// Counts further bytes of a message that was counted before.
-    pub fn add(&self, duty: TrafficClass, bytes: u64) {
+    pub fn add(&self, class: TrafficClass, bytes: u64) {
         let mut inner = self.lock();
         inner.node.bytes -= bytes as f64;
-        if duty == TrafficClass::Serve {
+        if class == TrafficClass::Serve {
             inner.serve.bytes -= bytes as f64;
         }
-        inner.totals.of(duty).bytes += bytes;
+        inner.totals.usage_mut(class).bytes += bytes;
     }
 
     /// Admits one read of a follower and counts it with the `bytes` that it costs at the least.
@@ -240,13 +240,13 @@
     /// The time after which the follower may come back, if the budget is spent.
     pub fn admit_follower(&self, bytes: u64) -> Result<(), Duration> {
         let mut inner = self.lock();
-        let owed = inner.serve.owed().max(inner.node.owed());
-        if owed.is_zero() {
+        let time_until_available = inner.serve.time_until_available().max(inner.node.time_until_available());
+        if time_until_available.is_zero() {
             inner.spend(TrafficClass::Serve, bytes);
             return Ok(());
         }
         inner.totals.serve.limited += 1;
-        Err(owed)
+        Err(time_until_available)
     }
 
     /// What has been spent since the start.
@@ -261,9 +261,9 @@
             let now = inner.totals;
             (now, std::mem::replace(&mut inner.reported, now))
         };
-        for duty in [TrafficClass::Follow, TrafficClass::Serve, TrafficClass::Link] {
-            let (now, then) = (*now.of(duty), *then.of(duty));
-            let count = |metric, count| metrics.count_as(metric, count, "duty", duty.name());
+        for class in [TrafficClass::Follow, TrafficClass::Serve, TrafficClass::Link] {
+            let (now, then) = (*now.usage_mut(class), *then.usage_mut(class));
+            let count = |metric, count| metrics.count_as(metric, count, "duty", class.name());
             count(Metric::ControlTrafficBytes, now.bytes - then.bytes);
             count(Metric::ControlTrafficMessages, now.messages - then.messages);
             count(Metric::ControlTrafficLimited, now.limited - then.limited);
@@ -272,8 +272,8 @@
 }
 
 impl Totals {
-    const fn of(&mut self, duty: TrafficClass) -> &mut Spent {
-        match duty {
+    const fn usage_mut(&mut self, class: TrafficClass) -> &mut Spent {
+        match class {
             TrafficClass::Follow => &mut self.follow,
             TrafficClass::Serve => &mut self.serve,
             TrafficClass::Link => &mut self.link,
