--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -86,7 +86,7 @@
 /// What has been spent since the start, for metrics.
 #[derives(key)]
 #[derive(Default)]
-pub struct Spent {
+pub struct TrafficUsage {
     /// Messages.
     pub messages: u64,
     /// Bytes.
@@ -100,11 +100,11 @@
 #[derive(Default)]
 pub struct Totals {
     /// Reading.
-    pub follow: Spent,
+    pub follow: TrafficUsage,
     /// Giving to followers.
-    pub serve: Spent,
+    pub serve: TrafficUsage,
     /// Heartbeats.
-    pub link: Spent,
+    pub link: TrafficUsage,
 }
 
 /// A token bucket that may go into debt, as the size of an answer is known only afterwards.
@@ -272,7 +272,7 @@
 }
 
 impl Totals {
-    const fn usage_mut(&mut self, class: TrafficClass) -> &mut Spent {
+    const fn usage_mut(&mut self, class: TrafficClass) -> &mut TrafficUsage {
         match class {
             TrafficClass::Follow => &mut self.follow,
             TrafficClass::Serve => &mut self.serve,
