--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -98,7 +98,7 @@
 /// All that has been spent, by class.
 #[derives(key)]
 #[derive(Default)]
-pub struct Totals {
+pub struct UsageTotals {
     /// Reading.
     pub follow: TrafficUsage,
     /// Giving to followers.
@@ -153,8 +153,8 @@
 struct Inner {
     node: TokenBucket,
     serve: TokenBucket,
-    totals: Totals,
-    reported: Totals,
+    totals: UsageTotals,
+    reported: UsageTotals,
 }
 
 /// The budget of one process, shared by its threads.
@@ -192,8 +192,8 @@
         let inner = Mutex::new(Inner {
             node,
             serve,
-            totals: Totals::default(),
-            reported: Totals::default(),
+            totals: UsageTotals::default(),
+            reported: UsageTotals::default(),
         });
         Self { clock: DebugClock(clock), inner }
     }
@@ -250,7 +250,7 @@
     }
 
     /// What has been spent since the start.
-    pub fn totals(&self) -> Totals {
+    pub fn totals(&self) -> UsageTotals {
         self.lock().totals
     }
 
@@ -271,7 +271,7 @@
     }
 }
 
-impl Totals {
+impl UsageTotals {
     const fn usage_mut(&mut self, class: TrafficClass) -> &mut TrafficUsage {
         match class {
             TrafficClass::Follow => &mut self.follow,
