--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -27,7 +27,7 @@
 }
 
 /// What one process may spend on control: 16 KB a second, as its users ask.
-pub const NODE: Rate = Rate { bytes: 16_000, messages: 128 };
+pub const PROCESS_RATE: Rate = Rate { bytes: 16_000, messages: 128 };
 /// The part of it that serving followers may take; the rest is for this process's own reading,
 /// its appends and its heartbeats.
 pub const SERVE: Rate = Rate { bytes: 11_000, messages: 64 };
@@ -188,7 +188,7 @@
     /// A full budget.
     pub fn new(clock: SharedClock) -> Self {
         let now = clock.now();
-        let (node, serve) = (TokenBucket::new(NODE, now), TokenBucket::new(SERVE, now));
+        let (node, serve) = (TokenBucket::new(PROCESS_RATE, now), TokenBucket::new(SERVE, now));
         let inner = Mutex::new(Inner {
             node,
             serve,
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -1,7 +1,7 @@
 //! The budget under bursts.
 
 use super::{
-    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_DELAY, NODE, SERVE, checkpoint_pause,
+    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_DELAY, PROCESS_RATE, SERVE, checkpoint_pause,
     host_list_pause,
 };
 use corianderstand_types::clock::ManualClock;
@@ -54,8 +54,8 @@
     }
     let spent = budget.totals().follow;
     let allowed = SECONDS + BURST_SECONDS;
-    assert!(spent.messages <= NODE.messages * allowed + 1, "{} reads", spent.messages);
-    assert!(spent.bytes <= NODE.bytes * allowed + 400, "{} bytes", spent.bytes);
+    assert!(spent.messages <= PROCESS_RATE.messages * allowed + 1, "{} reads", spent.messages);
+    assert!(spent.bytes <= PROCESS_RATE.bytes * allowed + 400, "{} bytes", spent.bytes);
     assert!(spent.limited > 0, "delays are counted");
 }
 
@@ -64,7 +64,7 @@
 #[rstest]
 fn a_debt_never_puts_a_read_off_for_long() {
     let (_clock, budget) = budget();
-    budget.spend(TrafficClass::Follow, NODE.bytes * 1000);
+    budget.spend(TrafficClass::Follow, PROCESS_RATE.bytes * 1000);
     assert_eq!(budget.read_delay(), MAX_DELAY);
     assert!(budget.admit_follower(400).is_err(), "followers read elsewhere meanwhile");
 }
@@ -87,5 +87,5 @@
     let pause = checkpoint_pause(interval, PARTS);
     assert!(pause * PARTS as u32 <= interval / 2, "whole before the next is due");
     let rate = PART_WIRE_BYTES * 1000 / pause.as_millis() as u64;
-    assert!(rate < NODE.bytes / 4, "{rate} bytes a second");
+    assert!(rate < PROCESS_RATE.bytes / 4, "{rate} bytes a second");
 }
