--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -30,7 +30,7 @@
 pub const PROCESS_RATE: Rate = Rate { bytes: 16_000, messages: 128 };
 /// The part of it that serving followers may take; the rest is for this process's own reading,
 /// its appends and its heartbeats.
-pub const SERVE: Rate = Rate { bytes: 11_000, messages: 64 };
+pub const SERVE_RATE: Rate = Rate { bytes: 11_000, messages: 64 };
 /// How many seconds' worth may be spent at once. A burst of settings or the followers of a
 /// relay that died fit; more would be felt by callers on the same host.
 pub const BURST_SECONDS: u64 = 4;
@@ -188,7 +188,7 @@
     /// A full budget.
     pub fn new(clock: SharedClock) -> Self {
         let now = clock.now();
-        let (node, serve) = (TokenBucket::new(PROCESS_RATE, now), TokenBucket::new(SERVE, now));
+        let (node, serve) = (TokenBucket::new(PROCESS_RATE, now), TokenBucket::new(SERVE_RATE, now));
         let inner = Mutex::new(Inner {
             node,
             serve,
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -1,7 +1,7 @@
 //! The budget under bursts.
 
 use super::{
-    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_DELAY, PROCESS_RATE, SERVE, checkpoint_pause,
+    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_DELAY, PROCESS_RATE, SERVE_RATE, checkpoint_pause,
     host_list_pause,
 };
 use corianderstand_types::clock::ManualClock;
@@ -34,11 +34,11 @@
         clock.advance(Duration::from_millis(100));
     }
     let spent = budget.totals().serve;
-    let most = SERVE.bytes * (SECONDS + BURST_SECONDS) + bytes;
+    let most = SERVE_RATE.bytes * (SECONDS + BURST_SECONDS) + bytes;
     assert!(spent.bytes <= most, "{} bytes served, at most {most}", spent.bytes);
-    assert!(spent.messages <= SERVE.messages * (SECONDS + BURST_SECONDS) + 1);
+    assert!(spent.messages <= SERVE_RATE.messages * (SECONDS + BURST_SECONDS) + 1);
     assert!(spent.limited > 0, "refusals are counted");
-    assert!(spent.bytes >= SERVE.bytes * SECONDS / 2, "the budget is used, not shut");
+    assert!(spent.bytes >= SERVE_RATE.bytes * SECONDS / 2, "the budget is used, not shut");
 }
 
 /// A storm of appends, each of which wakes all followers. Without the delay a process would
