--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -36,7 +36,7 @@
 pub const BURST_SECONDS: u64 = 4;
 /// Longest time that a read is put off. A change of settings must be in force within seconds
 /// on every process, over at most three reads one after another.
-pub const MAX_DELAY: Duration = Duration::from_millis(500);
+pub const MAX_READ_DELAY: Duration = Duration::from_millis(500);
 
 /// Bytes a second that reading the host list may take on one process.
 pub const HOST_LIST_BYTES: u64 = 3_000;
@@ -216,7 +216,7 @@
     /// A read is put off, never left out: what is in the log has to be folded everywhere.
     pub fn read_delay(&self) -> Duration {
         let mut inner = self.lock();
-        let delay = inner.node.time_until_available().min(MAX_DELAY);
+        let delay = inner.node.time_until_available().min(MAX_READ_DELAY);
         if !delay.is_zero() {
             inner.totals.follow.limited += 1;
         }
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -1,7 +1,7 @@
 //! The budget under bursts.
 
 use super::{
-    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_DELAY, PROCESS_RATE, SERVE_RATE, checkpoint_pause,
+    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_READ_DELAY, PROCESS_RATE, SERVE_RATE, checkpoint_pause,
     host_list_pause,
 };
 use corianderstand_types::clock::ManualClock;
@@ -65,7 +65,7 @@
 fn a_debt_never_puts_a_read_off_for_long() {
     let (_clock, budget) = budget();
     budget.spend(TrafficClass::Follow, PROCESS_RATE.bytes * 1000);
-    assert_eq!(budget.read_delay(), MAX_DELAY);
+    assert_eq!(budget.read_delay(), MAX_READ_DELAY);
     assert!(budget.admit_follower(400).is_err(), "followers read elsewhere meanwhile");
 }
 
