--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -39,7 +39,7 @@
 pub const MAX_READ_DELAY: Duration = Duration::from_millis(500);
 
 /// Bytes a second that reading the host list may take on one process.
-pub const HOST_LIST_BYTES: u64 = 3_000;
+pub const HOST_LIST_BYTES_PER_S: u64 = 3_000;
 /// Bytes of one entry of the host list, as measured by `tools/capacity`.
 const HOST_ENTRY_BYTES: u64 = 54;
 
@@ -49,7 +49,7 @@
 /// would take three times what a process may spend on control.
 pub fn host_list_pause(every: Duration, entries: usize) -> Duration {
     let bytes = entries as u64 * HOST_ENTRY_BYTES;
-    every.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES))
+    every.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
 }
 
 /// Pause between two parts of a checkpoint that is written at each `interval`.
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -1,7 +1,7 @@
 //! The budget under bursts.
 
 use super::{
-    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES, MAX_READ_DELAY, PROCESS_RATE, SERVE_RATE, checkpoint_pause,
+    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES_PER_S, MAX_READ_DELAY, PROCESS_RATE, SERVE_RATE, checkpoint_pause,
     host_list_pause,
 };
 use corianderstand_types::clock::ManualClock;
@@ -74,7 +74,7 @@
     let every = Duration::from_secs(1);
     assert_eq!(host_list_pause(every, 24), every);
     let pause = host_list_pause(every, 1070);
-    assert!(1070 * 54 / pause.as_secs() <= HOST_LIST_BYTES + 200, "{pause:?}");
+    assert!(1070 * 54 / pause.as_secs() <= HOST_LIST_BYTES_PER_S + 200, "{pause:?}");
 }
 
 /// The state of a thousand processes is written again. At one go it would take the network of
