--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -224,7 +224,7 @@
     }
 
     /// Counts further bytes of a message that was counted before.
-    pub fn add(&self, class: TrafficClass, bytes: u64) {
+    pub fn add_bytes(&self, class: TrafficClass, bytes: u64) {
         let mut inner = self.lock();
         inner.node.bytes -= bytes as f64;
         if class == TrafficClass::Serve {
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -28,7 +28,7 @@
     for _ in 0..SECONDS * 10 {
         for _ in 0..1000 {
             if budget.admit_follower(400).is_ok() {
-                budget.add(TrafficClass::Serve, bytes - 400);
+                budget.add_bytes(TrafficClass::Serve, bytes - 400);
             }
         }
         clock.advance(Duration::from_millis(100));
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -150,7 +150,7 @@
         // Without a record in time the page is empty, which tells that nothing has come.
         let _in_time = waited.await;
         let page = self.page(from, max)?;
-        self.budget.add(TrafficClass::Serve, wire_bytes(&page) - HTTP_BYTES);
+        self.budget.add_bytes(TrafficClass::Serve, wire_bytes(&page) - HTTP_BYTES);
         Ok(page)
     }
 
