--- a/crates/corianderstand_control/src/lib.rs
+++ b/crates/corianderstand_control/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub mod appender;
 pub mod budget;
-pub mod duty;
+pub mod lease;
 pub mod follower;
 pub mod hosts;
 pub mod measured;
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     appender::{self, Appender, Identity},
-    duty::Duty,
+    lease::Duty,
     follower::{Follower, Sources},
     hosts,
     peers::Peers,
--- a/crates/corianderstand_control/tests/marks.rs
+++ b/crates/corianderstand_control/tests/marks.rs
@@ -1,7 +1,7 @@
 //! Which targets the holder of the lease marks as leaving.
 
 use corianderstand_control::{
-    duty,
+    lease,
     snapshot::{Hosts, Snapshot},
 };
 use corianderstand_schema::records::{Body, Record, TargetRecord};
@@ -43,17 +43,17 @@
     let mut snapshot = Snapshot::default();
     fold(&mut snapshot, "router-1", 1, Body::LeaseTaken { epoch: 1, ttl_ms: 1000 });
     announce(&mut snapshot, 1);
-    assert!(duty::marks(&snapshot).is_empty(), "nothing was read");
+    assert!(lease::marks(&snapshot).is_empty(), "nothing was read");
 
     show(&mut snapshot, &[], &["host-1"]);
-    let marks = duty::marks(&snapshot);
+    let marks = lease::marks(&snapshot);
     assert_eq!(marks.len(), 1);
     assert_eq!(fold(&mut snapshot, "router-1", 2, marks[0].clone()), Outcome::Applied);
     assert!(snapshot.state.targets.is_leaving(&"engine-1".into()));
-    assert!(duty::marks(&snapshot).is_empty(), "once is enough");
+    assert!(lease::marks(&snapshot).is_empty(), "once is enough");
 
     show(&mut snapshot, &[], &[]);
-    assert!(duty::marks(&snapshot).is_empty(), "a list without the host says nothing");
+    assert!(lease::marks(&snapshot).is_empty(), "a list without the host says nothing");
 
     announce(&mut snapshot, 2);
     assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "announced anew");
@@ -61,10 +61,10 @@
     assert!(matches!(old, Outcome::Rejected(_)), "the mark was of the former announcement");
 
     show(&mut snapshot, &[], &["host-1"]);
-    let again = duty::marks(&snapshot);
+    let again = lease::marks(&snapshot);
     fold(&mut snapshot, "router-1", 4, again[0].clone());
     show(&mut snapshot, &["host-1"], &[]);
-    let back = duty::marks(&snapshot);
+    let back = lease::marks(&snapshot);
     assert_eq!(fold(&mut snapshot, "router-1", 5, back[0].clone()), Outcome::Applied);
     assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "it stays after all");
 }
