--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -25,7 +25,7 @@
 const PART_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What the duties of one process need.
-pub struct Duty {
+pub struct LeaseTask {
     /// Who this process is.
     pub identity: Identity,
     /// Time.
@@ -38,7 +38,7 @@
     pub resigned: Arc<AtomicBool>,
 }
 
-impl Duty {
+impl LeaseTask {
     /// Takes the lease when it is free, and does its duties while it is held.
     pub async fn run(self) {
         let mut renewed_ms = 0;
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     appender::{self, Appender, Identity},
-    lease::Duty,
+    lease::LeaseTask,
     follower::{Follower, Sources},
     hosts,
     peers::Peers,
@@ -102,7 +102,7 @@
                 let every = self.hosts_poll;
                 tokio::spawn(hosts::run(self.hosts, every, self.clock, current.clone(), hosts_tx));
                 if self.takes_lease {
-                    let duty = Duty { identity, clock, current, appender, resigned };
+                    let duty = LeaseTask { identity, clock, current, appender, resigned };
                     tokio::spawn(duty.run());
                 }
                 follower.run().await;
