--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -111,7 +111,7 @@
                 target_offset: target.offset,
             })
             .collect();
-        bodies.extend(marks(snapshot));
+        bodies.extend(leaving_marks(snapshot));
         let avoid: BTreeSet<_> =
             snapshot.hosts.leaving.union(&snapshot.hosts.gone).cloned().collect();
         bodies.extend(plan::plan(state, &snapshot.view, &avoid));
@@ -147,8 +147,8 @@
 
 /// Records for targets whose host leaves, or stays after all, by what this process read.
 ///
-/// A holder that has not read the host list yet knows neither, and so marks nothing.
-pub fn marks(snapshot: &Snapshot) -> Vec<Body> {
+/// A holder that has not read the host list yet knows neither, and so leaving_marks nothing.
+pub fn leaving_marks(snapshot: &Snapshot) -> Vec<Body> {
     let (state, hosts) = (&snapshot.state, &snapshot.hosts);
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
         let (host, epoch) = (&target.record.host, state.lease.epoch);
--- a/crates/corianderstand_control/tests/marks.rs
+++ b/crates/corianderstand_control/tests/marks.rs
@@ -43,17 +43,17 @@
     let mut snapshot = Snapshot::default();
     fold(&mut snapshot, "router-1", 1, Body::LeaseTaken { epoch: 1, ttl_ms: 1000 });
     announce(&mut snapshot, 1);
-    assert!(lease::marks(&snapshot).is_empty(), "nothing was read");
+    assert!(lease::leaving_marks(&snapshot).is_empty(), "nothing was read");
 
     show(&mut snapshot, &[], &["host-1"]);
-    let marks = lease::marks(&snapshot);
+    let marks = lease::leaving_marks(&snapshot);
     assert_eq!(marks.len(), 1);
     assert_eq!(fold(&mut snapshot, "router-1", 2, marks[0].clone()), Outcome::Applied);
     assert!(snapshot.state.targets.is_leaving(&"engine-1".into()));
-    assert!(lease::marks(&snapshot).is_empty(), "once is enough");
+    assert!(lease::leaving_marks(&snapshot).is_empty(), "once is enough");
 
     show(&mut snapshot, &[], &[]);
-    assert!(lease::marks(&snapshot).is_empty(), "a list without the host says nothing");
+    assert!(lease::leaving_marks(&snapshot).is_empty(), "a list without the host says nothing");
 
     announce(&mut snapshot, 2);
     assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "announced anew");
@@ -61,10 +61,10 @@
     assert!(matches!(old, Outcome::Rejected(_)), "the mark was of the former announcement");
 
     show(&mut snapshot, &[], &["host-1"]);
-    let again = lease::marks(&snapshot);
+    let again = lease::leaving_marks(&snapshot);
     fold(&mut snapshot, "router-1", 4, again[0].clone());
     show(&mut snapshot, &["host-1"], &[]);
-    let back = lease::marks(&snapshot);
+    let back = lease::leaving_marks(&snapshot);
     assert_eq!(fold(&mut snapshot, "router-1", 5, back[0].clone()), Outcome::Applied);
     assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "it stays after all");
 }
