--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -20,9 +20,9 @@
 use tokio::{task::JoinHandle, time};
 
 /// Shortest time between two looks at the lease.
-const MIN_TICK: Duration = Duration::from_millis(100);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time the log has to decide one part of a checkpoint.
-const PART_TIMEOUT: Duration = Duration::from_secs(10);
+const CHECKPOINT_PART_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What the duties of one process need.
 pub struct LeaseTask {
@@ -46,19 +46,19 @@
         loop {
             let snapshot = self.current.load();
             let ttl = snapshot.view.deployment.lease_ttl_ms.0;
-            let may_act = snapshot.caught_up && snapshot.log_up;
-            if may_act && !self.resigned.load(Ordering::Relaxed) {
+            let is_current = snapshot.caught_up && snapshot.log_up;
+            if is_current && !self.resigned.load(Ordering::Relaxed) {
                 let held =
                     snapshot.state.lease.held_by(&self.identity.writer, self.identity.incarnation);
                 if held {
-                    self.keep(&snapshot, &mut renewed_ms).await;
+                    self.renew(&snapshot, &mut renewed_ms).await;
                     self.plan(&snapshot).await;
                     self.start_checkpoint(&snapshot, &mut checkpoint);
                 } else {
-                    self.take(ttl).await;
+                    self.acquire(ttl).await;
                 }
             }
-            time::sleep((ttl / 6).max(MIN_TICK)).await;
+            time::sleep((ttl / 6).max(MIN_POLL_INTERVAL)).await;
         }
     }
 
@@ -66,7 +66,7 @@
         clock::unix_ms(self.clock.wall()).saturating_add_signed(snapshot.log_clock_ms)
     }
 
-    fn is_free(&self, snapshot: &Snapshot) -> bool {
+    fn is_vacant(&self, snapshot: &Snapshot) -> bool {
         let lease = &snapshot.state.lease;
         lease.holder.is_none() || self.log_now_ms(snapshot) >= lease.until_ms
     }
@@ -75,14 +75,14 @@
     ///
     /// When a holder dies, all routers see the lease lapse at the same moment. Without the pause
     /// each of them would append at once; with it, most see the first one's record in time.
-    async fn take(&self, ttl: Duration) {
-        if !self.is_free(&self.current.load()) {
+    async fn acquire(&self, ttl: Duration) {
+        if !self.is_vacant(&self.current.load()) {
             return;
         }
-        let part: f64 = rand::rng().random_range(0.0..1.0);
-        time::sleep((ttl / 3).mul_f64(part)).await;
+        let fraction: f64 = rand::rng().random_range(0.0..1.0);
+        time::sleep((ttl / 3).mul_f64(fraction)).await;
         let snapshot = self.current.load();
-        if !self.is_free(&snapshot) {
+        if !self.is_vacant(&snapshot) {
             return;
         }
         let epoch = snapshot.state.lease.epoch + 1;
@@ -90,7 +90,7 @@
         self.append_all(vec![body], ttl).await;
     }
 
-    async fn keep(&self, snapshot: &Snapshot, renewed_ms: &mut u64) {
+    async fn renew(&self, snapshot: &Snapshot, renewed_ms: &mut u64) {
         let (lease, now_ms) = (&snapshot.state.lease, self.log_now_ms(snapshot));
         if now_ms < *renewed_ms + lease.ttl_ms / 3 {
             return;
@@ -102,9 +102,9 @@
 
     async fn plan(&self, snapshot: &Snapshot) {
         let state = &snapshot.state;
-        let gone = |host| snapshot.hosts.gone.contains(host);
-        let lost = state.targets.by_name.iter().filter(|(_, t)| gone(&t.record.host));
-        let mut bodies: Vec<Body> = lost
+        let is_gone = |host| snapshot.hosts.gone.contains(host);
+        let gone_targets = state.targets.by_name.iter().filter(|(_, t)| is_gone(&t.record.host));
+        let mut bodies: Vec<Body> = gone_targets
             .map(|(name, target)| Body::TargetGone {
                 epoch: state.lease.epoch,
                 target: name.clone(),
@@ -153,10 +153,10 @@
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
         let (host, epoch) = (&target.record.host, state.lease.epoch);
         let leaving = hosts.leaving.contains(host);
-        let told = leaving || hosts.live.contains(host);
-        let (target_offset, known) = (target.offset, target.leaving);
+        let listed = leaving || hosts.live.contains(host);
+        let (target_offset, recorded) = (target.offset, target.leaving);
         let target = name.clone();
-        (told && leaving != known).then_some(Body::TargetMarked {
+        (listed && leaving != recorded).then_some(Body::TargetMarked {
             epoch,
             target,
             target_offset,
@@ -190,7 +190,7 @@
         if part > 0 {
             time::sleep(pause).await;
         }
-        match appender.append(body, PART_TIMEOUT).await {
+        match appender.append(body, CHECKPOINT_PART_TIMEOUT).await {
             Ok(decided) if decided.outcome == Outcome::Applied => {}
             Ok(decided) => {
                 tracing::warn!(outcome = ?decided.outcome, "checkpoint given up");
