--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -102,8 +102,8 @@
                 let every = self.hosts_poll;
                 tokio::spawn(hosts::run(self.hosts, every, self.clock, current.clone(), hosts_tx));
                 if self.takes_lease {
-                    let duty = LeaseTask { identity, clock, current, appender, resigned };
-                    tokio::spawn(duty.run());
+                    let lease_task = LeaseTask { identity, clock, current, appender, resigned };
+                    tokio::spawn(lease_task.run());
                 }
                 follower.run().await;
             });
