--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -131,7 +131,7 @@
         self.current.store(self.snapshot.clone());
     }
 
-    /// Writes this router's state if nobody else has one; see [`restore::rescue`].
+    /// Writes this router's state if nobody else has one; see [`restore::recovery_records`].
     fn rescue(&mut self, page: &Page) {
         let Some(appender) = self.sources.rescue.clone() else { return };
         let now = self.sources.clock.now();
@@ -142,7 +142,7 @@
         }
         tracing::error!("records were dropped unread: writing the state without them");
         self.rescue_at = Some(now + restore::RESCUE_AFTER);
-        let bodies = restore::rescue(&self.snapshot.state, page);
+        let bodies = restore::recovery_records(&self.snapshot.state, page);
         // They are read back by the search, not by the fold, so nobody waits for them.
         tokio::spawn(async move {
             let appends = bodies.into_iter().map(|body| appender.append(body, RETRY_PAUSE));
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -28,7 +28,7 @@
     }
 
     /// Looks through a page; gives the first whole checkpoint in it that the log continues. All
-    /// but those of a [`rescue`] are alike, and of these the first in the log counts for all.
+    /// but those of a [`recovery_records`] are alike, and of these the first in the log counts for all.
     pub fn take(&mut self, page: &Page) -> Option<State> {
         let mut found = None;
         for entry in &page.entries {
@@ -51,7 +51,7 @@
 /// ever. After [`RESCUE_AFTER`] one that has settings writes its state as of the oldest record
 /// left; the others, which wait too, take the first such state in the log. What was lost had not
 /// been read back by any router, so no operator was told "accepted" of it.
-pub fn rescue(state: &State, page: &Page) -> Vec<Body> {
+pub fn recovery_records(state: &State, page: &Page) -> Vec<Body> {
     let mut state = state.clone();
     state.next = page.oldest;
     state.checkpoints.underway = None;
