--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -136,12 +136,12 @@
         let Some(appender) = self.sources.rescue.clone() else { return };
         let now = self.sources.clock.now();
         let part: f64 = rand::rng().random_range(1.0..2.0);
-        let due = *self.rescue_at.get_or_insert(now + restore::RESCUE_AFTER.mul_f64(part));
+        let due = *self.rescue_at.get_or_insert(now + restore::RECOVERY_DELAY.mul_f64(part));
         if now < due || self.snapshot.state.documents.version == 0 {
             return;
         }
         tracing::error!("records were dropped unread: writing the state without them");
-        self.rescue_at = Some(now + restore::RESCUE_AFTER);
+        self.rescue_at = Some(now + restore::RECOVERY_DELAY);
         let bodies = restore::recovery_records(&self.snapshot.state, page);
         // They are read back by the search, not by the fold, so nobody waits for them.
         tokio::spawn(async move {
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -42,13 +42,13 @@
 }
 
 /// Shortest time with a gap and without any other state before a router writes its own.
-pub const RESCUE_AFTER: Duration = Duration::from_secs(20);
+pub const RECOVERY_DELAY: Duration = Duration::from_secs(20);
 
 /// The records that declare what the log dropped unread as lost.
 ///
 /// If an outage begins before any router has read the last records and lasts longer than the log
 /// keeps them, every router has a gap that no checkpoint covers, and all would stay not ready for
-/// ever. After [`RESCUE_AFTER`] one that has settings writes its state as of the oldest record
+/// ever. After [`RECOVERY_DELAY`] one that has settings writes its state as of the oldest record
 /// left; the others, which wait too, take the first such state in the log. What was lost had not
 /// been read back by any router, so no operator was told "accepted" of it.
 pub fn recovery_records(state: &State, page: &Page) -> Vec<Body> {
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -5,7 +5,7 @@
     appender::{self, Identity},
     follower::{Follower, Sources},
     peers::{Nobody, Peers},
-    restore::RESCUE_AFTER,
+    restore::RECOVERY_DELAY,
     snapshot::{Current, Hosts},
 };
 use corianderstand_edge::{
@@ -107,7 +107,7 @@
         log.drop_below(3);
         for reader in &readers {
             wait_for(reader, |_, caught_up| !caught_up).await;
-            reader.clock.advance(RESCUE_AFTER * 2);
+            reader.clock.advance(RECOVERY_DELAY * 2);
         }
         for reader in &readers {
             wait_for(reader, |state, caught_up| caught_up && state.next > 3).await;
