--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -3,7 +3,7 @@
 use crate::{
     appender::{Appender, Decisions},
     peers::Peers,
-    restore::{self, Search},
+    restore::{self, CheckpointSearch},
     snapshot::{Current, Hosts, Snapshot, Waiting},
 };
 use corianderstand_edge::{
@@ -50,7 +50,7 @@
     current: Current,
     decisions: Decisions,
     snapshot: Snapshot,
-    search: Option<Search>,
+    search: Option<CheckpointSearch>,
     rescue_at: Option<Instant>,
 }
 
@@ -112,7 +112,7 @@
     }
 
     async fn restore(&mut self, page: &Page) {
-        let search = self.search.get_or_insert_with(|| Search::new(page.oldest));
+        let search = self.search.get_or_insert_with(|| CheckpointSearch::new(page.oldest));
         search.cursor = search.cursor.max(page.oldest);
         let found = search.take(page);
         let next = self.snapshot.state.next;
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -15,13 +15,13 @@
 
 /// Looks through the log for a checkpoint.
 #[derive(Debug)]
-pub struct Search {
+pub struct CheckpointSearch {
     /// Offset to read next.
     pub cursor: u64,
     collector: Collector,
 }
 
-impl Search {
+impl CheckpointSearch {
     /// A search from the oldest record.
     pub fn new(oldest: u64) -> Self {
         Self { cursor: oldest, collector: Collector::default() }
