--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -114,7 +114,7 @@
     async fn restore(&mut self, page: &Page) {
         let search = self.search.get_or_insert_with(|| CheckpointSearch::new(page.oldest));
         search.cursor = search.cursor.max(page.oldest);
-        let found = search.take(page);
+        let found = search.scan(page);
         let next = self.snapshot.state.next;
         match found.filter(|state| state.next > next) {
             Some(state) => {
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -29,7 +29,7 @@
 
     /// Looks through a page; gives the first whole checkpoint in it that the log continues. All
     /// but those of a [`recovery_records`] are alike, and of these the first in the log counts for all.
-    pub fn take(&mut self, page: &Page) -> Option<State> {
+    pub fn scan(&mut self, page: &Page) -> Option<State> {
         let mut found = None;
         for entry in &page.entries {
             self.cursor = entry.offset + 1;
