--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -29,7 +29,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Where a follower reads from and whom it tells.
-pub struct Sources {
+pub struct FollowerConfig {
     /// The log.
     pub log: Arc<dyn LogService>,
     /// Longest wait of one read.
@@ -46,7 +46,7 @@
 
 /// Folds the log and publishes snapshots.
 pub struct Follower {
-    sources: Sources,
+    sources: FollowerConfig,
     current: Current,
     decisions: Decisions,
     snapshot: Snapshot,
@@ -56,7 +56,7 @@
 
 impl Follower {
     /// A follower that starts from nothing.
-    pub fn new(sources: Sources, current: Current, decisions: Decisions) -> Self {
+    pub fn new(sources: FollowerConfig, current: Current, decisions: Decisions) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.state.next = 1;
         Self { sources, current, decisions, snapshot, search: None, rescue_at: None }
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -3,7 +3,7 @@
 use crate::{
     appender::{self, Appender, Identity},
     lease::LeaseTask,
-    follower::{Follower, Sources},
+    follower::{Follower, FollowerConfig},
     hosts,
     peers::Peers,
     snapshot::Current,
@@ -94,7 +94,7 @@
             let (log, clock) = (self.log.clone(), self.clock.clone());
             let (wait, peers) = (self.log_poll, self.peers);
             let rescue = self.takes_lease.then(|| appender.clone());
-            let sources = Sources { log, wait, peers, clock, hosts: hosts_rx, rescue };
+            let sources = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, rescue };
             let follower = Follower::new(sources, current.clone(), decisions);
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -3,7 +3,7 @@
 use async_trait::async_trait;
 use corianderstand_control::{
     appender::{self, Identity},
-    follower::{Follower, Sources},
+    follower::{Follower, FollowerConfig},
     peers::{Nobody, Peers},
     restore::RECOVERY_DELAY,
     snapshot::{Current, Hosts},
@@ -57,7 +57,7 @@
     let log: Arc<dyn LogService> = Arc::new(Patient(log.clone()));
     let (wait, rescue) = (Duration::ZERO, Some(appender));
     let clocks = Arc::new(clock.clone());
-    let sources = Sources { log: log.clone(), wait, peers, clock: clocks, hosts, rescue };
+    let sources = FollowerConfig { log: log.clone(), wait, peers, clock: clocks, hosts, rescue };
     tokio::spawn(queue.run(log));
     tokio::spawn(Follower::new(sources, current.clone(), decisions).run());
     Reader { current, clock, _hosts: hosts_tx }
