--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -41,7 +41,7 @@
     /// The hosts.
     pub hosts: watch::Receiver<Arc<Hosts>>,
     /// Where a router writes a state that the log has lost; nothing for agents.
-    pub rescue: Option<Appender>,
+    pub recovery_appender: Option<Appender>,
 }
 
 /// Folds the log and publishes snapshots.
@@ -133,7 +133,7 @@
 
     /// Writes this router's state if nobody else has one; see [`restore::recovery_records`].
     fn rescue(&mut self, page: &Page) {
-        let Some(appender) = self.sources.rescue.clone() else { return };
+        let Some(appender) = self.sources.recovery_appender.clone() else { return };
         let now = self.sources.clock.now();
         let part: f64 = rand::rng().random_range(1.0..2.0);
         let due = *self.rescue_at.get_or_insert(now + restore::RECOVERY_DELAY.mul_f64(part));
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -93,8 +93,8 @@
             let (hosts_tx, hosts_rx) = watch::channel(Arc::default());
             let (log, clock) = (self.log.clone(), self.clock.clone());
             let (wait, peers) = (self.log_poll, self.peers);
-            let rescue = self.takes_lease.then(|| appender.clone());
-            let sources = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, rescue };
+            let recovery_appender = self.takes_lease.then(|| appender.clone());
+            let sources = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
             let follower = Follower::new(sources, current.clone(), decisions);
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -55,9 +55,9 @@
     let (appender, queue, decisions) = appender::channel(identity);
     let (hosts_tx, hosts) = watch::channel(Arc::default());
     let log: Arc<dyn LogService> = Arc::new(Patient(log.clone()));
-    let (wait, rescue) = (Duration::ZERO, Some(appender));
+    let (wait, recovery_appender) = (Duration::ZERO, Some(appender));
     let clocks = Arc::new(clock.clone());
-    let sources = FollowerConfig { log: log.clone(), wait, peers, clock: clocks, hosts, rescue };
+    let sources = FollowerConfig { log: log.clone(), wait, peers, clock: clocks, hosts, recovery_appender };
     tokio::spawn(queue.run(log));
     tokio::spawn(Follower::new(sources, current.clone(), decisions).run());
     Reader { current, clock, _hosts: hosts_tx }
