--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -24,7 +24,7 @@
 use tokio::{sync::watch, time};
 
 /// Records in one read.
-const PAGE: u32 = 1024;
+const MAX_PAGE_RECORDS: u32 = 1024;
 /// Pause after a read that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -46,38 +46,38 @@
 
 /// Folds the log and publishes snapshots.
 pub struct Follower {
-    sources: FollowerConfig,
+    config: FollowerConfig,
     current: Current,
     decisions: Decisions,
     snapshot: Snapshot,
     search: Option<CheckpointSearch>,
-    rescue_at: Option<Instant>,
+    recovery_due_at: Option<Instant>,
 }
 
 impl Follower {
     /// A follower that starts from nothing.
-    pub fn new(sources: FollowerConfig, current: Current, decisions: Decisions) -> Self {
+    pub fn new(config: FollowerConfig, current: Current, decisions: Decisions) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.state.next = 1;
-        Self { sources, current, decisions, snapshot, search: None, rescue_at: None }
+        Self { config, current, decisions, snapshot, search: None, recovery_due_at: None }
     }
 
     /// Follows for ever.
     pub async fn run(mut self) {
         loop {
             let from = self.search.as_ref().map_or(self.snapshot.state.next, |s| s.cursor);
-            let read = self.sources.log.read(from, PAGE, self.sources.wait);
+            let read = self.config.log.read(from, MAX_PAGE_RECORDS, self.config.wait);
             tokio::select! {
-                page = read => self.take(page).await,
-                _ = self.sources.hosts.changed() => {
-                    self.snapshot.hosts = self.sources.hosts.borrow_and_update().clone();
+                page = read => self.handle_read(page).await,
+                _ = self.config.hosts.changed() => {
+                    self.snapshot.hosts = self.config.hosts.borrow_and_update().clone();
                     self.current.store(self.snapshot.clone());
                 }
             }
         }
     }
 
-    async fn take(&mut self, page: Result<Page, EdgeError>) {
+    async fn handle_read(&mut self, page: Result<Page, EdgeError>) {
         match page {
             Ok(page) if restore::has_gap(&self.snapshot.state, &page) => self.restore(&page).await,
             Ok(page) => self.fold(&page),
@@ -86,7 +86,7 @@
                 self.snapshot.log_up = false;
                 if !self.snapshot.caught_up {
                     self.snapshot.waiting = Waiting::Log;
-                    self.ask_peers(0).await;
+                    self.query_peers(0).await;
                 }
                 self.current.store(self.snapshot.clone());
                 time::sleep(RETRY_PAUSE).await;
@@ -95,17 +95,17 @@
     }
 
     /// Takes a peer's state if it is newer than this one and the log continues it.
-    async fn ask_peers(&mut self, oldest: u64) -> bool {
-        let state = self.sources.peers.state().await;
+    async fn query_peers(&mut self, oldest: u64) -> bool {
+        let state = self.config.peers.state().await;
         let next = self.snapshot.state.next;
         let Some(state) = state.filter(|s| s.next > next && s.next >= oldest) else { return false };
         tracing::info!(next = state.next, "state taken from a peer");
-        self.adopt(state);
+        self.replace_state(state);
         self.snapshot.caught_up = true;
         true
     }
 
-    fn adopt(&mut self, state: State) {
+    fn replace_state(&mut self, state: State) {
         self.snapshot.state = state;
         self.refresh_view();
         self.search = None;
@@ -119,29 +119,29 @@
         match found.filter(|state| state.next > next) {
             Some(state) => {
                 tracing::info!(next = state.next, "state taken from a checkpoint");
-                self.adopt(state);
+                self.replace_state(state);
             }
-            None if self.ask_peers(page.oldest).await => {}
+            None if self.query_peers(page.oldest).await => {}
             None => {
                 self.snapshot.waiting = Waiting::Checkpoint;
                 self.snapshot.caught_up = false;
-                self.rescue(page);
+                self.write_recovery_checkpoint(page);
             }
         }
         self.current.store(self.snapshot.clone());
     }
 
     /// Writes this router's state if nobody else has one; see [`restore::recovery_records`].
-    fn rescue(&mut self, page: &Page) {
-        let Some(appender) = self.sources.recovery_appender.clone() else { return };
-        let now = self.sources.clock.now();
-        let part: f64 = rand::rng().random_range(1.0..2.0);
-        let due = *self.rescue_at.get_or_insert(now + restore::RECOVERY_DELAY.mul_f64(part));
+    fn write_recovery_checkpoint(&mut self, page: &Page) {
+        let Some(appender) = self.config.recovery_appender.clone() else { return };
+        let now = self.config.clock.now();
+        let factor: f64 = rand::rng().random_range(1.0..2.0);
+        let due = *self.recovery_due_at.get_or_insert(now + restore::RECOVERY_DELAY.mul_f64(factor));
         if now < due || self.snapshot.state.documents.version == 0 {
             return;
         }
         tracing::error!("records were dropped unread: writing the state without them");
-        self.rescue_at = Some(now + restore::RECOVERY_DELAY);
+        self.recovery_due_at = Some(now + restore::RECOVERY_DELAY);
         let bodies = restore::recovery_records(&self.snapshot.state, page);
         // They are read back by the search, not by the fold, so nobody waits for them.
         tokio::spawn(async move {
@@ -152,7 +152,7 @@
 
     fn fold(&mut self, page: &Page) {
         self.search = None;
-        self.rescue_at = None;
+        self.recovery_due_at = None;
         let decided: Vec<_> =
             page.entries.iter().filter_map(|entry| self.fold_one(entry)).collect();
         let at_end = self.snapshot.state.next >= page.next;
@@ -164,7 +164,7 @@
         if at_end {
             snapshot.read_to_ms = snapshot.read_to_ms.max(page.now_ms);
         }
-        let now = clock::unix_ms(self.sources.clock.wall());
+        let now = clock::unix_ms(self.config.clock.wall());
         snapshot.log_clock_ms = page.now_ms as i64 - now as i64;
         self.refresh_view();
         self.current.store(self.snapshot.clone());
