--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -94,8 +94,8 @@
             let (log, clock) = (self.log.clone(), self.clock.clone());
             let (wait, peers) = (self.log_poll, self.peers);
             let recovery_appender = self.takes_lease.then(|| appender.clone());
-            let sources = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
-            let follower = Follower::new(sources, current.clone(), decisions);
+            let config = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
+            let follower = Follower::new(config, current.clone(), decisions);
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
                 tokio::spawn(queue.run(self.log));
