--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -17,7 +17,7 @@
     measured::{self, MeasuredLog},
     metrics::{Metric, Metrics},
     paced::Unread,
-    peers::{HttpPeers, Nobody, Peers},
+    peers::{HttpPeers, NoPeers, Peers},
     relay::Tail,
     snapshot::Current,
     source::Source,
@@ -259,7 +259,7 @@
 fn peers(settings: &AgentSettings) -> Arc<dyn Peers> {
     match &settings.peer_token {
         Some(token) => Arc::new(HttpPeers::new(&settings.peers, token.clone())),
-        None => Arc::new(Nobody),
+        None => Arc::new(NoPeers),
     }
 }
 
--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -23,10 +23,10 @@
 
 /// No peers.
 #[derive(Clone, Copy, Debug)]
-pub struct Nobody;
+pub struct NoPeers;
 
 #[async_trait]
-impl Peers for Nobody {
+impl Peers for NoPeers {
     async fn state(&self) -> Option<State> {
         None
     }
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -4,7 +4,7 @@
 use corianderstand_control::{
     appender::{self, Identity},
     follower::{Follower, FollowerConfig},
-    peers::{Nobody, Peers},
+    peers::{NoPeers, Peers},
     restore::RECOVERY_DELAY,
     snapshot::{Current, Hosts},
 };
@@ -98,11 +98,11 @@
     block_on(async {
         let log = Arc::new(MemoryLog::default());
         change(&log, 1, "a").await;
-        let readers = [start("r1", &log, Arc::new(Nobody)), start("r2", &log, Arc::new(Nobody))];
+        let readers = [start("r1", &log, Arc::new(NoPeers)), start("r2", &log, Arc::new(NoPeers))];
         for reader in &readers {
             wait_for(reader, |state, caught_up| caught_up && state.next == 2).await;
         }
-        // Nobody reads between these two, as neither waits.
+        // NoPeers reads between these two, as neither waits.
         change(&log, 2, "lost").await;
         log.drop_below(3);
         for reader in &readers {
