--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -10,9 +10,9 @@
 /// Path at which a router gives its state.
 pub const STATE_PATH: &str = "/operator/state";
 /// Time a peer has to answer.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Peers asked in one go: one may be down or starting too, all of them hardly.
-const MAX_ASKED: usize = 4;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Peers queries in one go: one may be down or starting too, all of them hardly.
+const MAX_QUERIED: usize = 4;
 
 /// Where a process may get the state besides the log.
 #[async_trait]
@@ -42,11 +42,11 @@
 impl HttpPeers {
     /// The routers at `addresses`, which know this process by `token`.
     pub fn new(addresses: &[SmolStr], token: SmolStr) -> Self {
-        let peer = |a: &SmolStr| HttpSystem::new("a peer router", &format!("http://{a}"), SILENCE);
+        let peer = |a: &SmolStr| HttpSystem::new("a peer router", &format!("http://{a}"), RESPONSE_TIMEOUT);
         Self { peers: addresses.iter().map(peer).collect(), token }
     }
 
-    async fn ask(&self, peer: &HttpSystem) -> Option<State> {
+    async fn query(&self, peer: &HttpSystem) -> Option<State> {
         let req = peer.request(reqwest::Method::GET, STATE_PATH).bearer_auth(&self.token);
         let answer = peer.send(req).await;
         let answer = answer.inspect_err(|error| tracing::info!(%error, "no state from a peer"));
@@ -62,8 +62,8 @@
     async fn state(&self) -> Option<State> {
         let mut order: Vec<&HttpSystem> = self.peers.iter().collect();
         order.shuffle(&mut rand::rng());
-        let asked = order.into_iter().take(MAX_ASKED).map(|peer| self.ask(peer));
-        let states = futures::future::join_all(asked).await;
+        let queries = order.into_iter().take(MAX_QUERIED).map(|peer| self.query(peer));
+        let states = futures::future::join_all(queries).await;
         states.into_iter().flatten().max_by_key(|state| state.next)
     }
 }
