--- a/crates/corianderstand_control/src/paced.rs
+++ b/crates/corianderstand_control/src/paced.rs
@@ -48,10 +48,10 @@
 /// For a process that has no use for the host list: an agent, which neither plans nor chooses
 /// among targets. Seven hundred agents would take most of what the list gives.
 #[derive(Clone, Copy, Debug)]
-pub struct Unread;
+pub struct UnusedHostList;
 
 #[async_trait]
-impl HostList for Unread {
+impl HostList for UnusedHostList {
     async fn hosts(&self) -> Result<Vec<HostEntry>, EdgeError> {
         std::future::pending().await
     }
