--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -37,7 +37,7 @@
 /// Longest wait that a follower may ask for.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 /// Bytes of a request and the head of its answer over HTTP, as measured by `tools/capacity`.
-pub const HTTP_BYTES: u64 = 330;
+pub const HTTP_OVERHEAD_BYTES: u64 = 330;
 /// Bytes that JSON adds to each record, besides its base64.
 const ENTRY_BYTES: u64 = 48;
 
@@ -89,7 +89,7 @@
 /// Bytes of a page on the wire, and of the request for it.
 pub fn wire_bytes(page: &Page) -> u64 {
     let records = page.entries.iter().map(|entry| entry.data.len() as u64 * 4 / 3 + ENTRY_BYTES);
-    HTTP_BYTES + records.sum::<u64>()
+    HTTP_OVERHEAD_BYTES + records.sum::<u64>()
 }
 
 impl Tail {
@@ -142,7 +142,7 @@
     pub async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, RelayError> {
         // Paid before the wait: a thousand readers that are let in to wait would all be woken,
         // and paid for, by the same record.
-        self.budget.admit_follower(HTTP_BYTES).map_err(RelayError::Busy)?;
+        self.budget.admit_follower(HTTP_OVERHEAD_BYTES).map_err(RelayError::Busy)?;
         let mut grown = self.grown.subscribe();
         let waited = time::timeout(wait.min(MAX_WAIT), async {
             while self.next() <= from && grown.changed().await.is_ok() {}
@@ -150,7 +150,7 @@
         // Without a record in time the page is empty, which tells that nothing has come.
         let _in_time = waited.await;
         let page = self.page(from, max)?;
-        self.budget.add_bytes(TrafficClass::Serve, wire_bytes(&page) - HTTP_BYTES);
+        self.budget.add_bytes(TrafficClass::Serve, wire_bytes(&page) - HTTP_OVERHEAD_BYTES);
         Ok(page)
     }
 
--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -1,6 +1,6 @@
 //! What a relay gives, and what it must not.
 
-use super::{HTTP_BYTES, MAX_AGE, RelayError, Tail};
+use super::{HTTP_OVERHEAD_BYTES, MAX_AGE, RelayError, Tail};
 use crate::budget::{BURST_SECONDS, Budget, SERVE_RATE};
 use corianderstand_edge::log::{Entry, Page};
 use corianderstand_types::clock::ManualClock;
@@ -119,7 +119,7 @@
                 Err(error) => assert!(matches!(error, RelayError::Busy(_)), "{error}"),
             }
         }
-        let most = (SERVE_RATE.bytes * BURST_SECONDS / HTTP_BYTES) as usize;
+        let most = (SERVE_RATE.bytes * BURST_SECONDS / HTTP_OVERHEAD_BYTES) as usize;
         assert!((10..=most + 1).contains(&served), "{served} reads served at once");
     });
 }
