--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -31,7 +31,7 @@
 /// A relay that is cut off from the log goes on answering, and its followers would take
 /// silence for quiet. They must notice within a few seconds. When nothing happens, a read of the
 /// log waits for a second and one of a relay for two, and one may be late.
-pub const MAX_AGE: Duration = Duration::from_secs(4);
+pub const MAX_PAGE_AGE: Duration = Duration::from_secs(4);
 /// Relays between the log and a process: one that reads the log, and one that reads that one.
 pub const MAX_HOPS: u8 = 2;
 /// Longest wait that a follower may ask for.
@@ -167,7 +167,7 @@
         let age = now.saturating_duration_since(heard.at);
         // What is known is given even if the log is down, so that a change which one process
         // has read comes into force on all; only silence must not pass for quiet.
-        if entries.is_empty() && age > MAX_AGE {
+        if entries.is_empty() && age > MAX_PAGE_AGE {
             return Err(RelayError::Stale);
         }
         let (age_ms, hops) = (age.as_millis() as u64, heard.hops + 1);
--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -1,6 +1,6 @@
 //! What a relay gives, and what it must not.
 
-use super::{HTTP_OVERHEAD_BYTES, MAX_AGE, RelayError, Tail};
+use super::{HTTP_OVERHEAD_BYTES, MAX_PAGE_AGE, RelayError, Tail};
 use crate::budget::{BURST_SECONDS, Budget, SERVE_RATE};
 use corianderstand_edge::log::{Entry, Page};
 use corianderstand_types::clock::ManualClock;
@@ -78,7 +78,7 @@
 fn a_relay_cut_off_from_the_log_gives_what_it_has_and_then_says_that_it_is_stale() {
     let (clock, tail) = tail(1 << 20);
     tail.take(&page(1..3));
-    clock.advance(MAX_AGE * 2);
+    clock.advance(MAX_PAGE_AGE * 2);
     block_on(async {
         assert_eq!(offsets(&tail, 1).await, Ok(vec![1, 2]), "known records are passed on");
         assert_eq!(offsets(&tail, 3).await, Err(RelayError::Stale));
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -10,7 +10,7 @@
 //! the next; after [`TRIED`] of them the log itself is read. A silent one is left after
 //! [`PEER_WAIT`] + [`PEER_GRACE`] for the log, so that two silent relays do not add up. With
 //! [`relay::MAX_HOPS`] relays on the way, one after the other silent, that makes five seconds; a
-//! relay cut off from the log is left after [`relay::MAX_AGE`].
+//! relay cut off from the log is left after [`relay::MAX_PAGE_AGE`].
 
 #[cfg(test)]
 mod tests;
@@ -232,7 +232,7 @@
 ///
 /// A relay that is behind this process would make it take old state for the newest.
 fn is_good(page: &Page, from: u64) -> bool {
-    let fresh = !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_AGE;
+    let fresh = !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_PAGE_AGE;
     page.oldest <= from && page.next >= from && page.hops <= relay::MAX_HOPS && fresh
 }
 
