--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -117,7 +117,7 @@
     }
 
     /// Takes what this process has just read, if it continues what is kept.
-    pub fn take(&self, page: &Page) {
+    pub fn extend(&self, page: &Page) {
         let now = self.clock.now();
         let mut inner = self.lock();
         let age = Duration::from_millis(page.age_ms);
--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -37,8 +37,8 @@
 #[rstest]
 fn records_are_given_in_order_from_any_offset_kept() {
     let (_clock, tail) = tail(1 << 20);
-    tail.take(&page(5..9));
-    tail.take(&page(9..12));
+    tail.extend(&page(5..9));
+    tail.extend(&page(9..12));
     block_on(async {
         assert_eq!(offsets(&tail, 5).await, Ok((5..12).collect()));
         assert_eq!(offsets(&tail, 10).await, Ok(vec![10, 11]));
@@ -50,12 +50,12 @@
 #[rstest]
 fn a_waiting_reader_gets_a_record_as_soon_as_it_comes() {
     let (_clock, tail) = tail(1 << 20);
-    tail.take(&page(1..2));
+    tail.extend(&page(1..2));
     block_on(async {
         let reader = tail.clone();
         let read = tokio::spawn(async move { reader.read(2, MANY, Duration::from_secs(2)).await });
         tokio::task::yield_now().await;
-        tail.take(&page(2..3));
+        tail.extend(&page(2..3));
         let page = read.await.expect("the task ends").expect("a page");
         assert_eq!(page.entries.len(), 1);
     });
@@ -64,7 +64,7 @@
 #[rstest]
 fn memory_is_bounded_and_what_is_gone_is_said_to_be_gone() {
     let (_clock, tail) = tail(10_000);
-    tail.take(&page(1..1000));
+    tail.extend(&page(1..1000));
     block_on(async {
         assert_eq!(offsets(&tail, 1).await, Err(RelayError::Gone));
         let kept = offsets(&tail, 990).await.expect("the newest are kept");
@@ -77,7 +77,7 @@
 #[rstest]
 fn a_relay_cut_off_from_the_log_gives_what_it_has_and_then_says_that_it_is_stale() {
     let (clock, tail) = tail(1 << 20);
-    tail.take(&page(1..3));
+    tail.extend(&page(1..3));
     clock.advance(MAX_PAGE_AGE * 2);
     block_on(async {
         assert_eq!(offsets(&tail, 1).await, Ok(vec![1, 2]), "known records are passed on");
@@ -90,8 +90,8 @@
 #[rstest]
 fn no_page_reaches_over_a_gap() {
     let (_clock, tail) = tail(1 << 20);
-    tail.take(&page(1..5));
-    tail.take(&page(50..52));
+    tail.extend(&page(1..5));
+    tail.extend(&page(50..52));
     block_on(async {
         assert_eq!(offsets(&tail, 3).await, Err(RelayError::Gone));
         assert_eq!(offsets(&tail, 50).await, Ok(vec![50, 51]));
@@ -103,7 +103,7 @@
 #[rstest]
 fn a_large_fan_in_is_refused_beyond_the_budget() {
     let (_clock, tail) = tail(1 << 20);
-    tail.take(&page(1..3));
+    tail.extend(&page(1..3));
     block_on(async {
         let read = |_| {
             let tail = tail.clone();
@@ -111,7 +111,7 @@
         };
         let reads: Vec<_> = (0..1000).map(read).collect();
         tokio::task::yield_now().await;
-        tail.take(&page(3..4));
+        tail.extend(&page(3..4));
         let mut served = 0;
         for read in reads {
             match read.await.expect("the task ends") {
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -248,7 +248,7 @@
             Some(page) => page,
             None => self.read_log(from, max, wait).await?,
         };
-        self.tail.take(&page);
+        self.tail.extend(&page);
         // Catching up at a start is a single transfer, not a rate: charged to the budget, it
         // would keep a new process from its settings for minutes.
         if page.entries.len() < max as usize {
