--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -39,7 +39,7 @@
 /// Bytes of a request and the head of its answer over HTTP, as measured by `tools/capacity`.
 pub const HTTP_OVERHEAD_BYTES: u64 = 330;
 /// Bytes that JSON adds to each record, besides its base64.
-const ENTRY_BYTES: u64 = 48;
+const ENTRY_OVERHEAD_BYTES: u64 = 48;
 
 /// Why a relay gives no page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
@@ -59,12 +59,12 @@
     entries: VecDeque<Entry>,
     bytes: usize,
     next: u64,
-    heard: Option<Heard>,
+    last_response: Option<LastResponse>,
 }
 
 /// The last time that the log answered, directly or over another relay.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastResponse {
     at: Instant,
     log_ms: u64,
     hops: u8,
@@ -74,7 +74,7 @@
 #[derive(Clone)]
 pub struct Tail {
     inner: Arc<Mutex<Inner>>,
-    grown: watch::Sender<u64>,
+    next_offset: watch::Sender<u64>,
     clock: SharedClock,
     budget: Arc<Budget>,
     max_bytes: usize,
@@ -88,14 +88,14 @@
 
 /// Bytes of a page on the wire, and of the request for it.
 pub fn wire_bytes(page: &Page) -> u64 {
-    let records = page.entries.iter().map(|entry| entry.data.len() as u64 * 4 / 3 + ENTRY_BYTES);
+    let records = page.entries.iter().map(|entry| entry.data.len() as u64 * 4 / 3 + ENTRY_OVERHEAD_BYTES);
     HTTP_OVERHEAD_BYTES + records.sum::<u64>()
 }
 
 impl Tail {
     /// An empty tail that keeps up to `max_bytes` of records.
     pub fn new(clock: SharedClock, budget: Arc<Budget>, max_bytes: usize) -> Self {
-        Self { inner: Arc::default(), grown: watch::Sender::new(0), clock, budget, max_bytes }
+        Self { inner: Arc::default(), next_offset: watch::Sender::new(0), clock, budget, max_bytes }
     }
 
     /// Time.
@@ -122,7 +122,7 @@
         let mut inner = self.lock();
         let age = Duration::from_millis(page.age_ms);
         let at = now.checked_sub(age).unwrap_or(now);
-        inner.heard = Some(Heard { at, log_ms: page.now_ms, hops: page.hops });
+        inner.last_response = Some(LastResponse { at, log_ms: page.now_ms, hops: page.hops });
         for entry in &page.entries {
             inner.push(entry, self.max_bytes);
         }
@@ -131,7 +131,7 @@
         }
         let next = inner.next;
         drop(inner);
-        self.grown.send_if_modified(|known| std::mem::replace(known, next) != next);
+        self.next_offset.send_if_modified(|current| std::mem::replace(current, next) != next);
     }
 
     /// Records from an offset, after waiting up to `wait` for the first.
@@ -143,9 +143,9 @@
         // Paid before the wait: a thousand readers that are let in to wait would all be woken,
         // and paid for, by the same record.
         self.budget.admit_follower(HTTP_OVERHEAD_BYTES).map_err(RelayError::Busy)?;
-        let mut grown = self.grown.subscribe();
+        let mut next_offset = self.next_offset.subscribe();
         let waited = time::timeout(wait.min(MAX_WAIT), async {
-            while self.next() <= from && grown.changed().await.is_ok() {}
+            while self.next() <= from && next_offset.changed().await.is_ok() {}
         });
         // Without a record in time the page is empty, which tells that nothing has come.
         let _in_time = waited.await;
@@ -157,21 +157,21 @@
     fn page(&self, from: u64, max: u32) -> Result<Page, RelayError> {
         let now = self.clock.now();
         let inner = self.lock();
-        let heard = inner.heard.ok_or(RelayError::Stale)?;
+        let last_response = inner.last_response.ok_or(RelayError::Stale)?;
         let oldest = inner.entries.front().map_or(inner.next, |entry| entry.offset);
         if from < oldest {
             return Err(RelayError::Gone);
         }
         let entries = inner.entries.iter().skip((from - oldest) as usize).take(max as usize);
         let entries: Vec<Entry> = entries.cloned().collect();
-        let age = now.saturating_duration_since(heard.at);
+        let age = now.saturating_duration_since(last_response.at);
         // What is known is given even if the log is down, so that a change which one process
         // has read comes into force on all; only silence must not pass for quiet.
         if entries.is_empty() && age > MAX_PAGE_AGE {
             return Err(RelayError::Stale);
         }
-        let (age_ms, hops) = (age.as_millis() as u64, heard.hops + 1);
-        let now_ms = heard.log_ms + age_ms;
+        let (age_ms, hops) = (age.as_millis() as u64, last_response.hops + 1);
+        let now_ms = last_response.log_ms + age_ms;
         Ok(Page { oldest, next: inner.next, now_ms, entries, age_ms, hops })
     }
 }
