--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -7,7 +7,7 @@
 //! these, and the process reads the log until a relay is good again.
 //!
 //! A change is in force within seconds whatever fails. A relay that is dead is left at once for
-//! the next; after [`TRIED`] of them the log itself is read. A silent one is left after
+//! the next; after [`MAX_RELAYS_TRIED`] of them the log itself is read. A silent one is left after
 //! [`PEER_WAIT`] + [`PEER_GRACE`] for the log, so that two silent relays do not add up. With
 //! [`relay::MAX_HOPS`] relays on the way, one after the other silent, that makes five seconds; a
 //! relay cut off from the log is left after [`relay::MAX_PAGE_AGE`].
@@ -38,7 +38,7 @@
 /// time, and the others can still serve all followers of a place within their budget.
 pub const LOG_READERS: usize = 4;
 /// Relays that are tried before the log.
-pub const TRIED: usize = 2;
+pub const MAX_RELAYS_TRIED: usize = 2;
 /// Longest wait of one read from a relay. Longer than the time between two renewals of the
 /// control lease, so that a read brings a record and few are empty: what a follower costs its
 /// relay is the number of its reads.
@@ -118,10 +118,10 @@
     if own.is_some_and(|own| readers.contains(&own)) {
         return Vec::new();
     }
-    let follows = if own.is_some() || others.len() < TRIED { readers } else { others };
+    let follows = if own.is_some() || others.len() < MAX_RELAYS_TRIED { readers } else { others };
     let mut follows: Vec<SmolStr> = follows.iter().map(|address| (*address).clone()).collect();
     follows.sort_by_key(|address| preference(&name.0, address));
-    follows.truncate(TRIED);
+    follows.truncate(MAX_RELAYS_TRIED);
     follows
 }
 
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -1,6 +1,6 @@
 //! The choice of a relay, and what happens when it fails.
 
-use super::{GONE, LOG_READERS, Peer, Source, TRIED, choose};
+use super::{GONE, LOG_READERS, Peer, Source, MAX_RELAYS_TRIED, choose};
 use crate::{
     budget::Budget,
     relay::{MAX_HOPS, Tail},
@@ -54,7 +54,7 @@
     }
     for agent in 0..AGENTS {
         let follows = choose(&WriterId(format_smolstr!("engine-{agent}")), None, &all);
-        assert_eq!(follows.len(), TRIED);
+        assert_eq!(follows.len(), MAX_RELAYS_TRIED);
         assert!(follows.iter().all(|router| reaches_log(router, &all, MAX_HOPS - 1)));
         *followers.entry(follows[0].clone()).or_default() += 1;
     }
