--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -8,7 +8,7 @@
 //!
 //! A change is in force within seconds whatever fails. A relay that is dead is left at once for
 //! the next; after [`MAX_RELAYS_TRIED`] of them the log itself is read. A silent one is left after
-//! [`PEER_WAIT`] + [`PEER_GRACE`] for the log, so that two silent relays do not add up. With
+//! [`RELAY_WAIT`] + [`PEER_GRACE`] for the log, so that two silent relays do not add up. With
 //! [`relay::MAX_HOPS`] relays on the way, one after the other silent, that makes five seconds; a
 //! relay cut off from the log is left after [`relay::MAX_PAGE_AGE`].
 
@@ -42,7 +42,7 @@
 /// Longest wait of one read from a relay. Longer than the time between two renewals of the
 /// control lease, so that a read brings a record and few are empty: what a follower costs its
 /// relay is the number of its reads.
-pub const PEER_WAIT: Duration = Duration::from_secs(2);
+pub const RELAY_WAIT: Duration = Duration::from_secs(2);
 /// Time a relay's answer may take beyond that.
 pub const PEER_GRACE: Duration = Duration::from_millis(500);
 /// How long a relay that failed is left alone, within a factor of a half up and down.
@@ -65,7 +65,7 @@
     /// A router at an address, which knows this process by `token`.
     pub fn new(address: &SmolStr, token: &str) -> Self {
         let base = format!("http://{address}{}", relay::RELAY_PATH);
-        let reads = Arc::new(HttpLog::new(&base, PEER_WAIT).with_bearer(token));
+        let reads = Arc::new(HttpLog::new(&base, RELAY_WAIT).with_bearer(token));
         Self { address: address.clone(), reads }
     }
 }
@@ -163,7 +163,7 @@
         let now = self.clock.now();
         let mut candidates = self.lock();
         for (index, candidate) in candidates.iter_mut().enumerate() {
-            let silent = candidate.asked_at.is_some_and(|at| now >= at + PEER_WAIT + PEER_GRACE);
+            let silent = candidate.asked_at.is_some_and(|at| now >= at + RELAY_WAIT + PEER_GRACE);
             if silent {
                 candidate.rest(now);
             }
@@ -185,8 +185,8 @@
 
     async fn read_relay(&self, from: u64, max: u32, wait: Duration) -> Option<Page> {
         while let Some((index, relay)) = self.candidate() {
-            let read = relay.read(from, max, wait.min(PEER_WAIT));
-            let answer = time::timeout(PEER_WAIT + PEER_GRACE, read).await;
+            let read = relay.read(from, max, wait.min(RELAY_WAIT));
+            let answer = time::timeout(RELAY_WAIT + PEER_GRACE, read).await;
             let silent = answer.is_err();
             let gone = matches!(answer, Ok(Err(EdgeError::Status { status: GONE, .. })));
             let page = answer.ok().and_then(Result::ok).filter(|page| is_good(page, from));
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -282,7 +282,7 @@
     let count: Arc<forward::Count> = Arc::default();
     let near = forward::start(listen, count.clone()).await;
     let base = format!("http://{near}/internal");
-    emulate::followers(&base, followers, records.len() as u64 + 1, source::PEER_WAIT);
+    emulate::followers(&base, followers, records.len() as u64 + 1, source::RELAY_WAIT);
     steady(|| 0).await;
     let cost = platform.measure(&process, &count).await;
     NodeCost { connections: followers as f64, ..cost }
