--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -8,7 +8,7 @@
 //!
 //! A change is in force within seconds whatever fails. A relay that is dead is left at once for
 //! the next; after [`MAX_RELAYS_TRIED`] of them the log itself is read. A silent one is left after
-//! [`RELAY_WAIT`] + [`PEER_GRACE`] for the log, so that two silent relays do not add up. With
+//! [`RELAY_WAIT`] + [`RELAY_GRACE`] for the log, so that two silent relays do not add up. With
 //! [`relay::MAX_HOPS`] relays on the way, one after the other silent, that makes five seconds; a
 //! relay cut off from the log is left after [`relay::MAX_PAGE_AGE`].
 
@@ -44,7 +44,7 @@
 /// relay is the number of its reads.
 pub const RELAY_WAIT: Duration = Duration::from_secs(2);
 /// Time a relay's answer may take beyond that.
-pub const PEER_GRACE: Duration = Duration::from_millis(500);
+pub const RELAY_GRACE: Duration = Duration::from_millis(500);
 /// How long a relay that failed is left alone, within a factor of a half up and down.
 const PEER_REST: Duration = Duration::from_secs(5);
 /// How long the log is left alone after it failed, by a process that normally follows a relay.
@@ -163,7 +163,7 @@
         let now = self.clock.now();
         let mut candidates = self.lock();
         for (index, candidate) in candidates.iter_mut().enumerate() {
-            let silent = candidate.asked_at.is_some_and(|at| now >= at + RELAY_WAIT + PEER_GRACE);
+            let silent = candidate.asked_at.is_some_and(|at| now >= at + RELAY_WAIT + RELAY_GRACE);
             if silent {
                 candidate.rest(now);
             }
@@ -186,7 +186,7 @@
     async fn read_relay(&self, from: u64, max: u32, wait: Duration) -> Option<Page> {
         while let Some((index, relay)) = self.candidate() {
             let read = relay.read(from, max, wait.min(RELAY_WAIT));
-            let answer = time::timeout(RELAY_WAIT + PEER_GRACE, read).await;
+            let answer = time::timeout(RELAY_WAIT + RELAY_GRACE, read).await;
             let silent = answer.is_err();
             let gone = matches!(answer, Ok(Err(EdgeError::Status { status: GONE, .. })));
             let page = answer.ok().and_then(Result::ok).filter(|page| is_good(page, from));
