--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -54,14 +54,14 @@
 const LOG_REST: Duration = Duration::from_secs(2);
 
 /// A router that may be followed.
-pub struct Peer {
+pub struct RelayClient {
     /// Its address, for the order of choice.
     pub address: SmolStr,
     /// Reads from it.
     pub reads: Arc<dyn LogService>,
 }
 
-impl Peer {
+impl RelayClient {
     /// A router at an address, which knows this process by `token`.
     pub fn new(address: &SmolStr, token: &str) -> Self {
         let base = format!("http://{address}{}", relay::RELAY_PATH);
@@ -71,7 +71,7 @@
 }
 
 struct Candidate {
-    peer: Peer,
+    peer: RelayClient,
     rests_until: Option<Instant>,
     asked_at: Option<Instant>,
 }
@@ -127,7 +127,7 @@
 
 impl Source {
     /// Reads from `peers` in order, then from `log`.
-    pub fn new(log: Arc<dyn LogService>, peers: Vec<Peer>, tail: Tail) -> Self {
+    pub fn new(log: Arc<dyn LogService>, peers: Vec<RelayClient>, tail: Tail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
         let candidates =
             peers.into_iter().map(|peer| Candidate { peer, rests_until: None, asked_at: None });
@@ -147,7 +147,7 @@
     ) -> Self {
         let follows = choose(name, own, peers);
         tracing::info!(?follows, "relays of the log; with none the log itself is read");
-        let peers = follows.iter().map(|address| Peer::new(address, token)).collect();
+        let peers = follows.iter().map(|address| RelayClient::new(address, token)).collect();
         Self::new(log, peers, tail)
     }
 
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -1,6 +1,6 @@
 //! The choice of a relay, and what happens when it fails.
 
-use super::{GONE, LOG_READERS, Peer, Source, MAX_RELAYS_TRIED, choose};
+use super::{GONE, LOG_READERS, RelayClient, Source, MAX_RELAYS_TRIED, choose};
 use crate::{
     budget::Budget,
     relay::{MAX_HOPS, Tail},
@@ -114,7 +114,7 @@
     let clock = Arc::new(SystemClock);
     let budget = Arc::new(Budget::new(clock.clone()));
     let asked: Vec<Arc<AtomicUsize>> = ways.iter().map(|_| Arc::default()).collect();
-    let peer = |(way, asked): (&Way, &Arc<AtomicUsize>)| Peer {
+    let peer = |(way, asked): (&Way, &Arc<AtomicUsize>)| RelayClient {
         address: format_smolstr!("{way:?}"),
         reads: Arc::new(FakeRelay { way: *way, asked: asked.clone() }),
     };
