--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -58,15 +58,15 @@
     /// Its address, for the order of choice.
     pub address: SmolStr,
     /// Reads from it.
-    pub reads: Arc<dyn LogService>,
+    pub log: Arc<dyn LogService>,
 }
 
 impl RelayClient {
     /// A router at an address, which knows this process by `token`.
     pub fn new(address: &SmolStr, token: &str) -> Self {
         let base = format!("http://{address}{}", relay::RELAY_PATH);
-        let reads = Arc::new(HttpLog::new(&base, RELAY_WAIT).with_bearer(token));
-        Self { address: address.clone(), reads }
+        let log = Arc::new(HttpLog::new(&base, RELAY_WAIT).with_bearer(token));
+        Self { address: address.clone(), log }
     }
 }
 
@@ -169,7 +169,7 @@
             }
             if candidate.rests_until.is_none_or(|until| now >= until) {
                 candidate.asked_at.get_or_insert(now);
-                return Some((index, candidate.peer.reads.clone()));
+                return Some((index, candidate.peer.log.clone()));
             }
         }
         None
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -116,7 +116,7 @@
     let asked: Vec<Arc<AtomicUsize>> = ways.iter().map(|_| Arc::default()).collect();
     let peer = |(way, asked): (&Way, &Arc<AtomicUsize>)| RelayClient {
         address: format_smolstr!("{way:?}"),
-        reads: Arc::new(FakeRelay { way: *way, asked: asked.clone() }),
+        log: Arc::new(FakeRelay { way: *way, asked: asked.clone() }),
     };
     let peers = ways.iter().zip(&asked).map(peer).collect();
     let tail = Tail::new(clock, budget, 1 << 20);
