--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -188,7 +188,7 @@
             let read = relay.read(from, max, wait.min(RELAY_WAIT));
             let answer = time::timeout(RELAY_WAIT + RELAY_GRACE, read).await;
             let silent = answer.is_err();
-            let gone = matches!(answer, Ok(Err(EdgeError::Status { status: GONE, .. })));
+            let gone = matches!(answer, Ok(Err(EdgeError::Status { status: STATUS_GONE, .. })));
             let page = answer.ok().and_then(Result::ok).filter(|page| is_good(page, from));
             self.answered(index, gone || page.is_some());
             if gone || page.is_some() {
@@ -226,7 +226,7 @@
 }
 
 /// Status with which a relay says that it does not keep what was asked for.
-pub const GONE: u16 = 410;
+pub const STATUS_GONE: u16 = 410;
 
 /// Whether a page leads on from `from`, comes over few enough relays and is fresh.
 ///
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -1,6 +1,6 @@
 //! The choice of a relay, and what happens when it fails.
 
-use super::{GONE, LOG_READERS, RelayClient, Source, MAX_RELAYS_TRIED, choose};
+use super::{STATUS_GONE, LOG_READERS, RelayClient, Source, MAX_RELAYS_TRIED, choose};
 use crate::{
     budget::Budget,
     relay::{MAX_HOPS, Tail},
@@ -103,7 +103,7 @@
             Way::Behind => Ok(Page { next: from - 1, ..good }),
             Way::TooFar => Ok(Page { hops: MAX_HOPS + 1, ..good }),
             Way::Old => Ok(Page { age_ms: 60_000, ..good }),
-            Way::Gone => Err(error(GONE)),
+            Way::Gone => Err(error(STATUS_GONE)),
         }
     }
 }
