--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -109,7 +109,7 @@
 ///
 /// `own` is its address if it is a router. Routers follow those that read the log; agents
 /// follow the others, so that those which read the log serve only routers.
-pub fn choose(name: &WriterId, own: Option<&SmolStr>, peers: &[SmolStr]) -> Vec<SmolStr> {
+pub fn choose_relays(name: &WriterId, own: Option<&SmolStr>, peers: &[SmolStr]) -> Vec<SmolStr> {
     let mut all: Vec<&SmolStr> = peers.iter().chain(own).collect();
     all.sort_by_key(|address| (rank(address), (*address).clone()));
     all.dedup();
@@ -145,7 +145,7 @@
         token: &str,
         tail: Tail,
     ) -> Self {
-        let follows = choose(name, own, peers);
+        let follows = choose_relays(name, own, peers);
         tracing::info!(?follows, "relays of the log; with none the log itself is read");
         let peers = follows.iter().map(|address| RelayClient::new(address, token)).collect();
         Self::new(log, peers, tail)
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -1,6 +1,6 @@
 //! The choice of a relay, and what happens when it fails.
 
-use super::{STATUS_GONE, LOG_READERS, RelayClient, Source, MAX_RELAYS_TRIED, choose};
+use super::{STATUS_GONE, LOG_READERS, RelayClient, Source, MAX_RELAYS_TRIED, choose_relays};
 use crate::{
     budget::Budget,
     relay::{MAX_HOPS, Tail},
@@ -31,7 +31,7 @@
 
 fn choose_as_router(own: &SmolStr, all: &[SmolStr]) -> Vec<SmolStr> {
     let others: Vec<SmolStr> = all.iter().filter(|address| *address != own).cloned().collect();
-    choose(&WriterId(format_smolstr!("router-{own}")), Some(own), &others)
+    choose_relays(&WriterId(format_smolstr!("router-{own}")), Some(own), &others)
 }
 
 /// Whether a way leads to the log from an address in at most `hops` more relays.
@@ -53,7 +53,7 @@
         }
     }
     for agent in 0..AGENTS {
-        let follows = choose(&WriterId(format_smolstr!("engine-{agent}")), None, &all);
+        let follows = choose_relays(&WriterId(format_smolstr!("engine-{agent}")), None, &all);
         assert_eq!(follows.len(), MAX_RELAYS_TRIED);
         assert!(follows.iter().all(|router| reaches_log(router, &all, MAX_HOPS - 1)));
         *followers.entry(follows[0].clone()).or_default() += 1;
@@ -65,8 +65,8 @@
 #[rstest]
 fn a_process_without_peers_reads_the_log() {
     let own = addresses(1);
-    assert!(choose(&WriterId("router-0".into()), own.first(), &[]).is_empty());
-    assert!(choose(&WriterId("engine-0".into()), None, &[]).is_empty());
+    assert!(choose_relays(&WriterId("router-0".into()), own.first(), &[]).is_empty());
+    assert!(choose_relays(&WriterId("engine-0".into()), None, &[]).is_empty());
 }
 
 /// How a relay answers.
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -31,7 +31,7 @@
     let peers: Vec<SmolStr> = routers().iter().map(|r| deployment.address(r).into()).collect();
     routers().into_iter().partition(|name| {
         let own: SmolStr = deployment.address(name).into();
-        source::choose(&WriterId(format_smolstr!("{name}")), Some(&own), &peers).is_empty()
+        source::choose_relays(&WriterId(format_smolstr!("{name}")), Some(&own), &peers).is_empty()
     })
 }
 
