--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -46,12 +46,12 @@
 /// Time a relay's answer may take beyond that.
 pub const RELAY_GRACE: Duration = Duration::from_millis(500);
 /// How long a relay that failed is left alone, within a factor of a half up and down.
-const PEER_REST: Duration = Duration::from_secs(5);
+const RELAY_BACKOFF: Duration = Duration::from_secs(5);
 /// How long the log is left alone after it failed, by a process that normally follows a relay.
 ///
 /// Made for an outage of the log: every relay is stale then, and a thousand processes that ask
 /// the log several times a second would keep it down when it comes back.
-const LOG_REST: Duration = Duration::from_secs(2);
+const LOG_BACKOFF: Duration = Duration::from_secs(2);
 
 /// A router that may be followed.
 pub struct RelayClient {
@@ -72,8 +72,8 @@
 
 struct Candidate {
     peer: RelayClient,
-    rests_until: Option<Instant>,
-    asked_at: Option<Instant>,
+    backoff_until: Option<Instant>,
+    requested_at: Option<Instant>,
 }
 
 /// Reads from relays where there are any, and from the log; appends to the log. What it reads
@@ -82,27 +82,27 @@
     log: Arc<dyn LogService>,
     tail: Tail,
     candidates: Mutex<Vec<Candidate>>,
-    log_rests_until: Mutex<Option<Instant>>,
+    log_backoff_until: Mutex<Option<Instant>>,
     clock: SharedClock,
     budget: Arc<Budget>,
 }
 
 impl Candidate {
-    fn rest(&mut self, now: Instant) {
-        let spread = rand::rng().random_range(0.5..1.5);
-        self.rests_until = Some(now + PEER_REST.mul_f64(spread));
-        self.asked_at = None;
+    fn back_off(&mut self, now: Instant) {
+        let jitter = rand::rng().random_range(0.5..1.5);
+        self.backoff_until = Some(now + RELAY_BACKOFF.mul_f64(jitter));
+        self.requested_at = None;
     }
 }
 
 /// Order of routers that is the same on every process.
-fn rank(address: &str) -> u64 {
+fn address_hash(address: &str) -> u64 {
     xxh3::xxh3_64(address.as_bytes())
 }
 
 /// Order of routers for one follower, so that followers spread over them.
-fn preference(follower: &str, address: &str) -> u64 {
-    xxh3::xxh3_64_with_seed(address.as_bytes(), rank(follower))
+fn rendezvous_hash(follower: &str, address: &str) -> u64 {
+    xxh3::xxh3_64_with_seed(address.as_bytes(), address_hash(follower))
 }
 
 /// Addresses that a process follows, in order; none if it reads the log.
@@ -111,7 +111,7 @@
 /// follow the others, so that those which read the log serve only routers.
 pub fn choose_relays(name: &WriterId, own: Option<&SmolStr>, peers: &[SmolStr]) -> Vec<SmolStr> {
     let mut all: Vec<&SmolStr> = peers.iter().chain(own).collect();
-    all.sort_by_key(|address| (rank(address), (*address).clone()));
+    all.sort_by_key(|address| (address_hash(address), (*address).clone()));
     all.dedup();
     let readers = all.len().min(LOG_READERS);
     let (readers, others) = all.split_at(readers);
@@ -120,7 +120,7 @@
     }
     let follows = if own.is_some() || others.len() < MAX_RELAYS_TRIED { readers } else { others };
     let mut follows: Vec<SmolStr> = follows.iter().map(|address| (*address).clone()).collect();
-    follows.sort_by_key(|address| preference(&name.0, address));
+    follows.sort_by_key(|address| rendezvous_hash(&name.0, address));
     follows.truncate(MAX_RELAYS_TRIED);
     follows
 }
@@ -130,9 +130,9 @@
     pub fn new(log: Arc<dyn LogService>, peers: Vec<RelayClient>, tail: Tail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
         let candidates =
-            peers.into_iter().map(|peer| Candidate { peer, rests_until: None, asked_at: None });
+            peers.into_iter().map(|peer| Candidate { peer, backoff_until: None, requested_at: None });
         let candidates = Mutex::new(candidates.collect());
-        Self { log, tail, candidates, log_rests_until: Mutex::new(None), clock, budget }
+        Self { log, tail, candidates, log_backoff_until: Mutex::new(None), clock, budget }
     }
 
     /// A source for one process: `own` is its address if it is a router, `token` proves it to
@@ -159,38 +159,38 @@
     ///
     /// A read may be dropped half way, as the follower also waits for other news. Without the
     /// note a silent relay would be asked anew each time and its silence never be noticed.
-    fn candidate(&self) -> Option<(usize, Arc<dyn LogService>)> {
+    fn next_candidate(&self) -> Option<(usize, Arc<dyn LogService>)> {
         let now = self.clock.now();
         let mut candidates = self.lock();
         for (index, candidate) in candidates.iter_mut().enumerate() {
-            let silent = candidate.asked_at.is_some_and(|at| now >= at + RELAY_WAIT + RELAY_GRACE);
-            if silent {
-                candidate.rest(now);
+            let unresponsive = candidate.requested_at.is_some_and(|at| now >= at + RELAY_WAIT + RELAY_GRACE);
+            if unresponsive {
+                candidate.back_off(now);
             }
-            if candidate.rests_until.is_none_or(|until| now >= until) {
-                candidate.asked_at.get_or_insert(now);
+            if candidate.backoff_until.is_none_or(|until| now >= until) {
+                candidate.requested_at.get_or_insert(now);
                 return Some((index, candidate.peer.log.clone()));
             }
         }
         None
     }
 
-    fn answered(&self, index: usize, good: bool) {
+    fn record_result(&self, index: usize, usable: bool) {
         let mut candidates = self.lock();
-        candidates[index].asked_at = None;
-        if !good {
-            candidates[index].rest(self.clock.now());
+        candidates[index].requested_at = None;
+        if !usable {
+            candidates[index].back_off(self.clock.now());
         }
     }
 
     async fn read_relay(&self, from: u64, max: u32, wait: Duration) -> Option<Page> {
-        while let Some((index, relay)) = self.candidate() {
+        while let Some((index, relay)) = self.next_candidate() {
             let read = relay.read(from, max, wait.min(RELAY_WAIT));
             let answer = time::timeout(RELAY_WAIT + RELAY_GRACE, read).await;
             let silent = answer.is_err();
             let gone = matches!(answer, Ok(Err(EdgeError::Status { status: STATUS_GONE, .. })));
-            let page = answer.ok().and_then(Result::ok).filter(|page| is_good(page, from));
-            self.answered(index, gone || page.is_some());
+            let page = answer.ok().and_then(Result::ok).filter(|page| is_usable(page, from));
+            self.record_result(index, gone || page.is_some());
             if gone || page.is_some() {
                 return page;
             }
@@ -203,22 +203,22 @@
     }
 
     async fn read_log(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
-        self.wait_for_log().await;
+        self.wait_for_log_backoff().await;
         let page = self.log.read(from, max, wait).await;
         let follows_relays = !self.lock().is_empty();
         if page.is_err() && follows_relays {
-            let spread = rand::rng().random_range(0.5..1.5);
-            *self.log_rests() = Some(self.clock.now() + LOG_REST.mul_f64(spread));
+            let jitter = rand::rng().random_range(0.5..1.5);
+            *self.log_backoff() = Some(self.clock.now() + LOG_BACKOFF.mul_f64(jitter));
         }
         page
     }
 
-    fn log_rests(&self) -> MutexGuard<'_, Option<Instant>> {
-        self.log_rests_until.lock().expect("no holder of this lock panics")
+    fn log_backoff(&self) -> MutexGuard<'_, Option<Instant>> {
+        self.log_backoff_until.lock().expect("no holder of this lock panics")
     }
 
-    async fn wait_for_log(&self) {
-        let until = *self.log_rests();
+    async fn wait_for_log_backoff(&self) {
+        let until = *self.log_backoff();
         if let Some(until) = until {
             time::sleep(until.saturating_duration_since(self.clock.now())).await;
         }
@@ -231,7 +231,7 @@
 /// Whether a page leads on from `from`, comes over few enough relays and is fresh.
 ///
 /// A relay that is behind this process would make it take old state for the newest.
-fn is_good(page: &Page, from: u64) -> bool {
+fn is_usable(page: &Page, from: u64) -> bool {
     let fresh = !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_PAGE_AGE;
     page.oldest <= from && page.next >= from && page.hops <= relay::MAX_HOPS && fresh
 }
