--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -5,7 +5,7 @@
 //! - A host is *gone* once every believed reading for that long has been without it. No
 //!   reading, no evidence: while the list does not answer, nobody goes.
 //! - An empty reading is never believed. One that shows fewer than half of the hosts known is
-//!   believed only after all readings have been so for [`SHRINK_LAGS`] times the lag.
+//!   believed only after all readings have been so for [`SHRINK_LAG_FACTOR`] times the lag.
 //! - A host that an agent has announced counts as known from then on, listed or not.
 
 use crate::snapshot::Hosts;
@@ -19,7 +19,7 @@
 /// How many times the lag a greatly shrunken list must last before it is believed. Made for the
 /// loss of a region, which is real but rare: a list that lost its hosts by a fault of its own is
 /// far more common, and believing it would take every slot of the service away.
-pub const SHRINK_LAGS: u32 = 6;
+pub const SHRINK_LAG_FACTOR: u32 = 6;
 
 /// One host as far as it is known.
 #[derive(Clone, Copy, Debug)]
@@ -108,7 +108,7 @@
             return false;
         }
         let since = *self.shrunken_since.get_or_insert(now);
-        now >= since + lag * SHRINK_LAGS
+        now >= since + lag * SHRINK_LAG_FACTOR
     }
 }
 
--- a/crates/corianderstand_control/src/membership/tests.rs
+++ b/crates/corianderstand_control/src/membership/tests.rs
@@ -1,4 +1,4 @@
-use super::{Membership, SHRINK_LAGS};
+use super::{Membership, SHRINK_LAG_FACTOR};
 use corianderstand_edge::hosts::{HostEntry, HostState};
 use corianderstand_types::{
     clock::{Clock, ManualClock},
@@ -82,7 +82,7 @@
 #[case::cut_short("ab")]
 fn an_empty_or_greatly_shrunken_list_is_not_believed_at_once(#[case] shown: &str) {
     let mut bench = Bench::new();
-    bench.show_for(LAG * (SHRINK_LAGS - 1), shown, "");
+    bench.show_for(LAG * (SHRINK_LAG_FACTOR - 1), shown, "");
     assert_eq!(bench.gone(), "");
     bench.show_for(LAG * 2, shown, "");
     let expected = if shown.is_empty() { "" } else { "cdef" };
