--- a/crates/corianderstand_control/src/hosts.rs
+++ b/crates/corianderstand_control/src/hosts.rs
@@ -29,7 +29,7 @@
         match list.hosts().await {
             Ok(entries) => {
                 let lag = snapshot.view.deployment.host_list_lag_ms.0;
-                if !membership.take(clock.now(), lag, &entries) {
+                if !membership.apply_reading(clock.now(), lag, &entries) {
                     let listed = entries.len();
                     tracing::warn!(listed, "host list empty or greatly shrunken: not believed yet");
                 }
--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -41,7 +41,7 @@
 
 impl Membership {
     /// Takes a reading; false if it was not believed.
-    pub fn take(&mut self, now: Instant, lag: Duration, entries: &[HostEntry]) -> bool {
+    pub fn apply_reading(&mut self, now: Instant, lag: Duration, entries: &[HostEntry]) -> bool {
         for entry in entries {
             self.show(now, lag, entry);
         }
--- a/crates/corianderstand_control/src/membership/tests.rs
+++ b/crates/corianderstand_control/src/membership/tests.rs
@@ -31,7 +31,7 @@
         let live = live.chars().map(|host| entry(host, HostState::Live));
         let leaving = leaving.chars().map(|host| entry(host, HostState::Leaving));
         let entries: Vec<HostEntry> = live.chain(leaving).collect();
-        self.membership.take(self.clock.now(), LAG, &entries)
+        self.membership.apply_reading(self.clock.now(), LAG, &entries)
     }
 
     /// Takes the same reading each second.
