--- a/crates/corianderstand_control/src/hosts.rs
+++ b/crates/corianderstand_control/src/hosts.rs
@@ -25,7 +25,7 @@
         let snapshot = current.load();
         let targets = snapshot.state.targets.by_name.values();
         let announced: BTreeSet<HostId> = targets.map(|t| t.record.host.clone()).collect();
-        membership.hear(clock.now(), &announced);
+        membership.record_announced(clock.now(), &announced);
         match list.hosts().await {
             Ok(entries) => {
                 let lag = snapshot.view.deployment.host_list_lag_ms.0;
--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -57,7 +57,7 @@
 
     /// Notes that agents on these hosts have announced themselves, and forgets hosts that are
     /// gone and have none.
-    pub fn hear(&mut self, now: Instant, hosts: &BTreeSet<HostId>) {
+    pub fn record_announced(&mut self, now: Instant, hosts: &BTreeSet<HostId>) {
         for host in hosts {
             let new = Known { seen: now, live_since: now, leaving: false, missing: false };
             self.known.entry(host.clone()).or_insert(new);
--- a/crates/corianderstand_control/src/membership/tests.rs
+++ b/crates/corianderstand_control/src/membership/tests.rs
@@ -110,10 +110,10 @@
 #[rstest]
 fn a_host_that_the_list_never_showed_goes_too() {
     let mut bench = Bench::new();
-    bench.membership.hear(bench.clock.now(), &["n".into()].into());
+    bench.membership.record_announced(bench.clock.now(), &["n".into()].into());
     assert_eq!(bench.gone(), "");
     bench.show_for(LAG, "abcdef", "");
     assert_eq!(bench.gone(), "n");
-    bench.membership.hear(bench.clock.now(), &BTreeSet::new());
+    bench.membership.record_announced(bench.clock.now(), &BTreeSet::new());
     assert_eq!(bench.gone(), "", "forgotten with its target");
 }
