--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -1,7 +1,7 @@
 //! Which hosts are live, leaving or gone, from a list that lags, fails and flaps.
 //!
 //! - A host that the list shows as *leaving* is leaving at once; it is live again only after
-//!   the list has shown it live for as long as the list may lag.
+//!   the list has listed it live for as long as the list may lag.
 //! - A host is *gone* once every believed reading for that long has been without it. No
 //!   reading, no evidence: while the list does not answer, nobody goes.
 //! - An empty reading is never believed. One that shows fewer than half of the hosts known is
@@ -23,10 +23,10 @@
 
 /// One host as far as it is known.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownHost {
     /// When a reading last showed it, or an agent on it was first heard of.
-    seen: Instant,
-    /// Since when it has not been shown as leaving.
+    last_seen: Instant,
+    /// Since when it has not been listed as leaving.
     live_since: Instant,
     leaving: bool,
     missing: bool,
@@ -35,7 +35,7 @@
 /// What the readings so far amount to.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
-    known: BTreeMap<HostId, Known>,
+    known: BTreeMap<HostId, KnownHost>,
     shrunken_since: Option<Instant>,
 }
 
@@ -43,14 +43,14 @@
     /// Takes a reading; false if it was not believed.
     pub fn apply_reading(&mut self, now: Instant, lag: Duration, entries: &[HostEntry]) -> bool {
         for entry in entries {
-            self.show(now, lag, entry);
+            self.apply_entry(now, lag, entry);
         }
-        if !self.believes(now, lag, entries.len()) {
+        if !self.accepts(now, lag, entries.len()) {
             return false;
         }
         let listed: BTreeSet<&HostId> = entries.iter().map(|entry| &entry.host).collect();
         for (host, known) in &mut self.known {
-            known.missing = !listed.contains(host) && now >= known.seen + lag;
+            known.missing = !listed.contains(host) && now >= known.last_seen + lag;
         }
         true
     }
@@ -59,7 +59,7 @@
     /// gone and have none.
     pub fn record_announced(&mut self, now: Instant, hosts: &BTreeSet<HostId>) {
         for host in hosts {
-            let new = Known { seen: now, live_since: now, leaving: false, missing: false };
+            let new = KnownHost { last_seen: now, live_since: now, leaving: false, missing: false };
             self.known.entry(host.clone()).or_insert(new);
         }
         self.known.retain(|host, known| !known.missing || hosts.contains(host));
@@ -79,10 +79,10 @@
         hosts
     }
 
-    fn show(&mut self, now: Instant, lag: Duration, entry: &HostEntry) {
-        let new = Known { seen: now, live_since: now, leaving: false, missing: false };
+    fn apply_entry(&mut self, now: Instant, lag: Duration, entry: &HostEntry) {
+        let new = KnownHost { last_seen: now, live_since: now, leaving: false, missing: false };
         let known = self.known.entry(entry.host.clone()).or_insert(new);
-        known.seen = now;
+        known.last_seen = now;
         known.missing = false;
         match entry.state {
             HostState::Leaving => {
@@ -96,13 +96,13 @@
 
     /// A list that is emptied or cut short by its own fault would otherwise take away the slots
     /// of hosts that serve well, and every caller of those models would be refused.
-    fn believes(&mut self, now: Instant, lag: Duration, shown: usize) -> bool {
+    fn accepts(&mut self, now: Instant, lag: Duration, listed: usize) -> bool {
         let present = self.known.values().filter(|known| !known.missing).count();
-        if shown > 0 && shown * 2 >= present {
+        if listed > 0 && listed * 2 >= present {
             self.shrunken_since = None;
             return true;
         }
-        if shown == 0 {
+        if listed == 0 {
             // A list that was empty in between is at fault; what it shows next counts anew.
             self.shrunken_since = None;
             return false;
