--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -15,7 +15,7 @@
 };
 
 /// Records that wait to be appended; more are refused.
-pub const MAX_WAITING: usize = 4096;
+pub const MAX_QUEUED_RECORDS: usize = 4096;
 /// Records in one append.
 pub const MAX_PACKED: usize = 256;
 /// Shortest time between two appends of one process, so that records gather.
@@ -103,7 +103,7 @@
 
 /// A ring for records, its far end, and the follower's end.
 pub fn channel(identity: Identity) -> (Appender, AppendQueue, Decisions) {
-    let (tx, rx) = mpsc::channel(MAX_WAITING);
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_RECORDS);
     let pending = Pending::default();
     let decisions = Decisions { pending: pending.clone(), identity: identity.clone() };
     (Appender { tx }, AppendQueue { rx, pending, identity }, decisions)
