--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -17,7 +17,7 @@
 /// Records that wait to be appended; more are refused.
 pub const MAX_QUEUED_RECORDS: usize = 4096;
 /// Records in one append.
-pub const MAX_PACKED: usize = 256;
+pub const MAX_APPEND_RECORDS: usize = 256;
 /// Shortest time between two appends of one process, so that records gather.
 pub const PACK_INTERVAL: Duration = Duration::from_millis(5);
 /// Pause before an append is repeated.
@@ -133,7 +133,7 @@
     pub async fn run(mut self, log: Arc<dyn LogService>) {
         let mut sequence = 0;
         let mut waiting = Vec::new();
-        while self.rx.recv_many(&mut waiting, MAX_PACKED).await > 0 {
+        while self.rx.recv_many(&mut waiting, MAX_APPEND_RECORDS).await > 0 {
             let records = waiting.drain(..).map(|w| self.number(w, &mut sequence)).collect();
             append_until_answered(&*log, records).await;
             time::sleep(PACK_INTERVAL).await;
