--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -19,7 +19,7 @@
 /// Records in one append.
 pub const MAX_APPEND_RECORDS: usize = 256;
 /// Shortest time between two appends of one process, so that records gather.
-pub const PACK_INTERVAL: Duration = Duration::from_millis(5);
+pub const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(5);
 /// Pause before an append is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -136,7 +136,7 @@
         while self.rx.recv_many(&mut waiting, MAX_APPEND_RECORDS).await > 0 {
             let records = waiting.drain(..).map(|w| self.number(w, &mut sequence)).collect();
             append_until_answered(&*log, records).await;
-            time::sleep(PACK_INTERVAL).await;
+            time::sleep(MIN_APPEND_INTERVAL).await;
         }
     }
 
