--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -96,16 +96,16 @@
 
 /// What the follower tells of records that it folded.
 #[derive(Clone, Debug)]
-pub struct Decisions {
+pub struct FoldNotifier {
     pending: Pending,
     identity: Identity,
 }
 
 /// A ring for records, its far end, and the follower's end.
-pub fn channel(identity: Identity) -> (Appender, AppendQueue, Decisions) {
+pub fn channel(identity: Identity) -> (Appender, AppendQueue, FoldNotifier) {
     let (tx, rx) = mpsc::channel(MAX_QUEUED_RECORDS);
     let pending = Pending::default();
-    let decisions = Decisions { pending: pending.clone(), identity: identity.clone() };
+    let decisions = FoldNotifier { pending: pending.clone(), identity: identity.clone() };
     (Appender { tx }, AppendQueue { rx, pending, identity }, decisions)
 }
 
@@ -113,7 +113,7 @@
     pending.lock().expect("no holder of this lock panics")
 }
 
-impl Decisions {
+impl FoldNotifier {
     /// Tells the waiting writer what became of its record.
     pub fn folded(&self, record: &Record, offset: u64, outcome: &Outcome) {
         let ours = record.writer == self.identity.writer
--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -1,7 +1,7 @@
 //! Reads the log and folds it.
 
 use crate::{
-    appender::{Appender, Decisions},
+    appender::{Appender, FoldNotifier},
     peers::Peers,
     restore::{self, CheckpointSearch},
     snapshot::{Current, Hosts, Snapshot, Waiting},
@@ -48,7 +48,7 @@
 pub struct Follower {
     config: FollowerConfig,
     current: Current,
-    decisions: Decisions,
+    decisions: FoldNotifier,
     snapshot: Snapshot,
     search: Option<CheckpointSearch>,
     recovery_due_at: Option<Instant>,
@@ -56,7 +56,7 @@
 
 impl Follower {
     /// A follower that starts from nothing.
-    pub fn new(config: FollowerConfig, current: Current, decisions: Decisions) -> Self {
+    pub fn new(config: FollowerConfig, current: Current, decisions: FoldNotifier) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.state.next = 1;
         Self { config, current, decisions, snapshot, search: None, recovery_due_at: None }
