--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -115,7 +115,7 @@
 
 impl FoldNotifier {
     /// Tells the waiting writer what became of its record.
-    pub fn folded(&self, record: &Record, offset: u64, outcome: &Outcome) {
+    pub fn notify(&self, record: &Record, offset: u64, outcome: &Outcome) {
         let ours = record.writer == self.identity.writer
             && record.incarnation == self.identity.incarnation;
         if !ours || *outcome == Outcome::Repeated {
--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -171,7 +171,7 @@
         // Writers hear of their records only once the snapshot holds them, so that whoever is
         // told "accepted" finds the change in force on this process.
         for (record, offset, outcome) in decided {
-            self.decisions.folded(&record, offset, &outcome);
+            self.decisions.notify(&record, offset, &outcome);
         }
     }
 
