--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -43,7 +43,7 @@
     pub outcome: Outcome,
 }
 
-struct Waiting {
+struct QueuedAppend {
     body: Body,
     decided: oneshot::Sender<Decided>,
 }
@@ -53,10 +53,10 @@
 /// Hands records to the thread that appends them.
 #[derive(Clone, Debug)]
 pub struct Appender {
-    tx: mpsc::Sender<Waiting>,
+    tx: mpsc::Sender<QueuedAppend>,
 }
 
-impl std::fmt::Debug for Waiting {
+impl std::fmt::Debug for QueuedAppend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.body.fmt(f)
     }
@@ -70,7 +70,7 @@
     /// [`AppendError::Undecided`] after `timeout`; the record may still take effect.
     pub async fn append(&self, body: Body, timeout: Duration) -> Result<Decided, AppendError> {
         let (decided, rx) = oneshot::channel();
-        self.tx.try_send(Waiting { body, decided }).map_err(|_| AppendError::Full)?;
+        self.tx.try_send(QueuedAppend { body, decided }).map_err(|_| AppendError::Full)?;
         match time::timeout(timeout, rx).await {
             Ok(Ok(decided)) => Ok(decided),
             _ => Err(AppendError::Undecided),
@@ -80,7 +80,7 @@
 
 /// The end of the ring that the control thread holds.
 pub struct AppendQueue {
-    rx: mpsc::Receiver<Waiting>,
+    rx: mpsc::Receiver<QueuedAppend>,
     pending: Pending,
     identity: Identity,
 }
@@ -105,8 +105,8 @@
 pub fn channel(identity: Identity) -> (Appender, AppendQueue, FoldNotifier) {
     let (tx, rx) = mpsc::channel(MAX_QUEUED_RECORDS);
     let pending = Pending::default();
-    let decisions = FoldNotifier { pending: pending.clone(), identity: identity.clone() };
-    (Appender { tx }, AppendQueue { rx, pending, identity }, decisions)
+    let notifier = FoldNotifier { pending: pending.clone(), identity: identity.clone() };
+    (Appender { tx }, AppendQueue { rx, pending, identity }, notifier)
 }
 
 fn lock(pending: &Pending) -> MutexGuard<'_, BTreeMap<u64, oneshot::Sender<Decided>>> {
@@ -114,11 +114,11 @@
 }
 
 impl FoldNotifier {
-    /// Tells the waiting writer what became of its record.
+    /// Tells the queued writer what became of its record.
     pub fn notify(&self, record: &Record, offset: u64, outcome: &Outcome) {
-        let ours = record.writer == self.identity.writer
+        let is_own = record.writer == self.identity.writer
             && record.incarnation == self.identity.incarnation;
-        if !ours || *outcome == Outcome::Repeated {
+        if !is_own || *outcome == Outcome::Repeated {
             return;
         }
         if let Some(tx) = lock(&self.pending).remove(&record.sequence) {
@@ -132,19 +132,19 @@
     /// Appends until all senders are gone.
     pub async fn run(mut self, log: Arc<dyn LogService>) {
         let mut sequence = 0;
-        let mut waiting = Vec::new();
-        while self.rx.recv_many(&mut waiting, MAX_APPEND_RECORDS).await > 0 {
-            let records = waiting.drain(..).map(|w| self.number(w, &mut sequence)).collect();
+        let mut queued = Vec::new();
+        while self.rx.recv_many(&mut queued, MAX_APPEND_RECORDS).await > 0 {
+            let records = queued.drain(..).map(|append| self.assign_sequence(append, &mut sequence)).collect();
             append_until_answered(&*log, records).await;
             time::sleep(MIN_APPEND_INTERVAL).await;
         }
     }
 
-    fn number(&self, waiting: Waiting, sequence: &mut u64) -> Vec<u8> {
+    fn assign_sequence(&self, queued: QueuedAppend, sequence: &mut u64) -> Vec<u8> {
         *sequence += 1;
-        lock(&self.pending).insert(*sequence, waiting.decided);
+        lock(&self.pending).insert(*sequence, queued.decided);
         let Identity { writer, incarnation } = self.identity.clone();
-        let record = Record { writer, incarnation, sequence: *sequence, body: waiting.body };
+        let record = Record { writer, incarnation, sequence: *sequence, body: queued.body };
         postcard::to_stdvec(&record).expect("records are plain data")
     }
 }
