--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -48,7 +48,7 @@
 pub struct Follower {
     config: FollowerConfig,
     current: Current,
-    decisions: FoldNotifier,
+    notifier: FoldNotifier,
     snapshot: Snapshot,
     search: Option<CheckpointSearch>,
     recovery_due_at: Option<Instant>,
@@ -56,10 +56,10 @@
 
 impl Follower {
     /// A follower that starts from nothing.
-    pub fn new(config: FollowerConfig, current: Current, decisions: FoldNotifier) -> Self {
+    pub fn new(config: FollowerConfig, current: Current, notifier: FoldNotifier) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.state.next = 1;
-        Self { config, current, decisions, snapshot, search: None, recovery_due_at: None }
+        Self { config, current, notifier, snapshot, search: None, recovery_due_at: None }
     }
 
     /// Follows for ever.
@@ -171,7 +171,7 @@
         // Writers hear of their records only once the snapshot holds them, so that whoever is
         // told "accepted" finds the change in force on this process.
         for (record, offset, outcome) in decided {
-            self.decisions.notify(&record, offset, &outcome);
+            self.notifier.notify(&record, offset, &outcome);
         }
     }
 
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -81,7 +81,7 @@
     pub fn start(self) -> std::io::Result<Handle> {
         let current = Current::default();
         let resigned = Arc::new(AtomicBool::new(false));
-        let (appender, queue, decisions) = appender::channel(self.identity.clone());
+        let (appender, queue, notifier) = appender::channel(self.identity.clone());
         let handle = Handle {
             current: current.clone(),
             appender: appender.clone(),
@@ -95,7 +95,7 @@
             let (wait, peers) = (self.log_poll, self.peers);
             let recovery_appender = self.takes_lease.then(|| appender.clone());
             let config = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
-            let follower = Follower::new(config, current.clone(), decisions);
+            let follower = Follower::new(config, current.clone(), notifier);
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
                 tokio::spawn(queue.run(self.log));
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -52,14 +52,14 @@
 fn start(name: &str, log: &Arc<MemoryLog>, peers: Arc<dyn Peers>) -> Reader {
     let (current, clock) = (Current::default(), ManualClock::default());
     let identity = Identity { writer: name.into(), incarnation: 1 };
-    let (appender, queue, decisions) = appender::channel(identity);
+    let (appender, queue, notifier) = appender::channel(identity);
     let (hosts_tx, hosts) = watch::channel(Arc::default());
     let log: Arc<dyn LogService> = Arc::new(Patient(log.clone()));
     let (wait, recovery_appender) = (Duration::ZERO, Some(appender));
     let clocks = Arc::new(clock.clone());
     let config = FollowerConfig { log: log.clone(), wait, peers, clock: clocks, hosts, recovery_appender };
     tokio::spawn(queue.run(log));
-    tokio::spawn(Follower::new(config, current.clone(), decisions).run());
+    tokio::spawn(Follower::new(config, current.clone(), notifier).run());
     Reader { current, clock, _hosts: hosts_tx }
 }
 
