--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    snapshot::{Current, Snapshot},
+    snapshot::{CurrentSnapshot, Snapshot},
 };
 use corianderstand_decide::{
     agent::{Action, Agent},
@@ -47,7 +47,7 @@
     /// Name of the target.
     pub target: TargetId,
     /// Snapshots.
-    pub current: Current,
+    pub current: CurrentSnapshot,
     /// Time.
     pub clock: SharedClock,
     /// To the `target` thread.
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -19,7 +19,7 @@
     paced::UnusedHostList,
     peers::{HttpPeers, NoPeers, Peers},
     relay::Tail,
-    snapshot::Current,
+    snapshot::CurrentSnapshot,
     source::Source,
     start::{Control, Handle},
 };
@@ -350,7 +350,7 @@
     }
 
     /// Snapshots, to look at.
-    pub const fn current(&self) -> &Current {
+    pub const fn current(&self) -> &CurrentSnapshot {
         &self.control.current
     }
 }
--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -4,7 +4,7 @@
     appender::{Appender, FoldNotifier},
     peers::Peers,
     restore::{self, CheckpointSearch},
-    snapshot::{Current, Hosts, Snapshot, Waiting},
+    snapshot::{CurrentSnapshot, Hosts, Snapshot, Waiting},
 };
 use corianderstand_edge::{
     EdgeError,
@@ -47,7 +47,7 @@
 /// Folds the log and publishes snapshots.
 pub struct Follower {
     config: FollowerConfig,
-    current: Current,
+    current: CurrentSnapshot,
     notifier: FoldNotifier,
     snapshot: Snapshot,
     search: Option<CheckpointSearch>,
@@ -56,7 +56,7 @@
 
 impl Follower {
     /// A follower that starts from nothing.
-    pub fn new(config: FollowerConfig, current: Current, notifier: FoldNotifier) -> Self {
+    pub fn new(config: FollowerConfig, current: CurrentSnapshot, notifier: FoldNotifier) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.state.next = 1;
         Self { config, current, notifier, snapshot, search: None, recovery_due_at: None }
--- a/crates/corianderstand_control/src/hosts.rs
+++ b/crates/corianderstand_control/src/hosts.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     membership::Membership,
-    snapshot::{Current, Hosts},
+    snapshot::{CurrentSnapshot, Hosts},
 };
 use corianderstand_edge::hosts::HostList;
 use corianderstand_types::{clock::SharedClock, names::HostId};
@@ -14,7 +14,7 @@
     list: Arc<dyn HostList>,
     every: Duration,
     clock: SharedClock,
-    current: Current,
+    current: CurrentSnapshot,
     tx: watch::Sender<Arc<Hosts>>,
 ) {
     let mut membership = Membership::default();
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -3,7 +3,7 @@
 use crate::{
     appender::{Appender, Identity},
     budget,
-    snapshot::{Current, Snapshot},
+    snapshot::{CurrentSnapshot, Snapshot},
 };
 use corianderstand_schema::records::Body;
 use corianderstand_state::{checkpoint, fold::Outcome, plan};
@@ -31,7 +31,7 @@
     /// Time.
     pub clock: SharedClock,
     /// Snapshots.
-    pub current: Current,
+    pub current: CurrentSnapshot,
     /// Appends.
     pub appender: Appender,
     /// Whether this process has given the lease back for good.
--- a/crates/corianderstand_control/src/measured.rs
+++ b/crates/corianderstand_control/src/measured.rs
@@ -3,7 +3,7 @@
 use crate::{
     appender::Identity,
     metrics::{Metric, Metrics, REPORT_INTERVAL},
-    snapshot::{Current, Snapshot},
+    snapshot::{CurrentSnapshot, Snapshot},
 };
 use async_trait::async_trait;
 use corianderstand_edge::{
@@ -55,7 +55,7 @@
 pub async fn report(
     metrics: Metrics,
     identity: Identity,
-    current: Current,
+    current: CurrentSnapshot,
     more: impl Fn(&Metrics) + Send,
 ) {
     let mut interval = time::interval(REPORT_INTERVAL);
--- a/crates/corianderstand_control/src/snapshot.rs
+++ b/crates/corianderstand_control/src/snapshot.rs
@@ -79,18 +79,18 @@
 
 /// The current snapshot, and word of each new one.
 #[derive(Clone, Debug)]
-pub struct Current {
+pub struct CurrentSnapshot {
     swap: Arc<ArcSwap<Snapshot>>,
     changed: watch::Sender<u64>,
 }
 
-impl Default for Current {
+impl Default for CurrentSnapshot {
     fn default() -> Self {
         Self { swap: Arc::default(), changed: watch::Sender::new(0) }
     }
 }
 
-impl Current {
+impl CurrentSnapshot {
     /// The snapshot now.
     pub fn load(&self) -> Arc<Snapshot> {
         self.swap.load_full()
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -6,7 +6,7 @@
     follower::{Follower, FollowerConfig},
     hosts,
     peers::Peers,
-    snapshot::Current,
+    snapshot::CurrentSnapshot,
 };
 use corianderstand_edge::{hosts::HostList, log::LogService};
 use corianderstand_schema::records::Body;
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Handle {
     /// Snapshots.
-    pub current: Current,
+    pub current: CurrentSnapshot,
     /// Appends.
     pub appender: Appender,
     identity: Identity,
@@ -79,7 +79,7 @@
     ///
     /// Fails if the system gives no thread.
     pub fn start(self) -> std::io::Result<Handle> {
-        let current = Current::default();
+        let current = CurrentSnapshot::default();
         let resigned = Arc::new(AtomicBool::new(false));
         let (appender, queue, notifier) = appender::channel(self.identity.clone());
         let handle = Handle {
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -6,7 +6,7 @@
     follower::{Follower, FollowerConfig},
     peers::{NoPeers, Peers},
     restore::RECOVERY_DELAY,
-    snapshot::{Current, Hosts},
+    snapshot::{CurrentSnapshot, Hosts},
 };
 use corianderstand_edge::{
     EdgeError,
@@ -44,13 +44,13 @@
 }
 
 struct Reader {
-    current: Current,
+    current: CurrentSnapshot,
     clock: ManualClock,
     _hosts: watch::Sender<Arc<Hosts>>,
 }
 
 fn start(name: &str, log: &Arc<MemoryLog>, peers: Arc<dyn Peers>) -> Reader {
-    let (current, clock) = (Current::default(), ManualClock::default());
+    let (current, clock) = (CurrentSnapshot::default(), ManualClock::default());
     let identity = Identity { writer: name.into(), incarnation: 1 };
     let (appender, queue, notifier) = appender::channel(identity);
     let (hosts_tx, hosts) = watch::channel(Arc::default());
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -6,7 +6,7 @@
 };
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    snapshot::{Current, Hosts, Snapshot},
+    snapshot::{CurrentSnapshot, Hosts, Snapshot},
 };
 use corianderstand_decide::{
     router::{Decision, Router, TargetKey},
@@ -37,7 +37,7 @@
     /// The pure logic.
     pub router: Router,
     /// Snapshots.
-    pub current: Current,
+    pub current: CurrentSnapshot,
     /// Time.
     pub clock: SharedClock,
     /// Requests held, so that they can be sent to a second target.
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -13,7 +13,7 @@
     event::{Command, Event},
     link::{self, Ended, Shared},
 };
-use corianderstand_control::snapshot::Current;
+use corianderstand_control::snapshot::CurrentSnapshot;
 use corianderstand_decide::work::Refusal;
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_state::targets::Target;
@@ -44,7 +44,7 @@
 }
 
 /// Keeps one task for each target of the snapshot, for ever.
-pub async fn run(shared: Shared, current: Current) {
+pub async fn run(shared: Shared, current: CurrentSnapshot) {
     let mut changed = current.subscribe();
     let mut version = u64::MAX;
     let mut dialled: BTreeMap<TargetId, Dialled> = BTreeMap::new();
