--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -21,7 +21,7 @@
     relay::Tail,
     snapshot::CurrentSnapshot,
     source::Source,
-    start::{Control, Handle},
+    start::{ControlThread, Handle},
 };
 use corianderstand_decide::agent::{Agent, Limits};
 use corianderstand_edge::{engine::HttpEngine, log::HttpLog, service::HttpService};
@@ -238,7 +238,7 @@
     metrics: &Metrics,
 ) -> Result<Handle, AgentError> {
     let poll = settings.timing.log_poll_ms.0;
-    let control = Control {
+    let control = ControlThread {
         identity: Identity { writer: settings.name.clone(), incarnation },
         log: Arc::new(MeasuredLog {
             log: Arc::new(source),
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -22,7 +22,7 @@
 use tokio::{runtime, sync::watch};
 
 /// What the control thread needs.
-pub struct Control {
+pub struct ControlThread {
     /// Who this process is.
     pub identity: Identity,
     /// The log.
@@ -72,7 +72,7 @@
     }
 }
 
-impl Control {
+impl ControlThread {
     /// Starts the thread.
     ///
     /// # Errors
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -20,7 +20,7 @@
     peers::HttpPeers,
     relay::{self, Tail},
     source::Source,
-    start::{Control, Handle},
+    start::{ControlThread, Handle},
 };
 use corianderstand_decide::router::Router;
 use corianderstand_edge::{hosts::HttpHostList, log::HttpLog};
@@ -164,7 +164,7 @@
     metrics: &Metrics,
 ) -> Result<Handle, RouterError> {
     let poll = settings.timing.log_poll_ms.0;
-    let control = Control {
+    let control = ControlThread {
         identity: Identity { writer: settings.name.clone(), incarnation },
         log: Arc::new(MeasuredLog {
             log: Arc::new(source),
