--- a/crates/corianderstand_agent/src/announce.rs
+++ b/crates/corianderstand_agent/src/announce.rs
@@ -1,7 +1,7 @@
 //! What an agent says of its target in the log: that it is there, what it gives back.
 
 use crate::release::Releases;
-use corianderstand_control::start::Handle;
+use corianderstand_control::start::ControlHandle;
 use corianderstand_schema::records::{Body, TargetRecord};
 use corianderstand_types::names::TargetId;
 use futures::future;
@@ -22,7 +22,7 @@
 /// without a new announcement the target would serve nobody until a restart. An announcement
 /// of a later start of the same target is left alone, so that two do not take turns for ever.
 pub async fn keep_announced(
-    control: Handle,
+    control: ControlHandle,
     record: TargetRecord,
     incarnation: u64,
     stopping: watch::Receiver<bool>,
@@ -46,7 +46,7 @@
 }
 
 /// Releases slots in the log as they are given up.
-pub async fn release(control: Handle, mut releases: watch::Receiver<Releases>) {
+pub async fn release(control: ControlHandle, mut releases: watch::Receiver<Releases>) {
     loop {
         let due = releases.borrow_and_update().clone();
         let snapshot = control.current.load();
@@ -77,7 +77,7 @@
 }
 
 /// Says that the target stops, after its slots are released or the limit has passed.
-pub async fn farewell(control: &Handle, target: &TargetId) {
+pub async fn farewell(control: &ControlHandle, target: &TargetId) {
     let released = async {
         let mut changed = control.current.subscribe();
         while control.current.load().state.slots.by_key.values().any(|s| s.target == *target) {
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -6,7 +6,7 @@
 };
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    start::Handle,
+    start::ControlHandle,
 };
 use corianderstand_decide::work::RequestKey;
 use corianderstand_derives::derives;
@@ -49,7 +49,7 @@
     /// How busy the target is.
     pub load: watch::Receiver<Load>,
     /// The log.
-    pub control: Handle,
+    pub control: ControlHandle,
     /// Time.
     pub clock: SharedClock,
     /// Where measures go.
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -21,7 +21,7 @@
     relay::Tail,
     snapshot::CurrentSnapshot,
     source::Source,
-    start::{ControlThread, Handle},
+    start::{ControlThread, ControlHandle},
 };
 use corianderstand_decide::agent::{Agent, Limits};
 use corianderstand_edge::{engine::HttpEngine, log::HttpLog, service::HttpService};
@@ -78,7 +78,7 @@
     draining: watch::Sender<bool>,
     idle: watch::Receiver<bool>,
     held: Arc<AtomicUsize>,
-    control: Handle,
+    control: ControlHandle,
     target: TargetId,
     drain_limit: Duration,
 }
@@ -182,7 +182,7 @@
 fn report(
     settings: &AgentSettings,
     incarnation: u64,
-    control: &Handle,
+    control: &ControlHandle,
     metrics: Metrics,
     load: watch::Receiver<Load>,
     budget: Arc<Budget>,
@@ -236,7 +236,7 @@
     source: Source,
     clock: SharedClock,
     metrics: &Metrics,
-) -> Result<Handle, AgentError> {
+) -> Result<ControlHandle, AgentError> {
     let poll = settings.timing.log_poll_ms.0;
     let control = ControlThread {
         identity: Identity { writer: settings.name.clone(), incarnation },
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -43,7 +43,7 @@
 
 /// What the other threads use of it.
 #[derive(Clone, Debug)]
-pub struct Handle {
+pub struct ControlHandle {
     /// Snapshots.
     pub current: CurrentSnapshot,
     /// Appends.
@@ -55,7 +55,7 @@
 /// Time the log has to decide that the lease is given back.
 const RESIGN_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl Handle {
+impl ControlHandle {
     /// Gives the control lease back for good, so that another takes it without waiting for it
     /// to lapse.
     pub async fn resign(&self) {
@@ -78,11 +78,11 @@
     /// # Errors
     ///
     /// Fails if the system gives no thread.
-    pub fn start(self) -> std::io::Result<Handle> {
+    pub fn start(self) -> std::io::Result<ControlHandle> {
         let current = CurrentSnapshot::default();
         let resigned = Arc::new(AtomicBool::new(false));
         let (appender, queue, notifier) = appender::channel(self.identity.clone());
-        let handle = Handle {
+        let handle = ControlHandle {
             current: current.clone(),
             appender: appender.clone(),
             identity: self.identity.clone(),
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -15,7 +15,7 @@
     metrics::{Metric, Metrics},
     relay::Tail,
     snapshot::Snapshot,
-    start::Handle,
+    start::ControlHandle,
 };
 use corianderstand_decide::work::{Need, Shape, Work};
 use corianderstand_link::trace::TraceContext;
@@ -56,7 +56,7 @@
     /// To the `decide` thread.
     pub events: SyncSender<Event>,
     /// The log.
-    pub control: Handle,
+    pub control: ControlHandle,
     /// Records for processes that follow this router.
     pub tail: Tail,
     /// Hashes bearer keys.
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -10,7 +10,7 @@
     problem::Problem,
 };
 use bytes::Bytes;
-use corianderstand_control::start::Handle;
+use corianderstand_control::start::ControlHandle;
 use corianderstand_derives::derives;
 use corianderstand_schema::{
     messages::RefusalReason,
@@ -47,7 +47,7 @@
 /// One call under its key.
 pub struct Once<'a> {
     /// The log.
-    pub control: &'a Handle,
+    pub control: &'a ControlHandle,
     /// The key.
     pub key: CallKey,
     /// Digest of the call.
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -20,7 +20,7 @@
     peers::HttpPeers,
     relay::{self, Tail},
     source::Source,
-    start::{ControlThread, Handle},
+    start::{ControlThread, ControlHandle},
 };
 use corianderstand_decide::router::Router;
 use corianderstand_edge::{hosts::HttpHostList, log::HttpLog};
@@ -71,7 +71,7 @@
     held: Arc<AtomicUsize>,
     server: ServerHandle,
     http: thread::JoinHandle<()>,
-    control: Handle,
+    control: ControlHandle,
     grace: Duration,
     drain_limit: Duration,
 }
@@ -162,7 +162,7 @@
     source: Source,
     clock: SharedClock,
     metrics: &Metrics,
-) -> Result<Handle, RouterError> {
+) -> Result<ControlHandle, RouterError> {
     let poll = settings.timing.log_poll_ms.0;
     let control = ControlThread {
         identity: Identity { writer: settings.name.clone(), incarnation },
@@ -184,7 +184,7 @@
 fn start_link(
     settings: &RouterSettings,
     incarnation: u64,
-    control: &Handle,
+    control: &ControlHandle,
     events: mpsc::SyncSender<Event>,
     budget: Arc<Budget>,
 ) -> Result<(), RouterError> {
