--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -248,7 +248,7 @@
         hosts: Arc::new(UnusedHostList),
         peers: peers(settings),
         clock,
-        log_poll: poll,
+        log_read_wait: poll,
         hosts_poll: settings.timing.host_list_poll_ms.0,
         takes_lease: false,
     };
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -34,7 +34,7 @@
     /// Time.
     pub clock: SharedClock,
     /// Longest wait of one read of the log.
-    pub log_poll: Duration,
+    pub log_read_wait: Duration,
     /// Time between two readings of the host list.
     pub hosts_poll: Duration,
     /// Whether this process may hold the control lease.
@@ -92,7 +92,7 @@
         thread::Builder::new().name("control".into()).spawn(move || {
             let (hosts_tx, hosts_rx) = watch::channel(Arc::default());
             let (log, clock) = (self.log.clone(), self.clock.clone());
-            let (wait, peers) = (self.log_poll, self.peers);
+            let (wait, peers) = (self.log_read_wait, self.peers);
             let recovery_appender = self.takes_lease.then(|| appender.clone());
             let config = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
             let follower = Follower::new(config, current.clone(), notifier);
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -174,7 +174,7 @@
         hosts: Arc::new(Paced::new(HttpHostList::new(&settings.host_list_url), clock.clone())),
         peers: Arc::new(HttpPeers::new(&settings.peers, hasher.hash(operator::PEER_LABEL))),
         clock,
-        log_poll: poll,
+        log_read_wait: poll,
         hosts_poll: settings.timing.host_list_poll_ms.0,
         takes_lease: true,
     };
