--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -249,7 +249,7 @@
         peers: peers(settings),
         clock,
         log_read_wait: poll,
-        hosts_poll: settings.timing.host_list_poll_ms.0,
+        hosts_poll_interval: settings.timing.host_list_poll_ms.0,
         takes_lease: false,
     };
     control.start().map_err(AgentError::Thread)
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -36,7 +36,7 @@
     /// Longest wait of one read of the log.
     pub log_read_wait: Duration,
     /// Time between two readings of the host list.
-    pub hosts_poll: Duration,
+    pub hosts_poll_interval: Duration,
     /// Whether this process may hold the control lease.
     pub takes_lease: bool,
 }
@@ -99,7 +99,7 @@
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
                 tokio::spawn(queue.run(self.log));
-                let every = self.hosts_poll;
+                let every = self.hosts_poll_interval;
                 tokio::spawn(hosts::run(self.hosts, every, self.clock, current.clone(), hosts_tx));
                 if self.takes_lease {
                     let lease_task = LeaseTask { identity, clock, current, appender, resigned };
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -175,7 +175,7 @@
         peers: Arc::new(HttpPeers::new(&settings.peers, hasher.hash(operator::PEER_LABEL))),
         clock,
         log_read_wait: poll,
-        hosts_poll: settings.timing.host_list_poll_ms.0,
+        hosts_poll_interval: settings.timing.host_list_poll_ms.0,
         takes_lease: true,
     };
     control.start().map_err(RouterError::Thread)
