--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -250,7 +250,7 @@
         clock,
         log_read_wait: poll,
         hosts_poll_interval: settings.timing.host_list_poll_ms.0,
-        takes_lease: false,
+        may_hold_lease: false,
     };
     control.start().map_err(AgentError::Thread)
 }
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -38,7 +38,7 @@
     /// Time between two readings of the host list.
     pub hosts_poll_interval: Duration,
     /// Whether this process may hold the control lease.
-    pub takes_lease: bool,
+    pub may_hold_lease: bool,
 }
 
 /// What the other threads use of it.
@@ -93,7 +93,7 @@
             let (hosts_tx, hosts_rx) = watch::channel(Arc::default());
             let (log, clock) = (self.log.clone(), self.clock.clone());
             let (wait, peers) = (self.log_read_wait, self.peers);
-            let recovery_appender = self.takes_lease.then(|| appender.clone());
+            let recovery_appender = self.may_hold_lease.then(|| appender.clone());
             let config = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
             let follower = Follower::new(config, current.clone(), notifier);
             let (clock, identity) = (self.clock.clone(), self.identity);
@@ -101,7 +101,7 @@
                 tokio::spawn(queue.run(self.log));
                 let every = self.hosts_poll_interval;
                 tokio::spawn(hosts::run(self.hosts, every, self.clock, current.clone(), hosts_tx));
-                if self.takes_lease {
+                if self.may_hold_lease {
                     let lease_task = LeaseTask { identity, clock, current, appender, resigned };
                     tokio::spawn(lease_task.run());
                 }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -176,7 +176,7 @@
         clock,
         log_read_wait: poll,
         hosts_poll_interval: settings.timing.host_list_poll_ms.0,
-        takes_lease: true,
+        may_hold_lease: true,
     };
     control.start().map_err(RouterError::Thread)
 }
