--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -283,7 +283,7 @@
                 Action::Refuse(key, refusal) => {
                     let Some(request) = self.forget(key) else { continue };
                     let reason = refusal.reason.to_string();
-                    self.metrics.count_as(Metric::AgentRefusals, 1, "reason", &reason);
+                    self.metrics.count_tagged(Metric::AgentRefusals, 1, "reason", &reason);
                     let refused = self.refused(&request, refusal);
                     Job::Refuse(Box::new(request), refused)
                 }
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -115,7 +115,7 @@
             OrderAction::Load => Metric::AgentLoads,
             OrderAction::Unload => Metric::AgentUnloads,
         };
-        self.metrics.count_as(metric, 1, "outcome", told);
+        self.metrics.count_tagged(metric, 1, "outcome", told);
         if action == OrderAction::Load {
             self.metrics.time(Metric::AgentLoadTime, self.clock.now() - began);
         }
--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -263,7 +263,7 @@
         };
         for class in [TrafficClass::Follow, TrafficClass::Serve, TrafficClass::Link] {
             let (now, then) = (*now.usage_mut(class), *then.usage_mut(class));
-            let count = |metric, count| metrics.count_as(metric, count, "duty", class.name());
+            let count = |metric, count| metrics.count_tagged(metric, count, "duty", class.name());
             count(Metric::ControlTrafficBytes, now.bytes - then.bytes);
             count(Metric::ControlTrafficMessages, now.messages - then.messages);
             count(Metric::ControlTrafficLimited, now.limited - then.limited);
--- a/crates/corianderstand_control/src/measured.rs
+++ b/crates/corianderstand_control/src/measured.rs
@@ -30,7 +30,7 @@
         let (count, began) = (records.len() as u64, self.clock.now());
         let appended = self.log.append(records).await;
         let outcome = if appended.is_ok() { "done" } else { "unknown" };
-        self.metrics.count_as(Metric::ControlAppends, 1, "outcome", outcome);
+        self.metrics.count_tagged(Metric::ControlAppends, 1, "outcome", outcome);
         self.metrics.count(Metric::ControlRecords, count);
         self.metrics.time(Metric::ControlAppendTime, self.clock.now() - began);
         appended
--- a/crates/corianderstand_control/src/metrics.rs
+++ b/crates/corianderstand_control/src/metrics.rs
@@ -145,7 +145,7 @@
     }
 
     /// Adds to a counter under a tag.
-    pub fn count_as(&self, metric: Metric, count: u64, tag: &str, value: &str) {
+    pub fn count_tagged(&self, metric: Metric, count: u64, tag: &str, value: &str) {
         self.0.count_with_tags(metric.name(), count).with_tag(tag, value).send();
     }
 
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -172,7 +172,7 @@
         }
         if let Err(problem) = door.answer(*kind, request.clone(), req, res).await {
             tracing::info!(%request, code = problem.code(), "request not answered");
-            door.metrics.count_as(Metric::RouterRefusals, 1, "reason", problem.code());
+            door.metrics.count_tagged(Metric::RouterRefusals, 1, "reason", problem.code());
             problem.write(&request, res);
         }
     }
@@ -276,7 +276,7 @@
         self.metrics.time(Metric::RouterTime, took);
         if matches!(kind, Kind::Service) {
             let outcome = done.as_ref().map_or_else(Problem::outcome, |()| "ran");
-            self.metrics.count_as(Metric::RouterCalls, 1, "outcome", outcome);
+            self.metrics.count_tagged(Metric::RouterCalls, 1, "outcome", outcome);
         }
         tracing::info!(
             trace_id = %format_args!("{:032x}", asked.trace.trace),
