--- a/crates/corianderstand_control/src/hosts.rs
+++ b/crates/corianderstand_control/src/hosts.rs
@@ -36,11 +36,11 @@
             }
             Err(error) => tracing::warn!(%error, "host list not read"),
         }
-        update(&tx, membership.hosts());
+        publish_changes(&tx, membership.hosts());
     }
 }
 
-fn update(tx: &watch::Sender<Arc<Hosts>>, hosts: Hosts) {
+fn publish_changes(tx: &watch::Sender<Arc<Hosts>>, hosts: Hosts) {
     tx.send_if_modified(|current| {
         let changed = **current != hosts;
         if changed {
--- a/crates/corianderstand_control/src/measured.rs
+++ b/crates/corianderstand_control/src/measured.rs
@@ -56,13 +56,13 @@
     metrics: Metrics,
     identity: Identity,
     current: CurrentSnapshot,
-    more: impl Fn(&Metrics) + Send,
+    report_more: impl Fn(&Metrics) + Send,
 ) {
     let mut interval = time::interval(REPORT_INTERVAL);
     loop {
         interval.tick().await;
         report_state(&metrics, &identity, &current.load());
-        more(&metrics);
+        report_more(&metrics);
         metrics.flush();
     }
 }
--- a/crates/corianderstand_control/src/metrics.rs
+++ b/crates/corianderstand_control/src/metrics.rs
@@ -11,7 +11,7 @@
 use std::{fmt, net::UdpSocket, sync::Arc, time::Duration};
 
 /// Metrics that wait to be sent; more are dropped and never hold anybody up.
-const QUEUE: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 /// Beginning of every name.
 const PREFIX: &str = "corianderstand";
 /// Time between two reports of gauges.
@@ -126,7 +126,7 @@
         let socket = UdpSocket::bind("0.0.0.0:0")?;
         socket.set_nonblocking(true)?;
         let sink = BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
-        Ok(Self::with_sink(QueuingMetricSink::with_capacity(sink, QUEUE), process))
+        Ok(Self::with_sink(QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY), process))
     }
 
     /// Sends to a sink of one's own, as tests do.
