--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -21,7 +21,7 @@
     relay::Tail,
     snapshot::CurrentSnapshot,
     source::Source,
-    start::{ControlThread, ControlHandle},
+    start::{ControlHandle, ControlThread},
 };
 use corianderstand_decide::agent::{Agent, Limits};
 use corianderstand_edge::{engine::HttpEngine, log::HttpLog, service::HttpService};
--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -134,7 +134,10 @@
         let mut sequence = 0;
         let mut queued = Vec::new();
         while self.rx.recv_many(&mut queued, MAX_APPEND_RECORDS).await > 0 {
-            let records = queued.drain(..).map(|append| self.assign_sequence(append, &mut sequence)).collect();
+            let records = queued
+                .drain(..)
+                .map(|append| self.assign_sequence(append, &mut sequence))
+                .collect();
             append_until_answered(&*log, records).await;
             time::sleep(MIN_APPEND_INTERVAL).await;
         }
--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -188,7 +188,8 @@
     /// A full budget.
     pub fn new(clock: SharedClock) -> Self {
         let now = clock.now();
-        let (node, serve) = (TokenBucket::new(PROCESS_RATE, now), TokenBucket::new(SERVE_RATE, now));
+        let (node, serve) =
+            (TokenBucket::new(PROCESS_RATE, now), TokenBucket::new(SERVE_RATE, now));
         let inner = Mutex::new(Inner {
             node,
             serve,
@@ -240,7 +241,8 @@
     /// The time after which the follower may come back, if the budget is spent.
     pub fn admit_follower(&self, bytes: u64) -> Result<(), Duration> {
         let mut inner = self.lock();
-        let time_until_available = inner.serve.time_until_available().max(inner.node.time_until_available());
+        let time_until_available =
+            inner.serve.time_until_available().max(inner.node.time_until_available());
         if time_until_available.is_zero() {
             inner.spend(TrafficClass::Serve, bytes);
             return Ok(());
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -1,8 +1,8 @@
 //! The budget under bursts.
 
 use super::{
-    BURST_SECONDS, Budget, TrafficClass, HOST_LIST_BYTES_PER_S, MAX_READ_DELAY, PROCESS_RATE, SERVE_RATE, checkpoint_pause,
-    host_list_pause,
+    BURST_SECONDS, Budget, HOST_LIST_BYTES_PER_S, MAX_READ_DELAY, PROCESS_RATE, SERVE_RATE,
+    TrafficClass, checkpoint_pause, host_list_pause,
 };
 use corianderstand_types::clock::ManualClock;
 use rstest::rstest;
--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -136,7 +136,8 @@
         let Some(appender) = self.config.recovery_appender.clone() else { return };
         let now = self.config.clock.now();
         let factor: f64 = rand::rng().random_range(1.0..2.0);
-        let due = *self.recovery_due_at.get_or_insert(now + restore::RECOVERY_DELAY.mul_f64(factor));
+        let due =
+            *self.recovery_due_at.get_or_insert(now + restore::RECOVERY_DELAY.mul_f64(factor));
         if now < due || self.snapshot.state.documents.version == 0 {
             return;
         }
--- a/crates/corianderstand_control/src/lib.rs
+++ b/crates/corianderstand_control/src/lib.rs
@@ -13,9 +13,9 @@
 
 pub mod appender;
 pub mod budget;
-pub mod lease;
 pub mod follower;
 pub mod hosts;
+pub mod lease;
 pub mod measured;
 pub mod membership;
 pub mod metrics;
--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -42,7 +42,9 @@
 impl HttpPeers {
     /// The routers at `addresses`, which know this process by `token`.
     pub fn new(addresses: &[SmolStr], token: SmolStr) -> Self {
-        let peer = |a: &SmolStr| HttpSystem::new("a peer router", &format!("http://{a}"), RESPONSE_TIMEOUT);
+        let peer = |a: &SmolStr| {
+            HttpSystem::new("a peer router", &format!("http://{a}"), RESPONSE_TIMEOUT)
+        };
         Self { peers: addresses.iter().map(peer).collect(), token }
     }
 
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -88,7 +88,8 @@
 
 /// Bytes of a page on the wire, and of the request for it.
 pub fn wire_bytes(page: &Page) -> u64 {
-    let records = page.entries.iter().map(|entry| entry.data.len() as u64 * 4 / 3 + ENTRY_OVERHEAD_BYTES);
+    let records =
+        page.entries.iter().map(|entry| entry.data.len() as u64 * 4 / 3 + ENTRY_OVERHEAD_BYTES);
     HTTP_OVERHEAD_BYTES + records.sum::<u64>()
 }
 
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -129,8 +129,11 @@
     /// Reads from `peers` in order, then from `log`.
     pub fn new(log: Arc<dyn LogService>, peers: Vec<RelayClient>, tail: Tail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
-        let candidates =
-            peers.into_iter().map(|peer| Candidate { peer, backoff_until: None, requested_at: None });
+        let candidates = peers.into_iter().map(|peer| Candidate {
+            peer,
+            backoff_until: None,
+            requested_at: None,
+        });
         let candidates = Mutex::new(candidates.collect());
         Self { log, tail, candidates, log_backoff_until: Mutex::new(None), clock, budget }
     }
@@ -163,7 +166,8 @@
         let now = self.clock.now();
         let mut candidates = self.lock();
         for (index, candidate) in candidates.iter_mut().enumerate() {
-            let unresponsive = candidate.requested_at.is_some_and(|at| now >= at + RELAY_WAIT + RELAY_GRACE);
+            let unresponsive =
+                candidate.requested_at.is_some_and(|at| now >= at + RELAY_WAIT + RELAY_GRACE);
             if unresponsive {
                 candidate.back_off(now);
             }
@@ -232,7 +236,8 @@
 ///
 /// A relay that is behind this process would make it take old state for the newest.
 fn is_usable(page: &Page, from: u64) -> bool {
-    let fresh = !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_PAGE_AGE;
+    let fresh =
+        !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_PAGE_AGE;
     page.oldest <= from && page.next >= from && page.hops <= relay::MAX_HOPS && fresh
 }
 
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -1,6 +1,6 @@
 //! The choice of a relay, and what happens when it fails.
 
-use super::{STATUS_GONE, LOG_READERS, RelayClient, Source, MAX_RELAYS_TRIED, choose_relays};
+use super::{LOG_READERS, MAX_RELAYS_TRIED, RelayClient, STATUS_GONE, Source, choose_relays};
 use crate::{
     budget::Budget,
     relay::{MAX_HOPS, Tail},
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     appender::{self, Appender, Identity},
-    lease::LeaseTask,
     follower::{Follower, FollowerConfig},
     hosts,
+    lease::LeaseTask,
     peers::Peers,
     snapshot::CurrentSnapshot,
 };
@@ -94,7 +94,8 @@
             let (log, clock) = (self.log.clone(), self.clock.clone());
             let (wait, peers) = (self.log_read_wait, self.peers);
             let recovery_appender = self.may_hold_lease.then(|| appender.clone());
-            let config = FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
+            let config =
+                FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
             let follower = Follower::new(config, current.clone(), notifier);
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -57,7 +57,8 @@
     let log: Arc<dyn LogService> = Arc::new(Patient(log.clone()));
     let (wait, recovery_appender) = (Duration::ZERO, Some(appender));
     let clocks = Arc::new(clock.clone());
-    let config = FollowerConfig { log: log.clone(), wait, peers, clock: clocks, hosts, recovery_appender };
+    let config =
+        FollowerConfig { log: log.clone(), wait, peers, clock: clocks, hosts, recovery_appender };
     tokio::spawn(queue.run(log));
     tokio::spawn(Follower::new(config, current.clone(), notifier).run());
     Reader { current, clock, _hosts: hosts_tx }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -20,7 +20,7 @@
     peers::HttpPeers,
     relay::{self, Tail},
     source::Source,
-    start::{ControlThread, ControlHandle},
+    start::{ControlHandle, ControlThread},
 };
 use corianderstand_decide::router::Router;
 use corianderstand_edge::{hosts::HttpHostList, log::HttpLog};
