--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -47,9 +47,9 @@
 ///
 /// The list comes whole each time. At a thousand hosts it has 57 KB: read each second, it alone
 /// would take three times what a process may spend on control.
-pub fn host_list_pause(every: Duration, entries: usize) -> Duration {
+pub fn host_list_pause(interval: Duration, entries: usize) -> Duration {
     let bytes = entries as u64 * HOST_ENTRY_BYTES;
-    every.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
+    interval.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
 }
 
 /// Pause between two parts of a checkpoint that is written at each `interval`.
@@ -141,7 +141,7 @@
         self.messages -= 1.0;
     }
 
-    /// Time until nothing is time_until_available.
+    /// Time until nothing is owed.
     fn time_until_available(&self) -> Duration {
         let bytes = -self.bytes / self.rate.bytes as f64;
         let messages = (1.0 - self.messages) / self.rate.messages as f64;
@@ -151,7 +151,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    node: TokenBucket,
+    process: TokenBucket,
     serve: TokenBucket,
     totals: UsageTotals,
     reported: UsageTotals,
@@ -166,7 +166,7 @@
 
 impl Inner {
     fn spend(&mut self, class: TrafficClass, bytes: u64) {
-        self.node.spend(bytes);
+        self.process.spend(bytes);
         if class == TrafficClass::Serve {
             self.serve.spend(bytes);
         }
@@ -188,10 +188,10 @@
     /// A full budget.
     pub fn new(clock: SharedClock) -> Self {
         let now = clock.now();
-        let (node, serve) =
+        let (process, serve) =
             (TokenBucket::new(PROCESS_RATE, now), TokenBucket::new(SERVE_RATE, now));
         let inner = Mutex::new(Inner {
-            node,
+            process,
             serve,
             totals: UsageTotals::default(),
             reported: UsageTotals::default(),
@@ -202,7 +202,7 @@
     fn lock(&self) -> MutexGuard<'_, Inner> {
         let mut inner = self.inner.lock().expect("no holder of this lock panics");
         let now = self.clock.0.now();
-        inner.node.refill(now);
+        inner.process.refill(now);
         inner.serve.refill(now);
         inner
     }
@@ -217,7 +217,7 @@
     /// A read is put off, never left out: what is in the log has to be folded everywhere.
     pub fn read_delay(&self) -> Duration {
         let mut inner = self.lock();
-        let delay = inner.node.time_until_available().min(MAX_READ_DELAY);
+        let delay = inner.process.time_until_available().min(MAX_READ_DELAY);
         if !delay.is_zero() {
             inner.totals.follow.limited += 1;
         }
@@ -227,7 +227,7 @@
     /// Counts further bytes of a message that was counted before.
     pub fn add_bytes(&self, class: TrafficClass, bytes: u64) {
         let mut inner = self.lock();
-        inner.node.bytes -= bytes as f64;
+        inner.process.bytes -= bytes as f64;
         if class == TrafficClass::Serve {
             inner.serve.bytes -= bytes as f64;
         }
@@ -241,14 +241,14 @@
     /// The time after which the follower may come back, if the budget is spent.
     pub fn admit_follower(&self, bytes: u64) -> Result<(), Duration> {
         let mut inner = self.lock();
-        let time_until_available =
-            inner.serve.time_until_available().max(inner.node.time_until_available());
-        if time_until_available.is_zero() {
+        let retry_after =
+            inner.serve.time_until_available().max(inner.process.time_until_available());
+        if retry_after.is_zero() {
             inner.spend(TrafficClass::Serve, bytes);
             return Ok(());
         }
         inner.totals.serve.limited += 1;
-        Err(time_until_available)
+        Err(retry_after)
     }
 
     /// What has been spent since the start.
@@ -258,17 +258,17 @@
 
     /// Sends what has been spent since the last report.
     pub fn report(&self, metrics: &Metrics) {
-        let (mut now, mut then) = {
+        let (mut current, mut previous) = {
             let mut inner = self.lock();
-            let now = inner.totals;
-            (now, std::mem::replace(&mut inner.reported, now))
+            let current = inner.totals;
+            (current, std::mem::replace(&mut inner.reported, current))
         };
         for class in [TrafficClass::Follow, TrafficClass::Serve, TrafficClass::Link] {
-            let (now, then) = (*now.usage_mut(class), *then.usage_mut(class));
+            let (current, previous) = (*current.usage_mut(class), *previous.usage_mut(class));
             let count = |metric, count| metrics.count_tagged(metric, count, "duty", class.name());
-            count(Metric::ControlTrafficBytes, now.bytes - then.bytes);
-            count(Metric::ControlTrafficMessages, now.messages - then.messages);
-            count(Metric::ControlTrafficLimited, now.limited - then.limited);
+            count(Metric::ControlTrafficBytes, current.bytes - previous.bytes);
+            count(Metric::ControlTrafficMessages, current.messages - previous.messages);
+            count(Metric::ControlTrafficLimited, current.limited - previous.limited);
         }
     }
 }
