--- a/crates/corianderstand_control/src/hosts.rs
+++ b/crates/corianderstand_control/src/hosts.rs
@@ -12,13 +12,13 @@
 /// Reads the list for ever and passes on each change.
 pub async fn run(
     list: Arc<dyn HostList>,
-    every: Duration,
+    interval: Duration,
     clock: SharedClock,
     current: CurrentSnapshot,
     tx: watch::Sender<Arc<Hosts>>,
 ) {
     let mut membership = Membership::default();
-    let mut ticks = time::interval(every);
+    let mut ticks = time::interval(interval);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -100,8 +100,14 @@
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
                 tokio::spawn(queue.run(self.log));
-                let every = self.hosts_poll_interval;
-                tokio::spawn(hosts::run(self.hosts, every, self.clock, current.clone(), hosts_tx));
+                let interval = self.hosts_poll_interval;
+                tokio::spawn(hosts::run(
+                    self.hosts,
+                    interval,
+                    self.clock,
+                    current.clone(),
+                    hosts_tx,
+                ));
                 if self.may_hold_lease {
                     let lease_task = LeaseTask { identity, clock, current, appender, resigned };
                     tokio::spawn(lease_task.run());
