--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -71,7 +71,7 @@
 }
 
 struct Candidate {
-    peer: RelayClient,
+    client: RelayClient,
     backoff_until: Option<Instant>,
     requested_at: Option<Instant>,
 }
@@ -118,19 +118,19 @@
     if own.is_some_and(|own| readers.contains(&own)) {
         return Vec::new();
     }
-    let follows = if own.is_some() || others.len() < MAX_RELAYS_TRIED { readers } else { others };
-    let mut follows: Vec<SmolStr> = follows.iter().map(|address| (*address).clone()).collect();
-    follows.sort_by_key(|address| rendezvous_hash(&name.0, address));
-    follows.truncate(MAX_RELAYS_TRIED);
-    follows
+    let relays = if own.is_some() || others.len() < MAX_RELAYS_TRIED { readers } else { others };
+    let mut relays: Vec<SmolStr> = relays.iter().map(|address| (*address).clone()).collect();
+    relays.sort_by_key(|address| rendezvous_hash(&name.0, address));
+    relays.truncate(MAX_RELAYS_TRIED);
+    relays
 }
 
 impl Source {
     /// Reads from `peers` in order, then from `log`.
-    pub fn new(log: Arc<dyn LogService>, peers: Vec<RelayClient>, tail: Tail) -> Self {
+    pub fn new(log: Arc<dyn LogService>, clients: Vec<RelayClient>, tail: Tail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
-        let candidates = peers.into_iter().map(|peer| Candidate {
-            peer,
+        let candidates = clients.into_iter().map(|client| Candidate {
+            client,
             backoff_until: None,
             requested_at: None,
         });
@@ -148,10 +148,10 @@
         token: &str,
         tail: Tail,
     ) -> Self {
-        let follows = choose_relays(name, own, peers);
-        tracing::info!(?follows, "relays of the log; with none the log itself is read");
-        let peers = follows.iter().map(|address| RelayClient::new(address, token)).collect();
-        Self::new(log, peers, tail)
+        let relays = choose_relays(name, own, peers);
+        tracing::info!(follows = ?relays, "relays of the log; with none the log itself is read");
+        let clients = relays.iter().map(|address| RelayClient::new(address, token)).collect();
+        Self::new(log, clients, tail)
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Candidate>> {
@@ -173,7 +173,7 @@
             }
             if candidate.backoff_until.is_none_or(|until| now >= until) {
                 candidate.requested_at.get_or_insert(now);
-                return Some((index, candidate.peer.log.clone()));
+                return Some((index, candidate.client.log.clone()));
             }
         }
         None
@@ -190,16 +190,16 @@
     async fn read_relay(&self, from: u64, max: u32, wait: Duration) -> Option<Page> {
         while let Some((index, relay)) = self.next_candidate() {
             let read = relay.read(from, max, wait.min(RELAY_WAIT));
-            let answer = time::timeout(RELAY_WAIT + RELAY_GRACE, read).await;
-            let silent = answer.is_err();
-            let gone = matches!(answer, Ok(Err(EdgeError::Status { status: STATUS_GONE, .. })));
-            let page = answer.ok().and_then(Result::ok).filter(|page| is_usable(page, from));
+            let response = time::timeout(RELAY_WAIT + RELAY_GRACE, read).await;
+            let timed_out = response.is_err();
+            let gone = matches!(response, Ok(Err(EdgeError::Status { status: STATUS_GONE, .. })));
+            let page = response.ok().and_then(Result::ok).filter(|page| is_usable(page, from));
             self.record_result(index, gone || page.is_some());
             if gone || page.is_some() {
                 return page;
             }
-            tracing::info!(relay = index, silent, "relay left for a while");
-            if silent {
+            tracing::info!(relay = index, silent = timed_out, "relay left for a while");
+            if timed_out {
                 return None;
             }
         }
