--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -35,9 +35,10 @@
 }
 
 /// Whether a way leads to the log from an address in at most `hops` more relays.
-fn reaches_log(from: &SmolStr, all: &[SmolStr], hops: u8) -> bool {
-    let follows = choose_as_router(from, all);
-    follows.is_empty() || (hops > 0 && follows.iter().all(|next| reaches_log(next, all, hops - 1)))
+fn all_routes_reach_log(from: &SmolStr, all: &[SmolStr], hops: u8) -> bool {
+    let relays = choose_as_router(from, all);
+    relays.is_empty()
+        || (hops > 0 && relays.iter().all(|next| all_routes_reach_log(next, all, hops - 1)))
 }
 
 #[rstest]
@@ -47,19 +48,19 @@
     assert_eq!(readers, LOG_READERS);
     let mut followers = BTreeMap::<SmolStr, usize>::new();
     for own in &all {
-        assert!(reaches_log(own, &all, MAX_HOPS - 1), "{own}");
+        assert!(all_routes_reach_log(own, &all, MAX_HOPS - 1), "{own}");
         for first in choose_as_router(own, &all).into_iter().take(1) {
             *followers.entry(first).or_default() += 1;
         }
     }
     for agent in 0..AGENTS {
-        let follows = choose_relays(&WriterId(format_smolstr!("engine-{agent}")), None, &all);
-        assert_eq!(follows.len(), MAX_RELAYS_TRIED);
-        assert!(follows.iter().all(|router| reaches_log(router, &all, MAX_HOPS - 1)));
-        *followers.entry(follows[0].clone()).or_default() += 1;
+        let relays = choose_relays(&WriterId(format_smolstr!("engine-{agent}")), None, &all);
+        assert_eq!(relays.len(), MAX_RELAYS_TRIED);
+        assert!(relays.iter().all(|router| all_routes_reach_log(router, &all, MAX_HOPS - 1)));
+        *followers.entry(relays[0].clone()).or_default() += 1;
     }
-    let most = followers.values().max().copied().unwrap_or_default();
-    assert!(most <= 40, "{most} followers of one relay");
+    let max_followers = followers.values().max().copied().unwrap_or_default();
+    assert!(max_followers <= 40, "{max_followers} followers of one relay");
 }
 
 #[rstest]
@@ -71,19 +72,19 @@
 
 /// How a relay answers.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    Good,
-    Dead,
-    Silent,
+enum RelayBehavior {
+    Healthy,
+    Failing,
+    Unresponsive,
     Behind,
-    TooFar,
-    Old,
+    TooManyHops,
+    Stale,
     Gone,
 }
 
 struct FakeRelay {
-    way: Way,
-    asked: Arc<AtomicUsize>,
+    behavior: RelayBehavior,
+    requests: Arc<AtomicUsize>,
 }
 
 #[async_trait]
@@ -93,55 +94,57 @@
     }
 
     async fn read(&self, from: u64, _max: u32, _wait: Duration) -> Result<Page, EdgeError> {
-        self.asked.fetch_add(1, Ordering::Relaxed);
-        let good = Page { oldest: 1, next: from, now_ms: 77, hops: 1, ..Page::default() };
+        self.requests.fetch_add(1, Ordering::Relaxed);
+        let page = Page { oldest: 1, next: from, now_ms: 77, hops: 1, ..Page::default() };
         let error = |status| EdgeError::Status { system: "a relay", status, detail: String::new() };
-        match self.way {
-            Way::Good => Ok(good),
-            Way::Dead => Err(error(503)),
-            Way::Silent => std::future::pending().await,
-            Way::Behind => Ok(Page { next: from - 1, ..good }),
-            Way::TooFar => Ok(Page { hops: MAX_HOPS + 1, ..good }),
-            Way::Old => Ok(Page { age_ms: 60_000, ..good }),
-            Way::Gone => Err(error(STATUS_GONE)),
+        match self.behavior {
+            RelayBehavior::Healthy => Ok(page),
+            RelayBehavior::Failing => Err(error(503)),
+            RelayBehavior::Unresponsive => std::future::pending().await,
+            RelayBehavior::Behind => Ok(Page { next: from - 1, ..page }),
+            RelayBehavior::TooManyHops => Ok(Page { hops: MAX_HOPS + 1, ..page }),
+            RelayBehavior::Stale => Ok(Page { age_ms: 60_000, ..page }),
+            RelayBehavior::Gone => Err(error(STATUS_GONE)),
         }
     }
 }
 
-fn source(ways: &[Way]) -> (Source, Arc<MemoryLog>, Vec<Arc<AtomicUsize>>) {
+fn source(behaviors: &[RelayBehavior]) -> (Source, Arc<MemoryLog>, Vec<Arc<AtomicUsize>>) {
     let log = Arc::new(MemoryLog::default());
     log.set_time_ms(11);
     let clock = Arc::new(SystemClock);
     let budget = Arc::new(Budget::new(clock.clone()));
-    let asked: Vec<Arc<AtomicUsize>> = ways.iter().map(|_| Arc::default()).collect();
-    let peer = |(way, asked): (&Way, &Arc<AtomicUsize>)| RelayClient {
-        address: format_smolstr!("{way:?}"),
-        log: Arc::new(FakeRelay { way: *way, asked: asked.clone() }),
+    let requests: Vec<Arc<AtomicUsize>> = behaviors.iter().map(|_| Arc::default()).collect();
+    let peer = |(behavior, requests): (&RelayBehavior, &Arc<AtomicUsize>)| RelayClient {
+        address: format_smolstr!("{behavior:?}"),
+        log: Arc::new(FakeRelay { behavior: *behavior, requests: requests.clone() }),
     };
-    let peers = ways.iter().zip(&asked).map(peer).collect();
+    let peers = behaviors.iter().zip(&requests).map(peer).collect();
     let tail = Tail::new(clock, budget, 1 << 20);
-    (Source::new(log.clone(), peers, tail), log, asked)
+    (Source::new(log.clone(), peers, tail), log, requests)
 }
 
 /// A relay dies, falls silent, falls behind, is cut off from the log, or routers with differing
 /// settings follow each other in a circle. Its followers would miss changes that were accepted,
 /// or take an old state for the newest.
 #[rstest]
-#[case::dead(Way::Dead)]
-#[case::silent(Way::Silent)]
-#[case::behind(Way::Behind)]
-#[case::in_a_circle(Way::TooFar)]
-#[case::cut_off(Way::Old)]
-fn a_relay_that_fails_is_left_for_the_next_one_and_then_for_the_log(#[case] way: Way) {
+#[case::dead(RelayBehavior::Failing)]
+#[case::silent(RelayBehavior::Unresponsive)]
+#[case::behind(RelayBehavior::Behind)]
+#[case::in_a_circle(RelayBehavior::TooManyHops)]
+#[case::cut_off(RelayBehavior::Stale)]
+fn a_relay_that_fails_is_left_for_the_next_one_and_then_for_the_log(
+    #[case] behavior: RelayBehavior,
+) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     runtime.expect("the system gives a runtime").block_on(async {
-        let (source, _log, asked) = source(&[way, Way::Good]);
+        let (source, _log, requests) = source(&[behavior, RelayBehavior::Healthy]);
         let page = source.read(5, 10, Duration::ZERO).await.expect("a page");
-        let silent = matches!(way, Way::Silent);
-        assert_eq!(page.now_ms, if silent { 11 } else { 77 }, "the next in order answers");
+        let unresponsive = matches!(behavior, RelayBehavior::Unresponsive);
+        assert_eq!(page.now_ms, if unresponsive { 11 } else { 77 }, "the next in order answers");
         drop(source.read(5, 10, Duration::ZERO).await);
-        assert_eq!(asked[0].load(Ordering::Relaxed), 1, "the first rests");
-        let (source, _log, _asked) = self::source(&[way, way]);
+        assert_eq!(requests[0].load(Ordering::Relaxed), 1, "the first rests");
+        let (source, _log, _requests) = self::source(&[behavior, behavior]);
         let page = source.read(5, 10, Duration::ZERO).await.expect("a page");
         assert_eq!(page.now_ms, 11, "the log answers");
     });
@@ -151,22 +154,22 @@
 fn what_a_relay_does_not_keep_is_read_from_the_log_and_the_relay_stays() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     runtime.expect("the system gives a runtime").block_on(async {
-        let (source, _log, asked) = source(&[Way::Gone]);
+        let (source, _log, requests) = source(&[RelayBehavior::Gone]);
         for _ in 0..2 {
             let page = source.read(5, 10, Duration::ZERO).await.expect("a page");
             assert_eq!(page.now_ms, 11);
         }
-        assert_eq!(asked[0].load(Ordering::Relaxed), 2);
+        assert_eq!(requests[0].load(Ordering::Relaxed), 2);
     });
 }
 
 /// The follower also waits for news of hosts and drops a read half way when some come. A relay
-/// that is silent would be asked anew each time, and its silence never be noticed.
+/// that is silent would be requests anew each time, and its silence never be noticed.
 #[rstest]
 fn reads_that_are_dropped_do_not_hide_a_silent_relay() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     runtime.expect("the system gives a runtime").block_on(async {
-        let (source, _log, asked) = source(&[Way::Silent]);
+        let (source, _log, requests) = source(&[RelayBehavior::Unresponsive]);
         let mut answered = false;
         for _ in 0..100 {
             let read = source.read(5, 10, Duration::ZERO);
@@ -177,6 +180,6 @@
             }
         }
         assert!(answered, "the log answers in the end");
-        assert!(asked[0].load(Ordering::Relaxed) < 30);
+        assert!(requests[0].load(Ordering::Relaxed) < 30);
     });
 }
