--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::{sync::Arc, time::Duration};
 
-const MANY: u32 = 1024;
+const MAX_RECORDS: u32 = 1024;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -30,7 +30,7 @@
 }
 
 async fn offsets(tail: &Tail, from: u64) -> Result<Vec<u64>, RelayError> {
-    let page = tail.read(from, MANY, Duration::ZERO).await?;
+    let page = tail.read(from, MAX_RECORDS, Duration::ZERO).await?;
     Ok(page.entries.iter().map(|entry| entry.offset).collect())
 }
 
@@ -53,7 +53,8 @@
     tail.extend(&page(1..2));
     block_on(async {
         let reader = tail.clone();
-        let read = tokio::spawn(async move { reader.read(2, MANY, Duration::from_secs(2)).await });
+        let read =
+            tokio::spawn(async move { reader.read(2, MAX_RECORDS, Duration::from_secs(2)).await });
         tokio::task::yield_now().await;
         tail.extend(&page(2..3));
         let page = read.await.expect("the task ends").expect("a page");
@@ -107,7 +108,7 @@
     block_on(async {
         let read = |_| {
             let tail = tail.clone();
-            tokio::spawn(async move { tail.read(3, MANY, Duration::from_secs(2)).await })
+            tokio::spawn(async move { tail.read(3, MAX_RECORDS, Duration::from_secs(2)).await })
         };
         let reads: Vec<_> = (0..1000).map(read).collect();
         tokio::task::yield_now().await;
@@ -119,7 +120,7 @@
                 Err(error) => assert!(matches!(error, RelayError::Busy(_)), "{error}"),
             }
         }
-        let most = (SERVE_RATE.bytes * BURST_SECONDS / HTTP_OVERHEAD_BYTES) as usize;
-        assert!((10..=most + 1).contains(&served), "{served} reads served at once");
+        let max_served = (SERVE_RATE.bytes * BURST_SECONDS / HTTP_OVERHEAD_BYTES) as usize;
+        assert!((10..=max_served + 1).contains(&served), "{served} reads served at once");
     });
 }
