--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -9,7 +9,7 @@
 use std::{sync::Arc, time::Duration};
 
 /// Seconds over which the storms last.
-const SECONDS: u64 = 60;
+const BURST_DURATION_S: u64 = 60;
 
 fn budget() -> (ManualClock, Budget) {
     let clock = ManualClock::default();
@@ -25,7 +25,7 @@
 #[case::large(30_000)]
 fn a_large_fan_in_stays_within_the_budget(#[case] bytes: u64) {
     let (clock, budget) = budget();
-    for _ in 0..SECONDS * 10 {
+    for _ in 0..BURST_DURATION_S * 10 {
         for _ in 0..1000 {
             if budget.admit_follower(400).is_ok() {
                 budget.add_bytes(TrafficClass::Serve, bytes - 400);
@@ -33,12 +33,12 @@
         }
         clock.advance(Duration::from_millis(100));
     }
-    let spent = budget.totals().serve;
-    let most = SERVE_RATE.bytes * (SECONDS + BURST_SECONDS) + bytes;
-    assert!(spent.bytes <= most, "{} bytes served, at most {most}", spent.bytes);
-    assert!(spent.messages <= SERVE_RATE.messages * (SECONDS + BURST_SECONDS) + 1);
-    assert!(spent.limited > 0, "refusals are counted");
-    assert!(spent.bytes >= SERVE_RATE.bytes * SECONDS / 2, "the budget is used, not shut");
+    let usage = budget.totals().serve;
+    let max_bytes = SERVE_RATE.bytes * (BURST_DURATION_S + BURST_SECONDS) + bytes;
+    assert!(usage.bytes <= max_bytes, "{} bytes served, at most {max_bytes}", usage.bytes);
+    assert!(usage.messages <= SERVE_RATE.messages * (BURST_DURATION_S + BURST_SECONDS) + 1);
+    assert!(usage.limited > 0, "refusals are counted");
+    assert!(usage.bytes >= SERVE_RATE.bytes * BURST_DURATION_S / 2, "the budget is used, not shut");
 }
 
 /// A storm of appends, each of which wakes all followers. Without the delay a process would
@@ -46,17 +46,17 @@
 #[rstest]
 fn a_storm_of_records_is_read_in_few_messages() {
     let (clock, budget) = budget();
-    let (end, began) = (Duration::from_secs(SECONDS), clock.elapsed());
+    let (end, began) = (Duration::from_secs(BURST_DURATION_S), clock.elapsed());
     while clock.elapsed() - began < end {
         let delay = budget.read_delay();
         clock.advance(delay + Duration::from_millis(1));
         budget.spend(TrafficClass::Follow, 400);
     }
-    let spent = budget.totals().follow;
-    let allowed = SECONDS + BURST_SECONDS;
-    assert!(spent.messages <= PROCESS_RATE.messages * allowed + 1, "{} reads", spent.messages);
-    assert!(spent.bytes <= PROCESS_RATE.bytes * allowed + 400, "{} bytes", spent.bytes);
-    assert!(spent.limited > 0, "delays are counted");
+    let usage = budget.totals().follow;
+    let allowed = BURST_DURATION_S + BURST_SECONDS;
+    assert!(usage.messages <= PROCESS_RATE.messages * allowed + 1, "{} reads", usage.messages);
+    assert!(usage.bytes <= PROCESS_RATE.bytes * allowed + 400, "{} bytes", usage.bytes);
+    assert!(usage.limited > 0, "delays are counted");
 }
 
 /// A single page that is larger than the budget of many seconds puts the budget deep into debt.
@@ -71,9 +71,9 @@
 
 #[rstest]
 fn the_host_list_is_read_as_set_while_it_is_short_and_seldom_when_it_is_long() {
-    let every = Duration::from_secs(1);
-    assert_eq!(host_list_pause(every, 24), every);
-    let pause = host_list_pause(every, 1070);
+    let interval = Duration::from_secs(1);
+    assert_eq!(host_list_pause(interval, 24), interval);
+    let pause = host_list_pause(interval, 1070);
     assert!(1070 * 54 / pause.as_secs() <= HOST_LIST_BYTES_PER_S + 200, "{pause:?}");
 }
 
