--- a/crates/corianderstand_control/tests/marks.rs
+++ b/crates/corianderstand_control/tests/marks.rs
@@ -29,7 +29,7 @@
     fold(snapshot, "engine-1", sequence, Body::TargetUp { target });
 }
 
-fn show(snapshot: &mut Snapshot, live: &[&str], leaving: &[&str]) {
+fn set_hosts(snapshot: &mut Snapshot, live: &[&str], leaving: &[&str]) {
     let set = |names: &[&str]| names.iter().map(|name| HostId::from(*name)).collect();
     let gone = BTreeSet::new();
     snapshot.hosts = Arc::new(Hosts { live: set(live), leaving: set(leaving), gone });
@@ -45,14 +45,14 @@
     announce(&mut snapshot, 1);
     assert!(lease::leaving_marks(&snapshot).is_empty(), "nothing was read");
 
-    show(&mut snapshot, &[], &["host-1"]);
+    set_hosts(&mut snapshot, &[], &["host-1"]);
     let marks = lease::leaving_marks(&snapshot);
     assert_eq!(marks.len(), 1);
     assert_eq!(fold(&mut snapshot, "router-1", 2, marks[0].clone()), Outcome::Applied);
     assert!(snapshot.state.targets.is_leaving(&"engine-1".into()));
     assert!(lease::leaving_marks(&snapshot).is_empty(), "once is enough");
 
-    show(&mut snapshot, &[], &[]);
+    set_hosts(&mut snapshot, &[], &[]);
     assert!(lease::leaving_marks(&snapshot).is_empty(), "a list without the host says nothing");
 
     announce(&mut snapshot, 2);
@@ -60,11 +60,11 @@
     let old = fold(&mut snapshot, "router-1", 3, marks[0].clone());
     assert!(matches!(old, Outcome::Rejected(_)), "the mark was of the former announcement");
 
-    show(&mut snapshot, &[], &["host-1"]);
+    set_hosts(&mut snapshot, &[], &["host-1"]);
     let again = lease::leaving_marks(&snapshot);
     fold(&mut snapshot, "router-1", 4, again[0].clone());
-    show(&mut snapshot, &["host-1"], &[]);
-    let back = lease::leaving_marks(&snapshot);
-    assert_eq!(fold(&mut snapshot, "router-1", 5, back[0].clone()), Outcome::Applied);
+    set_hosts(&mut snapshot, &["host-1"], &[]);
+    let unmarked = lease::leaving_marks(&snapshot);
+    assert_eq!(fold(&mut snapshot, "router-1", 5, unmarked[0].clone()), Outcome::Applied);
     assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "it stays after all");
 }
