--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -20,10 +20,10 @@
 use tokio::{sync::watch, time};
 
 /// A log whose reads let others run.
-struct Patient(Arc<MemoryLog>);
+struct YieldingLog(Arc<MemoryLog>);
 
 #[async_trait]
-impl LogService for Patient {
+impl LogService for YieldingLog {
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
         self.0.append(records).await
     }
@@ -54,7 +54,7 @@
     let identity = Identity { writer: name.into(), incarnation: 1 };
     let (appender, queue, notifier) = appender::channel(identity);
     let (hosts_tx, hosts) = watch::channel(Arc::default());
-    let log: Arc<dyn LogService> = Arc::new(Patient(log.clone()));
+    let log: Arc<dyn LogService> = Arc::new(YieldingLog(log.clone()));
     let (wait, recovery_appender) = (Duration::ZERO, Some(appender));
     let clocks = Arc::new(clock.clone());
     let config =
