--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -44,7 +44,7 @@
 /// A storm of appends, each of which wakes all followers. Without the delay a process would
 /// read once for each record, and all its time would go into reading.
 #[rstest]
-fn a_storm_of_records_is_read_in_few_messages() {
+fn a_burst_of_records_is_read_in_few_messages() {
     let (clock, budget) = budget();
     let (end, began) = (Duration::from_secs(BURST_DURATION_S), clock.elapsed());
     while clock.elapsed() - began < end {
@@ -62,7 +62,7 @@
 /// A single page that is larger than the budget of many seconds puts the budget deep into debt.
 /// Changes of settings that follow it must still be in force within seconds.
 #[rstest]
-fn a_debt_never_puts_a_read_off_for_long() {
+fn a_large_debt_delays_a_read_by_a_bounded_time() {
     let (_clock, budget) = budget();
     budget.spend(TrafficClass::Follow, PROCESS_RATE.bytes * 1000);
     assert_eq!(budget.read_delay(), MAX_READ_DELAY);
@@ -70,7 +70,7 @@
 }
 
 #[rstest]
-fn the_host_list_is_read_as_set_while_it_is_short_and_seldom_when_it_is_long() {
+fn a_long_host_list_is_read_less_often_than_the_set_interval() {
     let interval = Duration::from_secs(1);
     assert_eq!(host_list_pause(interval, 24), interval);
     let pause = host_list_pause(interval, 1070);
--- a/crates/corianderstand_control/src/membership/tests.rs
+++ b/crates/corianderstand_control/src/membership/tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[rstest]
-fn a_host_is_gone_once_the_list_was_without_it_for_its_lag() {
+fn a_host_is_gone_once_it_is_unlisted_for_the_list_lag() {
     let mut fixture = Fixture::new();
     fixture.apply_reading_for(LAG - Duration::from_secs(1), "abcde", "");
     assert_eq!(fixture.gone(), "");
@@ -68,7 +68,7 @@
 
 /// The list does not answer for minutes. Taking silence for absence would empty the service.
 #[rstest]
-fn nobody_goes_while_the_list_does_not_answer() {
+fn no_host_is_gone_while_the_list_is_unavailable() {
     let mut fixture = Fixture::new();
     fixture.apply_reading("abcde", "");
     fixture.clock.advance(LAG * 100);
@@ -80,7 +80,7 @@
 #[rstest]
 #[case::empty("")]
 #[case::cut_short("ab")]
-fn an_empty_or_greatly_shrunken_list_is_not_believed_at_once(#[case] listed: &str) {
+fn an_empty_or_greatly_shrunken_list_is_not_accepted_at_once(#[case] listed: &str) {
     let mut fixture = Fixture::new();
     fixture.apply_reading_for(LAG * (SHRINK_LAG_FACTOR - 1), listed, "");
     assert_eq!(fixture.gone(), "");
@@ -108,7 +108,7 @@
 /// An agent announces itself before the lagging list shows its host, and the host is taken back
 /// before it ever does. Its slots would stay with it for ever.
 #[rstest]
-fn a_host_that_the_list_never_showed_goes_too() {
+fn a_host_that_was_never_listed_becomes_gone() {
     let mut fixture = Fixture::new();
     fixture.membership.record_announced(fixture.clock.now(), &["n".into()].into());
     assert_eq!(fixture.gone(), "");
--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[rstest]
-fn records_are_given_in_order_from_any_offset_kept() {
+fn records_are_returned_in_order_from_any_retained_offset() {
     let (_clock, tail) = tail(1 << 20);
     tail.extend(&page(5..9));
     tail.extend(&page(9..12));
@@ -48,7 +48,7 @@
 }
 
 #[rstest]
-fn a_waiting_reader_gets_a_record_as_soon_as_it_comes() {
+fn a_waiting_reader_receives_a_record_on_arrival() {
     let (_clock, tail) = tail(1 << 20);
     tail.extend(&page(1..2));
     block_on(async {
@@ -63,7 +63,7 @@
 }
 
 #[rstest]
-fn memory_is_bounded_and_what_is_gone_is_said_to_be_gone() {
+fn memory_is_bounded_and_dropped_records_are_reported_as_gone() {
     let (_clock, tail) = tail(10_000);
     tail.extend(&page(1..1000));
     block_on(async {
@@ -76,7 +76,7 @@
 /// A relay loses its way to the log but not to its followers. They would take its silence for
 /// quiet, and an accepted change would not come into force on them.
 #[rstest]
-fn a_relay_cut_off_from_the_log_gives_what_it_has_and_then_says_that_it_is_stale() {
+fn a_relay_cut_off_from_the_log_returns_its_records_and_then_reports_staleness() {
     let (clock, tail) = tail(1 << 20);
     tail.extend(&page(1..3));
     clock.advance(MAX_PAGE_AGE * 2);
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[rstest]
-fn a_place_has_few_readers_of_the_log_and_short_ways_to_it() {
+fn a_zone_has_few_log_readers_and_short_routes_to_the_log() {
     let all = addresses(ROUTERS);
     let readers = all.iter().filter(|own| choose_as_router(own, &all).is_empty()).count();
     assert_eq!(readers, LOG_READERS);
@@ -133,7 +133,7 @@
 #[case::behind(RelayBehavior::Behind)]
 #[case::in_a_circle(RelayBehavior::TooManyHops)]
 #[case::cut_off(RelayBehavior::Stale)]
-fn a_relay_that_fails_is_left_for_the_next_one_and_then_for_the_log(
+fn a_failing_relay_is_replaced_by_the_next_one_and_then_by_the_log(
     #[case] behavior: RelayBehavior,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
@@ -151,7 +151,7 @@
 }
 
 #[rstest]
-fn what_a_relay_does_not_keep_is_read_from_the_log_and_the_relay_stays() {
+fn records_that_a_relay_dropped_are_read_from_the_log_without_ejecting_it() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     runtime.expect("the system gives a runtime").block_on(async {
         let (source, _log, requests) = source(&[RelayBehavior::Gone]);
@@ -166,7 +166,7 @@
 /// The follower also waits for news of hosts and drops a read half way when some come. A relay
 /// that is silent would be requests anew each time, and its silence never be noticed.
 #[rstest]
-fn reads_that_are_dropped_do_not_hide_a_silent_relay() {
+fn cancelled_reads_do_not_hide_an_unresponsive_relay() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     runtime.expect("the system gives a runtime").block_on(async {
         let (source, _log, requests) = source(&[RelayBehavior::Unresponsive]);
--- a/crates/corianderstand_control/tests/marks.rs
+++ b/crates/corianderstand_control/tests/marks.rs
@@ -39,7 +39,7 @@
 /// has not read the host list yet, or the agent is restarted meanwhile. Callers would be sent to
 /// a target that is about to vanish, or a target that stays would be left unused.
 #[rstest]
-fn a_holder_marks_only_what_it_read() {
+fn a_lease_holder_marks_only_hosts_that_it_read() {
     let mut snapshot = Snapshot::default();
     fold(&mut snapshot, "router-1", 1, Body::LeaseTaken { epoch: 1, ttl_ms: 1000 });
     announce(&mut snapshot, 1);
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -125,7 +125,7 @@
 
 /// A router that starts in an outage asks its peers. One that is behind must not take it back.
 #[rstest]
-fn a_peers_state_is_taken_only_if_it_is_newer() {
+fn a_peers_state_is_accepted_only_if_it_is_newer() {
     block_on(async {
         let log = Arc::new(MemoryLog::default());
         log.set_down(true);
