--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -1,4 +1,4 @@
-//! Appends for one process: packed, numbered, repeated until answered.
+//! Appends for one process: batched, numbered and retried until the log responds.
 
 use corianderstand_edge::log::LogService;
 use corianderstand_schema::records::{Body, Record};
@@ -14,32 +14,31 @@
     time,
 };
 
-/// Records that wait to be appended; more are refused.
+/// Capacity of the append queue; further records are rejected.
 pub const MAX_QUEUED_RECORDS: usize = 4096;
-/// Records in one append.
+/// Most records in one append.
 pub const MAX_APPEND_RECORDS: usize = 256;
-/// Shortest time between two appends of one process, so that records gather.
+/// Pause between two appends of one process, so that records are batched.
 pub const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(5);
-/// Pause before an append is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// An append that was not decided.
+/// Why the outcome of an append is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum AppendError {
-    /// too many records wait for the log: it is slow or down; try again in a few seconds
+    /// the append queue is full: the log is slow or down; retry in a few seconds
     Full,
-    /// the log has not answered in time: whether the record took effect is not known yet
+    /// the log has not responded in time: it is not yet known whether the record took effect
     Undecided,
 }
 
 impl std::error::Error for AppendError {}
 
-/// A record folded: where, and what it did.
+/// The offset and outcome of a folded record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decided {
-    /// Its offset.
+    /// The offset of the record.
     pub offset: u64,
-    /// What it did.
+    /// The effect of the record on the state.
     pub outcome: Outcome,
 }
 
@@ -50,7 +49,7 @@
 
 type Pending = Arc<Mutex<BTreeMap<u64, oneshot::Sender<Decided>>>>;
 
-/// Hands records to the thread that appends them.
+/// Queues records for the control thread to append.
 #[derive(Clone, Debug)]
 pub struct Appender {
     tx: mpsc::Sender<QueuedAppend>,
@@ -63,11 +62,12 @@
 }
 
 impl Appender {
-    /// Appends a record and waits until it was read back and folded.
+    /// Appends a record and waits until it has been read back and folded.
     ///
     /// # Errors
     ///
-    /// [`AppendError::Undecided`] after `timeout`; the record may still take effect.
+    /// [`AppendError::Full`] if the queue is full; [`AppendError::Undecided`] after `timeout`, in
+    /// which case the record may still take effect.
     pub async fn append(&self, body: Body, timeout: Duration) -> Result<Decided, AppendError> {
         let (decided, rx) = oneshot::channel();
         self.tx.try_send(QueuedAppend { body, decided }).map_err(|_| AppendError::Full)?;
@@ -78,30 +78,30 @@
     }
 }
 
-/// The end of the ring that the control thread holds.
+/// The receiving end of the append queue.
 pub struct AppendQueue {
     rx: mpsc::Receiver<QueuedAppend>,
     pending: Pending,
     identity: Identity,
 }
 
-/// Who writes: the process, and which start of it.
+/// A writer: the process and its incarnation.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The process.
+    /// The name of the process.
     pub writer: WriterId,
-    /// Its start.
+    /// Distinguishes restarts of the process.
     pub incarnation: u64,
 }
 
-/// What the follower tells of records that it folded.
+/// Notifies writers whose records the follower has folded.
 #[derive(Clone, Debug)]
 pub struct FoldNotifier {
     pending: Pending,
     identity: Identity,
 }
 
-/// A ring for records, its far end, and the follower's end.
+/// Creates an append queue and the notifier for the follower.
 pub fn channel(identity: Identity) -> (Appender, AppendQueue, FoldNotifier) {
     let (tx, rx) = mpsc::channel(MAX_QUEUED_RECORDS);
     let pending = Pending::default();
@@ -114,7 +114,7 @@
 }
 
 impl FoldNotifier {
-    /// Tells the queued writer what became of its record.
+    /// Sends the outcome of a record to the writer that waits for it.
     pub fn notify(&self, record: &Record, offset: u64, outcome: &Outcome) {
         let is_own = record.writer == self.identity.writer
             && record.incarnation == self.identity.incarnation;
@@ -122,14 +122,13 @@
             return;
         }
         if let Some(tx) = lock(&self.pending).remove(&record.sequence) {
-            // Nobody waits any more if the caller gave up; the record stands all the same.
             drop(tx.send(Decided { offset, outcome: outcome.clone() }));
         }
     }
 }
 
 impl AppendQueue {
-    /// Appends until all senders are gone.
+    /// Appends queued records until all senders are dropped.
     pub async fn run(mut self, log: Arc<dyn LogService>) {
         let mut sequence = 0;
         let mut queued = Vec::new();
@@ -152,13 +151,13 @@
     }
 }
 
-/// Repeats an append until the log answers.
+/// Retries an append until the log responds.
 ///
-/// An answer may be lost after the write took effect. The records carry their numbers, so a
-/// second copy is folded once; giving up instead would leave later records ahead of earlier.
+/// A response may be lost after the write took effect; the fold ignores the duplicate by its
+/// sequence number. Skipping the append instead would reorder the records of this writer.
 async fn append_until_answered(log: &dyn LogService, records: Vec<Vec<u8>>) {
     while let Err(error) = log.append(records.clone()).await {
-        tracing::warn!(%error, "append not answered, repeating it");
+        tracing::warn!(%error, "append failed, retrying");
         time::sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -1,10 +1,8 @@
-//! What control traffic may cost one process: a limit in bytes and messages a second.
+//! Rate limit of the control traffic of one process, in bytes and messages per second.
 //!
-//! Made for two loads. A burst of appends would wake every follower for each record: beyond the
-//! limit a follower waits a little before it reads again, and the records gather in one page.
-//! A failed relay sends its followers to the next one, which would spend its host's network and
-//! processor on them: beyond the limit it refuses, and they read elsewhere. Requests of callers
-//! are never counted here, and what is in the log is never dropped.
+//! Beyond the limit a follower delays its reads, so that a burst of records is batched into few
+//! pages, and a relay rejects reads, so that the followers of a failed relay spread over others.
+//! Requests of callers are not counted, and records are never dropped.
 
 #[cfg(test)]
 mod tests;
@@ -20,33 +18,31 @@
 /// A rate of control traffic.
 #[derives(key)]
 pub struct Rate {
-    /// Bytes a second, both ways.
+    /// Bytes per second, sent and received.
     pub bytes: u64,
-    /// Messages a second.
+    /// Messages per second.
     pub messages: u64,
 }
 
-/// What one process may spend on control: 16 KB a second, as its users ask.
+/// Limit of all control traffic of one process.
 pub const PROCESS_RATE: Rate = Rate { bytes: 16_000, messages: 128 };
-/// The part of it that serving followers may take; the rest is for this process's own reading,
-/// its appends and its heartbeats.
+/// Share of [`PROCESS_RATE`] for serving followers; the rest is left for reads, appends and
+/// heartbeats of this process.
 pub const SERVE_RATE: Rate = Rate { bytes: 11_000, messages: 64 };
-/// How many seconds' worth may be spent at once. A burst of settings or the followers of a
-/// relay that died fit; more would be felt by callers on the same host.
+/// Burst size of the limits, in seconds of their rate.
 pub const BURST_SECONDS: u64 = 4;
-/// Longest time that a read is put off. A change of settings must be in force within seconds
-/// on every process, over at most three reads one after another.
+/// Longest delay of a read. Bounds the time until a change of settings is in force on every
+/// process, as a record passes through up to three consecutive reads.
 pub const MAX_READ_DELAY: Duration = Duration::from_millis(500);
 
-/// Bytes a second that reading the host list may take on one process.
+/// Rate limit of reading the host list in one process.
 pub const HOST_LIST_BYTES_PER_S: u64 = 3_000;
-/// Bytes of one entry of the host list, as measured by `tools/capacity`.
+/// As measured by `tools/capacity`.
 const HOST_ENTRY_BYTES: u64 = 54;
 
-/// Pause between two readings of the host list of so many entries.
+/// Pause between two reads of a host list with `entries` entries.
 ///
-/// The list comes whole each time. At a thousand hosts it has 57 KB: read each second, it alone
-/// would take three times what a process may spend on control.
+/// Each read transfers the whole list, so the pause grows with its length.
 pub fn host_list_pause(interval: Duration, entries: usize) -> Duration {
     let bytes = entries as u64 * HOST_ENTRY_BYTES;
     interval.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
@@ -54,26 +50,25 @@
 
 /// Pause between two parts of a checkpoint that is written at each `interval`.
 ///
-/// Every process reads the parts as they come. A large state written at one go takes many times
-/// what a process may spend; spread over half the interval it takes twice the average, and the
-/// checkpoint is still whole long before the next one is due.
+/// Every process reads the parts, so they are spread over half the interval; the checkpoint is
+/// complete well before the next one is due.
 pub fn checkpoint_pause(interval: Duration, parts: usize) -> Duration {
     interval / 2 / u32::try_from(parts.max(1)).unwrap_or(u32::MAX)
 }
 
-/// What traffic is for.
+/// The purpose of control traffic.
 #[derives(key)]
 pub enum TrafficClass {
     /// Reading the log or a relay.
     Follow,
-    /// Giving records to followers.
+    /// Serving records to followers.
     Serve,
-    /// Heartbeats and greetings on connections.
+    /// Heartbeats and handshakes on connections.
     Link,
 }
 
 impl TrafficClass {
-    /// Its name in metrics.
+    /// The value of the metric tag `duty`.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Follow => "follow",
@@ -83,31 +78,31 @@
     }
 }
 
-/// What has been spent since the start, for metrics.
+/// Control traffic of one class since startup.
 #[derives(key)]
 #[derive(Default)]
 pub struct TrafficUsage {
-    /// Messages.
+    /// Messages sent and received.
     pub messages: u64,
-    /// Bytes.
+    /// Bytes sent and received.
     pub bytes: u64,
-    /// Times that something was put off or refused.
+    /// Number of delayed or rejected reads.
     pub limited: u64,
 }
 
-/// All that has been spent, by class.
+/// Control traffic since startup, by class.
 #[derives(key)]
 #[derive(Default)]
 pub struct UsageTotals {
-    /// Reading.
+    /// Usage of [`TrafficClass::Follow`].
     pub follow: TrafficUsage,
-    /// Giving to followers.
+    /// Usage of [`TrafficClass::Serve`].
     pub serve: TrafficUsage,
-    /// Heartbeats.
+    /// Usage of [`TrafficClass::Link`].
     pub link: TrafficUsage,
 }
 
-/// A token bucket that may go into debt, as the size of an answer is known only afterwards.
+/// A token bucket that may go into debt, as the size of a response is only known afterwards.
 #[derive(Debug)]
 struct TokenBucket {
     rate: Rate,
@@ -141,7 +136,7 @@
         self.messages -= 1.0;
     }
 
-    /// Time until nothing is owed.
+    /// Time until the bytes are out of debt and one message is available.
     fn time_until_available(&self) -> Duration {
         let bytes = -self.bytes / self.rate.bytes as f64;
         let messages = (1.0 - self.messages) / self.rate.messages as f64;
@@ -157,7 +152,7 @@
     reported: UsageTotals,
 }
 
-/// The budget of one process, shared by its threads.
+/// The traffic budget of one process, shared by its threads.
 #[derive(Debug)]
 pub struct Budget {
     clock: DebugClock,
@@ -185,7 +180,7 @@
 }
 
 impl Budget {
-    /// A full budget.
+    /// A budget with full buckets.
     pub fn new(clock: SharedClock) -> Self {
         let now = clock.now();
         let (process, serve) =
@@ -207,14 +202,12 @@
         inner
     }
 
-    /// Counts one message that has been sent or received.
+    /// Charges one message that was sent or received.
     pub fn spend(&self, class: TrafficClass, bytes: u64) {
         self.lock().spend(class, bytes);
     }
 
-    /// How long to put off the next read; none while the budget lasts.
-    ///
-    /// A read is put off, never left out: what is in the log has to be folded everywhere.
+    /// Delay of the next read, at most [`MAX_READ_DELAY`]; zero while budget is left.
     pub fn read_delay(&self) -> Duration {
         let mut inner = self.lock();
         let delay = inner.process.time_until_available().min(MAX_READ_DELAY);
@@ -224,7 +217,7 @@
         delay
     }
 
-    /// Counts further bytes of a message that was counted before.
+    /// Charges further bytes of a message that is already counted.
     pub fn add_bytes(&self, class: TrafficClass, bytes: u64) {
         let mut inner = self.lock();
         inner.process.bytes -= bytes as f64;
@@ -234,11 +227,11 @@
         inner.totals.usage_mut(class).bytes += bytes;
     }
 
-    /// Admits one read of a follower and counts it with the `bytes` that it costs at the least.
+    /// Admits one read of a follower and charges its minimum of `bytes`.
     ///
     /// # Errors
     ///
-    /// The time after which the follower may come back, if the budget is spent.
+    /// The time after which the follower may retry, if the budget is spent.
     pub fn admit_follower(&self, bytes: u64) -> Result<(), Duration> {
         let mut inner = self.lock();
         let retry_after =
@@ -251,12 +244,12 @@
         Err(retry_after)
     }
 
-    /// What has been spent since the start.
+    /// Traffic since startup.
     pub fn totals(&self) -> UsageTotals {
         self.lock().totals
     }
 
-    /// Sends what has been spent since the last report.
+    /// Sends the traffic since the last report as metrics.
     pub fn report(&self, metrics: &Metrics) {
         let (mut current, mut previous) = {
             let mut inner = self.lock();
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -1,4 +1,4 @@
-//! The budget under bursts.
+//! Tests of the traffic budget under bursts.
 
 use super::{
     BURST_SECONDS, Budget, HOST_LIST_BYTES_PER_S, MAX_READ_DELAY, PROCESS_RATE, SERVE_RATE,
@@ -8,7 +8,6 @@
 use rstest::rstest;
 use std::{sync::Arc, time::Duration};
 
-/// Seconds over which the storms last.
 const BURST_DURATION_S: u64 = 60;
 
 fn budget() -> (ManualClock, Budget) {
@@ -17,9 +16,7 @@
     (clock, budget)
 }
 
-/// Two relays of a place die and a thousand followers turn to the third, each reading again as
-/// soon as it was refused. Callers on the third relay's host would find it slow, as its network
-/// and processor go into control traffic.
+/// Guards the host of a relay that a thousand followers fail over to and retry without pause.
 #[rstest]
 #[case::small(400)]
 #[case::large(30_000)]
@@ -38,11 +35,13 @@
     assert!(usage.bytes <= max_bytes, "{} bytes served, at most {max_bytes}", usage.bytes);
     assert!(usage.messages <= SERVE_RATE.messages * (BURST_DURATION_S + BURST_SECONDS) + 1);
     assert!(usage.limited > 0, "refusals are counted");
-    assert!(usage.bytes >= SERVE_RATE.bytes * BURST_DURATION_S / 2, "the budget is used, not shut");
+    assert!(
+        usage.bytes >= SERVE_RATE.bytes * BURST_DURATION_S / 2,
+        "at least half of the budget is used"
+    );
 }
 
-/// A storm of appends, each of which wakes all followers. Without the delay a process would
-/// read once for each record, and all its time would go into reading.
+/// Guards against one read per record during a burst of appends.
 #[rstest]
 fn a_burst_of_records_is_read_in_few_messages() {
     let (clock, budget) = budget();
@@ -59,14 +58,13 @@
     assert!(usage.limited > 0, "delays are counted");
 }
 
-/// A single page that is larger than the budget of many seconds puts the budget deep into debt.
-/// Changes of settings that follow it must still be in force within seconds.
+/// Guards against a large page that delays later changes of settings for long.
 #[rstest]
 fn a_large_debt_delays_a_read_by_a_bounded_time() {
     let (_clock, budget) = budget();
     budget.spend(TrafficClass::Follow, PROCESS_RATE.bytes * 1000);
     assert_eq!(budget.read_delay(), MAX_READ_DELAY);
-    assert!(budget.admit_follower(400).is_err(), "followers read elsewhere meanwhile");
+    assert!(budget.admit_follower(400).is_err(), "followers are rejected while in debt");
 }
 
 #[rstest]
@@ -77,15 +75,14 @@
     assert!(1070 * 54 / pause.as_secs() <= HOST_LIST_BYTES_PER_S + 200, "{pause:?}");
 }
 
-/// The state of a thousand processes is written again. At one go it would take the network of
-/// every host for a minute.
+/// Guards against a checkpoint at full size that exhausts the budget of every process.
 #[rstest]
 fn reading_a_checkpoint_at_full_size_each_hour_fits_the_budget() {
     const PARTS: usize = 100;
     const PART_WIRE_BYTES: u64 = 48 * 1024 * 4 / 3 + 400;
     let interval = Duration::from_secs(3600);
     let pause = checkpoint_pause(interval, PARTS);
-    assert!(pause * PARTS as u32 <= interval / 2, "whole before the next is due");
+    assert!(pause * PARTS as u32 <= interval / 2, "complete before the next is due");
     let rate = PART_WIRE_BYTES * 1000 / pause.as_millis() as u64;
     assert!(rate < PROCESS_RATE.bytes / 4, "{rate} bytes a second");
 }
--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -1,4 +1,4 @@
-//! Reads the log and folds it.
+//! Folds the log and publishes snapshots.
 
 use crate::{
     appender::{Appender, FoldNotifier},
@@ -23,28 +23,26 @@
 };
 use tokio::{sync::watch, time};
 
-/// Records in one read.
 const MAX_PAGE_RECORDS: u32 = 1024;
-/// Pause after a read that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Where a follower reads from and whom it tells.
+/// Configuration of a [`Follower`].
 pub struct FollowerConfig {
     /// The log.
     pub log: Arc<dyn LogService>,
     /// Longest wait of one read.
     pub wait: Duration,
-    /// Other processes' state.
+    /// Source of state besides the log.
     pub peers: Arc<dyn Peers>,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
-    /// The hosts.
+    /// Updates of the hosts.
     pub hosts: watch::Receiver<Arc<Hosts>>,
-    /// Where a router writes a state that the log has lost; nothing for agents.
+    /// Appends recovery checkpoints; `None` for agents.
     pub recovery_appender: Option<Appender>,
 }
 
-/// Folds the log and publishes snapshots.
+/// Reads the log, folds its records into the state and publishes snapshots.
 pub struct Follower {
     config: FollowerConfig,
     current: CurrentSnapshot,
@@ -55,14 +53,14 @@
 }
 
 impl Follower {
-    /// A follower that starts from nothing.
+    /// A follower that starts with an empty state.
     pub fn new(config: FollowerConfig, current: CurrentSnapshot, notifier: FoldNotifier) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.state.next = 1;
         Self { config, current, notifier, snapshot, search: None, recovery_due_at: None }
     }
 
-    /// Follows for ever.
+    /// Follows the log; never returns.
     pub async fn run(mut self) {
         loop {
             let from = self.search.as_ref().map_or(self.snapshot.state.next, |s| s.cursor);
@@ -82,7 +80,7 @@
             Ok(page) if restore::has_gap(&self.snapshot.state, &page) => self.restore(&page).await,
             Ok(page) => self.fold(&page),
             Err(error) => {
-                tracing::warn!(%error, "log not read");
+                tracing::warn!(%error, "log read failed");
                 self.snapshot.log_up = false;
                 if !self.snapshot.caught_up {
                     self.snapshot.waiting = Waiting::Log;
@@ -94,7 +92,7 @@
         }
     }
 
-    /// Takes a peer's state if it is newer than this one and the log continues it.
+    /// Applies the state of a peer if it is newer and the log continues it.
     async fn query_peers(&mut self, oldest: u64) -> bool {
         let state = self.config.peers.state().await;
         let next = self.snapshot.state.next;
@@ -131,7 +129,6 @@
         self.current.store(self.snapshot.clone());
     }
 
-    /// Writes this router's state if nobody else has one; see [`restore::recovery_records`].
     fn write_recovery_checkpoint(&mut self, page: &Page) {
         let Some(appender) = self.config.recovery_appender.clone() else { return };
         let now = self.config.clock.now();
@@ -141,10 +138,12 @@
         if now < due || self.snapshot.state.documents.version == 0 {
             return;
         }
-        tracing::error!("records were dropped unread: writing the state without them");
+        tracing::error!(
+            "dropped records were never read: writing a recovery checkpoint without them"
+        );
         self.recovery_due_at = Some(now + restore::RECOVERY_DELAY);
         let bodies = restore::recovery_records(&self.snapshot.state, page);
-        // They are read back by the search, not by the fold, so nobody waits for them.
+        // The checkpoint search reads them back, not the fold, so the appends are never resolved.
         tokio::spawn(async move {
             let appends = bodies.into_iter().map(|body| appender.append(body, RETRY_PAUSE));
             drop(futures::future::join_all(appends).await);
@@ -169,8 +168,8 @@
         snapshot.log_clock_ms = page.now_ms as i64 - now as i64;
         self.refresh_view();
         self.current.store(self.snapshot.clone());
-        // Writers hear of their records only once the snapshot holds them, so that whoever is
-        // told "accepted" finds the change in force on this process.
+        // Notify writers after the snapshot is published, so that an accepted change is in force
+        // on this process.
         for (record, offset, outcome) in decided {
             self.notifier.notify(&record, offset, &outcome);
         }
@@ -190,9 +189,8 @@
                 Some((record, entry.offset, outcome))
             }
             Err(error) => {
-                // A record of a later version must not stop the fold for ever; it is skipped
-                // on all processes of this version alike.
-                tracing::error!(offset = entry.offset, %error, "record cannot be read");
+                // Skip records of a later version; all processes of this version skip them alike.
+                tracing::error!(offset = entry.offset, %error, "record cannot be decoded, skipping it");
                 self.snapshot.state.next = entry.offset + 1;
                 None
             }
--- a/crates/corianderstand_control/src/hosts.rs
+++ b/crates/corianderstand_control/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Reads the host list at intervals.
+//! Polls the host list.
 
 use crate::{
     membership::Membership,
@@ -9,7 +9,7 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 use tokio::{sync::watch, time};
 
-/// Reads the list for ever and passes on each change.
+/// Polls the list and publishes changes of the hosts; never returns.
 pub async fn run(
     list: Arc<dyn HostList>,
     interval: Duration,
@@ -31,10 +31,13 @@
                 let lag = snapshot.view.deployment.host_list_lag_ms.0;
                 if !membership.apply_reading(clock.now(), lag, &entries) {
                     let listed = entries.len();
-                    tracing::warn!(listed, "host list empty or greatly shrunken: not believed yet");
+                    tracing::warn!(
+                        listed,
+                        "host list is empty or greatly shrunken: not accepted yet"
+                    );
                 }
             }
-            Err(error) => tracing::warn!(%error, "host list not read"),
+            Err(error) => tracing::warn!(%error, "host list read failed"),
         }
         publish_changes(&tx, membership.hosts());
     }
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -1,4 +1,4 @@
-//! The duties of the control lease: taking it, keeping it, planning slots, checkpoints.
+//! Acquires and renews the control lease; its holder plans slots and writes checkpoints.
 
 use crate::{
     appender::{Appender, Identity},
@@ -19,27 +19,25 @@
 };
 use tokio::{task::JoinHandle, time};
 
-/// Shortest time between two looks at the lease.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time the log has to decide one part of a checkpoint.
 const CHECKPOINT_PART_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the duties of one process need.
+/// Competes for the control lease and does the work of its holder.
 pub struct LeaseTask {
-    /// Who this process is.
+    /// The writer identity of this process.
     pub identity: Identity,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
-    /// Snapshots.
+    /// The current snapshot.
     pub current: CurrentSnapshot,
-    /// Appends.
+    /// Appends records to the log.
     pub appender: Appender,
-    /// Whether this process has given the lease back for good.
+    /// Whether this process has released the lease for good.
     pub resigned: Arc<AtomicBool>,
 }
 
 impl LeaseTask {
-    /// Takes the lease when it is free, and does its duties while it is held.
+    /// Acquires the lease when it is vacant; renews it, plans and writes checkpoints while held.
     pub async fn run(self) {
         let mut renewed_ms = 0;
         let mut checkpoint: Option<JoinHandle<()>> = None;
@@ -71,10 +69,10 @@
         lease.holder.is_none() || self.log_now_ms(snapshot) >= lease.until_ms
     }
 
-    /// Takes the lease if it is free, after a random pause.
+    /// Acquires the lease if it is vacant, after a random delay.
     ///
-    /// When a holder dies, all routers see the lease lapse at the same moment. Without the pause
-    /// each of them would append at once; with it, most see the first one's record in time.
+    /// All routers see the lease expire at the same moment. The delay lets most of them read the
+    /// first one's record before they append their own.
     async fn acquire(&self, ttl: Duration) {
         if !self.is_vacant(&self.current.load()) {
             return;
@@ -118,17 +116,15 @@
         self.append_all(bodies, Duration::from_millis(state.lease.ttl_ms)).await;
     }
 
-    /// Appends together and waits for all.
     async fn append_all(&self, bodies: Vec<Body>, timeout: Duration) {
         let appends = bodies.into_iter().map(|body| self.appender.append(body, timeout));
         for decided in futures::future::join_all(appends).await {
             if let Err(error) = decided {
-                tracing::warn!(%error, "duty record not decided");
+                tracing::warn!(%error, "append by the lease holder failed");
             }
         }
     }
 
-    /// Starts to write a checkpoint if one is due and none is being written.
     fn start_checkpoint(&self, snapshot: &Snapshot, running: &mut Option<JoinHandle<()>>) {
         let busy = running.as_ref().is_some_and(|task| !task.is_finished());
         if busy || !is_checkpoint_due(snapshot, self.log_now_ms(snapshot)) {
@@ -145,9 +141,9 @@
     }
 }
 
-/// Records for targets whose host leaves, or stays after all, by what this process read.
+/// Records that update the `leaving` mark of targets to match the state of their hosts.
 ///
-/// A holder that has not read the host list yet knows neither, and so leaving_marks nothing.
+/// Targets on hosts that are neither live nor leaving in the snapshot are skipped.
 pub fn leaving_marks(snapshot: &Snapshot) -> Vec<Body> {
     let (state, hosts) = (&snapshot.state, &snapshot.hosts);
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
@@ -166,24 +162,22 @@
     marked.collect()
 }
 
-/// Whether the log alone could not give the state to a process that starts now.
+/// Whether the log no longer retains what the last checkpoint needs.
 fn is_checkpoint_urgent(snapshot: &Snapshot) -> bool {
     let last = snapshot.state.checkpoints.last;
     last.is_none_or(|last| snapshot.oldest > last.as_of.min(last.first))
 }
 
-/// Whether the state must be written again.
+/// Whether a checkpoint is due.
 ///
-/// Besides at intervals, that is so when the log no longer has what the last checkpoint needs:
-/// after an outage longer than the retention the survivors alone hold the state, and if they
-/// died before it was written again, it would be lost.
+/// One is due at each interval, and at once when the log no longer retains what the last
+/// checkpoint needs: the state would then be lost with the processes that hold it in memory.
 pub fn is_checkpoint_due(snapshot: &Snapshot, log_now_ms: u64) -> bool {
     let Some(last) = snapshot.state.checkpoints.last else { return true };
     let interval = snapshot.view.deployment.checkpoint_interval_ms.as_millis();
     log_now_ms >= last.at_ms + interval || is_checkpoint_urgent(snapshot)
 }
 
-/// Writes all parts, with a pause between two of them.
 async fn write_checkpoint(appender: Appender, bodies: Vec<Body>, pause: Duration) {
     let parts = bodies.len();
     for (part, body) in bodies.into_iter().enumerate() {
@@ -193,11 +187,11 @@
         match appender.append(body, CHECKPOINT_PART_TIMEOUT).await {
             Ok(decided) if decided.outcome == Outcome::Applied => {}
             Ok(decided) => {
-                tracing::warn!(outcome = ?decided.outcome, "checkpoint given up");
+                tracing::warn!(outcome = ?decided.outcome, "checkpoint aborted");
                 return;
             }
             Err(error) => {
-                tracing::warn!(%error, "checkpoint given up");
+                tracing::warn!(%error, "checkpoint aborted");
                 return;
             }
         }
--- a/crates/corianderstand_control/src/lib.rs
+++ b/crates/corianderstand_control/src/lib.rs
@@ -1,14 +1,14 @@
-//! Follows the log and the host list for one process, and writes to the log for it.
+//! Reads the log and the host list for one process and appends to the log on its behalf.
 //!
-//! A thread named `control` folds the log into a [`snapshot::Snapshot`] that the other threads
-//! read without waiting, and packs what they append into few writes. The process that holds the
-//! control lease also plans slots there.
+//! A thread named `control` folds the log into a [`snapshot::Snapshot`] that other threads read
+//! without locking, and batches their appends. The holder of the control lease also runs the slot
+//! planner on this thread.
 //!
 //! ```
 //! use corianderstand_control::snapshot::Snapshot;
 //!
 //! let snapshot = Snapshot::default();
-//! assert_eq!(snapshot.state.next, 0, "nothing has been read yet");
+//! assert_eq!(snapshot.state.next, 0, "no record has been read yet");
 //! ```
 
 pub mod appender;
--- a/crates/corianderstand_control/src/measured.rs
+++ b/crates/corianderstand_control/src/measured.rs
@@ -1,4 +1,4 @@
-//! What is measured of the log and of what this process knows of the agreed state.
+//! Metrics of the log and of the agreed state.
 
 use crate::{
     appender::Identity,
@@ -14,13 +14,13 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time;
 
-/// A log service whose use is measured.
+/// A log service that records metrics.
 pub struct MeasuredLog {
-    /// The log service.
+    /// The wrapped log service.
     pub log: Arc<dyn LogService>,
-    /// Where measures go.
+    /// Receives the metrics.
     pub metrics: Metrics,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reports the agreed state as this process knows it, and `more`, for ever.
+/// Reports gauges of the agreed state, then calls `report_more`, at each report interval.
 pub async fn report(
     metrics: Metrics,
     identity: Identity,
--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -1,12 +1,12 @@
-//! Which hosts are live, leaving or gone, from a list that lags, fails and flaps.
+//! Classifies hosts as live, leaving or gone from a host list that lags, fails and flaps.
 //!
-//! - A host that the list shows as *leaving* is leaving at once; it is live again only after
-//!   the list has listed it live for as long as the list may lag.
-//! - A host is *gone* once every believed reading for that long has been without it. No
-//!   reading, no evidence: while the list does not answer, nobody goes.
-//! - An empty reading is never believed. One that shows fewer than half of the hosts known is
-//!   believed only after all readings have been so for [`SHRINK_LAG_FACTOR`] times the lag.
-//! - A host that an agent has announced counts as known from then on, listed or not.
+//! - A host listed as *leaving* is leaving at once; it is live again after it has been listed as
+//!   live for the lag of the list.
+//! - A host is *gone* once it is missing from an accepted reading and was last seen at least the
+//!   lag ago. No host becomes gone while the list is unavailable.
+//! - An empty reading is rejected. A reading with fewer than half of the known hosts is accepted
+//!   only after all readings have been like that for [`SHRINK_LAG_FACTOR`] times the lag.
+//! - A host that an agent has announced is known from then on, listed or not.
 
 use crate::snapshot::Hosts;
 use corianderstand_edge::hosts::{HostEntry, HostState};
@@ -16,23 +16,20 @@
     time::{Duration, Instant},
 };
 
-/// How many times the lag a greatly shrunken list must last before it is believed. Made for the
-/// loss of a region, which is real but rare: a list that lost its hosts by a fault of its own is
-/// far more common, and believing it would take every slot of the service away.
+/// Multiple of the lag after which a greatly shrunken list is accepted. The loss of a region is
+/// rare; a faulty list is more likely, and accepting it would remove the slots of healthy hosts.
 pub const SHRINK_LAG_FACTOR: u32 = 6;
 
-/// One host as far as it is known.
 #[derive(Clone, Copy, Debug)]
 struct KnownHost {
-    /// When a reading last showed it, or an agent on it was first heard of.
+    /// When it was last listed, or first announced by an agent.
     last_seen: Instant,
-    /// Since when it has not been listed as leaving.
     live_since: Instant,
     leaving: bool,
     missing: bool,
 }
 
-/// What the readings so far amount to.
+/// The known hosts, derived from all readings so far.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     known: BTreeMap<HostId, KnownHost>,
@@ -40,7 +37,7 @@
 }
 
 impl Membership {
-    /// Takes a reading; false if it was not believed.
+    /// Applies a reading; returns whether it was accepted as complete.
     pub fn apply_reading(&mut self, now: Instant, lag: Duration, entries: &[HostEntry]) -> bool {
         for entry in entries {
             self.apply_entry(now, lag, entry);
@@ -55,8 +52,7 @@
         true
     }
 
-    /// Notes that agents on these hosts have announced themselves, and forgets hosts that are
-    /// gone and have none.
+    /// Records the hosts of all announced agents and removes missing hosts without one.
     pub fn record_announced(&mut self, now: Instant, hosts: &BTreeSet<HostId>) {
         for host in hosts {
             let new = KnownHost { last_seen: now, live_since: now, leaving: false, missing: false };
@@ -65,7 +61,7 @@
         self.known.retain(|host, known| !known.missing || hosts.contains(host));
     }
 
-    /// The hosts now.
+    /// The hosts by state.
     pub fn hosts(&self) -> Hosts {
         let mut hosts = Hosts::default();
         for (host, known) in &self.known {
@@ -94,8 +90,7 @@
         }
     }
 
-    /// A list that is emptied or cut short by its own fault would otherwise take away the slots
-    /// of hosts that serve well, and every caller of those models would be refused.
+    /// Guards the slots of healthy hosts against a list that is faulty or truncated.
     fn accepts(&mut self, now: Instant, lag: Duration, listed: usize) -> bool {
         let present = self.known.values().filter(|known| !known.missing).count();
         if listed > 0 && listed * 2 >= present {
@@ -103,7 +98,7 @@
             return true;
         }
         if listed == 0 {
-            // A list that was empty in between is at fault; what it shows next counts anew.
+            // An empty reading shows that the list is faulty: restart the period.
             self.shrunken_since = None;
             return false;
         }
--- a/crates/corianderstand_control/src/membership/tests.rs
+++ b/crates/corianderstand_control/src/membership/tests.rs
@@ -22,7 +22,7 @@
         fixture
     }
 
-    /// Takes a reading: one letter for each host.
+    /// Applies a reading in which each letter is a host.
     fn apply_reading(&mut self, live: &str, leaving: &str) -> bool {
         let entry = |host: char, state| {
             let host = HostId::from(host.to_string().as_str());
@@ -34,7 +34,6 @@
         self.membership.apply_reading(self.clock.now(), LAG, &entries)
     }
 
-    /// Takes the same reading each second.
     fn apply_reading_for(&mut self, time: Duration, live: &str, leaving: &str) {
         for _ in 0..time.as_secs() {
             self.clock.advance(Duration::from_secs(1));
@@ -66,7 +65,7 @@
     assert_eq!(fixture.gone(), "", "it is back");
 }
 
-/// The list does not answer for minutes. Taking silence for absence would empty the service.
+/// Guards against removing all hosts during an outage of the list.
 #[rstest]
 fn no_host_is_gone_while_the_list_is_unavailable() {
     let mut fixture = Fixture::new();
@@ -75,8 +74,7 @@
     assert_eq!(fixture.gone(), "");
 }
 
-/// The list service comes back with no hosts, or with a few of them, for a while. Every caller of
-/// the models on the others would be refused if that were believed.
+/// Guards against removing healthy hosts because the list is empty or truncated for a while.
 #[rstest]
 #[case::empty("")]
 #[case::cut_short("ab")]
@@ -86,11 +84,10 @@
     assert_eq!(fixture.gone(), "");
     fixture.apply_reading_for(LAG * 2, listed, "");
     let expected = if listed.is_empty() { "" } else { "cdef" };
-    assert_eq!(fixture.gone(), expected, "a region that is really lost is believed in the end");
+    assert_eq!(fixture.gone(), expected, "the loss of a region is accepted in the end");
 }
 
-/// The list flaps between leaving and live. New work would be sent to a host that goes, and its
-/// slots would be moved to and fro.
+/// Guards against moving slots back and forth when the list flaps between leaving and live.
 #[rstest]
 fn a_leaving_host_is_live_again_only_after_the_lag() {
     let mut fixture = Fixture::new();
@@ -105,8 +102,7 @@
     assert_eq!(fixture.leaving(), "");
 }
 
-/// An agent announces itself before the lagging list shows its host, and the host is taken back
-/// before it ever does. Its slots would stay with it for ever.
+/// Guards against slots that stay on a host which was reclaimed before it was ever listed.
 #[rstest]
 fn a_host_that_was_never_listed_becomes_gone() {
     let mut fixture = Fixture::new();
@@ -115,5 +111,5 @@
     fixture.apply_reading_for(LAG, "abcdef", "");
     assert_eq!(fixture.gone(), "n");
     fixture.membership.record_announced(fixture.clock.now(), &BTreeSet::new());
-    assert_eq!(fixture.gone(), "", "forgotten with its target");
+    assert_eq!(fixture.gone(), "", "removed with its target");
 }
--- a/crates/corianderstand_control/src/metrics.rs
+++ b/crates/corianderstand_control/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics to statsd: one table of all that are sent, with unit and meaning.
+//! Metrics sent to statsd, and the table of all metrics with unit and meaning.
 //!
-//! Sending never holds anybody up: metrics wait in a bounded queue for a thread of their own, and
-//! those beyond are dropped. Nothing is sent for each chunk or token, only for each request.
+//! Sending never blocks: a separate thread drains a bounded queue, and metrics beyond its capacity
+//! are dropped. Metrics are sent per request, never per chunk or token.
 
 use cadence::{
     BufferedUdpMetricSink, Counted, Gauged, MetricSink, NopMetricSink, QueuingMetricSink,
@@ -10,19 +10,17 @@
 use corianderstand_derives::derives;
 use std::{fmt, net::UdpSocket, sync::Arc, time::Duration};
 
-/// Metrics that wait to be sent; more are dropped and never hold anybody up.
 const QUEUE_CAPACITY: usize = 4096;
-/// Beginning of every name.
 const PREFIX: &str = "corianderstand";
-/// Time between two reports of gauges.
+/// Interval at which gauges are reported.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a metric is summed up.
+/// How a metric is aggregated.
 #[derives(key)]
 pub enum Kind {
-    /// Adds up.
+    /// A sum.
     Counter,
-    /// The last value holds.
+    /// The last value.
     Gauge,
     /// A distribution of durations, in milliseconds.
     Timer,
@@ -30,32 +28,32 @@
 
 macro_rules! metrics {
     ($($variant:ident, $kind:ident, $name:literal, $unit:literal, $meaning:literal;)*) => {
-        /// Everything that is measured.
+        /// A metric of the service.
         #[derives(key)]
         pub enum Metric {
             $(#[doc = $meaning] $variant,)*
         }
 
         impl Metric {
-            /// All of them, in the order of the documentation.
+            /// All metrics, in the order of the documentation.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// Its name, without the common beginning.
+            /// The name without the common prefix.
             pub const fn name(self) -> &'static str {
                 match self { $(Self::$variant => $name,)* }
             }
 
-            /// How it is summed up.
+            /// How it is aggregated.
             pub const fn kind(self) -> Kind {
                 match self { $(Self::$variant => Kind::$kind,)* }
             }
 
-            /// Its unit.
+            /// The unit of its values.
             pub const fn unit(self) -> &'static str {
                 match self { $(Self::$variant => $unit,)* }
             }
 
-            /// What it tells.
+            /// A description for operators.
             pub const fn meaning(self) -> &'static str {
                 match self { $(Self::$variant => $meaning,)* }
             }
@@ -116,11 +114,11 @@
 }
 
 impl Metrics {
-    /// Sends to the sink at `address`, or drops everything if there is none.
+    /// Sends to the statsd server at `address`, or drops all metrics if there is none.
     ///
     /// # Errors
     ///
-    /// Fails if the address cannot be used.
+    /// Fails if the socket cannot be bound or the address is invalid.
     pub fn new(address: Option<&str>, process: &str) -> std::io::Result<Self> {
         let Some(address) = address else { return Ok(Self::default()) };
         let socket = UdpSocket::bind("0.0.0.0:0")?;
@@ -129,13 +127,13 @@
         Ok(Self::with_sink(QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY), process))
     }
 
-    /// Sends to a sink of one's own, as tests do.
+    /// Sends to a custom sink.
     pub fn with_sink<S>(sink: S, process: &str) -> Self
     where
         S: MetricSink + Sync + Send + std::panic::RefUnwindSafe + 'static,
     {
         let client = StatsdClient::builder(PREFIX, sink).with_tag("process", process);
-        // A metric that cannot be sent is of no use to anybody, also not as a log line each time.
+        // Failures to send are ignored: logging each would flood the log.
         Self(Arc::new(client.with_error_handler(|_| {}).build()))
     }
 
@@ -144,7 +142,7 @@
         self.0.count_with_tags(metric.name(), count).send();
     }
 
-    /// Adds to a counter under a tag.
+    /// Adds to a counter with a tag.
     pub fn count_tagged(&self, metric: Metric, count: u64, tag: &str, value: &str) {
         self.0.count_with_tags(metric.name(), count).with_tag(tag, value).send();
     }
@@ -154,12 +152,12 @@
         self.0.gauge_with_tags(metric.name(), value).send();
     }
 
-    /// Adds a duration to a distribution.
+    /// Adds a duration to a timer.
     pub fn time(&self, metric: Metric, took: Duration) {
         self.0.time_with_tags(metric.name(), took).send();
     }
 
-    /// Sends what has gathered.
+    /// Sends buffered metrics.
     pub fn flush(&self) {
         drop(self.0.flush());
     }
--- a/crates/corianderstand_control/src/paced.rs
+++ b/crates/corianderstand_control/src/paced.rs
@@ -1,4 +1,4 @@
-//! Reads of the host list, no more often than control traffic may cost.
+//! Limits how often the host list is read, to stay within the control traffic budget.
 
 use crate::budget;
 use async_trait::async_trait;
@@ -13,7 +13,7 @@
 };
 use tokio::time;
 
-/// A host list that is read the more seldom the longer it is.
+/// A host list whose read interval grows with its length.
 pub struct Paced<L> {
     list: L,
     clock: SharedClock,
@@ -21,7 +21,7 @@
 }
 
 impl<L: HostList> Paced<L> {
-    /// Reads `list`, the first time at once.
+    /// Limits the reads of `list`; the first one is not delayed.
     pub const fn new(list: L, clock: SharedClock) -> Self {
         Self { list, clock, not_before: Mutex::new(None) }
     }
@@ -45,8 +45,7 @@
     }
 }
 
-/// For a process that has no use for the host list: an agent, which neither plans nor chooses
-/// among targets. Seven hundred agents would take most of what the list gives.
+/// A host list that never returns, for agents: they neither plan nor select targets.
 #[derive(Clone, Copy, Debug)]
 pub struct UnusedHostList;
 
--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -1,4 +1,4 @@
-//! State from another router, for a process that cannot get it from the log.
+//! Requests state from other routers when the log cannot provide it.
 
 use async_trait::async_trait;
 use corianderstand_edge::http::HttpSystem;
@@ -7,21 +7,19 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// Path at which a router gives its state.
+/// Path at which a router serves its state.
 pub const STATE_PATH: &str = "/operator/state";
-/// Time a peer has to answer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Peers queries in one go: one may be down or starting too, all of them hardly.
 const MAX_QUERIED: usize = 4;
 
-/// Where a process may get the state besides the log.
+/// A source of state besides the log.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// The newest state that some peers have.
+    /// Returns the newest state among the queried peers.
     async fn state(&self) -> Option<State>;
 }
 
-/// No peers.
+/// A source without peers.
 #[derive(Clone, Copy, Debug)]
 pub struct NoPeers;
 
@@ -32,7 +30,7 @@
     }
 }
 
-/// Other routers, over HTTP.
+/// Queries other routers over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpPeers {
     peers: Vec<HttpSystem>,
@@ -40,7 +38,7 @@
 }
 
 impl HttpPeers {
-    /// The routers at `addresses`, which know this process by `token`.
+    /// The routers at `addresses`, authenticated by `token`.
     pub fn new(addresses: &[SmolStr], token: SmolStr) -> Self {
         let peer = |a: &SmolStr| {
             HttpSystem::new("a peer router", &format!("http://{a}"), RESPONSE_TIMEOUT)
@@ -51,7 +49,7 @@
     async fn query(&self, peer: &HttpSystem) -> Option<State> {
         let req = peer.request(reqwest::Method::GET, STATE_PATH).bearer_auth(&self.token);
         let answer = peer.send(req).await;
-        let answer = answer.inspect_err(|error| tracing::info!(%error, "no state from a peer"));
+        let answer = answer.inspect_err(|error| tracing::info!(%error, "peer returned no state"));
         let bytes = answer.ok()?.bytes().await.ok()?;
         checkpoint::decode(&bytes)
     }
@@ -59,8 +57,7 @@
 
 #[async_trait]
 impl Peers for HttpPeers {
-    /// Asks a few peers taken at random, so that all processes that start in an outage do not
-    /// go to the same one.
+    /// Queries a random subset of peers, to spread the load when many processes start.
     async fn state(&self) -> Option<State> {
         let mut order: Vec<&HttpSystem> = self.peers.iter().collect();
         order.shuffle(&mut rand::rng());
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -1,12 +1,10 @@
-//! Gives the records that this process has read to processes that follow it.
+//! Relays the records that this process has read to its followers.
 //!
-//! At a thousand processes the log cannot have a thousand readers: each record would leave it a
-//! thousand times. A few routers of each place read the log; the other routers read from those,
-//! and agents from routers. A router keeps the newest records as it read them, in bounded
-//! memory, and answers the same reads as the log does. It decides nothing: whoever follows it
-//! folds the same records in the same order.
+//! Relays bound the number of readers of the log: a few routers of each availability zone read
+//! it, the other routers read from those, and agents read from routers. A relay keeps the newest
+//! records unchanged in bounded memory and serves the same reads as the log.
 //!
-//! [`crate::source`] is the other end: it chooses whom to follow.
+//! [`crate::source`] is the client side and selects the relay.
 
 #[cfg(test)]
 mod tests;
@@ -21,27 +19,24 @@
 };
 use tokio::{sync::watch, time};
 
-/// Path under which a router answers reads, in the place of the log's base URL.
+/// Path under which a router serves reads; stands for the base URL of the log.
 pub const RELAY_PATH: &str = "/internal";
-/// Bytes of records kept; older ones are read from the log. At the size to design for it holds
-/// several hours of changes, and minutes of a burst of calls that may not be repeated.
+/// Bytes of records that a tail keeps; older ones are read from the log.
 pub const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
-/// Longest time since the log itself answered, beyond which a relay says that it is stale.
+/// Time since the last response of the log after which an empty page is stale.
 ///
-/// A relay that is cut off from the log goes on answering, and its followers would take
-/// silence for quiet. They must notice within a few seconds. When nothing happens, a read of the
-/// log waits for a second and one of a relay for two, and one may be late.
+/// Lets followers detect a relay that is cut off from the log. It exceeds the sum of the waits of
+/// idle reads from the log and from a relay.
 pub const MAX_PAGE_AGE: Duration = Duration::from_secs(4);
-/// Relays between the log and a process: one that reads the log, and one that reads that one.
+/// Most relays between the log and a process.
 pub const MAX_HOPS: u8 = 2;
-/// Longest wait that a follower may ask for.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Bytes of a request and the head of its answer over HTTP, as measured by `tools/capacity`.
+/// Bytes of an HTTP request and response head, as measured by `tools/capacity`.
 pub const HTTP_OVERHEAD_BYTES: u64 = 330;
-/// Bytes that JSON adds to each record, besides its base64.
+/// Bytes that JSON adds to each record.
 const ENTRY_OVERHEAD_BYTES: u64 = 48;
 
-/// Why a relay gives no page.
+/// Why a relay returned no page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum RelayError {
     /// the log has not answered this router for a while: follow another one, or read the log
@@ -62,7 +57,7 @@
     last_response: Option<LastResponse>,
 }
 
-/// The last time that the log answered, directly or over another relay.
+/// The last response of the log, received directly or from another relay.
 #[derive(Clone, Copy, Debug)]
 struct LastResponse {
     at: Instant,
@@ -70,7 +65,7 @@
     hops: u8,
 }
 
-/// The newest records, for followers.
+/// The newest records of the log, served to followers.
 #[derive(Clone)]
 pub struct Tail {
     inner: Arc<Mutex<Inner>>,
@@ -86,7 +81,7 @@
     }
 }
 
-/// Bytes of a page on the wire, and of the request for it.
+/// Bytes on the wire of a page and its request.
 pub fn wire_bytes(page: &Page) -> u64 {
     let records =
         page.entries.iter().map(|entry| entry.data.len() as u64 * 4 / 3 + ENTRY_OVERHEAD_BYTES);
@@ -99,12 +94,12 @@
         Self { inner: Arc::default(), next_offset: watch::Sender::new(0), clock, budget, max_bytes }
     }
 
-    /// Time.
+    /// The clock of this process.
     pub const fn clock(&self) -> &SharedClock {
         &self.clock
     }
 
-    /// The budget of this process.
+    /// The traffic budget of this process.
     pub const fn budget(&self) -> &Arc<Budget> {
         &self.budget
     }
@@ -117,7 +112,7 @@
         self.lock().next
     }
 
-    /// Takes what this process has just read, if it continues what is kept.
+    /// Adds a page that this process has read; drops the kept records if there is a gap.
     pub fn extend(&self, page: &Page) {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -135,20 +130,18 @@
         self.next_offset.send_if_modified(|current| std::mem::replace(current, next) != next);
     }
 
-    /// Records from an offset, after waiting up to `wait` for the first.
+    /// Returns records from an offset; waits up to `wait` for the first.
     ///
     /// # Errors
     ///
     /// See [`RelayError`].
     pub async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, RelayError> {
-        // Paid before the wait: a thousand readers that are let in to wait would all be woken,
-        // and paid for, by the same record.
+        // Charged before the wait: one record wakes all waiting readers at the same time.
         self.budget.admit_follower(HTTP_OVERHEAD_BYTES).map_err(RelayError::Busy)?;
         let mut next_offset = self.next_offset.subscribe();
         let waited = time::timeout(wait.min(MAX_WAIT), async {
             while self.next() <= from && next_offset.changed().await.is_ok() {}
         });
-        // Without a record in time the page is empty, which tells that nothing has come.
         let _in_time = waited.await;
         let page = self.page(from, max)?;
         self.budget.add_bytes(TrafficClass::Serve, wire_bytes(&page) - HTTP_OVERHEAD_BYTES);
@@ -166,8 +159,8 @@
         let entries = inner.entries.iter().skip((from - oldest) as usize).take(max as usize);
         let entries: Vec<Entry> = entries.cloned().collect();
         let age = now.saturating_duration_since(last_response.at);
-        // What is known is given even if the log is down, so that a change which one process
-        // has read comes into force on all; only silence must not pass for quiet.
+        // Known records are served even if the log is down, so that they reach every process.
+        // Only an empty page depends on freshness.
         if entries.is_empty() && age > MAX_PAGE_AGE {
             return Err(RelayError::Stale);
         }
@@ -182,7 +175,7 @@
         if !self.entries.is_empty() && entry.offset < self.next {
             return;
         }
-        // A gap means that state came from a checkpoint; what was kept does not lead there.
+        // After a gap, left by a restored checkpoint, the kept records are not contiguous.
         if entry.offset != self.next {
             self.entries.clear();
             self.bytes = 0;
--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! What a relay gives, and what it must not.
+//! Tests of the pages and errors that a relay returns.
 
 use super::{HTTP_OVERHEAD_BYTES, MAX_PAGE_AGE, RelayError, Tail};
 use crate::budget::{BURST_SECONDS, Budget, SERVE_RATE};
@@ -73,21 +73,19 @@
     });
 }
 
-/// A relay loses its way to the log but not to its followers. They would take its silence for
-/// quiet, and an accepted change would not come into force on them.
+/// Guards against followers that cannot tell a relay cut off from the log from an idle log.
 #[rstest]
 fn a_relay_cut_off_from_the_log_returns_its_records_and_then_reports_staleness() {
     let (clock, tail) = tail(1 << 20);
     tail.extend(&page(1..3));
     clock.advance(MAX_PAGE_AGE * 2);
     block_on(async {
-        assert_eq!(offsets(&tail, 1).await, Ok(vec![1, 2]), "known records are passed on");
+        assert_eq!(offsets(&tail, 1).await, Ok(vec![1, 2]), "known records are served");
         assert_eq!(offsets(&tail, 3).await, Err(RelayError::Stale));
     });
 }
 
-/// A relay that had fallen behind takes its state from a checkpoint and reads on from there. A
-/// follower that was given records across the gap would fold a state that nobody else has.
+/// Guards against diverging states: a relay that restored a checkpoint has a gap in its records.
 #[rstest]
 fn no_page_reaches_over_a_gap() {
     let (_clock, tail) = tail(1 << 20);
@@ -99,8 +97,7 @@
     });
 }
 
-/// A thousand processes follow one relay after the others died. All wait for the next record,
-/// and one record would wake them all: its host's network would be taken from the callers.
+/// Guards the network of a relay's host when one record wakes a thousand waiting followers.
 #[rstest]
 fn a_large_fan_in_is_refused_beyond_the_budget() {
     let (_clock, tail) = tail(1 << 20);
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -1,9 +1,7 @@
-//! Gets a state for a reader that the log alone cannot bring up to date.
+//! Restores the state of a reader that is missing records which the log has dropped.
 //!
-//! A process that starts finds the log's beginning dropped, or has been cut off for longer than
-//! the log keeps records. Folding what is left would give a state with holes, unlike that of
-//! all others. It takes a checkpoint from the log or a peer's state instead, never one with a
-//! lower offset than its own.
+//! Folding only the retained records would diverge from the state of other processes. The reader
+//! loads a checkpoint from the log or the state of a peer, never one older than its own state.
 
 use corianderstand_edge::log::Page;
 use corianderstand_schema::records::{Body, Record};
@@ -13,10 +11,10 @@
 };
 use std::time::Duration;
 
-/// Looks through the log for a checkpoint.
+/// Searches the log for a checkpoint.
 #[derive(Debug)]
 pub struct CheckpointSearch {
-    /// Offset to read next.
+    /// Offset of the next read.
     pub cursor: u64,
     collector: Collector,
 }
@@ -27,30 +25,31 @@
         Self { cursor: oldest, collector: Collector::default() }
     }
 
-    /// Looks through a page; gives the first whole checkpoint in it that the log continues. All
-    /// but those of a [`recovery_records`] are alike, and of these the first in the log counts for all.
+    /// Scans a page; returns the first complete checkpoint that the log continues.
+    ///
+    /// Checkpoints from [`recovery_records`] may differ between writers, so that all readers must
+    /// load the first one in the log.
     pub fn scan(&mut self, page: &Page) -> Option<State> {
         let mut found = None;
         for entry in &page.entries {
             self.cursor = entry.offset + 1;
             let Ok(record) = postcard::from_bytes::<Record>(&entry.data) else { continue };
-            let whole = self.collector.receive(&record);
-            found = found.or(whole.filter(|state| state.next >= page.oldest));
+            let complete = self.collector.receive(&record);
+            found = found.or(complete.filter(|state| state.next >= page.oldest));
         }
         found
     }
 }
 
-/// Shortest time with a gap and without any other state before a router writes its own.
+/// Shortest time that a router waits for another state before it writes a recovery checkpoint.
 pub const RECOVERY_DELAY: Duration = Duration::from_secs(20);
 
-/// The records that declare what the log dropped unread as lost.
+/// The records of a recovery checkpoint, which gives up records that were dropped unread.
 ///
-/// If an outage begins before any router has read the last records and lasts longer than the log
-/// keeps them, every router has a gap that no checkpoint covers, and all would stay not ready for
-/// ever. After [`RECOVERY_DELAY`] one that has settings writes its state as of the oldest record
-/// left; the others, which wait too, take the first such state in the log. What was lost had not
-/// been read back by any router, so no operator was told "accepted" of it.
+/// After an outage longer than the retention, every router may have a gap that no checkpoint
+/// covers. After [`RECOVERY_DELAY`] a router with settings writes its state as of the oldest
+/// retained record, and all routers load the first such checkpoint. The lost records were never
+/// read back, so none of them was reported as accepted.
 pub fn recovery_records(state: &State, page: &Page) -> Vec<Body> {
     let mut state = state.clone();
     state.next = page.oldest;
@@ -58,7 +57,7 @@
     checkpoint::split(&state)
 }
 
-/// Whether records between the state and the log's oldest are missing.
+/// Whether the log has dropped records that the state does not include.
 pub const fn has_gap(state: &State, page: &Page) -> bool {
     page.oldest > state.next
 }
--- a/crates/corianderstand_control/src/snapshot.rs
+++ b/crates/corianderstand_control/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the agreed state and the hosts, as of a moment.
+//! Snapshots of the agreed state and the hosts.
 
 use arc_swap::ArcSwap;
 use corianderstand_derives::derives;
@@ -7,33 +7,33 @@
 use std::{collections::BTreeSet, sync::Arc, time::SystemTime};
 use tokio::sync::watch;
 
-/// The hosts, judged from the list.
+/// The hosts by state, derived from the host list.
 #[derives(data)]
 #[derive(Default, Eq)]
 pub struct Hosts {
-    /// Hosts in use.
+    /// Hosts that may be used.
     pub live: BTreeSet<HostId>,
-    /// Hosts about to be taken back.
+    /// Hosts that are about to be reclaimed.
     pub leaving: BTreeSet<HostId>,
-    /// Hosts that have left the list for longer than it lags.
+    /// Hosts that have been missing from the list for longer than its lag.
     pub gone: BTreeSet<HostId>,
 }
 
-/// What a process that has no state yet waits for.
+/// What a process without state waits for.
 #[derives(key)]
 #[derive(Default)]
 pub enum Waiting {
     /// The log is being read.
     #[default]
     Start,
-    /// The log does not answer and no peer has given its state.
+    /// The log does not respond and no peer returned its state.
     Log,
-    /// The log's beginning is gone and neither a checkpoint nor a peer was found.
+    /// The log dropped its oldest records and neither a checkpoint nor a peer provides the state.
     Checkpoint,
 }
 
 impl Waiting {
-    /// Why the process is not ready, for people.
+    /// A readable reason why the process is not ready.
     pub const fn reason(self) -> &'static str {
         match self {
             Self::Start => "it has no settings yet: it reads the log",
@@ -45,39 +45,39 @@
     }
 }
 
-/// One consistent picture; cheap to clone, as the state shares its parts.
+/// A consistent view of state and hosts; cheap to clone, as the state shares its parts.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The folded log.
     pub state: State,
-    /// Its settings, parsed.
+    /// The parsed settings.
     pub view: Arc<View>,
     /// The hosts.
     pub hosts: Arc<Hosts>,
     /// Whether the log has been read to its end at least once.
     pub caught_up: bool,
-    /// What it waits for until it has.
+    /// What the process waits for until `caught_up` is set.
     pub waiting: Waiting,
-    /// Reads of the log that succeeded.
+    /// Number of successful reads of the log.
     pub reads: u64,
-    /// Oldest offset that the log still keeps.
+    /// Oldest offset that the log retains.
     pub oldest: u64,
     /// Log time up to which every record has been folded.
     pub read_to_ms: u64,
     /// Whether the last read of the log succeeded.
     pub log_up: bool,
-    /// Estimate of the log's clock minus this host's, in milliseconds.
+    /// Estimated offset of the log's clock from this host's, in milliseconds.
     pub log_clock_ms: i64,
 }
 
 impl Snapshot {
-    /// The log's clock, estimated, in milliseconds since the Unix epoch.
+    /// Estimated time of the log's clock, in milliseconds since the Unix epoch.
     pub fn log_now_ms(&self, wall: SystemTime) -> u64 {
         clock::unix_ms(wall).saturating_add_signed(self.log_clock_ms)
     }
 }
 
-/// The current snapshot, and word of each new one.
+/// Holds the current snapshot and notifies subscribers of each new one.
 #[derive(Clone, Debug)]
 pub struct CurrentSnapshot {
     swap: Arc<ArcSwap<Snapshot>>,
@@ -91,18 +91,18 @@
 }
 
 impl CurrentSnapshot {
-    /// The snapshot now.
+    /// Returns the current snapshot.
     pub fn load(&self) -> Arc<Snapshot> {
         self.swap.load_full()
     }
 
-    /// Replaces it and tells all who wait.
+    /// Replaces the snapshot and notifies subscribers.
     pub fn store(&self, snapshot: Snapshot) {
         self.swap.store(Arc::new(snapshot));
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Word of each new snapshot.
+    /// Subscribes to new snapshots.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -1,16 +1,13 @@
-//! Chooses whom to read records from: the log, or a router that relays it.
+//! Selects where records are read from: the log, or a router that relays it.
 //!
-//! Which routers read the log follows from the addresses of the routers of a place alone, so it
-//! needs no agreement. Each process judges what it is given by two numbers that travel with
-//! it: how long ago the log itself answered, and over how many relays the page came. Settings
-//! that differ for a while, even so that routers follow each other in a circle, are noticed by
-//! these, and the process reads the log until a relay is good again.
+//! The routers that read the log are derived from the router addresses of an availability zone,
+//! without coordination. Each page carries its age and its number of hops; stale pages and relay
+//! cycles (possible while settings differ) are rejected, and the process falls back to the log.
 //!
-//! A change is in force within seconds whatever fails. A relay that is dead is left at once for
-//! the next; after [`MAX_RELAYS_TRIED`] of them the log itself is read. A silent one is left after
-//! [`RELAY_WAIT`] + [`RELAY_GRACE`] for the log, so that two silent relays do not add up. With
-//! [`relay::MAX_HOPS`] relays on the way, one after the other silent, that makes five seconds; a
-//! relay cut off from the log is left after [`relay::MAX_PAGE_AGE`].
+//! A relay that returns an error is replaced by the next one, and after [`MAX_RELAYS_TRIED`] by
+//! the log. After an unresponsive relay, at [`RELAY_WAIT`] + [`RELAY_GRACE`], the log is read at
+//! once, so that timeouts do not add up. A relay that is cut off from the log is rejected after
+//! [`relay::MAX_PAGE_AGE`].
 
 #[cfg(test)]
 mod tests;
@@ -34,35 +31,33 @@
 use tokio::time;
 use xxhash_rust::xxh3;
 
-/// Routers among the peers that read the log: one may be lost and one restarted at the same
-/// time, and the others can still serve all followers of a place within their budget.
+/// Routers of an availability zone that read the log. With one lost and one restarting, the rest
+/// still serve all followers of the zone within their budget.
 pub const LOG_READERS: usize = 4;
-/// Relays that are tried before the log.
+/// Relays that are tried before the log is read.
 pub const MAX_RELAYS_TRIED: usize = 2;
-/// Longest wait of one read from a relay. Longer than the time between two renewals of the
-/// control lease, so that a read brings a record and few are empty: what a follower costs its
-/// relay is the number of its reads.
+/// Longest wait of one read from a relay. It exceeds the renewal interval of the control lease,
+/// so that few reads return empty.
 pub const RELAY_WAIT: Duration = Duration::from_secs(2);
-/// Time a relay's answer may take beyond that.
+/// Time that a relay's response may take beyond [`RELAY_WAIT`].
 pub const RELAY_GRACE: Duration = Duration::from_millis(500);
-/// How long a relay that failed is left alone, within a factor of a half up and down.
 const RELAY_BACKOFF: Duration = Duration::from_secs(5);
-/// How long the log is left alone after it failed, by a process that normally follows a relay.
+/// Backoff after a failed read of the log, before jitter, in a process that has relays.
 ///
-/// Made for an outage of the log: every relay is stale then, and a thousand processes that ask
-/// the log several times a second would keep it down when it comes back.
+/// Keeps followers, whose relays are all stale in an outage of the log, from overloading it when
+/// it recovers.
 const LOG_BACKOFF: Duration = Duration::from_secs(2);
 
-/// A router that may be followed.
+/// Reads from a router that relays the log.
 pub struct RelayClient {
-    /// Its address, for the order of choice.
+    /// Address of the router.
     pub address: SmolStr,
-    /// Reads from it.
+    /// The log service of the router.
     pub log: Arc<dyn LogService>,
 }
 
 impl RelayClient {
-    /// A router at an address, which knows this process by `token`.
+    /// A client of the router at `address`, authenticated by `token`.
     pub fn new(address: &SmolStr, token: &str) -> Self {
         let base = format!("http://{address}{}", relay::RELAY_PATH);
         let log = Arc::new(HttpLog::new(&base, RELAY_WAIT).with_bearer(token));
@@ -76,8 +71,8 @@
     requested_at: Option<Instant>,
 }
 
-/// Reads from relays where there are any, and from the log; appends to the log. What it reads
-/// it puts into this process's own tail, for others to follow.
+/// Reads from relays and falls back to the log; appends to the log. Pages that it reads extend
+/// the [`Tail`] of this process.
 pub struct Source {
     log: Arc<dyn LogService>,
     tail: Tail,
@@ -95,20 +90,19 @@
     }
 }
 
-/// Order of routers that is the same on every process.
 fn address_hash(address: &str) -> u64 {
     xxh3::xxh3_64(address.as_bytes())
 }
 
-/// Order of routers for one follower, so that followers spread over them.
+/// Spreads the followers over the relays.
 fn rendezvous_hash(follower: &str, address: &str) -> u64 {
     xxh3::xxh3_64_with_seed(address.as_bytes(), address_hash(follower))
 }
 
-/// Addresses that a process follows, in order; none if it reads the log.
+/// Addresses of the relays of a process, in order of preference; empty if it reads the log.
 ///
-/// `own` is its address if it is a router. Routers follow those that read the log; agents
-/// follow the others, so that those which read the log serve only routers.
+/// `own` is its address if it is a router. Routers follow the log readers, agents the other
+/// routers.
 pub fn choose_relays(name: &WriterId, own: Option<&SmolStr>, peers: &[SmolStr]) -> Vec<SmolStr> {
     let mut all: Vec<&SmolStr> = peers.iter().chain(own).collect();
     all.sort_by_key(|address| (address_hash(address), (*address).clone()));
@@ -126,7 +120,7 @@
 }
 
 impl Source {
-    /// Reads from `peers` in order, then from `log`.
+    /// Reads from `clients` in order, then from `log`.
     pub fn new(log: Arc<dyn LogService>, clients: Vec<RelayClient>, tail: Tail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
         let candidates = clients.into_iter().map(|client| Candidate {
@@ -138,8 +132,8 @@
         Self { log, tail, candidates, log_backoff_until: Mutex::new(None), clock, budget }
     }
 
-    /// A source for one process: `own` is its address if it is a router, `token` proves it to
-    /// the routers at `peers`.
+    /// A source for the process `name`: `own` is its address if it is a router, `token`
+    /// authenticates it to the routers at `peers`.
     pub fn for_process(
         log: Arc<dyn LogService>,
         name: &WriterId,
@@ -149,7 +143,7 @@
         tail: Tail,
     ) -> Self {
         let relays = choose_relays(name, own, peers);
-        tracing::info!(follows = ?relays, "relays of the log; with none the log itself is read");
+        tracing::info!(follows = ?relays, "relays selected; the log is read if there are none");
         let clients = relays.iter().map(|address| RelayClient::new(address, token)).collect();
         Self::new(log, clients, tail)
     }
@@ -158,10 +152,10 @@
         self.candidates.lock().expect("no holder of this lock panics")
     }
 
-    /// The first relay that does not rest, noted as asked.
+    /// The first relay that is not in backoff; records the time of the request.
     ///
-    /// A read may be dropped half way, as the follower also waits for other news. Without the
-    /// note a silent relay would be asked anew each time and its silence never be noticed.
+    /// The follower cancels reads when the hosts change. The recorded time bounds an unresponsive
+    /// relay across cancelled reads.
     fn next_candidate(&self) -> Option<(usize, Arc<dyn LogService>)> {
         let now = self.clock.now();
         let mut candidates = self.lock();
@@ -198,7 +192,7 @@
             if gone || page.is_some() {
                 return page;
             }
-            tracing::info!(relay = index, silent = timed_out, "relay left for a while");
+            tracing::info!(relay = index, silent = timed_out, "relay failed, backing off");
             if timed_out {
                 return None;
             }
@@ -229,12 +223,9 @@
     }
 }
 
-/// Status with which a relay says that it does not keep what was asked for.
+/// HTTP status of a relay that no longer keeps the requested records.
 pub const STATUS_GONE: u16 = 410;
 
-/// Whether a page leads on from `from`, comes over few enough relays and is fresh.
-///
-/// A relay that is behind this process would make it take old state for the newest.
 fn is_usable(page: &Page, from: u64) -> bool {
     let fresh =
         !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_PAGE_AGE;
@@ -254,8 +245,8 @@
             None => self.read_log(from, max, wait).await?,
         };
         self.tail.extend(&page);
-        // Catching up at a start is a single transfer, not a rate: charged to the budget, it
-        // would keep a new process from its settings for minutes.
+        // Full pages are not charged: catching up at startup would otherwise exhaust the budget
+        // and delay the settings for minutes.
         if page.entries.len() < max as usize {
             self.budget.spend(TrafficClass::Follow, relay::wire_bytes(&page));
         }
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -1,4 +1,4 @@
-//! The choice of a relay, and what happens when it fails.
+//! Tests of relay selection and of the fallback when a relay fails.
 
 use super::{LOG_READERS, MAX_RELAYS_TRIED, RelayClient, STATUS_GONE, Source, choose_relays};
 use crate::{
@@ -34,7 +34,7 @@
     choose_relays(&WriterId(format_smolstr!("router-{own}")), Some(own), &others)
 }
 
-/// Whether a way leads to the log from an address in at most `hops` more relays.
+/// Whether every route from an address reaches the log over at most `hops` further relays.
 fn all_routes_reach_log(from: &SmolStr, all: &[SmolStr], hops: u8) -> bool {
     let relays = choose_as_router(from, all);
     relays.is_empty()
@@ -70,7 +70,6 @@
     assert!(choose_relays(&WriterId("engine-0".into()), None, &[]).is_empty());
 }
 
-/// How a relay answers.
 #[derive(Clone, Copy, Debug)]
 enum RelayBehavior {
     Healthy,
@@ -124,9 +123,7 @@
     (Source::new(log.clone(), peers, tail), log, requests)
 }
 
-/// A relay dies, falls silent, falls behind, is cut off from the log, or routers with differing
-/// settings follow each other in a circle. Its followers would miss changes that were accepted,
-/// or take an old state for the newest.
+/// Guards against followers that miss accepted changes because of a faulty relay.
 #[rstest]
 #[case::dead(RelayBehavior::Failing)]
 #[case::silent(RelayBehavior::Unresponsive)]
@@ -141,12 +138,12 @@
         let (source, _log, requests) = source(&[behavior, RelayBehavior::Healthy]);
         let page = source.read(5, 10, Duration::ZERO).await.expect("a page");
         let unresponsive = matches!(behavior, RelayBehavior::Unresponsive);
-        assert_eq!(page.now_ms, if unresponsive { 11 } else { 77 }, "the next in order answers");
+        assert_eq!(page.now_ms, if unresponsive { 11 } else { 77 }, "the next in order responds");
         drop(source.read(5, 10, Duration::ZERO).await);
-        assert_eq!(requests[0].load(Ordering::Relaxed), 1, "the first rests");
+        assert_eq!(requests[0].load(Ordering::Relaxed), 1, "the first is in backoff");
         let (source, _log, _requests) = self::source(&[behavior, behavior]);
         let page = source.read(5, 10, Duration::ZERO).await.expect("a page");
-        assert_eq!(page.now_ms, 11, "the log answers");
+        assert_eq!(page.now_ms, 11, "the log responds");
     });
 }
 
@@ -163,8 +160,8 @@
     });
 }
 
-/// The follower also waits for news of hosts and drops a read half way when some come. A relay
-/// that is silent would be requests anew each time, and its silence never be noticed.
+/// Guards against a timeout that restarts with each cancelled read: the follower cancels reads when
+/// the hosts change.
 #[rstest]
 fn cancelled_reads_do_not_hide_an_unresponsive_relay() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
@@ -179,7 +176,7 @@
                 break;
             }
         }
-        assert!(answered, "the log answers in the end");
+        assert!(answered, "the log responds in the end");
         assert!(requests[0].load(Ordering::Relaxed) < 30);
     });
 }
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -21,43 +21,42 @@
 };
 use tokio::{runtime, sync::watch};
 
-/// What the control thread needs.
+/// Configuration of the control thread.
 pub struct ControlThread {
-    /// Who this process is.
+    /// The writer identity of this process.
     pub identity: Identity,
     /// The log.
     pub log: Arc<dyn LogService>,
     /// The host list.
     pub hosts: Arc<dyn HostList>,
-    /// Other processes to take state from.
+    /// Processes to request state from.
     pub peers: Arc<dyn Peers>,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
     /// Longest wait of one read of the log.
     pub log_read_wait: Duration,
-    /// Time between two readings of the host list.
+    /// Interval at which the host list is polled.
     pub hosts_poll_interval: Duration,
     /// Whether this process may hold the control lease.
     pub may_hold_lease: bool,
 }
 
-/// What the other threads use of it.
+/// Gives other threads access to the control thread.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
-    /// Snapshots.
+    /// The current snapshot.
     pub current: CurrentSnapshot,
-    /// Appends.
+    /// Appends records to the log.
     pub appender: Appender,
     identity: Identity,
     resigned: Arc<AtomicBool>,
 }
 
-/// Time the log has to decide that the lease is given back.
 const RESIGN_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl ControlHandle {
-    /// Gives the control lease back for good, so that another takes it without waiting for it
-    /// to lapse.
+    /// Releases the control lease for good, so that another process can acquire it before it
+    /// expires.
     pub async fn resign(&self) {
         self.resigned.store(true, Ordering::Relaxed);
         let snapshot = self.current.load();
@@ -67,7 +66,7 @@
         }
         let body = Body::LeaseReleased { epoch: lease.epoch };
         if let Err(error) = self.appender.append(body, RESIGN_TIMEOUT).await {
-            tracing::warn!(%error, "lease not given back: it lapses");
+            tracing::warn!(%error, "lease not released: it stays held until it expires");
         }
     }
 }
@@ -77,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the thread or its runtime cannot be created.
     pub fn start(self) -> std::io::Result<ControlHandle> {
         let current = CurrentSnapshot::default();
         let resigned = Arc::new(AtomicBool::new(false));
--- a/crates/corianderstand_control/tests/marks.rs
+++ b/crates/corianderstand_control/tests/marks.rs
@@ -1,4 +1,4 @@
-//! Which targets the holder of the lease marks as leaving.
+//! Tests which targets the lease holder marks as leaving.
 
 use corianderstand_control::{
     lease,
@@ -35,30 +35,32 @@
     snapshot.hosts = Arc::new(Hosts { live: set(live), leaving: set(leaving), gone });
 }
 
-/// A host is about to be taken back, and the process that knows it loses the lease to one that
-/// has not read the host list yet, or the agent is restarted meanwhile. Callers would be sent to
-/// a target that is about to vanish, or a target that stays would be left unused.
+/// Guards against wrong leaving marks after the lease moves to a process that has not yet read the
+/// host list, or after an agent restarts.
 #[rstest]
 fn a_lease_holder_marks_only_hosts_that_it_read() {
     let mut snapshot = Snapshot::default();
     fold(&mut snapshot, "router-1", 1, Body::LeaseTaken { epoch: 1, ttl_ms: 1000 });
     announce(&mut snapshot, 1);
-    assert!(lease::leaving_marks(&snapshot).is_empty(), "nothing was read");
+    assert!(lease::leaving_marks(&snapshot).is_empty(), "no host list was read");
 
     set_hosts(&mut snapshot, &[], &["host-1"]);
     let marks = lease::leaving_marks(&snapshot);
     assert_eq!(marks.len(), 1);
     assert_eq!(fold(&mut snapshot, "router-1", 2, marks[0].clone()), Outcome::Applied);
     assert!(snapshot.state.targets.is_leaving(&"engine-1".into()));
-    assert!(lease::leaving_marks(&snapshot).is_empty(), "once is enough");
+    assert!(lease::leaving_marks(&snapshot).is_empty(), "the target is already marked");
 
     set_hosts(&mut snapshot, &[], &[]);
-    assert!(lease::leaving_marks(&snapshot).is_empty(), "a list without the host says nothing");
+    assert!(lease::leaving_marks(&snapshot).is_empty(), "an unlisted host changes no mark");
 
     announce(&mut snapshot, 2);
-    assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "announced anew");
+    assert!(
+        !snapshot.state.targets.is_leaving(&"engine-1".into()),
+        "a new announcement clears the mark"
+    );
     let old = fold(&mut snapshot, "router-1", 3, marks[0].clone());
-    assert!(matches!(old, Outcome::Rejected(_)), "the mark was of the former announcement");
+    assert!(matches!(old, Outcome::Rejected(_)), "the mark refers to the previous announcement");
 
     set_hosts(&mut snapshot, &[], &["host-1"]);
     let again = lease::leaving_marks(&snapshot);
@@ -66,5 +68,5 @@
     set_hosts(&mut snapshot, &["host-1"], &[]);
     let unmarked = lease::leaving_marks(&snapshot);
     assert_eq!(fold(&mut snapshot, "router-1", 5, unmarked[0].clone()), Outcome::Applied);
-    assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "it stays after all");
+    assert!(!snapshot.state.targets.is_leaving(&"engine-1".into()), "the host is live again");
 }
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a reader does whose records the log has dropped.
+//! Tests how a reader recovers from records that the log has dropped.
 
 use async_trait::async_trait;
 use corianderstand_control::{
@@ -19,7 +19,6 @@
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::watch, time};
 
-/// A log whose reads let others run.
 struct YieldingLog(Arc<MemoryLog>);
 
 #[async_trait]
@@ -92,8 +91,7 @@
     runtime.expect("the system gives a runtime").block_on(run);
 }
 
-/// An outage begins before any router has read the last record and lasts longer than the log
-/// keeps it. Every router would be not ready for ever, and with them the whole service.
+/// Guards against routers that never become ready after the log dropped unread records.
 #[rstest]
 fn routers_that_all_miss_dropped_records_agree_on_what_is_left() {
     block_on(async {
@@ -103,7 +101,7 @@
         for reader in &readers {
             wait_for(reader, |state, caught_up| caught_up && state.next == 2).await;
         }
-        // NoPeers reads between these two, as neither waits.
+        // No reader runs between these two calls, as neither yields.
         change(&log, 2, "lost").await;
         log.drop_below(3);
         for reader in &readers {
@@ -123,7 +121,7 @@
     });
 }
 
-/// A router that starts in an outage asks its peers. One that is behind must not take it back.
+/// Guards against a lagging peer whose state replaces a newer one.
 #[rstest]
 fn a_peers_state_is_accepted_only_if_it_is_newer() {
     block_on(async {
@@ -135,6 +133,6 @@
         let old = start("r2", &log, Arc::new(Peer(State { next: 1, ..State::default() })));
         let mut changed = old.current.subscribe();
         changed.changed().await.expect("the follower runs");
-        assert!(!old.current.load().caught_up, "a state of nothing is none");
+        assert!(!old.current.load().caught_up, "an empty state is rejected");
     });
 }
