--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -123,12 +123,12 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
         let (bytes, messages) = (self.rate.bytes as f64, self.rate.messages as f64);
         let burst = BURST_SECONDS as f64;
-        self.bytes = (self.bytes + bytes * passed).min(bytes * burst);
-        self.messages = (self.messages + messages * passed).min(messages * burst);
+        self.bytes = (self.bytes + bytes * elapsed).min(bytes * burst);
+        self.messages = (self.messages + messages * elapsed).min(messages * burst);
     }
 
     fn spend(&mut self, bytes: u64) {
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -45,8 +45,8 @@
 #[rstest]
 fn a_burst_of_records_is_read_in_few_messages() {
     let (clock, budget) = budget();
-    let (end, began) = (Duration::from_secs(BURST_DURATION_S), clock.elapsed());
-    while clock.elapsed() - began < end {
+    let (end, started_at) = (Duration::from_secs(BURST_DURATION_S), clock.elapsed());
+    while clock.elapsed() - started_at < end {
         let delay = budget.read_delay();
         clock.advance(delay + Duration::from_millis(1));
         budget.spend(TrafficClass::Follow, 400);
--- a/crates/corianderstand_control/src/measured.rs
+++ b/crates/corianderstand_control/src/measured.rs
@@ -27,12 +27,12 @@
 #[async_trait]
 impl LogService for MeasuredLog {
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
-        let (count, began) = (records.len() as u64, self.clock.now());
+        let (count, started_at) = (records.len() as u64, self.clock.now());
         let appended = self.log.append(records).await;
         let outcome = if appended.is_ok() { "done" } else { "unknown" };
         self.metrics.count_tagged(Metric::ControlAppends, 1, "outcome", outcome);
         self.metrics.count(Metric::ControlRecords, count);
-        self.metrics.time(Metric::ControlAppendTime, self.clock.now() - began);
+        self.metrics.time(Metric::ControlAppendTime, self.clock.now() - started_at);
         appended
     }
 
--- a/crates/corianderstand_control/src/metrics.rs
+++ b/crates/corianderstand_control/src/metrics.rs
@@ -153,8 +153,8 @@
     }
 
     /// Adds a duration to a timer.
-    pub fn time(&self, metric: Metric, took: Duration) {
-        self.0.time_with_tags(metric.name(), took).send();
+    pub fn time(&self, metric: Metric, elapsed: Duration) {
+        self.0.time_with_tags(metric.name(), elapsed).send();
     }
 
     /// Sends buffered metrics.
--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -48,9 +48,10 @@
 
     async fn query(&self, peer: &HttpSystem) -> Option<State> {
         let req = peer.request(reqwest::Method::GET, STATE_PATH).bearer_auth(&self.token);
-        let answer = peer.send(req).await;
-        let answer = answer.inspect_err(|error| tracing::info!(%error, "peer returned no state"));
-        let bytes = answer.ok()?.bytes().await.ok()?;
+        let response = peer.send(req).await;
+        let response =
+            response.inspect_err(|error| tracing::info!(%error, "peer returned no state"));
+        let bytes = response.ok()?.bytes().await.ok()?;
         checkpoint::decode(&bytes)
     }
 }
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -125,10 +125,10 @@
 
 /// Guards against followers that miss accepted changes because of a faulty relay.
 #[rstest]
-#[case::dead(RelayBehavior::Failing)]
-#[case::silent(RelayBehavior::Unresponsive)]
+#[case::failing(RelayBehavior::Failing)]
+#[case::unresponsive(RelayBehavior::Unresponsive)]
 #[case::behind(RelayBehavior::Behind)]
-#[case::in_a_circle(RelayBehavior::TooManyHops)]
+#[case::in_a_cycle(RelayBehavior::TooManyHops)]
 #[case::cut_off(RelayBehavior::Stale)]
 fn a_failing_relay_is_replaced_by_the_next_one_and_then_by_the_log(
     #[case] behavior: RelayBehavior,
@@ -167,16 +167,16 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     runtime.expect("the system gives a runtime").block_on(async {
         let (source, _log, requests) = source(&[RelayBehavior::Unresponsive]);
-        let mut answered = false;
+        let mut responded = false;
         for _ in 0..100 {
             let read = source.read(5, 10, Duration::ZERO);
             let read = tokio::time::timeout(Duration::from_millis(100), read).await;
-            answered = read.is_ok();
-            if answered {
+            responded = read.is_ok();
+            if responded {
                 break;
             }
         }
-        assert!(answered, "the log responds in the end");
+        assert!(responded, "the log responds in the end");
         assert!(requests[0].load(Ordering::Relaxed) < 30);
     });
 }
