--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -26,13 +26,11 @@
 
 /// Limit of all control traffic of one process.
 pub const PROCESS_RATE: Rate = Rate { bytes: 16_000, messages: 128 };
-/// Share of [`PROCESS_RATE`] for serving followers; the rest is left for reads, appends and
-/// heartbeats of this process.
+/// Share of [`PROCESS_RATE`] for serving followers.
 pub const SERVE_RATE: Rate = Rate { bytes: 11_000, messages: 64 };
 /// Burst size of the limits, in seconds of their rate.
 pub const BURST_SECONDS: u64 = 4;
-/// Longest delay of a read. Bounds the time until a change of settings is in force on every
-/// process, as a record passes through up to three consecutive reads.
+/// Longest delay of a read, so that a change of settings reaches every process within seconds.
 pub const MAX_READ_DELAY: Duration = Duration::from_millis(500);
 
 /// Rate limit of reading the host list in one process.
@@ -40,9 +38,7 @@
 /// As measured by `tools/capacity`.
 const HOST_ENTRY_BYTES: u64 = 54;
 
-/// Pause between two reads of a host list with `entries` entries.
-///
-/// Each read transfers the whole list, so the pause grows with its length.
+/// Pause between two reads of a host list; grows with its length, as it is transferred whole.
 pub fn host_list_pause(interval: Duration, entries: usize) -> Duration {
     let bytes = entries as u64 * HOST_ENTRY_BYTES;
     interval.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
@@ -50,8 +46,7 @@
 
 /// Pause between two parts of a checkpoint that is written at each `interval`.
 ///
-/// Every process reads the parts, so they are spread over half the interval; the checkpoint is
-/// complete well before the next one is due.
+/// Every process reads the parts, so they are spread over half the interval.
 pub fn checkpoint_pause(interval: Duration, parts: usize) -> Duration {
     interval / 2 / u32::try_from(parts.max(1)).unwrap_or(u32::MAX)
 }
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -69,10 +69,7 @@
         lease.holder.is_none() || self.log_now_ms(snapshot) >= lease.until_ms
     }
 
-    /// Acquires the lease if it is vacant, after a random delay.
-    ///
-    /// All routers see the lease expire at the same moment. The delay lets most of them read the
-    /// first one's record before they append their own.
+    /// Acquires the lease if it is vacant, after a random delay: all routers see it expire at once.
     async fn acquire(&self, ttl: Duration) {
         if !self.is_vacant(&self.current.load()) {
             return;
@@ -162,7 +159,7 @@
     marked.collect()
 }
 
-/// Whether the log no longer retains what the last checkpoint needs.
+/// Whether the log cannot restore the state: the last checkpoint or later records were dropped.
 fn is_checkpoint_urgent(snapshot: &Snapshot) -> bool {
     let last = snapshot.state.checkpoints.last;
     last.is_none_or(|last| snapshot.oldest > last.as_of.min(last.first))
@@ -170,8 +167,7 @@
 
 /// Whether a checkpoint is due.
 ///
-/// One is due at each interval, and at once when the log no longer retains what the last
-/// checkpoint needs: the state would then be lost with the processes that hold it in memory.
+/// One is due at each interval, and at once if the log cannot restore the state.
 pub fn is_checkpoint_due(snapshot: &Snapshot, log_now_ms: u64) -> bool {
     let Some(last) = snapshot.state.checkpoints.last else { return true };
     let interval = snapshot.view.deployment.checkpoint_interval_ms.as_millis();
--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -16,8 +16,7 @@
     time::{Duration, Instant},
 };
 
-/// Multiple of the lag after which a greatly shrunken list is accepted. The loss of a region is
-/// rare; a faulty list is more likely, and accepting it would remove the slots of healthy hosts.
+/// Multiple of the lag after which a greatly shrunken list, which is likely faulty, is accepted.
 pub const SHRINK_LAG_FACTOR: u32 = 6;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/corianderstand_control/src/membership/tests.rs
+++ b/crates/corianderstand_control/src/membership/tests.rs
@@ -62,7 +62,7 @@
     fixture.apply_reading_for(Duration::from_secs(1), "abcde", "");
     assert_eq!(fixture.gone(), "f");
     fixture.apply_reading("abcdef", "");
-    assert_eq!(fixture.gone(), "", "it is back");
+    assert_eq!(fixture.gone(), "", "it is listed again");
 }
 
 /// Guards against removing all hosts during an outage of the list.
@@ -92,7 +92,7 @@
 fn a_leaving_host_is_live_again_only_after_the_lag() {
     let mut fixture = Fixture::new();
     fixture.apply_reading("abcde", "f");
-    assert_eq!(fixture.leaving(), "f", "at once");
+    assert_eq!(fixture.leaving(), "f", "immediately");
     for _ in 0..5 {
         fixture.apply_reading_for(LAG / 2, "abcdef", "");
         assert_eq!(fixture.leaving(), "f");
--- a/crates/corianderstand_control/src/paced.rs
+++ b/crates/corianderstand_control/src/paced.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// A host list that never returns, for agents: they neither plan nor select targets.
+/// A host list whose reads never complete, for agents: they neither plan nor select targets.
 #[derive(Clone, Copy, Debug)]
 pub struct UnusedHostList;
 
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -160,7 +160,6 @@
         let entries: Vec<Entry> = entries.cloned().collect();
         let age = now.saturating_duration_since(last_response.at);
         // Known records are served even if the log is down, so that they reach every process.
-        // Only an empty page depends on freshness.
         if entries.is_empty() && age > MAX_PAGE_AGE {
             return Err(RelayError::Stale);
         }
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -27,8 +27,7 @@
 
     /// Scans a page; returns the first complete checkpoint that the log continues.
     ///
-    /// Checkpoints from [`recovery_records`] may differ between writers, so that all readers must
-    /// load the first one in the log.
+    /// Recovery checkpoints may differ between writers, so all readers load the first one.
     pub fn scan(&mut self, page: &Page) -> Option<State> {
         let mut found = None;
         for entry in &page.entries {
@@ -46,10 +45,9 @@
 
 /// The records of a recovery checkpoint, which gives up records that were dropped unread.
 ///
-/// After an outage longer than the retention, every router may have a gap that no checkpoint
-/// covers. After [`RECOVERY_DELAY`] a router with settings writes its state as of the oldest
-/// retained record, and all routers load the first such checkpoint. The lost records were never
-/// read back, so none of them was reported as accepted.
+/// If no checkpoint covers the gap, a router with settings writes its state as of the oldest
+/// retained record after [`RECOVERY_DELAY`], and all routers load the first such checkpoint. The
+/// lost records were never read back, so none of them was reported as accepted.
 pub fn recovery_records(state: &State, page: &Page) -> Vec<Body> {
     let mut state = state.clone();
     state.next = page.oldest;
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -31,8 +31,7 @@
 use tokio::time;
 use xxhash_rust::xxh3;
 
-/// Routers of an availability zone that read the log. With one lost and one restarting, the rest
-/// still serve all followers of the zone within their budget.
+/// Routers of an availability zone that read the log; leaves two spare for failures and restarts.
 pub const LOG_READERS: usize = 4;
 /// Relays that are tried before the log is read.
 pub const MAX_RELAYS_TRIED: usize = 2;
@@ -42,10 +41,8 @@
 /// Time that a relay's response may take beyond [`RELAY_WAIT`].
 pub const RELAY_GRACE: Duration = Duration::from_millis(500);
 const RELAY_BACKOFF: Duration = Duration::from_secs(5);
-/// Backoff after a failed read of the log, before jitter, in a process that has relays.
-///
-/// Keeps followers, whose relays are all stale in an outage of the log, from overloading it when
-/// it recovers.
+/// Backoff of followers after a failed read of the log, so that they do not overload it when it
+/// recovers.
 const LOG_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Reads from a router that relays the log.
@@ -71,8 +68,7 @@
     requested_at: Option<Instant>,
 }
 
-/// Reads from relays and falls back to the log; appends to the log. Pages that it reads extend
-/// the [`Tail`] of this process.
+/// Reads from relays or the log into the [`Tail`] of this process; appends to the log.
 pub struct Source {
     log: Arc<dyn LogService>,
     tail: Tail,
@@ -101,8 +97,7 @@
 
 /// Addresses of the relays of a process, in order of preference; empty if it reads the log.
 ///
-/// `own` is its address if it is a router. Routers follow the log readers, agents the other
-/// routers.
+/// `own` is its address if it is a router. Routers follow the log readers, agents other routers.
 pub fn choose_relays(name: &WriterId, own: Option<&SmolStr>, peers: &[SmolStr]) -> Vec<SmolStr> {
     let mut all: Vec<&SmolStr> = peers.iter().chain(own).collect();
     all.sort_by_key(|address| (address_hash(address), (*address).clone()));
@@ -132,8 +127,7 @@
         Self { log, tail, candidates, log_backoff_until: Mutex::new(None), clock, budget }
     }
 
-    /// A source for the process `name`: `own` is its address if it is a router, `token`
-    /// authenticates it to the routers at `peers`.
+    /// A source for one process; see [`choose_relays`]. `token` authenticates it to relays.
     pub fn for_process(
         log: Arc<dyn LogService>,
         name: &WriterId,
@@ -152,10 +146,8 @@
         self.candidates.lock().expect("no holder of this lock panics")
     }
 
-    /// The first relay that is not in backoff; records the time of the request.
-    ///
-    /// The follower cancels reads when the hosts change. The recorded time bounds an unresponsive
-    /// relay across cancelled reads.
+    /// The first relay that is not in backoff. The time of the request is recorded, so that the
+    /// timeout keeps running when the follower cancels a read.
     fn next_candidate(&self) -> Option<(usize, Arc<dyn LogService>)> {
         let now = self.clock.now();
         let mut candidates = self.lock();
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -89,7 +89,7 @@
 #[async_trait]
 impl LogService for FakeRelay {
     async fn append(&self, _records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
-        unreachable!("nobody appends to a relay")
+        unreachable!("appends go to the log")
     }
 
     async fn read(&self, from: u64, _max: u32, _wait: Duration) -> Result<Page, EdgeError> {
@@ -160,8 +160,7 @@
     });
 }
 
-/// Guards against a timeout that restarts with each cancelled read: the follower cancels reads when
-/// the hosts change.
+/// Guards against a timeout that restarts with each cancelled read.
 #[rstest]
 fn cancelled_reads_do_not_hide_an_unresponsive_relay() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
