--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    snapshot::{Current, Snapshot},
+    snapshot::{CurrentSnapshot, Snapshot},
 };
 use corianderstand_decide::{
     agent::{Action, Agent},
@@ -47,7 +47,7 @@
     /// Name of the target.
     pub target: TargetId,
     /// Snapshots.
-    pub current: Current,
+    pub current: CurrentSnapshot,
     /// Time.
     pub clock: SharedClock,
     /// To the `target` thread.
@@ -285,7 +285,7 @@
                 Action::Refuse(key, refusal) => {
                     let Some(request) = self.forget(key) else { continue };
                     let reason = refusal.reason.to_string();
-                    self.metrics.count_as(Metric::AgentRefusals, 1, "reason", &reason);
+                    self.metrics.count_tagged(Metric::AgentRefusals, 1, "reason", &reason);
                     let refused = self.refused(&request, refusal);
                     Job::Refuse(Box::new(request), refused)
                 }
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -6,7 +6,7 @@
 };
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    start::Handle,
+    start::ControlHandle,
 };
 use corianderstand_decide::request::RequestKey;
 use corianderstand_derives::derives;
@@ -49,7 +49,7 @@
     /// How busy the target is.
     pub load: watch::Receiver<Load>,
     /// The log.
-    pub control: Handle,
+    pub control: ControlHandle,
     /// Time.
     pub clock: SharedClock,
     /// Where measures go.
@@ -115,7 +115,7 @@
             OrderAction::Load => Metric::AgentLoads,
             OrderAction::Unload => Metric::AgentUnloads,
         };
-        self.metrics.count_as(metric, 1, "outcome", told);
+        self.metrics.count_tagged(metric, 1, "outcome", told);
         if action == OrderAction::Load {
             self.metrics.time(Metric::AgentLoadTime, self.clock.now() - began);
         }
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -16,12 +16,12 @@
     budget::Budget,
     measured::{self, MeasuredLog},
     metrics::{Metric, Metrics},
-    paced::Unread,
-    peers::{HttpPeers, Nobody, Peers},
+    paced::UnusedHostList,
+    peers::{HttpPeers, NoPeers, Peers},
     relay::Tail,
-    snapshot::Current,
+    snapshot::CurrentSnapshot,
     source::Source,
-    start::{Control, Handle},
+    start::{ControlHandle, ControlThread},
 };
 use corianderstand_decide::agent::{Agent, Limits};
 use corianderstand_edge::{engine::HttpEngine, log::HttpLog, service::HttpService};
@@ -78,7 +78,7 @@
     draining: watch::Sender<bool>,
     idle: watch::Receiver<bool>,
     held: Arc<AtomicUsize>,
-    control: Handle,
+    control: ControlHandle,
     target: TargetId,
     drain_limit: Duration,
 }
@@ -182,7 +182,7 @@
 fn report(
     settings: &AgentSettings,
     incarnation: u64,
-    control: &Handle,
+    control: &ControlHandle,
     metrics: Metrics,
     load: watch::Receiver<Load>,
     budget: Arc<Budget>,
@@ -236,21 +236,21 @@
     source: Source,
     clock: SharedClock,
     metrics: &Metrics,
-) -> Result<Handle, AgentError> {
+) -> Result<ControlHandle, AgentError> {
     let poll = settings.timing.log_poll_ms.0;
-    let control = Control {
+    let control = ControlThread {
         identity: Identity { writer: settings.name.clone(), incarnation },
         log: Arc::new(MeasuredLog {
             log: Arc::new(source),
             metrics: metrics.clone(),
             clock: clock.clone(),
         }),
-        hosts: Arc::new(Unread),
+        hosts: Arc::new(UnusedHostList),
         peers: peers(settings),
         clock,
-        log_poll: poll,
-        hosts_poll: settings.timing.host_list_poll_ms.0,
-        takes_lease: false,
+        log_read_wait: poll,
+        hosts_poll_interval: settings.timing.host_list_poll_ms.0,
+        may_hold_lease: false,
     };
     control.start().map_err(AgentError::Thread)
 }
@@ -259,7 +259,7 @@
 fn peers(settings: &AgentSettings) -> Arc<dyn Peers> {
     match &settings.peer_token {
         Some(token) => Arc::new(HttpPeers::new(&settings.peers, token.clone())),
-        None => Arc::new(Nobody),
+        None => Arc::new(NoPeers),
     }
 }
 
@@ -350,7 +350,7 @@
     }
 
     /// Snapshots, to look at.
-    pub const fn current(&self) -> &Current {
+    pub const fn current(&self) -> &CurrentSnapshot {
         &self.control.current
     }
 }
--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -1,4 +1,4 @@
-//! Appends for one process: packed, numbered, repeated until answered.
+//! Appends for one process: batched, numbered and retried until the log responds.
 
 use corianderstand_edge::log::LogService;
 use corianderstand_schema::records::{Body, Record};
@@ -14,63 +14,63 @@
     time,
 };
 
-/// Records that wait to be appended; more are refused.
-pub const MAX_WAITING: usize = 4096;
-/// Records in one append.
-pub const MAX_PACKED: usize = 256;
-/// Shortest time between two appends of one process, so that records gather.
-pub const PACK_INTERVAL: Duration = Duration::from_millis(5);
-/// Pause before an append is repeated.
+/// Capacity of the append queue; further records are rejected.
+pub const MAX_QUEUED_RECORDS: usize = 4096;
+/// Most records in one append.
+pub const MAX_APPEND_RECORDS: usize = 256;
+/// Pause between two appends of one process, so that records are batched.
+pub const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// An append that was not decided.
+/// Why the outcome of an append is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum AppendError {
-    /// too many records wait for the log: it is slow or down; try again in a few seconds
+    /// the append queue is full: the log is slow or down; retry in a few seconds
     Full,
-    /// the log has not answered in time: whether the record took effect is not known yet
+    /// the log has not responded in time: it is not yet known whether the record took effect
     Undecided,
 }
 
 impl std::error::Error for AppendError {}
 
-/// A record folded: where, and what it did.
+/// The offset and outcome of a folded record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decided {
-    /// Its offset.
+    /// The offset of the record.
     pub offset: u64,
-    /// What it did.
+    /// The effect of the record on the state.
     pub outcome: Outcome,
 }
 
-struct Waiting {
+struct QueuedAppend {
     body: Body,
     decided: oneshot::Sender<Decided>,
 }
 
 type Pending = Arc<Mutex<BTreeMap<u64, oneshot::Sender<Decided>>>>;
 
-/// Hands records to the thread that appends them.
+/// Queues records for the control thread to append.
 #[derive(Clone, Debug)]
 pub struct Appender {
-    tx: mpsc::Sender<Waiting>,
+    tx: mpsc::Sender<QueuedAppend>,
 }
 
-impl std::fmt::Debug for Waiting {
+impl std::fmt::Debug for QueuedAppend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.body.fmt(f)
     }
 }
 
 impl Appender {
-    /// Appends a record and waits until it was read back and folded.
+    /// Appends a record and waits until it has been read back and folded.
     ///
     /// # Errors
     ///
-    /// [`AppendError::Undecided`] after `timeout`; the record may still take effect.
+    /// [`AppendError::Full`] if the queue is full; [`AppendError::Undecided`] after `timeout`, in
+    /// which case the record may still take effect.
     pub async fn append(&self, body: Body, timeout: Duration) -> Result<Decided, AppendError> {
         let (decided, rx) = oneshot::channel();
-        self.tx.try_send(Waiting { body, decided }).map_err(|_| AppendError::Full)?;
+        self.tx.try_send(QueuedAppend { body, decided }).map_err(|_| AppendError::Full)?;
         match time::timeout(timeout, rx).await {
             Ok(Ok(decided)) => Ok(decided),
             _ => Err(AppendError::Undecided),
@@ -78,84 +78,86 @@
     }
 }
 
-/// The end of the ring that the control thread holds.
+/// The receiving end of the append queue.
 pub struct AppendQueue {
-    rx: mpsc::Receiver<Waiting>,
+    rx: mpsc::Receiver<QueuedAppend>,
     pending: Pending,
     identity: Identity,
 }
 
-/// Who writes: the process, and which start of it.
+/// A writer: the process and its incarnation.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The process.
+    /// The name of the process.
     pub writer: WriterId,
-    /// Its start.
+    /// Distinguishes restarts of the process.
     pub incarnation: u64,
 }
 
-/// What the follower tells of records that it folded.
+/// Notifies writers whose records the follower has folded.
 #[derive(Clone, Debug)]
-pub struct Decisions {
+pub struct FoldNotifier {
     pending: Pending,
     identity: Identity,
 }
 
-/// A ring for records, its far end, and the follower's end.
-pub fn channel(identity: Identity) -> (Appender, AppendQueue, Decisions) {
-    let (tx, rx) = mpsc::channel(MAX_WAITING);
+/// Creates an append queue and the notifier for the follower.
+pub fn channel(identity: Identity) -> (Appender, AppendQueue, FoldNotifier) {
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_RECORDS);
     let pending = Pending::default();
-    let decisions = Decisions { pending: pending.clone(), identity: identity.clone() };
-    (Appender { tx }, AppendQueue { rx, pending, identity }, decisions)
+    let notifier = FoldNotifier { pending: pending.clone(), identity: identity.clone() };
+    (Appender { tx }, AppendQueue { rx, pending, identity }, notifier)
 }
 
 fn lock(pending: &Pending) -> MutexGuard<'_, BTreeMap<u64, oneshot::Sender<Decided>>> {
     pending.lock().expect("no holder of this lock panics")
 }
 
-impl Decisions {
-    /// Tells the waiting writer what became of its record.
-    pub fn folded(&self, record: &Record, offset: u64, outcome: &Outcome) {
-        let ours = record.writer == self.identity.writer
+impl FoldNotifier {
+    /// Sends the outcome of a record to the writer that waits for it.
+    pub fn notify(&self, record: &Record, offset: u64, outcome: &Outcome) {
+        let is_own = record.writer == self.identity.writer
             && record.incarnation == self.identity.incarnation;
-        if !ours || *outcome == Outcome::Repeated {
+        if !is_own || *outcome == Outcome::Repeated {
             return;
         }
         if let Some(tx) = lock(&self.pending).remove(&record.sequence) {
-            // Nobody waits any more if the caller gave up; the record stands all the same.
             drop(tx.send(Decided { offset, outcome: outcome.clone() }));
         }
     }
 }
 
 impl AppendQueue {
-    /// Appends until all senders are gone.
+    /// Appends queued records until all senders are dropped.
     pub async fn run(mut self, log: Arc<dyn LogService>) {
         let mut sequence = 0;
-        let mut waiting = Vec::new();
-        while self.rx.recv_many(&mut waiting, MAX_PACKED).await > 0 {
-            let records = waiting.drain(..).map(|w| self.number(w, &mut sequence)).collect();
+        let mut queued = Vec::new();
+        while self.rx.recv_many(&mut queued, MAX_APPEND_RECORDS).await > 0 {
+            let records = queued
+                .drain(..)
+                .map(|append| self.assign_sequence(append, &mut sequence))
+                .collect();
             append_until_answered(&*log, records).await;
-            time::sleep(PACK_INTERVAL).await;
+            time::sleep(MIN_APPEND_INTERVAL).await;
         }
     }
 
-    fn number(&self, waiting: Waiting, sequence: &mut u64) -> Vec<u8> {
+    fn assign_sequence(&self, queued: QueuedAppend, sequence: &mut u64) -> Vec<u8> {
         *sequence += 1;
-        lock(&self.pending).insert(*sequence, waiting.decided);
+        lock(&self.pending).insert(*sequence, queued.decided);
         let Identity { writer, incarnation } = self.identity.clone();
-        let record = Record { writer, incarnation, sequence: *sequence, body: waiting.body };
+        let record = Record { writer, incarnation, sequence: *sequence, body: queued.body };
         postcard::to_stdvec(&record).expect("records are plain data")
     }
 }
 
-/// Repeats an append until the log answers.
+/// Retries an append until the log responds.
 ///
-/// An answer may be lost after the write took effect. The records carry their numbers, so a
-/// second copy is folded once; giving up instead would leave later records ahead of earlier.
+/// A response may be lost after the write took effect; the fold ignores the duplicate by its
+/// sequence number. Skipping the append instead would reorder the records of this writer.
 async fn append_until_answered(log: &dyn LogService, records: Vec<Vec<u8>>) {
     while let Err(error) = log.append(records.clone()).await {
-        tracing::warn!(%error, "append not answered, repeating it");
+        tracing::warn!(%error, "append failed, retrying");
         time::sleep(RETRY_PAUSE).await;
     }
 }
--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -1,10 +1,10 @@
-//! Reads the log and folds it.
+//! Folds the log and publishes snapshots.
 
 use crate::{
-    appender::{Appender, Decisions},
+    appender::{Appender, FoldNotifier},
     peers::Peers,
-    restore::{self, Search},
-    snapshot::{Current, Hosts, Snapshot, Waiting},
+    restore::{self, CheckpointSearch},
+    snapshot::{CurrentSnapshot, Hosts, Snapshot, Waiting},
 };
 use corianderstand_edge::{
     EdgeError,
@@ -23,70 +23,68 @@
 };
 use tokio::{sync::watch, time};
 
-/// Records in one read.
-const PAGE: u32 = 1024;
-/// Pause after a read that failed.
+const MAX_PAGE_RECORDS: u32 = 1024;
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Where a follower reads from and whom it tells.
-pub struct Sources {
+/// Configuration of a [`Follower`].
+pub struct FollowerConfig {
     /// The log.
     pub log: Arc<dyn LogService>,
     /// Longest wait of one read.
     pub wait: Duration,
-    /// Other processes' state.
+    /// Source of state besides the log.
     pub peers: Arc<dyn Peers>,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
-    /// The hosts.
+    /// Updates of the hosts.
     pub hosts: watch::Receiver<Arc<Hosts>>,
-    /// Where a router writes a state that the log has lost; nothing for agents.
-    pub rescue: Option<Appender>,
+    /// Appends recovery checkpoints; `None` for agents.
+    pub recovery_appender: Option<Appender>,
 }
 
-/// Folds the log and publishes snapshots.
+/// Reads the log, folds its records into the state and publishes snapshots.
 pub struct Follower {
-    sources: Sources,
-    current: Current,
-    decisions: Decisions,
+    config: FollowerConfig,
+    current: CurrentSnapshot,
+    notifier: FoldNotifier,
     snapshot: Snapshot,
-    search: Option<Search>,
-    rescue_at: Option<Instant>,
+    search: Option<CheckpointSearch>,
+    recovery_due_at: Option<Instant>,
 }
 
 impl Follower {
-    /// A follower that starts from nothing.
-    pub fn new(sources: Sources, current: Current, decisions: Decisions) -> Self {
+    /// A follower that starts with an empty state.
+    pub fn new(config: FollowerConfig, current: CurrentSnapshot, notifier: FoldNotifier) -> Self {
         let mut snapshot = Snapshot::default();
         snapshot.state.next = 1;
-        Self { sources, current, decisions, snapshot, search: None, rescue_at: None }
+        Self { config, current, notifier, snapshot, search: None, recovery_due_at: None }
     }
 
-    /// Follows for ever.
+    /// Follows the log; never returns.
     pub async fn run(mut self) {
         loop {
             let from = self.search.as_ref().map_or(self.snapshot.state.next, |s| s.cursor);
-            let read = self.sources.log.read(from, PAGE, self.sources.wait);
+            let read = self.config.log.read(from, MAX_PAGE_RECORDS, self.config.wait);
             tokio::select! {
-                page = read => self.take(page).await,
-                _ = self.sources.hosts.changed() => {
-                    self.snapshot.hosts = self.sources.hosts.borrow_and_update().clone();
+                page = read => self.handle_read(page).await,
+                _ = self.config.hosts.changed() => {
+                    self.snapshot.hosts = self.config.hosts.borrow_and_update().clone();
                     self.current.store(self.snapshot.clone());
                 }
             }
         }
     }
 
-    async fn take(&mut self, page: Result<Page, EdgeError>) {
+    async fn handle_read(&mut self, page: Result<Page, EdgeError>) {
         match page {
             Ok(page) if restore::has_gap(&self.snapshot.state, &page) => self.restore(&page).await,
             Ok(page) => self.fold(&page),
             Err(error) => {
-                tracing::warn!(%error, "log not read");
+                tracing::warn!(%error, "log read failed");
                 self.snapshot.log_up = false;
                 if !self.snapshot.caught_up {
                     self.snapshot.waiting = Waiting::Log;
-                    self.ask_peers(0).await;
+                    self.query_peers(0).await;
                 }
                 self.current.store(self.snapshot.clone());
                 time::sleep(RETRY_PAUSE).await;
@@ -94,56 +92,58 @@
         }
     }
 
-    /// Takes a peer's state if it is newer than this one and the log continues it.
-    async fn ask_peers(&mut self, oldest: u64) -> bool {
-        let state = self.sources.peers.state().await;
+    /// Applies the state of a peer if it is newer and the log continues it.
+    async fn query_peers(&mut self, oldest: u64) -> bool {
+        let state = self.config.peers.state().await;
         let next = self.snapshot.state.next;
         let Some(state) = state.filter(|s| s.next > next && s.next >= oldest) else { return false };
         tracing::info!(next = state.next, "state taken from a peer");
-        self.adopt(state);
+        self.replace_state(state);
         self.snapshot.caught_up = true;
         true
     }
 
-    fn adopt(&mut self, state: State) {
+    fn replace_state(&mut self, state: State) {
         self.snapshot.state = state;
         self.refresh_view();
         self.search = None;
     }
 
     async fn restore(&mut self, page: &Page) {
-        let search = self.search.get_or_insert_with(|| Search::new(page.oldest));
+        let search = self.search.get_or_insert_with(|| CheckpointSearch::new(page.oldest));
         search.cursor = search.cursor.max(page.oldest);
-        let found = search.take(page);
+        let found = search.scan(page);
         let next = self.snapshot.state.next;
         match found.filter(|state| state.next > next) {
             Some(state) => {
                 tracing::info!(next = state.next, "state taken from a checkpoint");
-                self.adopt(state);
+                self.replace_state(state);
             }
-            None if self.ask_peers(page.oldest).await => {}
+            None if self.query_peers(page.oldest).await => {}
             None => {
                 self.snapshot.waiting = Waiting::Checkpoint;
                 self.snapshot.caught_up = false;
-                self.rescue(page);
+                self.write_recovery_checkpoint(page);
             }
         }
         self.current.store(self.snapshot.clone());
     }
 
-    /// Writes this router's state if nobody else has one; see [`restore::rescue`].
-    fn rescue(&mut self, page: &Page) {
-        let Some(appender) = self.sources.rescue.clone() else { return };
-        let now = self.sources.clock.now();
-        let part: f64 = rand::rng().random_range(1.0..2.0);
-        let due = *self.rescue_at.get_or_insert(now + restore::RESCUE_AFTER.mul_f64(part));
+    fn write_recovery_checkpoint(&mut self, page: &Page) {
+        let Some(appender) = self.config.recovery_appender.clone() else { return };
+        let now = self.config.clock.now();
+        let factor: f64 = rand::rng().random_range(1.0..2.0);
+        let due =
+            *self.recovery_due_at.get_or_insert(now + restore::RECOVERY_DELAY.mul_f64(factor));
         if now < due || self.snapshot.state.documents.version == 0 {
             return;
         }
-        tracing::error!("records were dropped unread: writing the state without them");
-        self.rescue_at = Some(now + restore::RESCUE_AFTER);
-        let bodies = restore::rescue(&self.snapshot.state, page);
-        // They are read back by the search, not by the fold, so nobody waits for them.
+        tracing::error!(
+            "dropped records were never read: writing a recovery checkpoint without them"
+        );
+        self.recovery_due_at = Some(now + restore::RECOVERY_DELAY);
+        let bodies = restore::recovery_records(&self.snapshot.state, page);
+        // The checkpoint search reads them back, not the fold, so the appends are never resolved.
         tokio::spawn(async move {
             let appends = bodies.into_iter().map(|body| appender.append(body, RETRY_PAUSE));
             drop(futures::future::join_all(appends).await);
@@ -152,7 +152,7 @@
 
     fn fold(&mut self, page: &Page) {
         self.search = None;
-        self.rescue_at = None;
+        self.recovery_due_at = None;
         let decided: Vec<_> =
             page.entries.iter().filter_map(|entry| self.fold_one(entry)).collect();
         let at_end = self.snapshot.state.next >= page.next;
@@ -164,14 +164,14 @@
         if at_end {
             snapshot.read_to_ms = snapshot.read_to_ms.max(page.now_ms);
         }
-        let now = clock::unix_ms(self.sources.clock.wall());
+        let now = clock::unix_ms(self.config.clock.wall());
         snapshot.log_clock_ms = page.now_ms as i64 - now as i64;
         self.refresh_view();
         self.current.store(self.snapshot.clone());
-        // Writers hear of their records only once the snapshot holds them, so that whoever is
-        // told "accepted" finds the change in force on this process.
+        // Notify writers after the snapshot is published, so that an accepted change is in force
+        // on this process.
         for (record, offset, outcome) in decided {
-            self.decisions.folded(&record, offset, &outcome);
+            self.notifier.notify(&record, offset, &outcome);
         }
     }
 
@@ -189,9 +189,8 @@
                 Some((record, entry.offset, outcome))
             }
             Err(error) => {
-                // A record of a later version must not stop the fold for ever; it is skipped
-                // on all processes of this version alike.
-                tracing::error!(offset = entry.offset, %error, "record cannot be read");
+                // Skip records of a later version; all processes of this version skip them alike.
+                tracing::error!(offset = entry.offset, %error, "record cannot be decoded, skipping it");
                 self.snapshot.state.next = entry.offset + 1;
                 None
             }
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     appender::{self, Appender, Identity},
-    duty::Duty,
-    follower::{Follower, Sources},
+    follower::{Follower, FollowerConfig},
     hosts,
+    lease::LeaseTask,
     peers::Peers,
-    snapshot::Current,
+    snapshot::CurrentSnapshot,
 };
 use corianderstand_edge::{hosts::HostList, log::LogService};
 use corianderstand_schema::records::Body;
@@ -21,43 +21,42 @@
 };
 use tokio::{runtime, sync::watch};
 
-/// What the control thread needs.
-pub struct Control {
-    /// Who this process is.
+/// Configuration of the control thread.
+pub struct ControlThread {
+    /// The writer identity of this process.
     pub identity: Identity,
     /// The log.
     pub log: Arc<dyn LogService>,
     /// The host list.
     pub hosts: Arc<dyn HostList>,
-    /// Other processes to take state from.
+    /// Processes to request state from.
     pub peers: Arc<dyn Peers>,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
     /// Longest wait of one read of the log.
-    pub log_poll: Duration,
-    /// Time between two readings of the host list.
-    pub hosts_poll: Duration,
+    pub log_read_wait: Duration,
+    /// Interval at which the host list is polled.
+    pub hosts_poll_interval: Duration,
     /// Whether this process may hold the control lease.
-    pub takes_lease: bool,
+    pub may_hold_lease: bool,
 }
 
-/// What the other threads use of it.
+/// Gives other threads access to the control thread.
 #[derive(Clone, Debug)]
-pub struct Handle {
-    /// Snapshots.
-    pub current: Current,
-    /// Appends.
+pub struct ControlHandle {
+    /// The current snapshot.
+    pub current: CurrentSnapshot,
+    /// Appends records to the log.
     pub appender: Appender,
     identity: Identity,
     resigned: Arc<AtomicBool>,
 }
 
-/// Time the log has to decide that the lease is given back.
 const RESIGN_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl Handle {
-    /// Gives the control lease back for good, so that another takes it without waiting for it
-    /// to lapse.
+impl ControlHandle {
+    /// Releases the control lease for good, so that another process can acquire it before it
+    /// expires.
     pub async fn resign(&self) {
         self.resigned.store(true, Ordering::Relaxed);
         let snapshot = self.current.load();
@@ -67,22 +66,22 @@
         }
         let body = Body::LeaseReleased { epoch: lease.epoch };
         if let Err(error) = self.appender.append(body, RESIGN_TIMEOUT).await {
-            tracing::warn!(%error, "lease not given back: it lapses");
+            tracing::warn!(%error, "lease not released: it stays held until it expires");
         }
     }
 }
 
-impl Control {
+impl ControlThread {
     /// Starts the thread.
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
-    pub fn start(self) -> std::io::Result<Handle> {
-        let current = Current::default();
+    /// Fails if the thread or its runtime cannot be created.
+    pub fn start(self) -> std::io::Result<ControlHandle> {
+        let current = CurrentSnapshot::default();
         let resigned = Arc::new(AtomicBool::new(false));
-        let (appender, queue, decisions) = appender::channel(self.identity.clone());
-        let handle = Handle {
+        let (appender, queue, notifier) = appender::channel(self.identity.clone());
+        let handle = ControlHandle {
             current: current.clone(),
             appender: appender.clone(),
             identity: self.identity.clone(),
@@ -92,18 +91,25 @@
         thread::Builder::new().name("control".into()).spawn(move || {
             let (hosts_tx, hosts_rx) = watch::channel(Arc::default());
             let (log, clock) = (self.log.clone(), self.clock.clone());
-            let (wait, peers) = (self.log_poll, self.peers);
-            let rescue = self.takes_lease.then(|| appender.clone());
-            let sources = Sources { log, wait, peers, clock, hosts: hosts_rx, rescue };
-            let follower = Follower::new(sources, current.clone(), decisions);
+            let (wait, peers) = (self.log_read_wait, self.peers);
+            let recovery_appender = self.may_hold_lease.then(|| appender.clone());
+            let config =
+                FollowerConfig { log, wait, peers, clock, hosts: hosts_rx, recovery_appender };
+            let follower = Follower::new(config, current.clone(), notifier);
             let (clock, identity) = (self.clock.clone(), self.identity);
             runtime.block_on(async {
                 tokio::spawn(queue.run(self.log));
-                let every = self.hosts_poll;
-                tokio::spawn(hosts::run(self.hosts, every, self.clock, current.clone(), hosts_tx));
-                if self.takes_lease {
-                    let duty = Duty { identity, clock, current, appender, resigned };
-                    tokio::spawn(duty.run());
+                let interval = self.hosts_poll_interval;
+                tokio::spawn(hosts::run(
+                    self.hosts,
+                    interval,
+                    self.clock,
+                    current.clone(),
+                    hosts_tx,
+                ));
+                if self.may_hold_lease {
+                    let lease_task = LeaseTask { identity, clock, current, appender, resigned };
+                    tokio::spawn(lease_task.run());
                 }
                 follower.run().await;
             });
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -20,7 +20,7 @@
     peers::HttpPeers,
     relay::{self, Tail},
     source::Source,
-    start::{Control, Handle},
+    start::{ControlHandle, ControlThread},
 };
 use corianderstand_decide::router::Router;
 use corianderstand_edge::{hosts::HttpHostList, log::HttpLog};
@@ -71,7 +71,7 @@
     held: Arc<AtomicUsize>,
     server: ServerHandle,
     http: thread::JoinHandle<()>,
-    control: Handle,
+    control: ControlHandle,
     grace: Duration,
     drain_limit: Duration,
 }
@@ -162,9 +162,9 @@
     source: Source,
     clock: SharedClock,
     metrics: &Metrics,
-) -> Result<Handle, RouterError> {
+) -> Result<ControlHandle, RouterError> {
     let poll = settings.timing.log_poll_ms.0;
-    let control = Control {
+    let control = ControlThread {
         identity: Identity { writer: settings.name.clone(), incarnation },
         log: Arc::new(MeasuredLog {
             log: Arc::new(source),
@@ -174,9 +174,9 @@
         hosts: Arc::new(Paced::new(HttpHostList::new(&settings.host_list_url), clock.clone())),
         peers: Arc::new(HttpPeers::new(&settings.peers, hasher.hash(operator::PEER_LABEL))),
         clock,
-        log_poll: poll,
-        hosts_poll: settings.timing.host_list_poll_ms.0,
-        takes_lease: true,
+        log_read_wait: poll,
+        hosts_poll_interval: settings.timing.host_list_poll_ms.0,
+        may_hold_lease: true,
     };
     control.start().map_err(RouterError::Thread)
 }
@@ -184,7 +184,7 @@
 fn start_link(
     settings: &RouterSettings,
     incarnation: u64,
-    control: &Handle,
+    control: &ControlHandle,
     events: mpsc::SyncSender<Event>,
     budget: Arc<Budget>,
 ) -> Result<(), RouterError> {
