--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -281,10 +281,10 @@
     }
 }
 
-fn hello<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterNews {
+fn hello<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterUpdate {
     let store = shared.store_use(shared.clock.now());
     let copies = shared.copies.borrow();
-    wire::RouterNews {
+    wire::RouterUpdate {
         router: shared.settings.name.as_str().into(),
         incarnation: shared.incarnation,
         zone: shared.settings.zone.clone(),
@@ -298,7 +298,7 @@
     }
 }
 
-fn news<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterNews {
+fn news<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterUpdate {
     let now = shared.clock.now();
     let hello = hello(shared);
     let mut view = shared.view.borrow_mut();
@@ -324,7 +324,7 @@
             count,
         })
     });
-    wire::RouterNews { models: models.collect(), running: running.collect(), ..hello }
+    wire::RouterUpdate { models: models.collect(), running: running.collect(), ..hello }
 }
 
 /// Asks an agent for adapters.
--- a/crates/corianderstand_forward/src/follow/others.rs
+++ b/crates/corianderstand_forward/src/follow/others.rs
@@ -64,7 +64,7 @@
 pub fn hear<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
-    news: &wire::RouterNews,
+    news: &wire::RouterUpdate,
 ) {
     if news.store != wire::StoreUse::Reads || news.zone != shared.settings.zone {
         return;
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -50,7 +50,7 @@
     /// When it was last heard.
     pub heard: Option<Instant>,
     /// What it said then.
-    pub news: Option<peers::RouterNews>,
+    pub news: Option<peers::RouterUpdate>,
     known: Instant,
 }
 
@@ -84,7 +84,7 @@
     /// that has gone back makes a new start look earlier, and a router that was left out for that
     /// would be neither followed nor asked for as long as it runs. A datagram is late by a moment
     /// only, so what comes after a silence is of the start that runs now.
-    pub fn hear(&mut self, now: Instant, addr: SocketAddr, news: peers::RouterNews) {
+    pub fn hear(&mut self, now: Instant, addr: SocketAddr, news: peers::RouterUpdate) {
         let name = news.router.0.clone();
         self.add(now, name.clone(), addr);
         let Some(peer) = self.by_name.get_mut(&name) else { return };
@@ -138,7 +138,7 @@
     }
 
     /// What those heard lately said.
-    pub fn news(&self, now: Instant) -> impl Iterator<Item = &peers::RouterNews> {
+    pub fn news(&self, now: Instant) -> impl Iterator<Item = &peers::RouterUpdate> {
         self.live(now).filter_map(|(_, peer)| peer.news.as_ref())
     }
 
--- a/crates/corianderstand_forward/tests/peers.rs
+++ b/crates/corianderstand_forward/tests/peers.rs
@@ -1,7 +1,7 @@
 //! What a router believes of the others.
 
 use corianderstand_forward::{dialect::Subject, peers::Peers};
-use corianderstand_schema::peers::{RouterNews, StoreUse};
+use corianderstand_schema::peers::{RouterUpdate, StoreUse};
 use std::{
     net::SocketAddr,
     time::{Duration, Instant},
@@ -11,8 +11,8 @@
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 7_380);
 const MOMENT: Duration = Duration::from_millis(200);
 
-fn news(incarnation: u64, config_next: u64) -> RouterNews {
-    RouterNews {
+fn news(incarnation: u64, config_next: u64) -> RouterUpdate {
+    RouterUpdate {
         router: "router-b".into(),
         incarnation,
         zone: "here".into(),
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -10,7 +10,7 @@
     readers::{Neighbour, Role, role},
     router,
 };
-use corianderstand_schema::peers::{PeerMessage, RouterNews, StoreUse};
+use corianderstand_schema::peers::{PeerMessage, RouterUpdate, StoreUse};
 use rstest::rstest;
 use std::{net::SocketAddr, time::Duration};
 use tokio::{net::UdpSocket, sync::watch};
@@ -76,7 +76,7 @@
 }
 
 fn said(name: String, strength: u32, store: StoreUse) -> PeerMessage {
-    PeerMessage::RouterNews(RouterNews {
+    PeerMessage::RouterNews(RouterUpdate {
         router: name.as_str().into(),
         incarnation: 1,
         zone: "here".into(),
--- a/crates/corianderstand_forward/tests/transfers.rs
+++ b/crates/corianderstand_forward/tests/transfers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{MemoryStore, Running};
-use corianderstand_schema::peers::{PeerMessage, RouterNews, StoreUse};
+use corianderstand_schema::peers::{PeerMessage, RouterUpdate, StoreUse};
 use std::{
     net::SocketAddr,
     time::{Duration, Instant},
@@ -76,7 +76,7 @@
 /// A stronger router that plans, for ever.
 async fn plan_instead_of(router: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let news = RouterNews {
+    let news = RouterUpdate {
         router: "planner".into(),
         incarnation: 1,
         zone: "here".into(),
