--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -90,7 +90,7 @@
     plan: Option<Plan>,
     asked: Vec<steps::AskedAdapter>,
     ongoing: Option<Ongoing>,
-    said: Option<(Instant, peers::EngineNews)>,
+    said: Option<(Instant, peers::EngineUpdate)>,
     /// The engine said that it is not this one: the plan is for one that has ended.
     ended: Option<names::TargetId>,
     /// The name that the engine said; none after it did not answer.
@@ -419,7 +419,7 @@
             on_disk: report.holdings.on_disk.clone(),
         };
         let full =
-            PeerMessage::EngineNews(peers::EngineNews { copies: vec![copies], ..news.clone() });
+            PeerMessage::EngineNews(peers::EngineUpdate { copies: vec![copies], ..news.clone() });
         let short = PeerMessage::EngineNews(news.clone());
         for (index, addr) in routers(plan).enumerate() {
             if to_all || state.askers.contains_key(&addr) {
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 /// Whether routers should hear at once: load changes all the time and can wait.
-pub(super) fn differs(said: &peers::EngineNews, news: &peers::EngineNews) -> bool {
-    let order = |news: &peers::EngineNews| {
+pub(super) fn differs(said: &peers::EngineUpdate, news: &peers::EngineUpdate) -> bool {
+    let order = |news: &peers::EngineUpdate| {
         news.ongoing.first().map(|order| (order.model.clone(), order.loads))
     };
-    let models = |news: &peers::EngineNews| {
+    let models = |news: &peers::EngineUpdate| {
         news.resident.iter().map(|resident| resident.model.clone()).collect::<Vec<_>>()
     };
     said.born != news.born
@@ -56,7 +56,7 @@
     plan: &peers::EnginePlan,
     report: &dialect::EngineReport,
     ongoing: Option<&Ongoing>,
-) -> peers::EngineNews {
+) -> peers::EngineUpdate {
     let resident = report.holdings.resident.iter().map(|resident| peers::ResidentModel {
         model: resident.model.clone(),
         adapters: resident.adapters.clone(),
@@ -76,7 +76,7 @@
         })
     });
     let targets::Load { running, waiting, cache_used } = report.load;
-    peers::EngineNews {
+    peers::EngineUpdate {
         target: plan.target.clone(),
         born: report.born.unwrap_or(0),
         orders: report.holdings.orders,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -144,7 +144,7 @@
     shared: &router::Shared<P>,
     now: Instant,
     from: SocketAddr,
-    news: wire::EngineNews,
+    news: wire::EngineUpdate,
 ) {
     let report = report(now, news);
     let mut view = shared.view.borrow_mut();
@@ -187,7 +187,7 @@
     shared.peers.borrow().planner(now, &own)
 }
 
-fn report(now: Instant, news: wire::EngineNews) -> targets::Report {
+fn report(now: Instant, news: wire::EngineUpdate) -> targets::Report {
     let ongoing = news.ongoing.into_iter().next().map(|order| {
         if order.loads {
             let ready_at = now + Duration::from_millis(u64::from(order.remaining_ms));
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -5,7 +5,7 @@
 use corianderstand_fleet::{steps, targets};
 use corianderstand_forward::{agent, client, dialect};
 use corianderstand_schema::peers::{
-    EngineGone, EngineNews, EnginePlan, EngineReplaced, PeerMessage, PlanPart,
+    EngineGone, EngineUpdate, EnginePlan, EngineReplaced, PeerMessage, PlanPart,
 };
 use corianderstand_types::{clock::SystemClock, names::TargetId};
 use std::{
@@ -152,7 +152,7 @@
         postcard::from_bytes(&buf[..len]).unwrap()
     }
 
-    async fn hear_news(&self) -> EngineNews {
+    async fn hear_news(&self) -> EngineUpdate {
         loop {
             if let PeerMessage::EngineNews(news) = self.hear().await {
                 return news;
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -320,7 +320,7 @@
     store.target(targets::Entry { holdings, ..target.entry("target-1", "desk") });
     let router = Running::start(&store);
     router.wait_ready().await;
-    let news = peers::EngineNews {
+    let news = peers::EngineUpdate {
         target: "target-1".into(),
         born: 0,
         orders: 3,
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -43,7 +43,7 @@
     settings.agent_port = agent.local_addr().unwrap().port();
     let router = Running::start_on(&store, settings);
     router.wait_ready().await;
-    let news = peers::EngineNews {
+    let news = peers::EngineUpdate {
         target: "engine".into(),
         born: 0,
         orders: 1,
