--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -414,7 +414,7 @@
         if !to_all && !adapters {
             return;
         }
-        let copies = peers::WeightCopies {
+        let copies = peers::CachedWeights {
             in_memory: report.holdings.in_memory.clone(),
             on_disk: report.holdings.on_disk.clone(),
         };
