--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -68,7 +68,7 @@
             _ => return None,
         };
         let passed = now.saturating_duration_since(ongoing.since);
-        Some(peers::OngoingOrder {
+        Some(peers::OngoingCommand {
             model: model.clone(),
             loads,
             from_store: ongoing.from_store,
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -326,7 +326,7 @@
         orders: 3,
         resident: vec![peers::ResidentModel { model: "m".into(), adapters: Vec::new() }],
         copies: Vec::new(),
-        ongoing: vec![peers::OngoingOrder {
+        ongoing: vec![peers::OngoingCommand {
             model: "other".into(),
             loads: true,
             from_store: true,
