--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -196,7 +196,7 @@
     }
 
     /// Keeps in mind what is asked for, the newest first.
-    fn take_asked(&self, now: Instant, from: SocketAddr, asked: peers::AdaptersAsked) {
+    fn take_asked(&self, now: Instant, from: SocketAddr, asked: peers::AdapterRequest) {
         let mut state = self.state.borrow_mut();
         state.askers.insert(from, now);
         state.askers.retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -335,7 +335,7 @@
 ) {
     let view = shared.view.borrow();
     let Some(target) = view.targets.get(key) else { return };
-    let asked = wire::AdaptersAsked { target: target.entry.id.clone(), adapters };
+    let asked = wire::AdapterRequest { target: target.entry.id.clone(), adapters };
     let agent = SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
     shared.outbox.send(agent, &PeerMessage::AdaptersAsked(asked));
 }
