--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -331,7 +331,7 @@
 pub fn ask_for_adapters<P>(
     shared: &router::Shared<P>,
     key: targets::TargetKey,
-    adapters: Vec<wire::AskedAdapter>,
+    adapters: Vec<wire::RequestedAdapter>,
 ) {
     let view = shared.view.borrow();
     let Some(target) = view.targets.get(key) else { return };
@@ -341,9 +341,9 @@
 }
 
 /// An adapter as it is named to an agent.
-pub fn asked_adapter(wanted: &choose::Wanted) -> Option<wire::AskedAdapter> {
+pub fn asked_adapter(wanted: &choose::Wanted) -> Option<wire::RequestedAdapter> {
     let adapter = wanted.adapter.clone()?;
-    Some(wire::AskedAdapter { model: wanted.model.clone(), adapter })
+    Some(wire::RequestedAdapter { model: wanted.model.clone(), adapter })
 }
 
 /// Names to the agents the adapters of requests at their engines, so that they are not dropped.
