--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -83,7 +83,7 @@
 struct Question<'a, P: router::Platform> {
     shared: &'a router::Shared<P>,
     agent: std::net::SocketAddr,
-    ask: wire::PrefillAsked,
+    ask: wire::PrefillRequest,
     waiting: Rc<Waiting>,
     given: bool,
 }
@@ -108,7 +108,7 @@
         let id = shared.turns.next_id(shared.incarnation);
         let waiting = Rc::<Waiting>::default();
         shared.turns.waiting.borrow_mut().insert(id, waiting.clone());
-        let ask = wire::PrefillAsked {
+        let ask = wire::PrefillRequest {
             id,
             work_us: work.as_micros() as u32,
             aim_in_ms: 0,
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -7,7 +7,7 @@
     config::{self, Route},
     targets,
 };
-use corianderstand_schema::peers::{self, PeerMessage, PrefillAnswer, PrefillAsked};
+use corianderstand_schema::peers::{self, PeerMessage, PrefillAnswer, PrefillRequest};
 use std::{
     net::SocketAddr,
     time::{Duration, Instant},
@@ -67,7 +67,7 @@
     }
 
     /// The next question of the router.
-    async fn question(&self) -> (SocketAddr, PrefillAsked) {
+    async fn question(&self) -> (SocketAddr, PrefillRequest) {
         let mut buf = vec![0; 65_536];
         loop {
             let heard = tokio::time::timeout(common::PATIENCE, self.agent.recv_from(&mut buf));
