--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -40,7 +40,7 @@
     }
 
     fn tell_turn(&self, to: SocketAddr, id: u64, wait: Option<Duration>, reading: Duration) {
-        let answer = peers::PrefillAnswer {
+        let answer = peers::PrefillResponse {
             id,
             given: wait.is_none(),
             wait_ms: wait.unwrap_or_default().as_millis() as u32,
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -7,7 +7,7 @@
     config::{self, Route},
     targets,
 };
-use corianderstand_schema::peers::{self, PeerMessage, PrefillAnswer, PrefillRequest};
+use corianderstand_schema::peers::{self, PeerMessage, PrefillResponse, PrefillRequest};
 use std::{
     net::SocketAddr,
     time::{Duration, Instant},
@@ -79,7 +79,7 @@
     }
 
     async fn answer(&self, to: SocketAddr, id: u64, given: bool, wait_ms: u32) {
-        let answer = PrefillAnswer { id, given, wait_ms, reading_us: 0 };
+        let answer = PrefillResponse { id, given, wait_ms, reading_us: 0 };
         let answer = postcard::to_stdvec(&PeerMessage::PrefillAnswer(answer)).unwrap();
         self.agent.send_to(&answer, to).await.unwrap();
     }
