--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -92,7 +92,7 @@
     fn drop(&mut self) {
         self.shared.turns.waiting.borrow_mut().remove(&self.ask.id);
         if !self.given {
-            let withdrawn = wire::PrefillWithdrawn { id: self.ask.id };
+            let withdrawn = wire::PrefillCancellation { id: self.ask.id };
             self.shared.outbox.send(self.agent, &PeerMessage::PrefillWithdrawn(withdrawn));
         }
     }
