--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -12,7 +12,7 @@
 use corianderstand_derives::derives;
 use corianderstand_edge::{
     EdgeError,
-    engine::{Engine, EngineEvent, EngineStream, Generate, Order, OrderAction},
+    engine::{Engine, EngineEvent, EngineStream, Generate, Order, CommandAction},
     service::PlainService,
 };
 use corianderstand_schema::messages::{Ending, Load, Operation, RefusalReason, ToRouter};
@@ -82,16 +82,16 @@
                 request.end.send(&refused, b"").await;
             }
             Job::Load { weights, memory, fence } => {
-                self.order(OrderAction::Load, weights, memory, fence).await;
+                self.order(CommandAction::Load, weights, memory, fence).await;
             }
             Job::Unload { weights, memory, fence } => {
-                self.order(OrderAction::Unload, weights, memory, fence).await;
+                self.order(CommandAction::Unload, weights, memory, fence).await;
             }
             Job::Ask { version } => self.ask(version).await,
         }
     }
 
-    async fn order(&self, action: OrderAction, weights: Weights, memory: Mib, fence: u64) {
+    async fn order(&self, action: CommandAction, weights: Weights, memory: Mib, fence: u64) {
         let Target::Engine(engine) = &self.target else { return };
         let order = Order { action, weights: weights.clone(), memory_mib: memory.0, fence };
         let began = self.clock.now();
@@ -112,16 +112,16 @@
             None => "unknown",
         };
         let metric = match action {
-            OrderAction::Load => Metric::AgentLoads,
-            OrderAction::Unload => Metric::AgentUnloads,
+            CommandAction::Load => Metric::AgentLoads,
+            CommandAction::Unload => Metric::AgentUnloads,
         };
         self.metrics.count_as(metric, 1, "outcome", told);
-        if action == OrderAction::Load {
+        if action == CommandAction::Load {
             self.metrics.time(Metric::AgentLoadTime, self.clock.now() - began);
         }
         self.tell(match action {
-            OrderAction::Load => Event::Loaded(weights, outcome),
-            OrderAction::Unload => Event::Unloaded(weights, outcome == Some(true)),
+            CommandAction::Load => Event::Loaded(weights, outcome),
+            CommandAction::Unload => Event::Unloaded(weights, outcome == Some(true)),
         });
     }
 
--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -28,7 +28,7 @@
 #[derive(Eq)]
 pub struct Order {
     /// What to do.
-    pub action: OrderAction,
+    pub action: CommandAction,
     /// With what.
     pub weights: Weights,
     /// Memory set aside for it, in MiB.
@@ -41,7 +41,7 @@
 #[derives(key)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderAction {
+pub enum CommandAction {
     /// Fetch and load; answered when it is ready.
     Load,
     /// Drop and give the memory back; answered when that is done.
@@ -264,7 +264,7 @@
 
     use super::{
         BoxStream, CacheEvent, CacheEvents, EdgeError, Engine, EngineEvent, EngineReport,
-        EngineStream, Generate, Loaded, Order, OrderAction, async_trait,
+        EngineStream, Generate, Loaded, Order, CommandAction, async_trait,
     };
     use futures::{StreamExt, stream};
     use std::sync::{Mutex, MutexGuard};
@@ -322,7 +322,7 @@
             let mut inner = self.lock();
             inner.orders.push(order.clone());
             inner.loaded.retain(|loaded| loaded.weights != order.weights);
-            if order.action == OrderAction::Load {
+            if order.action == CommandAction::Load {
                 let (weights, memory_mib) = (order.weights.clone(), order.memory_mib);
                 inner.loaded.push(Loaded { weights, memory_mib, ready: true });
             }
--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -8,7 +8,7 @@
     text,
 };
 use bytes::Bytes;
-use corianderstand_edge::engine::{EngineReport, Loaded, Order, OrderAction};
+use corianderstand_edge::engine::{EngineReport, Loaded, Order, CommandAction};
 use futures::{FutureExt, StreamExt, stream};
 use getopts::Matches;
 use salvo::Router;
@@ -193,8 +193,8 @@
     let (own, order) = (engine.clone(), order);
     let carried_out = tokio::spawn(async move {
         match order.action {
-            OrderAction::Load => own.load(&order).await,
-            OrderAction::Unload => own.unload(&order),
+            CommandAction::Load => own.load(&order).await,
+            CommandAction::Unload => own.unload(&order),
         }
     });
     let Ok(reply) = carried_out.await else { return Reply::text(500, "the order failed") };
