--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -12,7 +12,7 @@
 use corianderstand_derives::derives;
 use corianderstand_edge::{
     EdgeError,
-    engine::{Engine, EngineEvent, EngineStream, Generate, Order, CommandAction},
+    engine::{Engine, EngineEvent, EngineStream, Generate, EngineCommand, CommandAction},
     service::PlainService,
 };
 use corianderstand_schema::messages::{Ending, Load, Operation, RefusalReason, ToRouter};
@@ -93,7 +93,7 @@
 
     async fn order(&self, action: CommandAction, weights: Weights, memory: Mib, fence: u64) {
         let Target::Engine(engine) = &self.target else { return };
-        let order = Order { action, weights: weights.clone(), memory_mib: memory.0, fence };
+        let order = EngineCommand { action, weights: weights.clone(), memory_mib: memory.0, fence };
         let began = self.clock.now();
         let answer = engine.order(&order).await;
         if let Err(error) = &answer {
--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -26,7 +26,7 @@
 /// An order to an engine.
 #[derives(wire)]
 #[derive(Eq)]
-pub struct Order {
+pub struct EngineCommand {
     /// What to do.
     pub action: CommandAction,
     /// With what.
@@ -147,7 +147,7 @@
     /// What is loaded or loading.
     async fn loaded(&self) -> Result<Vec<Loaded>, EdgeError>;
     /// Carries out an order; an error leaves open whether it did.
-    async fn order(&self, order: &Order) -> Result<(), EdgeError>;
+    async fn order(&self, order: &EngineCommand) -> Result<(), EdgeError>;
     /// Starts to generate.
     async fn generate(&self, generate: Generate) -> Result<EngineStream, EdgeError>;
     /// Stops a request and gives its memory back.
@@ -180,7 +180,7 @@
         self.http.json(self.http.request(reqwest::Method::GET, "/loaded")).await
     }
 
-    async fn order(&self, order: &Order) -> Result<(), EdgeError> {
+    async fn order(&self, order: &EngineCommand) -> Result<(), EdgeError> {
         let req = self.http.request(reqwest::Method::POST, "/orders").json(order);
         // An answer that breaks off confirms nothing, whatever its head said.
         let answer = self.http.send(req).await?;
@@ -264,7 +264,7 @@
 
     use super::{
         BoxStream, CacheEvent, CacheEvents, EdgeError, Engine, EngineEvent, EngineReport,
-        EngineStream, Generate, Loaded, Order, CommandAction, async_trait,
+        EngineStream, Generate, Loaded, EngineCommand, CommandAction, async_trait,
     };
     use futures::{StreamExt, stream};
     use std::sync::{Mutex, MutexGuard};
@@ -278,7 +278,7 @@
     #[derive(Debug, Default)]
     struct Inner {
         loaded: Vec<Loaded>,
-        orders: Vec<Order>,
+        orders: Vec<EngineCommand>,
         lose_answers: u32,
         report: EngineReport,
         cache_events: Vec<CacheEvent>,
@@ -290,7 +290,7 @@
         }
 
         /// All orders that took effect.
-        pub fn orders(&self) -> Vec<Order> {
+        pub fn orders(&self) -> Vec<EngineCommand> {
             self.lock().orders.clone()
         }
 
@@ -318,7 +318,7 @@
             Ok(self.lock().loaded.clone())
         }
 
-        async fn order(&self, order: &Order) -> Result<(), EdgeError> {
+        async fn order(&self, order: &EngineCommand) -> Result<(), EdgeError> {
             let mut inner = self.lock();
             inner.orders.push(order.clone());
             inner.loaded.retain(|loaded| loaded.weights != order.weights);
--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -8,7 +8,7 @@
     text,
 };
 use bytes::Bytes;
-use corianderstand_edge::engine::{EngineReport, Loaded, Order, CommandAction};
+use corianderstand_edge::engine::{EngineReport, Loaded, EngineCommand, CommandAction};
 use futures::{FutureExt, StreamExt, stream};
 use getopts::Matches;
 use salvo::Router;
@@ -117,7 +117,7 @@
     }
 
     /// Takes memory for a load, or says why not.
-    fn begin_load(&self, order: &Order) -> Result<(), Reply> {
+    fn begin_load(&self, order: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
         if inner.loaded.iter().any(|loaded| loaded.weights == order.weights) {
             return Err(Reply::text(200, "loaded already"));
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    async fn load(&self, order: &Order) -> Reply {
+    async fn load(&self, order: &EngineCommand) -> Reply {
         if let Err(reply) = self.begin_load(order) {
             return reply;
         }
@@ -149,7 +149,7 @@
         Reply::text(200, "loaded")
     }
 
-    fn unload(&self, order: &Order) -> Reply {
+    fn unload(&self, order: &EngineCommand) -> Reply {
         let mut inner = self.lock();
         inner.loaded.retain(|loaded| loaded.weights != order.weights);
         inner.counters.unloads += 1;
@@ -157,7 +157,7 @@
     }
 
     /// Refuses an order older than one that was taken for the same weights.
-    fn check_fence(&self, order: &Order) -> Result<(), Reply> {
+    fn check_fence(&self, order: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
         let name = order.weights.to_string();
         let newest = inner.fences.get(&name).copied().unwrap_or_default();
@@ -182,7 +182,7 @@
 
 async fn orders(engine: Arc<Engine>, ask: Ask) -> Reply {
     engine.hang().await;
-    let order: Order = match ask.json() {
+    let order: EngineCommand = match ask.json() {
         Ok(order) => order,
         Err(reply) => return reply,
     };
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -1,7 +1,7 @@
 //! The stand-in engine through the real adapter: what the outside system is known to do.
 
 use corianderstand::types::weights::Weights;
-use corianderstand_edge::engine::{Engine, EngineEvent, Generate, HttpEngine, Order, CommandAction};
+use corianderstand_edge::engine::{Engine, EngineEvent, Generate, HttpEngine, EngineCommand, CommandAction};
 use futures::StreamExt;
 use rstest::rstest;
 use serde_json::json;
@@ -39,7 +39,7 @@
     let process = Process::start("engine", "corianderstand-standins", &args, &dir);
     let engine = HttpEngine::new(&format!("http://{address}"));
     wait_for("the engine", async || engine.loaded().await.is_ok()).await;
-    let order = Order { action: CommandAction::Load, weights: weights(), memory_mib: 100, fence: 1 };
+    let order = EngineCommand { action: CommandAction::Load, weights: weights(), memory_mib: 100, fence: 1 };
     engine.order(&order).await.expect("there is room");
     Running { engine, address, dir, _process: process }
 }
