--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -95,7 +95,7 @@
         let Target::Engine(engine) = &self.target else { return };
         let order = EngineCommand { action, weights: weights.clone(), memory_mib: memory.0, fence };
         let began = self.clock.now();
-        let answer = engine.order(&order).await;
+        let answer = engine.execute(&order).await;
         if let Err(error) = &answer {
             tracing::warn!(%weights, ?action, %error, "order not confirmed");
         }
--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: generation, and orders to load and unload.
+//! Model engines: generation, and commands to load and unload.
 
 use crate::http::{EdgeError, HttpSystem};
 use async_trait::async_trait;
@@ -147,7 +147,7 @@
     /// What is loaded or loading.
     async fn loaded(&self) -> Result<Vec<Loaded>, EdgeError>;
     /// Carries out an order; an error leaves open whether it did.
-    async fn order(&self, order: &EngineCommand) -> Result<(), EdgeError>;
+    async fn execute(&self, command: &EngineCommand) -> Result<(), EdgeError>;
     /// Starts to generate.
     async fn generate(&self, generate: Generate) -> Result<EngineStream, EdgeError>;
     /// Stops a request and gives its memory back.
@@ -180,8 +180,8 @@
         self.http.json(self.http.request(reqwest::Method::GET, "/loaded")).await
     }
 
-    async fn order(&self, order: &EngineCommand) -> Result<(), EdgeError> {
-        let req = self.http.request(reqwest::Method::POST, "/orders").json(order);
+    async fn execute(&self, command: &EngineCommand) -> Result<(), EdgeError> {
+        let req = self.http.request(reqwest::Method::POST, "/orders").json(command);
         // An answer that breaks off confirms nothing, whatever its head said.
         let answer = self.http.send(req).await?;
         answer.bytes().await.map(drop).map_err(|error| self.http.unreachable(&error))
@@ -278,7 +278,7 @@
     #[derive(Debug, Default)]
     struct Inner {
         loaded: Vec<Loaded>,
-        orders: Vec<EngineCommand>,
+        commands: Vec<EngineCommand>,
         lose_answers: u32,
         report: EngineReport,
         cache_events: Vec<CacheEvent>,
@@ -290,8 +290,8 @@
         }
 
         /// All orders that took effect.
-        pub fn orders(&self) -> Vec<EngineCommand> {
-            self.lock().orders.clone()
+        pub fn commands(&self) -> Vec<EngineCommand> {
+            self.lock().commands.clone()
         }
 
         /// Sets the report, however old it is to be.
@@ -318,12 +318,12 @@
             Ok(self.lock().loaded.clone())
         }
 
-        async fn order(&self, order: &EngineCommand) -> Result<(), EdgeError> {
+        async fn execute(&self, command: &EngineCommand) -> Result<(), EdgeError> {
             let mut inner = self.lock();
-            inner.orders.push(order.clone());
-            inner.loaded.retain(|loaded| loaded.weights != order.weights);
-            if order.action == CommandAction::Load {
-                let (weights, memory_mib) = (order.weights.clone(), order.memory_mib);
+            inner.commands.push(command.clone());
+            inner.loaded.retain(|loaded| loaded.weights != command.weights);
+            if command.action == CommandAction::Load {
+                let (weights, memory_mib) = (command.weights.clone(), command.memory_mib);
                 inner.loaded.push(Loaded { weights, memory_mib, ready: true });
             }
             if inner.lose_answers > 0 {
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -40,7 +40,7 @@
     let engine = HttpEngine::new(&format!("http://{address}"));
     wait_for("the engine", async || engine.loaded().await.is_ok()).await;
     let order = EngineCommand { action: CommandAction::Load, weights: weights(), memory_mib: 100, fence: 1 };
-    engine.order(&order).await.expect("there is room");
+    engine.execute(&order).await.expect("there is room");
     Running { engine, address, dir, _process: process }
 }
 
