--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -12,7 +12,7 @@
 use corianderstand_derives::derives;
 use corianderstand_edge::{
     EdgeError,
-    engine::{Engine, EngineEvent, EngineStream, Generate, EngineCommand, CommandAction},
+    engine::{Engine, EngineEvent, EngineStream, GenerateRequest, EngineCommand, CommandAction},
     service::PlainService,
 };
 use corianderstand_schema::messages::{Ending, Load, Operation, RefusalReason, ToRouter};
@@ -224,7 +224,7 @@
 fn generate_of(
     request: &Request,
     trace: corianderstand_link::trace::TraceContext,
-) -> Option<Generate> {
+) -> Option<GenerateRequest> {
     let (chat, model, version, adapter) = match &request.open.operation {
         Operation::Completion { model, version, adapter } => (false, model, version, adapter),
         Operation::Chat { model, version, adapter } => (true, model, version, adapter),
@@ -238,7 +238,7 @@
             adapter: Some(adapter.name.clone()),
         },
     };
-    Some(Generate {
+    Some(GenerateRequest {
         chat,
         weights,
         body: request.body.clone(),
--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -50,7 +50,7 @@
 
 /// A request to generate.
 #[derives(data)]
-pub struct Generate {
+pub struct GenerateRequest {
     /// Whether the body is a chat.
     pub chat: bool,
     /// What to generate with.
@@ -149,7 +149,7 @@
     /// Carries out an order; an error leaves open whether it did.
     async fn execute(&self, command: &EngineCommand) -> Result<(), EdgeError>;
     /// Starts to generate.
-    async fn generate(&self, generate: Generate) -> Result<EngineStream, EdgeError>;
+    async fn generate(&self, request: GenerateRequest) -> Result<EngineStream, EdgeError>;
     /// Stops a request and gives its memory back.
     async fn cancel(&self, request: &str) -> Result<(), EdgeError>;
     /// How busy the engine says it is; it lags.
@@ -187,16 +187,16 @@
         answer.bytes().await.map(drop).map_err(|error| self.http.unreachable(&error))
     }
 
-    async fn generate(&self, generate: Generate) -> Result<EngineStream, EdgeError> {
-        let path = if generate.chat { "/v1/chat/completions" } else { "/v1/completions" };
-        let body = engine_body(&generate).map_err(|error| self.http.malformed(&error))?;
+    async fn generate(&self, request: GenerateRequest) -> Result<EngineStream, EdgeError> {
+        let path = if request.chat { "/v1/chat/completions" } else { "/v1/completions" };
+        let body = engine_body(&request).map_err(|error| self.http.malformed(&error))?;
         let req = self
             .http
             .request(reqwest::Method::POST, path)
-            .header("x-request-id", generate.request.as_str())
-            .header("x-priority", u32::from(generate.priority))
-            .header("x-resume-from", generate.position)
-            .header("traceparent", generate.traceparent.as_str())
+            .header("x-request-id", request.request.as_str())
+            .header("x-priority", u32::from(request.priority))
+            .header("x-resume-from", request.position)
+            .header("traceparent", request.traceparent.as_str())
             .json(&body);
         let response = self.http.send(req).await?;
         let http = self.http.clone();
@@ -224,9 +224,9 @@
 }
 
 /// The caller's body with the model as the engine names it, and streaming switched on.
-fn engine_body(generate: &Generate) -> Result<Value, serde_json::Error> {
-    let mut body: Value = serde_json::from_slice(&generate.body)?;
-    body["model"] = json!(generate.weights.to_string());
+fn engine_body(request: &GenerateRequest) -> Result<Value, serde_json::Error> {
+    let mut body: Value = serde_json::from_slice(&request.body)?;
+    body["model"] = json!(request.weights.to_string());
     body["stream"] = json!(true);
     body["stream_options"] = json!({ "include_usage": true });
     Ok(body)
@@ -264,7 +264,7 @@
 
     use super::{
         BoxStream, CacheEvent, CacheEvents, EdgeError, Engine, EngineEvent, EngineReport,
-        EngineStream, Generate, Loaded, EngineCommand, CommandAction, async_trait,
+        EngineStream, GenerateRequest, Loaded, EngineCommand, CommandAction, async_trait,
     };
     use futures::{StreamExt, stream};
     use std::sync::{Mutex, MutexGuard};
@@ -334,8 +334,8 @@
             Ok(())
         }
 
-        async fn generate(&self, generate: Generate) -> Result<EngineStream, EdgeError> {
-            let texts = TOKENS.iter().skip(generate.position as usize);
+        async fn generate(&self, request: GenerateRequest) -> Result<EngineStream, EdgeError> {
+            let texts = TOKENS.iter().skip(request.position as usize);
             let texts = texts.map(|text| Ok(EngineEvent::Text((*text).to_owned())));
             let finished = EngineEvent::Finished {
                 reason: "stop".into(),
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -1,7 +1,7 @@
 //! The stand-in engine through the real adapter: what the outside system is known to do.
 
 use corianderstand::types::weights::Weights;
-use corianderstand_edge::engine::{Engine, EngineEvent, Generate, HttpEngine, EngineCommand, CommandAction};
+use corianderstand_edge::engine::{Engine, EngineEvent, GenerateRequest, HttpEngine, EngineCommand, CommandAction};
 use futures::StreamExt;
 use rstest::rstest;
 use serde_json::json;
@@ -44,13 +44,13 @@
     Running { engine, address, dir, _process: process }
 }
 
-fn generate(prompt: &str, request: &str, priority: u8, tokens: u32) -> Generate {
+fn generate(prompt: &str, request: &str, priority: u8, tokens: u32) -> GenerateRequest {
     let body = json!({ "prompt": prompt, "max_tokens": tokens }).to_string().into();
     let (request, traceparent) = (request.into(), "".into());
-    Generate { chat: false, weights: weights(), body, request, priority, position: 0, traceparent }
+    GenerateRequest { chat: false, weights: weights(), body, request, priority, position: 0, traceparent }
 }
 
-async fn run(engine: &HttpEngine, generate: Generate) -> u64 {
+async fn run(engine: &HttpEngine, generate: GenerateRequest) -> u64 {
     let mut stream = engine.generate(generate).await.expect("the model is loaded");
     while let Some(event) = stream.next().await {
         if let EngineEvent::Finished { completion_tokens, .. } = event.expect("it goes on") {
