--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -14,7 +14,7 @@
 /// Something an engine has loaded.
 #[derives(wire)]
 #[derive(Eq)]
-pub struct Loaded {
+pub struct LoadedWeights {
     /// What it is.
     pub weights: Weights,
     /// Memory it takes, in MiB.
@@ -145,7 +145,7 @@
 #[async_trait]
 pub trait Engine: Send + Sync {
     /// What is loaded or loading.
-    async fn loaded(&self) -> Result<Vec<Loaded>, EdgeError>;
+    async fn loaded(&self) -> Result<Vec<LoadedWeights>, EdgeError>;
     /// Carries out an order; an error leaves open whether it did.
     async fn execute(&self, command: &EngineCommand) -> Result<(), EdgeError>;
     /// Starts to generate.
@@ -176,7 +176,7 @@
 
 #[async_trait]
 impl Engine for HttpEngine {
-    async fn loaded(&self) -> Result<Vec<Loaded>, EdgeError> {
+    async fn loaded(&self) -> Result<Vec<LoadedWeights>, EdgeError> {
         self.http.json(self.http.request(reqwest::Method::GET, "/loaded")).await
     }
 
@@ -264,7 +264,7 @@
 
     use super::{
         BoxStream, CacheEvent, CacheEvents, EdgeError, Engine, EngineEvent, EngineReport,
-        EngineStream, GenerateRequest, Loaded, EngineCommand, CommandAction, async_trait,
+        EngineStream, GenerateRequest, LoadedWeights, EngineCommand, CommandAction, async_trait,
     };
     use futures::{StreamExt, stream};
     use std::sync::{Mutex, MutexGuard};
@@ -277,7 +277,7 @@
 
     #[derive(Debug, Default)]
     struct Inner {
-        loaded: Vec<Loaded>,
+        loaded: Vec<LoadedWeights>,
         commands: Vec<EngineCommand>,
         lose_answers: u32,
         report: EngineReport,
@@ -314,7 +314,7 @@
 
     #[async_trait]
     impl Engine for MemoryEngine {
-        async fn loaded(&self) -> Result<Vec<Loaded>, EdgeError> {
+        async fn loaded(&self) -> Result<Vec<LoadedWeights>, EdgeError> {
             Ok(self.lock().loaded.clone())
         }
 
@@ -324,7 +324,7 @@
             inner.loaded.retain(|loaded| loaded.weights != command.weights);
             if command.action == CommandAction::Load {
                 let (weights, memory_mib) = (command.weights.clone(), command.memory_mib);
-                inner.loaded.push(Loaded { weights, memory_mib, ready: true });
+                inner.loaded.push(LoadedWeights { weights, memory_mib, ready: true });
             }
             if inner.lose_answers > 0 {
                 inner.lose_answers -= 1;
--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -8,7 +8,7 @@
     text,
 };
 use bytes::Bytes;
-use corianderstand_edge::engine::{EngineReport, Loaded, EngineCommand, CommandAction};
+use corianderstand_edge::engine::{EngineReport, LoadedWeights, EngineCommand, CommandAction};
 use futures::{FutureExt, StreamExt, stream};
 use getopts::Matches;
 use salvo::Router;
@@ -82,7 +82,7 @@
 struct Inner {
     cache: PrefixCache,
     reports: VecDeque<(Instant, EngineReport)>,
-    loaded: Vec<Loaded>,
+    loaded: Vec<LoadedWeights>,
     fences: BTreeMap<String, u64>,
     cancelled: BTreeSet<String>,
     fault: Fault,
@@ -127,7 +127,7 @@
             return Err(Reply::text(507, "not enough memory"));
         }
         let (weights, memory_mib) = (order.weights.clone(), order.memory_mib);
-        inner.loaded.push(Loaded { weights, memory_mib, ready: false });
+        inner.loaded.push(LoadedWeights { weights, memory_mib, ready: false });
         inner.counters.most_memory_mib = inner.counters.most_memory_mib.max(inner.memory());
         inner.counters.loads += 1;
         Ok(())
