--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -159,7 +159,7 @@
 }
 
 /// Longest pause between two parts of an engine's answer.
-pub const ENGINE_SILENCE: Duration = Duration::from_secs(120);
+pub const ENGINE_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// An engine over HTTP and server-sent events.
 #[derive(Clone, Debug)]
@@ -170,7 +170,7 @@
 impl HttpEngine {
     /// The engine at `base`.
     pub fn new(base: &str) -> Self {
-        Self { http: HttpSystem::new("the engine", base, ENGINE_SILENCE) }
+        Self { http: HttpSystem::new("the engine", base, ENGINE_IDLE_TIMEOUT) }
     }
 }
 
