--- a/crates/corianderstand_edge/src/log.rs
+++ b/crates/corianderstand_edge/src/log.rs
@@ -79,12 +79,12 @@
 }
 
 /// Time an answer of the log may take beyond the wait that was asked for.
-pub const LOG_SILENCE: Duration = Duration::from_secs(3);
+pub const LOG_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl HttpLog {
     /// The log at `base`; `longest_wait` is the longest that reads will ask to wait.
     pub fn new(base: &str, longest_wait: Duration) -> Self {
-        let http = HttpSystem::new("the log service", base, longest_wait + LOG_SILENCE);
+        let http = HttpSystem::new("the log service", base, longest_wait + LOG_RESPONSE_TIMEOUT);
         Self { http, bearer: None }
     }
 
