--- a/crates/corianderstand_edge/src/log.rs
+++ b/crates/corianderstand_edge/src/log.rs
@@ -66,7 +66,7 @@
 
 /// Answer to an append.
 #[derives(wire)]
-pub struct AppendAnswer {
+pub struct AppendResponse {
     /// Offset of the first record.
     pub first: u64,
 }
@@ -99,7 +99,7 @@
 impl LogService for HttpLog {
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
         let req = self.http.request(reqwest::Method::POST, "/append");
-        let answer: AppendAnswer = self.http.json(req.json(&AppendRequest { records })).await?;
+        let answer: AppendResponse = self.http.json(req.json(&AppendRequest { records })).await?;
         Ok(answer.first)
     }
 
--- a/crates/corianderstand_standins/src/log.rs
+++ b/crates/corianderstand_standins/src/log.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the log service: offsets, limited retention, and outages.
 
 use crate::serve::{self, Ask, At, Reply};
-use corianderstand_edge::log::{AppendAnswer, AppendRequest, Entry, Page};
+use corianderstand_edge::log::{AppendResponse, AppendRequest, Entry, Page};
 use futures::FutureExt;
 use getopts::Matches;
 use salvo::Router;
@@ -104,7 +104,7 @@
         (first, lost)
     };
     log.grown.send_replace(first);
-    if lost { Reply::text(504, "answer lost") } else { Reply::json(&AppendAnswer { first }) }
+    if lost { Reply::text(504, "answer lost") } else { Reply::json(&AppendResponse { first }) }
 }
 
 async fn read(log: Arc<Log>, ask: Ask) -> Reply {
