--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -7,7 +7,7 @@
 use corianderstand_control::appender::{AppendError, Decided};
 use corianderstand_edge::{
     EdgeError,
-    service::{Answer, Call},
+    service::{ServiceResponse, Call},
 };
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
@@ -37,7 +37,7 @@
 /// When to come back while as many keys are remembered as may be.
 const RETRY_FULL: Duration = Duration::from_secs(60);
 
-type Called = Result<Answer, Finish>;
+type Called = Result<ServiceResponse, Finish>;
 
 /// Runs a call and sends its answer.
 pub async fn run(runner: &Runner, request: &Request, trace: TraceContext) -> Finish {
@@ -69,7 +69,7 @@
     Finish::Ended(ending, 0)
 }
 
-async fn send(request: &Request, answer: &Answer) -> Finish {
+async fn send(request: &Request, answer: &ServiceResponse) -> Finish {
     let stream = request.end.stream;
     let (status, content_type) = (answer.status, answer.content_type.clone());
     request.end.send(&ToRouter::Head { stream, status, content_type }, b"").await;
@@ -83,7 +83,7 @@
     runner: &Runner,
     request: &Request,
     trace: TraceContext,
-) -> Result<Answer, EdgeError> {
+) -> Result<ServiceResponse, EdgeError> {
     match (&runner.target, &request.open.operation) {
         (
             Target::Service(service),
@@ -237,7 +237,7 @@
     runner.clock.now() < request.deadline && (expires_ms == 0 || now_ms < expires_ms)
 }
 
-fn stored(answer: &Answer) -> CallAnswer {
+fn stored(answer: &ServiceResponse) -> CallAnswer {
     let kept = answer.body.len() <= calls::MAX_ANSWER;
     CallAnswer {
         status: answer.status,
@@ -256,7 +256,7 @@
     match known {
         Known::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
             let body = bytes::Bytes::copy_from_slice(&body);
-            Ok(Answer { status, content_type, body })
+            Ok(ServiceResponse { status, content_type, body })
         }
         Known::NotRun => Err(not_run("it was given up before it began")),
         Known::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, RETRY_LOG)),
--- a/crates/corianderstand_edge/src/service.rs
+++ b/crates/corianderstand_edge/src/service.rs
@@ -28,7 +28,7 @@
 
 /// A service's answer.
 #[derives(data)]
-pub struct Answer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -41,7 +41,7 @@
 #[async_trait]
 pub trait PlainService: Send + Sync {
     /// Makes one call; an error leaves open whether it ran unless [`EdgeError::never_sent`].
-    async fn call(&self, call: Call) -> Result<Answer, EdgeError>;
+    async fn call(&self, call: Call) -> Result<ServiceResponse, EdgeError>;
 }
 
 /// A service over HTTP.
@@ -59,7 +59,7 @@
 
 #[async_trait]
 impl PlainService for HttpService {
-    async fn call(&self, call: Call) -> Result<Answer, EdgeError> {
+    async fn call(&self, call: Call) -> Result<ServiceResponse, EdgeError> {
         let method = call.method.parse().map_err(|error| self.http.malformed(&error))?;
         let mut req = self
             .http
@@ -76,7 +76,7 @@
         let content_type = response.headers().get("content-type");
         let content_type = content_type.and_then(|v| v.to_str().ok()).unwrap_or("").into();
         let body = response.bytes().await.map_err(|error| self.http.unreachable(&error))?;
-        Ok(Answer { status, content_type, body })
+        Ok(ServiceResponse { status, content_type, body })
     }
 }
 
@@ -95,10 +95,10 @@
 
 #[async_trait]
 impl PlainService for MemoryService {
-    async fn call(&self, call: Call) -> Result<Answer, EdgeError> {
+    async fn call(&self, call: Call) -> Result<ServiceResponse, EdgeError> {
         let mut calls = self.calls.lock().expect("no holder of this lock panics");
         calls.push(call);
         let body = Bytes::from(calls.len().to_string());
-        Ok(Answer { status: 200, content_type: "text/plain".into(), body })
+        Ok(ServiceResponse { status: 200, content_type: "text/plain".into(), body })
     }
 }
