--- a/crates/corianderstand_control/src/membership/tests.rs
+++ b/crates/corianderstand_control/src/membership/tests.rs
@@ -26,7 +26,7 @@
     fn show(&mut self, live: &str, leaving: &str) -> bool {
         let entry = |host: char, state| {
             let host = HostId::from(host.to_string().as_str());
-            HostEntry { host, place: "p".into(), state }
+            HostEntry { host, availability_zone: "p".into(), state }
         };
         let live = live.chars().map(|host| entry(host, HostState::Live));
         let leaving = leaving.chars().map(|host| entry(host, HostState::Leaving));
--- a/crates/corianderstand_edge/src/hosts.rs
+++ b/crates/corianderstand_edge/src/hosts.rs
@@ -24,7 +24,8 @@
     /// Its name.
     pub host: HostId,
     /// Its availability zone.
-    pub place: AvailabilityZoneId,
+    #[serde(rename = "place")]
+    pub availability_zone: AvailabilityZoneId,
     /// Its state as far as the list knows.
     pub state: HostState,
 }
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -146,7 +146,7 @@
     pub async fn list_hosts(&self, count: usize) {
         let entry = |i: usize| HostEntry {
             host: names::HostId(format_smolstr!("host-{i:03}")),
-            place: names::AvailabilityZoneId(format_smolstr!("place-{}", i % 4)),
+            availability_zone: names::AvailabilityZoneId(format_smolstr!("place-{}", i % 4)),
             state: HostState::Live,
         };
         let hosts: Vec<HostEntry> = (0..count).map(entry).collect();
