--- a/crates/corianderstand_cli/src/check.rs
+++ b/crates/corianderstand_cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `corianderstand check`: all faults of settings directories and process files at once.
 
 use crate::{Exit, directory, together};
-use corianderstand_schema::check::{self, Document, Fault};
+use corianderstand_schema::check::{self, Document, Violation};
 use corianderstand_state::view;
 use getopts::Matches;
 use serde_json::{Value, json};
@@ -20,12 +20,12 @@
         /// The file, as shown.
         file: String,
         /// Its fault.
-        fault: Fault,
+        fault: Violation,
     },
 }
 
 impl FileFault {
-    fn new(file: &Path, fault: Fault) -> Self {
+    fn new(file: &Path, fault: Violation) -> Self {
         Self::Faulty { file: file.display().to_string(), fault }
     }
 
@@ -85,7 +85,7 @@
         (false, true) => process_faults(Document::Router, path, &value),
         (false, false) => vec![FileFault::new(
             path,
-            Fault {
+            Violation {
                 path: "/".into(),
                 problem: "this is neither an agent's nor a router's settings".into(),
                 remedy: "give `target` for an agent, `auth_key` and `operator_key_hash` for a \
@@ -105,11 +105,11 @@
 }
 
 /// Limits that cannot hold together.
-fn contradictions(value: &Value) -> Vec<Fault> {
+fn contradictions(value: &Value) -> Vec<Violation> {
     let ms = |name: &str, default: u64| value["timing"][name].as_u64().unwrap_or(default);
     let mut faults = Vec::new();
     if ms("silence_ms", 2000) < 2 * ms("heartbeat_ms", 500) {
-        faults.push(Fault {
+        faults.push(Violation {
             path: "/timing/silence_ms".into(),
             problem: "it is less than two heartbeats".into(),
             remedy: "raise silence_ms or lower heartbeat_ms, or every pause cuts a connection"
@@ -120,13 +120,13 @@
 }
 
 /// Addresses are IP numbers with a port; nothing is looked up by name.
-fn addresses(value: &Value) -> Vec<Fault> {
+fn addresses(value: &Value) -> Vec<Violation> {
     let one = |name: &str| Some((format!("/{name}"), value[name].as_str()?.to_owned()));
     let peers = value["peers"].as_array().into_iter().flatten().enumerate();
     let peers = peers.filter_map(|(i, peer)| Some((format!("/peers/{i}"), peer.as_str()?.into())));
     let all = ["listen", "advertise", "statsd"].into_iter().filter_map(one).chain(peers);
     let wrong = all.filter(|(_, address)| address.parse::<SocketAddr>().is_err());
-    let describe = |(path, address)| Fault {
+    let describe = |(path, address)| Violation {
         path,
         problem: format!("{address:?} is no IP number with a port"),
         remedy: "give one, like 192.0.2.1:8080".into(),
--- a/crates/corianderstand_cli/src/together.rs
+++ b/crates/corianderstand_cli/src/together.rs
@@ -1,7 +1,7 @@
 //! Faults that only show between the documents of a directory.
 
 use crate::directory::Documents;
-use corianderstand_schema::check::Fault;
+use corianderstand_schema::check::Violation;
 use corianderstand_state::view::PathKind;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -10,11 +10,11 @@
 const WHOLE_SHARE: u64 = 1000;
 
 /// A fault and the path of the document that has it.
-pub type Found = (String, Fault);
+pub type Found = (String, Violation);
 
 fn fault(document: &str, path: &str, problem: String, remedy: &str) -> Found {
     let (path, remedy) = (path.to_owned(), remedy.to_owned());
-    (document.to_owned(), Fault { path, problem, remedy })
+    (document.to_owned(), Violation { path, problem, remedy })
 }
 
 /// All such faults.
--- a/crates/corianderstand_schema/src/check.rs
+++ b/crates/corianderstand_schema/src/check.rs
@@ -39,7 +39,7 @@
 /// One fault in a document.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 #[displaydoc("at {path}: {problem}; {remedy}")]
-pub struct Fault {
+pub struct Violation {
     /// JSON pointer of the faulty value.
     pub path: String,
     /// What is wrong with it.
@@ -48,7 +48,7 @@
     pub remedy: String,
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Violation {}
 
 impl Document {
     const ALL: [Self; 8] = [
@@ -98,7 +98,7 @@
 });
 
 /// All faults of a document against its schema.
-pub fn check(kind: Document, value: &Value) -> Vec<Fault> {
+pub fn check(kind: Document, value: &Value) -> Vec<Violation> {
     let (_, schema, validator) =
         VALIDATORS.iter().find(|(known, _, _)| *known == kind).expect("every kind is compiled");
     validator.iter_errors(value).flat_map(|error| explain::faults(schema, &error)).collect()
--- a/crates/corianderstand_schema/src/check/explain.rs
+++ b/crates/corianderstand_schema/src/check/explain.rs
@@ -1,6 +1,6 @@
 //! Faults in words: what is wrong with a value, and what may stand there instead.
 
-use crate::check::Fault;
+use crate::check::Violation;
 use jsonschema::{ValidationError, error::ValidationErrorKind as Kind};
 use serde_json::Value;
 
@@ -8,13 +8,13 @@
 const MAX_SHOWN: usize = 60;
 
 /// The faults that one error of the validator stands for.
-pub fn faults(schema: &Value, error: &ValidationError<'_>) -> Vec<Fault> {
+pub fn faults(schema: &Value, error: &ValidationError<'_>) -> Vec<Violation> {
     let path = error.instance_path().to_string();
     let field = field(schema, schema, &tokens(&path));
     let value = shown(error.instance());
     let one = |problem: String, remedy: String| {
         let path = if path.is_empty() { "/".into() } else { path.clone() };
-        vec![Fault { path, problem, remedy }]
+        vec![Violation { path, problem, remedy }]
     };
     match error.kind() {
         Kind::AdditionalProperties { unexpected } => {
@@ -55,7 +55,7 @@
     path: &str,
     value: &str,
     field: Option<&Value>,
-) -> Vec<Fault> {
+) -> Vec<Violation> {
     let depth = |errors: &Vec<ValidationError<'static>>| {
         errors.iter().map(|error| error.instance_path().to_string().len()).max()
     };
@@ -67,15 +67,15 @@
         _ => {
             let path = if path.is_empty() { "/".into() } else { path.to_owned() };
             let problem = format!("{value} is none of the forms allowed here");
-            vec![Fault { path, problem, remedy: give(field) }]
+            vec![Violation { path, problem, remedy: give(field) }]
         }
     }
 }
 
-fn unknown_field(path: &str, name: &str, field: Option<&Value>) -> Fault {
+fn unknown_field(path: &str, name: &str, field: Option<&Value>) -> Violation {
     let known = field.and_then(|field| field["properties"].as_object());
     let known: Vec<&str> = known.into_iter().flatten().map(|(name, _)| name.as_str()).collect();
-    Fault {
+    Violation {
         path: format!("{path}/{name}"),
         problem: format!("there is no field `{name}`"),
         remedy: format!("remove it, or use one of: {}", known.join(", ")),
--- a/crates/corianderstand_state/src/view.rs
+++ b/crates/corianderstand_state/src/view.rs
@@ -3,7 +3,7 @@
 use crate::documents::Documents;
 use corianderstand_derives::derives;
 use corianderstand_schema::{
-    check::{self, Document, Fault},
+    check::{self, Document, Violation},
     settings,
 };
 use corianderstand_types::names::{ModelId, ServiceId, WorkspaceId};
@@ -109,10 +109,10 @@
 }
 
 /// All faults of one document, taken alone.
-pub fn check_document(path: &str, value: &Value) -> Vec<Fault> {
+pub fn check_document(path: &str, value: &Value) -> Vec<Violation> {
     match PathKind::parse(path) {
         Some(kind) => check::check(kind.document(), value),
-        None => vec![Fault {
+        None => vec![Violation {
             path: "/".into(),
             problem: format!("no document belongs at `{path}`"),
             remedy: "use one of the paths in the settings reference in docs/operators".into(),
