--- a/crates/corianderstand_schema/src/check.rs
+++ b/crates/corianderstand_schema/src/check.rs
@@ -2,7 +2,7 @@
 
 mod explain;
 
-pub use explain::type_of;
+pub use explain::describe_type;
 
 use corianderstand_types::names;
 use serde_json::Value;
--- a/crates/corianderstand_schema/src/check/explain.rs
+++ b/crates/corianderstand_schema/src/check/explain.rs
@@ -26,7 +26,7 @@
             one(format!("`{name}` is missing"), format!("add it: {}", about(wanted)))
         }
         Kind::Type { .. } => {
-            let wanted = field.map(type_of).unwrap_or_default();
+            let wanted = field.map(describe_type).unwrap_or_default();
             one(format!("{value} is no {wanted}"), give(field))
         }
         Kind::Minimum { limit } => one(format!("{value} is less than {limit}"), give(field)),
@@ -98,7 +98,7 @@
 /// What a value must be, from its type, unit and range.
 fn give(field: Option<&Value>) -> String {
     let Some(field) = field else { return "see docs/operators/settings.md".into() };
-    let wanted = type_of(field);
+    let wanted = describe_type(field);
     let range = match (&field["minimum"], &field["maximum"]) {
         (Value::Null, _) | (_, Value::Null) => String::new(),
         (low, high) => format!(" from {low} to {high}"),
@@ -107,7 +107,7 @@
 }
 
 /// The type of a field in words, with its unit.
-pub fn type_of(field: &Value) -> String {
+pub fn describe_type(field: &Value) -> String {
     if let Some(options) = field["enum"].as_array() {
         let options: Vec<String> = options.iter().map(Value::to_string).collect();
         return options.join(" or ");
--- a/tools/reference/src/settings.rs
+++ b/tools/reference/src/settings.rs
@@ -78,7 +78,7 @@
         let alternatives = alternatives.iter().map(|inner| value(root, resolve(root, inner)));
         return alternatives.collect::<Vec<_>>().join(" or ");
     }
-    let kind = check::type_of(field);
+    let kind = check::describe_type(field);
     match (&field["minimum"], &field["maximum"], &field["minItems"], &field["maxItems"]) {
         (Value::Null, _, Value::Null, Value::Null) => kind,
         (Value::Null, _, low, high) => {
