--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -7,7 +7,7 @@
 use corianderstand_control::appender::{AppendError, Decided};
 use corianderstand_edge::{
     EdgeError,
-    service::{ServiceResponse, Call},
+    service::{Call, ServiceResponse},
 };
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -12,7 +12,7 @@
 use corianderstand_derives::derives;
 use corianderstand_edge::{
     EdgeError,
-    engine::{Engine, EngineEvent, EngineStream, GenerateRequest, EngineCommand, CommandAction},
+    engine::{CommandAction, Engine, EngineCommand, EngineEvent, EngineStream, GenerateRequest},
     service::PlainService,
 };
 use corianderstand_schema::messages::{Ending, Load, Operation, RefusalReason, ToRouter};
--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -263,8 +263,8 @@
     //! An engine in memory, for tests.
 
     use super::{
-        BoxStream, CacheEvent, CacheEvents, EdgeError, Engine, EngineEvent, EngineReport,
-        EngineStream, GenerateRequest, LoadedWeights, EngineCommand, CommandAction, async_trait,
+        BoxStream, CacheEvent, CacheEvents, CommandAction, EdgeError, Engine, EngineCommand,
+        EngineEvent, EngineReport, EngineStream, GenerateRequest, LoadedWeights, async_trait,
     };
     use futures::{StreamExt, stream};
     use std::sync::{Mutex, MutexGuard};
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -14,7 +14,12 @@
 
 impl<E: dialect::EngineCalls> Agent<E> {
     /// Answers a router that asks for a turn at the engine.
-    pub(super) fn take_prefill(&self, now: Instant, from: SocketAddr, asked: &peers::PrefillRequest) {
+    pub(super) fn take_prefill(
+        &self,
+        now: Instant,
+        from: SocketAddr,
+        asked: &peers::PrefillRequest,
+    ) {
         let millis = |ms: u32| Duration::from_millis(u64::from(ms));
         let mut turns = self.turns.borrow_mut();
         let answer = turns.ask(
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -5,7 +5,7 @@
 use corianderstand_fleet::{steps, targets};
 use corianderstand_forward::{agent, client, dialect};
 use corianderstand_schema::peers::{
-    EngineGone, EngineUpdate, EnginePlan, EngineReplaced, PeerMessage, PlanPart,
+    EngineGone, EnginePlan, EngineReplaced, EngineUpdate, PeerMessage, PlanPart,
 };
 use corianderstand_types::{clock::SystemClock, names::TargetId};
 use std::{
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -7,7 +7,7 @@
     config::{self, Route},
     targets,
 };
-use corianderstand_schema::peers::{self, PeerMessage, PrefillResponse, PrefillRequest};
+use corianderstand_schema::peers::{self, PeerMessage, PrefillRequest, PrefillResponse};
 use std::{
     net::SocketAddr,
     time::{Duration, Instant},
--- a/crates/corianderstand_schema/src/check.rs
+++ b/crates/corianderstand_schema/src/check.rs
@@ -1,4 +1,4 @@
-//! Compares JSON documents with their schema, all faults at once.
+//! Compares JSON documents with their schema, all violations at once.
 
 mod explain;
 
@@ -12,7 +12,7 @@
 const PROCESS: &str = include_str!("../../../schema/process.json");
 
 /// Formats of names; other formats of our own are checked by type and range.
-const NAMES: [&str; 9] =
+const NAME_FORMATS: [&str; 9] =
     ["host", "place", "team", "target", "model", "adapter", "version", "service", "writer"];
 
 /// Kinds of document that an operator writes.
@@ -87,7 +87,7 @@
 static VALIDATORS: LazyLock<Vec<(Document, Value, jsonschema::Validator)>> = LazyLock::new(|| {
     let compile = |kind: Document| {
         let schema = kind.schema();
-        let options = NAMES.iter().fold(jsonschema::options(), |options, name| {
+        let options = NAME_FORMATS.iter().fold(jsonschema::options(), |options, name| {
             options.with_format(*name, |text: &str| names::check(text).is_ok())
         });
         let options = options.should_validate_formats(true);
@@ -97,9 +97,9 @@
     Document::ALL.into_iter().map(compile).collect()
 });
 
-/// All faults of a document against its schema.
+/// All violations of a document against its schema.
 pub fn check(kind: Document, value: &Value) -> Vec<Violation> {
     let (_, schema, validator) =
         VALIDATORS.iter().find(|(known, _, _)| *known == kind).expect("every kind is compiled");
-    validator.iter_errors(value).flat_map(|error| explain::faults(schema, &error)).collect()
+    validator.iter_errors(value).flat_map(|error| explain::violations(schema, &error)).collect()
 }
--- a/crates/corianderstand_schema/src/check/explain.rs
+++ b/crates/corianderstand_schema/src/check/explain.rs
@@ -5,14 +5,14 @@
 use serde_json::Value;
 
 /// Longest value shown in a message, in characters.
-const MAX_SHOWN: usize = 60;
+const MAX_SHOWN_CHARS: usize = 60;
 
-/// The faults that one error of the validator stands for.
-pub fn faults(schema: &Value, error: &ValidationError<'_>) -> Vec<Violation> {
+/// The violations that one error of the validator stands for.
+pub fn violations(schema: &Value, error: &ValidationError<'_>) -> Vec<Violation> {
     let path = error.instance_path().to_string();
-    let field = field(schema, schema, &tokens(&path));
-    let value = shown(error.instance());
-    let one = |problem: String, remedy: String| {
+    let field = subschema(schema, schema, &pointer_tokens(&path));
+    let value = truncated(error.instance());
+    let violation = |problem: String, remedy: String| {
         let path = if path.is_empty() { "/".into() } else { path.clone() };
         vec![Violation { path, problem, remedy }]
     };
@@ -22,33 +22,37 @@
         }
         Kind::Required { property } => {
             let name = property.as_str().unwrap_or_default();
-            let wanted = field.and_then(|field| field["properties"].get(name));
-            one(format!("`{name}` is missing"), format!("add it: {}", about(wanted)))
+            let expected = field.and_then(|field| field["properties"].get(name));
+            violation(format!("`{name}` is missing"), format!("add it: {}", description(expected)))
         }
         Kind::Type { .. } => {
-            let wanted = field.map(describe_type).unwrap_or_default();
-            one(format!("{value} is no {wanted}"), give(field))
+            let expected = field.map(describe_type).unwrap_or_default();
+            violation(format!("{value} is no {expected}"), remedy(field))
         }
-        Kind::Minimum { limit } => one(format!("{value} is less than {limit}"), give(field)),
-        Kind::Maximum { limit } => one(format!("{value} is more than {limit}"), give(field)),
-        Kind::MinItems { limit } => one(format!("fewer than {limit} items"), give(field)),
-        Kind::MaxItems { limit } => one(format!("more than {limit} items"), give(field)),
-        Kind::Enum { options } => one(format!("{value} is none of {options}"), give(field)),
+        Kind::Minimum { limit } => {
+            violation(format!("{value} is less than {limit}"), remedy(field))
+        }
+        Kind::Maximum { limit } => {
+            violation(format!("{value} is more than {limit}"), remedy(field))
+        }
+        Kind::MinItems { limit } => violation(format!("fewer than {limit} items"), remedy(field)),
+        Kind::MaxItems { limit } => violation(format!("more than {limit} items"), remedy(field)),
+        Kind::Enum { options } => violation(format!("{value} is none of {options}"), remedy(field)),
         Kind::Pattern { pattern } => {
-            one(format!("{value} does not have the form {pattern}"), give(field))
+            violation(format!("{value} does not have the form {pattern}"), remedy(field))
         }
-        Kind::Format { format } => one(
+        Kind::Format { format } => violation(
             format!("{value} cannot be the name of a {format}"),
             "use 1 to 96 letters, digits, '-', '_' and '.'".into(),
         ),
         Kind::OneOfNotValid { context } | Kind::AnyOf { context } => {
             alternatives(schema, context, &path, &value, field)
         }
-        _ => one(error.to_string(), give(field)),
+        _ => violation(error.to_string(), remedy(field)),
     }
 }
 
-/// Shows the faults of the alternative that comes nearest: the one that is faulty deepest inside.
+/// Shows the violations of the alternative that comes nearest: the one that is faulty deepest inside.
 fn alternatives(
     schema: &Value,
     context: &[Vec<ValidationError<'static>>],
@@ -62,12 +66,12 @@
     let nearest = context.iter().max_by_key(|errors| depth(errors));
     match nearest {
         Some(errors) if depth(errors) > Some(path.len()) => {
-            errors.iter().flat_map(|error| faults(schema, error)).collect()
+            errors.iter().flat_map(|error| violations(schema, error)).collect()
         }
         _ => {
             let path = if path.is_empty() { "/".into() } else { path.to_owned() };
             let problem = format!("{value} is none of the forms allowed here");
-            vec![Violation { path, problem, remedy: give(field) }]
+            vec![Violation { path, problem, remedy: remedy(field) }]
         }
     }
 }
@@ -82,28 +86,28 @@
     }
 }
 
-fn shown(value: &Value) -> String {
+fn truncated(value: &Value) -> String {
     let text = value.to_string();
-    if text.chars().count() <= MAX_SHOWN {
+    if text.chars().count() <= MAX_SHOWN_CHARS {
         return text;
     }
-    let start: String = text.chars().take(MAX_SHOWN).collect();
+    let start: String = text.chars().take(MAX_SHOWN_CHARS).collect();
     format!("{start}…")
 }
 
-fn about(field: Option<&Value>) -> &str {
+fn description(field: Option<&Value>) -> &str {
     field.and_then(|field| field["description"].as_str()).unwrap_or("see the settings reference")
 }
 
 /// What a value must be, from its type, unit and range.
-fn give(field: Option<&Value>) -> String {
+fn remedy(field: Option<&Value>) -> String {
     let Some(field) = field else { return "see docs/operators/settings.md".into() };
-    let wanted = describe_type(field);
+    let expected = describe_type(field);
     let range = match (&field["minimum"], &field["maximum"]) {
         (Value::Null, _) | (_, Value::Null) => String::new(),
         (low, high) => format!(" from {low} to {high}"),
     };
-    format!("give a {wanted}{range}: {}", about(Some(field)))
+    format!("give a {expected}{range}: {}", description(Some(field)))
 }
 
 /// The type of a field in words, with its unit.
@@ -123,20 +127,20 @@
     }
 }
 
-fn tokens(path: &str) -> Vec<String> {
+fn pointer_tokens(path: &str) -> Vec<String> {
     path.split('/').skip(1).map(|token| token.replace("~1", "/").replace("~0", "~")).collect()
 }
 
 /// The schema of the value at an instance path, through references and alternatives.
-fn field<'a>(root: &'a Value, schema: &'a Value, path: &[String]) -> Option<&'a Value> {
+fn subschema<'a>(root: &'a Value, schema: &'a Value, path: &[String]) -> Option<&'a Value> {
     if let Some(reference) = schema["$ref"].as_str() {
         let target = root.pointer(reference.trim_start_matches('#'))?;
-        return field(root, target, path);
+        return subschema(root, target, path);
     }
     for keyword in ["allOf", "oneOf"] {
         let parts = schema[keyword].as_array().into_iter().flatten();
         let inner = parts.filter(|part| part["type"] != "null");
-        if let Some(found) = inner.filter_map(|part| field(root, part, path)).next() {
+        if let Some(found) = inner.filter_map(|part| subschema(root, part, path)).next() {
             return Some(found);
         }
     }
@@ -145,5 +149,5 @@
         Ok(_) if schema["items"].is_object() => &schema["items"],
         _ => schema["properties"].get(first)?,
     };
-    field(root, next, rest)
+    subschema(root, next, rest)
 }
--- a/crates/corianderstand_schema/src/lib.rs
+++ b/crates/corianderstand_schema/src/lib.rs
@@ -7,8 +7,8 @@
 //! ```
 //! use corianderstand_schema::check::{self, Document};
 //!
-//! let faults = check::check(Document::Team, &serde_json::json!({ "share": 2000 }));
-//! assert!(faults.iter().any(|fault| fault.path == "/share"));
+//! let violations = check::check(Document::Team, &serde_json::json!({ "share": 2000 }));
+//! assert!(violations.iter().any(|violation| violation.path == "/share"));
 //! ```
 
 pub mod check;
--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -8,7 +8,7 @@
     text,
 };
 use bytes::Bytes;
-use corianderstand_edge::engine::{EngineReport, LoadedWeights, EngineCommand, CommandAction};
+use corianderstand_edge::engine::{CommandAction, EngineCommand, EngineReport, LoadedWeights};
 use futures::{FutureExt, StreamExt, stream};
 use getopts::Matches;
 use salvo::Router;
--- a/crates/corianderstand_standins/src/log.rs
+++ b/crates/corianderstand_standins/src/log.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the log service: offsets, limited retention, and outages.
 
 use crate::serve::{self, Ask, At, Reply};
-use corianderstand_edge::log::{AppendResponse, AppendRequest, Entry, Page};
+use corianderstand_edge::log::{AppendRequest, AppendResponse, Entry, Page};
 use futures::FutureExt;
 use getopts::Matches;
 use salvo::Router;
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -1,7 +1,9 @@
 //! The stand-in engine through the real adapter: what the outside system is known to do.
 
 use corianderstand::types::weights::Weights;
-use corianderstand_edge::engine::{Engine, EngineEvent, GenerateRequest, HttpEngine, EngineCommand, CommandAction};
+use corianderstand_edge::engine::{
+    CommandAction, Engine, EngineCommand, EngineEvent, GenerateRequest, HttpEngine,
+};
 use futures::StreamExt;
 use rstest::rstest;
 use serde_json::json;
@@ -39,7 +41,12 @@
     let process = Process::start("engine", "corianderstand-standins", &args, &dir);
     let engine = HttpEngine::new(&format!("http://{address}"));
     wait_for("the engine", async || engine.loaded().await.is_ok()).await;
-    let order = EngineCommand { action: CommandAction::Load, weights: weights(), memory_mib: 100, fence: 1 };
+    let order = EngineCommand {
+        action: CommandAction::Load,
+        weights: weights(),
+        memory_mib: 100,
+        fence: 1,
+    };
     engine.execute(&order).await.expect("there is room");
     Running { engine, address, dir, _process: process }
 }
@@ -47,7 +54,15 @@
 fn generate(prompt: &str, request: &str, priority: u8, tokens: u32) -> GenerateRequest {
     let body = json!({ "prompt": prompt, "max_tokens": tokens }).to_string().into();
     let (request, traceparent) = (request.into(), "".into());
-    GenerateRequest { chat: false, weights: weights(), body, request, priority, position: 0, traceparent }
+    GenerateRequest {
+        chat: false,
+        weights: weights(),
+        body,
+        request,
+        priority,
+        position: 0,
+        traceparent,
+    }
 }
 
 async fn run(engine: &HttpEngine, generate: GenerateRequest) -> u64 {
