--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: generation, and commands to load and unload.
+//! Client for model engines: text generation, and commands that load and unload weights.
 
 use crate::http::{EdgeError, HttpSystem};
 use async_trait::async_trait;
@@ -11,131 +11,130 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// Something an engine has loaded.
+/// A model or an adapter in an engine's memory.
 #[derives(wire)]
 #[derive(Eq)]
 pub struct LoadedWeights {
-    /// What it is.
+    /// The model, or the adapter and its model.
     pub weights: Weights,
-    /// Memory it takes, in MiB.
+    /// Memory in use, in MiB.
     pub memory_mib: u64,
     /// Whether loading has finished.
     pub ready: bool,
 }
 
-/// An order to an engine.
+/// A command to load or unload weights.
 #[derives(wire)]
 #[derive(Eq)]
 pub struct EngineCommand {
-    /// What to do.
+    /// Whether to load or to unload.
     pub action: CommandAction,
-    /// With what.
+    /// The weights that the command applies to.
     pub weights: Weights,
-    /// Memory set aside for it, in MiB.
+    /// Memory reserved for the weights, in MiB.
     pub memory_mib: u64,
-    /// Fencing number: offset of the slot's assignment in the log.
+    /// Fencing token: log offset of the replica slot's assignment.
     pub fence: u64,
 }
 
-/// What an order asks for.
+/// Action of an [`EngineCommand`].
 #[derives(key)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandAction {
-    /// Fetch and load; answered when it is ready.
+    /// Fetch and load the weights; the response follows once they are ready.
     Load,
-    /// Drop and give the memory back; answered when that is done.
+    /// Drop the weights; the response follows once their memory is free.
     Unload,
 }
 
-/// A request to generate.
+/// A text generation request.
 #[derives(data)]
 pub struct GenerateRequest {
-    /// Whether the body is a chat.
+    /// Whether the body is a chat completion rather than a text completion.
     pub chat: bool,
-    /// What to generate with.
+    /// The model or adapter to run.
     pub weights: Weights,
     /// The caller's JSON body.
     pub body: Bytes,
-    /// Identity of the request, for cancelling.
+    /// Request id, as used by [`Engine::cancel`].
     pub request: SmolStr,
-    /// 0 low, 1 normal, 2 urgent.
+    /// Priority: 0 low, 1 normal, 2 urgent.
     pub priority: u8,
-    /// First token wanted, to take up a stream.
+    /// Index of the first token to send; above 0 to resume a stream.
     pub position: u64,
     /// W3C trace context.
     pub traceparent: SmolStr,
 }
 
-/// What an engine sends while it generates.
+/// An event of a generation stream.
 #[derives(data)]
 pub enum EngineEvent {
-    /// Some text.
+    /// Generated text.
     Text(String),
-    /// The end.
+    /// End of the stream.
     Finished {
         /// Why generation stopped.
         reason: String,
         /// Tokens in the prompt.
         prompt_tokens: u64,
-        /// Tokens generated, those before a resumed position included.
+        /// Tokens generated, including those before a resumed position.
         completion_tokens: u64,
     },
 }
 
-/// An engine's answer as it comes.
+/// Stream of an engine's generation events.
 pub type EngineStream = BoxStream<'static, Result<EngineEvent, EdgeError>>;
 
-/// How busy an engine says it is; late.
+/// Load that an engine reports about itself; may be stale.
 #[derives(wire)]
 #[derive(Default)]
 pub struct EngineReport {
-    /// Requests running.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests queued.
     pub waiting: u32,
     /// Memory in use, in MiB.
     pub memory_mib: u64,
 }
 
-/// What happened to a block of an engine's prefix cache.
+/// A change to one block of an engine's prefix cache.
 #[derives(wire)]
 #[derive(Eq)]
 pub struct CacheEvent {
-    /// Its number; a number that is left out is an event that was lost.
+    /// Sequence number; a gap means that events were lost.
     pub sequence: u64,
-    /// Hash of the block and all that precedes it.
+    /// Hash of the block and of all blocks before it.
     pub block: u64,
-    /// What happened.
+    /// Whether the block was stored or evicted.
     pub change: CacheChange,
 }
 
-/// What happened to a block.
+/// Kind of a [`CacheEvent`].
 #[derives(key)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// It was taken in.
+    /// The block was added.
     Stored,
-    /// It made room for another.
+    /// The block was removed to free memory.
     Evicted,
 }
 
-/// Some of an engine's cache events.
+/// A batch of cache events.
 #[derives(wire)]
 #[derive(Default, Eq)]
 pub struct CacheEvents {
-    /// Number to ask from next time.
+    /// Sequence number to continue from.
     pub next: u64,
-    /// Events in order, late and with gaps.
+    /// Events in order of their sequence numbers, possibly delayed and with gaps.
     pub events: Vec<CacheEvent>,
 }
 
 impl CacheEvents {
-    /// How many events were lost, if it was asked from `from`.
+    /// Number of events missing from a batch that was requested from `from`.
     ///
-    /// Whoever follows the events cannot know what the lost ones said, so after a gap its
-    /// picture of the cache may be too full as well as too empty.
+    /// After a gap, a mirror of the cache may have stale blocks and lack others.
     pub fn lost(&self, from: u64) -> u64 {
         self.next.saturating_sub(from).saturating_sub(self.events.len() as u64)
     }
@@ -144,31 +143,31 @@
 /// A model engine.
 #[async_trait]
 pub trait Engine: Send + Sync {
-    /// What is loaded or loading.
+    /// Returns the weights that are loaded or loading.
     async fn loaded(&self) -> Result<Vec<LoadedWeights>, EdgeError>;
-    /// Carries out an order; an error leaves open whether it did.
+    /// Executes a command; after an error it may or may not have taken effect.
     async fn execute(&self, command: &EngineCommand) -> Result<(), EdgeError>;
-    /// Starts to generate.
+    /// Starts a generation and returns its stream.
     async fn generate(&self, request: GenerateRequest) -> Result<EngineStream, EdgeError>;
-    /// Stops a request and gives its memory back.
+    /// Cancels a request and frees its memory.
     async fn cancel(&self, request: &str) -> Result<(), EdgeError>;
-    /// How busy the engine says it is; it lags.
+    /// Returns the engine's load report, which may be stale.
     async fn report(&self) -> Result<EngineReport, EdgeError>;
-    /// Events of its prefix cache from a sequence number; they are late and have gaps.
+    /// Returns prefix cache events from a sequence number on.
     async fn cache_events(&self, from: u64) -> Result<CacheEvents, EdgeError>;
 }
 
-/// Longest pause between two parts of an engine's answer.
+/// Maximum time without data while an engine responds.
 pub const ENGINE_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// An engine over HTTP and server-sent events.
+/// [`Engine`] client over HTTP and server-sent events.
 #[derive(Clone, Debug)]
 pub struct HttpEngine {
     http: HttpSystem,
 }
 
 impl HttpEngine {
-    /// The engine at `base`.
+    /// Creates a client for the engine at `base`.
     pub fn new(base: &str) -> Self {
         Self { http: HttpSystem::new("the engine", base, ENGINE_IDLE_TIMEOUT) }
     }
@@ -182,9 +181,9 @@
 
     async fn execute(&self, command: &EngineCommand) -> Result<(), EdgeError> {
         let req = self.http.request(reqwest::Method::POST, "/orders").json(command);
-        // An answer that breaks off confirms nothing, whatever its head said.
-        let answer = self.http.send(req).await?;
-        answer.bytes().await.map(drop).map_err(|error| self.http.unreachable(&error))
+        // A truncated body doesn't confirm the command, even after a success status.
+        let response = self.http.send(req).await?;
+        response.bytes().await.map(drop).map_err(|error| self.http.unreachable(&error))
     }
 
     async fn generate(&self, request: GenerateRequest) -> Result<EngineStream, EdgeError> {
@@ -223,7 +222,7 @@
     }
 }
 
-/// The caller's body with the model as the engine names it, and streaming switched on.
+/// Rewrites the caller's body: sets the engine's model name and enables streaming.
 fn engine_body(request: &GenerateRequest) -> Result<Value, serde_json::Error> {
     let mut body: Value = serde_json::from_slice(&request.body)?;
     body["model"] = json!(request.weights.to_string());
@@ -260,7 +259,7 @@
 pub use fake::MemoryEngine;
 
 mod fake {
-    //! An engine in memory, for tests.
+    //! In-memory engine for tests.
 
     use super::{
         BoxStream, CacheEvent, CacheEvents, CommandAction, EdgeError, Engine, EngineCommand,
@@ -269,7 +268,7 @@
     use futures::{StreamExt, stream};
     use std::sync::{Mutex, MutexGuard};
 
-    /// An engine that answers three tokens at once and remembers its orders.
+    /// In-memory [`Engine`] that responds with three tokens and records the commands it receives.
     #[derive(Debug, Default)]
     pub struct MemoryEngine {
         inner: Mutex<Inner>,
@@ -279,7 +278,7 @@
     struct Inner {
         loaded: Vec<LoadedWeights>,
         commands: Vec<EngineCommand>,
-        lose_answers: u32,
+        responses_to_drop: u32,
         report: EngineReport,
         cache_events: Vec<CacheEvent>,
     }
@@ -289,24 +288,24 @@
             self.inner.lock().expect("no holder of this lock panics")
         }
 
-        /// All orders that took effect.
+        /// Returns all commands that took effect.
         pub fn commands(&self) -> Vec<EngineCommand> {
             self.lock().commands.clone()
         }
 
-        /// Sets the report, however old it is to be.
+        /// Sets the load report to return.
         pub fn set_report(&self, report: EngineReport) {
             self.lock().report = report;
         }
 
-        /// Publishes a cache event; leave out numbers for gaps.
+        /// Appends a cache event; skip sequence numbers to simulate lost events.
         pub fn publish(&self, event: CacheEvent) {
             self.lock().cache_events.push(event);
         }
 
-        /// Makes the next orders take effect but lose their answers.
-        pub fn lose_answers(&self, count: u32) {
-            self.lock().lose_answers = count;
+        /// Makes the next `count` commands take effect but fail without a response.
+        pub fn drop_responses(&self, count: u32) {
+            self.lock().responses_to_drop = count;
         }
     }
 
@@ -326,9 +325,9 @@
                 let (weights, memory_mib) = (command.weights.clone(), command.memory_mib);
                 inner.loaded.push(LoadedWeights { weights, memory_mib, ready: true });
             }
-            if inner.lose_answers > 0 {
-                inner.lose_answers -= 1;
-                let (url, detail) = ("memory".into(), "no answer".into());
+            if inner.responses_to_drop > 0 {
+                inner.responses_to_drop -= 1;
+                let (url, detail) = ("memory".into(), "no response".into());
                 return Err(EdgeError::Unreachable { system: "the engine", url, detail });
             }
             Ok(())
--- a/crates/corianderstand_edge/src/hosts.rs
+++ b/crates/corianderstand_edge/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, which lags behind the truth.
+//! Client for the platform's host list, which may be stale.
 
 use crate::http::{EdgeError, HttpSystem};
 use async_trait::async_trait;
@@ -6,50 +6,50 @@
 use corianderstand_types::names::{AvailabilityZoneId, HostId};
 use std::{sync::Mutex, time::Duration};
 
-/// What the list says of a host.
+/// State of a listed host.
 #[derives(key)]
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
     /// In use.
     Live,
-    /// About to be taken back.
+    /// About to be reclaimed by the platform.
     Leaving,
 }
 
-/// One host on the list; a host that is gone is not on it.
+/// A listed host; hosts that no longer exist are absent.
 #[derives(wire)]
 #[derive(Eq)]
 pub struct HostEntry {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Its availability zone.
+    /// Availability zone of the host.
     #[serde(rename = "place")]
     pub availability_zone: AvailabilityZoneId,
-    /// Its state as far as the list knows.
+    /// State of the host, possibly stale.
     pub state: HostState,
 }
 
-/// The list of hosts.
+/// The platform's host list.
 #[async_trait]
 pub trait HostList: Send + Sync {
-    /// The list as it is now.
+    /// Returns the current list.
     async fn hosts(&self) -> Result<Vec<HostEntry>, EdgeError>;
 }
 
-/// The list over HTTP: `GET /hosts`.
+/// [`HostList`] client over HTTP: `GET /hosts`.
 #[derive(Clone, Debug)]
 pub struct HttpHostList {
     http: HttpSystem,
 }
 
-/// Time an answer of the host list may take.
-const SILENCE: Duration = Duration::from_secs(5);
+/// Maximum time without data while the host list responds.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl HttpHostList {
-    /// The list at `base`.
+    /// Creates a client for the list at `base`.
     pub fn new(base: &str) -> Self {
-        Self { http: HttpSystem::new("the host list", base, SILENCE) }
+        Self { http: HttpSystem::new("the host list", base, RESPONSE_TIMEOUT) }
     }
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A list in memory, for tests.
+/// In-memory [`HostList`] for tests.
 #[derive(Debug, Default)]
 pub struct MemoryHostList {
     hosts: Mutex<Vec<HostEntry>>,
--- a/crates/corianderstand_edge/src/http.rs
+++ b/crates/corianderstand_edge/src/http.rs
@@ -1,36 +1,36 @@
-//! What the HTTP adapters share: the client, its timeouts and its errors.
+//! HTTP client shared by the adapters, with its timeouts and errors.
 
 use std::time::Duration;
 
-/// Time allowed to open a connection to an outside system.
+/// Timeout for opening a connection to an external system.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Failure of an outside system.
+/// Error of a request to an external system.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum EdgeError {
     /// cannot reach {system} at {url} ({detail}): check its address in the settings, or wait; the call is retried where that is safe
     Unreachable {
-        /// Which system.
+        /// Name of the system.
         system: &'static str,
-        /// Where it was sought.
+        /// Base URL.
         url: String,
-        /// What the client said.
+        /// The HTTP client's error; empty if no connection could be opened.
         detail: String,
     },
-    /// {system} answered {status}: {detail}; see the page on failures in docs/operators
+    /// {system} responded with status {status}: {detail}; see the page on failures in docs/operators
     Status {
-        /// Which system.
+        /// Name of the system.
         system: &'static str,
         /// HTTP status.
         status: u16,
-        /// Beginning of the answer's body.
+        /// Beginning of the response body.
         detail: String,
     },
-    /// {system} gave an answer that cannot be read ({detail}): check that its version is supported
+    /// {system} sent an invalid response ({detail}): check that its version is supported
     Malformed {
-        /// Which system.
+        /// Name of the system.
         system: &'static str,
-        /// What was wrong.
+        /// Why the response is invalid.
         detail: String,
     },
 }
@@ -38,13 +38,13 @@
 impl std::error::Error for EdgeError {}
 
 impl EdgeError {
-    /// Whether the request certainly did not reach the system.
+    /// Whether the request is known not to have reached the system.
     pub const fn never_sent(&self) -> bool {
         matches!(self, Self::Unreachable { detail, .. } if detail.is_empty())
     }
 }
 
-/// One outside system over HTTP.
+/// HTTP client for one external system.
 #[derive(Clone, Debug)]
 pub struct HttpSystem {
     client: reqwest::Client,
@@ -53,16 +53,15 @@
 }
 
 impl HttpSystem {
-    /// A client for the system at `base`.
+    /// Creates a client for the system at `base`; `read_timeout` limits the time without data.
     ///
-    /// Idle connections are closed soon and kept-alive ones probed: a device between the two
-    /// ends may lose track of a connection, which then goes silent for good while new ones
-    /// work. `silence` bounds how long an answer may make no progress.
-    pub fn new(system: &'static str, base: &str, silence: Duration) -> Self {
+    /// The idle timeout is short because a middlebox may drop the state of an idle connection,
+    /// after which requests on it hang.
+    pub fn new(system: &'static str, base: &str, read_timeout: Duration) -> Self {
         let client = reqwest::Client::builder()
             .no_proxy()
             .connect_timeout(CONNECT_TIMEOUT)
-            .read_timeout(silence)
+            .read_timeout(read_timeout)
             .pool_idle_timeout(Duration::from_secs(10))
             .tcp_nodelay(true)
             .build()
@@ -70,7 +69,7 @@
         Self { client, system, base: base.trim_end_matches('/').to_owned() }
     }
 
-    /// A request for `path`.
+    /// Starts building a request for `path`.
     pub fn request(&self, method: reqwest::Method, path: &str) -> reqwest::RequestBuilder {
         self.client.request(method, format!("{}{path}", self.base))
     }
@@ -79,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Any status but 2xx is [`EdgeError::Status`].
+    /// Returns [`EdgeError::Status`] for any status but 2xx, and the errors of [`Self::send_any`].
     pub async fn send(&self, req: reqwest::RequestBuilder) -> Result<reqwest::Response, EdgeError> {
         let response = self.send_any(req).await?;
         let status = response.status();
@@ -90,11 +89,11 @@
         Err(EdgeError::Status { system: self.system, status: status.as_u16(), detail })
     }
 
-    /// Sends a request and takes whatever status comes.
+    /// Sends a request and accepts any status.
     ///
     /// # Errors
     ///
-    /// [`EdgeError::Unreachable`] where no answer came.
+    /// Returns [`EdgeError::Unreachable`] if no response arrives.
     pub async fn send_any(
         &self,
         req: reqwest::RequestBuilder,
@@ -102,7 +101,7 @@
         req.send().await.map_err(|error| self.unreachable(&error))
     }
 
-    /// Sends a request and reads a JSON answer.
+    /// Sends a request and parses its JSON response.
     ///
     /// # Errors
     ///
@@ -115,14 +114,14 @@
         response.json().await.map_err(|error| self.malformed(&error))
     }
 
-    /// The error for an answer that did not come; its detail is empty where the connection
-    /// could not even be opened, so that nothing was sent.
+    /// Builds the error for a missing response; its detail is empty if no connection could be
+    /// opened, so that nothing was sent.
     pub fn unreachable(&self, error: &reqwest::Error) -> EdgeError {
         let detail = if error.is_connect() { String::new() } else { error.to_string() };
         EdgeError::Unreachable { system: self.system, url: self.base.clone(), detail }
     }
 
-    /// The error for an answer that cannot be read.
+    /// Builds the error for an invalid response.
     pub fn malformed(&self, error: &dyn std::fmt::Display) -> EdgeError {
         EdgeError::Malformed { system: self.system, detail: error.to_string() }
     }
--- a/crates/corianderstand_edge/src/lib.rs
+++ b/crates/corianderstand_edge/src/lib.rs
@@ -1,8 +1,8 @@
-//! Outside systems: each behind one small trait, with one adapter over HTTP and JSON and one
-//! fake in memory.
+//! Clients for external systems: model engines, plain services, the log service, the host list
+//! and the weight store.
 //!
-//! Nothing else in the workspace knows how an engine, a plain service, the log service, the
-//! host list or the weight store is spoken to; another dialect touches one module here.
+//! Each module has one trait, its implementation over HTTP and JSON, and an in-memory fake for
+//! tests. Support for another protocol needs changes in one module only.
 //!
 //! ```
 //! use corianderstand_edge::log::{LogService, MemoryLog};
--- a/crates/corianderstand_edge/src/log.rs
+++ b/crates/corianderstand_edge/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log.
+//! Client for the platform's append-only log.
 
 use crate::http::{EdgeError, HttpSystem};
 use async_trait::async_trait;
@@ -9,36 +9,36 @@
     time::Duration,
 };
 
-/// One record as the log holds it.
+/// One record in the log.
 #[serde_as]
 #[derives(wire)]
 #[derive(Eq)]
 pub struct Entry {
-    /// Place in the log, from 1.
+    /// Offset in the log, from 1.
     pub offset: u64,
-    /// When the log took it, in milliseconds since the Unix epoch; never decreases.
+    /// Time of the append by the log's clock, in milliseconds since the Unix epoch; never decreases.
     pub at_ms: u64,
-    /// What was appended.
+    /// The record's bytes.
     #[serde_as(as = "Base64")]
     pub data: Vec<u8>,
 }
 
-/// What one read brings.
+/// Result of one read.
 #[derives(wire)]
 #[derive(Eq, Default)]
 pub struct Page {
-    /// Oldest offset still kept.
+    /// Oldest retained offset.
     pub oldest: u64,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub next: u64,
-    /// Time at the log service, in milliseconds since the Unix epoch.
+    /// The log service's clock, in milliseconds since the Unix epoch.
     pub now_ms: u64,
-    /// Records in order, from the offset asked for or from `oldest` if that is later.
+    /// Records in order, from the requested offset or `oldest`, whichever is later.
     pub entries: Vec<Entry>,
-    /// Time since the log itself answered, in milliseconds; 0 from the log.
+    /// Time since the log service itself responded, in milliseconds; 0 if read directly.
     #[serde(default)]
     pub age_ms: u64,
-    /// Routers that relayed this page; 0 from the log.
+    /// Number of routers that relayed this page; 0 if read directly.
     #[serde(default)]
     pub hops: u8,
 }
@@ -48,14 +48,14 @@
 pub trait LogService: Send + Sync {
     /// Appends records in order and returns the offset of the first.
     ///
-    /// An error leaves open whether they were appended.
+    /// After an error the records may or may not have been appended.
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError>;
 
-    /// Reads from an offset, waiting up to `wait` for the first record.
+    /// Reads up to `max` records from an offset, waiting up to `wait` for the first.
     async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError>;
 }
 
-/// Body of an append.
+/// Body of an append request.
 #[serde_as]
 #[derives(wire)]
 pub struct AppendRequest {
@@ -64,31 +64,31 @@
     pub records: Vec<Vec<u8>>,
 }
 
-/// Answer to an append.
+/// Body of an append response.
 #[derives(wire)]
 pub struct AppendResponse {
     /// Offset of the first record.
     pub first: u64,
 }
 
-/// The log over HTTP: `POST /append`, `GET /read`.
+/// [`LogService`] client over HTTP: `POST /append`, `GET /read`.
 #[derive(Clone, Debug)]
 pub struct HttpLog {
     http: HttpSystem,
     bearer: Option<String>,
 }
 
-/// Time an answer of the log may take beyond the wait that was asked for.
+/// Response timeout of the log, on top of the requested wait.
 pub const LOG_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl HttpLog {
-    /// The log at `base`; `longest_wait` is the longest that reads will ask to wait.
-    pub fn new(base: &str, longest_wait: Duration) -> Self {
-        let http = HttpSystem::new("the log service", base, longest_wait + LOG_RESPONSE_TIMEOUT);
+    /// Creates a client for the log at `base`; `max_wait` bounds the wait of any read.
+    pub fn new(base: &str, max_wait: Duration) -> Self {
+        let http = HttpSystem::new("the log service", base, max_wait + LOG_RESPONSE_TIMEOUT);
         Self { http, bearer: None }
     }
 
-    /// Sends a bearer token with each read, as a router that relays the log wants it.
+    /// Sends a bearer token with each read, as required by a router that relays the log.
     #[must_use]
     pub fn with_bearer(self, token: &str) -> Self {
         Self { bearer: Some(token.to_owned()), ..self }
@@ -99,8 +99,8 @@
 impl LogService for HttpLog {
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
         let req = self.http.request(reqwest::Method::POST, "/append");
-        let answer: AppendResponse = self.http.json(req.json(&AppendRequest { records })).await?;
-        Ok(answer.first)
+        let response: AppendResponse = self.http.json(req.json(&AppendRequest { records })).await?;
+        Ok(response.first)
     }
 
     async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
@@ -114,7 +114,7 @@
     }
 }
 
-/// A log in memory, for tests; its time is set by hand.
+/// In-memory [`LogService`] for tests, with a manual clock.
 #[derive(Debug, Default)]
 pub struct MemoryLog {
     inner: Mutex<MemoryInner>,
@@ -126,7 +126,7 @@
     dropped: u64,
     now_ms: u64,
     down: bool,
-    lose_answers: u32,
+    responses_to_drop: u32,
 }
 
 impl MemoryLog {
@@ -134,22 +134,22 @@
         self.inner.lock().expect("no holder of this lock panics")
     }
 
-    /// Sets the log's time.
+    /// Sets the log's clock.
     pub fn set_time_ms(&self, now_ms: u64) {
         self.lock().now_ms = now_ms;
     }
 
-    /// Takes the log down or up.
+    /// Makes the log unavailable or available.
     pub fn set_down(&self, down: bool) {
         self.lock().down = down;
     }
 
-    /// Makes the next appends take effect but lose their answers.
-    pub fn lose_answers(&self, count: u32) {
-        self.lock().lose_answers = count;
+    /// Makes the next `count` appends take effect but fail without a response.
+    pub fn drop_responses(&self, count: u32) {
+        self.lock().responses_to_drop = count;
     }
 
-    /// Drops all records below an offset, as limited retention does.
+    /// Drops all records below an offset, as retention does.
     pub fn drop_below(&self, offset: u64) {
         let mut inner = self.lock();
         inner.entries.retain(|entry| entry.offset >= offset);
@@ -162,13 +162,13 @@
         self.entries.last().map_or(self.dropped, |entry| entry.offset) + 1
     }
 
-    fn check_up(&self) -> Result<(), EdgeError> {
-        if self.down { Err(lost_answer()) } else { Ok(()) }
+    fn check_available(&self) -> Result<(), EdgeError> {
+        if self.down { Err(no_response()) } else { Ok(()) }
     }
 }
 
-fn lost_answer() -> EdgeError {
-    let (url, detail) = ("memory".into(), "no answer".into());
+fn no_response() -> EdgeError {
+    let (url, detail) = ("memory".into(), "no response".into());
     EdgeError::Unreachable { system: "the log service", url, detail }
 }
 
@@ -176,22 +176,22 @@
 impl LogService for MemoryLog {
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
         let mut inner = self.lock();
-        inner.check_up()?;
+        inner.check_available()?;
         let first = inner.next();
         let at_ms = inner.now_ms;
         let entries = (first..).zip(records).map(|(offset, data)| Entry { offset, at_ms, data });
         let entries: Vec<Entry> = entries.collect();
         inner.entries.extend(entries);
-        if inner.lose_answers > 0 {
-            inner.lose_answers -= 1;
-            return Err(lost_answer());
+        if inner.responses_to_drop > 0 {
+            inner.responses_to_drop -= 1;
+            return Err(no_response());
         }
         Ok(first)
     }
 
     async fn read(&self, from: u64, max: u32, _wait: Duration) -> Result<Page, EdgeError> {
         let inner = self.lock();
-        inner.check_up()?;
+        inner.check_available()?;
         let entries = inner.entries.iter().filter(|entry| entry.offset >= from);
         Ok(Page {
             oldest: inner.dropped + 1,
--- a/crates/corianderstand_edge/src/service.rs
+++ b/crates/corianderstand_edge/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services that the system routes to.
+//! Client for plain services: targets that aren't model engines.
 
 use crate::http::{EdgeError, HttpSystem};
 use async_trait::async_trait;
@@ -12,21 +12,21 @@
 pub struct Call {
     /// HTTP method.
     pub method: SmolStr,
-    /// Path and query below the service.
+    /// Path and query, relative to the service's base URL.
     pub path: SmolStr,
     /// Content type of the body.
     pub content_type: SmolStr,
-    /// The caller's key of a call that may not be repeated.
+    /// The caller's idempotency key, for a call that may run at most once.
     pub idempotency_key: Option<SmolStr>,
     /// The body.
     pub body: Bytes,
-    /// Identity of the request.
+    /// Request id.
     pub request: SmolStr,
     /// W3C trace context.
     pub traceparent: SmolStr,
 }
 
-/// A service's answer.
+/// A service's response.
 #[derives(data)]
 pub struct ServiceResponse {
     /// HTTP status.
@@ -40,18 +40,18 @@
 /// A plain service.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Makes one call; an error leaves open whether it ran unless [`EdgeError::never_sent`].
+    /// Makes one call; after an error it may have run, unless [`EdgeError::never_sent`] is true.
     async fn call(&self, call: Call) -> Result<ServiceResponse, EdgeError>;
 }
 
-/// A service over HTTP.
+/// [`PlainService`] client over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpService {
     http: HttpSystem,
 }
 
 impl HttpService {
-    /// The service at `base`; `timeout` bounds one call.
+    /// Creates a client for the service at `base`; `timeout` limits the time without data.
     pub fn new(base: &str, timeout: Duration) -> Self {
         Self { http: HttpSystem::new("the service", base, timeout) }
     }
@@ -80,14 +80,14 @@
     }
 }
 
-/// A service in memory, for tests: counts its calls and answers 200.
+/// In-memory [`PlainService`] for tests: responds 200 with the number of calls so far.
 #[derive(Debug, Default)]
 pub struct MemoryService {
     calls: Mutex<Vec<Call>>,
 }
 
 impl MemoryService {
-    /// All calls that ran.
+    /// Returns all calls received.
     pub fn calls(&self) -> Vec<Call> {
         self.calls.lock().expect("no holder of this lock panics").clone()
     }
--- a/crates/corianderstand_edge/src/weights.rs
+++ b/crates/corianderstand_edge/src/weights.rs
@@ -1,39 +1,39 @@
-//! The weight store, as far as the system itself asks it anything: how busy it is.
+//! Client for the weight store's load report.
 //!
-//! Engines fetch checkpoints from the store themselves when they are ordered to load.
+//! Engines fetch checkpoints from the store directly when they execute a load command.
 
 use crate::http::{EdgeError, HttpSystem};
 use async_trait::async_trait;
 use corianderstand_derives::derives;
 use std::time::Duration;
 
-/// How busy the store is.
+/// Load of the weight store.
 #[derives(wire)]
 #[derive(Eq, Default)]
 pub struct StoreReport {
-    /// Loads running.
+    /// Loads in progress.
     pub running: u32,
-    /// Loads begun since it started.
+    /// Loads started since the store's own start.
     pub begun: u64,
-    /// Loads begun above its rate, and so slowed.
+    /// Loads slowed because they exceeded the store's rate limit.
     pub throttled: u64,
 }
 
 /// The weight store.
 #[async_trait]
 pub trait WeightStore: Send + Sync {
-    /// How busy it is.
+    /// Returns the store's current load.
     async fn report(&self) -> Result<StoreReport, EdgeError>;
 }
 
-/// The store over HTTP: `GET /report`.
+/// [`WeightStore`] client over HTTP: `GET /report`.
 #[derive(Clone, Debug)]
 pub struct HttpWeightStore {
     http: HttpSystem,
 }
 
 impl HttpWeightStore {
-    /// The store at `base`.
+    /// Creates a client for the store at `base`.
     pub fn new(base: &str) -> Self {
         Self { http: HttpSystem::new("the weight store", base, Duration::from_secs(5)) }
     }
@@ -46,10 +46,10 @@
     }
 }
 
-/// A store in memory, for tests.
+/// In-memory [`WeightStore`] for tests.
 #[derive(Debug, Default)]
 pub struct MemoryWeightStore {
-    /// What it reports.
+    /// The report to return.
     pub report: StoreReport,
 }
 
