--- a/crates/corianderstand_schema/src/check.rs
+++ b/crates/corianderstand_schema/src/check.rs
@@ -1,4 +1,4 @@
-//! Compares JSON documents with their schema, all violations at once.
+//! Validates JSON documents against their schemas and reports all violations.
 
 mod explain;
 
@@ -11,11 +11,11 @@
 const SETTINGS: &str = include_str!("../../../schema/settings.json");
 const PROCESS: &str = include_str!("../../../schema/process.json");
 
-/// Formats of names; other formats of our own are checked by type and range.
+/// Custom formats validated as names; other custom formats are covered by type and range.
 const NAME_FORMATS: [&str; 9] =
     ["host", "place", "team", "target", "model", "adapter", "version", "service", "writer"];
 
-/// Kinds of document that an operator writes.
+/// Kind of a document written by an operator.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Document {
     /// `system/deployment`.
@@ -36,15 +36,15 @@
     Agent,
 }
 
-/// One fault in a document.
+/// A violation of a document's schema.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 #[displaydoc("at {path}: {problem}; {remedy}")]
 pub struct Violation {
-    /// JSON pointer of the faulty value.
+    /// JSON pointer to the invalid value.
     pub path: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub problem: String,
-    /// What to do about it.
+    /// How to fix it.
     pub remedy: String,
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The JSON Schema of this kind of document.
+    /// Returns the JSON Schema of this kind of document.
     pub fn schema(self) -> Value {
         let (text, name) = self.definition();
         let mut schema: Value = serde_json::from_str(text).expect("the schema files are JSON");
@@ -97,7 +97,7 @@
     Document::ALL.into_iter().map(compile).collect()
 });
 
-/// All violations of a document against its schema.
+/// Returns all violations of a document's schema.
 pub fn check(kind: Document, value: &Value) -> Vec<Violation> {
     let (_, schema, validator) =
         VALIDATORS.iter().find(|(known, _, _)| *known == kind).expect("every kind is compiled");
--- a/crates/corianderstand_schema/src/check/explain.rs
+++ b/crates/corianderstand_schema/src/check/explain.rs
@@ -1,13 +1,12 @@
-//! Faults in words: what is wrong with a value, and what may stand there instead.
+//! Converts validator errors into messages for operators.
 
 use crate::check::Violation;
 use jsonschema::{ValidationError, error::ValidationErrorKind as Kind};
 use serde_json::Value;
 
-/// Longest value shown in a message, in characters.
 const MAX_SHOWN_CHARS: usize = 60;
 
-/// The violations that one error of the validator stands for.
+/// Converts one validator error; an error about unknown fields yields a violation for each.
 pub fn violations(schema: &Value, error: &ValidationError<'_>) -> Vec<Violation> {
     let path = error.instance_path().to_string();
     let field = subschema(schema, schema, &pointer_tokens(&path));
@@ -27,7 +26,7 @@
         }
         Kind::Type { .. } => {
             let expected = field.map(describe_type).unwrap_or_default();
-            violation(format!("{value} is no {expected}"), remedy(field))
+            violation(format!("expected {expected}, found {value}"), remedy(field))
         }
         Kind::Minimum { limit } => {
             violation(format!("{value} is less than {limit}"), remedy(field))
@@ -37,12 +36,14 @@
         }
         Kind::MinItems { limit } => violation(format!("fewer than {limit} items"), remedy(field)),
         Kind::MaxItems { limit } => violation(format!("more than {limit} items"), remedy(field)),
-        Kind::Enum { options } => violation(format!("{value} is none of {options}"), remedy(field)),
+        Kind::Enum { options } => {
+            violation(format!("{value} is not one of {options}"), remedy(field))
+        }
         Kind::Pattern { pattern } => {
-            violation(format!("{value} does not have the form {pattern}"), remedy(field))
+            violation(format!("{value} does not match the pattern {pattern}"), remedy(field))
         }
         Kind::Format { format } => violation(
-            format!("{value} cannot be the name of a {format}"),
+            format!("{value} is not a valid name of a {format}"),
             "use 1 to 96 letters, digits, '-', '_' and '.'".into(),
         ),
         Kind::OneOfNotValid { context } | Kind::AnyOf { context } => {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Shows the violations of the alternative that comes nearest: the one that is faulty deepest inside.
+/// Returns the violations of the closest alternative: the one whose errors are nested deepest.
 fn alternatives(
     schema: &Value,
     context: &[Vec<ValidationError<'static>>],
@@ -70,7 +71,7 @@
         }
         _ => {
             let path = if path.is_empty() { "/".into() } else { path.to_owned() };
-            let problem = format!("{value} is none of the forms allowed here");
+            let problem = format!("{value} matches no allowed form");
             vec![Violation { path, problem, remedy: remedy(field) }]
         }
     }
@@ -81,7 +82,7 @@
     let known: Vec<&str> = known.into_iter().flatten().map(|(name, _)| name.as_str()).collect();
     Violation {
         path: format!("{path}/{name}"),
-        problem: format!("there is no field `{name}`"),
+        problem: format!("unknown field `{name}`"),
         remedy: format!("remove it, or use one of: {}", known.join(", ")),
     }
 }
@@ -99,7 +100,7 @@
     field.and_then(|field| field["description"].as_str()).unwrap_or("see the settings reference")
 }
 
-/// What a value must be, from its type, unit and range.
+/// Describes the expected value by its type, unit and range.
 fn remedy(field: Option<&Value>) -> String {
     let Some(field) = field else { return "see docs/operators/settings.md".into() };
     let expected = describe_type(field);
@@ -107,10 +108,10 @@
         (Value::Null, _) | (_, Value::Null) => String::new(),
         (low, high) => format!(" from {low} to {high}"),
     };
-    format!("give a {expected}{range}: {}", description(Some(field)))
+    format!("set it to a {expected}{range}: {}", description(Some(field)))
 }
 
-/// The type of a field in words, with its unit.
+/// Describes the type of a field, with its unit.
 pub fn describe_type(field: &Value) -> String {
     if let Some(options) = field["enum"].as_array() {
         let options: Vec<String> = options.iter().map(Value::to_string).collect();
@@ -131,7 +132,7 @@
     path.split('/').skip(1).map(|token| token.replace("~1", "/").replace("~0", "~")).collect()
 }
 
-/// The schema of the value at an instance path, through references and alternatives.
+/// Finds the schema of the value at an instance path, resolving references and alternatives.
 fn subschema<'a>(root: &'a Value, schema: &'a Value, path: &[String]) -> Option<&'a Value> {
     if let Some(reference) = schema["$ref"].as_str() {
         let target = root.pointer(reference.trim_start_matches('#'))?;
--- a/crates/corianderstand_schema/src/lib.rs
+++ b/crates/corianderstand_schema/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings, log records and messages as typed values.
+//! Types of settings, log records and messages.
 //!
-//! The JSON Schema files in `schema/` are the source; `cargo run -p generate` turns them into
-//! the modules below, which are committed. [`check`] compares a JSON document with its schema
-//! and reports every fault at once, each with its path and what to do.
+//! `cargo run -p generate` generates the types from the JSON Schema files in `schema/`; the
+//! generated modules are committed. [`check`] validates a JSON document against its schema and
+//! reports all violations, each with its path and a remedy.
 //!
 //! ```
 //! use corianderstand_schema::check::{self, Document};
--- a/crates/corianderstand_schema/tests/defaults.rs
+++ b/crates/corianderstand_schema/tests/defaults.rs
@@ -1,12 +1,11 @@
-//! Defaults of process settings are those of the schema.
+//! Defaults of the generated process settings match the schema.
 
 use corianderstand_schema::process::{Limits, RouterSettings, Timing};
 use rstest::rstest;
 use serde_json::json;
 
-/// A settings file leaves out `limits` and `timing`, as most do. Once the generated default was
-/// all zeros, and the router accepted no connection: callers saw connections that were taken
-/// and never answered.
+/// Guards against generated defaults that are all zeros: a router with a settings file without
+/// `limits` would then accept no connections.
 #[rstest]
 fn settings_without_limits_get_the_defaults_of_the_schema() {
     let settings: RouterSettings = serde_json::from_value(json!({
