--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -12,7 +12,7 @@
 use corianderstand_derives::derives;
 use corianderstand_edge::{
     EdgeError,
-    engine::{Engine, EngineEvent, EngineStream, Generate, Order, OrderAction},
+    engine::{CommandAction, Engine, EngineCommand, EngineEvent, EngineStream, GenerateRequest},
     service::PlainService,
 };
 use corianderstand_schema::messages::{Ending, Load, Operation, RefusalReason, ToRouter};
@@ -82,20 +82,20 @@
                 request.end.send(&refused, b"").await;
             }
             Job::Load { weights, memory, fence } => {
-                self.order(OrderAction::Load, weights, memory, fence).await;
+                self.order(CommandAction::Load, weights, memory, fence).await;
             }
             Job::Unload { weights, memory, fence } => {
-                self.order(OrderAction::Unload, weights, memory, fence).await;
+                self.order(CommandAction::Unload, weights, memory, fence).await;
             }
             Job::Ask { version } => self.ask(version).await,
         }
     }
 
-    async fn order(&self, action: OrderAction, weights: Weights, memory: Mib, fence: u64) {
+    async fn order(&self, action: CommandAction, weights: Weights, memory: Mib, fence: u64) {
         let Target::Engine(engine) = &self.target else { return };
-        let order = Order { action, weights: weights.clone(), memory_mib: memory.0, fence };
+        let order = EngineCommand { action, weights: weights.clone(), memory_mib: memory.0, fence };
         let began = self.clock.now();
-        let answer = engine.order(&order).await;
+        let answer = engine.execute(&order).await;
         if let Err(error) = &answer {
             tracing::warn!(%weights, ?action, %error, "order not confirmed");
         }
@@ -112,16 +112,16 @@
             None => "unknown",
         };
         let metric = match action {
-            OrderAction::Load => Metric::AgentLoads,
-            OrderAction::Unload => Metric::AgentUnloads,
+            CommandAction::Load => Metric::AgentLoads,
+            CommandAction::Unload => Metric::AgentUnloads,
         };
         self.metrics.count_tagged(metric, 1, "outcome", told);
-        if action == OrderAction::Load {
+        if action == CommandAction::Load {
             self.metrics.time(Metric::AgentLoadTime, self.clock.now() - began);
         }
         self.tell(match action {
-            OrderAction::Load => Event::Loaded(weights, outcome),
-            OrderAction::Unload => Event::Unloaded(weights, outcome == Some(true)),
+            CommandAction::Load => Event::Loaded(weights, outcome),
+            CommandAction::Unload => Event::Unloaded(weights, outcome == Some(true)),
         });
     }
 
@@ -224,7 +224,7 @@
 fn generate_of(
     request: &Request,
     trace: corianderstand_link::trace::TraceContext,
-) -> Option<Generate> {
+) -> Option<GenerateRequest> {
     let (chat, model, version, adapter) = match &request.open.operation {
         Operation::Completion { model, version, adapter } => (false, model, version, adapter),
         Operation::Chat { model, version, adapter } => (true, model, version, adapter),
@@ -238,7 +238,7 @@
             adapter: Some(adapter.name.clone()),
         },
     };
-    Some(Generate {
+    Some(GenerateRequest {
         chat,
         weights,
         body: request.body.clone(),
--- a/crates/corianderstand_edge/src/service.rs
+++ b/crates/corianderstand_edge/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services that the system routes to.
+//! Client for plain services: targets that aren't model engines.
 
 use crate::http::{EdgeError, HttpSystem};
 use async_trait::async_trait;
@@ -12,23 +12,23 @@
 pub struct Call {
     /// HTTP method.
     pub method: SmolStr,
-    /// Path and query below the service.
+    /// Path and query, relative to the service's base URL.
     pub path: SmolStr,
     /// Content type of the body.
     pub content_type: SmolStr,
-    /// The caller's key of a call that may not be repeated.
+    /// The caller's idempotency key, for a call that may run at most once.
     pub idempotency_key: Option<SmolStr>,
     /// The body.
     pub body: Bytes,
-    /// Identity of the request.
+    /// Request id.
     pub request: SmolStr,
     /// W3C trace context.
     pub traceparent: SmolStr,
 }
 
-/// A service's answer.
+/// A service's response.
 #[derives(data)]
-pub struct Answer {
+pub struct ServiceResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -40,18 +40,18 @@
 /// A plain service.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Makes one call; an error leaves open whether it ran unless [`EdgeError::never_sent`].
-    async fn call(&self, call: Call) -> Result<Answer, EdgeError>;
+    /// Makes one call; after an error it may have run, unless [`EdgeError::never_sent`] is true.
+    async fn call(&self, call: Call) -> Result<ServiceResponse, EdgeError>;
 }
 
-/// A service over HTTP.
+/// [`PlainService`] client over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpService {
     http: HttpSystem,
 }
 
 impl HttpService {
-    /// The service at `base`; `timeout` bounds one call.
+    /// Creates a client for the service at `base`; `timeout` limits the time without data.
     pub fn new(base: &str, timeout: Duration) -> Self {
         Self { http: HttpSystem::new("the service", base, timeout) }
     }
@@ -59,7 +59,7 @@
 
 #[async_trait]
 impl PlainService for HttpService {
-    async fn call(&self, call: Call) -> Result<Answer, EdgeError> {
+    async fn call(&self, call: Call) -> Result<ServiceResponse, EdgeError> {
         let method = call.method.parse().map_err(|error| self.http.malformed(&error))?;
         let mut req = self
             .http
@@ -76,18 +76,18 @@
         let content_type = response.headers().get("content-type");
         let content_type = content_type.and_then(|v| v.to_str().ok()).unwrap_or("").into();
         let body = response.bytes().await.map_err(|error| self.http.unreachable(&error))?;
-        Ok(Answer { status, content_type, body })
+        Ok(ServiceResponse { status, content_type, body })
     }
 }
 
-/// A service in memory, for tests: counts its calls and answers 200.
+/// In-memory [`PlainService`] for tests: responds 200 with the number of calls so far.
 #[derive(Debug, Default)]
 pub struct MemoryService {
     calls: Mutex<Vec<Call>>,
 }
 
 impl MemoryService {
-    /// All calls that ran.
+    /// Returns all calls received.
     pub fn calls(&self) -> Vec<Call> {
         self.calls.lock().expect("no holder of this lock panics").clone()
     }
@@ -95,10 +95,10 @@
 
 #[async_trait]
 impl PlainService for MemoryService {
-    async fn call(&self, call: Call) -> Result<Answer, EdgeError> {
+    async fn call(&self, call: Call) -> Result<ServiceResponse, EdgeError> {
         let mut calls = self.calls.lock().expect("no holder of this lock panics");
         calls.push(call);
         let body = Bytes::from(calls.len().to_string());
-        Ok(Answer { status: 200, content_type: "text/plain".into(), body })
+        Ok(ServiceResponse { status: 200, content_type: "text/plain".into(), body })
     }
 }
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -90,7 +90,7 @@
     plan: Option<Plan>,
     asked: Vec<reconcile::AdapterRequest>,
     ongoing: Option<Ongoing>,
-    said: Option<(Instant, peers::EngineNews)>,
+    said: Option<(Instant, peers::EngineUpdate)>,
     /// The engine said that it is not this one: the plan is for one that has ended.
     ended: Option<names::TargetId>,
     /// The name that the engine said; none after it did not answer.
@@ -196,7 +196,7 @@
     }
 
     /// Keeps in mind what is asked for, the newest first.
-    fn take_asked(&self, now: Instant, from: SocketAddr, asked: peers::AdaptersAsked) {
+    fn take_asked(&self, now: Instant, from: SocketAddr, asked: peers::AdapterRequest) {
         let mut state = self.state.borrow_mut();
         state.askers.insert(from, now);
         state.askers.retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
@@ -427,12 +427,12 @@
         if !to_all && !adapters {
             return;
         }
-        let copies = peers::WeightCopies {
+        let copies = peers::CachedWeights {
             in_memory: report.holdings.in_memory.clone(),
             on_disk: report.holdings.on_disk.clone(),
         };
         let full =
-            PeerMessage::EngineNews(peers::EngineNews { copies: vec![copies], ..news.clone() });
+            PeerMessage::EngineNews(peers::EngineUpdate { copies: vec![copies], ..news.clone() });
         let short = PeerMessage::EngineNews(news.clone());
         for (index, addr) in routers(plan).enumerate() {
             if to_all || state.askers.contains_key(&addr) {
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -145,7 +145,7 @@
     shared: &router::Shared<P>,
     now: Instant,
     from: SocketAddr,
-    news: wire::EngineNews,
+    news: wire::EngineUpdate,
 ) {
     let report = report(now, news);
     let mut view = shared.view.borrow_mut();
@@ -188,7 +188,7 @@
     shared.peers.borrow().planner(now, &own)
 }
 
-fn report(now: Instant, news: wire::EngineNews) -> targets::Report {
+fn report(now: Instant, news: wire::EngineUpdate) -> targets::Report {
     let ongoing = news.ongoing.into_iter().next().map(|order| {
         if order.loads {
             let ready_at = now + Duration::from_millis(u64::from(order.remaining_ms));
@@ -287,10 +287,10 @@
     }
 }
 
-fn hello<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterNews {
+fn hello<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterUpdate {
     let store = shared.store_use(shared.clock.now());
     let copies = shared.copies.borrow();
-    wire::RouterNews {
+    wire::RouterUpdate {
         router: shared.settings.name.as_str().into(),
         incarnation: shared.incarnation,
         zone: shared.settings.zone.clone(),
@@ -304,7 +304,7 @@
     }
 }
 
-fn news<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterNews {
+fn news<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterUpdate {
     let now = shared.clock.now();
     let hello = hello(shared);
     let mut view = shared.view.borrow_mut();
@@ -334,26 +334,26 @@
             count,
         })
     });
-    wire::RouterNews { models: models.collect(), running: running.collect(), ..hello }
+    wire::RouterUpdate { models: models.collect(), running: running.collect(), ..hello }
 }
 
 /// Asks an agent for adapters.
 pub fn ask_for_adapters<P>(
     shared: &router::Shared<P>,
     key: targets::TargetKey,
-    adapters: Vec<wire::AskedAdapter>,
+    adapters: Vec<wire::RequestedAdapter>,
 ) {
     let view = shared.view.borrow();
     let Some(target) = view.targets.get(key) else { return };
-    let asked = wire::AdaptersAsked { target: target.entry.id.clone(), adapters };
+    let asked = wire::AdapterRequest { target: target.entry.id.clone(), adapters };
     let agent = SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
     shared.outbox.send(agent, &PeerMessage::AdaptersAsked(asked));
 }
 
 /// An adapter as it is named to an agent.
-pub fn asked_adapter(wanted: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
+pub fn asked_adapter(wanted: &choose::RequestedModel) -> Option<wire::RequestedAdapter> {
     let adapter = wanted.adapter.clone()?;
-    Some(wire::AskedAdapter { model: wanted.model.clone(), adapter })
+    Some(wire::RequestedAdapter { model: wanted.model.clone(), adapter })
 }
 
 /// Names to the agents the adapters of requests at their engines, so that they are not dropped.
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -62,7 +62,7 @@
 
 impl Turns {
     /// An agent's answer.
-    pub fn take(&self, answer: &wire::PrefillAnswer) {
+    pub fn take(&self, answer: &wire::PrefillResponse) {
         // A request that was withdrawn meanwhile is no longer here.
         let Some(waiting) = self.waiting.borrow().get(&answer.id).cloned() else { return };
         waiting.answer.set(Some(Answer {
@@ -83,7 +83,7 @@
 struct Question<'a, P: router::Platform> {
     shared: &'a router::Shared<P>,
     agent: std::net::SocketAddr,
-    ask: wire::PrefillAsked,
+    ask: wire::PrefillRequest,
     waiting: Rc<Waiting>,
     given: bool,
 }
@@ -92,7 +92,7 @@
     fn drop(&mut self) {
         self.shared.turns.waiting.borrow_mut().remove(&self.ask.id);
         if !self.given {
-            let withdrawn = wire::PrefillWithdrawn { id: self.ask.id };
+            let withdrawn = wire::PrefillCancellation { id: self.ask.id };
             self.shared.outbox.send(self.agent, &PeerMessage::PrefillWithdrawn(withdrawn));
         }
     }
@@ -108,7 +108,7 @@
         let id = shared.turns.next_id(shared.incarnation);
         let waiting = Rc::<Waiting>::default();
         shared.turns.waiting.borrow_mut().insert(id, waiting.clone());
-        let ask = wire::PrefillAsked {
+        let ask = wire::PrefillRequest {
             id,
             work_us: work.as_micros() as u32,
             aim_in_ms: 0,
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -7,7 +7,7 @@
     config::{self, Route},
     targets,
 };
-use corianderstand_schema::peers::{self, PeerMessage, PrefillAnswer, PrefillAsked};
+use corianderstand_schema::peers::{self, PeerMessage, PrefillRequest, PrefillResponse};
 use std::{
     net::SocketAddr,
     time::{Duration, Instant},
@@ -43,7 +43,7 @@
     settings.agent_port = agent.local_addr().unwrap().port();
     let router = Running::start_on(&store, settings);
     router.wait_ready().await;
-    let news = peers::EngineNews {
+    let news = peers::EngineUpdate {
         target: "engine".into(),
         born: 0,
         orders: 1,
@@ -67,7 +67,7 @@
     }
 
     /// The next question of the router.
-    async fn question(&self) -> (SocketAddr, PrefillAsked) {
+    async fn question(&self) -> (SocketAddr, PrefillRequest) {
         let mut buf = vec![0; 65_536];
         loop {
             let heard = tokio::time::timeout(common::PATIENCE, self.agent.recv_from(&mut buf));
@@ -79,7 +79,7 @@
     }
 
     async fn answer(&self, to: SocketAddr, id: u64, given: bool, wait_ms: u32) {
-        let answer = PrefillAnswer { id, given, wait_ms, reading_us: 0 };
+        let answer = PrefillResponse { id, given, wait_ms, reading_us: 0 };
         let answer = postcard::to_stdvec(&PeerMessage::PrefillAnswer(answer)).unwrap();
         self.agent.send_to(&answer, to).await.unwrap();
     }
