--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -3,7 +3,7 @@
 //! One line for each decision, with what decided it. Lines are limited by kind: a flood of one kind
 //! leaves out its own lines beyond a number a second, says how many, and takes no room from others.
 
-use crate::{copies, job, metrics, stream, view};
+use crate::{job, metrics, replicated_records, stream, view};
 use corianderstand_fleet::{targets, wait_limit};
 use corianderstand_types::names;
 use http::StatusCode;
@@ -165,7 +165,7 @@
         &self,
         id: &SmolStr,
         version: u64,
-        age: copies::Age,
+        age: replicated_records::Age,
         arrived: Instant,
         now: Instant,
     ) {
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -7,8 +7,8 @@
 
 pub mod others;
 
-use crate::{control, copies, dialect, readers, router};
-use copies::Source;
+use crate::{control, dialect, readers, replicated_records, router};
+use replicated_records::Source;
 use corianderstand_fleet::{config, routes, targets};
 use dialect::Subject;
 use std::{
@@ -283,7 +283,7 @@
 
 /// Forgets targets whose entries did not come back.
 pub fn expire<P>(shared: &router::Shared<P>, now: Instant) {
-    let gone = shared.view.borrow_mut().targets.expire(now, copies::RETURN_GRACE);
+    let gone = shared.view.borrow_mut().targets.expire(now, replicated_records::RETURN_GRACE);
     for id in gone {
         tracing::info!(target = %id, "target did not come back");
     }
--- a/crates/corianderstand_forward/src/lib.rs
+++ b/crates/corianderstand_forward/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod catch_up;
 pub mod client;
 pub mod control;
-pub mod copies;
+pub mod replicated_records;
 pub mod decisions;
 pub mod dialect;
 pub mod exchange;
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -1,7 +1,7 @@
 //! The router process: its settings, what its parts share, and its start and stop.
 
 use crate::{
-    client, control, copies, decisions, dialect, follow, job, metrics, peers, pool, prefill,
+    client, control, decisions, dialect, follow, job, metrics, peers, pool, prefill, replicated_records,
     readers, server, transfer, view,
 };
 use corianderstand_derives::derives;
@@ -110,7 +110,7 @@
     /// What it knows of other routers.
     pub peers: RefCell<peers::Peers>,
     /// What it has read of the store.
-    pub copies: RefCell<copies::Copies>,
+    pub copies: RefCell<replicated_records::Copies>,
     /// Connections to targets.
     pub pool: Rc<pool::Pool>,
     /// Requests that wait for their turns at engines.
@@ -192,10 +192,10 @@
     }
 
     /// How current what is known of a subject is.
-    pub fn age(&self, now: Instant, subject: dialect::Subject) -> copies::Age {
+    pub fn age(&self, now: Instant, subject: dialect::Subject) -> replicated_records::Age {
         let copies = self.copies.borrow();
         let behind = self.peers.borrow().ahead(now, subject, copies.next(subject)).next().is_some();
-        copies::Age { since_read: copies.since_read(now, subject), behind }
+        replicated_records::Age { since_read: copies.since_read(now, subject), behind }
     }
 
     /// Takes one second attempt from the budget.
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -7,7 +7,7 @@
 //! Records come in pieces. A transfer is given up when no piece comes, not when its whole time is over:
 //! a slow link may need seconds for a large configuration.
 
-use crate::{copies, dialect, follow, router};
+use crate::{dialect, follow, replicated_records, router};
 use bytes::{Bytes, BytesMut};
 use corianderstand_derives::derives;
 use displaydoc::Display;
@@ -173,7 +173,7 @@
 ) -> Fetched {
     let (outcome, fetched) = match answer {
         Ok(Handed { age, page }) => {
-            follow::take(shared, subject, copies::Source::Peer(peer), page);
+            follow::take(shared, subject, replicated_records::Source::Peer(peer), page);
             ("taken", Fetched::Taken(age))
         }
         Err(TransferError::Overtaken) => ("overtaken", Fetched::Nothing),
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -4,7 +4,7 @@
 
 use common::{MemoryStore, Running, Target};
 use corianderstand_forward::{
-    copies::Copies,
+    replicated_records::Copies,
     dialect::{Record, Subject},
     peers,
     readers::{Neighbour, Role, role},
