--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -8,9 +8,9 @@
 pub mod others;
 
 use crate::{control, dialect, readers, replicated_records, router};
-use replicated_records::Source;
 use corianderstand_fleet::{config, routes, targets};
 use dialect::Subject;
+use replicated_records::Source;
 use std::{
     rc::Rc,
     sync::Arc,
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -66,11 +66,11 @@
 
 /// What was read of the store.
 #[derive(Debug, Default)]
-pub struct Copies {
+pub struct ReplicatedRecords {
     by_subject: BTreeMap<Subject, Copy>,
 }
 
-impl Copies {
+impl ReplicatedRecords {
     /// Offset after the newest record that is known; 0 if none is.
     pub fn next(&self, subject: Subject) -> u64 {
         self.by_subject.get(&subject).and_then(|copy| copy.next).unwrap_or(0)
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -1,8 +1,8 @@
 //! The router process: its settings, what its parts share, and its start and stop.
 
 use crate::{
-    client, control, decisions, dialect, follow, job, metrics, peers, pool, prefill, replicated_records,
-    readers, server, transfer, view,
+    client, control, decisions, dialect, follow, job, metrics, peers, pool, prefill, readers,
+    replicated_records, server, transfer, view,
 };
 use corianderstand_derives::derives;
 use corianderstand_fleet::{budget, choose, demand, targets, wait_limit};
@@ -110,7 +110,7 @@
     /// What it knows of other routers.
     pub peers: RefCell<peers::Peers>,
     /// What it has read of the store.
-    pub copies: RefCell<replicated_records::Copies>,
+    pub copies: RefCell<replicated_records::ReplicatedRecords>,
     /// Connections to targets.
     pub pool: Rc<pool::Pool>,
     /// Requests that wait for their turns at engines.
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -4,10 +4,10 @@
 
 use common::{MemoryStore, Running, Target};
 use corianderstand_forward::{
-    replicated_records::Copies,
     dialect::{Record, Subject},
     peers,
     readers::{Neighbour, Role, role},
+    replicated_records::ReplicatedRecords,
     router,
 };
 use corianderstand_schema::peers::{PeerMessage, RouterNews, StoreUse};
@@ -224,7 +224,7 @@
 fn renewals_are_not_handed_over_again() {
     let record =
         |key: &str, offset| Record { key: key.into(), value: Some("entry".into()), offset };
-    let (subject, mut copies) = (Subject::Targets, Copies::default());
+    let (subject, mut copies) = (Subject::Targets, ReplicatedRecords::default());
     copies.keep(subject, record("same", 1), 7);
     copies.keep(subject, record("other", 2), 8);
     copies.keep(subject, record("same", 3), 7);
