--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -97,7 +97,7 @@
             if subject == Subject::Targets && copies.is_fresh(now, subject) {
                 continue;
             }
-            let known = copies.next(subject);
+            let known = copies.next_offset(subject);
             let ahead: Vec<_> = shared.peers.borrow().ahead(now, subject, known).collect();
             let look = Look {
                 router: &shared.settings.name,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -297,8 +297,8 @@
         store,
         strength: shared.settings.strength,
         fit: is_fit(shared),
-        config_next: copies.next(dialect::Subject::Config),
-        targets_next: copies.next(dialect::Subject::Targets),
+        config_next: copies.next_offset(dialect::Subject::Config),
+        targets_next: copies.next_offset(dialect::Subject::Targets),
         models: Vec::new(),
         running: Vec::new(),
     }
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -60,7 +60,7 @@
 async fn follow<P: router::Platform>(shared: Rc<router::Shared<P>>, subject: Subject) {
     let mut from: Option<u64> = None;
     loop {
-        let known = from.is_some() || shared.copies.borrow().next(subject) > 0;
+        let known = from.is_some() || shared.copies.borrow().next_offset(subject) > 0;
         if known && others::follow(&shared, subject).await {
             continue;
         }
@@ -69,7 +69,7 @@
             None => shared.platform.newest(subject, &waiting).await,
             Some(at) => {
                 // A router that follows others knows more than it has read itself.
-                let at = at.max(shared.copies.borrow().next(subject));
+                let at = at.max(shared.copies.borrow().next_offset(subject));
                 shared.platform.read(subject, at, &waiting).await
             }
         };
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -72,7 +72,7 @@
 
 impl ReplicatedRecords {
     /// Offset after the newest record that is known; 0 if none is.
-    pub fn next(&self, subject: Subject) -> u64 {
+    pub fn next_offset(&self, subject: Subject) -> u64 {
         self.by_subject.get(&subject).and_then(|copy| copy.next).unwrap_or(0)
     }
 
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -145,7 +145,7 @@
         }
         (view.table.is_none() && !failed(dialect::Subject::Config))
             || (view.targets.is_empty()
-                && copies.next(dialect::Subject::Targets) == 0
+                && copies.next_offset(dialect::Subject::Targets) == 0
                 && !failed(dialect::Subject::Targets))
     }
 
@@ -194,7 +194,8 @@
     /// How current what is known of a subject is.
     pub fn age(&self, now: Instant, subject: dialect::Subject) -> replicated_records::Age {
         let copies = self.copies.borrow();
-        let behind = self.peers.borrow().ahead(now, subject, copies.next(subject)).next().is_some();
+        let behind =
+            self.peers.borrow().ahead(now, subject, copies.next_offset(subject)).next().is_some();
         replicated_records::Age { since_read: copies.since_read(now, subject), behind }
     }
 
