--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -123,7 +123,7 @@
         Subject::Routers => Duration::ZERO,
         Subject::Config | Subject::Targets => wait(shared.bounds.borrow().config_within),
     };
-    let heard = shared.copies.borrow_mut().heard(subject);
+    let heard = shared.copies.borrow_mut().last_received(subject);
     dialect::Waiting { wait, silence: SILENCE, heard }
 }
 
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -92,7 +92,7 @@
     }
 
     /// What notes when something of a read comes.
-    pub fn heard(&mut self, subject: Subject) -> client::Heard {
+    pub fn last_received(&mut self, subject: Subject) -> client::Heard {
         self.by_subject.entry(subject).or_default().heard.clone()
     }
 
