--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -102,7 +102,7 @@
             let look = Look {
                 router: &shared.settings.name,
                 ahead: &ahead,
-                heard: copies.heard_at(subject),
+                heard: copies.last_received_at(subject),
                 lost: copies.is_lost(subject),
                 starts: known == 0,
                 follows,
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -97,7 +97,7 @@
     }
 
     /// When something of a read last came.
-    pub fn heard_at(&self, subject: Subject) -> Option<Instant> {
+    pub fn last_received_at(&self, subject: Subject) -> Option<Instant> {
         self.by_subject.get(&subject)?.heard.at()
     }
 
