--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -103,7 +103,7 @@
                 router: &shared.settings.name,
                 ahead: &ahead,
                 heard: copies.last_received_at(subject),
-                lost: copies.is_lost(subject),
+                lost: copies.last_read_failed(subject),
                 starts: known == 0,
                 follows,
                 within: shared.bounds.borrow().config_within,
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether the last read failed.
-    pub fn is_lost(&self, subject: Subject) -> bool {
+    pub fn last_read_failed(&self, subject: Subject) -> bool {
         self.by_subject.get(&subject).is_some_and(|copy| copy.lost)
     }
 
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -139,7 +139,7 @@
     pub fn is_starting(&self) -> bool {
         let view = self.view.borrow();
         let copies = self.copies.borrow();
-        let failed = |subject| copies.is_lost(subject);
+        let failed = |subject| copies.last_read_failed(subject);
         if self.stopping.get().is_some() {
             return false;
         }
@@ -181,7 +181,7 @@
     /// How this router learns what the store has.
     pub fn store_use(&self, now: Instant) -> StoreUse {
         let copies = self.copies.borrow();
-        let lost = |subject| copies.is_lost(subject);
+        let lost = |subject| copies.last_read_failed(subject);
         if lost(dialect::Subject::Config) || lost(dialect::Subject::Targets) {
             return StoreUse::Lost;
         }
