--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -76,7 +76,7 @@
         match read {
             Ok(page) => {
                 from = Some(page.next);
-                note_read(&shared, subject);
+                record_read(&shared, subject);
                 take(&shared, subject, Source::Store, page);
                 match subject {
                     Subject::Config => {}
@@ -142,11 +142,11 @@
     }
 }
 
-fn note_read<P: router::Platform>(shared: &router::Shared<P>, subject: Subject) {
+fn record_read<P: router::Platform>(shared: &router::Shared<P>, subject: Subject) {
     let now = shared.clock.now();
     let mut copies = shared.copies.borrow_mut();
     let away_ms = copies.since_read(now, subject).map(|age| age.as_millis() as u64);
-    if copies.note_read(now, subject) {
+    if copies.record_read(now, subject) {
         tracing::info!(?subject, away_ms, "the store is read again");
     }
 }
--- a/crates/corianderstand_forward/src/follow/others.rs
+++ b/crates/corianderstand_forward/src/follow/others.rs
@@ -1,6 +1,6 @@
 //! Following the store through other routers of the zone that read it ([`crate::readers`]).
 
-use super::{TARGETS_PART, note_read, pause_targets};
+use super::{TARGETS_PART, pause_targets, record_read};
 use crate::{dialect::Subject, readers, router, transfer};
 use corianderstand_schema::peers as wire;
 use std::{
@@ -49,7 +49,7 @@
     for reader in readers {
         match transfer::follow(shared, *reader, subject).await {
             transfer::Fetched::Taken(Some(age)) if age <= most => {
-                note_read(shared, subject);
+                record_read(shared, subject);
                 return true;
             }
             transfer::Fetched::Refused => {}
@@ -76,7 +76,7 @@
     if news.config_next > own {
         shared.tell_planner.notify_one();
     } else {
-        note_read(shared, Subject::Config);
+        record_read(shared, Subject::Config);
     }
 }
 
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -140,7 +140,7 @@
     }
 
     /// A read of the store succeeded. Whether one before it had failed.
-    pub fn note_read(&mut self, now: Instant, subject: Subject) -> bool {
+    pub fn record_read(&mut self, now: Instant, subject: Subject) -> bool {
         let copy = self.by_subject.entry(subject).or_default();
         copy.gap = copy.read_at.map(|at| now.saturating_duration_since(at));
         copy.read_at = Some(now);
