--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -101,7 +101,7 @@
                 from = None;
             }
             Err(error) => {
-                note_lost(&shared, subject, &error);
+                record_read_failure(&shared, subject, &error);
                 others::pause_lost(&shared, pause_after(&error)).await;
             }
         }
@@ -151,11 +151,15 @@
     }
 }
 
-fn note_lost<P>(shared: &router::Shared<P>, subject: Subject, error: &dialect::StoreError) {
+fn record_read_failure<P>(
+    shared: &router::Shared<P>,
+    subject: Subject,
+    error: &dialect::StoreError,
+) {
     shared.log.metrics.read_failed(subject);
     let mut copies = shared.copies.borrow_mut();
     let age_ms = copies.since_read(shared.clock.now(), subject).map(|age| age.as_millis() as u64);
-    if copies.note_lost(subject) {
+    if copies.record_read_failure(subject) {
         tracing::warn!(?subject, %error, age_ms,
             "the store cannot be read: what is known stays in force");
         drop(copies);
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -151,7 +151,7 @@
     }
 
     /// A read of the store failed. Whether the one before it had succeeded.
-    pub fn note_lost(&mut self, subject: Subject) -> bool {
+    pub fn record_read_failure(&mut self, subject: Subject) -> bool {
         let copy = self.by_subject.entry(subject).or_default();
         !std::mem::replace(&mut copy.lost, true)
     }
