--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -204,7 +204,7 @@
     let offset = record.offset;
     let decoded = shared.platform.decode(subject, &record);
     let content = content(&record, decoded.as_ref().ok().and_then(Option::as_ref));
-    shared.copies.borrow_mut().keep(subject, record, content);
+    shared.copies.borrow_mut().insert(subject, record, content);
     match decoded {
         Ok(Some(news)) => take_news(shared, subject, Origin { source, offset }, news),
         Ok(None) => {}
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -157,7 +157,7 @@
     }
 
     /// Keeps a record that is newer than what is known. `content` is a hash of what it says.
-    pub fn keep(&mut self, subject: Subject, record: dialect::Record, content: u64) {
+    pub fn insert(&mut self, subject: Subject, record: dialect::Record, content: u64) {
         let copy = self.by_subject.entry(subject).or_default();
         let same = copy.records.get(&record.key).filter(|known| known.content == content);
         let changed = same.map_or(record.offset, |known| known.changed);
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -225,12 +225,12 @@
     let record =
         |key: &str, offset| Record { key: key.into(), value: Some("entry".into()), offset };
     let (subject, mut copies) = (Subject::Targets, ReplicatedRecords::default());
-    copies.keep(subject, record("same", 1), 7);
-    copies.keep(subject, record("other", 2), 8);
-    copies.keep(subject, record("same", 3), 7);
-    copies.keep(subject, record("other", 4), 9);
+    copies.insert(subject, record("same", 1), 7);
+    copies.insert(subject, record("other", 2), 8);
+    copies.insert(subject, record("same", 3), 7);
+    copies.insert(subject, record("other", 4), 9);
     let gone = Record { value: None, ..record("gone", 5) };
-    copies.keep(subject, gone.clone(), 0);
+    copies.insert(subject, gone.clone(), 0);
     copies.advance(subject, 6);
     let page = copies.changes(subject, 3);
     let mut keys: Vec<_> = page.records.iter().map(|record| record.key.as_str()).collect();
