--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -174,7 +174,7 @@
     source: Source,
     page: dialect::Page,
 ) {
-    let gone = shared.copies.borrow().missing(subject, &page);
+    let gone = shared.copies.borrow().removals(subject, &page);
     let mut records: Vec<_> = page.records.into_iter().chain(gone).collect();
     // The newest record of each key comes by key, and the later of two targets at an address counts.
     records.sort_by_key(|record| record.offset);
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -173,7 +173,7 @@
     }
 
     /// Records that a page of all keys no longer has.
-    pub fn missing(&self, subject: Subject, page: &dialect::Page) -> Vec<dialect::Record> {
+    pub fn removals(&self, subject: Subject, page: &dialect::Page) -> Vec<dialect::Record> {
         let Some(copy) = self.by_subject.get(&subject).filter(|_| page.whole) else {
             return Vec::new();
         };
