--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -250,7 +250,7 @@
             }
         }
         dialect::News::TargetGone(id) => {
-            let grace = shared.copies.borrow().just_back(now, subject);
+            let grace = shared.copies.borrow().recovered_recently(now, subject);
             tracing::info!(target = %id, grace, "target's entry removed");
             shared.view.borrow_mut().targets.remove(now, &id, grace);
         }
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -134,7 +134,7 @@
     }
 
     /// Whether an entry that is missing may be back soon: the store was away and has returned.
-    pub fn just_back(&self, now: Instant, subject: Subject) -> bool {
+    pub fn recovered_recently(&self, now: Instant, subject: Subject) -> bool {
         let at = self.by_subject.get(&subject).and_then(|copy| copy.back_at);
         at.is_some_and(|at| now.saturating_duration_since(at) < RETURN_GRACE)
     }
