--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -112,7 +112,7 @@
     }
 
     /// All records of a subject, for a peer.
-    pub fn page(&self, subject: Subject) -> dialect::Page {
+    pub fn full_page(&self, subject: Subject) -> dialect::Page {
         let Some(copy) = self.by_subject.get(&subject) else { return dialect::Page::default() };
         let records = copy.records.values().map(|kept| kept.record.clone()).collect();
         dialect::Page { records, next: copy.next.unwrap_or(0), whole: true }
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -132,7 +132,7 @@
     let copies = shared.copies.borrow();
     let age = copies.since_read(shared.clock.now(), asked.subject);
     let page = match asked.from {
-        None => copies.page(asked.subject),
+        None => copies.full_page(asked.subject),
         Some(from) => copies.changes(asked.subject, from),
     };
     Handed { age, page }
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -237,7 +237,7 @@
     keys.sort_unstable();
     assert_eq!(keys, ["gone", "other"], "what was removed is news as well");
     assert!(!page.whole && page.next == 6);
-    assert_eq!(copies.page(subject).records.len(), 3, "a router that starts takes all");
+    assert_eq!(copies.full_page(subject).records.len(), 3, "a router that starts takes all");
 }
 
 /// A store that is coming back is asked by each of hundreds of routers three times a second.
