--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -270,7 +270,7 @@
     config: Arc<config::Config>,
 ) {
     let now = shared.clock.now();
-    let age = shared.copies.borrow().age_before(now, Subject::Config, source);
+    let age = shared.copies.borrow().previous_read_age(now, Subject::Config, source);
     let age_ms = age.map(|age| age.as_millis() as u64);
     let version = config.version;
     let mut view = shared.view.borrow_mut();
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -84,7 +84,12 @@
 
     /// How old the read before was when records came from this source. The store's own read counts as
     /// soon as it has ended, so for its records that is the time from the one before to it.
-    pub fn age_before(&self, now: Instant, subject: Subject, source: Source) -> Option<Duration> {
+    pub fn previous_read_age(
+        &self,
+        now: Instant,
+        subject: Subject,
+        source: Source,
+    ) -> Option<Duration> {
         match source {
             Source::Store => self.by_subject.get(&subject)?.gap,
             Source::Peer(_) => self.since_read(now, subject),
