--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -5,7 +5,7 @@
 //! instead. While the store does not answer, what is known stays in force, and other routers may
 //! hand over what they have read since ([`crate::catch_up`]).
 
-pub mod others;
+pub mod via_readers;
 
 use crate::{control, dialect, readers, replicated_records, router};
 use corianderstand_fleet::{config, routes, targets};
@@ -61,7 +61,7 @@
     let mut from: Option<u64> = None;
     loop {
         let known = from.is_some() || shared.copies.borrow().next_offset(subject) > 0;
-        if known && others::follow(&shared, subject).await {
+        if known && via_readers::follow(&shared, subject).await {
             continue;
         }
         let waiting = waiting(&shared, subject);
@@ -102,7 +102,7 @@
             }
             Err(error) => {
                 record_read_failure(&shared, subject, &error);
-                others::pause_lost(&shared, pause_after(&error)).await;
+                via_readers::pause_lost(&shared, pause_after(&error)).await;
             }
         }
     }
