--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -106,7 +106,7 @@
                 return;
             }
             let waits = news.models.iter().any(|model| model.waiting > 0);
-            follow::via_readers::hear(shared, now, &news);
+            follow::via_readers::on_router_update(shared, now, &news);
             shared.peers.borrow_mut().hear(now, from, news);
             // Only the planner is told of what waits elsewhere; told on, each such message would
             // bring one of every router.
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -61,7 +61,7 @@
 
 /// Another router says how far it has read. Where that one reads the store for this one and knows no newer
 /// configuration, the own one is as current as if the store had been read.
-pub fn hear<P: router::Platform>(
+pub fn on_router_update<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
     news: &wire::RouterNews,
