--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -19,11 +19,11 @@
 use xxhash_rust::xxh3;
 
 /// Time that is left of the bound in which a configuration is to be in force when a read of it has
-/// waited for news: what it has then for its answer is [`SILENCE`], and the next read has the rest.
+/// waited for news: what it has then for its answer is [`RESPONSE_TIMEOUT`], and the next read has the rest.
 const CONFIG_RESERVE: Duration = Duration::from_millis(1_000);
 /// Time without a sign after which the store, or a peer that hands records over, counts as silent. Both
 /// answer within some ms.
-pub const SILENCE: Duration = Duration::from_millis(700);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Part of the time in which a leaving target is to get no more requests that passes between two
 /// reads of the targets. All targets renew their entries each second or so; a read for each entry
 /// would cost ten calls a second.
@@ -124,7 +124,7 @@
         Subject::Config | Subject::Targets => wait(shared.bounds.borrow().config_within),
     };
     let heard = shared.copies.borrow_mut().last_received(subject);
-    dialect::Waiting { wait, silence: SILENCE, heard }
+    dialect::Waiting { wait, silence: RESPONSE_TIMEOUT, heard }
 }
 
 /// How long a read waits for news, if these are to be in force within a time.
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -223,7 +223,7 @@
 }
 
 async fn in_time<T>(work: impl Future<Output = T>) -> Result<T, TransferError> {
-    tokio::time::timeout(follow::SILENCE, work)
+    tokio::time::timeout(follow::RESPONSE_TIMEOUT, work)
         .await
-        .map_err(|_| TransferError::Silent(follow::SILENCE.as_millis()))
+        .map_err(|_| TransferError::Silent(follow::RESPONSE_TIMEOUT.as_millis()))
 }
