--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -121,14 +121,14 @@
 fn waiting<P>(shared: &router::Shared<P>, subject: Subject) -> dialect::Waiting {
     let wait = match subject {
         Subject::Routers => Duration::ZERO,
-        Subject::Config | Subject::Targets => wait(shared.bounds.borrow().config_within),
+        Subject::Config | Subject::Targets => long_poll_wait(shared.bounds.borrow().config_within),
     };
     let heard = shared.copies.borrow_mut().last_received(subject);
     dialect::Waiting { wait, silence: RESPONSE_TIMEOUT, heard }
 }
 
 /// How long a read waits for news, if these are to be in force within a time.
-pub fn wait(within: Duration) -> Duration {
+pub fn long_poll_wait(within: Duration) -> Duration {
     within.saturating_sub(CONFIG_RESERVE).max(LEAST_WAIT)
 }
 
