--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -102,7 +102,7 @@
             }
             Err(error) => {
                 record_read_failure(&shared, subject, &error);
-                via_readers::pause_lost(&shared, pause_after(&error)).await;
+                via_readers::pause_lost(&shared, retry_delay(&error)).await;
             }
         }
     }
@@ -135,7 +135,7 @@
 /// Pause before the next read after one that failed. The store was silent for long enough already:
 /// a connection that has gone dead hides what was written meanwhile, and the bound in which that is to
 /// be in force is nearly over.
-pub const fn pause_after(error: &dialect::StoreError) -> Duration {
+pub const fn retry_delay(error: &dialect::StoreError) -> Duration {
     match error {
         dialect::StoreError::Silent(_) => Duration::ZERO,
         _ => FAILED_PAUSE,
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -120,6 +120,6 @@
     let within = Duration::from_secs(seconds);
     let silent = StoreError::Silent(follow::RESPONSE_TIMEOUT.as_millis() as u64);
     let next =
-        follow::long_poll_wait(within) + follow::RESPONSE_TIMEOUT + follow::pause_after(&silent);
+        follow::long_poll_wait(within) + follow::RESPONSE_TIMEOUT + follow::retry_delay(&silent);
     assert!(next < within, "the next read begins after {next:?}");
 }
