--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -77,7 +77,7 @@
             Ok(page) => {
                 from = Some(page.next);
                 record_read(&shared, subject);
-                take(&shared, subject, Source::Store, page);
+                apply_page(&shared, subject, Source::Store, page);
                 match subject {
                     Subject::Config => {}
                     Subject::Targets => {
@@ -168,7 +168,7 @@
 }
 
 /// Takes records, from the store or from a peer.
-pub fn take<P: router::Platform>(
+pub fn apply_page<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     subject: Subject,
     source: Source,
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -173,7 +173,7 @@
 ) -> Fetched {
     let (outcome, fetched) = match answer {
         Ok(Handed { age, page }) => {
-            follow::take(shared, subject, replicated_records::Source::Peer(peer), page);
+            follow::apply_page(shared, subject, replicated_records::Source::Peer(peer), page);
             ("taken", Fetched::Taken(age))
         }
         Err(TransferError::Overtaken) => ("overtaken", Fetched::Nothing),
