--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -198,7 +198,7 @@
     loop {
         let key = match waiting::find_target(&shared, &mut job).await {
             Ok(key) => key,
-            Err(given_up) => return refuse(&shared, &job, given_up.reason, given_up.after),
+            Err(given_up) => return refuse(&shared, &job, given_up.reason, given_up.retry_after),
         };
         job.tried.push(key);
         match attempt::attempt(&shared, &mut job, key, None).await {
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -18,7 +18,7 @@
     /// Why.
     pub reason: &'static str,
     /// When to come back.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// A target for the request, after waiting for one if that is of use.
@@ -49,7 +49,7 @@
                     prefill::Turn::TooLate { after } => {
                         return Err(PlacementError {
                             reason: "its prompt cannot be read in time",
-                            after,
+                            retry_after: after,
                         });
                     }
                 }
@@ -71,13 +71,16 @@
                         (until.min(shared.latest(job)), look_again(choice))
                     }
                     wait_limit::Decision::Refuse { after } => {
-                        return Err(PlacementError { reason: reason(choice), after });
+                        return Err(PlacementError { reason: reason(choice), retry_after: after });
                     }
                 }
             }
         };
         if now >= until {
-            return Err(PlacementError { reason: reason(choice), after: exchange::REFUSED_RETURN });
+            return Err(PlacementError {
+                reason: reason(choice),
+                retry_after: exchange::REFUSED_RETURN,
+            });
         }
         if let (None, Some(model)) = (&waiting, job.model()) {
             waiting = Some(Waiting::begin(shared, model));
