--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -42,7 +42,7 @@
 
 /// Requests of this router that wait for their turns.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct PendingPermits {
     waiting: RefCell<HashMap<u64, Rc<Waiting>>>,
     last: Cell<u64>,
 }
@@ -60,7 +60,7 @@
     reading: Duration,
 }
 
-impl Turns {
+impl PendingPermits {
     /// An agent's answer.
     pub fn take(&self, answer: &wire::PrefillAnswer) {
         // A request that was withdrawn meanwhile is no longer here.
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -114,7 +114,7 @@
     /// Connections to targets.
     pub pool: Rc<pool::Pool>,
     /// Requests that wait for their turns at engines.
-    pub turns: prefill::Turns,
+    pub turns: prefill::PendingPermits,
     /// What became of requests.
     pub log: decisions::Log,
     /// A request waits: the planner should hear of it now.
@@ -399,7 +399,7 @@
             peers: RefCell::default(),
             copies: RefCell::default(),
             pool: Rc::default(),
-            turns: prefill::Turns::default(),
+            turns: prefill::PendingPermits::default(),
             log: decisions::Log::default(),
             tell_planner: Notify::new(),
             targets_outdated: Notify::new(),
