--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -62,7 +62,7 @@
 
 impl PendingPermits {
     /// An agent's answer.
-    pub fn take(&self, answer: &wire::PrefillAnswer) {
+    pub fn on_answer(&self, answer: &wire::PrefillAnswer) {
         // A request that was withdrawn meanwhile is no longer here.
         let Some(waiting) = self.waiting.borrow().get(&answer.id).cloned() else { return };
         waiting.answer.set(Some(Answer {
