--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -28,7 +28,7 @@
 
 /// What became of asking for a turn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Turn {
+pub enum PermitOutcome {
     /// The request may be sent.
     Given,
     /// Another engine may be the better choice now.
@@ -135,9 +135,9 @@
         self.waiting.answer.take()
     }
 
-    fn given(&mut self) -> Turn {
+    fn given(&mut self) -> PermitOutcome {
         self.given = true;
-        Turn::Given
+        PermitOutcome::Given
     }
 }
 
@@ -148,8 +148,8 @@
     job: &job::Job,
     key: targets::TargetKey,
     settled: bool,
-) -> Turn {
-    let Some(mut question) = Question::new(shared, job, key) else { return Turn::Given };
+) -> PermitOutcome {
+    let Some(mut question) = Question::new(shared, job, key) else { return PermitOutcome::Given };
     let mut unanswered = 0;
     while unanswered < MOST_QUESTIONS {
         question.send(job);
@@ -163,10 +163,12 @@
             return question.given();
         }
         if now + answer.wait >= question.useful_until(job) {
-            return Turn::TooLate { after: wait_limit::retry_after(answer.wait, job.spread()) };
+            return PermitOutcome::TooLate {
+                after: wait_limit::retry_after(answer.wait, job.spread()),
+            };
         }
         if !shared.may_serve(key, job, now) || (!settled && answer.wait >= LONG_WAIT) {
-            return Turn::LookAgain;
+            return PermitOutcome::LookAgain;
         }
         if question.answer(ASK_AGAIN).await.is_some_and(|answer| answer.given) {
             return question.given();
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -40,13 +40,13 @@
             choose::Choice::Send(key) => {
                 looks += 1;
                 match prefill::turn(shared, job, key, looks > MOST_LOOKS).await {
-                    prefill::Turn::Given => {
+                    prefill::PermitOutcome::Given => {
                         let now = shared.clock.now();
                         shared.log.placed(job, &shared.view.borrow(), key, now);
                         return Ok(key);
                     }
-                    prefill::Turn::LookAgain => continue,
-                    prefill::Turn::TooLate { after } => {
+                    prefill::PermitOutcome::LookAgain => continue,
+                    prefill::PermitOutcome::TooLate { after } => {
                         return Err(PlacementError {
                             reason: "its prompt cannot be read in time",
                             retry_after: after,
