--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PermitOutcome {
     /// The request may be sent.
-    Given,
+    Granted,
     /// Another engine may be the better choice now.
     LookAgain,
     /// Its turn comes too late for its caller.
@@ -137,7 +137,7 @@
 
     fn given(&mut self) -> PermitOutcome {
         self.given = true;
-        PermitOutcome::Given
+        PermitOutcome::Granted
     }
 }
 
@@ -149,7 +149,7 @@
     key: targets::TargetKey,
     settled: bool,
 ) -> PermitOutcome {
-    let Some(mut question) = Question::new(shared, job, key) else { return PermitOutcome::Given };
+    let Some(mut question) = Question::new(shared, job, key) else { return PermitOutcome::Granted };
     let mut unanswered = 0;
     while unanswered < MOST_QUESTIONS {
         question.send(job);
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -40,7 +40,7 @@
             choose::Choice::Send(key) => {
                 looks += 1;
                 match prefill::turn(shared, job, key, looks > MOST_LOOKS).await {
-                    prefill::PermitOutcome::Given => {
+                    prefill::PermitOutcome::Granted => {
                         let now = shared.clock.now();
                         shared.log.placed(job, &shared.view.borrow(), key, now);
                         return Ok(key);
