--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -32,7 +32,7 @@
     /// The request may be sent.
     Granted,
     /// Another engine may be the better choice now.
-    LookAgain,
+    ChooseAgain,
     /// Its turn comes too late for its caller.
     TooLate {
         /// When to come back.
@@ -168,7 +168,7 @@
             };
         }
         if !shared.may_serve(key, job, now) || (!settled && answer.wait >= LONG_WAIT) {
-            return PermitOutcome::LookAgain;
+            return PermitOutcome::ChooseAgain;
         }
         if question.answer(ASK_AGAIN).await.is_some_and(|answer| answer.given) {
             return question.given();
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -45,7 +45,7 @@
                         shared.log.placed(job, &shared.view.borrow(), key, now);
                         return Ok(key);
                     }
-                    prefill::PermitOutcome::LookAgain => continue,
+                    prefill::PermitOutcome::ChooseAgain => continue,
                     prefill::PermitOutcome::TooLate { after } => {
                         return Err(PlacementError {
                             reason: "its prompt cannot be read in time",
