--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -36,7 +36,7 @@
     /// Its turn comes too late for its caller.
     TooLate {
         /// When to come back.
-        after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -164,7 +164,7 @@
         }
         if now + answer.wait >= question.useful_until(job) {
             return PermitOutcome::TooLate {
-                after: wait_limit::retry_after(answer.wait, job.spread()),
+                retry_after: wait_limit::retry_after(answer.wait, job.spread()),
             };
         }
         if !shared.may_serve(key, job, now) || (!settled && answer.wait >= LONG_WAIT) {
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -46,10 +46,10 @@
                         return Ok(key);
                     }
                     prefill::PermitOutcome::ChooseAgain => continue,
-                    prefill::PermitOutcome::TooLate { after } => {
+                    prefill::PermitOutcome::TooLate { retry_after } => {
                         return Err(PlacementError {
                             reason: "its prompt cannot be read in time",
-                            retry_after: after,
+                            retry_after,
                         });
                     }
                 }
