--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -143,7 +143,7 @@
 
 /// Waits for a request's turn at an engine. With `settled` it goes there even if its turn is far
 /// away: a look at other engines has not found a better one.
-pub async fn turn<P: router::Platform>(
+pub async fn acquire_permit<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
     key: targets::TargetKey,
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -39,7 +39,7 @@
         let (until, look) = match choice {
             choose::Choice::Send(key) => {
                 looks += 1;
-                match prefill::turn(shared, job, key, looks > MOST_LOOKS).await {
+                match prefill::acquire_permit(shared, job, key, looks > MOST_LOOKS).await {
                     prefill::PermitOutcome::Granted => {
                         let now = shared.clock.now();
                         shared.log.placed(job, &shared.view.borrow(), key, now);
