--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -16,13 +16,13 @@
 
 /// What the planning router remembers.
 #[derive(Default)]
-pub struct Planning {
+pub struct PlanPublisher {
     planner: plan::Planner,
     serial: u64,
     sent: HashMap<targets::TargetKey, (Instant, Vec<wire::PlanPart>)>,
 }
 
-impl Planning {
+impl PlanPublisher {
     /// The planning of a router that starts now.
     pub fn starting(now: Instant) -> Self {
         Self { planner: plan::Planner::with_warm_up(now), ..Self::default() }
