--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -225,7 +225,7 @@
 }
 
 async fn run<P: router::Platform>(shared: Rc<router::Shared<P>>) {
-    let mut planning = planning::PlanPublisher::starting(shared.clock.now());
+    let mut planning = planning::PlanPublisher::new(shared.clock.now());
     let mut said = Said::default();
     let mut catch_up = catch_up::CatchUp::default();
     loop {
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -24,7 +24,7 @@
 
 impl PlanPublisher {
     /// The planning of a router that starts now.
-    pub fn starting(now: Instant) -> Self {
+    pub fn new(now: Instant) -> Self {
         Self { planner: plan::Planner::with_warm_up(now), ..Self::default() }
     }
 
