--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -236,7 +236,7 @@
         note_role(&shared, now, &mut said);
         catch_up.look(&shared, now);
         if is_fit(&shared) && planner.is_none() {
-            planning.plan(&shared, now);
+            planning.publish(&shared, now);
         }
         shared.pool.sweep(now);
         follow::expire(&shared, now);
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -29,7 +29,7 @@
     }
 
     /// Makes a plan for each service with engines, and tells agents what is new to them.
-    pub fn plan<P: router::Platform>(&mut self, shared: &router::Shared<P>, now: Instant) {
+    pub fn publish<P: router::Platform>(&mut self, shared: &router::Shared<P>, now: Instant) {
         let view = shared.view.borrow();
         let Some(table) = view.table.clone() else { return };
         drop(view);
