--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -86,7 +86,7 @@
 pub(super) async fn pause_lost<P: router::Platform>(shared: &router::Shared<P>, pause: Duration) {
     tokio::time::sleep(pause).await;
     for _ in 0..NEED_LOOKS {
-        if shared.role(shared.clock.now()) != readers::Role::ReadsInNeed {
+        if shared.role(shared.clock.now()) != readers::Role::ReadsAsFallback {
             return;
         }
         tokio::time::sleep(FOLLOWER_LOOK).await;
--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -41,7 +41,7 @@
     /// It reads, and others of its zone take the records from it.
     ReadsForOthers,
     /// Others should read for it, and have lost the store: it tries now and then.
-    ReadsInNeed,
+    ReadsAsFallback,
     /// It takes records from these, the one to be asked first before the others.
     Follows(Vec<SocketAddr>),
 }
@@ -59,7 +59,7 @@
     better.sort_by(|a, b| b.rank.cmp(&a.rank));
     better.truncate(READERS);
     if better.len() < READERS {
-        return Role::ReadsInNeed;
+        return Role::ReadsAsFallback;
     }
     // Each follower has an order of its own, so that each reader serves its share of them.
     let share = |addr: &SocketAddr| xxh3::xxh3_64(format!("{name} {addr}").as_bytes());
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -71,7 +71,7 @@
     ports.sort_unstable();
     assert_eq!(ports, [9, 10]);
     let all_lost: Vec<_> = (1..=12).map(|index| neighbour(index, StoreUse::Lost)).collect();
-    assert_eq!(role(&own(0), "own", &all_lost), Role::ReadsInNeed, "it tries now and then");
+    assert_eq!(role(&own(0), "own", &all_lost), Role::ReadsAsFallback, "it tries now and then");
     assert_eq!(role(&own(11), "own", &all_lost), Role::ReadsForOthers, "it goes on trying");
 }
 
