--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -243,7 +243,7 @@
         match choice {
             choose::Choice::NoTarget => wait_limit::Readiness::Unknown,
             choose::Choice::Full => wait_limit::Readiness::AtCapacity,
-            choose::Choice::LoadAdapter(key) => self.view.borrow().expected_adapter(key),
+            choose::Choice::LoadAdapter(key) => self.view.borrow().adapter_readiness(key),
             _ => self.view.borrow().expected(now, &job.service, job.call.wanted.as_ref()),
         }
     }
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -59,7 +59,7 @@
 
     /// When an engine that holds the model can take an order for an adapter: it carries out one at a
     /// time, and a model from the weight store keeps it for seconds.
-    pub fn expected_adapter(&self, key: targets::TargetKey) -> wait_limit::Readiness {
+    pub fn adapter_readiness(&self, key: targets::TargetKey) -> wait_limit::Readiness {
         match self.targets.get(key).and_then(|target| target.ongoing.as_ref()) {
             Some(targets::Ongoing::Loading { ready_at, .. }) => {
                 wait_limit::Readiness::ReadyAt(*ready_at)
