--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -244,7 +244,7 @@
             choose::Choice::NoTarget => wait_limit::Readiness::Unknown,
             choose::Choice::Full => wait_limit::Readiness::AtCapacity,
             choose::Choice::LoadAdapter(key) => self.view.borrow().adapter_readiness(key),
-            _ => self.view.borrow().expected(now, &job.service, job.call.wanted.as_ref()),
+            _ => self.view.borrow().model_readiness(now, &job.service, job.call.wanted.as_ref()),
         }
     }
 
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -69,7 +69,7 @@
     }
 
     /// When a model may be expected on some engine of a service.
-    pub fn expected(
+    pub fn model_readiness(
         &self,
         now: Instant,
         service: &names::ServiceId,
