--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -161,7 +161,7 @@
     /// A request was answered that its path leads nowhere: by which configuration, how long ago the
     /// store was last read, and whether another router was known to have read more. Lines of their
     /// own kind, as these are few and a flood of refusals must not crowd them out.
-    pub fn denied(
+    pub fn no_route(
         &self,
         id: &SmolStr,
         version: u64,
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -72,7 +72,7 @@
         Err(Unrouted::Nowhere { version }) => {
             let now = shared.clock.now();
             let age = shared.age(now, dialect::Subject::Config);
-            shared.log.denied(&call.id, version, age, arrived, now);
+            shared.log.no_route(&call.id, version, age, arrived, now);
             return Ok(own_answer(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
         }
     };
