--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -141,7 +141,7 @@
 impl<P: router::Platform> Drop for Open<P> {
     fn drop(&mut self) {
         if !self.over {
-            self.shared.log.left(&self.id, 0, self.shared.clock.now());
+            self.shared.log.caller_left(&self.id, 0, self.shared.clock.now());
         }
     }
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -74,7 +74,7 @@
     fn drop(&mut self) {
         if !self.0.over {
             let now = self.0.shared.clock.now();
-            self.0.shared.log.left(&self.0.job.call.id, self.0.splitter.events(), now);
+            self.0.shared.log.caller_left(&self.0.job.call.id, self.0.splitter.events(), now);
         }
     }
 }
