--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -85,7 +85,7 @@
 
 impl CatchUp {
     /// Asks a peer for what it has read and the store does not bring.
-    pub fn look<P: router::Platform>(&mut self, shared: &Rc<router::Shared<P>>, now: Instant) {
+    pub fn poll<P: router::Platform>(&mut self, shared: &Rc<router::Shared<P>>, now: Instant) {
         let follows = matches!(shared.role(now), readers::Role::Follows(_));
         for subject in [Subject::Config, Subject::Targets] {
             let (lag, transfer) = self.by_subject.entry(subject).or_default();
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -234,7 +234,7 @@
         say_news(&shared, now, planner, &mut said);
         name_adapters(&shared, now, &mut said);
         note_role(&shared, now, &mut said);
-        catch_up.look(&shared, now);
+        catch_up.poll(&shared, now);
         if is_fit(&shared) && planner.is_none() {
             planning.publish(&shared, now);
         }
