--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -25,7 +25,7 @@
 
 /// What a router knows of its reads and of the others when it looks whether to ask one.
 #[derive(Clone, Debug)]
-pub struct Look<'a> {
+pub struct ReadProgress<'a> {
     /// The router's name.
     pub router: &'a str,
     /// Peers that have read more, and how far.
@@ -52,7 +52,7 @@
 impl Lag {
     /// The peer to ask now, and how far it has read; none if nobody has read more, or if the store
     /// is bringing it.
-    pub fn peer(&mut self, now: Instant, look: &Look) -> Option<(u64, SocketAddr)> {
+    pub fn peer(&mut self, now: Instant, look: &ReadProgress) -> Option<(u64, SocketAddr)> {
         let Some(most) = look.ahead.iter().map(|(next, _)| *next).max() else {
             self.since = None;
             return None;
@@ -99,7 +99,7 @@
             }
             let known = copies.next_offset(subject);
             let ahead: Vec<_> = shared.peers.borrow().ahead(now, subject, known).collect();
-            let look = Look {
+            let look = ReadProgress {
                 router: &shared.settings.name,
                 ahead: &ahead,
                 heard: copies.last_received_at(subject),
--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -1,6 +1,6 @@
 //! When a router asks another one for records, and which: decided without a network.
 
-use corianderstand_forward::catch_up::{Lag, Look};
+use corianderstand_forward::catch_up::{Lag, ReadProgress};
 use std::{
     collections::BTreeMap,
     net::SocketAddr,
@@ -15,8 +15,20 @@
     SocketAddr::from(([10, 0, 0, number], 7_380))
 }
 
-fn look<'a>(ahead: &'a [(u64, SocketAddr)], heard: Option<Instant>, lost: bool) -> Look<'a> {
-    Look { router: "router-a", ahead, heard, lost, starts: false, follows: false, within: WITHIN }
+fn look<'a>(
+    ahead: &'a [(u64, SocketAddr)],
+    heard: Option<Instant>,
+    lost: bool,
+) -> ReadProgress<'a> {
+    ReadProgress {
+        router: "router-a",
+        ahead,
+        heard,
+        lost,
+        starts: false,
+        follows: false,
+        within: WITHIN,
+    }
 }
 
 /// How long after `start` a peer is asked; `heard` says when the store last brought something.
@@ -61,7 +73,7 @@
 #[test]
 fn a_router_that_starts_asks_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
-    let start = |heard| Look { starts: true, ..look(&ahead, heard, false) };
+    let start = |heard| ReadProgress { starts: true, ..look(&ahead, heard, false) };
     assert!(Lag::default().peer(now, &start(None)).is_some());
     assert!(Lag::default().peer(now, &start(Some(now))).is_none());
 }
@@ -86,7 +98,7 @@
     let mut asked: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for number in 0..80 {
         let router = format!("router-{number}");
-        let look = Look { router: &router, ..look(&ahead, None, true) };
+        let look = ReadProgress { router: &router, ..look(&ahead, None, true) };
         let (_, addr) = Lag::default().peer(now, &look).unwrap();
         *asked.entry(addr).or_default() += 1;
     }
