--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -52,7 +52,11 @@
 impl Lag {
     /// The peer to ask now, and how far it has read; none if nobody has read more, or if the store
     /// is bringing it.
-    pub fn peer(&mut self, now: Instant, look: &ReadProgress) -> Option<(u64, SocketAddr)> {
+    pub fn peer_to_query(
+        &mut self,
+        now: Instant,
+        look: &ReadProgress,
+    ) -> Option<(u64, SocketAddr)> {
         let Some(most) = look.ahead.iter().map(|(next, _)| *next).max() else {
             self.since = None;
             return None;
@@ -108,7 +112,7 @@
                 follows,
                 within: shared.bounds.borrow().config_within,
             };
-            if let Some((next, peer)) = lag.peer(now, &look) {
+            if let Some((next, peer)) = lag.peer_to_query(now, &look) {
                 let shared = shared.clone();
                 *transfer = Some(tokio::task::spawn_local(async move {
                     transfer::fetch(&shared, peer, subject, next).await;
--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -35,7 +35,8 @@
 fn asked_after(start: Instant, heard: impl Fn(Instant) -> Option<Instant>) -> Option<Duration> {
     let (mut lag, ahead) = (Lag::default(), [(9, peer(1))]);
     let looks = (0..40).map(|look| start + LOOKS * look);
-    let mut asked = looks.filter(|now| lag.peer(*now, &look(&ahead, heard(*now), false)).is_some());
+    let mut asked =
+        looks.filter(|now| lag.peer_to_query(*now, &look(&ahead, heard(*now), false)).is_some());
     asked.next().map(|now| now - start)
 }
 
@@ -65,7 +66,7 @@
 #[test]
 fn a_router_that_is_turned_away_asks_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
-    assert!(Lag::default().peer(now, &look(&ahead, None, true)).is_some());
+    assert!(Lag::default().peer_to_query(now, &look(&ahead, None, true)).is_some());
 }
 
 /// A router starts while the store is silent. Until it knows a configuration it refuses all that comes,
@@ -74,8 +75,8 @@
 fn a_router_that_starts_asks_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
     let start = |heard| ReadProgress { starts: true, ..look(&ahead, heard, false) };
-    assert!(Lag::default().peer(now, &start(None)).is_some());
-    assert!(Lag::default().peer(now, &start(Some(now))).is_none());
+    assert!(Lag::default().peer_to_query(now, &start(None)).is_some());
+    assert!(Lag::default().peer_to_query(now, &start(Some(now))).is_none());
 }
 
 /// A router that lagged once and has caught up begins to count anew; else the next change would be
@@ -84,9 +85,9 @@
 fn one_that_has_caught_up_counts_anew() {
     let start = Instant::now();
     let (mut lag, ahead) = (Lag::default(), [(9, peer(1))]);
-    assert!(lag.peer(start, &look(&ahead, None, false)).is_none());
-    assert!(lag.peer(start + WITHIN / 2, &look(&[], None, false)).is_none());
-    assert!(lag.peer(start + WITHIN, &look(&ahead, None, false)).is_none());
+    assert!(lag.peer_to_query(start, &look(&ahead, None, false)).is_none());
+    assert!(lag.peer_to_query(start + WITHIN / 2, &look(&[], None, false)).is_none());
+    assert!(lag.peer_to_query(start + WITHIN, &look(&ahead, None, false)).is_none());
 }
 
 /// The router that reads a change first is not the only one for long. If all others asked that one, its
@@ -99,14 +100,14 @@
     for number in 0..80 {
         let router = format!("router-{number}");
         let look = ReadProgress { router: &router, ..look(&ahead, None, true) };
-        let (_, addr) = Lag::default().peer(now, &look).unwrap();
+        let (_, addr) = Lag::default().peer_to_query(now, &look).unwrap();
         *asked.entry(addr).or_default() += 1;
     }
     assert!(asked.len() == 8 && asked.values().all(|&count| count <= 20), "{asked:?}");
 
     let mut lag = Lag::default();
     let mut tried: Vec<_> =
-        (0..8).filter_map(|_| lag.peer(now, &look(&ahead, None, true))).collect();
+        (0..8).filter_map(|_| lag.peer_to_query(now, &look(&ahead, None, true))).collect();
     tried.sort_unstable();
     tried.dedup();
     assert!(tried.len() >= 3, "{tried:?}");
@@ -116,6 +117,6 @@
 #[test]
 fn the_one_that_has_read_most_is_asked() {
     let ahead = [(7, peer(1)), (9, peer(2)), (8, peer(3))];
-    let asked = Lag::default().peer(Instant::now(), &look(&ahead, None, true));
+    let asked = Lag::default().peer_to_query(Instant::now(), &look(&ahead, None, true));
     assert_eq!(asked, Some((9, peer(2))));
 }
