--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -31,15 +31,15 @@
     /// Peers that have read more, and how far.
     pub ahead: &'a [(u64, SocketAddr)],
     /// When something last came of a read of the store.
-    pub heard: Option<Instant>,
+    pub last_received_at: Option<Instant>,
     /// The last read of the store failed.
-    pub lost: bool,
+    pub last_read_failed: bool,
     /// Nothing is known yet, so that callers are refused until it is.
-    pub starts: bool,
+    pub is_starting: bool,
     /// Others read the store for this router.
-    pub follows: bool,
+    pub is_follower: bool,
     /// Time in which news are to be in force.
-    pub within: Duration,
+    pub config_within: Duration,
 }
 
 /// How a router lags behind others in one subject.
@@ -62,10 +62,12 @@
             return None;
         };
         let lags = now.saturating_duration_since(*self.since.get_or_insert(now));
-        let stalled = look.within / STALLED_PART;
-        let comes = look.heard.is_some_and(|at| now.saturating_duration_since(at) < stalled);
-        let at_once = look.lost || look.starts || look.follows;
-        let due = if comes { lags >= look.within / SLOW_PART } else { at_once || lags >= stalled };
+        let stalled = look.config_within / STALLED_PART;
+        let comes =
+            look.last_received_at.is_some_and(|at| now.saturating_duration_since(at) < stalled);
+        let at_once = look.last_read_failed || look.is_starting || look.is_follower;
+        let due =
+            if comes { lags >= look.config_within / SLOW_PART } else { at_once || lags >= stalled };
         if !due {
             return None;
         }
@@ -106,11 +108,11 @@
             let look = ReadProgress {
                 router: &shared.settings.name,
                 ahead: &ahead,
-                heard: copies.last_received_at(subject),
-                lost: copies.last_read_failed(subject),
-                starts: known == 0,
-                follows,
-                within: shared.bounds.borrow().config_within,
+                last_received_at: copies.last_received_at(subject),
+                last_read_failed: copies.last_read_failed(subject),
+                is_starting: known == 0,
+                is_follower: follows,
+                config_within: shared.bounds.borrow().config_within,
             };
             if let Some((next, peer)) = lag.peer_to_query(now, &look) {
                 let shared = shared.clone();
--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -23,11 +23,11 @@
     ReadProgress {
         router: "router-a",
         ahead,
-        heard,
-        lost,
-        starts: false,
-        follows: false,
-        within: WITHIN,
+        last_received_at: heard,
+        last_read_failed: lost,
+        is_starting: false,
+        is_follower: false,
+        config_within: WITHIN,
     }
 }
 
@@ -74,7 +74,7 @@
 #[test]
 fn a_router_that_starts_asks_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
-    let start = |heard| ReadProgress { starts: true, ..look(&ahead, heard, false) };
+    let start = |heard| ReadProgress { is_starting: true, ..look(&ahead, heard, false) };
     assert!(Lag::default().peer_to_query(now, &start(None)).is_some());
     assert!(Lag::default().peer_to_query(now, &start(Some(now))).is_none());
 }
