--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -15,9 +15,9 @@
 
 /// Lines of one kind in a second. Requests come at some 30 a second to a host; ten times that in a
 /// burst would be 60 KB of log a second.
-const LINES_PER_S: u32 = 60;
+const MAX_LINES_PER_S: u32 = 60;
 /// Over this time the number is counted.
-const WINDOW: Duration = Duration::from_secs(1);
+const LINE_LIMIT_WINDOW: Duration = Duration::from_secs(1);
 
 /// Why a request whose path leads nowhere is refused.
 pub const NO_ROUTE: &str = "no route for this host and path";
@@ -37,7 +37,7 @@
 
 /// Kinds of lines, each with its own limit.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Kind {
+enum LineKind {
     Placed,
     Attempt,
     Answered,
@@ -47,13 +47,13 @@
     Left,
 }
 
-const KINDS: usize = 7;
+const LINE_KINDS: usize = 7;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
-    since: Option<Instant>,
+struct LineCount {
+    window_start: Option<Instant>,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// Writes the lines.
@@ -61,17 +61,17 @@
 pub struct Log {
     /// The same, counted.
     pub metrics: metrics::Metrics,
-    counts: RefCell<[Count; KINDS]>,
+    line_counts: RefCell<[LineCount; LINE_KINDS]>,
 }
 
 impl Log {
     /// A request goes to a target.
     pub fn placed(&self, job: &job::Job, view: &view::View, key: targets::TargetKey, now: Instant) {
-        if !self.allows(Kind::Placed, now) {
+        if !self.may_log(LineKind::Placed, now) {
             return;
         }
         let Some(target) = view.targets.get(key) else { return };
-        let agent_age_ms = target.agent_last_received_at.map(|at| ms(now, at));
+        let agent_age_ms = target.agent_last_received_at.map(|at| millis_between(now, at));
         let version = view.table.as_ref().map(|table| table.config().version);
         tracing::info!(
             id = %job.call.id,
@@ -82,17 +82,17 @@
             trouble = format_args!("{:.2}", target.health.failure_score(now)),
             agent_age_ms,
             config = version,
-            waited_ms = ms(now, job.arrived),
+            waited_ms = millis_between(now, job.arrived),
             "placed"
         );
     }
 
     /// A request waits, or the reason for its wait has changed.
     pub fn waits(&self, job: &job::Job, why: &str, expected: wait_limit::Readiness, now: Instant) {
-        if self.allows(Kind::Placed, now) {
-            let waited_ms = ms(now, job.arrived);
+        if self.may_log(LineKind::Placed, now) {
+            let waited_ms = millis_between(now, job.arrived);
             let ready_in_ms = match expected {
-                wait_limit::Readiness::ReadyAt(at) => Some(ms(at, now)),
+                wait_limit::Readiness::ReadyAt(at) => Some(millis_between(at, now)),
                 wait_limit::Readiness::LoadTime(time) => Some(time.as_millis() as u64),
                 wait_limit::Readiness::AtCapacity | wait_limit::Readiness::Unknown => None,
             };
@@ -104,40 +104,41 @@
     /// An attempt at a target has failed or was not run.
     pub fn attempt_failed(&self, job: &job::Job, why: &str, status: Option<u16>, now: Instant) {
         self.metrics.attempt_failed(why);
-        if self.allows(Kind::Attempt, now) {
-            let (at, ms) = (job.last_target.as_str(), ms(now, job.arrived));
+        if self.may_log(LineKind::Attempt, now) {
+            let (at, ms) = (job.last_target.as_str(), millis_between(now, job.arrived));
             tracing::info!(id = %job.call.id, at, why, status, ms, "attempt failed");
         }
     }
 
     /// A request was answered with what a target said, or with a failure.
     pub fn answered(&self, job: &job::Job, status: StatusCode, how: &str, now: Instant) {
-        let kind = if status.is_server_error() { Kind::Failed } else { Kind::Answered };
-        self.metrics.ended(job, if kind == Kind::Failed { how } else { "answered" }, now);
-        if self.allows(kind, now) {
-            let (ms, tried, status) = (ms(now, job.arrived), job.tried.len(), status.as_u16());
-            let trouble = job.last_trouble;
-            let aim_ms = job.route.latency_objective.as_millis() as u64;
-            tracing::info!(id = %job.call.id, route = %job.route.name, status, how, trouble, tried, ms, aim_ms, "answered");
+        let kind = if status.is_server_error() { LineKind::Failed } else { LineKind::Answered };
+        self.metrics.ended(job, if kind == LineKind::Failed { how } else { "answered" }, now);
+        if self.may_log(kind, now) {
+            let (ms, tried, status) =
+                (millis_between(now, job.arrived), job.tried.len(), status.as_u16());
+            let failure_score = job.last_trouble;
+            let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
+            tracing::info!(id = %job.call.id, route = %job.route.name, status, how, trouble = failure_score, tried, ms, aim_ms = latency_objective_ms, "answered");
         }
     }
 
     /// A stream has ended.
     pub fn streamed(&self, job: &job::Job, end: &StreamEnd, now: Instant) {
-        let kind = if end.how == "whole" { Kind::Answered } else { Kind::Failed };
-        let outcome = if kind == Kind::Failed { end.how } else { "answered" };
+        let kind = if end.how == "whole" { LineKind::Answered } else { LineKind::Failed };
+        let outcome = if kind == LineKind::Failed { end.how } else { "answered" };
         self.metrics.ended(job, outcome, now);
         self.metrics.streamed(job, &end.pace);
-        if self.allows(kind, now) {
+        if self.may_log(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
-            let (total_ms, tried) = (ms(now, job.arrived), job.tried.len());
-            let first_ms = end.pace.first.map(|first| ms(first, job.arrived));
+            let (total_ms, tried) = (millis_between(now, job.arrived), job.tried.len());
+            let first_ms = end.pace.first.map(|first| millis_between(first, job.arrived));
             let longest_pause_ms = end.pace.longest.as_millis() as u64;
-            let aim_ms = job.route.latency_objective.as_millis() as u64;
-            let pause_aim_ms = job.route.gap_objective.map(|pause| pause.as_millis() as u64);
+            let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
+            let gap_objective_ms = job.route.gap_objective.map(|gap| gap.as_millis() as u64);
             let target = job.last_target.as_str();
             let model = job.model().map(names::ModelId::as_str);
-            tracing::info!(id = %job.call.id, route = %job.route.name, at = target, model, prompt = job.call.prompt_tokens, how, events, resumes, tried, first_ms, longest_pause_ms, ms = total_ms, aim_ms, pause_aim_ms, "streamed");
+            tracing::info!(id = %job.call.id, route = %job.route.name, at = target, model, prompt = job.call.prompt_tokens, how, events, resumes, tried, first_ms, longest_pause_ms, ms = total_ms, aim_ms = latency_objective_ms, pause_aim_ms = gap_objective_ms, "streamed");
         }
     }
 
@@ -152,8 +153,8 @@
         now: Instant,
     ) {
         self.metrics.refused(why);
-        if self.allows(Kind::Refused, now) {
-            let (ms, status) = (ms(now, arrived), status.as_u16());
+        if self.may_log(LineKind::Refused, now) {
+            let (ms, status) = (millis_between(now, arrived), status.as_u16());
             tracing::info!(%id, route, status, why, ms, "refused");
         }
     }
@@ -170,9 +171,9 @@
         now: Instant,
     ) {
         self.metrics.refused(NO_ROUTE);
-        if self.allows(Kind::Denied, now) {
+        if self.may_log(LineKind::Denied, now) {
             let age_ms = age.since_read.map(|age| age.as_millis() as u64);
-            let (behind, ms) = (age.behind, ms(now, arrived));
+            let (behind, ms) = (age.behind, millis_between(now, arrived));
             let status = StatusCode::NOT_FOUND.as_u16();
             let why = NO_ROUTE;
             tracing::info!(%id, status, why, config = version, age_ms, behind, ms, "refused");
@@ -182,23 +183,25 @@
     /// A caller has left before its answer was whole.
     pub fn caller_left(&self, id: &SmolStr, events: u64, now: Instant) {
         self.metrics.left();
-        if self.allows(Kind::Left, now) {
+        if self.may_log(LineKind::Left, now) {
             tracing::info!(%id, events, "caller left");
         }
     }
 
-    fn allows(&self, kind: Kind, now: Instant) -> bool {
-        let count = &mut self.counts.borrow_mut()[kind as usize];
-        let over = count.since.is_none_or(|at| now.saturating_duration_since(at) >= WINDOW);
-        if over {
-            if count.left_out > 0 {
-                tracing::warn!(?kind, left_out = count.left_out, "lines left out");
-                self.metrics.lines_left_out(count.left_out);
+    fn may_log(&self, kind: LineKind, now: Instant) -> bool {
+        let count = &mut self.line_counts.borrow_mut()[kind as usize];
+        let window_over = count
+            .window_start
+            .is_none_or(|at| now.saturating_duration_since(at) >= LINE_LIMIT_WINDOW);
+        if window_over {
+            if count.suppressed > 0 {
+                tracing::warn!(?kind, left_out = count.suppressed, "lines left out");
+                self.metrics.lines_left_out(count.suppressed);
             }
-            *count = Count { since: Some(now), lines: 0, left_out: 0 };
+            *count = LineCount { window_start: Some(now), lines: 0, suppressed: 0 };
         }
-        if count.lines >= LINES_PER_S {
-            count.left_out += 1;
+        if count.lines >= MAX_LINES_PER_S {
+            count.suppressed += 1;
             return false;
         }
         count.lines += 1;
@@ -206,6 +209,6 @@
     }
 }
 
-fn ms(now: Instant, since: Instant) -> u64 {
-    now.saturating_duration_since(since).as_millis() as u64
+fn millis_between(later: Instant, earlier: Instant) -> u64 {
+    later.saturating_duration_since(earlier).as_millis() as u64
 }
