--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -12,7 +12,7 @@
 
 /// A plan that has not changed is said again after this time, in case it was lost, and so that
 /// agents know that the planner is there.
-const REPEAT_PLAN: Duration = Duration::from_millis(500);
+const PLAN_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the planning router remembers.
 #[derive(Default)]
@@ -47,17 +47,17 @@
         service: &config::Service,
         spec: &config::Engine,
     ) {
-        let engines = engines(shared, now, &service.name, spec);
-        let models = models(shared, now, spec);
-        let wants = self.planner.plan(now, &engines, &models);
+        let engines = engine_views(shared, now, &service.name, spec);
+        let models = model_views(shared, now, spec);
+        let planned = self.planner.plan(now, &engines, &models);
         // An agent that was not heard yet learns from its first plan whom to tell of its engine.
         for engine in &engines {
-            let Some(wants) = wants.get(&engine.key) else { continue };
-            let parts = parts(engine, wants, &models);
-            let same = self.sent.get(&engine.key).is_some_and(|(at, sent)| {
-                *sent == parts && now.saturating_duration_since(*at) < REPEAT_PLAN
+            let Some(planned) = planned.get(&engine.key) else { continue };
+            let parts = plan_parts(engine, planned, &models);
+            let unchanged = self.sent.get(&engine.key).is_some_and(|(at, sent)| {
+                *sent == parts && now.saturating_duration_since(*at) < PLAN_RESEND_INTERVAL
             });
-            if !same {
+            if !unchanged {
                 self.serial += 1;
                 send_plan(shared, self.serial, engine, (service, spec), parts.clone());
                 self.sent.insert(engine.key, (now, parts));
@@ -67,7 +67,7 @@
     }
 }
 
-fn engines<P: router::Platform>(
+fn engine_views<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
     service: &names::ServiceId,
@@ -76,7 +76,7 @@
     let view = shared.view.borrow();
     let peers = shared.peers.borrow();
     let mut running: HashMap<&names::TargetId, BTreeMap<names::ModelId, u32>> = HashMap::new();
-    for count in peers.news(now).flat_map(|news| &news.running) {
+    for count in peers.news(now).flat_map(|update| &update.running) {
         let models = running.entry(&count.target).or_default();
         *models.entry(count.model.clone()).or_default() += count.count;
     }
@@ -105,7 +105,7 @@
     engines.collect()
 }
 
-fn models<P: router::Platform>(
+fn model_views<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
     spec: &config::Engine,
@@ -113,33 +113,33 @@
     let view = shared.view.borrow();
     let others = shared.peers.borrow().demand(now);
     let models = spec.models.iter().map(|model| {
-        let (asked, waiting) = others.get(&model.name).copied().unwrap_or_default();
-        let own = view.waiting.get(&model.name).copied().unwrap_or(0);
-        let asked = asked.combine(view.demand.model_demand(now, &model.name));
+        let (demand, waiting) = others.get(&model.name).copied().unwrap_or_default();
+        let waiting_here = view.waiting.get(&model.name).copied().unwrap_or(0);
+        let demand = demand.combine(view.demand.model_demand(now, &model.name));
         (
             model.name.clone(),
-            snapshot::ModelView { spec: model.clone(), demand: asked, waiting: waiting + own },
+            snapshot::ModelView { spec: model.clone(), demand, waiting: waiting + waiting_here },
         )
     });
     models.collect()
 }
 
 /// What an agent is told: sizes of all that is there or should be.
-fn parts(
+fn plan_parts(
     engine: &snapshot::EngineView,
-    wants: &[names::ModelId],
+    planned: &[names::ModelId],
     models: &BTreeMap<names::ModelId, snapshot::ModelView>,
 ) -> Vec<wire::PlanPart> {
-    let held = engine.holdings.resident.iter().map(|resident| &resident.model);
-    let held = held.filter(|name| !wants.contains(name));
+    let only_resident = engine.holdings.resident.iter().map(|resident| &resident.model);
+    let only_resident = only_resident.filter(|name| !planned.contains(name));
     let millis = |time: Duration| time.as_millis() as u32;
-    let parts = wants.iter().chain(held).filter_map(|name| {
+    let parts = planned.iter().chain(only_resident).filter_map(|name| {
         let spec = &models.get(name)?.spec;
         Some(wire::PlanPart {
             model: name.clone(),
             weights_mb: spec.weights_mb,
             adapter_mb: spec.adapter_mb,
-            wanted: wants.contains(name),
+            wanted: planned.contains(name),
             load_ms: millis(spec.load_from_store),
             disk_ms: millis(spec.load_from_disk),
             memory_ms: millis(spec.load_from_memory),
