--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -6,12 +6,12 @@
 use std::{rc::Rc, time::Duration};
 
 /// Time after which an adapter is asked for again: the datagram or its answer was lost.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
+const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 /// Time after which a request that waits looks again although nobody woke it.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Looks at other engines while a turn is far away; one more costs a question to another agent.
-const MOST_LOOKS: u32 = 2;
+const MAX_UNSETTLED_CHOICES: u32 = 2;
 
 /// A request that no target can take.
 pub struct PlacementError {
@@ -27,7 +27,7 @@
     job: &mut job::Job,
 ) -> Result<targets::TargetKey, PlacementError> {
     let mut waiting = None;
-    let mut looks = 0;
+    let mut choices = 0;
     loop {
         let now = shared.clock.now();
         let waker = shared.view.borrow_mut().waker(job.model());
@@ -36,10 +36,12 @@
         tokio::pin!(woken);
         woken.as_mut().enable();
         let choice = shared.choose(now, job);
-        let (until, look) = match choice {
+        let (until, interval) = match choice {
             choose::Choice::Send(key) => {
-                looks += 1;
-                match prefill::acquire_permit(shared, job, key, looks > MOST_LOOKS).await {
+                choices += 1;
+                match prefill::acquire_permit(shared, job, key, choices > MAX_UNSETTLED_CHOICES)
+                    .await
+                {
                     prefill::PermitOutcome::Granted => {
                         let now = shared.clock.now();
                         shared.log.placed(job, &shared.view.borrow(), key, now);
@@ -68,7 +70,7 @@
                 }
                 match wait_limit::decide(now, until, expected, job.spread()) {
                     wait_limit::Decision::Hold { until } => {
-                        (until.min(shared.latest(job)), look_again(choice))
+                        (until.min(shared.latest(job)), poll_interval(choice))
                     }
                     wait_limit::Decision::Refuse { after } => {
                         return Err(PlacementError { reason: reason(choice), retry_after: after });
@@ -83,21 +85,21 @@
             });
         }
         if let (None, Some(model)) = (&waiting, job.model()) {
-            waiting = Some(Waiting::begin(shared, model));
+            waiting = Some(WaitingGuard::begin(shared, model));
         }
-        let look = (now + look).min(until);
+        let next_poll = (now + interval).min(until);
         tokio::select! {
             () = woken => {}
-            () = tokio::time::sleep_until(look.into()) => {}
+            () = tokio::time::sleep_until(next_poll.into()) => {}
         }
     }
 }
 
 /// Time after which a request looks again although nobody woke it.
-const fn look_again(choice: choose::Choice) -> Duration {
+const fn poll_interval(choice: choose::Choice) -> Duration {
     match choice {
-        choose::Choice::LoadAdapter(_) => ASK_AGAIN,
-        _ => LOOK_AGAIN,
+        choose::Choice::LoadAdapter(_) => ADAPTER_REQUEST_INTERVAL,
+        _ => POLL_INTERVAL,
     }
 }
 
@@ -113,12 +115,12 @@
 }
 
 /// Counts a request among those that wait for a model until it is dropped.
-struct Waiting<P: router::Platform> {
+struct WaitingGuard<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     model: names::ModelId,
 }
 
-impl<P: router::Platform> Waiting<P> {
+impl<P: router::Platform> WaitingGuard<P> {
     fn begin(shared: &Rc<router::Shared<P>>, model: &names::ModelId) -> Self {
         let mut view = shared.view.borrow_mut();
         *view.waiting.entry(model.clone()).or_default() += 1;
@@ -128,7 +130,7 @@
     }
 }
 
-impl<P: router::Platform> Drop for Waiting<P> {
+impl<P: router::Platform> Drop for WaitingGuard<P> {
     fn drop(&mut self) {
         let mut view = self.shared.view.borrow_mut();
         if let Some(count) = view.waiting.get_mut(&self.model) {
