--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -17,14 +17,14 @@
 
 /// An agent that has not answered within this time has not got the question, or is frozen: it is two
 /// ways between availability zones and some wake-ups of a busy host away.
-const ANSWER_WITHIN: Duration = Duration::from_millis(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
 /// Questions without an answer after which a request is sent without a turn.
-const MOST_QUESTIONS: u32 = 2;
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
 /// A request that waits for its turn asks again after this time, in case the turn was given and the
 /// datagram lost.
-const ASK_AGAIN: Duration = Duration::from_millis(150);
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 /// A turn that is further away than this is worth a look at other engines.
-const LONG_WAIT: Duration = Duration::from_millis(40);
+const CHOOSE_AGAIN_WAIT: Duration = Duration::from_millis(40);
 
 /// What became of asking for a turn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -43,100 +43,100 @@
 /// Requests of this router that wait for their turns.
 #[derive(Debug, Default)]
 pub struct PendingPermits {
-    waiting: RefCell<HashMap<u64, Rc<Waiting>>>,
-    last: Cell<u64>,
+    pending: RefCell<HashMap<u64, Rc<PendingAnswer>>>,
+    last_number: Cell<u64>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
-    answer: Cell<Option<Answer>>,
+struct PendingAnswer {
+    answer: Cell<Option<PermitAnswer>>,
     changed: Notify,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Answer {
-    given: bool,
+struct PermitAnswer {
+    granted: bool,
     wait: Duration,
-    reading: Duration,
+    prefill_backlog: Duration,
 }
 
 impl PendingPermits {
     /// An agent's answer.
     pub fn on_answer(&self, answer: &wire::PrefillAnswer) {
         // A request that was withdrawn meanwhile is no longer here.
-        let Some(waiting) = self.waiting.borrow().get(&answer.id).cloned() else { return };
-        waiting.answer.set(Some(Answer {
-            given: answer.given,
+        let Some(pending) = self.pending.borrow().get(&answer.id).cloned() else { return };
+        pending.answer.set(Some(PermitAnswer {
+            granted: answer.given,
             wait: Duration::from_millis(u64::from(answer.wait_ms)),
-            reading: Duration::from_micros(u64::from(answer.reading_us)),
+            prefill_backlog: Duration::from_micros(u64::from(answer.reading_us)),
         }));
-        waiting.changed.notify_one();
+        pending.changed.notify_one();
     }
 
     fn next_id(&self, incarnation: u64) -> u64 {
-        self.last.set(self.last.get() + 1);
-        xxhash_rust::xxh3::xxh3_64_with_seed(&self.last.get().to_le_bytes(), incarnation)
+        self.last_number.set(self.last_number.get() + 1);
+        xxhash_rust::xxh3::xxh3_64_with_seed(&self.last_number.get().to_le_bytes(), incarnation)
     }
 }
 
 /// One request's question; withdrawn when it is dropped without its turn.
-struct Question<'a, P: router::Platform> {
+struct PermitClaim<'a, P: router::Platform> {
     shared: &'a router::Shared<P>,
     agent: std::net::SocketAddr,
-    ask: wire::PrefillAsked,
-    waiting: Rc<Waiting>,
-    given: bool,
+    request: wire::PrefillAsked,
+    pending: Rc<PendingAnswer>,
+    granted: bool,
 }
 
-impl<P: router::Platform> Drop for Question<'_, P> {
+impl<P: router::Platform> Drop for PermitClaim<'_, P> {
     fn drop(&mut self) {
-        self.shared.turns.waiting.borrow_mut().remove(&self.ask.id);
-        if !self.given {
-            let withdrawn = wire::PrefillWithdrawn { id: self.ask.id };
-            self.shared.outbox.send(self.agent, &PeerMessage::PrefillWithdrawn(withdrawn));
+        self.shared.turns.pending.borrow_mut().remove(&self.request.id);
+        if !self.granted {
+            let withdrawal = wire::PrefillWithdrawn { id: self.request.id };
+            self.shared.outbox.send(self.agent, &PeerMessage::PrefillWithdrawn(withdrawal));
         }
     }
 }
 
-impl<'a, P: router::Platform> Question<'a, P> {
+impl<'a, P: router::Platform> PermitClaim<'a, P> {
     fn new(shared: &'a router::Shared<P>, job: &job::Job, key: targets::TargetKey) -> Option<Self> {
         let now = shared.clock.now();
         let view = shared.view.borrow();
         let target = view.targets.get(key).filter(|target| target.agent_is_responsive(now))?;
-        let work = job.reading_time(&view, key, now)?;
+        let prefill_time = job.reading_time(&view, key, now)?;
         let agent = std::net::SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
         let id = shared.turns.next_id(shared.incarnation);
-        let waiting = Rc::<Waiting>::default();
-        shared.turns.waiting.borrow_mut().insert(id, waiting.clone());
-        let ask = wire::PrefillAsked {
+        let pending = Rc::<PendingAnswer>::default();
+        shared.turns.pending.borrow_mut().insert(id, pending.clone());
+        let request = wire::PrefillAsked {
             id,
-            work_us: work.as_micros() as u32,
+            work_us: prefill_time.as_micros() as u32,
             aim_in_ms: 0,
             useful_ms: 0,
             pause_ms: job.route.gap_objective.unwrap_or_default().as_millis() as u32,
         };
-        Some(Self { shared, agent, ask, waiting, given: false })
+        Some(Self { shared, agent, request, pending, granted: false })
     }
 
     fn send(&mut self, job: &job::Job) {
         let now = self.shared.clock.now();
-        let until = |at: Instant| at.saturating_duration_since(now).as_millis() as u32;
-        self.ask.aim_in_ms = until(job.silent_since + job.route.latency_objective);
-        self.ask.useful_ms = until(self.useful_until(job));
-        self.shared.outbox.send(self.agent, &PeerMessage::PrefillAsked(self.ask.clone()));
+        let millis_until = |at: Instant| at.saturating_duration_since(now).as_millis() as u32;
+        self.request.aim_in_ms = millis_until(job.silent_since + job.route.latency_objective);
+        self.request.useful_ms = millis_until(self.expires_at(job));
+        self.shared.outbox.send(self.agent, &PeerMessage::PrefillAsked(self.request.clone()));
     }
 
-    fn useful_until(&self, job: &job::Job) -> Instant {
+    fn expires_at(&self, job: &job::Job) -> Instant {
         job.held_until().min(self.shared.latest(job))
     }
 
-    async fn answer(&self, within: Duration) -> Option<Answer> {
-        tokio::time::timeout(within, self.waiting.changed.notified()).await.ok()?;
-        self.waiting.answer.take()
+    async fn answer(&self, within: Duration) -> Option<PermitAnswer> {
+        tokio::time::timeout(within, self.pending.changed.notified()).await.ok()?;
+        self.pending.answer.take()
     }
 
-    fn given(&mut self) -> PermitOutcome {
-        self.given = true;
+    fn granted(&mut self) -> PermitOutcome {
+        self.granted = true;
         PermitOutcome::Granted
     }
 }
@@ -147,34 +147,34 @@
     shared: &router::Shared<P>,
     job: &job::Job,
     key: targets::TargetKey,
-    settled: bool,
+    final_choice: bool,
 ) -> PermitOutcome {
-    let Some(mut question) = Question::new(shared, job, key) else { return PermitOutcome::Granted };
+    let Some(mut claim) = PermitClaim::new(shared, job, key) else { return PermitOutcome::Granted };
     let mut unanswered = 0;
-    while unanswered < MOST_QUESTIONS {
-        question.send(job);
-        let Some(answer) = question.answer(ANSWER_WITHIN).await else {
+    while unanswered < MAX_UNANSWERED_REQUESTS {
+        claim.send(job);
+        let Some(answer) = claim.answer(RESPONSE_TIMEOUT).await else {
             unanswered += 1;
             continue;
         };
         let now = shared.clock.now();
-        shared.note_reading(key, now, answer.reading);
-        if answer.given {
-            return question.given();
+        shared.note_reading(key, now, answer.prefill_backlog);
+        if answer.granted {
+            return claim.granted();
         }
-        if now + answer.wait >= question.useful_until(job) {
+        if now + answer.wait >= claim.expires_at(job) {
             return PermitOutcome::TooLate {
                 retry_after: wait_limit::retry_after(answer.wait, job.spread()),
             };
         }
-        if !shared.may_serve(key, job, now) || (!settled && answer.wait >= LONG_WAIT) {
+        if !shared.may_serve(key, job, now) || (!final_choice && answer.wait >= CHOOSE_AGAIN_WAIT) {
             return PermitOutcome::ChooseAgain;
         }
-        if question.answer(ASK_AGAIN).await.is_some_and(|answer| answer.given) {
-            return question.given();
+        if claim.answer(RESEND_INTERVAL).await.is_some_and(|answer| answer.granted) {
+            return claim.granted();
         }
         unanswered = 0;
     }
     tracing::debug!(id = %job.call.id, "sent without a turn: the agent is silent");
-    question.given()
+    claim.granted()
 }
