--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -20,25 +20,25 @@
 
 /// Time that is left of the bound in which a configuration is to be in force when a read of it has
 /// waited for news: what it has then for its answer is [`RESPONSE_TIMEOUT`], and the next read has the rest.
-const CONFIG_RESERVE: Duration = Duration::from_millis(1_000);
+const CONFIG_READ_MARGIN: Duration = Duration::from_millis(1_000);
 /// Time without a sign after which the store, or a peer that hands records over, counts as silent. Both
 /// answer within some ms.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Part of the time in which a leaving target is to get no more requests that passes between two
 /// reads of the targets. All targets renew their entries each second or so; a read for each entry
 /// would cost ten calls a second.
-const TARGETS_PART: f64 = 0.4;
+const TARGETS_INTERVAL_RATIO: f64 = 0.4;
 /// The same part where others follow this router; their own pauses come on top.
-const READER_PART: f64 = 0.2;
+const READER_INTERVAL_RATIO: f64 = 0.2;
 /// Least pause between two reads of the targets when what is known of them has proved to be out of date.
-const OUTDATED_PAUSE: Duration = Duration::from_millis(250);
+const MIN_TARGETS_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between two reads of the routers: routers hear of one another directly, this finds those
 /// that could not.
-const ROUTERS_PAUSE: Duration = Duration::from_secs(8);
+const ROUTERS_INTERVAL: Duration = Duration::from_secs(8);
 /// A read waits at least this long, so that following costs a few calls a second at most.
-const LEAST_WAIT: Duration = Duration::from_millis(300);
+const MIN_LONG_POLL_WAIT: Duration = Duration::from_millis(300);
 /// Pause after a call that failed, so that a store that is coming back is not flooded.
-const FAILED_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Begins to follow all subjects.
 pub fn start<P: router::Platform>(shared: &Rc<router::Shared<P>>) {
@@ -53,7 +53,7 @@
     let entry = dialect::RouterEntry { router: settings.name.clone(), addr: settings.peers };
     while let Err(error) = shared.platform.announce(&entry).await {
         tracing::debug!(%error, "other routers were not told of this one yet");
-        tokio::time::sleep(FAILED_PAUSE * 4).await;
+        tokio::time::sleep(RETRY_DELAY * 4).await;
     }
 }
 
@@ -64,13 +64,13 @@
         if known && via_readers::follow(&shared, subject).await {
             continue;
         }
-        let waiting = waiting(&shared, subject);
+        let options = read_options(&shared, subject);
         let read = match from {
-            None => shared.platform.newest(subject, &waiting).await,
+            None => shared.platform.newest(subject, &options).await,
             Some(at) => {
                 // A router that follows others knows more than it has read itself.
                 let at = at.max(shared.copies.borrow().next_offset(subject));
-                shared.platform.read(subject, at, &waiting).await
+                shared.platform.read(subject, at, &options).await
             }
         };
         match read {
@@ -81,14 +81,14 @@
                 match subject {
                     Subject::Config => {}
                     Subject::Targets => {
-                        let within = shared.bounds.borrow().drain_within;
-                        let part = match shared.role(shared.clock.now()) {
-                            readers::Role::Reads => TARGETS_PART,
-                            _ => READER_PART,
+                        let drain_within = shared.bounds.borrow().drain_within;
+                        let ratio = match shared.role(shared.clock.now()) {
+                            readers::Role::Reads => TARGETS_INTERVAL_RATIO,
+                            _ => READER_INTERVAL_RATIO,
                         };
-                        pause_targets(&shared, within.mul_f64(part)).await;
+                        wait_before_targets_read(&shared, drain_within.mul_f64(ratio)).await;
                     }
-                    Subject::Routers => tokio::time::sleep(ROUTERS_PAUSE).await,
+                    Subject::Routers => tokio::time::sleep(ROUTERS_INTERVAL).await,
                 }
             }
             Err(dialect::StoreError::Forgotten(first)) => {
@@ -102,34 +102,34 @@
             }
             Err(error) => {
                 record_read_failure(&shared, subject, &error);
-                via_readers::pause_lost(&shared, retry_delay(&error)).await;
+                via_readers::delay_retry(&shared, retry_delay(&error)).await;
             }
         }
     }
 }
 
 /// Pauses between two reads of the targets, until one proves to be another than was thought.
-async fn pause_targets<P>(shared: &router::Shared<P>, pause: Duration) {
+async fn wait_before_targets_read<P>(shared: &router::Shared<P>, delay: Duration) {
     let outdated = async {
-        tokio::time::sleep(OUTDATED_PAUSE).await;
+        tokio::time::sleep(MIN_TARGETS_INTERVAL).await;
         shared.targets_outdated.notified().await;
     };
     // Most pauses end without such news.
-    drop(tokio::time::timeout(pause, outdated).await);
+    drop(tokio::time::timeout(delay, outdated).await);
 }
 
-fn waiting<P>(shared: &router::Shared<P>, subject: Subject) -> dialect::Waiting {
+fn read_options<P>(shared: &router::Shared<P>, subject: Subject) -> dialect::Waiting {
     let wait = match subject {
         Subject::Routers => Duration::ZERO,
         Subject::Config | Subject::Targets => long_poll_wait(shared.bounds.borrow().config_within),
     };
-    let heard = shared.copies.borrow_mut().last_received(subject);
-    dialect::Waiting { wait, silence: RESPONSE_TIMEOUT, heard }
+    let last_received = shared.copies.borrow_mut().last_received(subject);
+    dialect::Waiting { wait, silence: RESPONSE_TIMEOUT, heard: last_received }
 }
 
 /// How long a read waits for news, if these are to be in force within a time.
 pub fn long_poll_wait(within: Duration) -> Duration {
-    within.saturating_sub(CONFIG_RESERVE).max(LEAST_WAIT)
+    within.saturating_sub(CONFIG_READ_MARGIN).max(MIN_LONG_POLL_WAIT)
 }
 
 /// Pause before the next read after one that failed. The store was silent for long enough already:
@@ -138,16 +138,16 @@
 pub const fn retry_delay(error: &dialect::StoreError) -> Duration {
     match error {
         dialect::StoreError::Silent(_) => Duration::ZERO,
-        _ => FAILED_PAUSE,
+        _ => RETRY_DELAY,
     }
 }
 
 fn record_read<P: router::Platform>(shared: &router::Shared<P>, subject: Subject) {
     let now = shared.clock.now();
-    let mut copies = shared.copies.borrow_mut();
-    let away_ms = copies.since_read(now, subject).map(|age| age.as_millis() as u64);
-    if copies.record_read(now, subject) {
-        tracing::info!(?subject, away_ms, "the store is read again");
+    let mut records = shared.copies.borrow_mut();
+    let previous_read_age_ms = records.since_read(now, subject).map(|age| age.as_millis() as u64);
+    if records.record_read(now, subject) {
+        tracing::info!(?subject, away_ms = previous_read_age_ms, "the store is read again");
     }
 }
 
@@ -157,12 +157,12 @@
     error: &dialect::StoreError,
 ) {
     shared.log.metrics.read_failed(subject);
-    let mut copies = shared.copies.borrow_mut();
-    let age_ms = copies.since_read(shared.clock.now(), subject).map(|age| age.as_millis() as u64);
-    if copies.record_read_failure(subject) {
+    let mut records = shared.copies.borrow_mut();
+    let age_ms = records.since_read(shared.clock.now(), subject).map(|age| age.as_millis() as u64);
+    if records.record_read_failure(subject) {
         tracing::warn!(?subject, %error, age_ms,
             "the store cannot be read: what is known stays in force");
-        drop(copies);
+        drop(records);
         shared.view.borrow().wake_all();
     }
 }
@@ -174,28 +174,28 @@
     source: Source,
     page: dialect::Page,
 ) {
-    let gone = shared.copies.borrow().removals(subject, &page);
-    let mut records: Vec<_> = page.records.into_iter().chain(gone).collect();
+    let removed = shared.copies.borrow().removals(subject, &page);
+    let mut records: Vec<_> = page.records.into_iter().chain(removed).collect();
     // The newest record of each key comes by key, and the later of two targets at an address counts.
     records.sort_by_key(|record| record.offset);
     for record in records {
         if shared.copies.borrow().is_newer(subject, &record) {
-            take_record(shared, subject, source, record);
+            apply_record(shared, subject, source, record);
         }
     }
-    let further = shared.copies.borrow_mut().advance(subject, page.next);
-    if further && subject == Subject::Targets && shared.view.borrow().targets.is_empty() {
+    let advanced = shared.copies.borrow_mut().advance(subject, page.next);
+    if advanced && subject == Subject::Targets && shared.view.borrow().targets.is_empty() {
         // There are none, and requests that wait for the first read are to hear it.
         shared.view.borrow().wake_all();
     }
     // A router that the store turns away learns of a change from a peer that says it has it. Said only
     // at the next turn, up to a second of the bound would be over by then.
-    if further && subject == Subject::Config {
+    if advanced && subject == Subject::Config {
         control::say_hello(shared);
     }
 }
 
-fn take_record<P: router::Platform>(
+fn apply_record<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     subject: Subject,
     source: Source,
@@ -203,18 +203,18 @@
 ) {
     let offset = record.offset;
     let decoded = shared.platform.decode(subject, &record);
-    let content = content(&record, decoded.as_ref().ok().and_then(Option::as_ref));
-    shared.copies.borrow_mut().insert(subject, record, content);
+    let content_hash = content_hash(&record, decoded.as_ref().ok().and_then(Option::as_ref));
+    shared.copies.borrow_mut().insert(subject, record, content_hash);
     match decoded {
-        Ok(Some(news)) => take_news(shared, subject, Origin { source, offset }, news),
+        Ok(Some(update)) => apply_update(shared, subject, Origin { source, offset }, update),
         Ok(None) => {}
         Err(error) => tracing::warn!(?subject, %error, offset, %source, "record left out"),
     }
 }
 
 /// A hash of what a record says, the same for an entry and its mere renewal.
-fn content(record: &dialect::Record, news: Option<&dialect::News>) -> u64 {
-    if let Some(dialect::News::Target(entry)) = news {
+fn content_hash(record: &dialect::Record, update: Option<&dialect::News>) -> u64 {
+    if let Some(dialect::News::Target(entry)) = update {
         let entry = targets::Entry { renewals: 0, ..entry.clone() };
         match postcard::to_stdvec(&entry) {
             Ok(bytes) => return xxh3::xxh3_64(&bytes),
@@ -231,15 +231,15 @@
     offset: u64,
 }
 
-fn take_news<P: router::Platform>(
+fn apply_update<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     subject: Subject,
     origin: Origin,
-    news: dialect::News,
+    update: dialect::News,
 ) {
     let now = shared.clock.now();
-    match news {
-        dialect::News::Config(config) => take_config(shared, origin, config),
+    match update {
+        dialect::News::Config(config) => apply_config(shared, origin, config),
         dialect::News::Target(entry) => {
             let id = entry.id.clone();
             let mut view = shared.view.borrow_mut();
@@ -264,7 +264,7 @@
     }
 }
 
-fn take_config<P: router::Platform>(
+fn apply_config<P: router::Platform>(
     shared: &router::Shared<P>,
     Origin { source, offset }: Origin,
     config: Arc<config::Config>,
@@ -287,8 +287,8 @@
 
 /// Forgets targets whose entries did not come back.
 pub fn expire<P>(shared: &router::Shared<P>, now: Instant) {
-    let gone = shared.view.borrow_mut().targets.expire(now, replicated_records::RECOVERY_GRACE);
-    for id in gone {
+    let expired = shared.view.borrow_mut().targets.expire(now, replicated_records::RECOVERY_GRACE);
+    for id in expired {
         tracing::info!(target = %id, "target did not come back");
     }
 }
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -1,6 +1,6 @@
 //! Following the store through other routers of the zone that read it ([`crate::readers`]).
 
-use super::{TARGETS_PART, pause_targets, record_read};
+use super::{TARGETS_INTERVAL_RATIO, record_read, wait_before_targets_read};
 use crate::{dialect::Subject, readers, router, transfer};
 use corianderstand_schema::peers as wire;
 use std::{
@@ -11,11 +11,11 @@
 
 /// Part of the time in which a leaving target is to get no more requests that passes between two
 /// questions to a reader, beside the reader's own pause.
-const FOLLOWER_PART: f64 = 0.1;
+const FOLLOWER_INTERVAL_RATIO: f64 = 0.1;
 /// Pause after which a router that follows looks again whether others read for it.
-const FOLLOWER_LOOK: Duration = Duration::from_millis(250);
+const ROLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Looks after which a router tries the store itself although nobody reads for it.
-const NEED_LOOKS: u32 = 5;
+const FALLBACK_POLLS: u32 = 5;
 
 /// Lets other routers read the store for this one, until its next look. False if the store should be
 /// read now: nobody else does, or what they have is too old.
@@ -26,13 +26,13 @@
     let readers::Role::Follows(readers) = shared.role(shared.clock.now()) else { return false };
     match subject {
         // Whoever reads says at once that there is a change ([`crate::catch_up`]).
-        Subject::Config => tokio::time::sleep(FOLLOWER_LOOK).await,
+        Subject::Config => tokio::time::sleep(ROLE_POLL_INTERVAL).await,
         // Routers tell one another that they are there.
-        Subject::Routers => tokio::time::sleep(FOLLOWER_LOOK).await,
+        Subject::Routers => tokio::time::sleep(ROLE_POLL_INTERVAL).await,
         Subject::Targets => {
-            let within = shared.bounds.borrow().drain_within;
-            pause_targets(shared, within.mul_f64(FOLLOWER_PART)).await;
-            return take_targets(shared, &readers).await;
+            let drain_within = shared.bounds.borrow().drain_within;
+            wait_before_targets_read(shared, drain_within.mul_f64(FOLLOWER_INTERVAL_RATIO)).await;
+            return fetch_targets(shared, &readers).await;
         }
     }
     true
@@ -40,15 +40,15 @@
 
 /// Takes the targets' entries from routers that read them. False if what they have is too old: the
 /// reader has lost the store, and nobody has heard it yet.
-async fn take_targets<P: router::Platform>(
+async fn fetch_targets<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     readers: &[SocketAddr],
 ) -> bool {
     let subject = Subject::Targets;
-    let most = shared.bounds.borrow().drain_within.mul_f64(TARGETS_PART);
+    let max_age = shared.bounds.borrow().drain_within.mul_f64(TARGETS_INTERVAL_RATIO);
     for reader in readers {
         match transfer::follow(shared, *reader, subject).await {
-            transfer::Fetched::Taken(Some(age)) if age <= most => {
+            transfer::Fetched::Taken(Some(age)) if age <= max_age => {
                 record_read(shared, subject);
                 return true;
             }
@@ -64,16 +64,16 @@
 pub fn on_router_update<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
-    news: &wire::RouterNews,
+    update: &wire::RouterNews,
 ) {
-    if news.store != wire::StoreUse::Reads || news.zone != shared.settings.zone {
+    if update.store != wire::StoreUse::Reads || update.zone != shared.settings.zone {
         return;
     }
     if !matches!(shared.role(now), readers::Role::Follows(_)) {
         return;
     }
     let own = shared.copies.borrow().next_offset(Subject::Config);
-    if news.config_next > own {
+    if update.config_next > own {
         shared.tell_planner.notify_one();
     } else {
         record_read(shared, Subject::Config);
@@ -83,12 +83,12 @@
 /// Pauses after a read that failed. A router that is not among those that read for others tries seldom:
 /// hundreds that ask a store which is away, or has no room for more, again and again keep it from coming
 /// back. It follows as soon as others read again.
-pub(super) async fn pause_lost<P: router::Platform>(shared: &router::Shared<P>, pause: Duration) {
-    tokio::time::sleep(pause).await;
-    for _ in 0..NEED_LOOKS {
+pub(super) async fn delay_retry<P: router::Platform>(shared: &router::Shared<P>, delay: Duration) {
+    tokio::time::sleep(delay).await;
+    for _ in 0..FALLBACK_POLLS {
         if shared.role(shared.clock.now()) != readers::Role::ReadsAsFallback {
             return;
         }
-        tokio::time::sleep(FOLLOWER_LOOK).await;
+        tokio::time::sleep(ROLE_POLL_INTERVAL).await;
     }
 }
