--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -17,10 +17,10 @@
 use xxhash_rust::xxh3;
 
 /// Routers of a zone that read: with one alone, all would turn to the store when it is lost.
-const READERS: usize = 2;
+const READER_COUNT: usize = 2;
 /// Zones with fewer routers than this read one and all: what a few calls cost is not worth knowledge that
 /// is a pause older.
-const LEAST_ROUTERS: usize = 9;
+const MIN_ROUTERS_WITH_READERS: usize = 9;
 
 /// Another router of the same zone that was heard lately.
 #[derive(Clone, Debug)]
@@ -48,22 +48,22 @@
 
 /// What a router of this rank and name does about the store.
 pub fn role(own: &peers::Rank, name: &str, neighbours: &[Neighbour]) -> Role {
-    if neighbours.len() + 1 < LEAST_ROUTERS {
+    if neighbours.len() + 1 < MIN_ROUTERS_WITH_READERS {
         return Role::Reads;
     }
-    let mut better: Vec<_> = neighbours.iter().filter(|other| other.rank > *own).collect();
-    if better.len() < READERS {
+    let mut stronger: Vec<_> = neighbours.iter().filter(|other| other.rank > *own).collect();
+    if stronger.len() < READER_COUNT {
         return Role::ReadsForOthers;
     }
-    better.retain(|other| other.store != StoreUse::Lost);
-    better.sort_by(|a, b| b.rank.cmp(&a.rank));
-    better.truncate(READERS);
-    if better.len() < READERS {
+    stronger.retain(|other| other.store != StoreUse::Lost);
+    stronger.sort_by(|a, b| b.rank.cmp(&a.rank));
+    stronger.truncate(READER_COUNT);
+    if stronger.len() < READER_COUNT {
         return Role::ReadsAsFallback;
     }
     // Each follower has an order of its own, so that each reader serves its share of them.
-    let share = |addr: &SocketAddr| xxh3::xxh3_64(format!("{name} {addr}").as_bytes());
-    let mut readers: Vec<_> = better.into_iter().map(|reader| reader.addr).collect();
-    readers.sort_by_key(share);
+    let order = |addr: &SocketAddr| xxh3::xxh3_64(format!("{name} {addr}").as_bytes());
+    let mut readers: Vec<_> = stronger.into_iter().map(|reader| reader.addr).collect();
+    readers.sort_by_key(order);
     Role::Follows(readers)
 }
