--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -18,10 +18,10 @@
 
 /// Part of the bound for news in which the store may bring nothing of them before a peer is asked: it
 /// begins to answer all routers at once, within some ms.
-const STALLED_PART: u32 = 8;
+const STALLED_DIVISOR: u32 = 8;
 /// Part of the bound after which a peer is asked although something still comes from the store: a
 /// connection may let through a packet now and then and never the whole.
-const SLOW_PART: u32 = 2;
+const SLOW_DIVISOR: u32 = 2;
 
 /// What a router knows of its reads and of the others when it looks whether to ask one.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Lag {
     since: Option<Instant>,
-    asked: u64,
+    attempts: u64,
 }
 
 impl Lag {
@@ -55,31 +55,35 @@
     pub fn peer_to_query(
         &mut self,
         now: Instant,
-        look: &ReadProgress,
+        progress: &ReadProgress,
     ) -> Option<(u64, SocketAddr)> {
-        let Some(most) = look.ahead.iter().map(|(next, _)| *next).max() else {
+        let Some(furthest) = progress.ahead.iter().map(|(next, _)| *next).max() else {
             self.since = None;
             return None;
         };
-        let lags = now.saturating_duration_since(*self.since.get_or_insert(now));
-        let stalled = look.config_within / STALLED_PART;
-        let comes =
-            look.last_received_at.is_some_and(|at| now.saturating_duration_since(at) < stalled);
-        let at_once = look.last_read_failed || look.is_starting || look.is_follower;
-        let due =
-            if comes { lags >= look.config_within / SLOW_PART } else { at_once || lags >= stalled };
+        let lag_time = now.saturating_duration_since(*self.since.get_or_insert(now));
+        let stall_timeout = progress.config_within / STALLED_DIVISOR;
+        let is_receiving = progress
+            .last_received_at
+            .is_some_and(|at| now.saturating_duration_since(at) < stall_timeout);
+        let immediate = progress.last_read_failed || progress.is_starting || progress.is_follower;
+        let due = if is_receiving {
+            lag_time >= progress.config_within / SLOW_DIVISOR
+        } else {
+            immediate || lag_time >= stall_timeout
+        };
         if !due {
             return None;
         }
-        self.asked += 1;
-        let best = look.ahead.iter().filter(|(next, _)| *next == most);
-        best.copied().max_by_key(|(_, addr)| self.rank(look.router, *addr))
+        self.attempts += 1;
+        let candidates = progress.ahead.iter().filter(|(next, _)| *next == furthest);
+        candidates.copied().max_by_key(|(_, addr)| self.peer_rank(progress.router, *addr))
     }
 
     /// Each router has an order of peers of its own, and another one at each try: if all asked the
     /// same peer, its link would be as full as theirs, and one that is dead would be asked for ever.
-    fn rank(&self, router: &str, peer: SocketAddr) -> u64 {
-        xxh3::xxh3_64_with_seed(format!("{router} {peer}").as_bytes(), self.asked)
+    fn peer_rank(&self, router: &str, peer: SocketAddr) -> u64 {
+        xxh3::xxh3_64_with_seed(format!("{router} {peer}").as_bytes(), self.attempts)
     }
 }
 
@@ -92,29 +96,29 @@
 impl CatchUp {
     /// Asks a peer for what it has read and the store does not bring.
     pub fn poll<P: router::Platform>(&mut self, shared: &Rc<router::Shared<P>>, now: Instant) {
-        let follows = matches!(shared.role(now), readers::Role::Follows(_));
+        let is_follower = matches!(shared.role(now), readers::Role::Follows(_));
         for subject in [Subject::Config, Subject::Targets] {
             let (lag, transfer) = self.by_subject.entry(subject).or_default();
             if transfer.as_ref().is_some_and(|transfer| !transfer.is_finished()) {
                 continue;
             }
-            let copies = shared.copies.borrow();
+            let records = shared.copies.borrow();
             // The targets change all the time: a peer is always a little ahead.
-            if subject == Subject::Targets && copies.is_fresh(now, subject) {
+            if subject == Subject::Targets && records.is_fresh(now, subject) {
                 continue;
             }
-            let known = copies.next_offset(subject);
-            let ahead: Vec<_> = shared.peers.borrow().ahead(now, subject, known).collect();
-            let look = ReadProgress {
+            let next_offset = records.next_offset(subject);
+            let ahead: Vec<_> = shared.peers.borrow().ahead(now, subject, next_offset).collect();
+            let progress = ReadProgress {
                 router: &shared.settings.name,
                 ahead: &ahead,
-                last_received_at: copies.last_received_at(subject),
-                last_read_failed: copies.last_read_failed(subject),
-                is_starting: known == 0,
-                is_follower: follows,
+                last_received_at: records.last_received_at(subject),
+                last_read_failed: records.last_read_failed(subject),
+                is_starting: next_offset == 0,
+                is_follower,
                 config_within: shared.bounds.borrow().config_within,
             };
-            if let Some((next, peer)) = lag.peer_to_query(now, &look) {
+            if let Some((next, peer)) = lag.peer_to_query(now, &progress) {
                 let shared = shared.clone();
                 *transfer = Some(tokio::task::spawn_local(async move {
                     transfer::fetch(&shared, peer, subject, next).await;
