--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -73,11 +73,11 @@
         &self,
         now: Instant,
         service: &names::ServiceId,
-        wanted: Option<&choose::RequestedModel>,
+        requested: Option<&choose::RequestedModel>,
     ) -> wait_limit::Readiness {
-        let Some(wanted) = wanted else { return wait_limit::Readiness::Unknown };
+        let Some(requested) = requested else { return wait_limit::Readiness::Unknown };
         let spec = self.service(service).and_then(|service| service.engine.as_ref());
-        let Some(model) = spec.and_then(|engine| engine.model(&wanted.model)) else {
+        let Some(model) = spec.and_then(|engine| engine.model(&requested.model)) else {
             return wait_limit::Readiness::Unknown;
         };
         let mut fastest: Option<std::time::Duration> = None;
@@ -85,11 +85,11 @@
             if target.entry.service != *service || !target.accepts_requests(now) {
                 continue;
             }
-            if target.serves(now, &wanted.model) {
+            if target.serves(now, &requested.model) {
                 return wait_limit::Readiness::AtCapacity;
             }
             if let Some(targets::Ongoing::Loading { model, ready_at, .. }) = &target.ongoing
-                && *model == wanted.model
+                && *model == requested.model
             {
                 return wait_limit::Readiness::ReadyAt(*ready_at);
             }
