--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -49,7 +49,7 @@
     /// What it says, as a hash that a mere renewal leaves as it is.
     content_hash: u64,
     /// Offset of the first record that said so.
-    changed_at: u64,
+    changed_at_offset: u64,
 }
 
 /// The newest record of each key of one subject.
@@ -127,8 +127,8 @@
     /// Targets renew their entries each second or so, and such renewals are left out.
     pub fn changes(&self, subject: Subject, from: u64) -> dialect::Page {
         let Some(entry) = self.by_subject.get(&subject) else { return dialect::Page::default() };
-        let changed_at = entry.records.values().filter(|stored| stored.changed_at >= from);
-        let records = changed_at.map(|stored| stored.record.clone()).collect();
+        let changed = entry.records.values().filter(|stored| stored.changed_at_offset >= from);
+        let records = changed.map(|stored| stored.record.clone()).collect();
         dialect::Page { records, next: entry.next_offset.unwrap_or(0), whole: false }
     }
 
@@ -166,8 +166,10 @@
         let entry = self.by_subject.entry(subject).or_default();
         let same =
             entry.records.get(&record.key).filter(|known| known.content_hash == content_hash);
-        let changed_at = same.map_or(record.offset, |known| known.changed_at);
-        entry.records.insert(record.key.clone(), StoredRecord { record, content_hash, changed_at });
+        let changed_at_offset = same.map_or(record.offset, |known| known.changed_at_offset);
+        entry
+            .records
+            .insert(record.key.clone(), StoredRecord { record, content_hash, changed_at_offset });
     }
 
     /// All before this offset is known. Whether it was not before.
