--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -190,7 +190,7 @@
             .is_none_or(|at| now.saturating_duration_since(at) >= LINE_LIMIT_WINDOW);
         if window_over {
             if count.suppressed > 0 {
-                tracing::warn!(?kind, left_out = count.suppressed, "lines left out");
+                tracing::warn!(?kind, left_out = count.suppressed, "log lines suppressed");
                 self.metrics.lines_left_out(count.suppressed);
             }
             *count = LineCount { window_start: Some(now), lines: 0, suppressed: 0 };
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -47,7 +47,7 @@
     let settings = &shared.settings;
     let entry = dialect::RouterEntry { router: settings.name.clone(), addr: settings.peers };
     while let Err(error) = shared.platform.announce(&entry).await {
-        tracing::debug!(%error, "other routers were not told of this one yet");
+        tracing::debug!(%error, "announcing this router in the store failed, retrying");
         tokio::time::sleep(RETRY_DELAY * 4).await;
     }
 }
@@ -91,7 +91,7 @@
                     ?subject,
                     ?from,
                     first,
-                    "history gone: the newest of each key is read"
+                    "records discarded by the store: reading the newest of each key"
                 );
                 from = None;
             }
@@ -141,7 +141,7 @@
     let mut records = shared.copies.borrow_mut();
     let previous_read_age_ms = records.since_read(now, subject).map(|age| age.as_millis() as u64);
     if records.record_read(now, subject) {
-        tracing::info!(?subject, away_ms = previous_read_age_ms, "the store is read again");
+        tracing::info!(?subject, away_ms = previous_read_age_ms, "store reachable again");
     }
 }
 
@@ -155,7 +155,7 @@
     let age_ms = records.since_read(shared.clock.now(), subject).map(|age| age.as_millis() as u64);
     if records.record_read_failure(subject) {
         tracing::warn!(?subject, %error, age_ms,
-            "the store cannot be read: what is known stays in force");
+            "reading the store failed: known records stay in force");
         drop(records);
         shared.view.borrow().wake_all();
     }
@@ -201,7 +201,9 @@
     match decoded {
         Ok(Some(update)) => apply_update(shared, subject, Origin { source, offset }, update),
         Ok(None) => {}
-        Err(error) => tracing::warn!(?subject, %error, offset, %source, "record left out"),
+        Err(error) => {
+            tracing::warn!(?subject, %error, offset, %source, "record ignored: it cannot be decoded")
+        }
     }
 }
 
@@ -211,7 +213,9 @@
         let entry = targets::Entry { renewals: 0, ..entry.clone() };
         match postcard::to_stdvec(&entry) {
             Ok(bytes) => return xxh3::xxh3_64(&bytes),
-            Err(error) => tracing::warn!(%error, "an entry cannot be hashed: it counts as changed"),
+            Err(error) => {
+                tracing::warn!(%error, "entry cannot be serialized for hashing: treated as changed")
+            }
         }
     }
     record.value.as_ref().map_or(0, |value| xxh3::xxh3_64(value))
@@ -238,7 +242,7 @@
             let mut view = shared.view.borrow_mut();
             let change = view.targets.register(now, entry);
             if !matches!(change, targets::Change::Nothing | targets::Change::Stale) {
-                tracing::debug!(target = %id, ?change, "target");
+                tracing::debug!(target = %id, ?change, "target changed");
                 view.wake_all();
             }
         }
@@ -269,7 +273,7 @@
     let mut view = shared.view.borrow_mut();
     let known = view.table.as_ref().map(|table| table.config().version);
     if known.is_some_and(|known| known >= version) {
-        tracing::info!(version, ?known, offset, %source, "configuration left out: it is not newer");
+        tracing::info!(version, ?known, offset, %source, "configuration ignored: not newer than the one in force");
         return;
     }
     let routes = config.routes.len();
@@ -282,6 +286,6 @@
 pub fn expire<P>(shared: &router::Shared<P>, now: Instant) {
     let expired = shared.view.borrow_mut().targets.expire(now, replicated_records::RECOVERY_GRACE);
     for id in expired {
-        tracing::info!(target = %id, "target did not come back");
+        tracing::info!(target = %id, "target expired: its entry was not renewed");
     }
 }
