--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -1,6 +1,7 @@
 //! Structured logging of routing decisions and request outcomes.
 //!
-//! Each kind of line has its own rate limit, so that a flood of one kind does not suppress the others.
+//! Each kind of line has its own rate limit, so that a flood of one kind does not suppress the
+//! others.
 
 use crate::{job, metrics, replicated_records, stream, view};
 use corianderstand_fleet::{targets, wait_limit};
@@ -156,7 +157,8 @@
 
     /// Logs a request that matches no route, with the configuration's version and age.
     ///
-    /// These lines are rare and have their own limit, so that other rejections cannot suppress them.
+    /// These lines are rare and have their own limit, so that other rejections cannot suppress
+    /// them.
     pub fn no_route(
         &self,
         id: &SmolStr,
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -1,8 +1,8 @@
 //! Replication of the store's configuration, targets and routers.
 //!
-//! Reads continue at the last known offset. If the store has discarded the records from there on, the
-//! newest record of each key is read instead. While the store does not respond, the known records stay
-//! in force and peers may provide newer ones ([`crate::catch_up`]).
+//! Reads continue at the last known offset. If the store has discarded the records from there on,
+//! the newest record of each key is read instead. While the store does not respond, the known
+//! records stay in force and peers may provide newer ones ([`crate::catch_up`]).
 
 pub mod via_readers;
 
@@ -127,8 +127,8 @@
     within.saturating_sub(CONFIG_READ_MARGIN).max(MIN_LONG_POLL_WAIT)
 }
 
-/// Delay before the next read after a failed one. After a response timeout the next read starts at once:
-/// a dead connection may have hidden a change that must be in force soon.
+/// Delay before the next read after a failed one. After a response timeout the next read starts at
+/// once: a dead connection may have hidden a change that must be in force soon.
 pub const fn retry_delay(error: &dialect::StoreError) -> Duration {
     match error {
         dialect::StoreError::Silent(_) => Duration::ZERO,
@@ -182,7 +182,8 @@
         // No targets exist: wakes the requests that wait for the first read.
         shared.view.borrow().wake_all();
     }
-    // Announces the new offset at once, so that routers without access to the store can fetch the change.
+    // Announces the new offset at once, so that routers without access to the store can fetch the
+    // change.
     if advanced && subject == Subject::Config {
         control::say_hello(shared);
     }
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -9,15 +9,16 @@
     time::{Duration, Instant},
 };
 
-/// Interval between requests to a reader, as a share of `drain_within`; the reader's own interval adds to it.
+/// Interval between requests to a reader, as a share of `drain_within`; the reader's own interval
+/// adds to it.
 const FOLLOWER_INTERVAL_RATIO: f64 = 0.1;
 /// How often a follower checks whether it still has readers.
 const ROLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Polls after which a router without readers tries the store itself.
 const FALLBACK_POLLS: u32 = 5;
 
-/// Lets readers read the subject for one interval. Returns false if this router should read the store
-/// now, because it has no readers or their records are too old.
+/// Lets readers read the subject for one interval. Returns false if this router should read the
+/// store now, because it has no readers or their records are too old.
 pub(super) async fn follow<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     subject: Subject,
@@ -37,8 +38,8 @@
     true
 }
 
-/// Fetches the targets from the readers. Returns false if their records are too old, which means that the
-/// reader has lost the store.
+/// Fetches the targets from the readers. Returns false if their records are too old, which means
+/// that the reader has lost the store.
 async fn fetch_targets<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     readers: &[SocketAddr],
@@ -58,8 +59,8 @@
     false
 }
 
-/// Handles an update of another router. If that router reads the store for this one and has no newer
-/// configuration, the own configuration counts as just read.
+/// Handles an update of another router. If that router reads the store for this one and has no
+/// newer configuration, the own configuration counts as just read.
 pub fn on_router_update<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
@@ -79,8 +80,9 @@
     }
 }
 
-/// Delays the next read after a failed one. Routers that are not readers wait longer, so that hundreds of
-/// them don't overload a recovering store, but resume at once if readers are available again.
+/// Delays the next read after a failed one. Routers that are not readers wait longer, so that
+/// hundreds of them don't overload a recovering store, but resume at once if readers are available
+/// again.
 pub(super) async fn delay_retry<P: router::Platform>(shared: &router::Shared<P>, delay: Duration) {
     tokio::time::sleep(delay).await;
     for _ in 0..FALLBACK_POLLS {
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -10,7 +10,8 @@
     time::{Duration, Instant},
 };
 
-/// Resends unchanged plans, in case a datagram was lost and so that agents know that a planner is alive.
+/// Resends unchanged plans, in case a datagram was lost and so that agents know that a planner is
+/// alive.
 const PLAN_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the planner and remembers which plan each engine was last sent.
@@ -27,7 +28,8 @@
         Self { planner: plan::Planner::with_warm_up(now), ..Self::default() }
     }
 
-    /// Plans every service with engines and sends each agent its plan if it is new or due for resending.
+    /// Plans every service with engines and sends each agent its plan if it is new or due for
+    /// resending.
     pub fn publish<P: router::Platform>(&mut self, shared: &router::Shared<P>, now: Instant) {
         let view = shared.view.borrow();
         let Some(table) = view.table.clone() else { return };
@@ -49,7 +51,8 @@
         let engines = engine_views(shared, now, &service.name, spec);
         let models = model_views(shared, now, spec);
         let planned = self.planner.plan(now, &engines, &models);
-        // Includes agents without a report yet: they learn the routers' addresses from their first plan.
+        // Includes agents without a report yet: they learn the routers' addresses from their first
+        // plan.
         for engine in &engines {
             let Some(planned) = planned.get(&engine.key) else { continue };
             let parts = plan_parts(engine, planned, &models);
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -1,7 +1,7 @@
 //! Client side of the prefill permits that an engine's agent grants.
 //!
-//! See [`corianderstand_fleet::prefill`] for their purpose. If the agent does not respond, the request
-//! is sent without a permit.
+//! See [`corianderstand_fleet::prefill`] for their purpose. If the agent does not respond, the
+//! request is sent without a permit.
 
 use crate::{job, router};
 use corianderstand_fleet::{targets, wait_limit};
