--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -1,4 +1,4 @@
-//! When a router asks another one for records, and which: decided without a network.
+//! When a router queries a peer for records, and which one.
 
 use corianderstand_forward::catch_up::{Lag, ReadProgress};
 use std::{
@@ -8,7 +8,6 @@
 };
 
 const WITHIN: Duration = Duration::from_secs(2);
-/// How often a router looks.
 const LOOKS: Duration = Duration::from_millis(250);
 
 fn peer(number: u8) -> SocketAddr {
@@ -31,7 +30,8 @@
     }
 }
 
-/// How long after `start` a peer is asked; `heard` says when the store last brought something.
+/// Time after `start` at which a peer is queried; `heard` returns when the store last delivered
+/// data.
 fn asked_after(start: Instant, heard: impl Fn(Instant) -> Option<Instant>) -> Option<Duration> {
     let (mut lag, ahead) = (Lag::default(), [(9, peer(1))]);
     let looks = (0..40).map(|look| start + LOOKS * look);
@@ -40,37 +40,36 @@
     asked.next().map(|now| now - start)
 }
 
-/// Another router has a large configuration first, and the store brings it here too. Asked of the
-/// other one as well it would cross the link twice, and come in neither way in time.
+/// A transfer of a configuration that the store is delivering would cross the link twice and delay
+/// both.
 #[test]
 fn what_the_store_brings_is_not_asked_for() {
     let start = Instant::now();
     let after = asked_after(start, Some);
-    // A connection that lets a little through is not waited for beyond half of the bound.
+    // A trickling connection is tolerated for half of the limit only.
     assert_eq!(after, Some(WITHIN / 2));
 }
 
-/// The store says nothing, though another router has read more: the connection has gone dead. Waiting
-/// for its time to be over would leave nothing of the bound.
+/// Waiting for a dead connection to time out would exhaust the time limit.
 #[test]
 fn a_silent_store_is_not_waited_for() {
     let start = Instant::now();
     let after = asked_after(start, |_| None);
     assert!(after.is_some_and(|after| after < WITHIN / 4), "{after:?}");
-    // What came before does not count.
+    // Earlier data does not count.
     let after = asked_after(start, |_| start.checked_sub(WITHIN));
     assert!(after.is_some_and(|after| after < WITHIN / 4), "{after:?}");
 }
 
-/// The store turns this router away: a peer is the only way, so it is asked at once.
+/// A peer is the only source while the store refuses this router.
 #[test]
 fn a_router_that_is_turned_away_asks_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
     assert!(Lag::default().peer_to_query(now, &look(&ahead, None, true)).is_some());
 }
 
-/// A router starts while the store is silent. Until it knows a configuration it refuses all that comes,
-/// so it asks a peer at once, unless the store is bringing it.
+/// A router without a configuration rejects all requests, so it doesn't wait for an unresponsive
+/// store.
 #[test]
 fn a_router_that_starts_asks_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
@@ -79,8 +78,7 @@
     assert!(Lag::default().peer_to_query(now, &start(Some(now))).is_none());
 }
 
-/// A router that lagged once and has caught up begins to count anew; else the next change would be
-/// asked of a peer while the store is bringing it.
+/// Else the next change would be fetched from a peer while the store is delivering it.
 #[test]
 fn one_that_has_caught_up_counts_anew() {
     let start = Instant::now();
@@ -90,8 +88,7 @@
     assert!(lag.peer_to_query(start + WITHIN, &look(&ahead, None, false)).is_none());
 }
 
-/// The router that reads a change first is not the only one for long. If all others asked that one, its
-/// link would be full, and none would have the change in time; one that is dead would be asked each time.
+/// A single peer queried by all routers would saturate its link, or may be dead.
 #[test]
 fn routers_ask_different_peers() {
     let (now, ahead) =
@@ -113,7 +110,7 @@
     assert!(tried.len() >= 3, "{tried:?}");
 }
 
-/// A peer that has read less than another would have to be followed by a second transfer.
+/// A peer with fewer records would require a second transfer.
 #[test]
 fn the_one_that_has_read_most_is_asked() {
     let ahead = [(7, peer(1)), (9, peer(2)), (8, peer(3))];
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -1,4 +1,4 @@
-//! What a router believes of the store: never older, never taken from garbage, kept in outages.
+//! Replication of the store: no rollback, no invalid records, no loss during outages.
 
 mod common;
 
@@ -14,7 +14,7 @@
     answer.unwrap()[9..12].to_owned()
 }
 
-/// Waits until a path is answered with a status.
+/// Waits until a path is answered with this status.
 async fn wait_for(router: &Running, path: &str, wanted: &str) {
     let ask = async {
         while status(router, path).await != wanted {
@@ -24,7 +24,7 @@
     tokio::time::timeout(common::PATIENCE, ask).await.expect("the answer changes");
 }
 
-/// Callers are refused although their router has read what it needs a moment later.
+/// Requests must not be rejected while the first read is still in progress.
 #[tokio::test]
 async fn a_request_that_comes_during_the_first_read_is_served() {
     let store = MemoryStore::default();
@@ -47,8 +47,7 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
-/// A process that has just started knows no configuration. Told 404, a caller takes its request for
-/// one that does not exist and gives up; 503 brings it back.
+/// Callers give up after a 404, but retry after a 503.
 #[tokio::test]
 async fn without_a_configuration_nothing_is_denied() {
     let store = MemoryStore::default();
@@ -61,8 +60,7 @@
     assert!(ready.starts_with("HTTP/1.1 503"), "{ready}");
 }
 
-/// An older configuration arrives after a newer one. Taken, a route that operators have removed
-/// would be served again.
+/// An older configuration that arrives late would restore removed routes.
 #[tokio::test]
 async fn a_configuration_never_goes_back() {
     let store = MemoryStore::default();
@@ -78,7 +76,7 @@
     assert_ne!(status(&router, "/new/").await, "404");
 }
 
-/// Somebody else's entry lies among those of the targets and cannot be read. The others hold.
+/// An undecodable target entry must not affect the others.
 #[tokio::test]
 async fn an_entry_that_cannot_be_read_hides_no_other() {
     let store = MemoryStore::default();
@@ -94,8 +92,7 @@
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("paid"));
 }
 
-/// The store turns one router away. The other one reads it and hands over what it has read, so the
-/// first serves a configuration that it could not read itself.
+/// A router without access to the store fetches the configuration from its peer.
 #[tokio::test]
 async fn a_router_without_the_store_takes_what_its_peer_has_read() {
     let store = MemoryStore::default();
@@ -110,8 +107,8 @@
     wait_for(&router, "/other/", "404").await;
 }
 
-/// The connection of a read goes dead just before a change is written. If the read were given up only
-/// when the bound for the change is over, callers would meet the older configuration until after it.
+/// A connection that dies before a change must be abandoned early enough to read again within the
+/// limit.
 #[rstest::rstest]
 #[case::two_seconds(2)]
 #[case::three_seconds(3)]
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -1,16 +1,7 @@
-//! A configuration that a host's link carries in about a second is in force there all the same.
+//! Large configurations over slow links.
 //!
-//! Users saw 404 on a route that an operator had added and the store had confirmed more than three seconds
-//! before, from two routers with links of 10 Mbit/s. The configuration had grown to 800 KB. Routers on fast
-//! links had read it within a tenth of a second and said so. The others were reading it, which takes a
-//! link of 10 Mbit/s 0.65 s, and asked the router that was ahead for it as well, once more every 250 ms. Five
-//! transfers and a read shared each link; each was given up by the time of the whole, and what had come by
-//! then was thrown away.
-//!
-//! What proved it: in the seconds after each change the slow hosts took in two to five times the document's
-//! size while their processors were idle, and one router sent 27 MB, to nearly all of them. Where the
-//! document was larger, hundreds of requests were answered by the version before it. With one transfer at a
-//! time, and none while the store brings the document, the last host has it a second after the first.
+//! Guards against concurrent transfers of the same document, which delay each other until all time
+//! out.
 
 mod common;
 
@@ -20,12 +11,11 @@
 };
 use std::time::Duration;
 
-/// Size of the document, and what the host's link carries in a second: once over takes 0.9 s.
+/// A transfer of the document takes 0.9 s over the link.
 const DOCUMENT: usize = 900_000;
 const BYTES_PER_S: usize = 1_000_000;
 
-/// A store, a router that reads it without trouble, and a second router behind a link of its own, to
-/// which the first one speaks through the proxy.
+/// A reader with a fast link to the store, and a router behind a slow link.
 struct Pair {
     store: MemoryStore,
     link: Link,
@@ -55,7 +45,7 @@
         Self { store, link, reader, router, far }
     }
 
-    /// Writes a large configuration that adds a route, and waits until both routers know the route.
+    /// Writes a large configuration that adds a route, and waits until both routers have it.
     async fn add_route(&self) {
         let routes = vec![common::route("/pay/", "desk"), common::route("/new/", "nobody")];
         self.store.large_config(common::config(2, routes), DOCUMENT);
@@ -64,7 +54,7 @@
     }
 }
 
-/// A route to a service without targets is refused with another status than one that is unknown.
+/// A route to a service without targets is answered with another status than an unknown route.
 async fn wait_for_route(router: &Running) {
     let ask = async {
         loop {
@@ -79,9 +69,7 @@
     tokio::time::timeout(common::PATIENCE, ask).await.expect("the added route is known");
 }
 
-/// The store turns the slow host's router away, so it takes the document from its peer. Each look at the
-/// peer's lead began one more transfer, beside those under way, and none came to its end: callers got
-/// 404 on the added route for as long as the peer was ahead.
+/// Guards against a new transfer at each poll while earlier ones are in progress.
 #[tokio::test]
 async fn a_large_configuration_is_taken_from_a_peer_over_a_slow_link() {
     let pair = Pair::start(Duration::from_secs(2), |store, _| store.turned_away()).await;
@@ -91,9 +79,8 @@
     assert!(connections <= 2, "{connections} transfers for one document");
 }
 
-/// The same, with a store that answers: the document is on its way from there, and a transfer of it
-/// beside that one only slows both. The bound is long, so that a slow machine does not make the store
-/// seem stalled.
+/// Guards against a transfer from a peer while the store is delivering the document. The time limit
+/// is long, so that the store does not seem stalled on a slow machine.
 #[tokio::test]
 async fn what_is_on_its_way_from_the_store_is_not_asked_of_a_peer_too() {
     let pair = Pair::start(Duration::from_secs(20), MemoryStore::over).await;
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -1,4 +1,4 @@
-//! Which of two routers plans, and what becomes of the plan when it stops.
+//! Election of the planning router, and takeover when it stops.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use tokio::{net::UdpSocket, time::Instant};
 
 const WITHIN: Duration = Duration::from_secs(2);
-/// A planner that is not heard is followed by the next after 1.1 s; the rest is for a busy machine.
+/// Takeover starts after 1.1 s without a message; the rest allows for a busy machine.
 const TAKEN_OVER_WITHIN: Duration = Duration::from_secs(6);
 
 fn service() -> Service {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until only this router has planned for a second.
+/// Waits until only this router has sent plans for a second.
 async fn wait_for_planner(agent: &UdpSocket, name: &str) -> EnginePlan {
     let began = Instant::now();
     let mut alone_since = began;
@@ -52,8 +52,7 @@
     }
 }
 
-/// Two routers plan as long as they do not know each other, then one of them alone. When that one
-/// stops, models that are asked for would be loaded nowhere until the other goes on.
+/// Without a takeover, requested models would not be loaded once the planner has stopped.
 #[tokio::test]
 async fn the_next_router_plans_when_the_planner_stops() {
     let store = MemoryStore::default();
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Routers that let others of their zone read the store.
+//! Routers that follow reader routers of their zone instead of reading the store.
 
 mod common;
 
@@ -15,14 +15,13 @@
 use std::{net::SocketAddr, time::Duration};
 use tokio::{net::UdpSocket, sync::watch};
 
-/// Routers that are said to be in the zone, beside those that run.
+/// Simulated routers in the zone, in addition to the running ones.
 const SAID: usize = 8;
-/// Pause between two of their messages.
+/// Interval between updates of the simulated routers.
 const SAY_PAUSE: Duration = Duration::from_millis(200);
-/// Time for which calls are counted.
+/// How long calls are counted.
 const COUNTED: Duration = Duration::from_secs(2);
-/// Calls of a router that others read for, in that time: at most one each time that both readers are
-/// busy.
+/// Maximum calls of a follower in that time: one whenever both readers are busy.
 const FEW: usize = 3;
 
 fn neighbour(index: u16, store: StoreUse) -> Neighbour {
@@ -60,7 +59,7 @@
     assert_eq!(follows, wanted.map(|ports| ports.to_vec()));
 }
 
-/// Records of readers that the store turns away grow older and older.
+/// Followers of a reader without the store would get ever older records.
 #[test]
 fn routers_that_have_lost_the_store_are_not_followed() {
     let mut zone = zone(12);
@@ -90,8 +89,8 @@
     })
 }
 
-/// Says for ever that there are other routers in the zone. One of them is stronger than all, so that
-/// there are two readers, and refuses every transfer.
+/// Sends updates of simulated routers. The strongest of them acts as the second reader and refuses
+/// all transfers.
 async fn say_neighbours(router: SocketAddr, store: watch::Receiver<StoreUse>) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     loop {
@@ -105,7 +104,7 @@
     }
 }
 
-/// Settings of a router, with the bounds of a small deployment.
+/// Settings with the time limits of a small deployment.
 fn settings(name: &str, strength: u32, seeds: Vec<SocketAddr>) -> router::Settings {
     let mut settings = Running::settings(name, seeds, Duration::from_secs(8));
     settings.strength = strength;
@@ -113,16 +112,16 @@
     settings
 }
 
-/// A router that reads, one that follows it, and their stores.
+/// A reader, a follower of it, and their stores.
 struct Zone {
     store: MemoryStore,
     reader: Running,
     readers_store: MemoryStore,
     follower: Running,
     followers_store: MemoryStore,
-    /// What the other routers say of the store.
+    /// How the simulated routers report to use the store.
     said: watch::Sender<StoreUse>,
-    /// Its port belongs to nobody else meanwhile.
+    /// Keeps the target's port reserved.
     _target: Target,
 }
 
@@ -146,7 +145,7 @@
         zone
     }
 
-    /// Waits until the follower makes few calls.
+    /// Waits until the follower makes few calls to the store.
     async fn wait_follows(&self) {
         let wait = async {
             loop {
@@ -160,7 +159,7 @@
         tokio::time::timeout(common::PATIENCE, wait).await.expect("it lets others read");
     }
 
-    /// Time until the follower no longer says that a path leads nowhere.
+    /// Time until the follower no longer answers 404 on a path.
     async fn known_after(&self, path: &str) -> Duration {
         let began = tokio::time::Instant::now();
         let ask = async {
@@ -174,7 +173,7 @@
     }
 }
 
-/// Calls to the store grow with the number of routers, or a change does not come to those that follow.
+/// Store calls must not grow with the number of routers, nor changes arrive late.
 #[tokio::test]
 async fn a_change_comes_to_a_router_that_others_read_for() {
     let zone = Zone::start().await;
@@ -188,7 +187,7 @@
     assert!(zone.readers_store.calls() - before.1 > FEW, "the reader reads");
 }
 
-/// The store turns the reader away just before a change, and nobody tells those that follow it.
+/// Followers must notice on their own that the reader has lost the store.
 #[tokio::test]
 async fn a_change_comes_although_the_reader_has_lost_the_store() {
     let zone = Zone::start().await;
@@ -198,7 +197,7 @@
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
 }
 
-/// The reader ends without a word just before a change.
+/// Followers must notice a reader that ends without notice.
 #[tokio::test]
 async fn a_target_that_leaves_is_known_although_the_reader_has_ended() {
     let mut zone = Zone::start().await;
@@ -219,7 +218,7 @@
     }
 }
 
-/// Small hosts' links are full of renewals that say nothing new.
+/// Renewals without changes would fill the links of small hosts.
 #[test]
 fn renewals_are_not_handed_over_again() {
     let record =
@@ -240,7 +239,7 @@
     assert_eq!(copies.full_page(subject).records.len(), 3, "a router that starts takes all");
 }
 
-/// A store that is coming back is asked by each of hundreds of routers three times a second.
+/// Hundreds of polling routers would overload a recovering store.
 #[tokio::test]
 async fn a_router_that_others_read_for_asks_a_store_that_is_away_seldom() {
     let zone = Zone::start().await;
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Routers that ask an engine's agent for a turn, and agents that answer, wait or stand still.
+//! Prefill permits: routers request them, and agents grant, delay or don't respond.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use tokio::net::UdpSocket;
 
 const ID: &str = "request-1";
-/// Far less than a caller waits for, far more than a question to an agent takes.
+/// Much less than a caller's timeout, much more than a permit request takes.
 const SOON: Duration = Duration::from_millis(500);
 
 struct Stage {
@@ -24,7 +24,7 @@
     agent: UdpSocket,
 }
 
-/// A router, an engine that holds the model `m`, and the socket of its agent, which was just heard.
+/// A router, an engine that holds the model `m`, and the socket of its responsive agent.
 async fn stage() -> Stage {
     let store = MemoryStore::default();
     let engine = Target::start().await;
@@ -66,7 +66,7 @@
         common::send(self.router.front, "POST", "/ask/1", &headers, "").await.unwrap()
     }
 
-    /// The next question of the router.
+    /// Receives the router's next permit request.
     async fn question(&self) -> (SocketAddr, PrefillAsked) {
         let mut buf = vec![0; 65_536];
         loop {
@@ -85,8 +85,7 @@
     }
 }
 
-/// An agent is frozen while its engine is well. A router that waited for its word would hold every
-/// request for the engine's models until its caller leaves.
+/// Waiting for an unresponsive agent would block every request for its engine's models.
 #[tokio::test]
 async fn a_request_is_not_held_for_an_agent_that_is_silent() {
     let stage = stage().await;
@@ -96,8 +95,7 @@
     assert!(asked.elapsed() < SOON, "{:?}", asked.elapsed());
 }
 
-/// The engine reads others' prompts. The request goes there when its agent says so, and not before:
-/// sent at once it would make the streams of others pause.
+/// A request sent before its permit would pause other streams of the engine.
 #[tokio::test]
 async fn a_request_waits_for_its_turn() {
     let stage = stage().await;
@@ -110,8 +108,7 @@
     stage.engine.next().await.answer_whole(ID, "x").await;
 }
 
-/// The datagram with the turn is lost. The router asks again, under the same id, so that the agent
-/// does not count its prompt twice.
+/// A resent request keeps its id, so that the agent does not count the prompt twice.
 #[tokio::test]
 async fn a_turn_that_was_lost_is_asked_for_again() {
     let stage = stage().await;
@@ -124,8 +121,7 @@
     stage.engine.next().await.answer_whole(ID, "x").await;
 }
 
-/// So many prompts stand before this one that its caller will have left. Held until then, the caller
-/// loses the time in which it could ask again.
+/// Holding the request would cost its caller the time for a retry.
 #[tokio::test]
 async fn a_caller_whose_turn_comes_too_late_is_told_at_once() {
     let stage = stage().await;
