--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -43,7 +43,7 @@
 /// A transfer of a configuration that the store is delivering would cross the link twice and delay
 /// both.
 #[test]
-fn what_the_store_brings_is_not_asked_for() {
+fn no_peer_is_queried_while_the_store_delivers() {
     let start = Instant::now();
     let after = asked_after(start, Some);
     // A trickling connection is tolerated for half of the limit only.
@@ -52,7 +52,7 @@
 
 /// Waiting for a dead connection to time out would exhaust the time limit.
 #[test]
-fn a_silent_store_is_not_waited_for() {
+fn a_peer_is_queried_when_the_store_is_unresponsive() {
     let start = Instant::now();
     let after = asked_after(start, |_| None);
     assert!(after.is_some_and(|after| after < WITHIN / 4), "{after:?}");
@@ -63,7 +63,7 @@
 
 /// A peer is the only source while the store refuses this router.
 #[test]
-fn a_router_that_is_turned_away_asks_at_once() {
+fn a_peer_is_queried_at_once_after_a_failed_read() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
     assert!(Lag::default().peer_to_query(now, &look(&ahead, None, true)).is_some());
 }
@@ -71,7 +71,7 @@
 /// A router without a configuration rejects all requests, so it doesn't wait for an unresponsive
 /// store.
 #[test]
-fn a_router_that_starts_asks_at_once() {
+fn a_starting_router_queries_a_peer_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
     let start = |heard| ReadProgress { is_starting: true, ..look(&ahead, heard, false) };
     assert!(Lag::default().peer_to_query(now, &start(None)).is_some());
@@ -80,7 +80,7 @@
 
 /// Else the next change would be fetched from a peer while the store is delivering it.
 #[test]
-fn one_that_has_caught_up_counts_anew() {
+fn the_lag_restarts_after_catching_up() {
     let start = Instant::now();
     let (mut lag, ahead) = (Lag::default(), [(9, peer(1))]);
     assert!(lag.peer_to_query(start, &look(&ahead, None, false)).is_none());
@@ -90,7 +90,7 @@
 
 /// A single peer queried by all routers would saturate its link, or may be dead.
 #[test]
-fn routers_ask_different_peers() {
+fn routers_query_different_peers() {
     let (now, ahead) =
         (Instant::now(), (1..=8).map(|number| (9, peer(number))).collect::<Vec<_>>());
     let mut asked: BTreeMap<SocketAddr, u32> = BTreeMap::new();
@@ -112,7 +112,7 @@
 
 /// A peer with fewer records would require a second transfer.
 #[test]
-fn the_one_that_has_read_most_is_asked() {
+fn the_peer_with_the_highest_offset_is_queried() {
     let ahead = [(7, peer(1)), (9, peer(2)), (8, peer(3))];
     let asked = Lag::default().peer_to_query(Instant::now(), &look(&ahead, None, true));
     assert_eq!(asked, Some((9, peer(2))));
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -26,7 +26,7 @@
 
 /// Requests must not be rejected while the first read is still in progress.
 #[tokio::test]
-async fn a_request_that_comes_during_the_first_read_is_served() {
+async fn a_request_during_the_first_read_is_served() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
@@ -49,7 +49,7 @@
 
 /// Callers give up after a 404, but retry after a 503.
 #[tokio::test]
-async fn without_a_configuration_nothing_is_denied() {
+async fn a_router_without_a_configuration_answers_503() {
     let store = MemoryStore::default();
     store.set_down(true);
     let router = Running::start(&store);
@@ -62,7 +62,7 @@
 
 /// An older configuration that arrives late would restore removed routes.
 #[tokio::test]
-async fn a_configuration_never_goes_back() {
+async fn an_older_configuration_is_ignored() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.target(target.entry("target-1", "desk"));
@@ -78,7 +78,7 @@
 
 /// An undecodable target entry must not affect the others.
 #[tokio::test]
-async fn an_entry_that_cannot_be_read_hides_no_other() {
+async fn an_undecodable_entry_does_not_affect_others() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
@@ -94,7 +94,7 @@
 
 /// A router without access to the store fetches the configuration from its peer.
 #[tokio::test]
-async fn a_router_without_the_store_takes_what_its_peer_has_read() {
+async fn a_router_without_the_store_fetches_from_its_peer() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
@@ -113,7 +113,7 @@
 #[case::two_seconds(2)]
 #[case::three_seconds(3)]
 #[case::seven_seconds(7)]
-fn a_silent_read_is_followed_by_another_within_the_bound(#[case] seconds: u64) {
+fn an_unresponsive_read_is_repeated_within_the_limit(#[case] seconds: u64) {
     let within = Duration::from_secs(seconds);
     let silent = StoreError::Silent(follow::RESPONSE_TIMEOUT.as_millis() as u64);
     let next =
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -71,7 +71,7 @@
 
 /// Guards against a new transfer at each poll while earlier ones are in progress.
 #[tokio::test]
-async fn a_large_configuration_is_taken_from_a_peer_over_a_slow_link() {
+async fn a_large_configuration_is_transferred_once_over_a_slow_link() {
     let pair = Pair::start(Duration::from_secs(2), |store, _| store.turned_away()).await;
     let before = pair.far.connections();
     pair.add_route().await;
@@ -82,7 +82,7 @@
 /// Guards against a transfer from a peer while the store is delivering the document. The time limit
 /// is long, so that the store does not seem stalled on a slow machine.
 #[tokio::test]
-async fn what_is_on_its_way_from_the_store_is_not_asked_of_a_peer_too() {
+async fn no_transfer_competes_with_a_read_in_progress() {
     let pair = Pair::start(Duration::from_secs(20), MemoryStore::over).await;
     let before = pair.link.carried();
     pair.add_route().await;
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -54,7 +54,7 @@
 
 /// Without a takeover, requested models would not be loaded once the planner has stopped.
 #[tokio::test]
-async fn the_next_router_plans_when_the_planner_stops() {
+async fn another_router_takes_over_when_the_planner_stops() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     let mut config = common::config(1, vec![common::route("/ask/", "models")]);
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/prefill_permits.rs
@@ -87,7 +87,7 @@
 
 /// Waiting for an unresponsive agent would block every request for its engine's models.
 #[tokio::test]
-async fn a_request_is_not_held_for_an_agent_that_is_silent() {
+async fn an_unresponsive_agent_does_not_delay_a_request() {
     let stage = stage().await;
     let asked = Instant::now();
     let _caller = stage.ask().await;
@@ -97,7 +97,7 @@
 
 /// A request sent before its permit would pause other streams of the engine.
 #[tokio::test]
-async fn a_request_waits_for_its_turn() {
+async fn a_request_waits_for_its_permit() {
     let stage = stage().await;
     let _caller = stage.ask().await;
     let (router, asked) = stage.question().await;
@@ -110,7 +110,7 @@
 
 /// A resent request keeps its id, so that the agent does not count the prompt twice.
 #[tokio::test]
-async fn a_turn_that_was_lost_is_asked_for_again() {
+async fn a_lost_permit_is_requested_again() {
     let stage = stage().await;
     let _caller = stage.ask().await;
     let (router, first) = stage.question().await;
@@ -123,7 +123,7 @@
 
 /// Holding the request would cost its caller the time for a retry.
 #[tokio::test]
-async fn a_caller_whose_turn_comes_too_late_is_told_at_once() {
+async fn a_caller_whose_permit_would_be_late_is_rejected_at_once() {
     let stage = stage().await;
     let began = Instant::now();
     let mut caller = stage.ask().await;
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -38,7 +38,7 @@
 }
 
 #[rstest]
-#[case::a_small_zone_reads_one_and_all(7, 0, None)]
+#[case::all_routers_of_a_small_zone_read(7, 0, None)]
 #[case::the_weakest_follows(12, 0, Some([11, 12]))]
 #[case::the_third_follows(12, 10, Some([11, 12]))]
 #[case::the_second_reads(12, 11, None)]
@@ -175,7 +175,7 @@
 
 /// Store calls must not grow with the number of routers, nor changes arrive late.
 #[tokio::test]
-async fn a_change_comes_to_a_router_that_others_read_for() {
+async fn a_follower_receives_a_change_with_few_store_calls() {
     let zone = Zone::start().await;
     let before = (zone.followers_store.calls(), zone.readers_store.calls());
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
@@ -189,7 +189,7 @@
 
 /// Followers must notice on their own that the reader has lost the store.
 #[tokio::test]
-async fn a_change_comes_although_the_reader_has_lost_the_store() {
+async fn a_follower_receives_a_change_although_its_reader_has_lost_the_store() {
     let zone = Zone::start().await;
     zone.readers_store.turn_away(true);
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
@@ -199,7 +199,7 @@
 
 /// Followers must notice a reader that ends without notice.
 #[tokio::test]
-async fn a_target_that_leaves_is_known_although_the_reader_has_ended() {
+async fn a_follower_learns_of_a_removed_target_although_its_reader_has_stopped() {
     let mut zone = Zone::start().await;
     zone.reader.stop();
     let other = Target::start().await;
@@ -220,7 +220,7 @@
 
 /// Renewals without changes would fill the links of small hosts.
 #[test]
-fn renewals_are_not_handed_over_again() {
+fn mere_renewals_are_not_transferred() {
     let record =
         |key: &str, offset| Record { key: key.into(), value: Some("entry".into()), offset };
     let (subject, mut copies) = (Subject::Targets, ReplicatedRecords::default());
@@ -241,7 +241,7 @@
 
 /// Hundreds of polling routers would overload a recovering store.
 #[tokio::test]
-async fn a_router_that_others_read_for_asks_a_store_that_is_away_seldom() {
+async fn a_follower_rarely_calls_an_unreachable_store() {
     let zone = Zone::start().await;
     zone.store.set_down(true);
     zone.said.send(StoreUse::Lost).unwrap();
