--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -8,36 +8,40 @@
 };
 
 const WITHIN: Duration = Duration::from_secs(2);
-const LOOKS: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 fn peer(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_380))
 }
 
-fn look<'a>(
+fn progress<'a>(
     ahead: &'a [(u64, SocketAddr)],
-    heard: Option<Instant>,
-    lost: bool,
+    last_received_at: Option<Instant>,
+    last_read_failed: bool,
 ) -> ReadProgress<'a> {
     ReadProgress {
         router: "router-a",
         ahead,
-        last_received_at: heard,
-        last_read_failed: lost,
+        last_received_at,
+        last_read_failed,
         is_starting: false,
         is_follower: false,
         config_within: WITHIN,
     }
 }
 
-/// Time after `start` at which a peer is queried; `heard` returns when the store last delivered
+/// Time after `start` at which a peer is queried; `last_received_at` returns when the store last delivered
 /// data.
-fn asked_after(start: Instant, heard: impl Fn(Instant) -> Option<Instant>) -> Option<Duration> {
+fn queried_after(
+    start: Instant,
+    last_received_at: impl Fn(Instant) -> Option<Instant>,
+) -> Option<Duration> {
     let (mut lag, ahead) = (Lag::default(), [(9, peer(1))]);
-    let looks = (0..40).map(|look| start + LOOKS * look);
-    let mut asked =
-        looks.filter(|now| lag.peer_to_query(*now, &look(&ahead, heard(*now), false)).is_some());
-    asked.next().map(|now| now - start)
+    let polls = (0..40).map(|poll| start + POLL_INTERVAL * poll);
+    let mut queries = polls.filter(|now| {
+        lag.peer_to_query(*now, &progress(&ahead, last_received_at(*now), false)).is_some()
+    });
+    queries.next().map(|now| now - start)
 }
 
 /// A transfer of a configuration that the store is delivering would cross the link twice and delay
@@ -45,7 +49,7 @@
 #[test]
 fn no_peer_is_queried_while_the_store_delivers() {
     let start = Instant::now();
-    let after = asked_after(start, Some);
+    let after = queried_after(start, Some);
     // A trickling connection is tolerated for half of the limit only.
     assert_eq!(after, Some(WITHIN / 2));
 }
@@ -54,10 +58,10 @@
 #[test]
 fn a_peer_is_queried_when_the_store_is_unresponsive() {
     let start = Instant::now();
-    let after = asked_after(start, |_| None);
+    let after = queried_after(start, |_| None);
     assert!(after.is_some_and(|after| after < WITHIN / 4), "{after:?}");
     // Earlier data does not count.
-    let after = asked_after(start, |_| start.checked_sub(WITHIN));
+    let after = queried_after(start, |_| start.checked_sub(WITHIN));
     assert!(after.is_some_and(|after| after < WITHIN / 4), "{after:?}");
 }
 
@@ -65,7 +69,7 @@
 #[test]
 fn a_peer_is_queried_at_once_after_a_failed_read() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
-    assert!(Lag::default().peer_to_query(now, &look(&ahead, None, true)).is_some());
+    assert!(Lag::default().peer_to_query(now, &progress(&ahead, None, true)).is_some());
 }
 
 /// A router without a configuration rejects all requests, so it doesn't wait for an unresponsive
@@ -73,7 +77,10 @@
 #[test]
 fn a_starting_router_queries_a_peer_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
-    let start = |heard| ReadProgress { is_starting: true, ..look(&ahead, heard, false) };
+    let start = |last_received_at| ReadProgress {
+        is_starting: true,
+        ..progress(&ahead, last_received_at, false)
+    };
     assert!(Lag::default().peer_to_query(now, &start(None)).is_some());
     assert!(Lag::default().peer_to_query(now, &start(Some(now))).is_none());
 }
@@ -83,9 +90,9 @@
 fn the_lag_restarts_after_catching_up() {
     let start = Instant::now();
     let (mut lag, ahead) = (Lag::default(), [(9, peer(1))]);
-    assert!(lag.peer_to_query(start, &look(&ahead, None, false)).is_none());
-    assert!(lag.peer_to_query(start + WITHIN / 2, &look(&[], None, false)).is_none());
-    assert!(lag.peer_to_query(start + WITHIN, &look(&ahead, None, false)).is_none());
+    assert!(lag.peer_to_query(start, &progress(&ahead, None, false)).is_none());
+    assert!(lag.peer_to_query(start + WITHIN / 2, &progress(&[], None, false)).is_none());
+    assert!(lag.peer_to_query(start + WITHIN, &progress(&ahead, None, false)).is_none());
 }
 
 /// A single peer queried by all routers would saturate its link, or may be dead.
@@ -96,15 +103,15 @@
     let mut asked: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for number in 0..80 {
         let router = format!("router-{number}");
-        let look = ReadProgress { router: &router, ..look(&ahead, None, true) };
-        let (_, addr) = Lag::default().peer_to_query(now, &look).unwrap();
+        let progress = ReadProgress { router: &router, ..progress(&ahead, None, true) };
+        let (_, addr) = Lag::default().peer_to_query(now, &progress).unwrap();
         *asked.entry(addr).or_default() += 1;
     }
     assert!(asked.len() == 8 && asked.values().all(|&count| count <= 20), "{asked:?}");
 
     let mut lag = Lag::default();
     let mut tried: Vec<_> =
-        (0..8).filter_map(|_| lag.peer_to_query(now, &look(&ahead, None, true))).collect();
+        (0..8).filter_map(|_| lag.peer_to_query(now, &progress(&ahead, None, true))).collect();
     tried.sort_unstable();
     tried.dedup();
     assert!(tried.len() >= 3, "{tried:?}");
@@ -114,6 +121,6 @@
 #[test]
 fn the_peer_with_the_highest_offset_is_queried() {
     let ahead = [(7, peer(1)), (9, peer(2)), (8, peer(3))];
-    let asked = Lag::default().peer_to_query(Instant::now(), &look(&ahead, None, true));
+    let asked = Lag::default().peer_to_query(Instant::now(), &progress(&ahead, None, true));
     assert_eq!(asked, Some((9, peer(2))));
 }
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -15,9 +15,9 @@
 }
 
 /// Waits until a path is answered with this status.
-async fn wait_for(router: &Running, path: &str, wanted: &str) {
+async fn wait_for(router: &Running, path: &str, expected: &str) {
     let ask = async {
-        while status(router, path).await != wanted {
+        while status(router, path).await != expected {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
@@ -101,8 +101,8 @@
     store.target(target.entry("target-1", "desk"));
     let reader = Running::start(&store);
     reader.wait_ready().await;
-    let (away, seeds) = (store.turned_away(), vec![reader.peers]);
-    let router = Running::start_with(&away, "router-b", seeds, Duration::from_secs(8));
+    let (unavailable, seeds) = (store.turned_away(), vec![reader.peers]);
+    let router = Running::start_with(&unavailable, "router-b", seeds, Duration::from_secs(8));
     router.wait_ready().await;
     wait_for(&router, "/other/", "404").await;
 }
@@ -115,8 +115,8 @@
 #[case::seven_seconds(7)]
 fn an_unresponsive_read_is_repeated_within_the_limit(#[case] seconds: u64) {
     let within = Duration::from_secs(seconds);
-    let silent = StoreError::Silent(follow::RESPONSE_TIMEOUT.as_millis() as u64);
+    let timed_out = StoreError::Silent(follow::RESPONSE_TIMEOUT.as_millis() as u64);
     let next =
-        follow::long_poll_wait(within) + follow::RESPONSE_TIMEOUT + follow::retry_delay(&silent);
+        follow::long_poll_wait(within) + follow::RESPONSE_TIMEOUT + follow::retry_delay(&timed_out);
     assert!(next < within, "the next read begins after {next:?}");
 }
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 use tokio::{net::UdpSocket, time::Instant};
 
-const WITHIN: Duration = Duration::from_secs(2);
+const CONFIG_WITHIN: Duration = Duration::from_secs(2);
 /// Takeover starts after 1.1 s without a message; the rest allows for a busy machine.
-const TAKEN_OVER_WITHIN: Duration = Duration::from_secs(6);
+const TAKEOVER_LIMIT: Duration = Duration::from_secs(6);
 
 fn service() -> Service {
     let model = Model {
@@ -29,8 +29,8 @@
 async fn plan(agent: &UdpSocket) -> EnginePlan {
     let mut buf = vec![0; 65_536];
     loop {
-        let heard = tokio::time::timeout(common::PATIENCE, agent.recv_from(&mut buf));
-        let (len, _) = heard.await.expect("somebody plans").unwrap();
+        let received = tokio::time::timeout(common::PATIENCE, agent.recv_from(&mut buf));
+        let (len, _) = received.await.expect("a plan is received").unwrap();
         if let PeerMessage::EnginePlan(plan) = postcard::from_bytes(&buf[..len]).unwrap() {
             return plan;
         }
@@ -39,8 +39,8 @@
 
 /// Waits until only this router has sent plans for a second.
 async fn wait_for_planner(agent: &UdpSocket, name: &str) -> EnginePlan {
-    let began = Instant::now();
-    let mut alone_since = began;
+    let started_at = Instant::now();
+    let mut alone_since = started_at;
     loop {
         let plan = plan(agent).await;
         if plan.planner.as_str() != name {
@@ -48,7 +48,7 @@
         } else if alone_since.elapsed() > Duration::from_secs(1) {
             return plan;
         }
-        assert!(began.elapsed() < TAKEN_OVER_WITHIN, "{} still plans", plan.planner);
+        assert!(started_at.elapsed() < TAKEOVER_LIMIT, "{} still plans", plan.planner);
     }
 }
 
@@ -63,10 +63,10 @@
     store.target(target.entry("engine", "models"));
     let agent = UdpSocket::bind(common::free_port()).await.unwrap();
     let agent_port = agent.local_addr().unwrap().port();
-    let mut settings = Running::settings("router-a", Vec::new(), WITHIN);
+    let mut settings = Running::settings("router-a", Vec::new(), CONFIG_WITHIN);
     settings.agent_port = agent_port;
     let mut first = Running::start_on(&store, settings);
-    let mut settings = Running::settings("router-b", vec![first.peers], WITHIN);
+    let mut settings = Running::settings("router-b", vec![first.peers], CONFIG_WITHIN);
     settings.agent_port = agent_port;
     let _second = Running::start_on(&store, settings);
     let before = wait_for_planner(&agent, "router-a").await;
--- a/crates/corianderstand_forward/tests/prefill_permits.rs
+++ b/crates/corianderstand_forward/tests/prefill_permits.rs
@@ -18,14 +18,14 @@
 /// Much less than a caller's timeout, much more than a permit request takes.
 const SOON: Duration = Duration::from_millis(500);
 
-struct Stage {
+struct Setup {
     router: Running,
     engine: Target,
     agent: UdpSocket,
 }
 
 /// A router, an engine that holds the model `m`, and the socket of its responsive agent.
-async fn stage() -> Stage {
+async fn setup() -> Setup {
     let store = MemoryStore::default();
     let engine = Target::start().await;
     let streams = Route { streams: true, resumable: true, ..common::route("/ask/", "models") };
@@ -43,7 +43,7 @@
     settings.agent_port = agent.local_addr().unwrap().port();
     let router = Running::start_on(&store, settings);
     router.wait_ready().await;
-    let news = peers::EngineNews {
+    let update = peers::EngineNews {
         target: "engine".into(),
         born: 0,
         orders: 1,
@@ -54,31 +54,31 @@
         waiting: 0,
         cache_used: 0,
     };
-    let news = postcard::to_stdvec(&PeerMessage::EngineNews(news)).unwrap();
-    agent.send_to(&news, router.peers).await.unwrap();
+    let update = postcard::to_stdvec(&PeerMessage::EngineNews(update)).unwrap();
+    agent.send_to(&update, router.peers).await.unwrap();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    Stage { router, engine, agent }
+    Setup { router, engine, agent }
 }
 
-impl Stage {
-    async fn ask(&self) -> tokio::net::TcpStream {
+impl Setup {
+    async fn send_request(&self) -> tokio::net::TcpStream {
         let headers = [("x-id", ID), ("x-model", "m"), ("x-prompt", "1000")];
         common::send(self.router.front, "POST", "/ask/1", &headers, "").await.unwrap()
     }
 
     /// Receives the router's next permit request.
-    async fn question(&self) -> (SocketAddr, PrefillAsked) {
+    async fn next_request(&self) -> (SocketAddr, PrefillAsked) {
         let mut buf = vec![0; 65_536];
         loop {
-            let heard = tokio::time::timeout(common::PATIENCE, self.agent.recv_from(&mut buf));
-            let (len, from) = heard.await.expect("the router asks").unwrap();
-            if let PeerMessage::PrefillAsked(asked) = postcard::from_bytes(&buf[..len]).unwrap() {
-                return (from, asked);
+            let received = tokio::time::timeout(common::PATIENCE, self.agent.recv_from(&mut buf));
+            let (len, from) = received.await.expect("the router requests a permit").unwrap();
+            if let PeerMessage::PrefillAsked(request) = postcard::from_bytes(&buf[..len]).unwrap() {
+                return (from, request);
             }
         }
     }
 
-    async fn answer(&self, to: SocketAddr, id: u64, given: bool, wait_ms: u32) {
+    async fn send_answer(&self, to: SocketAddr, id: u64, given: bool, wait_ms: u32) {
         let answer = PrefillAnswer { id, given, wait_ms, reading_us: 0 };
         let answer = postcard::to_stdvec(&PeerMessage::PrefillAnswer(answer)).unwrap();
         self.agent.send_to(&answer, to).await.unwrap();
@@ -88,47 +88,47 @@
 /// Waiting for an unresponsive agent would block every request for its engine's models.
 #[tokio::test]
 async fn an_unresponsive_agent_does_not_delay_a_request() {
-    let stage = stage().await;
-    let asked = Instant::now();
-    let _caller = stage.ask().await;
-    stage.engine.next().await.answer_whole(ID, "x").await;
-    assert!(asked.elapsed() < SOON, "{:?}", asked.elapsed());
+    let setup = setup().await;
+    let started_at = Instant::now();
+    let _caller = setup.send_request().await;
+    setup.engine.next().await.answer_whole(ID, "x").await;
+    assert!(started_at.elapsed() < SOON, "{:?}", started_at.elapsed());
 }
 
 /// A request sent before its permit would pause other streams of the engine.
 #[tokio::test]
 async fn a_request_waits_for_its_permit() {
-    let stage = stage().await;
-    let _caller = stage.ask().await;
-    let (router, asked) = stage.question().await;
-    stage.answer(router, asked.id, false, 20).await;
-    let early = tokio::time::timeout(Duration::from_millis(60), stage.engine.next()).await;
-    assert!(early.is_err(), "sent before its turn");
-    stage.answer(router, asked.id, true, 0).await;
-    stage.engine.next().await.answer_whole(ID, "x").await;
+    let setup = setup().await;
+    let _caller = setup.send_request().await;
+    let (router, request) = setup.next_request().await;
+    setup.send_answer(router, request.id, false, 20).await;
+    let early = tokio::time::timeout(Duration::from_millis(60), setup.engine.next()).await;
+    assert!(early.is_err(), "sent before its permit");
+    setup.send_answer(router, request.id, true, 0).await;
+    setup.engine.next().await.answer_whole(ID, "x").await;
 }
 
 /// A resent request keeps its id, so that the agent does not count the prompt twice.
 #[tokio::test]
 async fn a_lost_permit_is_requested_again() {
-    let stage = stage().await;
-    let _caller = stage.ask().await;
-    let (router, first) = stage.question().await;
-    stage.answer(router, first.id, false, 20).await;
-    let (router, again) = stage.question().await;
+    let setup = setup().await;
+    let _caller = setup.send_request().await;
+    let (router, first) = setup.next_request().await;
+    setup.send_answer(router, first.id, false, 20).await;
+    let (router, again) = setup.next_request().await;
     assert_eq!(again.id, first.id);
-    stage.answer(router, again.id, true, 0).await;
-    stage.engine.next().await.answer_whole(ID, "x").await;
+    setup.send_answer(router, again.id, true, 0).await;
+    setup.engine.next().await.answer_whole(ID, "x").await;
 }
 
 /// Holding the request would cost its caller the time for a retry.
 #[tokio::test]
 async fn a_caller_whose_permit_would_be_late_is_rejected_at_once() {
-    let stage = stage().await;
+    let setup = setup().await;
     let began = Instant::now();
-    let mut caller = stage.ask().await;
-    let (router, asked) = stage.question().await;
-    stage.answer(router, asked.id, false, 60_000).await;
+    let mut caller = setup.send_request().await;
+    let (router, request) = setup.next_request().await;
+    setup.send_answer(router, request.id, false, 60_000).await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.to_lowercase().contains("retry-after: "), "{answer}");
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -16,13 +16,13 @@
 use tokio::{net::UdpSocket, sync::watch};
 
 /// Simulated routers in the zone, in addition to the running ones.
-const SAID: usize = 8;
+const SIMULATED_ROUTERS: usize = 8;
 /// Interval between updates of the simulated routers.
-const SAY_PAUSE: Duration = Duration::from_millis(200);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long calls are counted.
-const COUNTED: Duration = Duration::from_secs(2);
+const COUNTING_TIME: Duration = Duration::from_secs(2);
 /// Maximum calls of a follower in that time: one whenever both readers are busy.
-const FEW: usize = 3;
+const MAX_FOLLOWER_CALLS: usize = 3;
 
 fn neighbour(index: u16, store: StoreUse) -> Neighbour {
     let rank = peers::Rank::new(u32::from(index), &format!("router-{index}"));
@@ -46,7 +46,7 @@
 fn the_strongest_two_of_a_zone_read(
     #[case] others: u16,
     #[case] strength: u32,
-    #[case] wanted: Option<[u16; 2]>,
+    #[case] expected: Option<[u16; 2]>,
 ) {
     let follows = match role(&own(strength), "own", &zone(others)) {
         Role::Follows(readers) => {
@@ -56,7 +56,7 @@
         }
         _ => None,
     };
-    assert_eq!(follows, wanted.map(|ports| ports.to_vec()));
+    assert_eq!(follows, expected.map(|ports| ports.to_vec()));
 }
 
 /// Followers of a reader without the store would get ever older records.
@@ -70,11 +70,19 @@
     ports.sort_unstable();
     assert_eq!(ports, [9, 10]);
     let all_lost: Vec<_> = (1..=12).map(|index| neighbour(index, StoreUse::Lost)).collect();
-    assert_eq!(role(&own(0), "own", &all_lost), Role::ReadsAsFallback, "it tries now and then");
-    assert_eq!(role(&own(11), "own", &all_lost), Role::ReadsForOthers, "it goes on trying");
+    assert_eq!(
+        role(&own(0), "own", &all_lost),
+        Role::ReadsAsFallback,
+        "it tries the store at a low rate"
+    );
+    assert_eq!(
+        role(&own(11), "own", &all_lost),
+        Role::ReadsForOthers,
+        "it keeps reading the store"
+    );
 }
 
-fn said(name: String, strength: u32, store: StoreUse) -> PeerMessage {
+fn router_update(name: String, strength: u32, store: StoreUse) -> PeerMessage {
     PeerMessage::RouterNews(RouterNews {
         router: name.as_str().into(),
         incarnation: 1,
@@ -91,16 +99,16 @@
 
 /// Sends updates of simulated routers. The strongest of them acts as the second reader and refuses
 /// all transfers.
-async fn say_neighbours(router: SocketAddr, store: watch::Receiver<StoreUse>) {
+async fn simulate_neighbours(router: SocketAddr, store: watch::Receiver<StoreUse>) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     loop {
-        for index in 0..SAID {
+        for index in 0..SIMULATED_ROUTERS {
             let strength = if index == 0 { u32::MAX } else { 1 };
-            let message = said(format!("said-{index}"), strength, *store.borrow());
+            let message = router_update(format!("said-{index}"), strength, *store.borrow());
             let message = postcard::to_stdvec(&message).unwrap();
             socket.send_to(&message, router).await.unwrap();
         }
-        tokio::time::sleep(SAY_PAUSE).await;
+        tokio::time::sleep(UPDATE_INTERVAL).await;
     }
 }
 
@@ -120,7 +128,7 @@
     follower: Running,
     followers_store: MemoryStore,
     /// How the simulated routers report to use the store.
-    said: watch::Sender<StoreUse>,
+    simulated_store_use: watch::Sender<StoreUse>,
     /// Keeps the target's port reserved.
     _target: Target,
 }
@@ -135,32 +143,39 @@
         let reader = Running::start_on(&readers_store, settings("reader", 2_000, Vec::new()));
         let weak = settings("follower", 1_000, vec![reader.peers]);
         let follower = Running::start_on(&followers_store, weak);
-        let (said, says) = watch::channel(StoreUse::Reads);
-        tokio::spawn(say_neighbours(follower.peers, says));
+        let (simulated_store_use, receiver) = watch::channel(StoreUse::Reads);
+        tokio::spawn(simulate_neighbours(follower.peers, receiver));
         reader.wait_ready().await;
         follower.wait_ready().await;
-        let zone =
-            Self { store, reader, readers_store, follower, followers_store, said, _target: target };
-        zone.wait_follows().await;
+        let zone = Self {
+            store,
+            reader,
+            readers_store,
+            follower,
+            followers_store,
+            simulated_store_use,
+            _target: target,
+        };
+        zone.wait_until_following().await;
         zone
     }
 
     /// Waits until the follower makes few calls to the store.
-    async fn wait_follows(&self) {
+    async fn wait_until_following(&self) {
         let wait = async {
             loop {
                 let before = self.followers_store.calls();
-                tokio::time::sleep(COUNTED).await;
-                if self.followers_store.calls() - before <= FEW {
+                tokio::time::sleep(COUNTING_TIME).await;
+                if self.followers_store.calls() - before <= MAX_FOLLOWER_CALLS {
                     return;
                 }
             }
         };
-        tokio::time::timeout(common::PATIENCE, wait).await.expect("it lets others read");
+        tokio::time::timeout(common::PATIENCE, wait).await.expect("the router follows");
     }
 
     /// Time until the follower no longer answers 404 on a path.
-    async fn known_after(&self, path: &str) -> Duration {
+    async fn time_until_known(&self, path: &str) -> Duration {
         let began = tokio::time::Instant::now();
         let ask = async {
             let headers = [("x-id", "r"), ("x-deadline-ms", "200")];
@@ -179,12 +194,12 @@
     let zone = Zone::start().await;
     let before = (zone.followers_store.calls(), zone.readers_store.calls());
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
-    let took = zone.known_after("/two/").await;
+    let took = zone.time_until_known("/two/").await;
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
-    tokio::time::sleep(COUNTED).await;
+    tokio::time::sleep(COUNTING_TIME).await;
     let calls = zone.followers_store.calls() - before.0;
-    assert!(calls <= 2 * FEW, "{calls} calls of the follower");
-    assert!(zone.readers_store.calls() - before.1 > FEW, "the reader reads");
+    assert!(calls <= 2 * MAX_FOLLOWER_CALLS, "{calls} calls of the follower");
+    assert!(zone.readers_store.calls() - before.1 > MAX_FOLLOWER_CALLS, "the reader reads");
 }
 
 /// Followers must notice on their own that the reader has lost the store.
@@ -193,7 +208,7 @@
     let zone = Zone::start().await;
     zone.readers_store.turn_away(true);
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
-    let took = zone.known_after("/two/").await;
+    let took = zone.time_until_known("/two/").await;
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
 }
 
@@ -223,20 +238,24 @@
 fn mere_renewals_are_not_transferred() {
     let record =
         |key: &str, offset| Record { key: key.into(), value: Some("entry".into()), offset };
-    let (subject, mut copies) = (Subject::Targets, ReplicatedRecords::default());
-    copies.insert(subject, record("same", 1), 7);
-    copies.insert(subject, record("other", 2), 8);
-    copies.insert(subject, record("same", 3), 7);
-    copies.insert(subject, record("other", 4), 9);
+    let (subject, mut records) = (Subject::Targets, ReplicatedRecords::default());
+    records.insert(subject, record("same", 1), 7);
+    records.insert(subject, record("other", 2), 8);
+    records.insert(subject, record("same", 3), 7);
+    records.insert(subject, record("other", 4), 9);
     let gone = Record { value: None, ..record("gone", 5) };
-    copies.insert(subject, gone.clone(), 0);
-    copies.advance(subject, 6);
-    let page = copies.changes(subject, 3);
+    records.insert(subject, gone.clone(), 0);
+    records.advance(subject, 6);
+    let page = records.changes(subject, 3);
     let mut keys: Vec<_> = page.records.iter().map(|record| record.key.as_str()).collect();
     keys.sort_unstable();
-    assert_eq!(keys, ["gone", "other"], "what was removed is news as well");
+    assert_eq!(keys, ["gone", "other"], "removals are changes");
     assert!(!page.whole && page.next == 6);
-    assert_eq!(copies.full_page(subject).records.len(), 3, "a router that starts takes all");
+    assert_eq!(
+        records.full_page(subject).records.len(),
+        3,
+        "a starting router fetches all records"
+    );
 }
 
 /// Hundreds of polling routers would overload a recovering store.
@@ -244,16 +263,16 @@
 async fn a_follower_rarely_calls_an_unreachable_store() {
     let zone = Zone::start().await;
     zone.store.set_down(true);
-    zone.said.send(StoreUse::Lost).unwrap();
-    tokio::time::sleep(COUNTED).await;
+    zone.simulated_store_use.send(StoreUse::Lost).unwrap();
+    tokio::time::sleep(COUNTING_TIME).await;
     let before = (zone.followers_store.calls(), zone.readers_store.calls());
-    tokio::time::sleep(2 * COUNTED).await;
+    tokio::time::sleep(2 * COUNTING_TIME).await;
     let calls = zone.followers_store.calls() - before.0;
     let readers_calls = zone.readers_store.calls() - before.1;
     assert!(calls * 3 < readers_calls, "{calls} calls beside the reader's {readers_calls}");
     zone.store.set_down(false);
-    zone.said.send(StoreUse::Reads).unwrap();
+    zone.simulated_store_use.send(StoreUse::Reads).unwrap();
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
-    let took = zone.known_after("/two/").await;
+    let took = zone.time_until_known("/two/").await;
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
 }
