--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -14,9 +14,9 @@
 use tokio::task::JoinHandle;
 use xxhash_rust::xxh3;
 
-/// Share of `config_within` without data from the store after which a peer is queried.
+/// A peer is queried after this fraction of `config_within` without data from the store.
 const STALLED_DIVISOR: u32 = 8;
-/// Share of `config_within` after which a peer is queried even if the store still delivers data.
+/// A peer is queried after this fraction of `config_within` even if the store still delivers data.
 const SLOW_DIVISOR: u32 = 2;
 
 /// Progress of a router's reads and of its peers.
--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// Time after `start` at which a peer is queried; `last_received_at` returns when the store last delivered
-/// data.
+/// Time after `start` at which a peer is queried; `last_received_at` returns when the store last
+/// delivered data.
 fn queried_after(
     start: Instant,
     last_received_at: impl Fn(Instant) -> Option<Instant>,
