--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -202,9 +202,7 @@
     match decoded {
         Ok(Some(update)) => apply_update(shared, subject, Origin { source, offset }, update),
         Ok(None) => {}
-        Err(error) => {
-            tracing::warn!(?subject, %error, offset, %source, "record ignored: it cannot be decoded")
-        }
+        Err(error) => tracing::warn!(?subject, %error, offset, %source, "record ignored"),
     }
 }
 
@@ -214,9 +212,7 @@
         let entry = targets::Entry { renewals: 0, ..entry.clone() };
         match postcard::to_stdvec(&entry) {
             Ok(bytes) => return xxh3::xxh3_64(&bytes),
-            Err(error) => {
-                tracing::warn!(%error, "entry cannot be serialized for hashing: treated as changed")
-            }
+            Err(error) => tracing::warn!(%error, "entry cannot be hashed, treated as changed"),
         }
     }
     record.value.as_ref().map_or(0, |value| xxh3::xxh3_64(value))
