--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -1,8 +1,7 @@
 //! Fetching records from a peer when the store does not deliver them.
 //!
-//! A transfer from a peer competes with the read of the store for the same link. A peer is
-//! therefore asked only if the store delivers nothing, with one transfer of a subject at a time,
-//! and each router prefers different peers.
+//! As a transfer competes with reads of the store for the same link, there is one of a subject at a
+//! time, and the routers spread over their peers.
 
 use crate::{dialect::Subject, readers, router, transfer};
 use std::{
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -1,7 +1,4 @@
-//! Structured logging of routing decisions and request outcomes.
-//!
-//! Each kind of line has its own rate limit, so that a flood of one kind does not suppress the
-//! others.
+//! Rate-limited logging of routing decisions and request outcomes.
 
 use crate::{job, metrics, replicated_records, stream, view};
 use corianderstand_fleet::{targets, wait_limit};
@@ -32,6 +29,7 @@
     pub pace: stream::Pace,
 }
 
+/// Each kind has its own rate limit, so that a flood of one does not suppress the others.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum LineKind {
     Placed,
@@ -155,10 +153,7 @@
         }
     }
 
-    /// Logs a request that matches no route, with the configuration's version and age.
-    ///
-    /// These lines are rare and have their own limit, so that other rejections cannot suppress
-    /// them.
+    /// Logs a request that matches no route, apart from the other rejections' rate limit.
     pub fn no_route(
         &self,
         id: &SmolStr,
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -21,8 +21,7 @@
 const CONFIG_READ_MARGIN: Duration = Duration::from_millis(1_000);
 /// Response timeout of the store and of peers that transfer records.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Interval between reads of the targets, as a share of `drain_within`. Targets renew their entries
-/// about once a second; the interval batches these renewals.
+/// Share of `drain_within` between reads of the targets, which batches their renewals.
 const TARGETS_INTERVAL_RATIO: f64 = 0.4;
 /// The same for a router that others follow; their own intervals add to it.
 const READER_INTERVAL_RATIO: f64 = 0.2;
@@ -109,7 +108,6 @@
         tokio::time::sleep(MIN_TARGETS_INTERVAL).await;
         shared.targets_outdated.notified().await;
     };
-    // Both outcomes mean that the next read is due.
     drop(tokio::time::timeout(delay, outdated).await);
 }
 
@@ -127,8 +125,7 @@
     within.saturating_sub(CONFIG_READ_MARGIN).max(MIN_LONG_POLL_WAIT)
 }
 
-/// Delay before the next read after a failed one. After a response timeout the next read starts at
-/// once: a dead connection may have hidden a change that must be in force soon.
+/// No delay follows a response timeout: the dead connection may have hidden a change.
 pub const fn retry_delay(error: &dialect::StoreError) -> Duration {
     match error {
         dialect::StoreError::Silent(_) => Duration::ZERO,
@@ -182,8 +179,7 @@
         // No targets exist: wakes the requests that wait for the first read.
         shared.view.borrow().wake_all();
     }
-    // Announces the new offset at once, so that routers without access to the store can fetch the
-    // change.
+    // Lets routers without access to the store fetch the change at once.
     if advanced && subject == Subject::Config {
         control::say_hello(shared);
     }
@@ -218,7 +214,6 @@
     record.value.as_ref().map_or(0, |value| xxh3::xxh3_64(value))
 }
 
-/// Source and offset of an update.
 #[derive(Clone, Copy)]
 struct Origin {
     source: Source,
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -9,8 +9,7 @@
     time::{Duration, Instant},
 };
 
-/// Interval between requests to a reader, as a share of `drain_within`; the reader's own interval
-/// adds to it.
+/// Share of `drain_within` between requests to a reader.
 const FOLLOWER_INTERVAL_RATIO: f64 = 0.1;
 /// How often a follower checks whether it still has readers.
 const ROLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -38,8 +37,7 @@
     true
 }
 
-/// Fetches the targets from the readers. Returns false if their records are too old, which means
-/// that the reader has lost the store.
+/// Fetches the targets from the readers. Returns false if their records are too old.
 async fn fetch_targets<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     readers: &[SocketAddr],
@@ -80,9 +78,8 @@
     }
 }
 
-/// Delays the next read after a failed one. Routers that are not readers wait longer, so that
-/// hundreds of them don't overload a recovering store, but resume at once if readers are available
-/// again.
+/// Delays the next read after a failed one, and longer if other routers should be the readers, so
+/// that hundreds of routers don't overload a recovering store.
 pub(super) async fn delay_retry<P: router::Platform>(shared: &router::Shared<P>, delay: Duration) {
     tokio::time::sleep(delay).await;
     for _ in 0..FALLBACK_POLLS {
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -10,8 +10,7 @@
     time::{Duration, Instant},
 };
 
-/// Resends unchanged plans, in case a datagram was lost and so that agents know that a planner is
-/// alive.
+/// Unchanged plans are resent: datagrams get lost, and agents expect signs of a live planner.
 const PLAN_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the planner and remembers which plan each engine was last sent.
@@ -28,8 +27,7 @@
         Self { planner: plan::Planner::with_warm_up(now), ..Self::default() }
     }
 
-    /// Plans every service with engines and sends each agent its plan if it is new or due for
-    /// resending.
+    /// Sends each agent its engine's plan if it is new or due for resending.
     pub fn publish<P: router::Platform>(&mut self, shared: &router::Shared<P>, now: Instant) {
         let view = shared.view.borrow();
         let Some(table) = view.table.clone() else { return };
@@ -51,8 +49,7 @@
         let engines = engine_views(shared, now, &service.name, spec);
         let models = model_views(shared, now, spec);
         let planned = self.planner.plan(now, &engines, &models);
-        // Includes agents without a report yet: they learn the routers' addresses from their first
-        // plan.
+        // Agents without a report are included: their first plan tells them the routers' addresses.
         for engine in &engines {
             let Some(planned) = planned.get(&engine.key) else { continue };
             let parts = plan_parts(engine, planned, &models);
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -137,9 +137,7 @@
     }
 }
 
-/// Waits for a permit to send a request to an engine.
-///
-/// With `final_choice`, a long wait does not lead to [`PermitOutcome::ChooseAgain`].
+/// Waits for a permit to send a request; a long wait is accepted only with `final_choice`.
 pub async fn acquire_permit<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -1,9 +1,8 @@
 //! Selects the routers of a zone that read the store on behalf of the others.
 //!
-//! In a large zone only the highest-ranked routers read the store, and the others follow them over
-//! the zone's network. Each router derives its role from what it receives from the others, without
-//! an election, and reads the store itself when in doubt. Transferred records carry the age of the
-//! read, so a follower notices that its reader has lost the store.
+//! Each router derives its role from the others' updates, without an election, and reads the store
+//! itself when in doubt. Records carry the age of their read, so that a follower notices that its
+//! reader has lost the store.
 
 use crate::peers;
 use corianderstand_derives::derives;
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -1,5 +1,4 @@
-//! Local replica of the store's records: the newest record of each key, its source, and the time of
-//! the last read.
+//! Local replica of the store's records, and how current it is.
 
 use crate::{
     client,
@@ -76,9 +75,7 @@
         Some(now.saturating_duration_since(at))
     }
 
-    /// Age of the previous read at the time when records of this source arrived. The store's own
-    /// read is recorded before its records are applied, so for them it is the interval between the
-    /// last two reads.
+    /// Age of the last read of the store that preceded the arrival of records from this source.
     pub fn previous_read_age(
         &self,
         now: Instant,
@@ -118,8 +115,7 @@
         dialect::Page { records, next: entry.next_offset.unwrap_or(0), whole: true }
     }
 
-    /// Records changed since an offset, for a peer that knows the earlier ones. Mere renewals are
-    /// omitted.
+    /// Records changed since an offset, without mere renewals.
     pub fn changes(&self, subject: Subject, from: u64) -> dialect::Page {
         let Some(entry) = self.by_subject.get(&subject) else { return dialect::Page::default() };
         let changed = entry.records.values().filter(|stored| stored.changed_at_offset >= from);
