--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -124,7 +124,7 @@
         unread_tokens: 0,
         last_trouble: "",
     };
-    shared.note_arrival(&job);
+    shared.record_arrival(&job);
     let mut open = Open { shared: shared.clone(), id: job.call.id.clone(), over: false };
     let answer = run(shared, job).await;
     open.over = true;
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -156,7 +156,7 @@
     }
 
     /// A request has come.
-    pub fn note_arrival(&self, job: &job::Job) {
+    pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         if let Some(wanted) = &job.call.wanted {
