--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -285,7 +285,7 @@
     }
 
     /// An event of a stream came after another.
-    pub fn note_pause(&self, key: targets::TargetKey, now: Instant, last: Instant) {
+    pub fn record_event_interval(&self, key: targets::TargetKey, now: Instant, last: Instant) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.event_interval.record(now, now.saturating_duration_since(last));
         }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -177,7 +177,9 @@
                     Ok(data) => {
                         let now = self.shared.clock.now();
                         match self.pace.last {
-                            Some(last) => self.shared.note_pause(source.flight.key(), now, last),
+                            Some(last) => {
+                                self.shared.record_event_interval(source.flight.key(), now, last)
+                            }
                             None => self.shared.note_first(&self.job, now),
                         }
                         self.pace.note(now);
