--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -158,7 +158,7 @@
             continue;
         };
         let now = shared.clock.now();
-        shared.note_reading(key, now, answer.reading);
+        shared.record_prefill_backlog(key, now, answer.reading);
         if answer.given {
             return question.given();
         }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -292,7 +292,7 @@
     }
 
     /// An agent told how long its engine still reads prompts.
-    pub fn note_reading(&self, key: targets::TargetKey, now: Instant, reading: Duration) {
+    pub fn record_prefill_backlog(&self, key: targets::TargetKey, now: Instant, reading: Duration) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.record_prefill_backlog(now, reading);
         }
