--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -180,7 +180,7 @@
                             Some(last) => {
                                 self.shared.record_event_interval(source.flight.key(), now, last)
                             }
-                            None => self.shared.note_first(&self.job, now),
+                            None => self.shared.record_first_event(&self.job, now),
                         }
                         self.pace.note(now);
                         return Step::Data(data);
