--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -132,7 +132,7 @@
         return Attempt::Unknown("the answer was to another request");
     }
     if let Some(load) = info.load {
-        shared.note_load(key, load);
+        shared.record_load(key, load);
     }
     if info.not_run {
         shared.not_run(key, job, head.status, info.target.as_ref());
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -315,7 +315,7 @@
     }
 
     /// A target told its load.
-    pub fn note_load(&self, key: targets::TargetKey, load: targets::Load) {
+    pub fn record_load(&self, key: targets::TargetKey, load: targets::Load) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.record_load(load);
         }
