--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -245,7 +245,7 @@
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
     (job.tried.len() as u32) < job.route.max_targets
         && job.offers < MOST_OFFERS
-        && shared.spend_repeat(&job.service)
+        && shared.spend_retry(&job.service)
 }
 
 /// Passes the answer on; gives the job back if it failed and another target is to be tried.
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -199,7 +199,7 @@
     }
 
     /// Takes one second attempt from the budget.
-    pub fn spend_repeat(&self, service: &names::ServiceId) -> bool {
+    pub fn spend_retry(&self, service: &names::ServiceId) -> bool {
         let now = self.clock.now();
         let routers = 1 + self.peers.borrow().live(now).count();
         let mut view = self.view.borrow_mut();
