--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -177,7 +177,7 @@
     shared: &router::Shared<P>,
     parts: &http::request::Parts,
 ) -> Result<(Arc<config::Route>, usize), Unrouted> {
-    if shared.refuses(shared.clock.now()) {
+    if shared.rejects_requests(shared.clock.now()) {
         return Err(Unrouted::NotNow("this router is stopping"));
     }
     let view = shared.view.borrow();
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -131,7 +131,7 @@
 
 impl<P: Platform> Shared<P> {
     /// Whether a request that comes now is refused because this router is about to end.
-    pub fn refuses(&self, now: Instant) -> bool {
+    pub fn rejects_requests(&self, now: Instant) -> bool {
         self.stopping.get().is_some_and(|stop| now >= stop.refuses_from)
     }
 
