--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -165,7 +165,7 @@
 ) -> Head {
     tokio::pin!(sending);
     let silence = (job.route.latency_objective * SILENT_AIMS).max(LEAST_SILENCE);
-    let mut look = (shared.clock.now() + silence).min(shared.latest(job));
+    let mut look = (shared.clock.now() + silence).min(shared.response_deadline(job));
     loop {
         tokio::select! {
             sent = &mut sending => {
@@ -180,13 +180,13 @@
             () = tokio::time::sleep_until(look.into()) => {}
         }
         let now = shared.clock.now();
-        if now >= shared.latest(job) {
+        if now >= shared.response_deadline(job) {
             return Head::TimeOver;
         }
         if job.route.may_retry() && shared.has_alternative(now, job, key) {
             return Head::Silent;
         }
-        look = (now + silence).min(shared.latest(job));
+        look = (now + silence).min(shared.response_deadline(job));
     }
 }
 
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -263,7 +263,7 @@
     }
     let attempt::Answered { mut head, info, body, lease, flight } = answered;
     let reading = Limited::new(body, MOST_ANSWER_BYTES).collect();
-    let body = match tokio::time::timeout_at(shared.latest(&job).into(), reading).await {
+    let body = match tokio::time::timeout_at(shared.response_deadline(&job).into(), reading).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => return again_or_fail(shared, job, key, "the target broke off its answer"),
         Err(_) => return Ok(fail(shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over")),
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -59,13 +59,13 @@
                     shared.ask_for_adapter(key, job);
                 }
                 let expected = shared.expected(now, job, choice);
-                let until = job.held_until().min(shared.latest(job));
+                let until = job.held_until().min(shared.response_deadline(job));
                 if waiting.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
                 match wait_limit::decide(now, until, expected, job.spread()) {
                     wait_limit::Decision::Hold { until } => {
-                        (until.min(shared.latest(job)), look_again(choice))
+                        (until.min(shared.response_deadline(job)), look_again(choice))
                     }
                     wait_limit::Decision::Refuse { after } => {
                         return Err(GivenUp { why: reason(choice), after });
