--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -233,7 +233,7 @@
     }
 
     /// What is known of the model or the room that a request waits for.
-    pub fn expected(
+    pub fn expected_readiness(
         &self,
         now: Instant,
         job: &job::Job,
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -58,7 +58,7 @@
                 if let choose::Choice::LoadAdapter(key) = choice {
                     shared.ask_for_adapter(key, job);
                 }
-                let expected = shared.expected(now, job, choice);
+                let expected = shared.expected_readiness(now, job, choice);
                 let until = job.held_until().min(shared.response_deadline(job));
                 if waiting.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
