--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -73,7 +73,7 @@
     let mut lease = match shared.pool.lease(now, addr).await {
         Ok(lease) => lease,
         Err(error) => {
-            shared.no_connection(key, &error);
+            shared.connection_failed(key, &error);
             tracing::debug!(%addr, %error, "no connection to the target");
             return Attempt::NotSent;
         }
@@ -89,7 +89,7 @@
                 match shared.pool.open(addr).await {
                     Ok(new) => lease = new,
                     Err(error) => {
-                        shared.no_connection(key, &error);
+                        shared.connection_failed(key, &error);
                         return Attempt::NotSent;
                     }
                 }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -264,7 +264,7 @@
     }
 
     /// No connection to a target could be opened.
-    pub fn no_connection(&self, key: targets::TargetKey, error: &io::Error) {
+    pub fn connection_failed(&self, key: targets::TargetKey, error: &io::Error) {
         if error.kind() == io::ErrorKind::ConnectionRefused {
             let now = self.clock.now();
             let mut view = self.view.borrow_mut();
