--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -56,7 +56,7 @@
             | choose::Choice::Cold
             | choose::Choice::NoTarget => {
                 if let choose::Choice::LoadAdapter(key) = choice {
-                    shared.ask_for_adapter(key, job);
+                    shared.request_adapter(key, job);
                 }
                 let expected = shared.expected_readiness(now, job, choice);
                 let until = job.held_until().min(shared.response_deadline(job));
