--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -338,7 +338,7 @@
 }
 
 /// Asks an agent for adapters.
-pub fn ask_for_adapters<P>(
+pub fn request_adapters<P>(
     shared: &router::Shared<P>,
     key: targets::TargetKey,
     adapters: Vec<wire::AskedAdapter>,
@@ -372,7 +372,7 @@
         used.filter(|(_, adapters)| !adapters.is_empty()).collect()
     };
     for (key, adapters) in used {
-        ask_for_adapters(shared, key, adapters);
+        request_adapters(shared, key, adapters);
     }
 }
 
