--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -351,7 +351,7 @@
 }
 
 /// An adapter as it is named to an agent.
-pub fn asked_adapter(wanted: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
+pub fn adapter_request(wanted: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
     let adapter = wanted.adapter.clone()?;
     Some(wire::AskedAdapter { model: wanted.model.clone(), adapter })
 }
@@ -366,7 +366,7 @@
     let used: Vec<_> = {
         let view = shared.view.borrow();
         let used = view.targets.iter().map(|(key, target)| {
-            let adapters = target.in_flight.keys().filter_map(asked_adapter);
+            let adapters = target.in_flight.keys().filter_map(adapter_request);
             (key, adapters.collect::<Vec<_>>())
         });
         used.filter(|(_, adapters)| !adapters.is_empty()).collect()
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -349,7 +349,7 @@
 
     /// Has an adapter loaded at a target.
     pub fn request_adapter(&self, key: targets::TargetKey, job: &job::Job) {
-        let asked = job.call.wanted.as_ref().and_then(control::asked_adapter);
+        let asked = job.call.wanted.as_ref().and_then(control::adapter_request);
         control::request_adapters(self, key, asked.into_iter().collect());
     }
 }
