--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -269,12 +269,12 @@
     let due = said.hello_at.is_none_or(|at| now.saturating_duration_since(at) >= pause);
     if due {
         said.hello_at = Some(now);
-        say_hello(shared);
+        send_hello(shared);
     }
 }
 
 /// Tells all routers that this one is there.
-pub fn say_hello<P: router::Platform>(shared: &router::Shared<P>) {
+pub fn send_hello<P: router::Platform>(shared: &router::Shared<P>) {
     let message = PeerMessage::RouterNews(hello(shared));
     let peers = shared.peers.borrow();
     let known: Vec<SocketAddr> = peers.addresses().collect();
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -187,7 +187,7 @@
     // A router that the store turns away learns of a change from a peer that says it has it. Said only
     // at the next turn, up to a second of the bound would be over by then.
     if further && subject == Subject::Config {
-        control::say_hello(shared);
+        control::send_hello(shared);
     }
 }
 
@@ -253,7 +253,7 @@
         dialect::News::Router(entry) => {
             if entry.router != shared.settings.name {
                 shared.peers.borrow_mut().add(now, entry.router, entry.addr);
-                control::say_hello(shared);
+                control::send_hello(shared);
             }
         }
         dialect::News::RouterGone(name) => shared.peers.borrow_mut().remove(&name),
