--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -178,7 +178,7 @@
 /// Has the plan made anew, if this router plans.
 fn plan_soon<P>(shared: &router::Shared<P>, now: Instant) {
     if planner(shared, now).is_none() {
-        shared.tell_planner.notify_one();
+        shared.control_wake.notify_one();
     }
 }
 
@@ -243,7 +243,7 @@
         shared.peers.borrow_mut().expire(now);
         tokio::time::sleep(LEAST_PAUSE).await;
         tokio::select! {
-            () = shared.tell_planner.notified() => {}
+            () = shared.control_wake.notified() => {}
             () = tokio::time::sleep(NEWS_PAUSE) => {}
         }
     }
--- a/crates/corianderstand_forward/src/follow/others.rs
+++ b/crates/corianderstand_forward/src/follow/others.rs
@@ -74,7 +74,7 @@
     }
     let own = shared.copies.borrow().next(Subject::Config);
     if news.config_next > own {
-        shared.tell_planner.notify_one();
+        shared.control_wake.notify_one();
     } else {
         note_read(shared, Subject::Config);
     }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -118,7 +118,7 @@
     /// What became of requests.
     pub log: decisions::Log,
     /// A request waits: the planner should hear of it now.
-    pub tell_planner: Notify,
+    pub control_wake: Notify,
     /// A target proved to be another than was thought: the store should be read now.
     pub targets_outdated: Notify,
     /// Datagrams to be sent.
@@ -400,7 +400,7 @@
             pool: Rc::default(),
             turns: prefill::Turns::default(),
             log: decisions::Log::default(),
-            tell_planner: Notify::new(),
+            control_wake: Notify::new(),
             targets_outdated: Notify::new(),
             outbox: control::Outbox::new(udp),
             stopping: Cell::new(None),
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -117,7 +117,7 @@
         let mut view = shared.view.borrow_mut();
         *view.waiting.entry(model.clone()).or_default() += 1;
         drop(view);
-        shared.tell_planner.notify_one();
+        shared.control_wake.notify_one();
         Self { shared: shared.clone(), model: model.clone() }
     }
 }
