--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -131,7 +131,7 @@
                 plan_soon(shared, now);
             }
         }
-        PeerMessage::PrefillAnswer(answer) => shared.turns.take(&answer),
+        PeerMessage::PrefillAnswer(answer) => shared.prefill_permits.take(&answer),
         PeerMessage::EnginePlan(_)
         | PeerMessage::AdaptersAsked(_)
         | PeerMessage::PrefillAsked(_)
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -90,7 +90,7 @@
 
 impl<P: router::Platform> Drop for Question<'_, P> {
     fn drop(&mut self) {
-        self.shared.turns.waiting.borrow_mut().remove(&self.ask.id);
+        self.shared.prefill_permits.waiting.borrow_mut().remove(&self.ask.id);
         if !self.given {
             let withdrawn = wire::PrefillWithdrawn { id: self.ask.id };
             self.shared.outbox.send(self.agent, &PeerMessage::PrefillWithdrawn(withdrawn));
@@ -105,9 +105,9 @@
         let target = view.targets.get(key).filter(|target| target.agent_is_responsive(now))?;
         let work = job.reading_time(&view, key, now)?;
         let agent = std::net::SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
-        let id = shared.turns.next_id(shared.incarnation);
+        let id = shared.prefill_permits.next_id(shared.incarnation);
         let waiting = Rc::<Waiting>::default();
-        shared.turns.waiting.borrow_mut().insert(id, waiting.clone());
+        shared.prefill_permits.waiting.borrow_mut().insert(id, waiting.clone());
         let ask = wire::PrefillAsked {
             id,
             work_us: work.as_micros() as u32,
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -114,7 +114,7 @@
     /// Connections to targets.
     pub pool: Rc<pool::Pool>,
     /// Requests that wait for their turns at engines.
-    pub turns: prefill::Turns,
+    pub prefill_permits: prefill::Turns,
     /// What became of requests.
     pub log: decisions::Log,
     /// A request waits: the planner should hear of it now.
@@ -398,7 +398,7 @@
             peers: RefCell::default(),
             copies: RefCell::default(),
             pool: Rc::default(),
-            turns: prefill::Turns::default(),
+            prefill_permits: prefill::Turns::default(),
             log: decisions::Log::default(),
             control_wake: Notify::new(),
             targets_outdated: Notify::new(),
