--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -92,7 +92,7 @@
             if transfer.as_ref().is_some_and(|transfer| !transfer.is_finished()) {
                 continue;
             }
-            let copies = shared.copies.borrow();
+            let copies = shared.records.borrow();
             // The targets change all the time: a peer is always a little ahead.
             if subject == Subject::Targets && copies.is_fresh(now, subject) {
                 continue;
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -289,7 +289,7 @@
 
 fn hello<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterNews {
     let store = shared.store_use(shared.clock.now());
-    let copies = shared.copies.borrow();
+    let records = shared.records.borrow();
     wire::RouterNews {
         router: shared.settings.name.as_str().into(),
         incarnation: shared.incarnation,
@@ -297,8 +297,8 @@
         store,
         strength: shared.settings.strength,
         fit: is_fit(shared),
-        config_next: copies.next(dialect::Subject::Config),
-        targets_next: copies.next(dialect::Subject::Targets),
+        config_next: records.next(dialect::Subject::Config),
+        targets_next: records.next(dialect::Subject::Targets),
         models: Vec::new(),
         running: Vec::new(),
     }
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -60,7 +60,7 @@
 async fn follow<P: router::Platform>(shared: Rc<router::Shared<P>>, subject: Subject) {
     let mut from: Option<u64> = None;
     loop {
-        let known = from.is_some() || shared.copies.borrow().next(subject) > 0;
+        let known = from.is_some() || shared.records.borrow().next(subject) > 0;
         if known && others::follow(&shared, subject).await {
             continue;
         }
@@ -69,7 +69,7 @@
             None => shared.platform.newest(subject, &waiting).await,
             Some(at) => {
                 // A router that follows others knows more than it has read itself.
-                let at = at.max(shared.copies.borrow().next(subject));
+                let at = at.max(shared.records.borrow().next(subject));
                 shared.platform.read(subject, at, &waiting).await
             }
         };
@@ -123,7 +123,7 @@
         Subject::Routers => Duration::ZERO,
         Subject::Config | Subject::Targets => wait(shared.bounds.borrow().config_within),
     };
-    let heard = shared.copies.borrow_mut().heard(subject);
+    let heard = shared.records.borrow_mut().heard(subject);
     dialect::Waiting { wait, silence: SILENCE, heard }
 }
 
@@ -144,7 +144,7 @@
 
 fn note_read<P: router::Platform>(shared: &router::Shared<P>, subject: Subject) {
     let now = shared.clock.now();
-    let mut copies = shared.copies.borrow_mut();
+    let mut copies = shared.records.borrow_mut();
     let away_ms = copies.since_read(now, subject).map(|age| age.as_millis() as u64);
     if copies.note_read(now, subject) {
         tracing::info!(?subject, away_ms, "the store is read again");
@@ -153,7 +153,7 @@
 
 fn note_lost<P>(shared: &router::Shared<P>, subject: Subject, error: &dialect::StoreError) {
     shared.log.metrics.read_failed(subject);
-    let mut copies = shared.copies.borrow_mut();
+    let mut copies = shared.records.borrow_mut();
     let age_ms = copies.since_read(shared.clock.now(), subject).map(|age| age.as_millis() as u64);
     if copies.note_lost(subject) {
         tracing::warn!(?subject, %error, age_ms,
@@ -170,16 +170,16 @@
     source: Source,
     page: dialect::Page,
 ) {
-    let gone = shared.copies.borrow().missing(subject, &page);
+    let gone = shared.records.borrow().missing(subject, &page);
     let mut records: Vec<_> = page.records.into_iter().chain(gone).collect();
     // The newest record of each key comes by key, and the later of two targets at an address counts.
     records.sort_by_key(|record| record.offset);
     for record in records {
-        if shared.copies.borrow().is_newer(subject, &record) {
+        if shared.records.borrow().is_newer(subject, &record) {
             take_record(shared, subject, source, record);
         }
     }
-    let further = shared.copies.borrow_mut().advance(subject, page.next);
+    let further = shared.records.borrow_mut().advance(subject, page.next);
     if further && subject == Subject::Targets && shared.view.borrow().targets.is_empty() {
         // There are none, and requests that wait for the first read are to hear it.
         shared.view.borrow().wake_all();
@@ -200,7 +200,7 @@
     let offset = record.offset;
     let decoded = shared.platform.decode(subject, &record);
     let content = content(&record, decoded.as_ref().ok().and_then(Option::as_ref));
-    shared.copies.borrow_mut().keep(subject, record, content);
+    shared.records.borrow_mut().keep(subject, record, content);
     match decoded {
         Ok(Some(news)) => take_news(shared, subject, Origin { source, offset }, news),
         Ok(None) => {}
@@ -246,7 +246,7 @@
             }
         }
         dialect::News::TargetGone(id) => {
-            let grace = shared.copies.borrow().just_back(now, subject);
+            let grace = shared.records.borrow().just_back(now, subject);
             tracing::info!(target = %id, grace, "target's entry removed");
             shared.view.borrow_mut().targets.remove(now, &id, grace);
         }
@@ -266,7 +266,7 @@
     config: Arc<config::Config>,
 ) {
     let now = shared.clock.now();
-    let age = shared.copies.borrow().age_before(now, Subject::Config, source);
+    let age = shared.records.borrow().age_before(now, Subject::Config, source);
     let age_ms = age.map(|age| age.as_millis() as u64);
     let version = config.version;
     let mut view = shared.view.borrow_mut();
--- a/crates/corianderstand_forward/src/follow/others.rs
+++ b/crates/corianderstand_forward/src/follow/others.rs
@@ -72,7 +72,7 @@
     if !matches!(shared.role(now), readers::Role::Follows(_)) {
         return;
     }
-    let own = shared.copies.borrow().next(Subject::Config);
+    let own = shared.records.borrow().next(Subject::Config);
     if news.config_next > own {
         shared.control_wake.notify_one();
     } else {
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -110,7 +110,7 @@
     /// What it knows of other routers.
     pub peers: RefCell<peers::Peers>,
     /// What it has read of the store.
-    pub copies: RefCell<copies::Copies>,
+    pub records: RefCell<copies::Copies>,
     /// Connections to targets.
     pub pool: Rc<pool::Pool>,
     /// Requests that wait for their turns at engines.
@@ -138,14 +138,14 @@
     /// Whether the first reads of the configuration and of the targets are still under way.
     pub fn is_starting(&self) -> bool {
         let view = self.view.borrow();
-        let copies = self.copies.borrow();
-        let failed = |subject| copies.is_lost(subject);
+        let records = self.records.borrow();
+        let failed = |subject| records.is_lost(subject);
         if self.stopping.get().is_some() {
             return false;
         }
         (view.table.is_none() && !failed(dialect::Subject::Config))
             || (view.targets.is_empty()
-                && copies.next(dialect::Subject::Targets) == 0
+                && records.next(dialect::Subject::Targets) == 0
                 && !failed(dialect::Subject::Targets))
     }
 
@@ -180,8 +180,8 @@
 
     /// How this router learns what the store has.
     pub fn store_use(&self, now: Instant) -> StoreUse {
-        let copies = self.copies.borrow();
-        let lost = |subject| copies.is_lost(subject);
+        let records = self.records.borrow();
+        let lost = |subject| records.is_lost(subject);
         if lost(dialect::Subject::Config) || lost(dialect::Subject::Targets) {
             return StoreUse::Lost;
         }
@@ -193,9 +193,10 @@
 
     /// How current what is known of a subject is.
     pub fn age(&self, now: Instant, subject: dialect::Subject) -> copies::Age {
-        let copies = self.copies.borrow();
-        let behind = self.peers.borrow().ahead(now, subject, copies.next(subject)).next().is_some();
-        copies::Age { since_read: copies.since_read(now, subject), behind }
+        let records = self.records.borrow();
+        let behind =
+            self.peers.borrow().ahead(now, subject, records.next(subject)).next().is_some();
+        copies::Age { since_read: records.since_read(now, subject), behind }
     }
 
     /// Takes one second attempt from the budget.
@@ -396,7 +397,7 @@
             clock,
             view: RefCell::default(),
             peers: RefCell::default(),
-            copies: RefCell::default(),
+            records: RefCell::default(),
             pool: Rc::default(),
             prefill_permits: prefill::Turns::default(),
             log: decisions::Log::default(),
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -129,7 +129,7 @@
 }
 
 fn handed<P: router::Platform>(shared: &router::Shared<P>, asked: Asked) -> Handed {
-    let copies = shared.copies.borrow();
+    let copies = shared.records.borrow();
     let age = copies.since_read(shared.clock.now(), asked.subject);
     let page = match asked.from {
         None => copies.page(asked.subject),
@@ -144,7 +144,7 @@
     reader: SocketAddr,
     subject: dialect::Subject,
 ) -> Fetched {
-    let from = shared.copies.borrow().next(subject);
+    let from = shared.records.borrow().next(subject);
     let answer = ask(reader, Asked { subject, from: Some(from) }, || false).await;
     take(shared, reader, subject, answer)
 }
@@ -157,7 +157,7 @@
     subject: dialect::Subject,
     next: u64,
 ) -> Fetched {
-    let is_known = || shared.copies.borrow().next(subject) >= next;
+    let is_known = || shared.records.borrow().next(subject) >= next;
     let answer = ask(peer, Asked { subject, from: None }, is_known).await;
     if let Ok(handed) = &answer {
         tracing::info!(%peer, ?subject, next = handed.page.next, "records taken from a peer");
