--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -220,7 +220,7 @@
         let view = shared.view.borrow();
         let version = view.table.as_ref().map_or(0, |table| table.config().version);
         let fresh = shared.records.borrow().is_fresh(now, Subject::Targets);
-        self.open.set(shared.open.get() as i64);
+        self.open.set(shared.open_requests.get() as i64);
         self.waiting.set(view.waiting.values().map(|&count| i64::from(count)).sum());
         self.targets.set(view.targets.len() as i64);
         self.config_version.set(version as i64);
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -126,7 +126,7 @@
     /// It is stopping, and how.
     pub stopping: Cell<Option<Stop>>,
     /// Requests that are being answered.
-    pub open: Cell<usize>,
+    pub open_requests: Cell<usize>,
 }
 
 impl<P: Platform> Shared<P> {
@@ -405,7 +405,7 @@
             targets_outdated: Notify::new(),
             outbox: control::Outbox::new(udp),
             stopping: Cell::new(None),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             bounds: RefCell::new(settings.bounds.clone()),
             settings,
         });
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -161,7 +161,7 @@
         refuses_from: began + LEAVE_TIME.min(within / 2),
         answers_by: began + within.saturating_sub(ANSWER_BEFORE),
     }));
-    tracing::info!(open = shared.open.get(), "stopping: no longer ready");
+    tracing::info!(open = shared.open_requests.get(), "stopping: no longer ready");
     // Each open connection ends with the answer that it is giving; unused ones end now. A request
     // that crosses the end of its connection was not read, and its caller may repeat it.
     closing.send_replace(true);
@@ -169,7 +169,7 @@
         let now = shared.clock.now();
         let passed = now.saturating_duration_since(began);
         let cut = within.saturating_sub(CUT_BEFORE);
-        if passed >= cut || (passed >= LEAVE_TIME && shared.open.get() == 0) {
+        if passed >= cut || (passed >= LEAVE_TIME && shared.open_requests.get() == 0) {
             break;
         }
         let look = tokio::time::timeout(LOOK, accept_caller(&shared.pauses, &listener)).await;
@@ -177,9 +177,9 @@
             connection(shared, stream, closing.subscribe());
         }
     }
-    if shared.open.get() > 0 {
+    if shared.open_requests.get() > 0 {
         tracing::warn!(
-            cut = shared.open.get(),
+            cut = shared.open_requests.get(),
             "stopped with requests that were not answered in time"
         );
     }
@@ -243,7 +243,7 @@
 
 impl<P> Drop for OpenCount<P> {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
@@ -252,7 +252,7 @@
     connection: Arc<pause::Connection>,
     req: Request<Incoming>,
 ) -> Result<Response<body::AnswerBody>, exchange::Broken> {
-    shared.open.set(shared.open.get() + 1);
+    shared.open_requests.set(shared.open_requests.get() + 1);
     let count = OpenCount(shared.clone());
     let mut answer = exchange::answer(shared.clone(), &connection, req).await?;
     if shared.stopping.get().is_some() {
