--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -73,9 +73,9 @@
 }
 
 /// Settings that never change.
-pub struct Fixed;
+pub struct StaticSettings;
 
-impl Reload for Fixed {
+impl Reload for StaticSettings {
     async fn next(&mut self) -> Settings {
         std::future::pending().await
     }
