--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -83,12 +83,12 @@
 
 /// The times of a stop.
 #[derives(key)]
-pub struct Stop {
+pub struct StopDeadlines {
     /// Requests that come from then on are refused: callers have been sent elsewhere, and what
     /// begins later would be cut.
-    pub refuses_from: Instant,
+    pub reject_from: Instant,
     /// Requests that have no head of an answer by then get one of the router's own.
-    pub answers_by: Instant,
+    pub respond_by: Instant,
 }
 
 /// What the parts of a router share.
@@ -124,7 +124,7 @@
     /// Datagrams to be sent.
     pub outbox: control::Outbox,
     /// It is stopping, and how.
-    pub stopping: Cell<Option<Stop>>,
+    pub stopping: Cell<Option<StopDeadlines>>,
     /// Requests that are being answered.
     pub open_requests: Cell<usize>,
 }
@@ -132,7 +132,7 @@
 impl<P: Platform> Shared<P> {
     /// Whether a request that comes now is refused because this router is about to end.
     pub fn rejects_requests(&self, now: Instant) -> bool {
-        self.stopping.get().is_some_and(|stop| now >= stop.refuses_from)
+        self.stopping.get().is_some_and(|stop| now >= stop.reject_from)
     }
 
     /// Whether the first reads of the configuration and of the targets are still under way.
@@ -152,7 +152,7 @@
     /// When a request that has nothing yet is given up: sooner than its own time if this router
     /// stops.
     pub fn response_deadline(&self, job: &job::Job) -> Instant {
-        self.stopping.get().map_or(job.latest, |stop| job.latest.min(stop.answers_by))
+        self.stopping.get().map_or(job.latest, |stop| job.latest.min(stop.respond_by))
     }
 
     /// A request has come.
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -157,9 +157,9 @@
     }
     let began = shared.clock.now();
     let within = shared.bounds.borrow().stop_within;
-    shared.stopping.set(Some(router::Stop {
-        refuses_from: began + LEAVE_TIME.min(within / 2),
-        answers_by: began + within.saturating_sub(ANSWER_BEFORE),
+    shared.stopping.set(Some(router::StopDeadlines {
+        reject_from: began + LEAVE_TIME.min(within / 2),
+        respond_by: began + within.saturating_sub(ANSWER_BEFORE),
     }));
     tracing::info!(open = shared.open_requests.get(), "stopping: no longer ready");
     // Each open connection ends with the answer that it is giving; unused ones end now. A request
