--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -48,7 +48,7 @@
     /// Where it is reached.
     pub addr: SocketAddr,
     /// When it was last heard.
-    pub heard: Option<Instant>,
+    pub last_received_at: Option<Instant>,
     /// What it said then.
     pub news: Option<peers::RouterNews>,
     known: Instant,
@@ -56,7 +56,7 @@
 
 impl Peer {
     fn is_silent(&self, now: Instant) -> bool {
-        self.heard.is_none_or(|at| now.saturating_duration_since(at) >= SILENT_AFTER)
+        self.last_received_at.is_none_or(|at| now.saturating_duration_since(at) >= SILENT_AFTER)
     }
 }
 
@@ -69,7 +69,7 @@
 impl Peers {
     /// A router of that name is reached there.
     pub fn add(&mut self, now: Instant, name: SmolStr, addr: SocketAddr) {
-        let peer = Peer { addr, heard: None, news: None, known: now };
+        let peer = Peer { addr, last_received_at: None, news: None, known: now };
         let peer = self.by_name.entry(name).or_insert(peer);
         peer.addr = addr;
         peer.known = now;
@@ -90,7 +90,7 @@
         let Some(peer) = self.by_name.get_mut(&name) else { return };
         let silent = peer.is_silent(now);
         if silent || peer.news.as_ref().is_none_or(|last| last.incarnation <= news.incarnation) {
-            peer.heard = Some(now);
+            peer.last_received_at = Some(now);
             peer.news = Some(news);
         }
     }
@@ -153,15 +153,16 @@
         better.sort_by(|a, b| b.0.cmp(&a.0));
         // Only the best says often that it is there. If it has fallen silent, the next one plans.
         let (_, best) = better.first()?;
-        let silent =
-            best.heard.is_none_or(|at| now.saturating_duration_since(at) >= PLANNER_SILENT);
+        let silent = best
+            .last_received_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= PLANNER_SILENT);
         better.get(usize::from(silent)).map(|(_, peer)| peer.addr)
     }
 
     /// Forgets those that were not heard for long.
     pub fn expire(&mut self, now: Instant) {
         self.by_name.retain(|_, peer| {
-            let last = peer.heard.unwrap_or(peer.known).max(peer.known);
+            let last = peer.last_received_at.unwrap_or(peer.known).max(peer.known);
             now.saturating_duration_since(last) < FORGOTTEN_AFTER
         });
     }
