--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -107,7 +107,7 @@
             }
             let waits = news.models.iter().any(|model| model.waiting > 0);
             follow::others::hear(shared, now, &news);
-            shared.peers.borrow_mut().hear(now, from, news);
+            shared.peers.borrow_mut().on_update(now, from, news);
             // Only the planner is told of what waits elsewhere; told on, each such message would
             // bring one of every router.
             if waits {
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -84,7 +84,7 @@
     /// that has gone back makes a new start look earlier, and a router that was left out for that
     /// would be neither followed nor asked for as long as it runs. A datagram is late by a moment
     /// only, so what comes after a silence is of the start that runs now.
-    pub fn hear(&mut self, now: Instant, addr: SocketAddr, news: peers::RouterNews) {
+    pub fn on_update(&mut self, now: Instant, addr: SocketAddr, news: peers::RouterNews) {
         let name = news.router.0.clone();
         self.add(now, name.clone(), addr);
         let Some(peer) = self.by_name.get_mut(&name) else { return };
--- a/crates/corianderstand_forward/tests/peers.rs
+++ b/crates/corianderstand_forward/tests/peers.rs
@@ -35,8 +35,8 @@
 #[test]
 fn what_an_earlier_start_said_is_left_out() {
     let (mut peers, now) = (Peers::default(), Instant::now());
-    peers.hear(now, PEER, news(2_000, 5));
-    peers.hear(now + MOMENT, PEER, news(1_000, 9));
+    peers.on_update(now, PEER, news(2_000, 5));
+    peers.on_update(now + MOMENT, PEER, news(1_000, 9));
     assert_eq!(ahead(&peers, now + MOMENT), [5]);
 }
 
@@ -45,9 +45,9 @@
 #[test]
 fn a_router_whose_clock_went_back_is_heard_again() {
     let (mut peers, start) = (Peers::default(), Instant::now());
-    peers.hear(start, PEER, news(2_000, 5));
+    peers.on_update(start, PEER, news(2_000, 5));
     let heard = (1..40).map(|turn| start + MOMENT * turn).find(|now| {
-        peers.hear(*now, PEER, news(1_000, 9));
+        peers.on_update(*now, PEER, news(1_000, 9));
         ahead(&peers, *now) == [9]
     });
     let heard = heard.map(|now| now - start);
