--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -138,7 +138,7 @@
     }
 
     /// What those heard lately said.
-    pub fn news(&self, now: Instant) -> impl Iterator<Item = &peers::RouterNews> {
+    pub fn updates(&self, now: Instant) -> impl Iterator<Item = &peers::RouterNews> {
         self.live(now).filter_map(|(_, peer)| peer.news.as_ref())
     }
 
@@ -170,7 +170,7 @@
     /// What the other routers are asked for, and how many requests wait there.
     pub fn demand(&self, now: Instant) -> BTreeMap<names::ModelId, (demand::ModelDemand, u32)> {
         let mut sums: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = BTreeMap::new();
-        for said in self.news(now).flat_map(|news| &news.models) {
+        for said in self.updates(now).flat_map(|news| &news.models) {
             let sum = sums.entry(said.model.clone()).or_default();
             sum.0 = sum.0.combine(demand::ModelDemand {
                 requests_per_s: f64::from(said.per_1000_s) / 1_000.0,
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -76,7 +76,7 @@
     let view = shared.view.borrow();
     let peers = shared.peers.borrow();
     let mut running: HashMap<&names::TargetId, BTreeMap<names::ModelId, u32>> = HashMap::new();
-    for count in peers.news(now).flat_map(|news| &news.running) {
+    for count in peers.updates(now).flat_map(|news| &news.running) {
         let models = running.entry(&count.target).or_default();
         *models.entry(count.model.clone()).or_default() += count.count;
     }
