--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -50,7 +50,7 @@
     /// When it was last heard.
     pub last_received_at: Option<Instant>,
     /// What it said then.
-    pub news: Option<peers::RouterNews>,
+    pub update: Option<peers::RouterNews>,
     known: Instant,
 }
 
@@ -69,7 +69,7 @@
 impl Peers {
     /// A router of that name is reached there.
     pub fn add(&mut self, now: Instant, name: SmolStr, addr: SocketAddr) {
-        let peer = Peer { addr, last_received_at: None, news: None, known: now };
+        let peer = Peer { addr, last_received_at: None, update: None, known: now };
         let peer = self.by_name.entry(name).or_insert(peer);
         peer.addr = addr;
         peer.known = now;
@@ -84,14 +84,15 @@
     /// that has gone back makes a new start look earlier, and a router that was left out for that
     /// would be neither followed nor asked for as long as it runs. A datagram is late by a moment
     /// only, so what comes after a silence is of the start that runs now.
-    pub fn on_update(&mut self, now: Instant, addr: SocketAddr, news: peers::RouterNews) {
-        let name = news.router.0.clone();
+    pub fn on_update(&mut self, now: Instant, addr: SocketAddr, update: peers::RouterNews) {
+        let name = update.router.0.clone();
         self.add(now, name.clone(), addr);
         let Some(peer) = self.by_name.get_mut(&name) else { return };
         let silent = peer.is_silent(now);
-        if silent || peer.news.as_ref().is_none_or(|last| last.incarnation <= news.incarnation) {
+        if silent || peer.update.as_ref().is_none_or(|last| last.incarnation <= update.incarnation)
+        {
             peer.last_received_at = Some(now);
-            peer.news = Some(news);
+            peer.update = Some(update);
         }
     }
 
@@ -113,10 +114,10 @@
         known: u64,
     ) -> impl Iterator<Item = (u64, SocketAddr)> {
         self.live(now).filter_map(move |(_, peer)| {
-            let news = peer.news.as_ref()?;
+            let update = peer.update.as_ref()?;
             let next = match subject {
-                dialect::Subject::Config => news.config_next,
-                dialect::Subject::Targets => news.targets_next,
+                dialect::Subject::Config => update.config_next,
+                dialect::Subject::Targets => update.targets_next,
                 dialect::Subject::Routers => return None,
             };
             (next > known).then_some((next, peer.addr))
@@ -130,23 +131,23 @@
         zone: &names::AvailabilityZoneId,
     ) -> Vec<readers::Neighbour> {
         let there = self.live(now).filter_map(|(name, peer)| {
-            let news = peer.news.as_ref().filter(|news| news.zone == *zone)?;
-            let rank = Rank::new(news.strength, name);
-            Some(readers::Neighbour { rank, addr: peer.addr, store: news.store })
+            let update = peer.update.as_ref().filter(|update| update.zone == *zone)?;
+            let rank = Rank::new(update.strength, name);
+            Some(readers::Neighbour { rank, addr: peer.addr, store: update.store })
         });
         there.collect()
     }
 
     /// What those heard lately said.
     pub fn updates(&self, now: Instant) -> impl Iterator<Item = &peers::RouterNews> {
-        self.live(now).filter_map(|(_, peer)| peer.news.as_ref())
+        self.live(now).filter_map(|(_, peer)| peer.update.as_ref())
     }
 
     /// The router that plans; none if it is the one that asks, whose rank this is.
     pub fn planner(&self, now: Instant, own: &Rank) -> Option<SocketAddr> {
         let better = self.live(now).filter_map(|(name, peer)| {
-            let news = peer.news.as_ref().filter(|news| news.fit)?;
-            let rank = Rank::new(news.strength, name);
+            let update = peer.update.as_ref().filter(|update| update.fit)?;
+            let rank = Rank::new(update.strength, name);
             (rank > *own).then_some((rank, peer))
         });
         let mut better: Vec<_> = better.collect();
@@ -170,7 +171,7 @@
     /// What the other routers are asked for, and how many requests wait there.
     pub fn demand(&self, now: Instant) -> BTreeMap<names::ModelId, (demand::ModelDemand, u32)> {
         let mut sums: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = BTreeMap::new();
-        for said in self.updates(now).flat_map(|news| &news.models) {
+        for said in self.updates(now).flat_map(|update| &update.models) {
             let sum = sums.entry(said.model.clone()).or_default();
             sum.0 = sum.0.combine(demand::ModelDemand {
                 requests_per_s: f64::from(said.per_1000_s) / 1_000.0,
