--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -113,7 +113,7 @@
     /// A request was answered with what a target said, or with a failure.
     pub fn answered(&self, job: &job::Job, status: StatusCode, how: &str, now: Instant) {
         let kind = if status.is_server_error() { Kind::Failed } else { Kind::Answered };
-        self.metrics.ended(job, if kind == Kind::Failed { how } else { "answered" }, now);
+        self.metrics.request_ended(job, if kind == Kind::Failed { how } else { "answered" }, now);
         if self.allows(kind, now) {
             let (ms, tried, status) = (ms(now, job.arrived), job.tried.len(), status.as_u16());
             let trouble = job.last_trouble;
@@ -126,7 +126,7 @@
     pub fn streamed(&self, job: &job::Job, end: &StreamEnd, now: Instant) {
         let kind = if end.how == "whole" { Kind::Answered } else { Kind::Failed };
         let outcome = if kind == Kind::Failed { end.how } else { "answered" };
-        self.metrics.ended(job, outcome, now);
+        self.metrics.request_ended(job, outcome, now);
         self.metrics.streamed(job, &end.pace);
         if self.allows(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -157,7 +157,7 @@
     }
 
     /// A request has ended.
-    pub fn ended(&self, job: &job::Job, outcome: &str, now: Instant) {
+    pub fn request_ended(&self, job: &job::Job, outcome: &str, now: Instant) {
         let kind = kind(&job.route);
         self.requests.get_or_create(&Ended { kind, outcome: outcome.into() }).inc();
         let took = now.saturating_duration_since(job.arrived);
