--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -127,7 +127,7 @@
         let kind = if end.how == "whole" { Kind::Answered } else { Kind::Failed };
         let outcome = if kind == Kind::Failed { end.how } else { "answered" };
         self.metrics.request_ended(job, outcome, now);
-        self.metrics.streamed(job, &end.pace);
+        self.metrics.stream_ended(job, &end.pace);
         if self.allows(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
             let (total_ms, tried) = (ms(now, job.arrived), job.tried.len());
