--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -151,7 +151,7 @@
         arrived: Instant,
         now: Instant,
     ) {
-        self.metrics.refused(why);
+        self.metrics.request_refused(why);
         if self.allows(Kind::Refused, now) {
             let (ms, status) = (ms(now, arrived), status.as_u16());
             tracing::info!(%id, route, status, why, ms, "refused");
@@ -169,7 +169,7 @@
         arrived: Instant,
         now: Instant,
     ) {
-        self.metrics.refused(NO_ROUTE);
+        self.metrics.request_refused(NO_ROUTE);
         if self.allows(Kind::Denied, now) {
             let age_ms = age.since_read.map(|age| age.as_millis() as u64);
             let (behind, ms) = (age.behind, ms(now, arrived));
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -175,7 +175,7 @@
     }
 
     /// A request was refused.
-    pub fn refused(&self, reason: &str) {
+    pub fn request_refused(&self, reason: &str) {
         self.refusals.get_or_create(&Reason { reason: reason.into() }).inc();
     }
 
