--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -181,7 +181,7 @@
 
     /// A caller has left before its answer was whole.
     pub fn left(&self, id: &SmolStr, events: u64, now: Instant) {
-        self.metrics.left();
+        self.metrics.caller_left();
         if self.allows(Kind::Left, now) {
             tracing::info!(%id, events, "caller left");
         }
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -195,7 +195,7 @@
     }
 
     /// A caller has left.
-    pub fn left(&self) {
+    pub fn caller_left(&self) {
         self.left.inc();
     }
 
