--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -193,7 +193,7 @@
         if over {
             if count.left_out > 0 {
                 tracing::warn!(?kind, left_out = count.left_out, "lines left out");
-                self.metrics.lines_left_out(count.left_out);
+                self.metrics.lines_suppressed(count.left_out);
             }
             *count = Count { since: Some(now), lines: 0, left_out: 0 };
         }
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -49,7 +49,7 @@
     refusals: Family<Reason, Counter>,
     attempts_failed: Family<Reason, Counter>,
     left: Counter,
-    lines_left_out: Counter,
+    lines_suppressed: Counter,
     seconds: Family<Kind, Histogram>,
     first_seconds: Family<Kind, Histogram>,
     pause_seconds: Family<Kind, Histogram>,
@@ -78,7 +78,7 @@
             refusals: Family::default(),
             attempts_failed: Family::default(),
             left: Counter::default(),
-            lines_left_out: Counter::default(),
+            lines_suppressed: Counter::default(),
             seconds: Family::new_with_constructor(histogram),
             first_seconds: Family::new_with_constructor(histogram),
             pause_seconds: Family::new_with_constructor(histogram),
@@ -111,7 +111,11 @@
             self.attempts_failed.clone(),
         );
         r.register("callers_left", "Callers that left before their answer", self.left.clone());
-        r.register("log_lines_left_out", "Log lines beyond the limit", self.lines_left_out.clone());
+        r.register(
+            "log_lines_left_out",
+            "Log lines beyond the limit",
+            self.lines_suppressed.clone(),
+        );
         r.register("request_seconds", "Time to the whole answer", self.seconds.clone());
         r.register(
             "first_event_seconds",
@@ -200,8 +204,8 @@
     }
 
     /// Log lines were left out.
-    pub fn lines_left_out(&self, count: u64) {
-        self.lines_left_out.inc_by(count);
+    pub fn lines_suppressed(&self, count: u64) {
+        self.lines_suppressed.inc_by(count);
     }
 
     /// All of it as text.
