--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -147,7 +147,7 @@
     /// What the agent says next.
     async fn hear(&self) -> PeerMessage {
         let mut buf = vec![0; 65_536];
-        let heard = tokio::time::timeout(common::PATIENCE, self.router.recv_from(&mut buf));
+        let heard = tokio::time::timeout(common::WAIT_LIMIT, self.router.recv_from(&mut buf));
         let (len, _) = heard.await.expect("the agent says something").unwrap();
         postcard::from_bytes(&buf[..len]).unwrap()
     }
@@ -171,7 +171,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(common::PATIENCE, ask).await.expect("the plan is carried out");
+        tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the plan is carried out");
     }
 }
 
@@ -252,7 +252,7 @@
             }
         }
     };
-    let replaced = tokio::time::timeout(common::PATIENCE, replaced).await.expect("it says so");
+    let replaced = tokio::time::timeout(common::WAIT_LIMIT, replaced).await.expect("it says so");
     let expected =
         EngineReplaced { target: "engine-2".into(), born: BORN, before: "engine".into() };
     assert_eq!(replaced, expected);
@@ -274,11 +274,11 @@
             }
         }
     };
-    tokio::time::timeout(common::PATIENCE, heard).await.expect("the agent follows the plan");
+    tokio::time::timeout(common::WAIT_LIMIT, heard).await.expect("the agent follows the plan");
     running.engine.0.lock().unwrap().name = Some("engine-2".into());
     let began = Instant::now();
     while running.engine.0.lock().unwrap().given.is_empty() {
-        assert!(began.elapsed() < common::PATIENCE, "the new engine is never ordered anything");
+        assert!(began.elapsed() < common::WAIT_LIMIT, "the new engine is never ordered anything");
         running.plan_for("engine-2", "router", 2, &["a"]).await;
         let heard = tokio::time::timeout(Duration::from_millis(50), running.hear()).await;
         if let Ok(PeerMessage::EngineReplaced(replaced)) = heard {
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -182,7 +182,7 @@
     let caller = common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, _) = first(&one, &two).await;
     drop(caller);
-    let read = tokio::time::timeout(common::PATIENCE, got.stream.read(&mut [0; 16])).await;
+    let read = tokio::time::timeout(common::WAIT_LIMIT, got.stream.read(&mut [0; 16])).await;
     let error = read.expect("the target hears of it").expect_err("a reset, not an end");
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
 }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -27,7 +27,7 @@
 };
 
 /// Longest wait for something that should happen; only a broken build meets it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// What the store holds.
 #[derive(Default)]
@@ -340,7 +340,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, ask).await.expect("the router becomes ready");
+        tokio::time::timeout(WAIT_LIMIT, ask).await.expect("the router becomes ready");
     }
 
     /// Tells it to stop.
@@ -387,7 +387,7 @@
 /// Reads an answer to the end of its connection.
 pub async fn read_all(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut bytes = Vec::new();
-    tokio::time::timeout(PATIENCE, stream.read_to_end(&mut bytes)).await??;
+    tokio::time::timeout(WAIT_LIMIT, stream.read_to_end(&mut bytes)).await??;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
@@ -473,7 +473,7 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, next).await.expect("a request arrives")
+        tokio::time::timeout(WAIT_LIMIT, next).await.expect("a request arrives")
     }
 
     /// Its entry in the store.
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -21,7 +21,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(common::PATIENCE, ask).await.expect("the answer changes");
+    tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the answer changes");
 }
 
 /// Callers are refused although their router has read what it needs a moment later.
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -76,7 +76,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(common::PATIENCE, ask).await.expect("the added route is known");
+    tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the added route is known");
 }
 
 /// The store turns the slow host's router away, so it takes the document from its peer. Each look at the
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -29,7 +29,7 @@
 async fn plan(agent: &UdpSocket) -> EnginePlan {
     let mut buf = vec![0; 65_536];
     loop {
-        let heard = tokio::time::timeout(common::PATIENCE, agent.recv_from(&mut buf));
+        let heard = tokio::time::timeout(common::WAIT_LIMIT, agent.recv_from(&mut buf));
         let (len, _) = heard.await.expect("somebody plans").unwrap();
         if let PeerMessage::EnginePlan(plan) = postcard::from_bytes(&buf[..len]).unwrap() {
             return plan;
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -157,7 +157,7 @@
                 }
             }
         };
-        tokio::time::timeout(common::PATIENCE, wait).await.expect("it lets others read");
+        tokio::time::timeout(common::WAIT_LIMIT, wait).await.expect("it lets others read");
     }
 
     /// Time until the follower no longer says that a path leads nowhere.
@@ -169,7 +169,7 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(common::PATIENCE, ask).await.expect("the configuration is known");
+        tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the configuration is known");
         began.elapsed()
     }
 }
--- a/crates/corianderstand_forward/tests/transfers.rs
+++ b/crates/corianderstand_forward/tests/transfers.rs
@@ -70,7 +70,7 @@
             tokio::time::sleep(SIPS).await;
         }
     };
-    tokio::time::timeout(common::PATIENCE, again).await.expect("the next one is served");
+    tokio::time::timeout(common::WAIT_LIMIT, again).await.expect("the next one is served");
 }
 
 /// A stronger router that plans, for ever.
@@ -120,7 +120,7 @@
                 }
             }
         };
-        tokio::time::timeout(common::PATIENCE, told).await.expect("the change is told");
+        tokio::time::timeout(common::WAIT_LIMIT, told).await.expect("the change is told");
     }
     let took = began.elapsed();
     assert!(took < Duration::from_secs(CHANGES / 2), "{took:?} for {CHANGES} changes");
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -70,7 +70,7 @@
     async fn question(&self) -> (SocketAddr, PrefillAsked) {
         let mut buf = vec![0; 65_536];
         loop {
-            let heard = tokio::time::timeout(common::PATIENCE, self.agent.recv_from(&mut buf));
+            let heard = tokio::time::timeout(common::WAIT_LIMIT, self.agent.recv_from(&mut buf));
             let (len, from) = heard.await.expect("the router asks").unwrap();
             if let PeerMessage::PrefillAsked(asked) = postcard::from_bytes(&buf[..len]).unwrap() {
                 return (from, asked);
