--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Got, MemoryStore, Running, Target};
+use common::{Got, MemoryStore, RouterThread, Target};
 use corianderstand_fleet::{
     budget,
     config::{self, RetryPolicy, Route},
@@ -15,13 +15,13 @@
 const ID: &str = "request-1";
 
 /// Two targets of one service behind one route, and a router before them.
-async fn pair(route: Route) -> (Running, Target, Target) {
+async fn pair(route: Route) -> (RouterThread, Target, Target) {
     let store = MemoryStore::default();
     let (one, two) = (Target::start().await, Target::start().await);
     store.config(common::config(1, vec![route]));
     store.target(one.entry("target-1", "desk"));
     store.target(two.entry("target-2", "desk"));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     (router, one, two)
 }
@@ -199,7 +199,7 @@
         let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
         store.target(targets::Entry { holdings, ..target.entry(id, "desk") });
     }
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let mut left = None;
     for round in 0..12 {
@@ -275,7 +275,7 @@
     };
     store.target(holds(&one, "target-1", 1, &["m"]));
     store.target(holds(&two, "target-2", 1, &[]));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let headers = [("x-id", ID), ("x-model", "m")];
     let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
@@ -318,7 +318,7 @@
     let resident = targets::Resident { model: "m".into(), adapters: Vec::new() };
     let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
     store.target(targets::Entry { holdings, ..target.entry("target-1", "desk") });
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let news = peers::EngineNews {
         target: "target-1".into(),
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -259,7 +259,7 @@
 }
 
 /// A router that runs in a thread.
-pub struct Running {
+pub struct RouterThread {
     pub front: SocketAddr,
     pub ready: SocketAddr,
     pub peers: SocketAddr,
@@ -272,7 +272,7 @@
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Running {
+impl RouterThread {
     /// Starts a router on the store.
     pub fn start(store: &MemoryStore) -> Self {
         Self::start_with(store, "router-a", Vec::new(), Duration::from_secs(8))
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -2,20 +2,20 @@
 
 mod common;
 
-use common::{MemoryStore, Running, Target};
+use common::{MemoryStore, RouterThread, Target};
 use corianderstand_forward::{
     dialect::{StoreError, Subject},
     follow,
 };
 use std::time::Duration;
 
-async fn status(router: &Running, path: &str) -> String {
+async fn status(router: &RouterThread, path: &str) -> String {
     let answer = common::get(router.front, path, &[("x-id", "r"), ("x-deadline-ms", "400")]).await;
     answer.unwrap()[9..12].to_owned()
 }
 
 /// Waits until a path is answered with a status.
-async fn wait_for(router: &Running, path: &str, wanted: &str) {
+async fn wait_for(router: &RouterThread, path: &str, wanted: &str) {
     let ask = async {
         while status(router, path).await != wanted {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -32,7 +32,7 @@
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
     store.set_slow(Duration::from_millis(300));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     let headers = [("x-id", "r"), ("x-deadline-ms", "4000")];
     let ask = async {
         loop {
@@ -53,7 +53,7 @@
 async fn without_a_configuration_nothing_is_denied() {
     let store = MemoryStore::default();
     store.set_down(true);
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let answer = common::get(router.front, "/pay/1", &[("x-id", "r")]).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"), "{answer}");
@@ -69,7 +69,7 @@
     let target = Target::start().await;
     store.target(target.entry("target-1", "desk"));
     store.config(common::config(7, vec![common::route("/new/", "desk")]));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     store.config(common::config(5, vec![common::route("/old/", "desk")]));
     store.garbage(Subject::Config, "config");
@@ -86,7 +86,7 @@
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.garbage(Subject::Targets, "somebody");
     store.target(target.entry("target-1", "desk"));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", "r")], "").await.unwrap();
@@ -102,10 +102,10 @@
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let reader = Running::start(&store);
+    let reader = RouterThread::start(&store);
     reader.wait_ready().await;
     let (away, seeds) = (store.turned_away(), vec![reader.peers]);
-    let router = Running::start_with(&away, "router-b", seeds, Duration::from_secs(8));
+    let router = RouterThread::start_with(&away, "router-b", seeds, Duration::from_secs(8));
     router.wait_ready().await;
     wait_for(&router, "/other/", "404").await;
 }
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -15,7 +15,7 @@
 mod common;
 
 use common::{
-    MemoryStore, Running,
+    MemoryStore, RouterThread,
     link::{FarPeer, Link},
 };
 use std::time::Duration;
@@ -29,8 +29,8 @@
 struct Pair {
     store: MemoryStore,
     link: Link,
-    reader: Running,
-    router: Running,
+    reader: RouterThread,
+    router: RouterThread,
     far: FarPeer,
 }
 
@@ -44,12 +44,12 @@
         store.target(target.entry("target-1", "desk"));
         store.config(common::config(1, vec![common::route("/pay/", "desk")]));
         let within = Duration::from_secs(8);
-        let mut near = Running::settings("router-b", vec![], within);
+        let mut near = RouterThread::settings("router-b", vec![], within);
         near.bounds.config_within = config_within;
         let far = common::free_port();
-        let reader = Running::start_with(&store, "reader", vec![far], within);
+        let reader = RouterThread::start_with(&store, "reader", vec![far], within);
         let far = FarPeer::open(far, reader.peers, near.peers, link.clone()).await;
-        let router = Running::start_on(&seen_by_router(&store, &link), near);
+        let router = RouterThread::start_on(&seen_by_router(&store, &link), near);
         reader.wait_ready().await;
         router.wait_ready().await;
         Self { store, link, reader, router, far }
@@ -65,7 +65,7 @@
 }
 
 /// A route to a service without targets is refused with another status than one that is unknown.
-async fn wait_for_route(router: &Running) {
+async fn wait_for_route(router: &RouterThread) {
     let ask = async {
         loop {
             let headers = [("x-id", "r"), ("x-deadline-ms", "100")];
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MemoryStore, Running, Target};
+use common::{MemoryStore, RouterThread, Target};
 use corianderstand_fleet::config::{Engine, Model, Service};
 use corianderstand_schema::peers::{EnginePlan, PeerMessage};
 use std::time::Duration;
@@ -64,12 +64,12 @@
     store.target(target.entry("engine", "models"));
     let agent = UdpSocket::bind(common::free_port()).await.unwrap();
     let agent_port = agent.local_addr().unwrap().port();
-    let mut settings = Running::settings("router-a", Vec::new(), WITHIN);
+    let mut settings = RouterThread::settings("router-a", Vec::new(), WITHIN);
     settings.agent_port = agent_port;
-    let mut first = Running::start_on(&store, settings);
-    let mut settings = Running::settings("router-b", vec![first.peers], WITHIN);
+    let mut first = RouterThread::start_on(&store, settings);
+    let mut settings = RouterThread::settings("router-b", vec![first.peers], WITHIN);
     settings.agent_port = agent_port;
-    let _second = Running::start_on(&store, settings);
+    let _second = RouterThread::start_on(&store, settings);
     let before = wait_for_planner(&agent, "router-a").await;
     assert!(before.parts.is_empty(), "nothing is known of the engine's agent yet");
     first.stop();
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MemoryStore, Running, Target};
+use common::{MemoryStore, RouterThread, Target};
 use corianderstand_forward::{
     copies::Copies,
     dialect::{Record, Subject},
@@ -107,7 +107,7 @@
 
 /// Settings of a router, with the bounds of a small deployment.
 fn settings(name: &str, strength: u32, seeds: Vec<SocketAddr>) -> router::Settings {
-    let mut settings = Running::settings(name, seeds, Duration::from_secs(8));
+    let mut settings = RouterThread::settings(name, seeds, Duration::from_secs(8));
     settings.strength = strength;
     settings.bounds.drain_within = Duration::from_secs(2);
     settings
@@ -116,9 +116,9 @@
 /// A router that reads, one that follows it, and their stores.
 struct Zone {
     store: MemoryStore,
-    reader: Running,
+    reader: RouterThread,
     readers_store: MemoryStore,
-    follower: Running,
+    follower: RouterThread,
     followers_store: MemoryStore,
     /// What the other routers say of the store.
     said: watch::Sender<StoreUse>,
@@ -133,9 +133,9 @@
         store.config(common::config(1, vec![common::route("/one/", "desk")]));
         store.target(target.entry("target-1", "desk"));
         let (readers_store, followers_store) = (store.apart(), store.apart());
-        let reader = Running::start_on(&readers_store, settings("reader", 2_000, Vec::new()));
+        let reader = RouterThread::start_on(&readers_store, settings("reader", 2_000, Vec::new()));
         let weak = settings("follower", 1_000, vec![reader.peers]);
-        let follower = Running::start_on(&followers_store, weak);
+        let follower = RouterThread::start_on(&followers_store, weak);
         let (said, says) = watch::channel(StoreUse::Reads);
         tokio::spawn(say_neighbours(follower.peers, says));
         reader.wait_ready().await;
--- a/crates/corianderstand_forward/tests/stops.rs
+++ b/crates/corianderstand_forward/tests/stops.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MemoryStore, Running, Target};
+use common::{MemoryStore, RouterThread, Target};
 use corianderstand_fleet::config::{Engine, Model, Service};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -37,7 +37,7 @@
     let store = MemoryStore::default();
     let target = Target::start().await;
     cold_service(&store, &target);
-    let mut router = Running::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
     router.wait_ready().await;
     let headers = [("x-id", "request-1"), ("x-model", "m")];
     let mut caller = common::send(router.front, "POST", "/ask/1", &headers, "").await.unwrap();
@@ -55,7 +55,7 @@
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let mut router = Running::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
     router.wait_ready().await;
     // A request that keeps the router from ending early.
     let headers = [("x-id", "request-1")];
@@ -76,7 +76,7 @@
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let mut router = Running::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
     router.wait_ready().await;
     let headers = [("x-id", "request-1")];
     let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
@@ -97,7 +97,7 @@
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let mut router = Running::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
     router.wait_ready().await;
     router.stop();
     tokio::time::sleep(Duration::from_millis(200)).await;
--- a/crates/corianderstand_forward/tests/transfers.rs
+++ b/crates/corianderstand_forward/tests/transfers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MemoryStore, Running};
+use common::{MemoryStore, RouterThread};
 use corianderstand_schema::peers::{PeerMessage, RouterNews, StoreUse};
 use std::{
     net::SocketAddr,
@@ -37,7 +37,7 @@
     let target = common::Target::start().await;
     store.target(target.entry("target-1", "desk"));
     store.large_config(common::config(1, vec![common::route("/pay/", "desk")]), 6_000_000);
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
 
     let mut served = Vec::new();
@@ -103,7 +103,7 @@
     let store = MemoryStore::default();
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let seeds = vec![peer.local_addr().unwrap()];
-    let router = Running::start_with(&store, "reader", seeds, Duration::from_secs(8));
+    let router = RouterThread::start_with(&store, "reader", seeds, Duration::from_secs(8));
     // One that plans says more often that it is there.
     tokio::spawn(plan_instead_of(router.peers));
     let began = Instant::now();
--- a/crates/corianderstand_forward/tests/turns.rs
+++ b/crates/corianderstand_forward/tests/turns.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MemoryStore, Running, Target};
+use common::{MemoryStore, RouterThread, Target};
 use corianderstand_fleet::{
     config::{self, Route},
     targets,
@@ -19,7 +19,7 @@
 const SOON: Duration = Duration::from_millis(500);
 
 struct Stage {
-    router: Running,
+    router: RouterThread,
     engine: Target,
     agent: UdpSocket,
 }
@@ -39,9 +39,9 @@
     let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
     store.target(targets::Entry { holdings, ..engine.entry("engine", "models") });
     let agent = UdpSocket::bind(common::free_port()).await.unwrap();
-    let mut settings = Running::settings("router-a", Vec::new(), Duration::from_secs(8));
+    let mut settings = RouterThread::settings("router-a", Vec::new(), Duration::from_secs(8));
     settings.agent_port = agent.local_addr().unwrap().port();
-    let router = Running::start_on(&store, settings);
+    let router = RouterThread::start_on(&store, settings);
     router.wait_ready().await;
     let news = peers::EngineNews {
         target: "engine".into(),
