--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Got, MemoryStore, RouterThread, Target};
+use common::{MemoryStore, ReceivedRequest, RouterThread, Target};
 use corianderstand_fleet::{
     budget,
     config::{self, RetryPolicy, Route},
@@ -27,7 +27,7 @@
 }
 
 /// The request at whichever target got it, and the other target.
-async fn first<'a>(one: &'a Target, two: &'a Target) -> (Got, &'a Target) {
+async fn first<'a>(one: &'a Target, two: &'a Target) -> (ReceivedRequest, &'a Target) {
     tokio::select! {
         got = one.next() => (got, two),
         got = two.next() => (got, one),
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -392,12 +392,12 @@
 }
 
 /// A request that a target got, and the connection to answer it on.
-pub struct Got {
+pub struct ReceivedRequest {
     pub head: String,
     pub stream: TcpStream,
 }
 
-impl Got {
+impl ReceivedRequest {
     /// Answers with bytes as they are, and closes.
     pub async fn answer(mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).await.unwrap();
@@ -464,12 +464,12 @@
     }
 
     /// The next request.
-    pub async fn next(&self) -> Got {
+    pub async fn next(&self) -> ReceivedRequest {
         let next = async {
             loop {
                 let (mut stream, _) = self.listener.accept().await.unwrap();
                 if let Some(head) = read_head(&mut stream).await {
-                    return Got { head, stream };
+                    return ReceivedRequest { head, stream };
                 }
             }
         };
