--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -124,13 +124,13 @@
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, other) = first(&one, &two).await;
     got.begin_stream(ID).await;
-    got.piece("id: 0\ndata: a\n\n").await;
-    got.piece("id: 1\ndata: b\n\nid: 2\nda").await;
+    got.send_chunk("id: 0\ndata: a\n\n").await;
+    got.send_chunk("id: 1\ndata: b\n\nid: 2\nda").await;
     drop(got);
     let mut next = other.next().await;
     assert_eq!(next.header("x-last-event"), Some("1"));
     next.begin_stream(ID).await;
-    next.piece("id: 2\ndata: c\n\n").await;
+    next.send_chunk("id: 2\ndata: c\n\n").await;
     next.end().await;
     let answer = common::read_all(&mut caller).await.unwrap();
     let events: Vec<_> = answer.lines().filter(|line| line.starts_with("data")).collect();
@@ -147,11 +147,11 @@
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, other) = first(&one, &two).await;
     got.begin_stream(ID).await;
-    got.piece("id: 0\ndata: a\n\n").await;
+    got.send_chunk("id: 0\ndata: a\n\n").await;
     drop(got);
     let mut next = other.next().await;
     next.begin_stream(ID).await;
-    next.piece("id: 5\ndata: f\n\n").await;
+    next.send_chunk("id: 5\ndata: f\n\n").await;
     // The router breaks the connection off at the wrong event, which may be before the end is written.
     next.end_unless_reset().await;
     let answer = common::read_all(&mut caller).await.unwrap_or_default();
@@ -167,7 +167,7 @@
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, _) = first(&one, &two).await;
     got.begin_stream(ID).await;
-    got.piece("id: 0\ndata: a\n\n").await;
+    got.send_chunk("id: 0\ndata: a\n\n").await;
     drop(got);
     let answer = common::read_all(&mut caller).await.unwrap_or_default();
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
@@ -282,7 +282,7 @@
     let mut got = one.next().await;
     got.begin_stream(ID).await;
     for event in 0..5 {
-        got.piece(&format!("id: {event}\ndata: x\n\n")).await;
+        got.send_chunk(&format!("id: {event}\ndata: x\n\n")).await;
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     drop(got);
@@ -291,7 +291,7 @@
     let mut next = two.next().await;
     assert_eq!(next.header("x-last-event"), Some("4"));
     next.begin_stream(ID).await;
-    next.piece("id: 5\ndata: y\n\n").await;
+    next.send_chunk("id: 5\ndata: y\n\n").await;
     next.end().await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.contains("data: y") && answer.ends_with("0\r\n\r\n"), "{answer}");
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -422,7 +422,7 @@
     }
 
     /// Sends bytes of a stream.
-    pub async fn piece(&mut self, text: &str) {
+    pub async fn send_chunk(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         self.stream.write_all(chunk.as_bytes()).await.unwrap();
     }
