--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -31,7 +31,7 @@
 
 /// What the store holds.
 #[derive(Default)]
-pub struct Shelf {
+pub struct StoreState {
     news: BTreeMap<u64, (Subject, Record, Option<News>)>,
     next: u64,
     down: bool,
@@ -42,7 +42,7 @@
 /// The store in memory; tests write to it and take it down.
 #[derive(Clone, Default)]
 pub struct MemoryStore {
-    shelf: Arc<Mutex<Shelf>>,
+    state: Arc<Mutex<StoreState>>,
     turned_away: Arc<AtomicBool>,
     calls: Arc<AtomicUsize>,
     link: Option<link::Link>,
@@ -85,12 +85,12 @@
 
     /// Writes a record whose value has this many bytes.
     fn put_large(&self, subject: Subject, key: &str, news: Option<News>, len: usize) {
-        let mut shelf = self.shelf.lock().unwrap();
-        let offset = shelf.next;
+        let mut state = self.state.lock().unwrap();
+        let offset = state.next;
         let value = Some(Bytes::from(vec![b'x'; len]));
         let record = Record { key: key.into(), value, offset };
-        shelf.news.insert(offset, (subject, record, news));
-        shelf.next += 1;
+        state.news.insert(offset, (subject, record, news));
+        state.next += 1;
     }
 
     pub fn config(&self, config: config::Config) {
@@ -118,23 +118,23 @@
     }
 
     pub fn set_down(&self, down: bool) {
-        self.shelf.lock().unwrap().down = down;
+        self.state.lock().unwrap().down = down;
     }
 
     /// Has the newest records take this long.
     pub fn set_slow(&self, slow: Duration) {
-        self.shelf.lock().unwrap().slow = slow;
+        self.state.lock().unwrap().slow = slow;
     }
 
     fn page(&self, subject: Subject, from: u64) -> Result<Page, StoreError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        let shelf = self.shelf.lock().unwrap();
-        if shelf.down || self.turned_away.load(Ordering::Relaxed) {
+        let state = self.state.lock().unwrap();
+        if state.down || self.turned_away.load(Ordering::Relaxed) {
             return Err(StoreError::Refused(503));
         }
-        let records = shelf.news.range(from..).filter(|(_, (own, ..))| *own == subject);
+        let records = state.news.range(from..).filter(|(_, (own, ..))| *own == subject);
         let records = records.map(|(_, (_, record, _))| record.clone()).collect();
-        Ok(Page { records, next: shelf.next, whole: false })
+        Ok(Page { records, next: state.next, whole: false })
     }
 }
 
@@ -187,7 +187,7 @@
 
 impl dialect::Store for PlainPlatform {
     async fn newest(&self, subject: Subject, _: &Waiting) -> Result<Page, StoreError> {
-        let slow = self.0.shelf.lock().unwrap().slow;
+        let slow = self.0.state.lock().unwrap().slow;
         tokio::time::sleep(slow).await;
         self.0.page(subject, 0)
     }
@@ -217,8 +217,8 @@
     }
 
     fn decode(&self, _: Subject, record: &Record) -> Result<Option<News>, RecordError> {
-        let shelf = self.0.shelf.lock().unwrap();
-        let (_, _, news) = &shelf.news[&record.offset];
+        let state = self.0.state.lock().unwrap();
+        let (_, _, news) = &state.news[&record.offset];
         let unreadable =
             || RecordError::Unreadable { key: record.key.clone(), reason: "garbage".into() };
         news.clone().map(Some).ok_or_else(unreadable)
