--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Default)]
 pub struct MemoryStore {
     state: Arc<Mutex<StoreState>>,
-    turned_away: Arc<AtomicBool>,
+    unavailable: Arc<AtomicBool>,
     calls: Arc<AtomicUsize>,
     link: Option<link::Link>,
 }
@@ -51,7 +51,7 @@
 impl MemoryStore {
     /// The same store for a process that it turns away.
     #[must_use]
-    pub fn turned_away(&self) -> Self {
+    pub fn unavailable(&self) -> Self {
         let own = self.apart();
         own.turn_away(true);
         own
@@ -60,12 +60,12 @@
     /// The same store for a process whose calls are counted apart, and which may be turned away alone.
     #[must_use]
     pub fn apart(&self) -> Self {
-        Self { turned_away: Arc::default(), calls: Arc::default(), ..self.clone() }
+        Self { unavailable: Arc::default(), calls: Arc::default(), ..self.clone() }
     }
 
     /// Has the store turn this process away, or no more.
     pub fn turn_away(&self, away: bool) {
-        self.turned_away.store(away, Ordering::Relaxed);
+        self.unavailable.store(away, Ordering::Relaxed);
     }
 
     /// Reads that this process has begun.
@@ -129,7 +129,7 @@
     fn page(&self, subject: Subject, from: u64) -> Result<Page, StoreError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let state = self.state.lock().unwrap();
-        if state.down || self.turned_away.load(Ordering::Relaxed) {
+        if state.down || self.unavailable.load(Ordering::Relaxed) {
             return Err(StoreError::Refused(503));
         }
         let records = state.news.range(from..).filter(|(_, (own, ..))| *own == subject);
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -104,7 +104,7 @@
     store.target(target.entry("target-1", "desk"));
     let reader = RouterThread::start(&store);
     reader.wait_ready().await;
-    let (away, seeds) = (store.turned_away(), vec![reader.peers]);
+    let (away, seeds) = (store.unavailable(), vec![reader.peers]);
     let router = RouterThread::start_with(&away, "router-b", seeds, Duration::from_secs(8));
     router.wait_ready().await;
     wait_for(&router, "/other/", "404").await;
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -84,7 +84,7 @@
 /// 404 on the added route for as long as the peer was ahead.
 #[tokio::test]
 async fn a_large_configuration_is_taken_from_a_peer_over_a_slow_link() {
-    let pair = Pair::start(Duration::from_secs(2), |store, _| store.turned_away()).await;
+    let pair = Pair::start(Duration::from_secs(2), |store, _| store.unavailable()).await;
     let before = pair.far.connections();
     pair.add_route().await;
     let connections = pair.far.connections() - before;
