--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -53,7 +53,7 @@
     #[must_use]
     pub fn unavailable(&self) -> Self {
         let own = self.apart();
-        own.turn_away(true);
+        own.set_unavailable(true);
         own
     }
 
@@ -64,8 +64,8 @@
     }
 
     /// Has the store turn this process away, or no more.
-    pub fn turn_away(&self, away: bool) {
-        self.unavailable.store(away, Ordering::Relaxed);
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.unavailable.store(unavailable, Ordering::Relaxed);
     }
 
     /// Reads that this process has begun.
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -192,7 +192,7 @@
 #[tokio::test]
 async fn a_change_comes_although_the_reader_has_lost_the_store() {
     let zone = Zone::start().await;
-    zone.readers_store.turn_away(true);
+    zone.readers_store.set_unavailable(true);
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
     let took = zone.known_after("/two/").await;
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
