--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -52,14 +52,14 @@
     /// The same store for a process that it turns away.
     #[must_use]
     pub fn unavailable(&self) -> Self {
-        let own = self.apart();
+        let own = self.isolated();
         own.set_unavailable(true);
         own
     }
 
     /// The same store for a process whose calls are counted apart, and which may be turned away alone.
     #[must_use]
-    pub fn apart(&self) -> Self {
+    pub fn isolated(&self) -> Self {
         Self { unavailable: Arc::default(), calls: Arc::default(), ..self.clone() }
     }
 
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -132,7 +132,7 @@
         let target = Target::start().await;
         store.config(common::config(1, vec![common::route("/one/", "desk")]));
         store.target(target.entry("target-1", "desk"));
-        let (readers_store, followers_store) = (store.apart(), store.apart());
+        let (readers_store, followers_store) = (store.isolated(), store.isolated());
         let reader = RouterThread::start_on(&readers_store, settings("reader", 2_000, Vec::new()));
         let weak = settings("follower", 1_000, vec![reader.peers]);
         let follower = RouterThread::start_on(&followers_store, weak);
