--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -75,7 +75,7 @@
 
     /// The same store for a process that reaches it over a link.
     #[must_use]
-    pub fn over(&self, link: &link::Link) -> Self {
+    pub fn over_link(&self, link: &link::Link) -> Self {
         Self { link: Some(link.clone()), ..self.clone() }
     }
 
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -96,7 +96,7 @@
 /// seem stalled.
 #[tokio::test]
 async fn what_is_on_its_way_from_the_store_is_not_asked_of_a_peer_too() {
-    let pair = Pair::start(Duration::from_secs(20), MemoryStore::over).await;
+    let pair = Pair::start(Duration::from_secs(20), MemoryStore::over_link).await;
     let before = pair.link.carried();
     pair.add_route().await;
     let carried = pair.link.carried() - before;
