--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -113,7 +113,7 @@
     }
 
     /// A record that nobody can read.
-    pub fn garbage(&self, subject: Subject, key: &str) {
+    pub fn unreadable_record(&self, subject: Subject, key: &str) {
         self.put(subject, key, None);
     }
 
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -72,7 +72,7 @@
     let router = RouterThread::start(&store);
     router.wait_ready().await;
     store.config(common::config(5, vec![common::route("/old/", "desk")]));
-    store.garbage(Subject::Config, "config");
+    store.unreadable_record(Subject::Config, "config");
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(status(&router, "/old/").await, "404");
     assert_ne!(status(&router, "/new/").await, "404");
@@ -84,7 +84,7 @@
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.garbage(Subject::Targets, "somebody");
+    store.unreadable_record(Subject::Targets, "somebody");
     store.target(target.entry("target-1", "desk"));
     let router = RouterThread::start(&store);
     router.wait_ready().await;
