--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -44,7 +44,7 @@
 pub struct MemoryStore {
     state: Arc<Mutex<StoreState>>,
     unavailable: Arc<AtomicBool>,
-    calls: Arc<AtomicUsize>,
+    read_count: Arc<AtomicUsize>,
     link: Option<link::Link>,
 }
 
@@ -60,7 +60,7 @@
     /// The same store for a process whose calls are counted apart, and which may be turned away alone.
     #[must_use]
     pub fn isolated(&self) -> Self {
-        Self { unavailable: Arc::default(), calls: Arc::default(), ..self.clone() }
+        Self { unavailable: Arc::default(), read_count: Arc::default(), ..self.clone() }
     }
 
     /// Has the store turn this process away, or no more.
@@ -69,8 +69,8 @@
     }
 
     /// Reads that this process has begun.
-    pub fn calls(&self) -> usize {
-        self.calls.load(Ordering::Relaxed)
+    pub fn read_count(&self) -> usize {
+        self.read_count.load(Ordering::Relaxed)
     }
 
     /// The same store for a process that reaches it over a link.
@@ -127,7 +127,7 @@
     }
 
     fn page(&self, subject: Subject, from: u64) -> Result<Page, StoreError> {
-        self.calls.fetch_add(1, Ordering::Relaxed);
+        self.read_count.fetch_add(1, Ordering::Relaxed);
         let state = self.state.lock().unwrap();
         if state.down || self.unavailable.load(Ordering::Relaxed) {
             return Err(StoreError::Refused(503));
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -150,9 +150,9 @@
     async fn wait_follows(&self) {
         let wait = async {
             loop {
-                let before = self.followers_store.calls();
+                let before = self.followers_store.read_count();
                 tokio::time::sleep(COUNTED).await;
-                if self.followers_store.calls() - before <= FEW {
+                if self.followers_store.read_count() - before <= FEW {
                     return;
                 }
             }
@@ -178,14 +178,14 @@
 #[tokio::test]
 async fn a_change_comes_to_a_router_that_others_read_for() {
     let zone = Zone::start().await;
-    let before = (zone.followers_store.calls(), zone.readers_store.calls());
+    let before = (zone.followers_store.read_count(), zone.readers_store.read_count());
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
     let took = zone.known_after("/two/").await;
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
     tokio::time::sleep(COUNTED).await;
-    let calls = zone.followers_store.calls() - before.0;
+    let calls = zone.followers_store.read_count() - before.0;
     assert!(calls <= 2 * FEW, "{calls} calls of the follower");
-    assert!(zone.readers_store.calls() - before.1 > FEW, "the reader reads");
+    assert!(zone.readers_store.read_count() - before.1 > FEW, "the reader reads");
 }
 
 /// The store turns the reader away just before a change, and nobody tells those that follow it.
@@ -247,10 +247,10 @@
     zone.store.set_down(true);
     zone.said.send(StoreUse::Lost).unwrap();
     tokio::time::sleep(COUNTED).await;
-    let before = (zone.followers_store.calls(), zone.readers_store.calls());
+    let before = (zone.followers_store.read_count(), zone.readers_store.read_count());
     tokio::time::sleep(2 * COUNTED).await;
-    let calls = zone.followers_store.calls() - before.0;
-    let readers_calls = zone.readers_store.calls() - before.1;
+    let calls = zone.followers_store.read_count() - before.0;
+    let readers_calls = zone.readers_store.read_count() - before.1;
     assert!(calls * 3 < readers_calls, "{calls} calls beside the reader's {readers_calls}");
     zone.store.set_down(false);
     zone.said.send(StoreUse::Reads).unwrap();
