--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -36,7 +36,7 @@
     next: u64,
     down: bool,
     /// Time that the newest records take to be read.
-    slow: Duration,
+    read_delay: Duration,
 }
 
 /// The store in memory; tests write to it and take it down.
@@ -122,8 +122,8 @@
     }
 
     /// Has the newest records take this long.
-    pub fn set_slow(&self, slow: Duration) {
-        self.state.lock().unwrap().slow = slow;
+    pub fn set_read_delay(&self, read_delay: Duration) {
+        self.state.lock().unwrap().read_delay = read_delay;
     }
 
     fn page(&self, subject: Subject, from: u64) -> Result<Page, StoreError> {
@@ -187,8 +187,8 @@
 
 impl dialect::Store for PlainPlatform {
     async fn newest(&self, subject: Subject, _: &Waiting) -> Result<Page, StoreError> {
-        let slow = self.0.state.lock().unwrap().slow;
-        tokio::time::sleep(slow).await;
+        let read_delay = self.0.state.lock().unwrap().read_delay;
+        tokio::time::sleep(read_delay).await;
         self.0.page(subject, 0)
     }
 
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -31,7 +31,7 @@
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    store.set_slow(Duration::from_millis(300));
+    store.set_read_delay(Duration::from_millis(300));
     let router = RouterThread::start(&store);
     let headers = [("x-id", "r"), ("x-deadline-ms", "4000")];
     let ask = async {
