--- a/crates/corianderstand_forward/tests/common/link.rs
+++ b/crates/corianderstand_forward/tests/common/link.rs
@@ -58,12 +58,12 @@
 }
 
 /// A peer as it is seen over a link: its datagrams pass at once, what it hands over takes its time.
-pub struct FarPeer {
+pub struct RemotePeer {
     pub addr: SocketAddr,
     taken: Arc<AtomicUsize>,
 }
 
-impl FarPeer {
+impl RemotePeer {
     /// Opens one at `addr`; datagrams to it reach `router`, connections to it reach `peer`.
     pub async fn open(addr: SocketAddr, peer: SocketAddr, router: SocketAddr, link: Link) -> Self {
         let socket = UdpSocket::bind(addr).await.unwrap();
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -16,7 +16,7 @@
 
 use common::{
     MemoryStore, RouterThread,
-    link::{FarPeer, Link},
+    link::{Link, RemotePeer},
 };
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     link: Link,
     reader: RouterThread,
     router: RouterThread,
-    far: FarPeer,
+    far: RemotePeer,
 }
 
 impl Pair {
@@ -48,7 +48,7 @@
         near.bounds.config_within = config_within;
         let far = common::free_port();
         let reader = RouterThread::start_with(&store, "reader", vec![far], within);
-        let far = FarPeer::open(far, reader.peers, near.peers, link.clone()).await;
+        let far = RemotePeer::open(far, reader.peers, near.peers, link.clone()).await;
         let router = RouterThread::start_on(&seen_by_router(&store, &link), near);
         reader.wait_ready().await;
         router.wait_ready().await;
