--- a/crates/corianderstand_forward/tests/common/link.rs
+++ b/crates/corianderstand_forward/tests/common/link.rs
@@ -33,7 +33,7 @@
     }
 
     /// Waits until one piece has crossed.
-    async fn carry(&self, len: usize) {
+    async fn transfer_chunk(&self, len: usize) {
         // The lock is fair, so flows beside one another get equal shares.
         let _turn = self.turn.lock().await;
         tokio::time::sleep(Duration::from_secs_f64(len as f64 / self.bytes_per_s as f64)).await;
@@ -41,11 +41,11 @@
     }
 
     /// Waits until so many bytes have crossed; tells of each piece.
-    pub async fn carry_all(&self, len: usize, heard: impl Fn()) {
+    pub async fn transfer(&self, len: usize, heard: impl Fn()) {
         let mut left = len;
         while left > 0 {
             let piece = left.min(PIECE);
-            self.carry(piece).await;
+            self.transfer_chunk(piece).await;
             heard();
             left -= piece;
         }
@@ -103,7 +103,7 @@
     let hand_over = async {
         let mut buf = vec![0; PIECE];
         while let Ok(len @ 1..) = far_read.read(&mut buf).await {
-            link.carry(len).await;
+            link.transfer_chunk(len).await;
             if near_write.write_all(&buf[..len]).await.is_err() {
                 return;
             }
