--- a/crates/corianderstand_forward/tests/common/link.rs
+++ b/crates/corianderstand_forward/tests/common/link.rs
@@ -24,12 +24,12 @@
 pub struct Link {
     bytes_per_s: usize,
     turn: Arc<Mutex<()>>,
-    carried: Arc<AtomicUsize>,
+    transferred_bytes: Arc<AtomicUsize>,
 }
 
 impl Link {
     pub fn new(bytes_per_s: usize) -> Self {
-        Self { bytes_per_s, turn: Arc::default(), carried: Arc::default() }
+        Self { bytes_per_s, turn: Arc::default(), transferred_bytes: Arc::default() }
     }
 
     /// Waits until one piece has crossed.
@@ -37,7 +37,7 @@
         // The lock is fair, so flows beside one another get equal shares.
         let _turn = self.turn.lock().await;
         tokio::time::sleep(Duration::from_secs_f64(len as f64 / self.bytes_per_s as f64)).await;
-        self.carried.fetch_add(len, Ordering::Relaxed);
+        self.transferred_bytes.fetch_add(len, Ordering::Relaxed);
     }
 
     /// Waits until so many bytes have crossed; tells of each piece.
@@ -52,8 +52,8 @@
     }
 
     /// Bytes that have crossed.
-    pub fn carried(&self) -> usize {
-        self.carried.load(Ordering::Relaxed)
+    pub fn transferred_bytes(&self) -> usize {
+        self.transferred_bytes.load(Ordering::Relaxed)
     }
 }
 
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -97,8 +97,8 @@
 #[tokio::test]
 async fn what_is_on_its_way_from_the_store_is_not_asked_of_a_peer_too() {
     let pair = Pair::start(Duration::from_secs(20), MemoryStore::over_link).await;
-    let before = pair.link.carried();
+    let before = pair.link.transferred_bytes();
     pair.add_route().await;
-    let carried = pair.link.carried() - before;
+    let carried = pair.link.transferred_bytes() - before;
     assert!(carried < DOCUMENT * 3 / 2, "{carried} bytes crossed the link for {DOCUMENT}");
 }
