--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -5,8 +5,8 @@
 //! frozen or killed, the engine goes on serving what it holds. Because each engine is ordered from
 //! one host only, no two holders can take turns at it, and no lease is needed.
 
-mod account;
-mod turns;
+mod permits;
+mod report;
 
 use crate::{control, dialect, router};
 use corianderstand_derives::derives;
@@ -24,27 +24,27 @@
 use tokio::sync::Notify;
 
 /// Pause between two looks at the engine while nothing is under way.
-const IDLE_PAUSE: Duration = Duration::from_millis(250);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between two looks while an order is carried out: a load from memory takes 0.4 s, and each
 /// millisecond after its end is a millisecond that requests wait.
-const BUSY_PAUSE: Duration = Duration::from_millis(30);
+const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Pause between two messages to routers if nothing changes, and what each router beyond some twenty
 /// adds to it, so that the messages of fifty engines take under a tenth of a small host's processor.
-const NEWS_PAUSE: Duration = Duration::from_millis(500);
-const NEWS_PAUSE_EACH: Duration = Duration::from_millis(25);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+const UPDATE_INTERVAL_PER_ROUTER: Duration = Duration::from_millis(25);
 /// Longest such pause; routers count an agent as gone after three of them.
-const LONGEST_NEWS_PAUSE: Duration = Duration::from_millis(900);
+const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(900);
 /// A router that asked for an adapter within this time hears at once that it is there.
-const ASKED_LATELY: Duration = Duration::from_millis(500);
+const REQUESTER_RETENTION: Duration = Duration::from_millis(500);
 /// A planner that was not heard for this long is no longer the one to follow.
-const PLANNER_SILENT: Duration = Duration::from_millis(1_300);
+const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// Adapters that were asked for within this time are kept in mind.
-const ASKED_FOR: Duration = Duration::from_secs(8);
+const ADAPTER_REQUEST_RETENTION: Duration = Duration::from_secs(8);
 /// An order without an answer is taken as lost when the engine shows nothing of it for this long.
 /// The next one carries the same number of orders, so the engine carries out one of them at most, and
 /// one given too early costs a refused call. An engine beside its agent answers within some ms, and
 /// meanwhile nothing else can be ordered.
-const LOST_AFTER: Duration = Duration::from_millis(250);
+const COMMAND_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What an agent is told at its start.
 #[derives(data)]
@@ -57,45 +57,45 @@
 
 /// An order that is under way.
 #[derive(Clone, Debug)]
-struct Ongoing {
-    order: reconcile::Command,
-    since: Instant,
-    takes: Duration,
+struct OngoingCommand {
+    command: reconcile::Command,
+    started_at: Instant,
+    expected_duration: Duration,
     from_store: bool,
-    answered: bool,
-    after_orders: u64,
+    accepted: bool,
+    commands_before: u64,
 }
 
 /// A plan that is being followed.
 #[derive(Clone, Debug)]
-struct Plan {
+struct ReceivedPlan {
     plan: peers::EnginePlan,
-    heard: Instant,
+    received_at: Instant,
 }
 
 /// What the engine said of itself when it was asked its name. Not all engines say when they started,
 /// so fewer orders than it had accepted before tell a new start as well, and so does a plan for another
 /// engine: an agent that has missed a start would else tell routers that the new engine is the old one.
 #[derive(Clone, Debug)]
-struct Named {
+struct EngineIdentity {
     name: Option<names::TargetId>,
     /// The engine that the plan was for then.
-    planned: names::TargetId,
-    born: u64,
-    orders: u64,
+    planned_target: names::TargetId,
+    started_at_ms: u64,
+    commands_accepted: u64,
 }
 
 #[derive(Default)]
 struct State {
-    plan: Option<Plan>,
-    asked: Vec<reconcile::AdapterRequest>,
-    ongoing: Option<Ongoing>,
-    said: Option<(Instant, peers::EngineNews)>,
+    plan: Option<ReceivedPlan>,
+    requested_adapters: Vec<reconcile::AdapterRequest>,
+    ongoing: Option<OngoingCommand>,
+    last_update: Option<(Instant, peers::EngineNews)>,
     /// The engine said that it is not this one: the plan is for one that has ended.
-    ended: Option<names::TargetId>,
+    ended_target: Option<names::TargetId>,
     /// The name that the engine said; none after it did not answer.
-    named: Option<Named>,
-    askers: BTreeMap<SocketAddr, Instant>,
+    identity: Option<EngineIdentity>,
+    recent_requesters: BTreeMap<SocketAddr, Instant>,
 }
 
 struct Agent<E> {
@@ -105,8 +105,8 @@
     outbox: control::Outbox,
     state: RefCell<State>,
     wake: Notify,
-    turns: RefCell<prefill::PermitQueue<SocketAddr>>,
-    turns_changed: Notify,
+    permits: RefCell<prefill::PermitQueue<SocketAddr>>,
+    permits_changed: Notify,
 }
 
 /// Runs an agent until `stop` is done.
@@ -131,19 +131,19 @@
             outbox: control::Outbox::new(socket.clone()),
             state: RefCell::default(),
             wake: Notify::new(),
-            turns: RefCell::default(),
-            turns_changed: Notify::new(),
+            permits: RefCell::default(),
+            permits_changed: Notify::new(),
             settings,
             clock,
         });
         tracing::info!(name = %agent.settings.name, "agent started");
         let listening = agent.clone();
         tokio::task::spawn_local(async move {
-            control::receive(&socket, |from, message| listening.take(from, message)).await;
+            control::receive(&socket, |from, message| listening.on_message(from, message)).await;
         });
         tokio::select! {
-            () = agent.work() => {}
-            () = agent.give_turns() => {}
+            () = agent.poll_engine() => {}
+            () = agent.grant_permits() => {}
             () = stop => {}
         }
         tracing::info!("agent stopped");
@@ -152,15 +152,15 @@
 }
 
 impl<E: dialect::EngineCalls> Agent<E> {
-    fn take(&self, from: SocketAddr, message: PeerMessage) {
+    fn on_message(&self, from: SocketAddr, message: PeerMessage) {
         let now = self.clock.now();
         match message {
-            PeerMessage::EnginePlan(plan) => self.take_plan(now, plan),
-            PeerMessage::AdaptersAsked(asked) => self.take_asked(now, from, asked),
-            PeerMessage::PrefillAsked(asked) => self.take_prefill(now, from, &asked),
+            PeerMessage::EnginePlan(plan) => self.on_plan(now, plan),
+            PeerMessage::AdaptersAsked(request) => self.on_adapters_requested(now, from, request),
+            PeerMessage::PrefillAsked(request) => self.on_prefill_request(now, from, &request),
             PeerMessage::PrefillWithdrawn(withdrawn) => {
-                self.turns.borrow_mut().cancel(withdrawn.id);
-                self.turns_changed.notify_one();
+                self.permits.borrow_mut().cancel(withdrawn.id);
+                self.permits_changed.notify_one();
             }
             PeerMessage::RouterNews(_)
             | PeerMessage::PrefillAnswer(_)
@@ -173,68 +173,74 @@
     }
 
     /// Follows the best of the planners heard lately.
-    fn take_plan(&self, now: Instant, plan: peers::EnginePlan) {
+    fn on_plan(&self, now: Instant, plan: peers::EnginePlan) {
         let mut state = self.state.borrow_mut();
         if let Some(last) = &state.plan {
-            let live = now.saturating_duration_since(last.heard) < PLANNER_SILENT;
-            let other = last.plan.planner != plan.planner;
-            if live && other && rank(&last.plan) > rank(&plan) {
+            let responsive = now.saturating_duration_since(last.received_at) < PLANNER_TIMEOUT;
+            let different_planner = last.plan.planner != plan.planner;
+            if responsive && different_planner && planner_rank(&last.plan) > planner_rank(&plan) {
                 return;
             }
-            if !other && plan.serial < last.plan.serial && live {
+            if !different_planner && plan.serial < last.plan.serial && responsive {
                 return;
             }
-            if other {
+            if different_planner {
                 tracing::info!(planner = %plan.planner, before = %last.plan.planner, "another planner");
             }
         }
         let changed = state.plan.as_ref().is_none_or(|last| last.plan.parts != plan.parts);
-        state.plan = Some(Plan { plan, heard: now });
+        state.plan = Some(ReceivedPlan { plan, received_at: now });
         if changed {
             self.wake.notify_one();
         }
     }
 
     /// Keeps in mind what is asked for, the newest first.
-    fn take_asked(&self, now: Instant, from: SocketAddr, asked: peers::AdaptersAsked) {
+    fn on_adapters_requested(&self, now: Instant, from: SocketAddr, request: peers::AdaptersAsked) {
         let mut state = self.state.borrow_mut();
-        state.askers.insert(from, now);
-        state.askers.retain(|_, at| now.saturating_duration_since(*at) < ASKED_LATELY);
-        for ask in asked.adapters {
-            state.asked.retain(|old| old.model != ask.model || old.adapter != ask.adapter);
-            let ask = reconcile::AdapterRequest {
-                model: ask.model,
-                adapter: ask.adapter,
+        state.recent_requesters.insert(from, now);
+        state
+            .recent_requesters
+            .retain(|_, at| now.saturating_duration_since(*at) < REQUESTER_RETENTION);
+        for adapter in request.adapters {
+            state
+                .requested_adapters
+                .retain(|old| old.model != adapter.model || old.adapter != adapter.adapter);
+            let requested = reconcile::AdapterRequest {
+                model: adapter.model,
+                adapter: adapter.adapter,
                 requested_at: now,
             };
-            state.asked.insert(0, ask);
+            state.requested_adapters.insert(0, requested);
         }
-        state.asked.retain(|ask| now.saturating_duration_since(ask.requested_at) < ASKED_FOR);
+        state.requested_adapters.retain(|requested| {
+            now.saturating_duration_since(requested.requested_at) < ADAPTER_REQUEST_RETENTION
+        });
         self.wake.notify_one();
     }
 
-    async fn work(&self) {
-        let mut lost = false;
+    async fn poll_engine(&self) {
+        let mut unresponsive = false;
         loop {
             let pause = match self.engine.report().await {
                 Ok(report) => {
-                    if std::mem::take(&mut lost) {
+                    if std::mem::take(&mut unresponsive) {
                         tracing::info!("the engine answers again");
                     }
-                    self.look(report).await
+                    self.on_report(report).await
                 }
                 Err(error) => {
-                    if !std::mem::replace(&mut lost, true) {
+                    if !std::mem::replace(&mut unresponsive, true) {
                         tracing::warn!(%error, "the engine does not answer: it is asked again");
                     }
                     let mut state = self.state.borrow_mut();
                     state.ongoing = None;
-                    state.named = None;
+                    state.identity = None;
                     drop(state);
                     if matches!(error, dialect::ReportError::Ended(_)) {
-                        self.say_gone();
+                        self.send_engine_gone();
                     }
-                    IDLE_PAUSE
+                    IDLE_POLL_INTERVAL
                 }
             };
             tokio::select! {
@@ -245,57 +251,62 @@
     }
 
     /// Acts on the engine's account of itself; returns when to look again.
-    async fn look(&self, report: dialect::EngineReport) -> Duration {
+    async fn on_report(&self, report: dialect::EngineReport) -> Duration {
         let now = self.clock.now();
-        self.settle(now, &report);
-        let Some(plan) = self.state.borrow().plan.clone() else { return IDLE_PAUSE };
-        let name = self.name(&plan.plan, &report).await;
+        self.finish_ongoing(now, &report);
+        let Some(plan) = self.state.borrow().plan.clone() else { return IDLE_POLL_INTERVAL };
+        let name = self.engine_name(&plan.plan, &report).await;
         if let Some(name) = name.filter(|name| *name != plan.plan.target) {
-            self.say_replaced(&plan.plan, &report, name);
-            return IDLE_PAUSE;
+            self.send_engine_replaced(&plan.plan, &report, name);
+            return IDLE_POLL_INTERVAL;
         }
-        self.say(now, &plan.plan, &report);
-        let Some(order) = self.next(now, &plan.plan, &report) else {
+        self.send_update(now, &plan.plan, &report);
+        let Some(command) = self.next_command(now, &plan.plan, &report) else {
             let busy = report.busy || report.adapters_coming > 0;
-            let waits = self.state.borrow().ongoing.is_some() || busy;
-            return if waits { BUSY_PAUSE } else { IDLE_PAUSE };
+            let in_progress = self.state.borrow().ongoing.is_some() || busy;
+            return if in_progress { BUSY_POLL_INTERVAL } else { IDLE_POLL_INTERVAL };
         };
-        self.give(now, &plan.plan, &report, order).await;
-        BUSY_PAUSE
+        self.execute(now, &plan.plan, &report, command).await;
+        BUSY_POLL_INTERVAL
     }
 
     /// Tells all routers that the engine's process has ended, again each time that it is found so.
-    fn say_gone(&self) {
+    fn send_engine_gone(&self) {
         let state = self.state.borrow();
-        let (Some(plan), Some((_, said))) = (&state.plan, &state.said) else { return };
-        let gone = peers::EngineGone { target: said.target.clone(), born: said.born };
-        for addr in routers(&plan.plan) {
+        let (Some(plan), Some((_, last))) = (&state.plan, &state.last_update) else { return };
+        let gone = peers::EngineGone { target: last.target.clone(), born: last.born };
+        for addr in router_addresses(&plan.plan) {
             self.outbox.send(addr, &PeerMessage::EngineGone(gone.clone()));
         }
     }
 
     /// The engine's name, asked for once after each start of it and each change of the plan's engine.
-    async fn name(
+    async fn engine_name(
         &self,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
     ) -> Option<names::TargetId> {
-        let born = report.born.unwrap_or(0);
-        let orders = report.holdings.commands_accepted;
-        if let Some(named) = &mut self.state.borrow_mut().named
-            && named.born == born
-            && named.orders <= orders
-            && named.planned == plan.target
+        let started_at_ms = report.born.unwrap_or(0);
+        let commands_accepted = report.holdings.commands_accepted;
+        if let Some(identity) = &mut self.state.borrow_mut().identity
+            && identity.started_at_ms == started_at_ms
+            && identity.commands_accepted <= commands_accepted
+            && identity.planned_target == plan.target
         {
-            named.orders = orders;
-            return named.name.clone();
+            identity.commands_accepted = commands_accepted;
+            return identity.name.clone();
         }
         match self.engine.name(&plan.health_path).await {
             Ok(name) => {
-                tracing::info!(?name, born, "the engine's name");
-                let planned = plan.target.clone();
-                let named = Named { name: name.clone(), planned, born, orders };
-                self.state.borrow_mut().named = Some(named);
+                tracing::info!(?name, born = started_at_ms, "the engine's name");
+                let planned_target = plan.target.clone();
+                let identity = EngineIdentity {
+                    name: name.clone(),
+                    planned_target,
+                    started_at_ms,
+                    commands_accepted,
+                };
+                self.state.borrow_mut().identity = Some(identity);
                 name
             }
             Err(error) => {
@@ -307,7 +318,7 @@
 
     /// Tells routers that this engine has replaced the one that the plan is for, so that they plan
     /// for it before it has registered.
-    fn say_replaced(
+    fn send_engine_replaced(
         &self,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
@@ -318,96 +329,99 @@
             born: report.born.unwrap_or(0),
             before: plan.target.clone(),
         });
-        routers(plan).for_each(|addr| self.outbox.send(addr, &replaced));
+        router_addresses(plan).for_each(|addr| self.outbox.send(addr, &replaced));
     }
 
     /// Sees whether what is under way has ended.
-    fn settle(&self, now: Instant, report: &dialect::EngineReport) {
+    fn finish_ongoing(&self, now: Instant, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let Some(ongoing) = &state.ongoing else { return };
-        let shows = report.holdings.commands_accepted > ongoing.after_orders;
-        let silent = now.saturating_duration_since(ongoing.since) > LOST_AFTER;
-        let over = !report.busy && (shows || silent);
-        if over {
-            let ms = now.saturating_duration_since(ongoing.since).as_millis() as u64;
-            tracing::info!(order = ?ongoing.order, ms, shows, answered = ongoing.answered, "order ended");
+        let observed = report.holdings.commands_accepted > ongoing.commands_before;
+        let timed_out =
+            now.saturating_duration_since(ongoing.started_at) > COMMAND_RESPONSE_TIMEOUT;
+        let ended = !report.busy && (observed || timed_out);
+        if ended {
+            let ms = now.saturating_duration_since(ongoing.started_at).as_millis() as u64;
+            tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.accepted, "order ended");
             state.ongoing = None;
         }
     }
 
-    fn next(
+    fn next_command(
         &self,
         now: Instant,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
     ) -> Option<reconcile::Command> {
         let state = self.state.borrow();
-        if state.ongoing.is_some() || state.ended.as_ref() == Some(&plan.target) {
+        if state.ongoing.is_some() || state.ended_target.as_ref() == Some(&plan.target) {
             return None;
         }
-        let room = reconcile::Capacity {
+        let capacity = reconcile::Capacity {
             weights_mb: plan.weights_mb,
             adapter_slots: plan.adapter_places as usize,
         };
-        let parts = account::parts(plan);
-        let coming = report.adapters_coming;
+        let models = report::engine_models(plan);
+        let adapters_loading = report.adapters_coming;
         let adapter = || {
             reconcile::next_adapter_command(
                 now,
-                room,
-                &parts,
+                capacity,
+                &models,
                 &report.holdings,
-                coming,
-                &state.asked,
+                adapters_loading,
+                &state.requested_adapters,
             )
         };
         let model = || match report.busy {
             true => None,
-            false => reconcile::next_model_command(room, &parts, &report.holdings),
+            false => reconcile::next_model_command(capacity, &models, &report.holdings),
         };
         // An adapter takes some ms and its request waits; a model takes a second and more.
         if report.busy { None } else { adapter().or_else(model) }
     }
 
-    async fn give(
+    async fn execute(
         &self,
         now: Instant,
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
-        order: reconcile::Command,
+        command: reconcile::Command,
     ) {
-        let (takes, from_store) = account::takes(plan, report, &order);
-        let after_orders = report.holdings.commands_accepted;
-        let ongoing = Ongoing {
-            order: order.clone(),
-            since: now,
-            takes,
+        let (expected_duration, from_store) = report::expected_duration(plan, report, &command);
+        let commands_before = report.holdings.commands_accepted;
+        let ongoing = OngoingCommand {
+            command: command.clone(),
+            started_at: now,
+            expected_duration,
             from_store,
-            answered: false,
-            after_orders,
+            accepted: false,
+            commands_before,
         };
-        let model_order =
-            matches!(order, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
-        if model_order {
+        let changes_model =
+            matches!(command, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
+        if changes_model {
             self.state.borrow_mut().ongoing = Some(ongoing);
             // Routers hear that a model goes before it does, and send nothing there any more.
-            self.say(now, plan, report);
+            self.send_update(now, plan, report);
         }
         let target = &plan.target;
-        let end =
-            self.engine.order(dialect::SafeOrder { target, order: &order, after_orders }).await;
-        tracing::info!(%target, ?order, ?end, after_orders, from_store, "order given");
+        let result = self
+            .engine
+            .order(dialect::SafeOrder { target, order: &command, after_orders: commands_before })
+            .await;
+        tracing::info!(%target, order = ?command, end = ?result, after_orders = commands_before, from_store, "order given");
         let mut state = self.state.borrow_mut();
-        match end {
+        match result {
             dialect::OrderEnd::Accepted | dialect::OrderEnd::Unknown => {
                 if let Some(ongoing) = &mut state.ongoing {
-                    ongoing.answered = end == dialect::OrderEnd::Accepted;
+                    ongoing.accepted = result == dialect::OrderEnd::Accepted;
                 }
             }
             dialect::OrderEnd::OtherEngine => {
                 state.ongoing = None;
-                state.ended = Some(target.clone());
-                state.named = None;
+                state.ended_target = Some(target.clone());
+                state.identity = None;
             }
             _ => state.ongoing = None,
         }
@@ -415,40 +429,44 @@
 
     /// Tells routers of the engine: all when its models change or they have not heard for a while,
     /// those that asked for adapters when these change.
-    fn say(&self, now: Instant, plan: &peers::EnginePlan, report: &dialect::EngineReport) {
+    fn send_update(&self, now: Instant, plan: &peers::EnginePlan, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
-        let news = account::news(now, plan, report, state.ongoing.as_ref());
-        let pause = NEWS_PAUSE.max(NEWS_PAUSE_EACH * plan.routers.len() as u32);
-        let pause = pause.min(LONGEST_NEWS_PAUSE);
-        let to_all = state.said.as_ref().is_none_or(|(at, said)| {
-            now.saturating_duration_since(*at) >= pause || account::differs(said, &news)
+        let update = report::engine_update(now, plan, report, state.ongoing.as_ref());
+        let interval = UPDATE_INTERVAL.max(UPDATE_INTERVAL_PER_ROUTER * plan.routers.len() as u32);
+        let interval = interval.min(MAX_UPDATE_INTERVAL);
+        let to_all = state.last_update.as_ref().is_none_or(|(at, last)| {
+            now.saturating_duration_since(*at) >= interval
+                || report::needs_immediate_update(last, &update)
         });
-        let adapters = state.said.as_ref().is_some_and(|(_, said)| said.resident != news.resident);
-        if !to_all && !adapters {
+        let adapters_changed =
+            state.last_update.as_ref().is_some_and(|(_, last)| last.resident != update.resident);
+        if !to_all && !adapters_changed {
             return;
         }
-        let copies = peers::WeightCopies {
+        let cached_weights = peers::WeightCopies {
             in_memory: report.holdings.in_memory.clone(),
             on_disk: report.holdings.on_disk.clone(),
         };
-        let full =
-            PeerMessage::EngineNews(peers::EngineNews { copies: vec![copies], ..news.clone() });
-        let short = PeerMessage::EngineNews(news.clone());
-        for (index, addr) in routers(plan).enumerate() {
-            if to_all || state.askers.contains_key(&addr) {
+        let full = PeerMessage::EngineNews(peers::EngineNews {
+            copies: vec![cached_weights],
+            ..update.clone()
+        });
+        let short = PeerMessage::EngineNews(update.clone());
+        for (index, addr) in router_addresses(plan).enumerate() {
+            if to_all || state.recent_requesters.contains_key(&addr) {
                 self.outbox.send(addr, if index == 0 { &full } else { &short });
             }
         }
-        let at = match &state.said {
+        let sent_at = match &state.last_update {
             Some((at, _)) if !to_all => *at,
             _ => now,
         };
-        state.said = Some((at, news));
+        state.last_update = Some((sent_at, update));
     }
 }
 
 /// Addresses of the routers that a plan names.
-fn routers(plan: &peers::EnginePlan) -> impl Iterator<Item = SocketAddr> {
+fn router_addresses(plan: &peers::EnginePlan) -> impl Iterator<Item = SocketAddr> {
     plan.routers.iter().filter_map(|router| match router.parse() {
         Ok(addr) => Some(addr),
         Err(error) => {
@@ -458,6 +476,6 @@
     })
 }
 
-fn rank(plan: &peers::EnginePlan) -> crate::peers::Rank {
+fn planner_rank(plan: &peers::EnginePlan) -> crate::peers::Rank {
     crate::peers::Rank::new(plan.strength, plan.planner.as_str())
 }
--- /dev/null
+++ b/crates/corianderstand_forward/src/agent/permits.rs
@@ -0,0 +1,77 @@
+//! Turns at the engine's prompts, for the routers that ask.
+
+use super::Agent;
+use crate::dialect;
+use corianderstand_fleet::prefill;
+use corianderstand_schema::peers::{self, PeerMessage};
+use std::{
+    net::SocketAddr,
+    time::{Duration, Instant},
+};
+
+/// Least pause between two looks at whose turn it is; reading a prompt takes some ten times as long.
+const MIN_GRANT_INTERVAL: Duration = Duration::from_millis(2);
+
+impl<E: dialect::EngineCalls> Agent<E> {
+    /// Answers a router that asks for a turn at the engine.
+    pub(super) fn on_prefill_request(
+        &self,
+        now: Instant,
+        from: SocketAddr,
+        request: &peers::PrefillAsked,
+    ) {
+        let millis = |ms: u32| Duration::from_millis(u64::from(ms));
+        let mut permits = self.permits.borrow_mut();
+        let response = permits.request(
+            now,
+            prefill::PermitRequest {
+                id: request.id,
+                requester: from,
+                prefill_time: Duration::from_micros(u64::from(request.work_us)),
+                latency_objective_at: now + millis(request.aim_in_ms),
+                expires_at: now + millis(request.useful_ms),
+                max_pause: (request.pause_ms > 0).then(|| millis(request.pause_ms)),
+            },
+        );
+        let backlog = permits.backlog(now);
+        drop(permits);
+        match response {
+            prefill::PermitResponse::Granted => self.send_answer(from, request.id, None, backlog),
+            prefill::PermitResponse::Wait(wait) => {
+                self.send_answer(from, request.id, Some(wait), backlog);
+                self.permits_changed.notify_one();
+            }
+        }
+    }
+
+    fn send_answer(&self, to: SocketAddr, id: u64, wait: Option<Duration>, backlog: Duration) {
+        let answer = peers::PrefillAnswer {
+            id,
+            given: wait.is_none(),
+            wait_ms: wait.unwrap_or_default().as_millis() as u32,
+            reading_us: backlog.as_micros() as u32,
+        };
+        self.outbox.send(to, &PeerMessage::PrefillAnswer(answer));
+    }
+
+    /// Gives turns as they come.
+    pub(super) async fn grant_permits(&self) {
+        loop {
+            let now = self.clock.now();
+            let due = self.permits.borrow_mut().grant_due(now);
+            let backlog = self.permits.borrow().backlog(now);
+            for (requester, id) in due {
+                self.send_answer(requester, id, None, backlog);
+            }
+            let next_grant = self.permits.borrow().next_grant_in(now);
+            let changed = self.permits_changed.notified();
+            match next_grant {
+                None => changed.await,
+                Some(delay) => {
+                    let delay = delay.max(MIN_GRANT_INTERVAL);
+                    let _elapsed = tokio::time::timeout(delay, changed).await;
+                }
+            }
+        }
+    }
+}
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/report.rs
@@ -1,6 +1,6 @@
 //! An engine's account of itself, as routers are told of it and as orders are worked out from it.
 
-use super::Ongoing;
+use super::OngoingCommand;
 use crate::dialect;
 use corianderstand_fleet::{reconcile, targets};
 use corianderstand_schema::peers;
@@ -8,36 +8,38 @@
 use std::time::{Duration, Instant};
 
 /// Whether routers should hear at once: load changes all the time and can wait.
-pub(super) fn differs(said: &peers::EngineNews, news: &peers::EngineNews) -> bool {
-    let order = |news: &peers::EngineNews| {
-        news.ongoing.first().map(|order| (order.model.clone(), order.loads))
+pub(super) fn needs_immediate_update(last: &peers::EngineNews, update: &peers::EngineNews) -> bool {
+    let command = |update: &peers::EngineNews| {
+        update.ongoing.first().map(|command| (command.model.clone(), command.loads))
     };
-    let models = |news: &peers::EngineNews| {
-        news.resident.iter().map(|resident| resident.model.clone()).collect::<Vec<_>>()
+    let models = |update: &peers::EngineNews| {
+        update.resident.iter().map(|resident| resident.model.clone()).collect::<Vec<_>>()
     };
-    said.born != news.born
-        || said.target != news.target
-        || models(said) != models(news)
-        || order(said) != order(news)
+    last.born != update.born
+        || last.target != update.target
+        || models(last) != models(update)
+        || command(last) != command(update)
 }
 
-pub(super) fn parts(plan: &peers::EnginePlan) -> Vec<reconcile::EngineModel> {
-    let parts = plan.parts.iter().map(|part| reconcile::EngineModel {
+pub(super) fn engine_models(plan: &peers::EnginePlan) -> Vec<reconcile::EngineModel> {
+    let models = plan.parts.iter().map(|part| reconcile::EngineModel {
         model: part.model.clone(),
         weights_mb: part.weights_mb,
         adapter_mb: part.adapter_mb,
         desired: part.wanted,
     });
-    parts.collect()
+    models.collect()
 }
 
 /// How long an order takes, and whether it loads from the weight store.
-pub(super) fn takes(
+pub(super) fn expected_duration(
     plan: &peers::EnginePlan,
     report: &dialect::EngineReport,
-    order: &reconcile::Command,
+    command: &reconcile::Command,
 ) -> (Duration, bool) {
-    let reconcile::Command::Load(model) = order else { return (Duration::from_millis(100), false) };
+    let reconcile::Command::Load(model) = command else {
+        return (Duration::from_millis(100), false);
+    };
     let Some(part) = plan.parts.iter().find(|part| part.model == *model) else {
         return (Duration::from_secs(1), true);
     };
@@ -51,28 +53,28 @@
     (Duration::from_millis(u64::from(ms)), from_store)
 }
 
-pub(super) fn news(
+pub(super) fn engine_update(
     now: Instant,
     plan: &peers::EnginePlan,
     report: &dialect::EngineReport,
-    ongoing: Option<&Ongoing>,
+    ongoing: Option<&OngoingCommand>,
 ) -> peers::EngineNews {
     let resident = report.holdings.resident.iter().map(|resident| peers::ResidentModel {
         model: resident.model.clone(),
         adapters: resident.adapters.clone(),
     });
     let ongoing = ongoing.and_then(|ongoing| {
-        let (model, loads): (&names::ModelId, bool) = match &ongoing.order {
+        let (model, loads): (&names::ModelId, bool) = match &ongoing.command {
             reconcile::Command::Load(model) => (model, true),
             reconcile::Command::Unload(model) => (model, false),
             _ => return None,
         };
-        let passed = now.saturating_duration_since(ongoing.since);
+        let elapsed = now.saturating_duration_since(ongoing.started_at);
         Some(peers::OngoingOrder {
             model: model.clone(),
             loads,
             from_store: ongoing.from_store,
-            remaining_ms: ongoing.takes.saturating_sub(passed).as_millis() as u32,
+            remaining_ms: ongoing.expected_duration.saturating_sub(elapsed).as_millis() as u32,
         })
     });
     let targets::Load { running, waiting, cache_used } = report.load;
