--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -1,9 +1,8 @@
-//! The agent process: beside one engine, and the only one that gives it orders.
+//! The agent process, which runs beside one engine and is the only one to send it commands.
 //!
-//! It asks its engine for its account of itself, tells routers of it, and works off the plan that
-//! the planning router sends, one order at a time. It is not on the way of requests: when it is
-//! frozen or killed, the engine goes on serving what it holds. Because each engine is ordered from
-//! one host only, no two holders can take turns at it, and no lease is needed.
+//! It polls the engine's state, reports it to routers and executes the planner's plan one command at
+//! a time. It is not on the request path: if it hangs or is killed, the engine keeps serving the
+//! models it holds. As each engine has a single agent, commands need no lease.
 
 mod permits;
 mod report;
@@ -23,39 +22,33 @@
 };
 use tokio::sync::Notify;
 
-/// Pause between two looks at the engine while nothing is under way.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two looks while an order is carried out: a load from memory takes 0.4 s, and each
-/// millisecond after its end is a millisecond that requests wait.
+/// Short while a command is executed, as requests wait until the agent sees it complete.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Pause between two messages to routers if nothing changes, and what each router beyond some twenty
-/// adds to it, so that the messages of fifty engines take under a tenth of a small host's processor.
+/// Interval between updates to routers while nothing changes; it grows with the number of routers to
+/// limit the load on small hosts.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 const UPDATE_INTERVAL_PER_ROUTER: Duration = Duration::from_millis(25);
-/// Longest such pause; routers count an agent as gone after three of them.
+/// Routers consider an agent unresponsive after three of these.
 const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(900);
-/// A router that asked for an adapter within this time hears at once that it is there.
+/// Routers that requested an adapter within this time are updated at once when adapters change.
 const REQUESTER_RETENTION: Duration = Duration::from_millis(500);
-/// A planner that was not heard for this long is no longer the one to follow.
+/// A planner that sends nothing for this long may be superseded by one of lower rank.
 const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// Adapters that were asked for within this time are kept in mind.
 const ADAPTER_REQUEST_RETENTION: Duration = Duration::from_secs(8);
-/// An order without an answer is taken as lost when the engine shows nothing of it for this long.
-/// The next one carries the same number of orders, so the engine carries out one of them at most, and
-/// one given too early costs a refused call. An engine beside its agent answers within some ms, and
-/// meanwhile nothing else can be ordered.
+/// A command whose effect is not observed within this time is considered lost and sent again. Both
+/// carry the same `after_orders`, so the engine executes at most one of them.
 const COMMAND_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What an agent is told at its start.
+/// Settings of an agent.
 #[derives(data)]
 pub struct Settings {
-    /// Its name.
+    /// Name of the agent.
     pub name: SmolStr,
-    /// Where routers reach it.
+    /// Address on which it receives datagrams from routers.
     pub listen: SocketAddr,
 }
 
-/// An order that is under way.
 #[derive(Clone, Debug)]
 struct OngoingCommand {
     command: reconcile::Command,
@@ -66,20 +59,18 @@
     commands_before: u64,
 }
 
-/// A plan that is being followed.
 #[derive(Clone, Debug)]
 struct ReceivedPlan {
     plan: peers::EnginePlan,
     received_at: Instant,
 }
 
-/// What the engine said of itself when it was asked its name. Not all engines say when they started,
-/// so fewer orders than it had accepted before tell a new start as well, and so does a plan for another
-/// engine: an agent that has missed a start would else tell routers that the new engine is the old one.
+/// The engine's name, cached until it may have restarted. Not all engines report their start time, so
+/// a lower command count or a plan for another target also invalidates it; a stale name would make
+/// routers mistake the new engine for the old one.
 #[derive(Clone, Debug)]
 struct EngineIdentity {
     name: Option<names::TargetId>,
-    /// The engine that the plan was for then.
     planned_target: names::TargetId,
     started_at_ms: u64,
     commands_accepted: u64,
@@ -91,9 +82,8 @@
     requested_adapters: Vec<reconcile::AdapterRequest>,
     ongoing: Option<OngoingCommand>,
     last_update: Option<(Instant, peers::EngineNews)>,
-    /// The engine said that it is not this one: the plan is for one that has ended.
+    /// Target that the engine denied to be; plans for it are not executed.
     ended_target: Option<names::TargetId>,
-    /// The name that the engine said; none after it did not answer.
     identity: Option<EngineIdentity>,
     recent_requesters: BTreeMap<SocketAddr, Instant>,
 }
@@ -167,12 +157,12 @@
             | PeerMessage::EngineNews(_)
             | PeerMessage::EngineGone(_)
             | PeerMessage::EngineReplaced(_) => {
-                tracing::debug!(%from, "message that is for routers");
+                tracing::debug!(%from, "ignored a message addressed to routers");
             }
         }
     }
 
-    /// Follows the best of the planners heard lately.
+    /// Accepts a plan unless a planner of higher rank is active or the plan is out of order.
     fn on_plan(&self, now: Instant, plan: peers::EnginePlan) {
         let mut state = self.state.borrow_mut();
         if let Some(last) = &state.plan {
@@ -185,7 +175,7 @@
                 return;
             }
             if different_planner {
-                tracing::info!(planner = %plan.planner, before = %last.plan.planner, "another planner");
+                tracing::info!(planner = %plan.planner, before = %last.plan.planner, "planner changed");
             }
         }
         let changed = state.plan.as_ref().is_none_or(|last| last.plan.parts != plan.parts);
@@ -195,7 +185,7 @@
         }
     }
 
-    /// Keeps in mind what is asked for, the newest first.
+    /// Records requested adapters, the most recent first.
     fn on_adapters_requested(&self, now: Instant, from: SocketAddr, request: peers::AdaptersAsked) {
         let mut state = self.state.borrow_mut();
         state.recent_requesters.insert(from, now);
@@ -225,13 +215,13 @@
             let pause = match self.engine.report().await {
                 Ok(report) => {
                     if std::mem::take(&mut unresponsive) {
-                        tracing::info!("the engine answers again");
+                        tracing::info!("engine is responsive again");
                     }
                     self.on_report(report).await
                 }
                 Err(error) => {
                     if !std::mem::replace(&mut unresponsive, true) {
-                        tracing::warn!(%error, "the engine does not answer: it is asked again");
+                        tracing::warn!(%error, "engine does not answer, retrying");
                     }
                     let mut state = self.state.borrow_mut();
                     state.ongoing = None;
@@ -250,7 +240,7 @@
         }
     }
 
-    /// Acts on the engine's account of itself; returns when to look again.
+    /// Acts on the engine's report and returns the delay before the next poll.
     async fn on_report(&self, report: dialect::EngineReport) -> Duration {
         let now = self.clock.now();
         self.finish_ongoing(now, &report);
@@ -270,7 +260,7 @@
         BUSY_POLL_INTERVAL
     }
 
-    /// Tells all routers that the engine's process has ended, again each time that it is found so.
+    /// Reports to all routers that the engine's process has exited; repeated on each poll.
     fn send_engine_gone(&self) {
         let state = self.state.borrow();
         let (Some(plan), Some((_, last))) = (&state.plan, &state.last_update) else { return };
@@ -280,7 +270,7 @@
         }
     }
 
-    /// The engine's name, asked for once after each start of it and each change of the plan's engine.
+    /// Returns the engine's name, querying it only when the cached one may be stale.
     async fn engine_name(
         &self,
         plan: &peers::EnginePlan,
@@ -298,7 +288,7 @@
         }
         match self.engine.name(&plan.health_path).await {
             Ok(name) => {
-                tracing::info!(?name, born = started_at_ms, "the engine's name");
+                tracing::info!(?name, born = started_at_ms, "engine identified");
                 let planned_target = plan.target.clone();
                 let identity = EngineIdentity {
                     name: name.clone(),
@@ -310,14 +300,14 @@
                 name
             }
             Err(error) => {
-                tracing::warn!(%error, "the engine did not say its name: it is asked again");
+                tracing::warn!(%error, "engine did not report its name, retrying");
                 None
             }
         }
     }
 
-    /// Tells routers that this engine has replaced the one that the plan is for, so that they plan
-    /// for it before it has registered.
+    /// Reports to routers that this engine replaced the plan's target, so that they can plan for it
+    /// before it registers.
     fn send_engine_replaced(
         &self,
         plan: &peers::EnginePlan,
@@ -332,7 +322,7 @@
         router_addresses(plan).for_each(|addr| self.outbox.send(addr, &replaced));
     }
 
-    /// Sees whether what is under way has ended.
+    /// Clears the ongoing command once it is complete or considered lost.
     fn finish_ongoing(&self, now: Instant, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let Some(ongoing) = &state.ongoing else { return };
@@ -342,7 +332,7 @@
         let ended = !report.busy && (observed || timed_out);
         if ended {
             let ms = now.saturating_duration_since(ongoing.started_at).as_millis() as u64;
-            tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.accepted, "order ended");
+            tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.accepted, "command ended");
             state.ongoing = None;
         }
     }
@@ -377,7 +367,7 @@
             true => None,
             false => reconcile::next_model_command(capacity, &models, &report.holdings),
         };
-        // An adapter takes some ms and its request waits; a model takes a second and more.
+        // Adapters first: they load within milliseconds, a model takes a second or more.
         if report.busy { None } else { adapter().or_else(model) }
     }
 
@@ -402,7 +392,7 @@
             matches!(command, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
         if changes_model {
             self.state.borrow_mut().ongoing = Some(ongoing);
-            // Routers hear that a model goes before it does, and send nothing there any more.
+            // Sent before the command, so that routers stop sending requests for an unloading model.
             self.send_update(now, plan, report);
         }
         let target = &plan.target;
@@ -410,7 +400,7 @@
             .engine
             .order(dialect::SafeOrder { target, order: &command, after_orders: commands_before })
             .await;
-        tracing::info!(%target, order = ?command, end = ?result, after_orders = commands_before, from_store, "order given");
+        tracing::info!(%target, order = ?command, end = ?result, after_orders = commands_before, from_store, "command sent");
         let mut state = self.state.borrow_mut();
         match result {
             dialect::OrderEnd::Accepted | dialect::OrderEnd::Unknown => {
@@ -427,8 +417,8 @@
         }
     }
 
-    /// Tells routers of the engine: all when its models change or they have not heard for a while,
-    /// those that asked for adapters when these change.
+    /// Sends the engine's state: to all routers when its models change or an update is due, to recent
+    /// requesters when its adapters change.
     fn send_update(&self, now: Instant, plan: &peers::EnginePlan, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let update = report::engine_update(now, plan, report, state.ongoing.as_ref());
@@ -465,12 +455,11 @@
     }
 }
 
-/// Addresses of the routers that a plan names.
 fn router_addresses(plan: &peers::EnginePlan) -> impl Iterator<Item = SocketAddr> {
     plan.routers.iter().filter_map(|router| match router.parse() {
         Ok(addr) => Some(addr),
         Err(error) => {
-            tracing::debug!(%router, %error, "address of a router cannot be read");
+            tracing::debug!(%router, %error, "invalid router address in the plan");
             None
         }
     })
--- a/crates/corianderstand_forward/src/agent/permits.rs
+++ b/crates/corianderstand_forward/src/agent/permits.rs
@@ -1,4 +1,4 @@
-//! Turns at the engine's prompts, for the routers that ask.
+//! Prefill permits, which the agent grants to routers.
 
 use super::Agent;
 use crate::dialect;
@@ -9,11 +9,10 @@
     time::{Duration, Instant},
 };
 
-/// Least pause between two looks at whose turn it is; reading a prompt takes some ten times as long.
+/// Bounds the wake-ups of the grant loop; a prefill takes about ten times as long.
 const MIN_GRANT_INTERVAL: Duration = Duration::from_millis(2);
 
 impl<E: dialect::EngineCalls> Agent<E> {
-    /// Answers a router that asks for a turn at the engine.
     pub(super) fn on_prefill_request(
         &self,
         now: Instant,
@@ -54,7 +53,7 @@
         self.outbox.send(to, &PeerMessage::PrefillAnswer(answer));
     }
 
-    /// Gives turns as they come.
+    /// Grants queued permits as they fall due.
     pub(super) async fn grant_permits(&self) {
         loop {
             let now = self.clock.now();
--- a/crates/corianderstand_forward/src/agent/report.rs
+++ b/crates/corianderstand_forward/src/agent/report.rs
@@ -1,4 +1,4 @@
-//! An engine's account of itself, as routers are told of it and as orders are worked out from it.
+//! Conversion of plans and engine reports between the wire and the reconciler.
 
 use super::OngoingCommand;
 use crate::dialect;
@@ -7,7 +7,7 @@
 use corianderstand_types::names;
 use std::time::{Duration, Instant};
 
-/// Whether routers should hear at once: load changes all the time and can wait.
+/// Whether an update is sent to all routers at once; changes of load alone are not.
 pub(super) fn needs_immediate_update(last: &peers::EngineNews, update: &peers::EngineNews) -> bool {
     let command = |update: &peers::EngineNews| {
         update.ongoing.first().map(|command| (command.model.clone(), command.loads))
@@ -31,7 +31,7 @@
     models.collect()
 }
 
-/// How long an order takes, and whether it loads from the weight store.
+/// Returns how long a command takes, and whether it loads from the weight store.
 pub(super) fn expected_duration(
     plan: &peers::EnginePlan,
     report: &dialect::EngineReport,
