--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -17,17 +17,17 @@
 use tokio::net::UdpSocket;
 
 /// Pause between two messages to the planner, and between two of the planner to all.
-const NEWS_PAUSE: Duration = Duration::from_millis(250);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between two messages to all of a router that does not plan.
-const HELLO_PAUSE: Duration = Duration::from_millis(1_000);
+const HELLO_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Least pause between two plans, and between two messages about requests that wait: a burst of
 /// first requests is told and planned for together.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause between two messages that name the adapters in use; shorter than the time for which an
 /// agent leaves an adapter alone.
-const ADAPTERS_PAUSE: Duration = Duration::from_millis(250);
+const ADAPTERS_INTERVAL: Duration = Duration::from_millis(250);
 /// Largest datagram; beyond it the link's packets would be cut up.
-const MOST_BYTES: usize = 60_000;
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// Sends datagrams.
 pub struct Outbox {
@@ -68,12 +68,12 @@
 }
 
 /// Reads messages from a socket for ever.
-pub async fn receive(socket: &UdpSocket, mut take: impl FnMut(SocketAddr, PeerMessage)) {
-    let mut buf = vec![0; MOST_BYTES];
+pub async fn receive(socket: &UdpSocket, mut on_message: impl FnMut(SocketAddr, PeerMessage)) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((len, from)) => match postcard::from_bytes(&buf[..len]) {
-                Ok(message) => take(from, message),
+                Ok(message) => on_message(from, message),
                 Err(error) => tracing::debug!(%from, %error, "message of a peer cannot be read"),
             },
             Err(error) => {
@@ -86,40 +86,41 @@
 
 /// Begins the conversation.
 pub fn start<P: router::Platform>(shared: &Rc<router::Shared<P>>) {
-    let here = shared.clone();
+    let receiver = shared.clone();
     tokio::task::spawn_local(async move {
-        let socket = here.outbox.socket.clone();
-        receive(&socket, |from, message| take(&here, from, message)).await;
+        let socket = receiver.outbox.socket.clone();
+        receive(&socket, |from, message| on_message(&receiver, from, message)).await;
     });
     tokio::task::spawn_local(run(shared.clone()));
 }
 
-fn take<P: router::Platform>(
+fn on_message<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     from: SocketAddr,
     message: PeerMessage,
 ) {
     let now = shared.clock.now();
     match message {
-        PeerMessage::RouterNews(news) => {
-            if news.router.as_str() == shared.settings.name {
+        PeerMessage::RouterNews(update) => {
+            if update.router.as_str() == shared.settings.name {
                 return;
             }
-            let waits = news.models.iter().any(|model| model.waiting > 0);
-            follow::others::hear(shared, now, &news);
-            shared.peers.borrow_mut().on_update(now, from, news);
+            let has_waiting = update.models.iter().any(|model| model.waiting > 0);
+            follow::others::hear(shared, now, &update);
+            shared.peers.borrow_mut().on_update(now, from, update);
             // Only the planner is told of what waits elsewhere; told on, each such message would
             // bring one of every router.
-            if waits {
-                plan_soon(shared, now);
+            if has_waiting {
+                request_plan(shared, now);
             }
         }
-        PeerMessage::EngineNews(news) => take_engine(shared, now, from, news),
+        PeerMessage::EngineNews(update) => on_engine_update(shared, now, from, update),
         PeerMessage::EngineGone(gone) => {
-            let known = shared.view.borrow_mut().targets.record_exit(now, &gone.target, gone.born);
-            if known {
+            let is_known =
+                shared.view.borrow_mut().targets.record_exit(now, &gone.target, gone.born);
+            if is_known {
                 tracing::info!(target = %gone.target, "its agent says that the target has ended");
-                plan_soon(shared, now);
+                request_plan(shared, now);
             }
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
@@ -128,7 +129,7 @@
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "its agent says that the target has started again under another name");
-                plan_soon(shared, now);
+                request_plan(shared, now);
             }
         }
         PeerMessage::PrefillAnswer(answer) => shared.prefill_permits.take(&answer),
@@ -141,13 +142,13 @@
     }
 }
 
-fn take_engine<P: router::Platform>(
+fn on_engine_update<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
     from: SocketAddr,
-    news: wire::EngineNews,
+    update: wire::EngineNews,
 ) {
-    let report = report(now, news);
+    let report = to_report(now, update);
     let mut view = shared.view.borrow_mut();
     let table = view.table.clone();
     let is_engines = |name: &names::ServiceId| {
@@ -171,12 +172,12 @@
             view.wake(&resident.model);
         }
         drop(view);
-        plan_soon(shared, now);
+        request_plan(shared, now);
     }
 }
 
 /// Has the plan made anew, if this router plans.
-fn plan_soon<P>(shared: &router::Shared<P>, now: Instant) {
+fn request_plan<P>(shared: &router::Shared<P>, now: Instant) {
     if planner(shared, now).is_none() {
         shared.control_wake.notify_one();
     }
@@ -188,28 +189,32 @@
     shared.peers.borrow().planner(now, &own)
 }
 
-fn report(now: Instant, news: wire::EngineNews) -> targets::Report {
-    let ongoing = news.ongoing.into_iter().next().map(|order| {
-        if order.loads {
-            let ready_at = now + Duration::from_millis(u64::from(order.remaining_ms));
-            targets::Ongoing::Loading { model: order.model, ready_at, from_store: order.from_store }
+fn to_report(now: Instant, update: wire::EngineNews) -> targets::Report {
+    let ongoing = update.ongoing.into_iter().next().map(|command| {
+        if command.loads {
+            let ready_at = now + Duration::from_millis(u64::from(command.remaining_ms));
+            targets::Ongoing::Loading {
+                model: command.model,
+                ready_at,
+                from_store: command.from_store,
+            }
         } else {
-            targets::Ongoing::Unloading { model: order.model }
+            targets::Ongoing::Unloading { model: command.model }
         }
     });
-    let resident = news.resident.into_iter();
+    let resident = update.resident.into_iter();
     let resident = resident
         .map(|part| targets::Resident { model: part.model, adapters: part.adapters })
         .collect();
-    let copies = news.copies.into_iter().next();
-    let cached_weights_reported = copies.is_some();
+    let cached_weights = update.copies.into_iter().next();
+    let cached_weights_reported = cached_weights.is_some();
     let (in_memory, on_disk) =
-        copies.map(|copies| (copies.in_memory, copies.on_disk)).unwrap_or_default();
+        cached_weights.map(|cached| (cached.in_memory, cached.on_disk)).unwrap_or_default();
     targets::Report {
-        id: news.target,
-        started_at_ms: news.born,
+        id: update.target,
+        started_at_ms: update.born,
         holdings: targets::Holdings {
-            commands_accepted: news.orders,
+            commands_accepted: update.orders,
             resident,
             in_memory,
             on_disk,
@@ -217,58 +222,58 @@
         cached_weights_reported,
         ongoing,
         load: targets::Load {
-            running: news.running,
-            waiting: news.waiting,
-            cache_used: Some(news.cache_used),
+            running: update.running,
+            waiting: update.waiting,
+            cache_used: Some(update.cache_used),
         },
     }
 }
 
 async fn run<P: router::Platform>(shared: Rc<router::Shared<P>>) {
     let mut planning = planning::Planning::starting(shared.clock.now());
-    let mut said = Said::default();
+    let mut sent = SendState::default();
     let mut catch_up = catch_up::CatchUp::default();
     loop {
         let now = shared.clock.now();
         let planner = planner(&shared, now);
-        say_news(&shared, now, planner, &mut said);
-        name_adapters(&shared, now, &mut said);
-        note_role(&shared, now, &mut said);
+        send_updates(&shared, now, planner, &mut sent);
+        send_adapters_in_use(&shared, now, &mut sent);
+        log_role_change(&shared, now, &mut sent);
         catch_up.look(&shared, now);
-        if is_fit(&shared) && planner.is_none() {
+        if can_plan(&shared) && planner.is_none() {
             planning.plan(&shared, now);
         }
         shared.pool.sweep(now);
         follow::expire(&shared, now);
         shared.peers.borrow_mut().expire(now);
-        tokio::time::sleep(LEAST_PAUSE).await;
+        tokio::time::sleep(MIN_ROUND_INTERVAL).await;
         tokio::select! {
             () = shared.control_wake.notified() => {}
-            () = tokio::time::sleep(NEWS_PAUSE) => {}
+            () = tokio::time::sleep(UPDATE_INTERVAL) => {}
         }
     }
 }
 
 /// Whether this router knows enough to plan.
-fn is_fit<P>(shared: &router::Shared<P>) -> bool {
+fn can_plan<P>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
 /// Tells the planner what is asked for here, and all routers now and then that this one is there.
-fn say_news<P: router::Platform>(
+fn send_updates<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
     planner: Option<SocketAddr>,
-    said: &mut Said,
+    sent: &mut SendState,
 ) {
     if let Some(planner) = planner {
-        shared.outbox.send(planner, &PeerMessage::RouterNews(news(shared)));
+        shared.outbox.send(planner, &PeerMessage::RouterNews(demand_update(shared)));
     }
-    let pause = if planner.is_some() { HELLO_PAUSE } else { NEWS_PAUSE };
-    let due = said.hello_at.is_none_or(|at| now.saturating_duration_since(at) >= pause);
+    let interval = if planner.is_some() { HELLO_INTERVAL } else { UPDATE_INTERVAL };
+    let due = sent.hello_at.is_none_or(|at| now.saturating_duration_since(at) >= interval);
     if due {
-        said.hello_at = Some(now);
+        sent.hello_at = Some(now);
         send_hello(shared);
     }
 }
@@ -296,7 +301,7 @@
         zone: shared.settings.zone.clone(),
         store,
         strength: shared.settings.strength,
-        fit: is_fit(shared),
+        fit: can_plan(shared),
         config_next: records.next(dialect::Subject::Config),
         targets_next: records.next(dialect::Subject::Targets),
         models: Vec::new(),
@@ -304,7 +309,7 @@
     }
 }
 
-fn news<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterNews {
+fn demand_update<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterNews {
     let now = shared.clock.now();
     let hello = hello(shared);
     let mut view = shared.view.borrow_mut();
@@ -312,18 +317,18 @@
         .demand
         .active_models(now)
         .into_iter()
-        .map(|(model, asked)| (model, (asked, 0)))
+        .map(|(model, demand)| (model, (demand, 0)))
         .collect();
     for (model, waiting) in &view.waiting {
         models.entry(model.clone()).or_default().1 = *waiting;
     }
-    let models = models.into_iter().map(|(model, (asked, waiting))| wire::ModelDemand {
+    let models = models.into_iter().map(|(model, (demand, waiting))| wire::ModelDemand {
         model,
-        per_1000_s: (asked.requests_per_s * 1_000.0) as u32,
-        adapted_per_1000_s: (asked.adapter_requests_per_s * 1_000.0) as u32,
-        prompt_tokens_per_s: asked.prompt_tokens_per_s as u32,
-        read_ns_per_token: (asked.prefill_s_per_token * 1e9) as u32,
-        aim_ms: asked.latency_objective.as_millis() as u32,
+        per_1000_s: (demand.requests_per_s * 1_000.0) as u32,
+        adapted_per_1000_s: (demand.adapter_requests_per_s * 1_000.0) as u32,
+        prompt_tokens_per_s: demand.prompt_tokens_per_s as u32,
+        read_ns_per_token: (demand.prefill_s_per_token * 1e9) as u32,
+        aim_ms: demand.latency_objective.as_millis() as u32,
         waiting,
     });
     let running = view.targets.iter().flat_map(|(_, target)| {
@@ -345,24 +350,25 @@
 ) {
     let view = shared.view.borrow();
     let Some(target) = view.targets.get(key) else { return };
-    let asked = wire::AdaptersAsked { target: target.entry.id.clone(), adapters };
+    let request = wire::AdaptersAsked { target: target.entry.id.clone(), adapters };
     let agent = SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
-    shared.outbox.send(agent, &PeerMessage::AdaptersAsked(asked));
+    shared.outbox.send(agent, &PeerMessage::AdaptersAsked(request));
 }
 
 /// An adapter as it is named to an agent.
-pub fn adapter_request(wanted: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
-    let adapter = wanted.adapter.clone()?;
-    Some(wire::AskedAdapter { model: wanted.model.clone(), adapter })
+pub fn adapter_request(requested: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
+    let adapter = requested.adapter.clone()?;
+    Some(wire::AskedAdapter { model: requested.model.clone(), adapter })
 }
 
 /// Names to the agents the adapters of requests at their engines, so that they are not dropped.
-fn name_adapters<P>(shared: &router::Shared<P>, now: Instant, said: &mut Said) {
-    let due = said.adapters_at.is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_PAUSE);
+fn send_adapters_in_use<P>(shared: &router::Shared<P>, now: Instant, sent: &mut SendState) {
+    let due =
+        sent.adapters_at.is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
     if !due {
         return;
     }
-    said.adapters_at = Some(now);
+    sent.adapters_at = Some(now);
     let used: Vec<_> = {
         let view = shared.view.borrow();
         let used = view.targets.iter().map(|(key, target)| {
@@ -377,17 +383,21 @@
 }
 
 /// Writes who reads the store for this router when that changes.
-fn note_role<P: router::Platform>(shared: &router::Shared<P>, now: Instant, said: &mut Said) {
+fn log_role_change<P: router::Platform>(
+    shared: &router::Shared<P>,
+    now: Instant,
+    sent: &mut SendState,
+) {
     let role = shared.role(now);
-    if said.role.as_ref() != Some(&role) {
-        tracing::info!(?role, before = ?said.role, "who reads the store for this router has changed");
-        said.role = Some(role);
+    if sent.role.as_ref() != Some(&role) {
+        tracing::info!(?role, before = ?sent.role, "who reads the store for this router has changed");
+        sent.role = Some(role);
     }
 }
 
 /// When something was last said that is said now and then.
 #[derive(Default)]
-struct Said {
+struct SendState {
     hello_at: Option<Instant>,
     adapters_at: Option<Instant>,
     role: Option<readers::Role>,
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -20,13 +20,13 @@
 
 /// A planner that was not heard for this long is followed by the next: four of its messages, of
 /// which a link that loses three in a hundred loses all less than once in a million.
-const PLANNER_SILENT: Duration = Duration::from_millis(1_100);
+const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_100);
 /// Another router that was not heard for this long is not counted; it says that it is there each
 /// second.
-const SILENT_AFTER: Duration = Duration::from_millis(2_600);
+const PEER_TIMEOUT: Duration = Duration::from_millis(2_600);
 /// A router that was not heard of for this long is not told anything any more, as it may have been
 /// removed; it is heard of again when it is back.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+const PEER_EXPIRY: Duration = Duration::from_secs(30);
 
 /// Who plans rather than another: the stronger, then the one with the lesser name.
 #[derives(name)]
@@ -51,12 +51,12 @@
     pub last_received_at: Option<Instant>,
     /// What it said then.
     pub update: Option<peers::RouterNews>,
-    known: Instant,
+    announced_at: Instant,
 }
 
 impl Peer {
-    fn is_silent(&self, now: Instant) -> bool {
-        self.last_received_at.is_none_or(|at| now.saturating_duration_since(at) >= SILENT_AFTER)
+    fn is_unresponsive(&self, now: Instant) -> bool {
+        self.last_received_at.is_none_or(|at| now.saturating_duration_since(at) >= PEER_TIMEOUT)
     }
 }
 
@@ -69,10 +69,10 @@
 impl Peers {
     /// A router of that name is reached there.
     pub fn add(&mut self, now: Instant, name: SmolStr, addr: SocketAddr) {
-        let peer = Peer { addr, last_received_at: None, update: None, known: now };
+        let peer = Peer { addr, last_received_at: None, update: None, announced_at: now };
         let peer = self.by_name.entry(name).or_insert(peer);
         peer.addr = addr;
-        peer.known = now;
+        peer.announced_at = now;
     }
 
     /// A router has stopped.
@@ -88,8 +88,9 @@
         let name = update.router.0.clone();
         self.add(now, name.clone(), addr);
         let Some(peer) = self.by_name.get_mut(&name) else { return };
-        let silent = peer.is_silent(now);
-        if silent || peer.update.as_ref().is_none_or(|last| last.incarnation <= update.incarnation)
+        let unresponsive = peer.is_unresponsive(now);
+        if unresponsive
+            || peer.update.as_ref().is_none_or(|last| last.incarnation <= update.incarnation)
         {
             peer.last_received_at = Some(now);
             peer.update = Some(update);
@@ -103,7 +104,7 @@
 
     /// Those that were heard lately.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
-        self.by_name.iter().filter(move |(_, peer)| !peer.is_silent(now))
+        self.by_name.iter().filter(move |(_, peer)| !peer.is_unresponsive(now))
     }
 
     /// Those heard lately that have read more of a subject, and how far.
@@ -130,12 +131,12 @@
         now: Instant,
         zone: &names::AvailabilityZoneId,
     ) -> Vec<readers::Neighbour> {
-        let there = self.live(now).filter_map(|(name, peer)| {
+        let neighbours = self.live(now).filter_map(|(name, peer)| {
             let update = peer.update.as_ref().filter(|update| update.zone == *zone)?;
             let rank = Rank::new(update.strength, name);
             Some(readers::Neighbour { rank, addr: peer.addr, store: update.store })
         });
-        there.collect()
+        neighbours.collect()
     }
 
     /// What those heard lately said.
@@ -145,42 +146,43 @@
 
     /// The router that plans; none if it is the one that asks, whose rank this is.
     pub fn planner(&self, now: Instant, own: &Rank) -> Option<SocketAddr> {
-        let better = self.live(now).filter_map(|(name, peer)| {
+        let candidates = self.live(now).filter_map(|(name, peer)| {
             let update = peer.update.as_ref().filter(|update| update.fit)?;
             let rank = Rank::new(update.strength, name);
             (rank > *own).then_some((rank, peer))
         });
-        let mut better: Vec<_> = better.collect();
-        better.sort_by(|a, b| b.0.cmp(&a.0));
+        let mut candidates: Vec<_> = candidates.collect();
+        candidates.sort_by(|a, b| b.0.cmp(&a.0));
         // Only the best says often that it is there. If it has fallen silent, the next one plans.
-        let (_, best) = better.first()?;
-        let silent = best
+        let (_, best) = candidates.first()?;
+        let unresponsive = best
             .last_received_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= PLANNER_SILENT);
-        better.get(usize::from(silent)).map(|(_, peer)| peer.addr)
+            .is_none_or(|at| now.saturating_duration_since(at) >= PLANNER_TIMEOUT);
+        candidates.get(usize::from(unresponsive)).map(|(_, peer)| peer.addr)
     }
 
     /// Forgets those that were not heard for long.
     pub fn expire(&mut self, now: Instant) {
         self.by_name.retain(|_, peer| {
-            let last = peer.last_received_at.unwrap_or(peer.known).max(peer.known);
-            now.saturating_duration_since(last) < FORGOTTEN_AFTER
+            let last_seen_at =
+                peer.last_received_at.unwrap_or(peer.announced_at).max(peer.announced_at);
+            now.saturating_duration_since(last_seen_at) < PEER_EXPIRY
         });
     }
 
     /// What the other routers are asked for, and how many requests wait there.
     pub fn demand(&self, now: Instant) -> BTreeMap<names::ModelId, (demand::ModelDemand, u32)> {
         let mut sums: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = BTreeMap::new();
-        for said in self.updates(now).flat_map(|update| &update.models) {
-            let sum = sums.entry(said.model.clone()).or_default();
+        for model in self.updates(now).flat_map(|update| &update.models) {
+            let sum = sums.entry(model.model.clone()).or_default();
             sum.0 = sum.0.combine(demand::ModelDemand {
-                requests_per_s: f64::from(said.per_1000_s) / 1_000.0,
-                adapter_requests_per_s: f64::from(said.adapted_per_1000_s) / 1_000.0,
-                prompt_tokens_per_s: f64::from(said.prompt_tokens_per_s),
-                prefill_s_per_token: f64::from(said.read_ns_per_token) / 1e9,
-                latency_objective: Duration::from_millis(u64::from(said.aim_ms)),
+                requests_per_s: f64::from(model.per_1000_s) / 1_000.0,
+                adapter_requests_per_s: f64::from(model.adapted_per_1000_s) / 1_000.0,
+                prompt_tokens_per_s: f64::from(model.prompt_tokens_per_s),
+                prefill_s_per_token: f64::from(model.read_ns_per_token) / 1e9,
+                latency_objective: Duration::from_millis(u64::from(model.aim_ms)),
             });
-            sum.1 += said.waiting;
+            sum.1 += model.waiting;
         }
         sums
     }
