--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -1,7 +1,7 @@
-//! The conversation between routers and agents, and the router that plans.
+//! The control protocol between routers and agents, over UDP.
 //!
-//! Datagrams carry it: each is whole in itself and said again after a while, so one that is lost
-//! costs a little time. Nothing waits for an answer.
+//! Each datagram is self-contained and sent again periodically, so a lost one only causes a short
+//! delay and nothing is acknowledged.
 
 use crate::{catch_up, dialect, follow, peers, planning, readers, router};
 use corianderstand_fleet::{choose, demand, targets};
@@ -16,17 +16,14 @@
 };
 use tokio::net::UdpSocket;
 
-/// Pause between two messages to the planner, and between two of the planner to all.
+/// Interval between updates to the planner, and between hellos of the planner itself.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two messages to all of a router that does not plan.
+/// Interval between hellos of a router that does not plan.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Least pause between two plans, and between two messages about requests that wait: a burst of
-/// first requests is told and planned for together.
+/// Batches a burst of first requests into one update and one plan.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause between two messages that name the adapters in use; shorter than the time for which an
-/// agent leaves an adapter alone.
+/// Must be shorter than the time for which an agent keeps an adapter in use loaded.
 const ADAPTERS_INTERVAL: Duration = Duration::from_millis(250);
-/// Largest datagram; beyond it the link's packets would be cut up.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// Sends datagrams.
@@ -36,28 +33,28 @@
 }
 
 impl Outbox {
-    /// Sends from a socket.
+    /// Creates an outbox that sends from `socket`.
     pub const fn new(socket: Rc<UdpSocket>) -> Self {
         Self { socket, dropped: Cell::new(0) }
     }
 
-    /// Sends a message; it is dropped if the socket has no room, and said again later anyway.
+    /// Sends a message, or drops it if the socket's buffer is full.
     pub fn send(&self, addr: SocketAddr, message: &PeerMessage) {
         let bytes = match postcard::to_stdvec(message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::warn!(%error, "a message to a peer cannot be encoded");
+                tracing::warn!(%error, "failed to encode a message to a peer");
                 return;
             }
         };
         if let Err(error) = self.socket.try_send_to(&bytes, addr) {
             self.dropped.set(self.dropped.get() + 1);
-            tracing::debug!(%addr, %error, dropped = self.dropped.get(), "message to a peer dropped");
+            tracing::debug!(%addr, %error, dropped = self.dropped.get(), "dropped a message to a peer");
         }
     }
 }
 
-/// Opens the socket for datagrams.
+/// Binds the UDP socket.
 ///
 /// # Errors
 ///
@@ -67,24 +64,26 @@
     socket.map(Rc::new).map_err(|error| router::StartError::Listen { addr, error })
 }
 
-/// Reads messages from a socket for ever.
+/// Receives messages from a socket forever.
 pub async fn receive(socket: &UdpSocket, mut on_message: impl FnMut(SocketAddr, PeerMessage)) {
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((len, from)) => match postcard::from_bytes(&buf[..len]) {
                 Ok(message) => on_message(from, message),
-                Err(error) => tracing::debug!(%from, %error, "message of a peer cannot be read"),
+                Err(error) => {
+                    tracing::debug!(%from, %error, "failed to decode a message from a peer")
+                }
             },
             Err(error) => {
-                // An earlier datagram found nobody at its address, as a rule.
-                tracing::debug!(%error, "no message of a peer");
+                // Usually an ICMP error in reply to an earlier datagram.
+                tracing::debug!(%error, "failed to receive a message from a peer");
             }
         }
     }
 }
 
-/// Begins the conversation.
+/// Starts the receive loop and the control loop.
 pub fn start<P: router::Platform>(shared: &Rc<router::Shared<P>>) {
     let receiver = shared.clone();
     tokio::task::spawn_local(async move {
@@ -108,8 +107,7 @@
             let has_waiting = update.models.iter().any(|model| model.waiting > 0);
             follow::others::hear(shared, now, &update);
             shared.peers.borrow_mut().on_update(now, from, update);
-            // Only the planner is told of what waits elsewhere; told on, each such message would
-            // bring one of every router.
+            // Only the planner acts on this: if each router forwarded it, updates would multiply.
             if has_waiting {
                 request_plan(shared, now);
             }
@@ -119,7 +117,7 @@
             let is_known =
                 shared.view.borrow_mut().targets.record_exit(now, &gone.target, gone.born);
             if is_known {
-                tracing::info!(target = %gone.target, "its agent says that the target has ended");
+                tracing::info!(target = %gone.target, "target exited, as its agent reports");
                 request_plan(shared, now);
             }
         }
@@ -128,7 +126,7 @@
                 targets::Replacement { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.previous_id,
-                    "its agent says that the target has started again under another name");
+                    "target restarted under another name, as its agent reports");
                 request_plan(shared, now);
             }
         }
@@ -137,7 +135,7 @@
         | PeerMessage::AdaptersAsked(_)
         | PeerMessage::PrefillAsked(_)
         | PeerMessage::PrefillWithdrawn(_) => {
-            tracing::debug!(%from, "message that is for agents");
+            tracing::debug!(%from, "ignored a message addressed to agents");
         }
     }
 }
@@ -156,7 +154,7 @@
         service.is_some_and(|service| service.engine.is_some())
     };
     if view.targets.infer_successor(now, &report.id, report.started_at_ms, from.ip(), is_engines) {
-        tracing::info!(target = %report.id, "a target is known from its agent");
+        tracing::info!(target = %report.id, "target discovered from its agent");
     }
     let Some(key) = view.targets.key(&report.id) else { return };
     let before = view.targets.get(key).map(|t| (t.entry.holdings.clone(), t.ongoing.clone()));
@@ -176,14 +174,14 @@
     }
 }
 
-/// Has the plan made anew, if this router plans.
+/// Wakes the control loop for a new plan if this router is the planner.
 fn request_plan<P>(shared: &router::Shared<P>, now: Instant) {
     if planner(shared, now).is_none() {
         shared.control_wake.notify_one();
     }
 }
 
-/// The router that plans; none if it is this one.
+/// Returns the planner's address, or none if this router is the planner.
 fn planner<P>(shared: &router::Shared<P>, now: Instant) -> Option<SocketAddr> {
     let own = peers::Rank::new(shared.settings.strength, &shared.settings.name);
     shared.peers.borrow().planner(now, &own)
@@ -254,13 +252,12 @@
     }
 }
 
-/// Whether this router knows enough to plan.
 fn can_plan<P>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
-/// Tells the planner what is asked for here, and all routers now and then that this one is there.
+/// Sends the demand at this router to the planner, and a hello to all routers when it is due.
 fn send_updates<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
@@ -278,7 +275,7 @@
     }
 }
 
-/// Tells all routers that this one is there.
+/// Announces this router to all known routers and seeds.
 pub fn send_hello<P: router::Platform>(shared: &router::Shared<P>) {
     let message = PeerMessage::RouterNews(hello(shared));
     let peers = shared.peers.borrow();
@@ -342,7 +339,7 @@
     wire::RouterNews { models: models.collect(), running: running.collect(), ..hello }
 }
 
-/// Asks an agent for adapters.
+/// Requests adapters from a target's agent.
 pub fn request_adapters<P>(
     shared: &router::Shared<P>,
     key: targets::TargetKey,
@@ -355,13 +352,13 @@
     shared.outbox.send(agent, &PeerMessage::AdaptersAsked(request));
 }
 
-/// An adapter as it is named to an agent.
+/// Converts a requested model to its adapter on the wire, if it has one.
 pub fn adapter_request(requested: &choose::RequestedModel) -> Option<wire::AskedAdapter> {
     let adapter = requested.adapter.clone()?;
     Some(wire::AskedAdapter { model: requested.model.clone(), adapter })
 }
 
-/// Names to the agents the adapters of requests at their engines, so that they are not dropped.
+/// Sends to each agent the adapters of requests in flight, so that these are not evicted.
 fn send_adapters_in_use<P>(shared: &router::Shared<P>, now: Instant, sent: &mut SendState) {
     let due =
         sent.adapters_at.is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
@@ -382,7 +379,6 @@
     }
 }
 
-/// Writes who reads the store for this router when that changes.
 fn log_role_change<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
@@ -390,12 +386,12 @@
 ) {
     let role = shared.role(now);
     if sent.role.as_ref() != Some(&role) {
-        tracing::info!(?role, before = ?sent.role, "who reads the store for this router has changed");
+        tracing::info!(?role, before = ?sent.role, "store reader role changed");
         sent.role = Some(role);
     }
 }
 
-/// When something was last said that is said now and then.
+/// What the control loop last sent or logged.
 #[derive(Default)]
 struct SendState {
     hello_at: Option<Instant>,
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -1,10 +1,9 @@
-//! What routers know of one another, and which of them plans.
+//! Membership of the other routers, and selection of the planner.
 //!
-//! The strongest of the fit routers that were heard of lately plans; among equals the one with the
-//! least name. There is no vote, because two planners at once cost at most a needless load: each
-//! engine has one agent, which follows the better of the planners that it hears. Only the planner is
-//! told what each router is asked for; the others need to know that a router is there, which takes a
-//! hundredth of that. On links of 10 Mbit/s the whole of it to all used up the link.
+//! The planner is the strongest responsive router that is fit to plan; ties go to the least name. No
+//! election is needed, as two planners at once cost at most a needless load: each agent follows the
+//! one of higher rank. Only the planner receives the demand of each router, which would saturate slow
+//! links if it were broadcast.
 
 use crate::{dialect, readers};
 use corianderstand_derives::derives;
@@ -18,17 +17,15 @@
     time::{Duration, Instant},
 };
 
-/// A planner that was not heard for this long is followed by the next: four of its messages, of
-/// which a link that loses three in a hundred loses all less than once in a million.
+/// The next router plans when the planner is unresponsive for this long; spans four of its updates,
+/// so that packet loss alone does not cause a change.
 const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_100);
-/// Another router that was not heard for this long is not counted; it says that it is there each
-/// second.
+/// Routers that send nothing for this long count as unresponsive; each sends a hello every second.
 const PEER_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// A router that was not heard of for this long is not told anything any more, as it may have been
-/// removed; it is heard of again when it is back.
+/// Routers that send nothing for this long are removed.
 const PEER_EXPIRY: Duration = Duration::from_secs(30);
 
-/// Who plans rather than another: the stronger, then the one with the lesser name.
+/// Order of routers for selecting the planner: by strength, then by least name.
 #[derives(name)]
 pub struct Rank {
     strength: u32,
@@ -36,7 +33,7 @@
 }
 
 impl Rank {
-    /// The rank of a router.
+    /// Creates the rank of a router.
     pub fn new(strength: u32, name: &str) -> Self {
         Self { strength, name: std::cmp::Reverse(name.into()) }
     }
@@ -45,11 +42,11 @@
 /// Another router.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Where it is reached.
+    /// Address for datagrams and transfers.
     pub addr: SocketAddr,
-    /// When it was last heard.
+    /// When its last update was received.
     pub last_received_at: Option<Instant>,
-    /// What it said then.
+    /// Its last update.
     pub update: Option<peers::RouterNews>,
     announced_at: Instant,
 }
@@ -67,7 +64,7 @@
 }
 
 impl Peers {
-    /// A router of that name is reached there.
+    /// Adds a router, or changes its address.
     pub fn add(&mut self, now: Instant, name: SmolStr, addr: SocketAddr) {
         let peer = Peer { addr, last_received_at: None, update: None, announced_at: now };
         let peer = self.by_name.entry(name).or_insert(peer);
@@ -75,15 +72,13 @@
         peer.announced_at = now;
     }
 
-    /// A router has stopped.
+    /// Removes a router that has stopped.
     pub fn remove(&mut self, name: &str) {
         self.by_name.remove(name);
     }
 
-    /// A router was heard. What an earlier start of it said, and arrives late, is left out; but a clock
-    /// that has gone back makes a new start look earlier, and a router that was left out for that
-    /// would be neither followed nor asked for as long as it runs. A datagram is late by a moment
-    /// only, so what comes after a silence is of the start that runs now.
+    /// Records an update, ignoring late datagrams of an earlier incarnation. After a response timeout
+    /// any incarnation is accepted, as a clock set back makes a restarted router look older.
     pub fn on_update(&mut self, now: Instant, addr: SocketAddr, update: peers::RouterNews) {
         let name = update.router.0.clone();
         self.add(now, name.clone(), addr);
@@ -97,17 +92,17 @@
         }
     }
 
-    /// All that are told what happens here.
+    /// Addresses of all known routers.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.by_name.values().map(|peer| peer.addr)
     }
 
-    /// Those that were heard lately.
+    /// Routers that are responsive.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = (&SmolStr, &Peer)> {
         self.by_name.iter().filter(move |(_, peer)| !peer.is_unresponsive(now))
     }
 
-    /// Those heard lately that have read more of a subject, and how far.
+    /// Responsive routers whose next offset of a subject is beyond `known`.
     pub fn ahead(
         &self,
         now: Instant,
@@ -125,7 +120,7 @@
         })
     }
 
-    /// Those heard lately in a zone.
+    /// Responsive routers of an availability zone.
     pub fn neighbours(
         &self,
         now: Instant,
@@ -139,12 +134,12 @@
         neighbours.collect()
     }
 
-    /// What those heard lately said.
+    /// Last updates of responsive routers.
     pub fn updates(&self, now: Instant) -> impl Iterator<Item = &peers::RouterNews> {
         self.live(now).filter_map(|(_, peer)| peer.update.as_ref())
     }
 
-    /// The router that plans; none if it is the one that asks, whose rank this is.
+    /// Returns the planner's address, or none if the router of rank `own` is the planner.
     pub fn planner(&self, now: Instant, own: &Rank) -> Option<SocketAddr> {
         let candidates = self.live(now).filter_map(|(name, peer)| {
             let update = peer.update.as_ref().filter(|update| update.fit)?;
@@ -153,7 +148,7 @@
         });
         let mut candidates: Vec<_> = candidates.collect();
         candidates.sort_by(|a, b| b.0.cmp(&a.0));
-        // Only the best says often that it is there. If it has fallen silent, the next one plans.
+        // Only the planner sends updates often enough for the shorter timeout.
         let (_, best) = candidates.first()?;
         let unresponsive = best
             .last_received_at
@@ -161,7 +156,7 @@
         candidates.get(usize::from(unresponsive)).map(|(_, peer)| peer.addr)
     }
 
-    /// Forgets those that were not heard for long.
+    /// Removes routers that have been unresponsive for long.
     pub fn expire(&mut self, now: Instant) {
         self.by_name.retain(|_, peer| {
             let last_seen_at =
@@ -170,7 +165,7 @@
         });
     }
 
-    /// What the other routers are asked for, and how many requests wait there.
+    /// Sums the demand and the waiting requests of the other routers by model.
     pub fn demand(&self, now: Instant) -> BTreeMap<names::ModelId, (demand::ModelDemand, u32)> {
         let mut sums: BTreeMap<names::ModelId, (demand::ModelDemand, u32)> = BTreeMap::new();
         for model in self.updates(now).flat_map(|update| &update.models) {
