--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -12,32 +12,33 @@
 
 /// Upper bounds of the histograms' buckets, in seconds: around the aims (0.3 and 2.5 s), the pauses
 /// (0.15 s) and the timeouts (1.5 to 25 s) of today's routes.
-const BUCKETS: [f64; 12] = [0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.5, 5.0, 10.0, 15.0, 25.0];
+const BUCKET_BOUNDS_S: [f64; 12] =
+    [0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.5, 5.0, 10.0, 15.0, 25.0];
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     kind: &'static str,
     outcome: String,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, EncodeLabelSet)]
-struct Reason {
+struct ReasonLabel {
     reason: String,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, EncodeLabelSet)]
-struct Read {
+struct SubjectLabel {
     subject: &'static str,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, EncodeLabelSet)]
-struct Transfer {
+struct TransferLabels {
     subject: &'static str,
     outcome: &'static str,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug, EncodeLabelSet)]
-struct Kind {
+struct KindLabel {
     kind: &'static str,
 }
 
@@ -45,29 +46,29 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: RefCell<Registry>,
-    requests: Family<Ended, Counter>,
-    refusals: Family<Reason, Counter>,
-    attempts_failed: Family<Reason, Counter>,
-    left: Counter,
+    requests: Family<RequestLabels, Counter>,
+    refusals: Family<ReasonLabel, Counter>,
+    attempts_failed: Family<ReasonLabel, Counter>,
+    callers_left: Counter,
     lines_suppressed: Counter,
-    seconds: Family<Kind, Histogram>,
-    first_seconds: Family<Kind, Histogram>,
-    pause_seconds: Family<Kind, Histogram>,
-    open: Gauge,
-    waiting: Gauge,
+    request_seconds: Family<KindLabel, Histogram>,
+    first_event_seconds: Family<KindLabel, Histogram>,
+    longest_pause_seconds: Family<KindLabel, Histogram>,
+    open_requests: Gauge,
+    waiting_requests: Gauge,
     targets: Gauge,
     config_version: Gauge,
     config_behind: Gauge,
     config_read_age: Gauge<f64, AtomicU64>,
-    reads_failed: Family<Read, Counter>,
-    transfers: Family<Transfer, Counter>,
+    store_reads_failed: Family<SubjectLabel, Counter>,
+    transfers: Family<TransferLabels, Counter>,
     store_fresh: Gauge,
     store_use: Gauge,
     peers: Gauge,
 }
 
 fn histogram() -> Histogram {
-    Histogram::new(BUCKETS)
+    Histogram::new(BUCKET_BOUNDS_S)
 }
 
 impl Default for Metrics {
@@ -77,18 +78,18 @@
             requests: Family::default(),
             refusals: Family::default(),
             attempts_failed: Family::default(),
-            left: Counter::default(),
+            callers_left: Counter::default(),
             lines_suppressed: Counter::default(),
-            seconds: Family::new_with_constructor(histogram),
-            first_seconds: Family::new_with_constructor(histogram),
-            pause_seconds: Family::new_with_constructor(histogram),
-            open: Gauge::default(),
-            waiting: Gauge::default(),
+            request_seconds: Family::new_with_constructor(histogram),
+            first_event_seconds: Family::new_with_constructor(histogram),
+            longest_pause_seconds: Family::new_with_constructor(histogram),
+            open_requests: Gauge::default(),
+            waiting_requests: Gauge::default(),
             targets: Gauge::default(),
             config_version: Gauge::default(),
             config_behind: Gauge::default(),
             config_read_age: Gauge::default(),
-            reads_failed: Family::default(),
+            store_reads_failed: Family::default(),
             transfers: Family::default(),
             store_fresh: Gauge::default(),
             store_use: Gauge::default(),
@@ -110,25 +111,33 @@
             "Attempts at targets that failed",
             self.attempts_failed.clone(),
         );
-        r.register("callers_left", "Callers that left before their answer", self.left.clone());
+        r.register(
+            "callers_left",
+            "Callers that left before their answer",
+            self.callers_left.clone(),
+        );
         r.register(
             "log_lines_left_out",
             "Log lines beyond the limit",
             self.lines_suppressed.clone(),
         );
-        r.register("request_seconds", "Time to the whole answer", self.seconds.clone());
+        r.register("request_seconds", "Time to the whole answer", self.request_seconds.clone());
         r.register(
             "first_event_seconds",
             "Time to a stream's first event",
-            self.first_seconds.clone(),
+            self.first_event_seconds.clone(),
         );
         r.register(
             "longest_pause_seconds",
             "Longest pause in a stream",
-            self.pause_seconds.clone(),
+            self.longest_pause_seconds.clone(),
+        );
+        r.register("open_requests", "Requests that are being answered", self.open_requests.clone());
+        r.register(
+            "waiting_requests",
+            "Requests that wait for a model",
+            self.waiting_requests.clone(),
         );
-        r.register("open_requests", "Requests that are being answered", self.open.clone());
-        r.register("waiting_requests", "Requests that wait for a model", self.waiting.clone());
         r.register("targets", "Targets that are known", self.targets.clone());
         r.register("config_version", "Version of the configuration", self.config_version.clone());
         r.register(
@@ -144,7 +153,7 @@
         r.register(
             "store_reads_failed",
             "Reads of the store that failed",
-            self.reads_failed.clone(),
+            self.store_reads_failed.clone(),
         );
         r.register(
             "transfers",
@@ -162,45 +171,49 @@
 
     /// A request has ended.
     pub fn request_ended(&self, job: &job::Job, outcome: &str, now: Instant) {
-        let kind = kind(&job.route);
-        self.requests.get_or_create(&Ended { kind, outcome: outcome.into() }).inc();
-        let took = now.saturating_duration_since(job.arrived);
-        self.seconds.get_or_create(&Kind { kind }).observe(took.as_secs_f64());
+        let kind = route_kind(&job.route);
+        self.requests.get_or_create(&RequestLabels { kind, outcome: outcome.into() }).inc();
+        let elapsed = now.saturating_duration_since(job.arrived);
+        self.request_seconds.get_or_create(&KindLabel { kind }).observe(elapsed.as_secs_f64());
     }
 
     /// A stream has ended.
     pub fn stream_ended(&self, job: &job::Job, pace: &stream::Pace) {
-        let kind = Kind { kind: kind(&job.route) };
+        let kind = KindLabel { kind: route_kind(&job.route) };
         if let Some(first) = pace.first {
-            let took = first.saturating_duration_since(job.arrived);
-            self.first_seconds.get_or_create(&kind).observe(took.as_secs_f64());
-            self.pause_seconds.get_or_create(&kind).observe(pace.longest.as_secs_f64());
+            let elapsed = first.saturating_duration_since(job.arrived);
+            self.first_event_seconds.get_or_create(&kind).observe(elapsed.as_secs_f64());
+            self.longest_pause_seconds.get_or_create(&kind).observe(pace.longest.as_secs_f64());
         }
     }
 
     /// A request was refused.
     pub fn request_refused(&self, reason: &str) {
-        self.refusals.get_or_create(&Reason { reason: reason.into() }).inc();
+        self.refusals.get_or_create(&ReasonLabel { reason: reason.into() }).inc();
     }
 
     /// An attempt failed.
     pub fn attempt_failed(&self, reason: &str) {
-        self.attempts_failed.get_or_create(&Reason { reason: reason.into() }).inc();
+        self.attempts_failed.get_or_create(&ReasonLabel { reason: reason.into() }).inc();
     }
 
     /// A read of the store failed.
     pub fn read_failed(&self, subject: Subject) {
-        self.reads_failed.get_or_create(&Read { subject: name(subject) }).inc();
+        self.store_reads_failed
+            .get_or_create(&SubjectLabel { subject: subject_label(subject) })
+            .inc();
     }
 
     /// Records were asked of another router.
     pub fn transferred(&self, subject: Subject, outcome: &'static str) {
-        self.transfers.get_or_create(&Transfer { subject: name(subject), outcome }).inc();
+        self.transfers
+            .get_or_create(&TransferLabels { subject: subject_label(subject), outcome })
+            .inc();
     }
 
     /// A caller has left.
     pub fn caller_left(&self) {
-        self.left.inc();
+        self.callers_left.inc();
     }
 
     /// Log lines were left out.
@@ -210,7 +223,7 @@
 
     /// All of it as text.
     pub fn text<P: router::Platform>(&self, shared: &router::Shared<P>) -> String {
-        self.look(shared);
+        self.update_gauges(shared);
         let mut text = String::new();
         if let Err(error) = text::encode(&mut text, &self.registry.borrow()) {
             tracing::warn!(%error, "metrics cannot be written");
@@ -219,13 +232,13 @@
     }
 
     /// Reads what is not counted as it happens.
-    fn look<P: router::Platform>(&self, shared: &router::Shared<P>) {
+    fn update_gauges<P: router::Platform>(&self, shared: &router::Shared<P>) {
         let now = shared.clock.now();
         let view = shared.view.borrow();
         let version = view.table.as_ref().map_or(0, |table| table.config().version);
         let fresh = shared.records.borrow().is_fresh(now, Subject::Targets);
-        self.open.set(shared.open_requests.get() as i64);
-        self.waiting.set(view.waiting.values().map(|&count| i64::from(count)).sum());
+        self.open_requests.set(shared.open_requests.get() as i64);
+        self.waiting_requests.set(view.waiting.values().map(|&count| i64::from(count)).sum());
         self.targets.set(view.targets.len() as i64);
         self.config_version.set(version as i64);
         let age = shared.age(now, Subject::Config);
@@ -241,7 +254,7 @@
     }
 }
 
-const fn name(subject: Subject) -> &'static str {
+const fn subject_label(subject: Subject) -> &'static str {
     match subject {
         Subject::Config => "configuration",
         Subject::Targets => "targets",
@@ -249,7 +262,7 @@
     }
 }
 
-const fn kind(route: &config::Route) -> &'static str {
+const fn route_kind(route: &config::Route) -> &'static str {
     match (route.streams, route.retry_policy) {
         (true, _) if route.resumable => "resumable stream",
         (true, _) => "stream",
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -159,13 +159,13 @@
     pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
-        if let Some(wanted) = &job.call.wanted {
-            let weight = demand::RequestProfile {
+        if let Some(requested) = &job.call.wanted {
+            let profile = demand::RequestProfile {
                 prompt_tokens: job.call.prompt_tokens,
-                uses_adapter: wanted.adapter.is_some(),
+                uses_adapter: requested.adapter.is_some(),
                 latency_objective: job.route.latency_objective,
             };
-            view.demand.record_request(now, &wanted.model, weight);
+            view.demand.record_request(now, &requested.model, profile);
         }
         let allowance = self.bounds.borrow().allowance;
         view.budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
@@ -181,8 +181,8 @@
     /// How this router learns what the store has.
     pub fn store_use(&self, now: Instant) -> StoreUse {
         let records = self.records.borrow();
-        let lost = |subject| records.is_lost(subject);
-        if lost(dialect::Subject::Config) || lost(dialect::Subject::Targets) {
+        let failed = |subject| records.is_lost(subject);
+        if failed(dialect::Subject::Config) || failed(dialect::Subject::Targets) {
             return StoreUse::Lost;
         }
         match self.role(now) {
@@ -260,8 +260,8 @@
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
         target.health.record_failure(now);
-        let trouble = target.health.failure_score(now);
-        tracing::debug!(target = %target.entry.id, trouble, why, "target failed");
+        let failure_score = target.health.failure_score(now);
+        tracing::debug!(target = %target.entry.id, trouble = failure_score, why, "target failed");
     }
 
     /// No connection to a target could be opened.
@@ -293,9 +293,9 @@
     }
 
     /// An agent told how long its engine still reads prompts.
-    pub fn record_prefill_backlog(&self, key: targets::TargetKey, now: Instant, reading: Duration) {
+    pub fn record_prefill_backlog(&self, key: targets::TargetKey, now: Instant, backlog: Duration) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
-            target.record_prefill_backlog(now, reading);
+            target.record_prefill_backlog(now, backlog);
         }
     }
 
@@ -311,8 +311,8 @@
     /// The first event of a stream came.
     pub fn record_first_event(&self, job: &job::Job, now: Instant) {
         let (Some(model), Some(sent)) = (job.model(), job.sent) else { return };
-        let took = now.saturating_duration_since(sent);
-        self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, took);
+        let elapsed = now.saturating_duration_since(sent);
+        self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, elapsed);
     }
 
     /// A target told its load.
@@ -328,30 +328,30 @@
         key: targets::TargetKey,
         job: &job::Job,
         status: StatusCode,
-        answers: Option<&names::TargetId>,
+        answered_by: Option<&names::TargetId>,
     ) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
         self.log.attempt_failed(job, "the target did not run it", Some(status.as_u16()), now);
-        if answers.is_some_and(|other| *other != target.entry.id) {
+        if answered_by.is_some_and(|other| *other != target.entry.id) {
             // It has ended, and another has its address. Its entry may stay for seconds, or as long
             // as the store is away, and each request until then would be refused here.
-            tracing::info!(target = %target.entry.id, by = ?answers, "target replaced");
+            tracing::info!(target = %target.entry.id, by = ?answered_by, "target replaced");
             target.entry.draining = true;
             self.targets_outdated.notify_one();
             return;
         }
         match &job.call.wanted {
-            Some(wanted) => target.record_absent_model(now, &wanted.model),
+            Some(requested) => target.record_absent_model(now, &requested.model),
             None => target.health.record_failure(now),
         }
     }
 
     /// Has an adapter loaded at a target.
     pub fn request_adapter(&self, key: targets::TargetKey, job: &job::Job) {
-        let asked = job.call.wanted.as_ref().and_then(control::adapter_request);
-        control::request_adapters(self, key, asked.into_iter().collect());
+        let adapter = job.call.wanted.as_ref().and_then(control::adapter_request);
+        control::request_adapters(self, key, adapter.into_iter().collect());
     }
 }
 
@@ -389,7 +389,7 @@
     local.block_on(&runtime, async move {
         let store_pool = Rc::new(pool::Pool::default());
         let platform = platform(client::Client::new(store_pool, clock.clone()));
-        let udp = control::bind(settings.peers).await?;
+        let socket = control::bind(settings.peers).await?;
         let shared = Rc::new(Shared {
             platform,
             incarnation: clock::unix_ms(clock.wall()),
@@ -403,7 +403,7 @@
             log: decisions::Log::default(),
             control_wake: Notify::new(),
             targets_outdated: Notify::new(),
-            outbox: control::Outbox::new(udp),
+            outbox: control::Outbox::new(socket),
             stopping: Cell::new(None),
             open_requests: Cell::new(0),
             bounds: RefCell::new(settings.bounds.clone()),
@@ -411,16 +411,16 @@
         });
         let ready = server::listen(shared.settings.ready)?;
         let front = server::listen(shared.settings.front)?;
-        let transfers = server::listen(shared.settings.peers)?;
+        let peers = server::listen(shared.settings.peers)?;
         if let Some(addr) = shared.settings.metrics {
             metrics::serve(&shared, server::listen(addr)?);
         }
-        tokio::task::spawn_local(follow_settings(shared.clone(), reload));
+        tokio::task::spawn_local(apply_reloads(shared.clone(), reload));
         follow::start(&shared);
         control::start(&shared);
-        transfer::start(&shared, transfers);
+        transfer::start(&shared, peers);
         server::serve_ready(&shared, ready);
-        tokio::task::spawn_local(watch_pauses(shared.clone()));
+        tokio::task::spawn_local(tick_pause_detector(shared.clone()));
         tracing::info!(name = %shared.settings.name, front = %shared.settings.front, "router started");
         server::serve(&shared, front, stop).await;
         if let Err(error) = shared.platform.withdraw(&shared.settings.name).await {
@@ -432,7 +432,7 @@
 }
 
 /// Turns the watch for pauses on the thread that reads requests.
-async fn watch_pauses<P>(shared: Rc<Shared<P>>) {
+async fn tick_pause_detector<P>(shared: Rc<Shared<P>>) {
     loop {
         shared.pauses.tick(shared.clock.since_boot());
         tokio::time::sleep(pause::TICK_INTERVAL).await;
@@ -440,12 +440,12 @@
 }
 
 /// Puts settings that have changed into force.
-async fn follow_settings<P>(shared: Rc<Shared<P>>, mut reload: impl Reload) {
+async fn apply_reloads<P>(shared: Rc<Shared<P>>, mut reload: impl Reload) {
     loop {
         let settings = reload.next().await;
         let bounds = settings.bounds.clone();
-        let same = Settings { bounds: shared.settings.bounds.clone(), ..settings };
-        if same != shared.settings {
+        let other_settings = Settings { bounds: shared.settings.bounds.clone(), ..settings };
+        if other_settings != shared.settings {
             tracing::warn!(
                 "settings other than bounds and seeds have changed: they hold from the next start on"
             );
