--- a/crates/corianderstand_forward/src/lib.rs
+++ b/crates/corianderstand_forward/src/lib.rs
@@ -1,15 +1,14 @@
-//! Forwarding by route: callers' requests go to targets over HTTP, unchanged, and answers come back
-//! as they are made.
+//! HTTP forwarding by route: requests are sent to targets unchanged, and responses are streamed back.
 //!
-//! A [`router`] stands on each entry host. It takes requests ([`server`]), finds a target for each
-//! ([`exchange`], [`waiting`], [`prefill`] and [`attempt`], which ask the decisions of
-//! `corianderstand_fleet`), and passes the answer on ([`relay`]) over connections that it keeps ([`pool`]). An [`agent`] stands beside each engine and
-//! alone gives it orders. What they believe comes from the deployment's store ([`follow`]) and from
-//! one another ([`peers`]). The wire names of a platform are not known here: they come through the
-//! traits of [`dialect`].
+//! A [`router`] runs on each entry host. It accepts requests ([`server`]), selects a target for each
+//! using `corianderstand_fleet` ([`exchange`], [`waiting`], [`prefill`] and [`attempt`]), and relays the
+//! response ([`relay`]) over pooled connections ([`pool`]). An [`agent`] runs beside each engine and
+//! alone sends it commands. State comes from the deployment's store ([`follow`]) and from other
+//! processes ([`peers`]). Wire names are specific to a platform and supplied by the traits of
+//! [`dialect`].
 //!
-//! One thread serves in each process, with all of its state in it: an event of a stream passes
-//! through without being handed from thread to thread, each of which would cost a wake-up.
+//! Each process is single-threaded, so that relaying an event of a stream needs no cross-thread
+//! wake-up.
 
 pub mod agent;
 pub mod attempt;
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a router, in the usual text format.
+//! Metrics of a router, in the Prometheus text format.
 
 use crate::{dialect::Subject, job, router, server, stream};
 use corianderstand_fleet::config;
@@ -10,8 +10,7 @@
 };
 use std::{cell::RefCell, rc::Rc, sync::atomic::AtomicU64, time::Instant};
 
-/// Upper bounds of the histograms' buckets, in seconds: around the aims (0.3 and 2.5 s), the pauses
-/// (0.15 s) and the timeouts (1.5 to 25 s) of today's routes.
+/// Covers the usual latency objectives, gap objectives and timeouts of routes.
 const BUCKET_BOUNDS_S: [f64; 12] =
     [0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.5, 5.0, 10.0, 15.0, 25.0];
 
@@ -42,7 +41,7 @@
     kind: &'static str,
 }
 
-/// The counters; cheap to count, read when asked for.
+/// Counters, gauges and histograms of a router.
 #[derive(Debug)]
 pub struct Metrics {
     registry: RefCell<Registry>,
@@ -169,7 +168,7 @@
         r.register("peers", "Other routers that were heard lately", self.peers.clone());
     }
 
-    /// A request has ended.
+    /// Records the end of a request.
     pub fn request_ended(&self, job: &job::Job, outcome: &str, now: Instant) {
         let kind = route_kind(&job.route);
         self.requests.get_or_create(&RequestLabels { kind, outcome: outcome.into() }).inc();
@@ -177,7 +176,7 @@
         self.request_seconds.get_or_create(&KindLabel { kind }).observe(elapsed.as_secs_f64());
     }
 
-    /// A stream has ended.
+    /// Records the end of a stream.
     pub fn stream_ended(&self, job: &job::Job, pace: &stream::Pace) {
         let kind = KindLabel { kind: route_kind(&job.route) };
         if let Some(first) = pace.first {
@@ -187,51 +186,50 @@
         }
     }
 
-    /// A request was refused.
+    /// Counts a refused request.
     pub fn request_refused(&self, reason: &str) {
         self.refusals.get_or_create(&ReasonLabel { reason: reason.into() }).inc();
     }
 
-    /// An attempt failed.
+    /// Counts a failed attempt.
     pub fn attempt_failed(&self, reason: &str) {
         self.attempts_failed.get_or_create(&ReasonLabel { reason: reason.into() }).inc();
     }
 
-    /// A read of the store failed.
+    /// Counts a failed read of the store.
     pub fn read_failed(&self, subject: Subject) {
         self.store_reads_failed
             .get_or_create(&SubjectLabel { subject: subject_label(subject) })
             .inc();
     }
 
-    /// Records were asked of another router.
+    /// Counts a transfer of records from another router.
     pub fn transferred(&self, subject: Subject, outcome: &'static str) {
         self.transfers
             .get_or_create(&TransferLabels { subject: subject_label(subject), outcome })
             .inc();
     }
 
-    /// A caller has left.
+    /// Counts a caller that disconnected before its answer.
     pub fn caller_left(&self) {
         self.callers_left.inc();
     }
 
-    /// Log lines were left out.
+    /// Counts log lines beyond the rate limit.
     pub fn lines_suppressed(&self, count: u64) {
         self.lines_suppressed.inc_by(count);
     }
 
-    /// All of it as text.
+    /// Encodes all metrics as text.
     pub fn text<P: router::Platform>(&self, shared: &router::Shared<P>) -> String {
         self.update_gauges(shared);
         let mut text = String::new();
         if let Err(error) = text::encode(&mut text, &self.registry.borrow()) {
-            tracing::warn!(%error, "metrics cannot be written");
+            tracing::warn!(%error, "failed to encode metrics");
         }
         text
     }
 
-    /// Reads what is not counted as it happens.
     fn update_gauges<P: router::Platform>(&self, shared: &router::Shared<P>) {
         let now = shared.clock.now();
         let view = shared.view.borrow();
@@ -271,7 +269,7 @@
     }
 }
 
-/// Answers whoever asks for the metrics.
+/// Serves the metrics on a listener.
 pub fn serve<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: tokio::net::TcpListener,
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -1,4 +1,4 @@
-//! The router process: its settings, what its parts share, and its start and stop.
+//! The router process: settings, shared state, startup and shutdown.
 
 use crate::{
     client, control, copies, decisions, dialect, follow, job, metrics, peers, pool, prefill,
@@ -20,59 +20,59 @@
 };
 use tokio::sync::Notify;
 
-/// What a router needs of a platform.
+/// A platform that a router can run on.
 pub trait Platform: dialect::Dialect + dialect::Store + 'static {}
 
 impl<T: dialect::Dialect + dialect::Store + 'static> Platform for T {}
 
-/// What a router is told at its start.
+/// Settings of a router.
 #[derives(data)]
 pub struct Settings {
-    /// Its name, unlike that of any other router.
+    /// Unique name of the router.
     pub name: SmolStr,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: names::AvailabilityZoneId,
-    /// Processor that its host gives it, in thousandths of a core; the strongest router plans.
+    /// CPU that its host grants, in thousandths of a core; the strongest router is the planner.
     pub strength: u32,
-    /// Where callers reach it.
+    /// Listener for callers.
     pub front: SocketAddr,
-    /// Where its readiness is asked for.
+    /// Listener for readiness checks.
     pub ready: SocketAddr,
     /// Path of the readiness check.
     pub ready_path: SmolStr,
-    /// Where its metrics are asked for.
+    /// Listener for metrics, if any.
     pub metrics: Option<SocketAddr>,
-    /// Where other processes reach it.
+    /// Address for datagrams and transfers between processes.
     pub peers: SocketAddr,
-    /// Port at which agents are reached, on their engine's address.
+    /// UDP port of agents, at the address of their engine.
     pub agent_port: u16,
-    /// What may change while it runs.
+    /// Settings that can be reloaded.
     pub bounds: Bounds,
 }
 
-/// Settings that may change while a router runs.
+/// Settings that can be reloaded while a router runs.
 #[derives(data)]
 #[derive(Default)]
 pub struct Bounds {
-    /// Other routers that may be there.
+    /// Addresses at which other routers may be found.
     pub seeds: Vec<SocketAddr>,
-    /// Second attempts that the deployment allows.
+    /// Retry budget of the deployment.
     pub allowance: budget::Allowance,
-    /// Time after which a target that says it leaves gets no more requests.
+    /// Time within which a draining target must stop receiving requests.
     pub drain_within: Duration,
-    /// Time after which a configuration is in force.
+    /// Time within which a new configuration must be in force.
     pub config_within: Duration,
-    /// Time that a stop may take.
+    /// Time within which a shutdown must complete.
     pub stop_within: Duration,
 }
 
-/// Where settings that change while a router runs come from.
+/// A source of reloaded settings.
 pub trait Reload {
-    /// Waits for settings that differ from the last.
+    /// Waits for settings that differ from the last ones.
     fn next(&mut self) -> impl Future<Output = Settings>;
 }
 
-/// Settings that never change.
+/// A [`Reload`] whose settings never change.
 pub struct StaticSettings;
 
 impl Reload for StaticSettings {
@@ -81,61 +81,60 @@
     }
 }
 
-/// The times of a stop.
+/// Deadlines of a shutdown.
 #[derives(key)]
 pub struct StopDeadlines {
-    /// Requests that come from then on are refused: callers have been sent elsewhere, and what
-    /// begins later would be cut.
+    /// New requests are rejected from then on, as they might not complete before the process exits.
     pub reject_from: Instant,
-    /// Requests that have no head of an answer by then get one of the router's own.
+    /// Requests without a response head by then get an error response from the router.
     pub respond_by: Instant,
 }
 
-/// What the parts of a router share.
+/// State shared by the parts of a router.
 pub struct Shared<P> {
     /// The platform's dialect and store.
     pub platform: P,
-    /// Its settings at the start.
+    /// Settings at startup.
     pub settings: Settings,
-    /// Those of its settings that may change, as they are now.
+    /// Current values of the settings that can be reloaded.
     pub bounds: RefCell<Bounds>,
-    /// Time.
+    /// Clock.
     pub clock: clock::SharedClock,
-    /// Callers' connections, and the pauses of this process.
+    /// Detects pauses of this process, for callers' connections.
     pub pauses: Arc<pause::PauseDetector>,
-    /// Start of this process, in Unix milliseconds.
+    /// Startup time of this process, in Unix milliseconds.
     pub incarnation: u64,
-    /// What it believes of the fleet.
+    /// This router's view of the fleet.
     pub view: RefCell<view::View>,
-    /// What it knows of other routers.
+    /// Other routers.
     pub peers: RefCell<peers::Peers>,
-    /// What it has read of the store.
+    /// Replicated records of the store.
     pub records: RefCell<copies::Copies>,
     /// Connections to targets.
     pub pool: Rc<pool::Pool>,
-    /// Requests that wait for their turns at engines.
+    /// Requests that wait for prefill permits.
     pub prefill_permits: prefill::Turns,
-    /// What became of requests.
+    /// Log of request outcomes.
     pub log: decisions::Log,
-    /// A request waits: the planner should hear of it now.
+    /// Wakes the control loop to send updates or to plan at once.
     pub control_wake: Notify,
-    /// A target proved to be another than was thought: the store should be read now.
+    /// Triggers a read of the store after a target turned out to be replaced.
     pub targets_outdated: Notify,
-    /// Datagrams to be sent.
+    /// Sends datagrams to peers.
     pub outbox: control::Outbox,
-    /// It is stopping, and how.
+    /// Deadlines of the shutdown in progress, if any.
     pub stopping: Cell<Option<StopDeadlines>>,
-    /// Requests that are being answered.
+    /// Number of requests in progress.
     pub open_requests: Cell<usize>,
 }
 
 impl<P: Platform> Shared<P> {
-    /// Whether a request that comes now is refused because this router is about to end.
+    /// Whether new requests are rejected because of a shutdown.
     pub fn rejects_requests(&self, now: Instant) -> bool {
         self.stopping.get().is_some_and(|stop| now >= stop.reject_from)
     }
 
-    /// Whether the first reads of the configuration and of the targets are still under way.
+    /// Whether the first reads of the configuration or the targets are still pending.
     pub fn is_starting(&self) -> bool {
         let view = self.view.borrow();
         let records = self.records.borrow();
@@ -149,13 +148,12 @@
                 && !failed(dialect::Subject::Targets))
     }
 
-    /// When a request that has nothing yet is given up: sooner than its own time if this router
-    /// stops.
+    /// Returns when a request without a response fails; a shutdown may bring this forward.
     pub fn response_deadline(&self, job: &job::Job) -> Instant {
         self.stopping.get().map_or(job.latest, |stop| job.latest.min(stop.respond_by))
     }
 
-    /// A request has come.
+    /// Records the arrival of a request.
     pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
@@ -171,14 +169,14 @@
         view.budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
     }
 
-    /// What this router does about the store.
+    /// Returns this router's role in reading the store.
     pub fn role(&self, now: Instant) -> readers::Role {
         let own = peers::Rank::new(self.settings.strength, &self.settings.name);
         let neighbours = self.peers.borrow().neighbours(now, &self.settings.zone);
         readers::role(&own, &self.settings.name, &neighbours)
     }
 
-    /// How this router learns what the store has.
+    /// Returns how this router obtains the store's records.
     pub fn store_use(&self, now: Instant) -> StoreUse {
         let records = self.records.borrow();
         let failed = |subject| records.is_lost(subject);
@@ -191,7 +189,7 @@
         }
     }
 
-    /// How current what is known of a subject is.
+    /// Returns how current the records of a subject are.
     pub fn age(&self, now: Instant, subject: dialect::Subject) -> copies::Age {
         let records = self.records.borrow();
         let behind =
@@ -199,7 +197,7 @@
         copies::Age { since_read: records.since_read(now, subject), behind }
     }
 
-    /// Takes one second attempt from the budget.
+    /// Spends one retry from the service's budget; false if it is exhausted.
     pub fn spend_retry(&self, service: &names::ServiceId) -> bool {
         let now = self.clock.now();
         let routers = 1 + self.peers.borrow().live(now).count();
@@ -226,14 +224,14 @@
         choose::choose(now, &view.targets, &query)
     }
 
-    /// Whether another target could take a request now that is at `key`.
+    /// Whether a request sent to `key` could be sent to another target now.
     pub fn has_alternative(&self, now: Instant, job: &job::Job, key: targets::TargetKey) -> bool {
         debug_assert!(job.tried.contains(&key));
         (job.tried.len() as u32) < job.route.max_targets
             && matches!(self.choose(now, job), choose::Choice::Send(_))
     }
 
-    /// What is known of the model or the room that a request waits for.
+    /// Returns when the model or capacity that a request waits for is expected.
     pub fn expected_readiness(
         &self,
         now: Instant,
@@ -248,13 +246,13 @@
         }
     }
 
-    /// Where a target is, and its name.
+    /// Returns a target's address and id.
     pub fn address(&self, key: targets::TargetKey) -> Option<(SocketAddr, names::TargetId)> {
         let view = self.view.borrow();
         view.targets.get(key).map(|target| (target.entry.addr, target.entry.id.clone()))
     }
 
-    /// A request met trouble at a target.
+    /// Records a failed request to a target.
     pub fn target_failed(&self, key: targets::TargetKey, why: &'static str) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
@@ -264,20 +262,20 @@
         tracing::debug!(target = %target.entry.id, trouble = failure_score, why, "target failed");
     }
 
-    /// No connection to a target could be opened.
+    /// Records a failure to connect to a target.
     pub fn connection_failed(&self, key: targets::TargetKey, error: &io::Error) {
         if error.kind() == io::ErrorKind::ConnectionRefused {
             let now = self.clock.now();
             let mut view = self.view.borrow_mut();
             if let Some(target) = view.targets.get_mut(key) {
                 target.record_unreachable(now);
-                tracing::info!(target = %target.entry.id, "nobody listens at the target's address");
+                tracing::info!(target = %target.entry.id, "target refuses connections");
             }
         }
         self.target_failed(key, "no connection");
     }
 
-    /// A target answered as it should.
+    /// Records a successful response of a target.
     pub fn target_succeeded(&self, key: targets::TargetKey) {
         let now = self.clock.now();
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
@@ -285,21 +283,21 @@
         }
     }
 
-    /// An event of a stream came after another.
+    /// Records the interval between two events of a stream.
     pub fn record_event_interval(&self, key: targets::TargetKey, now: Instant, last: Instant) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.event_interval.record(now, now.saturating_duration_since(last));
         }
     }
 
-    /// An agent told how long its engine still reads prompts.
+    /// Records the prefill backlog that an agent reported.
     pub fn record_prefill_backlog(&self, key: targets::TargetKey, now: Instant, backlog: Duration) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.record_prefill_backlog(now, backlog);
         }
     }
 
-    /// Whether a target that was chosen for a request can still get it.
+    /// Whether a target can still serve a request that it was chosen for.
     pub fn may_serve(&self, key: targets::TargetKey, job: &job::Job, now: Instant) -> bool {
         let view = self.view.borrow();
         view.targets.get(key).is_some_and(|target| {
@@ -308,21 +306,21 @@
         })
     }
 
-    /// The first event of a stream came.
+    /// Records the time to the first event of a stream.
     pub fn record_first_event(&self, job: &job::Job, now: Instant) {
         let (Some(model), Some(sent)) = (job.model(), job.sent) else { return };
         let elapsed = now.saturating_duration_since(sent);
         self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, elapsed);
     }
 
-    /// A target told its load.
+    /// Records the load that a target reported.
     pub fn record_load(&self, key: targets::TargetKey, load: targets::Load) {
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.record_load(load);
         }
     }
 
-    /// A target did not run a request: it does not hold the model, is another one, or is full.
+    /// Records that a target did not run a request: it lacks the model, was replaced, or is full.
     pub fn not_run(
         &self,
         key: targets::TargetKey,
@@ -335,8 +333,8 @@
         let Some(target) = view.targets.get_mut(key) else { return };
         self.log.attempt_failed(job, "the target did not run it", Some(status.as_u16()), now);
         if answered_by.is_some_and(|other| *other != target.entry.id) {
-            // It has ended, and another has its address. Its entry may stay for seconds, or as long
-            // as the store is away, and each request until then would be refused here.
+            // Another target has its address now. The outdated entry may remain in the store for
+            // long, and each request sent to it would fail.
             tracing::info!(target = %target.entry.id, by = ?answered_by, "target replaced");
             target.entry.draining = true;
             self.targets_outdated.notify_one();
@@ -348,21 +346,21 @@
         }
     }
 
-    /// Has an adapter loaded at a target.
+    /// Requests that a target load the adapter of a request.
     pub fn request_adapter(&self, key: targets::TargetKey, job: &job::Job) {
         let adapter = job.call.wanted.as_ref().and_then(control::adapter_request);
         control::request_adapters(self, key, adapter.into_iter().collect());
     }
 }
 
-/// A router that cannot start.
+/// Why a router or an agent cannot start.
 #[derive(Debug, displaydoc::Display)]
 pub enum StartError {
     /// cannot listen on {addr} ({error}): check that no other process uses the port
     Listen {
-        /// The address.
+        /// Address of the listener.
         addr: SocketAddr,
-        /// What the system says.
+        /// Error of the system.
         error: io::Error,
     },
     /// the runtime cannot be started ({0}): check the limits on threads and descriptors
@@ -371,7 +369,7 @@
 
 impl std::error::Error for StartError {}
 
-/// Runs a router until `stop` is done and all that it has begun is answered.
+/// Runs a router until `stop` is done and the requests in progress are answered.
 ///
 /// # Errors
 ///
@@ -424,14 +422,14 @@
         tracing::info!(name = %shared.settings.name, front = %shared.settings.front, "router started");
         server::serve(&shared, front, stop).await;
         if let Err(error) = shared.platform.withdraw(&shared.settings.name).await {
-            tracing::warn!(%error, "other routers were not told of the stop");
+            tracing::warn!(%error, "failed to withdraw this router from the store");
         }
         tracing::info!("router stopped");
         Ok(())
     })
 }
 
-/// Turns the watch for pauses on the thread that reads requests.
+/// Must run on the thread that reads requests, as it detects pauses of that thread.
 async fn tick_pause_detector<P>(shared: Rc<Shared<P>>) {
     loop {
         shared.pauses.tick(shared.clock.since_boot());
@@ -439,7 +437,6 @@
     }
 }
 
-/// Puts settings that have changed into force.
 async fn apply_reloads<P>(shared: Rc<Shared<P>>, mut reload: impl Reload) {
     loop {
         let settings = reload.next().await;
@@ -447,7 +444,7 @@
         let other_settings = Settings { bounds: shared.settings.bounds.clone(), ..settings };
         if other_settings != shared.settings {
             tracing::warn!(
-                "settings other than bounds and seeds have changed: they hold from the next start on"
+                "settings other than bounds and seeds have changed: restart to apply them"
             );
         }
         tracing::info!(?bounds, "settings reloaded");
