--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -16,40 +16,40 @@
 use tokio::{net::UdpSocket, sync::oneshot, time::Instant};
 
 /// Start of the engine, in Unix milliseconds.
-const BORN: u64 = 10;
+const STARTED_AT_MS: u64 = 10;
 
 /// An engine in memory, and what became of orders to it.
 #[derive(Default)]
-struct Shelf {
+struct EngineState {
     holdings: targets::Holdings,
-    given: Vec<(Instant, reconcile::Command, u64)>,
+    commands: Vec<(Instant, reconcile::Command, u64)>,
     /// Orders that get no answer and are not carried out.
-    to_lose: usize,
+    commands_to_drop: usize,
     has_ended: bool,
     /// The engine's own name.
     name: Option<TargetId>,
 }
 
 #[derive(Clone, Default)]
-struct Engine(Arc<Mutex<Shelf>>);
+struct Engine(Arc<Mutex<EngineState>>);
 
 impl Engine {
     fn holds(&self, models: &[&str]) -> bool {
-        let shelf = self.0.lock().unwrap();
-        models.iter().all(|model| shelf.holdings.resident(&(*model).into()).is_some())
+        let state = self.0.lock().unwrap();
+        models.iter().all(|model| state.holdings.resident(&(*model).into()).is_some())
     }
 }
 
 impl dialect::EngineCalls for Engine {
     async fn report(&self) -> Result<dialect::EngineReport, dialect::ReportError> {
-        let shelf = self.0.lock().unwrap();
-        if shelf.has_ended {
-            let nobody = client::CallError::Nobody(SocketAddr::from(([127, 0, 0, 1], 1)));
-            return Err(dialect::ReportError::Ended(nobody));
+        let state = self.0.lock().unwrap();
+        if state.has_ended {
+            let refused = client::CallError::Nobody(SocketAddr::from(([127, 0, 0, 1], 1)));
+            return Err(dialect::ReportError::Ended(refused));
         }
         Ok(dialect::EngineReport {
-            born: Some(BORN),
-            holdings: shelf.holdings.clone(),
+            born: Some(STARTED_AT_MS),
+            holdings: state.holdings.clone(),
             busy: false,
             adapters_coming: 0,
             load: targets::Load::default(),
@@ -62,26 +62,26 @@
     }
 
     async fn order(&self, order: dialect::SafeOrder<'_>) -> dialect::OrderEnd {
-        let mut shelf = self.0.lock().unwrap();
-        shelf.given.push((Instant::now(), order.order.clone(), order.after_orders));
-        if shelf.to_lose > 0 {
-            shelf.to_lose -= 1;
+        let mut state = self.0.lock().unwrap();
+        state.commands.push((Instant::now(), order.order.clone(), order.after_orders));
+        if state.commands_to_drop > 0 {
+            state.commands_to_drop -= 1;
             return dialect::OrderEnd::Unknown;
         }
-        if let Some(name) = shelf.name.as_ref().filter(|name| *name != order.target) {
-            panic!("{name} was given an order for {}", order.target);
+        if let Some(name) = state.name.as_ref().filter(|name| *name != order.target) {
+            panic!("{name} received a command for {}", order.target);
         }
-        if order.after_orders != shelf.holdings.commands_accepted {
+        if order.after_orders != state.holdings.commands_accepted {
             return dialect::OrderEnd::Conflict;
         }
-        shelf.holdings.commands_accepted += 1;
+        state.holdings.commands_accepted += 1;
         match order.order {
             reconcile::Command::Load(model) => {
                 let resident = targets::Resident { model: model.clone(), adapters: Vec::new() };
-                shelf.holdings.resident.push(resident);
+                state.holdings.resident.push(resident);
             }
             reconcile::Command::Unload(model) => {
-                shelf.holdings.resident.retain(|resident| resident.model != *model);
+                state.holdings.resident.retain(|resident| resident.model != *model);
             }
             other => panic!("{other:?} was not planned"),
         }
@@ -90,23 +90,23 @@
 }
 
 /// An agent in a thread, and a router that plans for it.
-struct Running {
+struct AgentThread {
     engine: Engine,
     router: UdpSocket,
     agent: SocketAddr,
     _stop: oneshot::Sender<()>,
 }
 
-impl Running {
+impl AgentThread {
     async fn start() -> Self {
         let engine = Engine::default();
         let listen = common::free_port();
         let (stop, stopped) = oneshot::channel::<()>();
-        let beside = engine.clone();
+        let engine_calls = engine.clone();
         std::thread::spawn(move || {
             let settings = agent::Settings { name: "agent".into(), listen };
             let wait = async move { drop(stopped.await) };
-            agent::run(settings, Arc::new(SystemClock), |_| beside, wait).unwrap();
+            agent::run(settings, Arc::new(SystemClock), |_| engine_calls, wait).unwrap();
         });
         let router = UdpSocket::bind(common::free_port()).await.unwrap();
         Self { engine, router, agent: listen, _stop: stop }
@@ -118,10 +118,11 @@
     }
 
     async fn plan_for(&self, target: &str, planner: &str, serial: u64, models: &[&str]) {
-        let held = self.engine.0.lock().unwrap().holdings.clone();
-        let held: Vec<_> = held.resident.iter().map(|resident| resident.model.as_str()).collect();
-        let extra = held.iter().filter(|model| !models.contains(model));
-        let parts = models.iter().chain(extra).map(|model| PlanPart {
+        let holdings = self.engine.0.lock().unwrap().holdings.clone();
+        let resident: Vec<_> =
+            holdings.resident.iter().map(|resident| resident.model.as_str()).collect();
+        let unwanted = resident.iter().filter(|model| !models.contains(model));
+        let parts = models.iter().chain(unwanted).map(|model| PlanPart {
             model: (*model).into(),
             weights_mb: 70,
             adapter_mb: 1,
@@ -145,16 +146,16 @@
     }
 
     /// What the agent says next.
-    async fn hear(&self) -> PeerMessage {
+    async fn receive(&self) -> PeerMessage {
         let mut buf = vec![0; 65_536];
-        let heard = tokio::time::timeout(common::WAIT_LIMIT, self.router.recv_from(&mut buf));
-        let (len, _) = heard.await.expect("the agent says something").unwrap();
+        let received = tokio::time::timeout(common::WAIT_LIMIT, self.router.recv_from(&mut buf));
+        let (len, _) = received.await.expect("the agent sends a message").unwrap();
         postcard::from_bytes(&buf[..len]).unwrap()
     }
 
-    async fn hear_news(&self) -> EngineNews {
+    async fn receive_update(&self) -> EngineNews {
         loop {
-            if let PeerMessage::EngineNews(news) = self.hear().await {
+            if let PeerMessage::EngineNews(news) = self.receive().await {
                 return news;
             }
         }
@@ -162,7 +163,7 @@
 
     /// Plans until the engine holds all of these.
     async fn wait_for(&self, serial: u64, models: &[&str]) {
-        let ask = async {
+        let wait = async {
             loop {
                 self.plan("router", serial, models).await;
                 if self.engine.holds(models) {
@@ -171,90 +172,91 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the plan is carried out");
+        tokio::time::timeout(common::WAIT_LIMIT, wait).await.expect("the plan is executed");
     }
 }
 
 /// Two models are wanted and a third one is there; the engine has room for two. Ordered to load a
 /// third, it would crash.
 #[tokio::test]
-async fn what_is_not_wanted_is_dropped_before_the_next_is_loaded() {
-    let running = Running::start().await;
-    running.wait_for(1, &["a", "b"]).await;
-    running.wait_for(2, &["b", "c"]).await;
-    let shelf = running.engine.0.lock().unwrap();
-    let orders: Vec<_> = shelf.given.iter().map(|(_, order, _)| order.clone()).collect();
+async fn unwanted_models_are_unloaded_before_the_next_load() {
+    let agent = AgentThread::start().await;
+    agent.wait_for(1, &["a", "b"]).await;
+    agent.wait_for(2, &["b", "c"]).await;
+    let state = agent.engine.0.lock().unwrap();
+    let commands: Vec<_> = state.commands.iter().map(|(_, command, _)| command.clone()).collect();
     let load = |model: &str| reconcile::Command::Load(model.into());
-    assert_eq!(orders, [load("a"), load("b"), reconcile::Command::Unload("a".into()), load("c")]);
-    let numbers: Vec<_> = shelf.given.iter().map(|(_, _, after)| *after).collect();
-    assert_eq!(numbers, [0, 1, 2, 3], "each order says what it was worked out at");
+    assert_eq!(commands, [load("a"), load("b"), reconcile::Command::Unload("a".into()), load("c")]);
+    let after_orders: Vec<_> = state.commands.iter().map(|(_, _, after)| *after).collect();
+    assert_eq!(after_orders, [0, 1, 2, 3], "each command carries the count it is based on");
 }
 
 /// Half of the orders get no answer. Callers wait for the model all the while, and an engine beside
 /// its agent answers in some ms, so the next order comes well before half a second has passed.
 #[tokio::test]
-async fn an_order_without_an_answer_is_soon_given_again() {
-    let running = Running::start().await;
-    running.engine.0.lock().unwrap().to_lose = 1;
-    running.wait_for(1, &["a"]).await;
-    let shelf = running.engine.0.lock().unwrap();
-    let [(first, _, before), (second, _, after)] = &shelf.given[..] else {
-        panic!("given: {:?}", shelf.given);
+async fn an_unanswered_command_is_soon_sent_again() {
+    let agent = AgentThread::start().await;
+    agent.engine.0.lock().unwrap().commands_to_drop = 1;
+    agent.wait_for(1, &["a"]).await;
+    let state = agent.engine.0.lock().unwrap();
+    let [(first, _, before), (second, _, after)] = &state.commands[..] else {
+        panic!("commands: {:?}", state.commands);
     };
-    assert_eq!(before, after, "the engine carries out one of them at most");
-    let pause = second.duration_since(*first);
-    assert!(pause < Duration::from_millis(600), "given again after {pause:?}");
+    assert_eq!(before, after, "the engine executes at most one of them");
+    let interval = second.duration_since(*first);
+    assert!(interval < Duration::from_millis(600), "sent again after {interval:?}");
 }
 
 /// The engine's process ends, and its entry stays in the store for seconds. Routers go on sending
 /// requests for its models there until somebody tells them.
 #[tokio::test]
-async fn routers_hear_that_the_engine_has_ended() {
-    let running = Running::start().await;
-    running.wait_for(1, &["a"]).await;
-    while running.hear_news().await.resident.is_empty() {}
-    running.engine.0.lock().unwrap().has_ended = true;
+async fn an_engine_exit_is_reported_to_routers() {
+    let agent = AgentThread::start().await;
+    agent.wait_for(1, &["a"]).await;
+    while agent.receive_update().await.resident.is_empty() {}
+    agent.engine.0.lock().unwrap().has_ended = true;
     let gone = loop {
-        if let PeerMessage::EngineGone(gone) = running.hear().await {
+        if let PeerMessage::EngineGone(gone) = agent.receive().await {
             break gone;
         }
     };
-    assert_eq!(gone, EngineGone { target: "engine".into(), born: BORN });
+    assert_eq!(gone, EngineGone { target: "engine".into(), born: STARTED_AT_MS });
 }
 
 /// A second router plans as well, because it does not hear the first. Followed in turns, the two
 /// would have the engine load and drop the same models over and over.
 #[tokio::test]
-async fn of_two_planners_one_is_followed() {
-    let running = Running::start().await;
-    running.wait_for(1, &["a"]).await;
+async fn one_of_two_planners_is_followed() {
+    let agent = AgentThread::start().await;
+    agent.wait_for(1, &["a"]).await;
     for serial in 2..12 {
-        running.plan("router", serial, &["a"]).await;
-        running.plan("zzz-router", serial, &["b"]).await;
+        agent.plan("router", serial, &["a"]).await;
+        agent.plan("zzz-router", serial, &["b"]).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let shelf = running.engine.0.lock().unwrap();
-    assert_eq!(shelf.given.len(), 1, "given: {:?}", shelf.given);
+    let state = agent.engine.0.lock().unwrap();
+    assert_eq!(state.commands.len(), 1, "commands: {:?}", state.commands);
 }
 
 /// The engine has started again under another name, and the plan is still for the one before. Nobody
 /// else can tell routers of it until it registers, a second or two later.
 #[tokio::test]
-async fn routers_hear_of_the_engine_s_new_name() {
-    let running = Running::start().await;
-    running.engine.0.lock().unwrap().name = Some("engine-2".into());
+async fn a_changed_engine_name_is_reported_to_routers() {
+    let agent = AgentThread::start().await;
+    agent.engine.0.lock().unwrap().name = Some("engine-2".into());
     let replaced = async {
         loop {
-            running.plan("router", 1, &["a"]).await;
-            let heard = tokio::time::timeout(Duration::from_millis(300), running.hear()).await;
-            if let Ok(PeerMessage::EngineReplaced(replaced)) = heard {
+            agent.plan("router", 1, &["a"]).await;
+            let received = tokio::time::timeout(Duration::from_millis(300), agent.receive()).await;
+            if let Ok(PeerMessage::EngineReplaced(replaced)) = received {
                 return replaced;
             }
         }
     };
-    let replaced = tokio::time::timeout(common::WAIT_LIMIT, replaced).await.expect("it says so");
+    let replaced =
+        tokio::time::timeout(common::WAIT_LIMIT, replaced).await.expect("the agent reports it");
     let expected =
-        EngineReplaced { target: "engine-2".into(), born: BORN, before: "engine".into() };
+        EngineReplaced { target: "engine-2".into(), born: STARTED_AT_MS, before: "engine".into() };
     assert_eq!(replaced, expected);
 }
 
@@ -262,27 +264,27 @@
 /// agent has noticed. An agent that went on believing the old name would tell routers that the new
 /// engine is the old one, and they would have neither.
 #[tokio::test]
-async fn an_agent_that_missed_a_start_believes_the_plan_s_name_after_asking() {
-    let running = Running::start().await;
-    running.engine.0.lock().unwrap().name = Some("engine".into());
-    let heard = async {
+async fn an_agent_that_missed_a_restart_queries_the_engine_s_name_again() {
+    let agent = AgentThread::start().await;
+    agent.engine.0.lock().unwrap().name = Some("engine".into());
+    let received = async {
         loop {
-            running.plan("router", 1, &[]).await;
-            let heard = tokio::time::timeout(Duration::from_millis(300), running.hear()).await;
-            if heard.is_ok() {
+            agent.plan("router", 1, &[]).await;
+            let received = tokio::time::timeout(Duration::from_millis(300), agent.receive()).await;
+            if received.is_ok() {
                 return;
             }
         }
     };
-    tokio::time::timeout(common::WAIT_LIMIT, heard).await.expect("the agent follows the plan");
-    running.engine.0.lock().unwrap().name = Some("engine-2".into());
-    let began = Instant::now();
-    while running.engine.0.lock().unwrap().given.is_empty() {
-        assert!(began.elapsed() < common::WAIT_LIMIT, "the new engine is never ordered anything");
-        running.plan_for("engine-2", "router", 2, &["a"]).await;
-        let heard = tokio::time::timeout(Duration::from_millis(50), running.hear()).await;
-        if let Ok(PeerMessage::EngineReplaced(replaced)) = heard {
-            panic!("{replaced:?} is the wrong way round");
+    tokio::time::timeout(common::WAIT_LIMIT, received).await.expect("the agent follows the plan");
+    agent.engine.0.lock().unwrap().name = Some("engine-2".into());
+    let started_at = Instant::now();
+    while agent.engine.0.lock().unwrap().commands.is_empty() {
+        assert!(started_at.elapsed() < common::WAIT_LIMIT, "the new engine receives no command");
+        agent.plan_for("engine-2", "router", 2, &["a"]).await;
+        let received = tokio::time::timeout(Duration::from_millis(50), agent.receive()).await;
+        if let Ok(PeerMessage::EngineReplaced(replaced)) = received {
+            panic!("{replaced:?} names the wrong engine");
         }
     }
 }
--- a/crates/corianderstand_forward/tests/common/link.rs
+++ b/crates/corianderstand_forward/tests/common/link.rs
@@ -15,39 +15,39 @@
 };
 
 /// Bytes that cross at once; flows take turns at this size.
-const PIECE: usize = 8 << 10;
+const CHUNK_BYTES: usize = 8 << 10;
 /// Largest datagram that passes.
-const DATAGRAM: usize = 60_000;
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// A link that carries so many bytes a second, whoever sends them.
 #[derive(Clone)]
 pub struct Link {
     bytes_per_s: usize,
-    turn: Arc<Mutex<()>>,
+    lock: Arc<Mutex<()>>,
     transferred_bytes: Arc<AtomicUsize>,
 }
 
 impl Link {
     pub fn new(bytes_per_s: usize) -> Self {
-        Self { bytes_per_s, turn: Arc::default(), transferred_bytes: Arc::default() }
+        Self { bytes_per_s, lock: Arc::default(), transferred_bytes: Arc::default() }
     }
 
     /// Waits until one piece has crossed.
     async fn transfer_chunk(&self, len: usize) {
         // The lock is fair, so flows beside one another get equal shares.
-        let _turn = self.turn.lock().await;
+        let _guard = self.lock.lock().await;
         tokio::time::sleep(Duration::from_secs_f64(len as f64 / self.bytes_per_s as f64)).await;
         self.transferred_bytes.fetch_add(len, Ordering::Relaxed);
     }
 
     /// Waits until so many bytes have crossed; tells of each piece.
-    pub async fn transfer(&self, len: usize, heard: impl Fn()) {
-        let mut left = len;
-        while left > 0 {
-            let piece = left.min(PIECE);
-            self.transfer_chunk(piece).await;
-            heard();
-            left -= piece;
+    pub async fn transfer(&self, len: usize, on_chunk: impl Fn()) {
+        let mut remaining = len;
+        while remaining > 0 {
+            let chunk = remaining.min(CHUNK_BYTES);
+            self.transfer_chunk(chunk).await;
+            on_chunk();
+            remaining -= chunk;
         }
     }
 
@@ -60,7 +60,7 @@
 /// A peer as it is seen over a link: its datagrams pass at once, what it hands over takes its time.
 pub struct RemotePeer {
     pub addr: SocketAddr,
-    taken: Arc<AtomicUsize>,
+    accepted: Arc<AtomicUsize>,
 }
 
 impl RemotePeer {
@@ -68,10 +68,10 @@
     pub async fn open(addr: SocketAddr, peer: SocketAddr, router: SocketAddr, link: Link) -> Self {
         let socket = UdpSocket::bind(addr).await.unwrap();
         let listener = TcpListener::bind(addr).await.unwrap();
-        let taken = Arc::new(AtomicUsize::new(0));
-        let count = taken.clone();
+        let accepted = Arc::new(AtomicUsize::new(0));
+        let accepted_count = accepted.clone();
         tokio::spawn(async move {
-            let mut buf = vec![0; DATAGRAM];
+            let mut buf = vec![0; MAX_DATAGRAM_BYTES];
             loop {
                 let Ok((len, from)) = socket.recv_from(&mut buf).await else { continue };
                 if from == peer {
@@ -82,26 +82,26 @@
         tokio::spawn(async move {
             loop {
                 let (near, _) = listener.accept().await.unwrap();
-                count.fetch_add(1, Ordering::Relaxed);
+                accepted_count.fetch_add(1, Ordering::Relaxed);
                 let far = TcpStream::connect(peer).await.unwrap();
-                tokio::spawn(pass(near, far, link.clone()));
+                tokio::spawn(proxy(near, far, link.clone()));
             }
         });
-        Self { addr, taken }
+        Self { addr, accepted }
     }
 
     /// Connections that were made to the peer.
     pub fn connections(&self) -> usize {
-        self.taken.load(Ordering::Relaxed)
+        self.accepted.load(Ordering::Relaxed)
     }
 }
 
-async fn pass(near: TcpStream, far: TcpStream, link: Link) {
+async fn proxy(near: TcpStream, far: TcpStream, link: Link) {
     let (mut near_read, mut near_write) = near.into_split();
     let (mut far_read, mut far_write) = far.into_split();
-    let ask = tokio::io::copy(&mut near_read, &mut far_write);
-    let hand_over = async {
-        let mut buf = vec![0; PIECE];
+    let requests = tokio::io::copy(&mut near_read, &mut far_write);
+    let responses = async {
+        let mut buf = vec![0; CHUNK_BYTES];
         while let Ok(len @ 1..) = far_read.read(&mut buf).await {
             link.transfer_chunk(len).await;
             if near_write.write_all(&buf[..len]).await.is_err() {
@@ -112,7 +112,7 @@
     };
     // Whoever asked and has gone takes nothing more; the rest of it stays off the link.
     tokio::select! {
-        _ = ask => {}
-        () = hand_over => {}
+        _ = requests => {}
+        () = responses => {}
     }
 }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -52,9 +52,9 @@
     /// The same store for a process that it turns away.
     #[must_use]
     pub fn unavailable(&self) -> Self {
-        let own = self.isolated();
-        own.set_unavailable(true);
-        own
+        let isolated = self.isolated();
+        isolated.set_unavailable(true);
+        isolated
     }
 
     /// The same store for a process whose calls are counted apart, and which may be turned away alone.
@@ -227,29 +227,29 @@
 
 /// First of the ports that tests take, and how many a process has for itself. They lie below those
 /// that the system gives out, so that no other test is given one between the look and the use.
-const FIRST_PORT: u32 = 20_000;
-const PORTS_EACH: u32 = 12;
-const PROCESSES: u32 = 1_000;
+const FIRST_TEST_PORT: u32 = 20_000;
+const PORTS_PER_PROCESS: u32 = 12;
+const MAX_PROCESSES: u32 = 1_000;
 
 /// A port of this process that nobody uses, for connections and datagrams.
 pub fn free_port() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let own = FIRST_PORT + std::process::id() % PROCESSES * PORTS_EACH;
+    let first_port = FIRST_TEST_PORT + std::process::id() % MAX_PROCESSES * PORTS_PER_PROCESS;
     loop {
         let next = NEXT.fetch_add(1, Ordering::Relaxed);
-        assert!(next < PORTS_EACH, "a test starts two routers and an agent at most");
-        let addr = SocketAddr::from(([127, 0, 0, 1], (own + next) as u16));
-        let free = std::net::TcpListener::bind(addr).is_ok();
-        if free && std::net::UdpSocket::bind(addr).is_ok() {
+        assert!(next < PORTS_PER_PROCESS, "a test starts two routers and an agent at most");
+        let addr = SocketAddr::from(([127, 0, 0, 1], (first_port + next) as u16));
+        let is_free = std::net::TcpListener::bind(addr).is_ok();
+        if is_free && std::net::UdpSocket::bind(addr).is_ok() {
             return addr;
         }
     }
 }
 
 /// Settings that a test changes.
-struct Changed(mpsc::UnboundedReceiver<router::Settings>);
+struct ReloadChannel(mpsc::UnboundedReceiver<router::Settings>);
 
-impl router::Reload for Changed {
+impl router::Reload for ReloadChannel {
     async fn next(&mut self) -> router::Settings {
         match self.0.recv().await {
             Some(settings) => settings,
@@ -322,7 +322,7 @@
             let wait = async move { drop(stopped.await) };
             let platform = |_| PlainPlatform(store);
             let clock = Arc::new(SystemClock);
-            router::run(settings, clock, platform, wait, Changed(changed)).unwrap();
+            router::run(settings, clock, platform, wait, ReloadChannel(changed)).unwrap();
         });
         let (stop, thread) = (Some(stop), Some(thread));
         Self { front, ready, peers, metrics, settings: at_start, reload, stop, thread }
@@ -330,7 +330,7 @@
 
     /// Waits until it says that it is ready.
     pub async fn wait_ready(&self) {
-        let ask = async {
+        let poll = async {
             loop {
                 if let Ok(answer) = get(self.ready, "/ready", &[]).await
                     && answer.starts_with("HTTP/1.1 200")
@@ -340,7 +340,7 @@
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(WAIT_LIMIT, ask).await.expect("the router becomes ready");
+        tokio::time::timeout(WAIT_LIMIT, poll).await.expect("the router becomes ready");
     }
 
     /// Tells it to stop.
@@ -439,9 +439,10 @@
             self.stream.write_all(b"0\r\n\r\n").await?;
             self.stream.shutdown().await
         };
-        let gone = [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe, ErrorKind::NotConnected];
+        let reset_kinds =
+            [ErrorKind::ConnectionReset, ErrorKind::BrokenPipe, ErrorKind::NotConnected];
         let end = end.await.map_err(|error| error.kind());
-        assert!(end.is_ok() || end.is_err_and(|kind| gone.contains(&kind)), "{end:?}");
+        assert!(end.is_ok() || end.is_err_and(|kind| reset_kinds.contains(&kind)), "{end:?}");
     }
 
     /// Value of a header.
--- a/crates/corianderstand_forward/tests/peers.rs
+++ b/crates/corianderstand_forward/tests/peers.rs
@@ -7,11 +7,11 @@
     time::{Duration, Instant},
 };
 
-const PEER: SocketAddr =
+const PEER_ADDR: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 7_380);
-const MOMENT: Duration = Duration::from_millis(200);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-fn news(incarnation: u64, config_next: u64) -> RouterNews {
+fn update(incarnation: u64, config_next: u64) -> RouterNews {
     RouterNews {
         router: "router-b".into(),
         incarnation,
@@ -33,23 +33,23 @@
 /// A datagram of a router's earlier start arrives after the first of its new one. Taken, it would tell
 /// of requests and records that are no more.
 #[test]
-fn what_an_earlier_start_said_is_left_out() {
+fn late_updates_of_an_earlier_incarnation_are_ignored() {
     let (mut peers, now) = (Peers::default(), Instant::now());
-    peers.on_update(now, PEER, news(2_000, 5));
-    peers.on_update(now + MOMENT, PEER, news(1_000, 9));
-    assert_eq!(ahead(&peers, now + MOMENT), [5]);
+    peers.on_update(now, PEER_ADDR, update(2_000, 5));
+    peers.on_update(now + UPDATE_INTERVAL, PEER_ADDR, update(1_000, 9));
+    assert_eq!(ahead(&peers, now + UPDATE_INTERVAL), [5]);
 }
 
 /// A host's clock goes back, and its router starts anew: its start looks earlier than the one before.
 /// Left out for as long as it runs, it would not be asked for a change that it alone has read.
 #[test]
-fn a_router_whose_clock_went_back_is_heard_again() {
+fn a_restarted_router_with_an_earlier_clock_is_accepted() {
     let (mut peers, start) = (Peers::default(), Instant::now());
-    peers.on_update(start, PEER, news(2_000, 5));
-    let heard = (1..40).map(|turn| start + MOMENT * turn).find(|now| {
-        peers.on_update(*now, PEER, news(1_000, 9));
+    peers.on_update(start, PEER_ADDR, update(2_000, 5));
+    let accepted_at = (1..40).map(|index| start + UPDATE_INTERVAL * index).find(|now| {
+        peers.on_update(*now, PEER_ADDR, update(1_000, 9));
         ahead(&peers, *now) == [9]
     });
-    let heard = heard.map(|now| now - start);
-    assert!(heard.is_some_and(|after| after < Duration::from_secs(3)), "{heard:?}");
+    let delay = accepted_at.map(|now| now - start);
+    assert!(delay.is_some_and(|delay| delay < Duration::from_secs(3)), "{delay:?}");
 }
--- a/crates/corianderstand_forward/tests/stops.rs
+++ b/crates/corianderstand_forward/tests/stops.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-const WITHIN: Duration = Duration::from_secs(3);
+const STOP_WITHIN: Duration = Duration::from_secs(3);
 
 /// A service whose only model is on no engine, so that its requests wait.
 fn cold_service(store: &MemoryStore, target: &Target) {
@@ -33,11 +33,11 @@
 /// A request waits for its model when the router is told to stop. The router used to end with the
 /// request open: its caller saw a closed connection and did not know that nothing had run.
 #[tokio::test]
-async fn a_waiting_request_is_told_before_the_router_ends() {
+async fn a_waiting_request_is_answered_before_the_router_exits() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     cold_service(&store, &target);
-    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
     let headers = [("x-id", "request-1"), ("x-model", "m")];
     let mut caller = common::send(router.front, "POST", "/ask/1", &headers, "").await.unwrap();
@@ -50,40 +50,40 @@
 /// Callers still reach a router that is about to end, as their next attempts are spread without
 /// asking it. It used to take their requests and cut them at its end.
 #[tokio::test]
-async fn a_request_that_comes_late_is_refused_at_once() {
+async fn a_late_request_is_refused_at_once() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
     // A request that keeps the router from ending early.
     let headers = [("x-id", "request-1")];
-    let open = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
-    let _held = target.next().await;
+    let in_progress = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
+    let _request = target.next().await;
     router.stop();
-    tokio::time::sleep(WITHIN / 2 + Duration::from_millis(200)).await;
+    tokio::time::sleep(STOP_WITHIN / 2 + Duration::from_millis(200)).await;
     assert!(!router.has_ended());
     let answer = common::get(router.front, "/pay/2", &[("x-id", "request-2")]).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"), "{answer}");
-    drop(open);
+    drop(in_progress);
 }
 
 /// A request is at its target when the router is told to stop, and its answer comes a second later.
 #[tokio::test]
-async fn an_answer_that_comes_during_the_stop_is_delivered() {
+async fn a_response_during_shutdown_is_delivered() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
     let headers = [("x-id", "request-1")];
     let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
-    let got = target.next().await;
+    let request = target.next().await;
     router.stop();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    got.answer_whole("request-1", "paid").await;
+    request.answer_whole("request-1", "paid").await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("paid"), "{answer}");
 }
@@ -92,12 +92,12 @@
 /// connection a moment later. The connection used to be closed as unused, or not, as it happened: the
 /// caller got no answer.
 #[tokio::test]
-async fn a_connection_made_during_the_stop_is_answered() {
+async fn a_connection_opened_during_shutdown_is_answered() {
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), WITHIN);
+    let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
     router.stop();
     tokio::time::sleep(Duration::from_millis(200)).await;
