--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -1,4 +1,4 @@
-//! What an agent does beside its engine: one order at a time, and a word to the routers.
+//! Agents: execution of plans, and reports to routers.
 
 mod common;
 
@@ -15,18 +15,16 @@
 };
 use tokio::{net::UdpSocket, sync::oneshot, time::Instant};
 
-/// Start of the engine, in Unix milliseconds.
 const STARTED_AT_MS: u64 = 10;
 
-/// An engine in memory, and what became of orders to it.
+/// State of an in-memory engine, and the commands that it received.
 #[derive(Default)]
 struct EngineState {
     holdings: targets::Holdings,
     commands: Vec<(Instant, reconcile::Command, u64)>,
-    /// Orders that get no answer and are not carried out.
+    /// Number of commands to drop without an answer.
     commands_to_drop: usize,
     has_ended: bool,
-    /// The engine's own name.
     name: Option<TargetId>,
 }
 
@@ -89,7 +87,7 @@
     }
 }
 
-/// An agent in a thread, and a router that plans for it.
+/// An agent on its own thread, and the socket of its planner.
 struct AgentThread {
     engine: Engine,
     router: UdpSocket,
@@ -112,7 +110,7 @@
         Self { engine, router, agent: listen, _stop: stop }
     }
 
-    /// Says that the engine should hold these models and no others.
+    /// Sends a plan for exactly these models.
     async fn plan(&self, planner: &str, serial: u64, models: &[&str]) {
         self.plan_for("engine", planner, serial, models).await;
     }
@@ -145,7 +143,7 @@
         self.router.send_to(&postcard::to_stdvec(&plan).unwrap(), self.agent).await.unwrap();
     }
 
-    /// What the agent says next.
+    /// Receives the agent's next message.
     async fn receive(&self) -> PeerMessage {
         let mut buf = vec![0; 65_536];
         let received = tokio::time::timeout(common::WAIT_LIMIT, self.router.recv_from(&mut buf));
@@ -161,7 +159,7 @@
         }
     }
 
-    /// Plans until the engine holds all of these.
+    /// Sends a plan until the engine holds all of its models.
     async fn wait_for(&self, serial: u64, models: &[&str]) {
         let wait = async {
             loop {
@@ -176,8 +174,7 @@
     }
 }
 
-/// Two models are wanted and a third one is there; the engine has room for two. Ordered to load a
-/// third, it would crash.
+/// Guards against overloading an engine that has capacity for two models.
 #[tokio::test]
 async fn unwanted_models_are_unloaded_before_the_next_load() {
     let agent = AgentThread::start().await;
@@ -191,8 +188,7 @@
     assert_eq!(after_orders, [0, 1, 2, 3], "each command carries the count it is based on");
 }
 
-/// Half of the orders get no answer. Callers wait for the model all the while, and an engine beside
-/// its agent answers in some ms, so the next order comes well before half a second has passed.
+/// Guards against a lost command delaying a model that callers wait for.
 #[tokio::test]
 async fn an_unanswered_command_is_soon_sent_again() {
     let agent = AgentThread::start().await;
@@ -207,8 +203,7 @@
     assert!(interval < Duration::from_millis(600), "sent again after {interval:?}");
 }
 
-/// The engine's process ends, and its entry stays in the store for seconds. Routers go on sending
-/// requests for its models there until somebody tells them.
+/// The store keeps the entry of an exited engine for seconds, and routers would keep sending requests.
 #[tokio::test]
 async fn an_engine_exit_is_reported_to_routers() {
     let agent = AgentThread::start().await;
@@ -223,8 +218,7 @@
     assert_eq!(gone, EngineGone { target: "engine".into(), born: STARTED_AT_MS });
 }
 
-/// A second router plans as well, because it does not hear the first. Followed in turns, the two
-/// would have the engine load and drop the same models over and over.
+/// Guards against loading and unloading models in alternation when two routers plan at once.
 #[tokio::test]
 async fn one_of_two_planners_is_followed() {
     let agent = AgentThread::start().await;
@@ -238,8 +232,7 @@
     assert_eq!(state.commands.len(), 1, "commands: {:?}", state.commands);
 }
 
-/// The engine has started again under another name, and the plan is still for the one before. Nobody
-/// else can tell routers of it until it registers, a second or two later.
+/// Routers would otherwise not know the restarted engine until it registers.
 #[tokio::test]
 async fn a_changed_engine_name_is_reported_to_routers() {
     let agent = AgentThread::start().await;
@@ -260,9 +253,7 @@
     assert_eq!(replaced, expected);
 }
 
-/// The engine starts again under another name between two looks of its agent, and registers before the
-/// agent has noticed. An agent that went on believing the old name would tell routers that the new
-/// engine is the old one, and they would have neither.
+/// With a stale name, the agent would report the new engine as replaced by the old one.
 #[tokio::test]
 async fn an_agent_that_missed_a_restart_queries_the_engine_s_name_again() {
     let agent = AgentThread::start().await;
--- a/crates/corianderstand_forward/tests/common/link.rs
+++ b/crates/corianderstand_forward/tests/common/link.rs
@@ -1,4 +1,4 @@
-//! A slow link of a host, which all that comes in shares, and a proxy for a peer behind it.
+//! A simulated slow link of a host, and a proxy for a peer behind it.
 
 use std::{
     net::SocketAddr,
@@ -14,12 +14,11 @@
     sync::Mutex,
 };
 
-/// Bytes that cross at once; flows take turns at this size.
+/// Unit of fair sharing between flows.
 const CHUNK_BYTES: usize = 8 << 10;
-/// Largest datagram that passes.
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// A link that carries so many bytes a second, whoever sends them.
+/// A link whose bandwidth is shared by all flows.
 #[derive(Clone)]
 pub struct Link {
     bytes_per_s: usize,
@@ -32,15 +31,14 @@
         Self { bytes_per_s, lock: Arc::default(), transferred_bytes: Arc::default() }
     }
 
-    /// Waits until one piece has crossed.
     async fn transfer_chunk(&self, len: usize) {
-        // The lock is fair, so flows beside one another get equal shares.
+        // The lock is fair, so concurrent flows get equal shares.
         let _guard = self.lock.lock().await;
         tokio::time::sleep(Duration::from_secs_f64(len as f64 / self.bytes_per_s as f64)).await;
         self.transferred_bytes.fetch_add(len, Ordering::Relaxed);
     }
 
-    /// Waits until so many bytes have crossed; tells of each piece.
+    /// Waits until `len` bytes are transferred, calling `on_chunk` after each chunk.
     pub async fn transfer(&self, len: usize, on_chunk: impl Fn()) {
         let mut remaining = len;
         while remaining > 0 {
@@ -51,20 +49,20 @@
         }
     }
 
-    /// Bytes that have crossed.
+    /// Number of bytes transferred so far.
     pub fn transferred_bytes(&self) -> usize {
         self.transferred_bytes.load(Ordering::Relaxed)
     }
 }
 
-/// A peer as it is seen over a link: its datagrams pass at once, what it hands over takes its time.
+/// A proxy for a peer: datagrams pass without delay, TCP responses share the link.
 pub struct RemotePeer {
     pub addr: SocketAddr,
     accepted: Arc<AtomicUsize>,
 }
 
 impl RemotePeer {
-    /// Opens one at `addr`; datagrams to it reach `router`, connections to it reach `peer`.
+    /// Opens a proxy at `addr` that forwards the peer's datagrams to `router` and connections to `peer`.
     pub async fn open(addr: SocketAddr, peer: SocketAddr, router: SocketAddr, link: Link) -> Self {
         let socket = UdpSocket::bind(addr).await.unwrap();
         let listener = TcpListener::bind(addr).await.unwrap();
@@ -90,7 +88,7 @@
         Self { addr, accepted }
     }
 
-    /// Connections that were made to the peer.
+    /// Number of connections opened to the peer.
     pub fn connections(&self) -> usize {
         self.accepted.load(Ordering::Relaxed)
     }
@@ -110,7 +108,7 @@
         }
         near_write.shutdown().await.ok();
     };
-    // Whoever asked and has gone takes nothing more; the rest of it stays off the link.
+    // Stops when the requester disconnects, so that the rest does not occupy the link.
     tokio::select! {
         _ = requests => {}
         () = responses => {}
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router in a thread of its own, a store in memory, and targets that the tests script.
+//! Test harness: a router on its own thread, an in-memory store and scripted targets.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -26,20 +26,20 @@
     sync::{mpsc, oneshot},
 };
 
-/// Longest wait for something that should happen; only a broken build meets it.
+/// Timeout for anything that a test waits for.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// What the store holds.
+/// Contents and simulated faults of the store.
 #[derive(Default)]
 pub struct StoreState {
     news: BTreeMap<u64, (Subject, Record, Option<News>)>,
     next: u64,
     down: bool,
-    /// Time that the newest records take to be read.
+    /// Delay of reading the newest records.
     read_delay: Duration,
 }
 
-/// The store in memory; tests write to it and take it down.
+/// An in-memory store that tests can write to and make unavailable.
 #[derive(Clone, Default)]
 pub struct MemoryStore {
     state: Arc<Mutex<StoreState>>,
@@ -49,7 +49,7 @@
 }
 
 impl MemoryStore {
-    /// The same store for a process that it turns away.
+    /// The same store, unavailable to one process.
     #[must_use]
     pub fn unavailable(&self) -> Self {
         let isolated = self.isolated();
@@ -57,23 +57,22 @@
         isolated
     }
 
-    /// The same store for a process whose calls are counted apart, and which may be turned away alone.
+    /// The same store with a read count and availability of its own.
     #[must_use]
     pub fn isolated(&self) -> Self {
         Self { unavailable: Arc::default(), read_count: Arc::default(), ..self.clone() }
     }
 
-    /// Has the store turn this process away, or no more.
     pub fn set_unavailable(&self, unavailable: bool) {
         self.unavailable.store(unavailable, Ordering::Relaxed);
     }
 
-    /// Reads that this process has begun.
+    /// Number of reads begun through this handle.
     pub fn read_count(&self) -> usize {
         self.read_count.load(Ordering::Relaxed)
     }
 
-    /// The same store for a process that reaches it over a link.
+    /// The same store, reached over a simulated link.
     #[must_use]
     pub fn over_link(&self, link: &link::Link) -> Self {
         Self { link: Some(link.clone()), ..self.clone() }
@@ -83,7 +82,6 @@
         self.put_large(subject, key, news, 1);
     }
 
-    /// Writes a record whose value has this many bytes.
     fn put_large(&self, subject: Subject, key: &str, news: Option<News>, len: usize) {
         let mut state = self.state.lock().unwrap();
         let offset = state.next;
@@ -97,7 +95,7 @@
         self.put(Subject::Config, "config", Some(News::Config(Arc::new(config))));
     }
 
-    /// Writes a configuration whose document has this many bytes.
+    /// Writes a configuration with a document of `len` bytes.
     pub fn large_config(&self, config: config::Config, len: usize) {
         let news = News::Config(Arc::new(config));
         self.put_large(Subject::Config, "config", Some(news), len);
@@ -112,7 +110,7 @@
         self.put(Subject::Targets, id, Some(News::TargetGone(id.into())));
     }
 
-    /// A record that nobody can read.
+    /// Writes a record that cannot be decoded.
     pub fn unreadable_record(&self, subject: Subject, key: &str) {
         self.put(subject, key, None);
     }
@@ -121,7 +119,6 @@
         self.state.lock().unwrap().down = down;
     }
 
-    /// Has the newest records take this long.
     pub fn set_read_delay(&self, read_delay: Duration) {
         self.state.lock().unwrap().read_delay = read_delay;
     }
@@ -138,7 +135,7 @@
     }
 }
 
-/// A dialect of plain names, over the store in memory.
+/// A platform with plain header names, backed by the in-memory store.
 pub struct PlainPlatform(pub MemoryStore);
 
 impl dialect::Dialect for PlainPlatform {
@@ -225,16 +222,16 @@
     }
 }
 
-/// First of the ports that tests take, and how many a process has for itself. They lie below those
-/// that the system gives out, so that no other test is given one between the look and the use.
-const FIRST_TEST_PORT: u32 = 20_000;
+/// Test ports lie below the ephemeral range, so that the system assigns none of them between the check
+/// and the bind.
+const FIRST_PORT: u32 = 20_000;
 const PORTS_PER_PROCESS: u32 = 12;
-const MAX_PROCESSES: u32 = 1_000;
+const PROCESS_SLOTS: u32 = 1_000;
 
-/// A port of this process that nobody uses, for connections and datagrams.
+/// Returns an address whose port is free for both TCP and UDP.
 pub fn free_port() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let first_port = FIRST_TEST_PORT + std::process::id() % MAX_PROCESSES * PORTS_PER_PROCESS;
+    let first_port = FIRST_PORT + std::process::id() % PROCESS_SLOTS * PORTS_PER_PROCESS;
     loop {
         let next = NEXT.fetch_add(1, Ordering::Relaxed);
         assert!(next < PORTS_PER_PROCESS, "a test starts two routers and an agent at most");
@@ -246,7 +243,7 @@
     }
 }
 
-/// Settings that a test changes.
+/// Reloads the settings that a test sends.
 struct ReloadChannel(mpsc::UnboundedReceiver<router::Settings>);
 
 impl router::Reload for ReloadChannel {
@@ -258,15 +255,15 @@
     }
 }
 
-/// A router that runs in a thread.
+/// A router that runs on its own thread.
 pub struct RouterThread {
     pub front: SocketAddr,
     pub ready: SocketAddr,
     pub peers: SocketAddr,
     pub metrics: SocketAddr,
-    /// Settings at its start; changed ones go to `reload`.
+    /// Settings at startup.
     pub settings: router::Settings,
-    /// Takes settings that have changed.
+    /// Sends changed settings to the router.
     pub reload: mpsc::UnboundedSender<router::Settings>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -287,7 +284,7 @@
         Self::start_on(store, Self::settings(name, seeds, stop_within))
     }
 
-    /// Settings of a router on ports of its own.
+    /// Settings of a router on free ports.
     pub fn settings(name: &str, seeds: Vec<SocketAddr>, stop_within: Duration) -> router::Settings {
         let peers = free_port();
         router::Settings {
@@ -310,7 +307,6 @@
         }
     }
 
-    /// Starts a router with settings of its own.
     pub fn start_on(store: &MemoryStore, settings: router::Settings) -> Self {
         let (front, ready) = (settings.front, settings.ready);
         let (peers, metrics) = (settings.peers, settings.metrics.unwrap_or(settings.ready));
@@ -328,7 +324,7 @@
         Self { front, ready, peers, metrics, settings: at_start, reload, stop, thread }
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until the readiness check succeeds.
     pub async fn wait_ready(&self) {
         let poll = async {
             loop {
@@ -343,19 +339,19 @@
         tokio::time::timeout(WAIT_LIMIT, poll).await.expect("the router becomes ready");
     }
 
-    /// Tells it to stop.
+    /// Begins the shutdown.
     pub fn stop(&mut self) {
         let stop = self.stop.take().expect("it was not stopped before");
         stop.send(()).expect("the router runs");
     }
 
-    /// Whether its process would have ended.
+    /// Whether the router's thread has finished.
     pub fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(std::thread::JoinHandle::is_finished)
     }
 }
 
-/// A request in HTTP/1.1 that closes its connection; its whole answer as text.
+/// Sends a GET request and returns the whole response as text.
 pub async fn get(
     addr: SocketAddr,
     path: &str,
@@ -365,7 +361,7 @@
     read_all(&mut stream).await
 }
 
-/// Sends a request and leaves its answer to be read.
+/// Sends an HTTP/1.1 request and returns the connection to read the response from.
 pub async fn send(
     addr: SocketAddr,
     method: &str,
@@ -384,27 +380,27 @@
     Ok(stream)
 }
 
-/// Reads an answer to the end of its connection.
+/// Reads until the connection is closed.
 pub async fn read_all(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut bytes = Vec::new();
     tokio::time::timeout(WAIT_LIMIT, stream.read_to_end(&mut bytes)).await??;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// A request that a target got, and the connection to answer it on.
+/// A request received by a target, and its connection.
 pub struct ReceivedRequest {
     pub head: String,
     pub stream: TcpStream,
 }
 
 impl ReceivedRequest {
-    /// Answers with bytes as they are, and closes.
+    /// Sends raw bytes and closes the connection.
     pub async fn answer(mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).await.unwrap();
         self.stream.shutdown().await.unwrap();
     }
 
-    /// Answers with a whole body.
+    /// Sends a complete signed response.
     pub async fn answer_whole(self, id: &str, body: &str) {
         let len = body.len();
         let text = format!(
@@ -413,7 +409,7 @@
         self.answer(&text).await;
     }
 
-    /// Begins a stream of events.
+    /// Sends the head of a chunked response.
     pub async fn begin_stream(&mut self, id: &str) {
         let text = format!(
             "HTTP/1.1 200 OK\r\nx-signed: 1\r\nx-id: {id}\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -421,19 +417,18 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    /// Sends bytes of a stream.
     pub async fn send_chunk(&mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         self.stream.write_all(chunk.as_bytes()).await.unwrap();
     }
 
-    /// Ends a stream as whole.
+    /// Sends the last chunk and closes the connection.
     pub async fn end(mut self) {
         self.stream.write_all(b"0\r\n\r\n").await.unwrap();
         self.stream.shutdown().await.unwrap();
     }
 
-    /// Ends a stream as whole, to a router that may have reset the connection by now.
+    /// Like [`Self::end`], but tolerates a connection that the router has reset.
     pub async fn end_unless_reset(mut self) {
         let end = async {
             self.stream.write_all(b"0\r\n\r\n").await?;
@@ -445,14 +440,14 @@
         assert!(end.is_ok() || end.is_err_and(|kind| reset_kinds.contains(&kind)), "{end:?}");
     }
 
-    /// Value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines();
         lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 }
 
-/// A target that a test answers for.
+/// A target whose responses are scripted by a test.
 pub struct Target {
     pub addr: SocketAddr,
     listener: TcpListener,
@@ -464,7 +459,7 @@
         Self { addr: listener.local_addr().unwrap(), listener }
     }
 
-    /// The next request.
+    /// Waits for the next request.
     pub async fn next(&self) -> ReceivedRequest {
         let next = async {
             loop {
@@ -477,7 +472,7 @@
         tokio::time::timeout(WAIT_LIMIT, next).await.expect("a request arrives")
     }
 
-    /// Its entry in the store.
+    /// Returns its entry in the store.
     pub fn entry(&self, id: &str, service: &str) -> targets::Entry {
         targets::Entry {
             id: id.into(),
@@ -494,7 +489,7 @@
     }
 }
 
-/// A request's head and body as text; none if the connection ends before.
+/// Reads a request's head as lowercase text; none if the connection is closed before.
 async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut buf = [0; 4_096];
@@ -510,7 +505,7 @@
     }
 }
 
-/// A route for all paths of a kind.
+/// A route for all paths with a prefix.
 pub fn route(prefix: &str, service: &str) -> config::Route {
     config::Route {
         name: prefix.into(),
--- a/crates/corianderstand_forward/tests/peers.rs
+++ b/crates/corianderstand_forward/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What a router believes of the others.
+//! Tracking of the other routers.
 
 use corianderstand_forward::{dialect::Subject, peers::Peers};
 use corianderstand_schema::peers::{RouterNews, StoreUse};
@@ -30,8 +30,7 @@
     peers.ahead(now, Subject::Config, 0).map(|(next, _)| next).collect()
 }
 
-/// A datagram of a router's earlier start arrives after the first of its new one. Taken, it would tell
-/// of requests and records that are no more.
+/// Guards against outdated demand and offsets after a restart.
 #[test]
 fn late_updates_of_an_earlier_incarnation_are_ignored() {
     let (mut peers, now) = (Peers::default(), Instant::now());
@@ -40,8 +39,7 @@
     assert_eq!(ahead(&peers, now + UPDATE_INTERVAL), [5]);
 }
 
-/// A host's clock goes back, and its router starts anew: its start looks earlier than the one before.
-/// Left out for as long as it runs, it would not be asked for a change that it alone has read.
+/// Guards against ignoring a router for good after its host's clock was set back.
 #[test]
 fn a_restarted_router_with_an_earlier_clock_is_accepted() {
     let (mut peers, start) = (Peers::default(), Instant::now());
--- a/crates/corianderstand_forward/tests/stops.rs
+++ b/crates/corianderstand_forward/tests/stops.rs
@@ -1,4 +1,4 @@
-//! A router's planned stop: what was begun is answered, what comes late is sent elsewhere.
+//! Graceful shutdown of a router.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 const STOP_WITHIN: Duration = Duration::from_secs(3);
 
-/// A service whose only model is on no engine, so that its requests wait.
+/// Configures a service whose only model is not loaded, so that its requests wait.
 fn cold_service(store: &MemoryStore, target: &Target) {
     let mut config = common::config(1, vec![common::route("/ask/", "models")]);
     let model = Model {
@@ -30,8 +30,7 @@
     store.target(target.entry("target-1", "models"));
 }
 
-/// A request waits for its model when the router is told to stop. The router used to end with the
-/// request open: its caller saw a closed connection and did not know that nothing had run.
+/// Guards against closing the connection of a waiting request without a response.
 #[tokio::test]
 async fn a_waiting_request_is_answered_before_the_router_exits() {
     let store = MemoryStore::default();
@@ -47,8 +46,7 @@
     assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"), "{answer}");
 }
 
-/// Callers still reach a router that is about to end, as their next attempts are spread without
-/// asking it. It used to take their requests and cut them at its end.
+/// Guards against accepting requests that the shutdown would abort.
 #[tokio::test]
 async fn a_late_request_is_refused_at_once() {
     let store = MemoryStore::default();
@@ -57,7 +55,7 @@
     store.target(target.entry("target-1", "desk"));
     let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
-    // A request that keeps the router from ending early.
+    // Keeps the router from exiting early.
     let headers = [("x-id", "request-1")];
     let in_progress = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
     let _request = target.next().await;
@@ -69,7 +67,7 @@
     drop(in_progress);
 }
 
-/// A request is at its target when the router is told to stop, and its answer comes a second later.
+/// Guards against aborting a request that is in progress at its target.
 #[tokio::test]
 async fn a_response_during_shutdown_is_delivered() {
     let store = MemoryStore::default();
@@ -88,9 +86,7 @@
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("paid"), "{answer}");
 }
 
-/// A caller is still sent to a router that has just been told to stop, and its request follows its
-/// connection a moment later. The connection used to be closed as unused, or not, as it happened: the
-/// caller got no answer.
+/// Guards against closing a new connection as idle before its request arrives.
 #[tokio::test]
 async fn a_connection_opened_during_shutdown_is_answered() {
     let store = MemoryStore::default();
