--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -43,13 +43,13 @@
         let bytes = match postcard::to_stdvec(message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::warn!(%error, "failed to encode a message to a peer");
+                tracing::warn!(%error, "failed to encode a peer message");
                 return;
             }
         };
         if let Err(error) = self.socket.try_send_to(&bytes, addr) {
             self.dropped.set(self.dropped.get() + 1);
-            tracing::debug!(%addr, %error, dropped = self.dropped.get(), "dropped a message to a peer");
+            tracing::debug!(%addr, %error, dropped = self.dropped.get(), "dropped a peer message");
         }
     }
 }
@@ -71,13 +71,11 @@
         match socket.recv_from(&mut buf).await {
             Ok((len, from)) => match postcard::from_bytes(&buf[..len]) {
                 Ok(message) => on_message(from, message),
-                Err(error) => {
-                    tracing::debug!(%from, %error, "failed to decode a message from a peer")
-                }
+                Err(error) => tracing::debug!(%from, %error, "failed to decode a peer message"),
             },
             Err(error) => {
                 // Usually an ICMP error in reply to an earlier datagram.
-                tracing::debug!(%error, "failed to receive a message from a peer");
+                tracing::debug!(%error, "failed to receive a peer message");
             }
         }
     }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -178,7 +178,7 @@
                         let now = self.shared.clock.now();
                         match self.pace.last {
                             Some(last) => {
-                                self.shared.record_event_interval(source.flight.key(), now, last)
+                                self.shared.record_event_interval(source.flight.key(), now, last);
                             }
                             None => self.shared.record_first_event(&self.job, now),
                         }
