--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -185,7 +185,6 @@
         }
     }
 
-    /// Records requested adapters, the most recent first.
     fn on_adapters_requested(&self, now: Instant, from: SocketAddr, request: peers::AdaptersAsked) {
         let mut state = self.state.borrow_mut();
         state.recent_requesters.insert(from, now);
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -389,7 +389,6 @@
     }
 }
 
-/// What the control loop last sent or logged.
 #[derive(Default)]
 struct SendState {
     hello_at: Option<Instant>,
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -22,7 +22,6 @@
 struct EngineState {
     holdings: targets::Holdings,
     commands: Vec<(Instant, reconcile::Command, u64)>,
-    /// Number of commands to drop without an answer.
     commands_to_drop: usize,
     has_ended: bool,
     name: Option<TargetId>,
@@ -143,7 +142,6 @@
         self.router.send_to(&postcard::to_stdvec(&plan).unwrap(), self.agent).await.unwrap();
     }
 
-    /// Receives the agent's next message.
     async fn receive(&self) -> PeerMessage {
         let mut buf = vec![0; 65_536];
         let received = tokio::time::timeout(common::WAIT_LIMIT, self.router.recv_from(&mut buf));
--- a/crates/corianderstand_forward/tests/common/link.rs
+++ b/crates/corianderstand_forward/tests/common/link.rs
@@ -49,7 +49,6 @@
         }
     }
 
-    /// Number of bytes transferred so far.
     pub fn transferred_bytes(&self) -> usize {
         self.transferred_bytes.load(Ordering::Relaxed)
     }
@@ -88,7 +87,6 @@
         Self { addr, accepted }
     }
 
-    /// Number of connections opened to the peer.
     pub fn connections(&self) -> usize {
         self.accepted.load(Ordering::Relaxed)
     }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -26,7 +26,6 @@
     sync::{mpsc, oneshot},
 };
 
-/// Timeout for anything that a test waits for.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Contents and simulated faults of the store.
@@ -35,7 +34,6 @@
     news: BTreeMap<u64, (Subject, Record, Option<News>)>,
     next: u64,
     down: bool,
-    /// Delay of reading the newest records.
     read_delay: Duration,
 }
 
@@ -67,7 +65,6 @@
         self.unavailable.store(unavailable, Ordering::Relaxed);
     }
 
-    /// Number of reads begun through this handle.
     pub fn read_count(&self) -> usize {
         self.read_count.load(Ordering::Relaxed)
     }
@@ -110,7 +107,6 @@
         self.put(Subject::Targets, id, Some(News::TargetGone(id.into())));
     }
 
-    /// Writes a record that cannot be decoded.
     pub fn unreadable_record(&self, subject: Subject, key: &str) {
         self.put(subject, key, None);
     }
@@ -243,7 +239,6 @@
     }
 }
 
-/// Reloads the settings that a test sends.
 struct ReloadChannel(mpsc::UnboundedReceiver<router::Settings>);
 
 impl router::Reload for ReloadChannel {
@@ -255,22 +250,18 @@
     }
 }
 
-/// A router that runs on its own thread.
 pub struct RouterThread {
     pub front: SocketAddr,
     pub ready: SocketAddr,
     pub peers: SocketAddr,
     pub metrics: SocketAddr,
-    /// Settings at startup.
     pub settings: router::Settings,
-    /// Sends changed settings to the router.
     pub reload: mpsc::UnboundedSender<router::Settings>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl RouterThread {
-    /// Starts a router on the store.
     pub fn start(store: &MemoryStore) -> Self {
         Self::start_with(store, "router-a", Vec::new(), Duration::from_secs(8))
     }
@@ -324,7 +315,6 @@
         Self { front, ready, peers, metrics, settings: at_start, reload, stop, thread }
     }
 
-    /// Waits until the readiness check succeeds.
     pub async fn wait_ready(&self) {
         let poll = async {
             loop {
@@ -339,13 +329,11 @@
         tokio::time::timeout(WAIT_LIMIT, poll).await.expect("the router becomes ready");
     }
 
-    /// Begins the shutdown.
     pub fn stop(&mut self) {
         let stop = self.stop.take().expect("it was not stopped before");
         stop.send(()).expect("the router runs");
     }
 
-    /// Whether the router's thread has finished.
     pub fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(std::thread::JoinHandle::is_finished)
     }
@@ -380,7 +368,6 @@
     Ok(stream)
 }
 
-/// Reads until the connection is closed.
 pub async fn read_all(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut bytes = Vec::new();
     tokio::time::timeout(WAIT_LIMIT, stream.read_to_end(&mut bytes)).await??;
@@ -440,7 +427,6 @@
         assert!(end.is_ok() || end.is_err_and(|kind| reset_kinds.contains(&kind)), "{end:?}");
     }
 
-    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines();
         lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
@@ -459,7 +445,6 @@
         Self { addr: listener.local_addr().unwrap(), listener }
     }
 
-    /// Waits for the next request.
     pub async fn next(&self) -> ReceivedRequest {
         let next = async {
             loop {
@@ -472,7 +457,6 @@
         tokio::time::timeout(WAIT_LIMIT, next).await.expect("a request arrives")
     }
 
-    /// Returns its entry in the store.
     pub fn entry(&self, id: &str, service: &str) -> targets::Entry {
         targets::Entry {
             id: id.into(),
@@ -505,7 +489,6 @@
     }
 }
 
-/// A route for all paths with a prefix.
 pub fn route(prefix: &str, service: &str) -> config::Route {
     config::Route {
         name: prefix.into(),
