--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -211,7 +211,7 @@
     async fn poll_engine(&self) {
         let mut unresponsive = false;
         loop {
-            let pause = match self.engine.report().await {
+            let delay = match self.engine.report().await {
                 Ok(report) => {
                     if std::mem::take(&mut unresponsive) {
                         tracing::info!("engine is responsive again");
@@ -234,7 +234,7 @@
             };
             tokio::select! {
                 () = self.wake.notified() => {}
-                () = tokio::time::sleep(pause) => {}
+                () = tokio::time::sleep(delay) => {}
             }
         }
     }
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -151,8 +151,8 @@
 
     async fn receive_update(&self) -> EngineNews {
         loop {
-            if let PeerMessage::EngineNews(news) = self.receive().await {
-                return news;
+            if let PeerMessage::EngineNews(update) = self.receive().await {
+                return update;
             }
         }
     }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -31,7 +31,7 @@
 /// Contents and simulated faults of the store.
 #[derive(Default)]
 pub struct StoreState {
-    news: BTreeMap<u64, (Subject, Record, Option<News>)>,
+    entries: BTreeMap<u64, (Subject, Record, Option<News>)>,
     next: u64,
     down: bool,
     read_delay: Duration,
@@ -75,16 +75,16 @@
         Self { link: Some(link.clone()), ..self.clone() }
     }
 
-    fn put(&self, subject: Subject, key: &str, news: Option<News>) {
-        self.put_large(subject, key, news, 1);
+    fn put(&self, subject: Subject, key: &str, update: Option<News>) {
+        self.put_large(subject, key, update, 1);
     }
 
-    fn put_large(&self, subject: Subject, key: &str, news: Option<News>, len: usize) {
+    fn put_large(&self, subject: Subject, key: &str, update: Option<News>, len: usize) {
         let mut state = self.state.lock().unwrap();
         let offset = state.next;
         let value = Some(Bytes::from(vec![b'x'; len]));
         let record = Record { key: key.into(), value, offset };
-        state.news.insert(offset, (subject, record, news));
+        state.entries.insert(offset, (subject, record, update));
         state.next += 1;
     }
 
@@ -94,8 +94,8 @@
 
     /// Writes a configuration with a document of `len` bytes.
     pub fn large_config(&self, config: config::Config, len: usize) {
-        let news = News::Config(Arc::new(config));
-        self.put_large(Subject::Config, "config", Some(news), len);
+        let update = News::Config(Arc::new(config));
+        self.put_large(Subject::Config, "config", Some(update), len);
     }
 
     pub fn target(&self, entry: targets::Entry) {
@@ -125,7 +125,7 @@
         if state.down || self.unavailable.load(Ordering::Relaxed) {
             return Err(StoreError::Refused(503));
         }
-        let records = state.news.range(from..).filter(|(_, (own, ..))| *own == subject);
+        let records = state.entries.range(from..).filter(|(_, (own, ..))| *own == subject);
         let records = records.map(|(_, (_, record, _))| record.clone()).collect();
         Ok(Page { records, next: state.next, whole: false })
     }
@@ -211,10 +211,10 @@
 
     fn decode(&self, _: Subject, record: &Record) -> Result<Option<News>, RecordError> {
         let state = self.0.state.lock().unwrap();
-        let (_, _, news) = &state.news[&record.offset];
+        let (_, _, update) = &state.entries[&record.offset];
         let unreadable =
             || RecordError::Unreadable { key: record.key.clone(), reason: "garbage".into() };
-        news.clone().map(Some).ok_or_else(unreadable)
+        update.clone().map(Some).ok_or_else(unreadable)
     }
 }
 
