--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -73,7 +73,7 @@
     let mut lease = match shared.pool.lease(now, addr).await {
         Ok(lease) => lease,
         Err(error) => {
-            shared.no_connection(key, &error);
+            shared.connection_failed(key, &error);
             tracing::debug!(%addr, %error, "no connection to the target");
             return Attempt::NotSent;
         }
@@ -89,7 +89,7 @@
                 match shared.pool.open(addr).await {
                     Ok(new) => lease = new,
                     Err(error) => {
-                        shared.no_connection(key, &error);
+                        shared.connection_failed(key, &error);
                         return Attempt::NotSent;
                     }
                 }
@@ -132,7 +132,7 @@
         return Attempt::Unknown("the answer was to another request");
     }
     if let Some(load) = info.load {
-        shared.note_load(key, load);
+        shared.record_load(key, load);
     }
     if info.not_run {
         shared.not_run(key, job, head.status, info.target.as_ref());
@@ -165,7 +165,7 @@
 ) -> Head {
     tokio::pin!(sending);
     let silence = (job.route.latency_objective * SILENT_AIMS).max(LEAST_SILENCE);
-    let mut look = (shared.clock.now() + silence).min(shared.latest(job));
+    let mut look = (shared.clock.now() + silence).min(shared.response_deadline(job));
     loop {
         tokio::select! {
             sent = &mut sending => {
@@ -180,13 +180,13 @@
             () = tokio::time::sleep_until(look.into()) => {}
         }
         let now = shared.clock.now();
-        if now >= shared.latest(job) {
+        if now >= shared.response_deadline(job) {
             return Head::TimeOver;
         }
         if job.route.may_retry() && shared.has_alternative(now, job, key) {
             return Head::Silent;
         }
-        look = (now + silence).min(shared.latest(job));
+        look = (now + silence).min(shared.response_deadline(job));
     }
 }
 
--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -95,7 +95,7 @@
             if transfer.as_ref().is_some_and(|transfer| !transfer.is_finished()) {
                 continue;
             }
-            let records = shared.copies.borrow();
+            let records = shared.records.borrow();
             // Targets change constantly, so some peer is always slightly ahead.
             if subject == Subject::Targets && records.is_fresh(now, subject) {
                 continue;
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -107,7 +107,11 @@
     /// Logs the response to a request, be it the target's or a failure.
     pub fn answered(&self, job: &job::Job, status: StatusCode, how: &str, now: Instant) {
         let kind = if status.is_server_error() { LineKind::Failed } else { LineKind::Answered };
-        self.metrics.ended(job, if kind == LineKind::Failed { how } else { "answered" }, now);
+        self.metrics.request_ended(
+            job,
+            if kind == LineKind::Failed { how } else { "answered" },
+            now,
+        );
         if self.may_log(kind, now) {
             let (ms, tried, status) =
                 (millis_between(now, job.arrived), job.tried.len(), status.as_u16());
@@ -121,8 +125,8 @@
     pub fn streamed(&self, job: &job::Job, end: &StreamEnd, now: Instant) {
         let kind = if end.how == "whole" { LineKind::Answered } else { LineKind::Failed };
         let outcome = if kind == LineKind::Failed { end.how } else { "answered" };
-        self.metrics.ended(job, outcome, now);
-        self.metrics.streamed(job, &end.pace);
+        self.metrics.request_ended(job, outcome, now);
+        self.metrics.stream_ended(job, &end.pace);
         if self.may_log(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
             let (total_ms, tried) = (millis_between(now, job.arrived), job.tried.len());
@@ -146,7 +150,7 @@
         arrived: Instant,
         now: Instant,
     ) {
-        self.metrics.refused(why);
+        self.metrics.request_refused(why);
         if self.may_log(LineKind::Refused, now) {
             let (ms, status) = (millis_between(now, arrived), status.as_u16());
             tracing::info!(%id, route, status, why, ms, "refused");
@@ -162,7 +166,7 @@
         arrived: Instant,
         now: Instant,
     ) {
-        self.metrics.refused(NO_ROUTE);
+        self.metrics.request_refused(NO_ROUTE);
         if self.may_log(LineKind::Denied, now) {
             let age_ms = age.since_read.map(|age| age.as_millis() as u64);
             let (behind, ms) = (age.behind, millis_between(now, arrived));
@@ -174,7 +178,7 @@
 
     /// Logs a caller that disconnected before it had the whole response.
     pub fn caller_left(&self, id: &SmolStr, events: u64, now: Instant) {
-        self.metrics.left();
+        self.metrics.caller_left();
         if self.may_log(LineKind::Left, now) {
             tracing::info!(%id, events, "caller left");
         }
@@ -188,7 +192,7 @@
         if window_over {
             if count.suppressed > 0 {
                 tracing::warn!(?kind, left_out = count.suppressed, "log lines suppressed");
-                self.metrics.lines_left_out(count.suppressed);
+                self.metrics.lines_suppressed(count.suppressed);
             }
             *count = LineCount { window_start: Some(now), lines: 0, suppressed: 0 };
         }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -124,7 +124,7 @@
         unread_tokens: 0,
         last_trouble: "",
     };
-    shared.note_arrival(&job);
+    shared.record_arrival(&job);
     let mut open = Open { shared: shared.clone(), id: job.call.id.clone(), over: false };
     let answer = run(shared, job).await;
     open.over = true;
@@ -177,7 +177,7 @@
     shared: &router::Shared<P>,
     parts: &http::request::Parts,
 ) -> Result<(Arc<config::Route>, usize), Unrouted> {
-    if shared.refuses(shared.clock.now()) {
+    if shared.rejects_requests(shared.clock.now()) {
         return Err(Unrouted::NotNow("this router is stopping"));
     }
     let view = shared.view.borrow();
@@ -245,7 +245,7 @@
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
     (job.tried.len() as u32) < job.route.max_targets
         && job.offers < MOST_OFFERS
-        && shared.spend_repeat(&job.service)
+        && shared.spend_retry(&job.service)
 }
 
 /// Passes the answer on; gives the job back if it failed and another target is to be tried.
@@ -263,7 +263,7 @@
     }
     let attempt::Answered { mut head, info, body, lease, flight } = answered;
     let reading = Limited::new(body, MOST_ANSWER_BYTES).collect();
-    let body = match tokio::time::timeout_at(shared.latest(&job).into(), reading).await {
+    let body = match tokio::time::timeout_at(shared.response_deadline(&job).into(), reading).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => return again_or_fail(shared, job, key, "the target broke off its answer"),
         Err(_) => return Ok(fail(shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over")),
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -70,9 +70,9 @@
     if !matches!(shared.role(now), readers::Role::Follows(_)) {
         return;
     }
-    let own = shared.copies.borrow().next_offset(Subject::Config);
+    let own = shared.records.borrow().next_offset(Subject::Config);
     if update.config_next > own {
-        shared.tell_planner.notify_one();
+        shared.control_wake.notify_one();
     } else {
         record_read(shared, Subject::Config);
     }
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -75,7 +75,7 @@
     let view = shared.view.borrow();
     let peers = shared.peers.borrow();
     let mut running: HashMap<&names::TargetId, BTreeMap<names::ModelId, u32>> = HashMap::new();
-    for count in peers.news(now).flat_map(|update| &update.running) {
+    for count in peers.updates(now).flat_map(|update| &update.running) {
         let models = running.entry(&count.target).or_default();
         *models.entry(count.model.clone()).or_default() += count.count;
     }
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -86,7 +86,7 @@
 
 impl<P: router::Platform> Drop for PermitClaim<'_, P> {
     fn drop(&mut self) {
-        self.shared.turns.pending.borrow_mut().remove(&self.request.id);
+        self.shared.prefill_permits.pending.borrow_mut().remove(&self.request.id);
         if !self.granted {
             let withdrawal = wire::PrefillCancellation { id: self.request.id };
             self.shared.outbox.send(self.agent, &PeerMessage::PrefillWithdrawn(withdrawal));
@@ -101,9 +101,9 @@
         let target = view.targets.get(key).filter(|target| target.agent_is_responsive(now))?;
         let prefill_time = job.reading_time(&view, key, now)?;
         let agent = std::net::SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
-        let id = shared.turns.next_id(shared.incarnation);
+        let id = shared.prefill_permits.next_id(shared.incarnation);
         let pending = Rc::<PendingAnswer>::default();
-        shared.turns.pending.borrow_mut().insert(id, pending.clone());
+        shared.prefill_permits.pending.borrow_mut().insert(id, pending.clone());
         let request = wire::PrefillRequest {
             id,
             work_us: prefill_time.as_micros() as u32,
@@ -123,7 +123,7 @@
     }
 
     fn expires_at(&self, job: &job::Job) -> Instant {
-        job.held_until().min(self.shared.latest(job))
+        job.held_until().min(self.shared.response_deadline(job))
     }
 
     async fn answer(&self, within: Duration) -> Option<PermitAnswer> {
@@ -153,7 +153,7 @@
             continue;
         };
         let now = shared.clock.now();
-        shared.note_reading(key, now, answer.prefill_backlog);
+        shared.record_prefill_backlog(key, now, answer.prefill_backlog);
         if answer.granted {
             return claim.granted();
         }
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -61,16 +61,16 @@
             | choose::Choice::Cold
             | choose::Choice::NoTarget => {
                 if let choose::Choice::LoadAdapter(key) = choice {
-                    shared.ask_for_adapter(key, job);
+                    shared.request_adapter(key, job);
                 }
-                let expected = shared.expected(now, job, choice);
-                let until = job.held_until().min(shared.latest(job));
+                let expected = shared.expected_readiness(now, job, choice);
+                let until = job.held_until().min(shared.response_deadline(job));
                 if waiting.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
                 match wait_limit::decide(now, until, expected, job.spread()) {
                     wait_limit::Decision::Hold { until } => {
-                        (until.min(shared.latest(job)), poll_interval(choice))
+                        (until.min(shared.response_deadline(job)), poll_interval(choice))
                     }
                     wait_limit::Decision::Refuse { after } => {
                         return Err(PlacementError { reason: reason(choice), retry_after: after });
@@ -123,7 +123,7 @@
         let mut view = shared.view.borrow_mut();
         *view.waiting.entry(model.clone()).or_default() += 1;
         drop(view);
-        shared.tell_planner.notify_one();
+        shared.control_wake.notify_one();
         Self { shared: shared.clone(), model: model.clone() }
     }
 }
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Got, MemoryStore, Running, Target};
+use common::{MemoryStore, ReceivedRequest, RouterThread, Target};
 use corianderstand_fleet::{
     budget,
     config::{self, RetryPolicy, Route},
@@ -15,19 +15,19 @@
 const ID: &str = "request-1";
 
 /// Two targets of one service behind one route, and a router before them.
-async fn pair(route: Route) -> (Running, Target, Target) {
+async fn pair(route: Route) -> (RouterThread, Target, Target) {
     let store = MemoryStore::default();
     let (one, two) = (Target::start().await, Target::start().await);
     store.config(common::config(1, vec![route]));
     store.target(one.entry("target-1", "desk"));
     store.target(two.entry("target-2", "desk"));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     (router, one, two)
 }
 
 /// The request at whichever target got it, and the other target.
-async fn first<'a>(one: &'a Target, two: &'a Target) -> (Got, &'a Target) {
+async fn first<'a>(one: &'a Target, two: &'a Target) -> (ReceivedRequest, &'a Target) {
     tokio::select! {
         got = one.next() => (got, two),
         got = two.next() => (got, one),
@@ -124,13 +124,13 @@
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, other) = first(&one, &two).await;
     got.begin_stream(ID).await;
-    got.piece("id: 0\ndata: a\n\n").await;
-    got.piece("id: 1\ndata: b\n\nid: 2\nda").await;
+    got.send_chunk("id: 0\ndata: a\n\n").await;
+    got.send_chunk("id: 1\ndata: b\n\nid: 2\nda").await;
     drop(got);
     let mut next = other.next().await;
     assert_eq!(next.header("x-last-event"), Some("1"));
     next.begin_stream(ID).await;
-    next.piece("id: 2\ndata: c\n\n").await;
+    next.send_chunk("id: 2\ndata: c\n\n").await;
     next.end().await;
     let answer = common::read_all(&mut caller).await.unwrap();
     let events: Vec<_> = answer.lines().filter(|line| line.starts_with("data")).collect();
@@ -147,11 +147,11 @@
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, other) = first(&one, &two).await;
     got.begin_stream(ID).await;
-    got.piece("id: 0\ndata: a\n\n").await;
+    got.send_chunk("id: 0\ndata: a\n\n").await;
     drop(got);
     let mut next = other.next().await;
     next.begin_stream(ID).await;
-    next.piece("id: 5\ndata: f\n\n").await;
+    next.send_chunk("id: 5\ndata: f\n\n").await;
     // The router breaks the connection off at the wrong event, which may be before the end is written.
     next.end_unless_reset().await;
     let answer = common::read_all(&mut caller).await.unwrap_or_default();
@@ -167,7 +167,7 @@
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, _) = first(&one, &two).await;
     got.begin_stream(ID).await;
-    got.piece("id: 0\ndata: a\n\n").await;
+    got.send_chunk("id: 0\ndata: a\n\n").await;
     drop(got);
     let answer = common::read_all(&mut caller).await.unwrap_or_default();
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
@@ -182,7 +182,7 @@
     let caller = common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
     let (mut got, _) = first(&one, &two).await;
     drop(caller);
-    let read = tokio::time::timeout(common::PATIENCE, got.stream.read(&mut [0; 16])).await;
+    let read = tokio::time::timeout(common::WAIT_LIMIT, got.stream.read(&mut [0; 16])).await;
     let error = read.expect("the target hears of it").expect_err("a reset, not an end");
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
 }
@@ -199,7 +199,7 @@
         let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
         store.target(targets::Entry { holdings, ..target.entry(id, "desk") });
     }
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let mut left = None;
     for round in 0..12 {
@@ -275,14 +275,14 @@
     };
     store.target(holds(&one, "target-1", 1, &["m"]));
     store.target(holds(&two, "target-2", 1, &[]));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let headers = [("x-id", ID), ("x-model", "m")];
     let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
     let mut got = one.next().await;
     got.begin_stream(ID).await;
     for event in 0..5 {
-        got.piece(&format!("id: {event}\ndata: x\n\n")).await;
+        got.send_chunk(&format!("id: {event}\ndata: x\n\n")).await;
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     drop(got);
@@ -291,7 +291,7 @@
     let mut next = two.next().await;
     assert_eq!(next.header("x-last-event"), Some("4"));
     next.begin_stream(ID).await;
-    next.piece("id: 5\ndata: y\n\n").await;
+    next.send_chunk("id: 5\ndata: y\n\n").await;
     next.end().await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.contains("data: y") && answer.ends_with("0\r\n\r\n"), "{answer}");
@@ -318,7 +318,7 @@
     let resident = targets::Resident { model: "m".into(), adapters: Vec::new() };
     let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
     store.target(targets::Entry { holdings, ..target.entry("target-1", "desk") });
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let news = peers::EngineUpdate {
         target: "target-1".into(),
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -2,26 +2,26 @@
 
 mod common;
 
-use common::{MemoryStore, Running, Target};
+use common::{MemoryStore, RouterThread, Target};
 use corianderstand_forward::{
     dialect::{StoreError, Subject},
     follow,
 };
 use std::time::Duration;
 
-async fn status(router: &Running, path: &str) -> String {
+async fn status(router: &RouterThread, path: &str) -> String {
     let answer = common::get(router.front, path, &[("x-id", "r"), ("x-deadline-ms", "400")]).await;
     answer.unwrap()[9..12].to_owned()
 }
 
 /// Waits until a path is answered with this status.
-async fn wait_for(router: &Running, path: &str, expected: &str) {
+async fn wait_for(router: &RouterThread, path: &str, expected: &str) {
     let ask = async {
         while status(router, path).await != expected {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(common::PATIENCE, ask).await.expect("the answer changes");
+    tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the answer changes");
 }
 
 /// Requests must not be rejected while the first read is still in progress.
@@ -31,8 +31,8 @@
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    store.set_slow(Duration::from_millis(300));
-    let router = Running::start(&store);
+    store.set_read_delay(Duration::from_millis(300));
+    let router = RouterThread::start(&store);
     let headers = [("x-id", "r"), ("x-deadline-ms", "4000")];
     let ask = async {
         loop {
@@ -52,7 +52,7 @@
 async fn a_router_without_a_configuration_answers_503() {
     let store = MemoryStore::default();
     store.set_down(true);
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let answer = common::get(router.front, "/pay/1", &[("x-id", "r")]).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("retry-after"), "{answer}");
@@ -67,10 +67,10 @@
     let target = Target::start().await;
     store.target(target.entry("target-1", "desk"));
     store.config(common::config(7, vec![common::route("/new/", "desk")]));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     store.config(common::config(5, vec![common::route("/old/", "desk")]));
-    store.garbage(Subject::Config, "config");
+    store.unreadable_record(Subject::Config, "config");
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(status(&router, "/old/").await, "404");
     assert_ne!(status(&router, "/new/").await, "404");
@@ -82,9 +82,9 @@
     let store = MemoryStore::default();
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.garbage(Subject::Targets, "somebody");
+    store.unreadable_record(Subject::Targets, "somebody");
     store.target(target.entry("target-1", "desk"));
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", "r")], "").await.unwrap();
@@ -99,10 +99,10 @@
     let target = Target::start().await;
     store.config(common::config(1, vec![common::route("/pay/", "desk")]));
     store.target(target.entry("target-1", "desk"));
-    let reader = Running::start(&store);
+    let reader = RouterThread::start(&store);
     reader.wait_ready().await;
-    let (unavailable, seeds) = (store.turned_away(), vec![reader.peers]);
-    let router = Running::start_with(&unavailable, "router-b", seeds, Duration::from_secs(8));
+    let (unavailable, seeds) = (store.unavailable(), vec![reader.peers]);
+    let router = RouterThread::start_with(&unavailable, "router-b", seeds, Duration::from_secs(8));
     router.wait_ready().await;
     wait_for(&router, "/other/", "404").await;
 }
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -6,8 +6,8 @@
 mod common;
 
 use common::{
-    MemoryStore, Running,
-    link::{FarPeer, Link},
+    MemoryStore, RouterThread,
+    link::{Link, RemotePeer},
 };
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 struct Pair {
     store: MemoryStore,
     link: Link,
-    reader: Running,
-    router: Running,
-    far: FarPeer,
+    reader: RouterThread,
+    router: RouterThread,
+    far: RemotePeer,
 }
 
 impl Pair {
@@ -34,12 +34,12 @@
         store.target(target.entry("target-1", "desk"));
         store.config(common::config(1, vec![common::route("/pay/", "desk")]));
         let within = Duration::from_secs(8);
-        let mut near = Running::settings("router-b", vec![], within);
+        let mut near = RouterThread::settings("router-b", vec![], within);
         near.bounds.config_within = config_within;
         let far = common::free_port();
-        let reader = Running::start_with(&store, "reader", vec![far], within);
-        let far = FarPeer::open(far, reader.peers, near.peers, link.clone()).await;
-        let router = Running::start_on(&seen_by_router(&store, &link), near);
+        let reader = RouterThread::start_with(&store, "reader", vec![far], within);
+        let far = RemotePeer::open(far, reader.peers, near.peers, link.clone()).await;
+        let router = RouterThread::start_on(&seen_by_router(&store, &link), near);
         reader.wait_ready().await;
         router.wait_ready().await;
         Self { store, link, reader, router, far }
@@ -55,7 +55,7 @@
 }
 
 /// A route to a service without targets is answered with another status than an unknown route.
-async fn wait_for_route(router: &Running) {
+async fn wait_for_route(router: &RouterThread) {
     let ask = async {
         loop {
             let headers = [("x-id", "r"), ("x-deadline-ms", "100")];
@@ -66,13 +66,13 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(common::PATIENCE, ask).await.expect("the added route is known");
+    tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the added route is known");
 }
 
 /// Guards against a new transfer at each poll while earlier ones are in progress.
 #[tokio::test]
 async fn a_large_configuration_is_transferred_once_over_a_slow_link() {
-    let pair = Pair::start(Duration::from_secs(2), |store, _| store.turned_away()).await;
+    let pair = Pair::start(Duration::from_secs(2), |store, _| store.unavailable()).await;
     let before = pair.far.connections();
     pair.add_route().await;
     let connections = pair.far.connections() - before;
@@ -83,9 +83,9 @@
 /// is long, so that the store does not seem stalled on a slow machine.
 #[tokio::test]
 async fn no_transfer_competes_with_a_read_in_progress() {
-    let pair = Pair::start(Duration::from_secs(20), MemoryStore::over).await;
-    let before = pair.link.carried();
+    let pair = Pair::start(Duration::from_secs(20), MemoryStore::over_link).await;
+    let before = pair.link.transferred_bytes();
     pair.add_route().await;
-    let carried = pair.link.carried() - before;
+    let carried = pair.link.transferred_bytes() - before;
     assert!(carried < DOCUMENT * 3 / 2, "{carried} bytes crossed the link for {DOCUMENT}");
 }
--- a/crates/corianderstand_forward/tests/peers.rs
+++ b/crates/corianderstand_forward/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What a router believes of the others.
+//! Tracking of the other routers.
 
 use corianderstand_forward::{dialect::Subject, peers::Peers};
 use corianderstand_schema::peers::{RouterUpdate, StoreUse};
@@ -7,11 +7,11 @@
     time::{Duration, Instant},
 };
 
-const PEER: SocketAddr =
+const PEER_ADDR: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 7_380);
-const MOMENT: Duration = Duration::from_millis(200);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 
-fn news(incarnation: u64, config_next: u64) -> RouterUpdate {
+fn update(incarnation: u64, config_next: u64) -> RouterUpdate {
     RouterUpdate {
         router: "router-b".into(),
         incarnation,
@@ -30,26 +30,24 @@
     peers.ahead(now, Subject::Config, 0).map(|(next, _)| next).collect()
 }
 
-/// A datagram of a router's earlier start arrives after the first of its new one. Taken, it would tell
-/// of requests and records that are no more.
+/// Guards against outdated demand and offsets after a restart.
 #[test]
-fn what_an_earlier_start_said_is_left_out() {
+fn late_updates_of_an_earlier_incarnation_are_ignored() {
     let (mut peers, now) = (Peers::default(), Instant::now());
-    peers.hear(now, PEER, news(2_000, 5));
-    peers.hear(now + MOMENT, PEER, news(1_000, 9));
-    assert_eq!(ahead(&peers, now + MOMENT), [5]);
+    peers.on_update(now, PEER_ADDR, update(2_000, 5));
+    peers.on_update(now + UPDATE_INTERVAL, PEER_ADDR, update(1_000, 9));
+    assert_eq!(ahead(&peers, now + UPDATE_INTERVAL), [5]);
 }
 
-/// A host's clock goes back, and its router starts anew: its start looks earlier than the one before.
-/// Left out for as long as it runs, it would not be asked for a change that it alone has read.
+/// Guards against ignoring a router for good after its host's clock was set back.
 #[test]
-fn a_router_whose_clock_went_back_is_heard_again() {
+fn a_restarted_router_with_an_earlier_clock_is_accepted() {
     let (mut peers, start) = (Peers::default(), Instant::now());
-    peers.hear(start, PEER, news(2_000, 5));
-    let heard = (1..40).map(|turn| start + MOMENT * turn).find(|now| {
-        peers.hear(*now, PEER, news(1_000, 9));
+    peers.on_update(start, PEER_ADDR, update(2_000, 5));
+    let accepted_at = (1..40).map(|index| start + UPDATE_INTERVAL * index).find(|now| {
+        peers.on_update(*now, PEER_ADDR, update(1_000, 9));
         ahead(&peers, *now) == [9]
     });
-    let heard = heard.map(|now| now - start);
-    assert!(heard.is_some_and(|after| after < Duration::from_secs(3)), "{heard:?}");
+    let delay = accepted_at.map(|now| now - start);
+    assert!(delay.is_some_and(|delay| delay < Duration::from_secs(3)), "{delay:?}");
 }
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MemoryStore, Running, Target};
+use common::{MemoryStore, RouterThread, Target};
 use corianderstand_forward::{
     dialect::{Record, Subject},
     peers,
@@ -114,7 +114,7 @@
 
 /// Settings with the time limits of a small deployment.
 fn settings(name: &str, strength: u32, seeds: Vec<SocketAddr>) -> router::Settings {
-    let mut settings = Running::settings(name, seeds, Duration::from_secs(8));
+    let mut settings = RouterThread::settings(name, seeds, Duration::from_secs(8));
     settings.strength = strength;
     settings.bounds.drain_within = Duration::from_secs(2);
     settings
@@ -123,9 +123,9 @@
 /// A reader, a follower of it, and their stores.
 struct Zone {
     store: MemoryStore,
-    reader: Running,
+    reader: RouterThread,
     readers_store: MemoryStore,
-    follower: Running,
+    follower: RouterThread,
     followers_store: MemoryStore,
     /// How the simulated routers report to use the store.
     simulated_store_use: watch::Sender<StoreUse>,
@@ -139,10 +139,10 @@
         let target = Target::start().await;
         store.config(common::config(1, vec![common::route("/one/", "desk")]));
         store.target(target.entry("target-1", "desk"));
-        let (readers_store, followers_store) = (store.apart(), store.apart());
-        let reader = Running::start_on(&readers_store, settings("reader", 2_000, Vec::new()));
+        let (readers_store, followers_store) = (store.isolated(), store.isolated());
+        let reader = RouterThread::start_on(&readers_store, settings("reader", 2_000, Vec::new()));
         let weak = settings("follower", 1_000, vec![reader.peers]);
-        let follower = Running::start_on(&followers_store, weak);
+        let follower = RouterThread::start_on(&followers_store, weak);
         let (simulated_store_use, receiver) = watch::channel(StoreUse::Reads);
         tokio::spawn(simulate_neighbours(follower.peers, receiver));
         reader.wait_ready().await;
@@ -164,14 +164,14 @@
     async fn wait_until_following(&self) {
         let wait = async {
             loop {
-                let before = self.followers_store.calls();
+                let before = self.followers_store.read_count();
                 tokio::time::sleep(COUNTING_TIME).await;
-                if self.followers_store.calls() - before <= MAX_FOLLOWER_CALLS {
+                if self.followers_store.read_count() - before <= MAX_FOLLOWER_CALLS {
                     return;
                 }
             }
         };
-        tokio::time::timeout(common::PATIENCE, wait).await.expect("the router follows");
+        tokio::time::timeout(common::WAIT_LIMIT, wait).await.expect("the router follows");
     }
 
     /// Time until the follower no longer answers 404 on a path.
@@ -183,7 +183,7 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(common::PATIENCE, ask).await.expect("the configuration is known");
+        tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the configuration is known");
         began.elapsed()
     }
 }
@@ -192,21 +192,21 @@
 #[tokio::test]
 async fn a_follower_receives_a_change_with_few_store_calls() {
     let zone = Zone::start().await;
-    let before = (zone.followers_store.calls(), zone.readers_store.calls());
+    let before = (zone.followers_store.read_count(), zone.readers_store.read_count());
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
     let took = zone.time_until_known("/two/").await;
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
     tokio::time::sleep(COUNTING_TIME).await;
-    let calls = zone.followers_store.calls() - before.0;
+    let calls = zone.followers_store.read_count() - before.0;
     assert!(calls <= 2 * MAX_FOLLOWER_CALLS, "{calls} calls of the follower");
-    assert!(zone.readers_store.calls() - before.1 > MAX_FOLLOWER_CALLS, "the reader reads");
+    assert!(zone.readers_store.read_count() - before.1 > MAX_FOLLOWER_CALLS, "the reader reads");
 }
 
 /// Followers must notice on their own that the reader has lost the store.
 #[tokio::test]
 async fn a_follower_receives_a_change_although_its_reader_has_lost_the_store() {
     let zone = Zone::start().await;
-    zone.readers_store.turn_away(true);
+    zone.readers_store.set_unavailable(true);
     zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
     let took = zone.time_until_known("/two/").await;
     assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
@@ -265,10 +265,10 @@
     zone.store.set_down(true);
     zone.simulated_store_use.send(StoreUse::Lost).unwrap();
     tokio::time::sleep(COUNTING_TIME).await;
-    let before = (zone.followers_store.calls(), zone.readers_store.calls());
+    let before = (zone.followers_store.read_count(), zone.readers_store.read_count());
     tokio::time::sleep(2 * COUNTING_TIME).await;
-    let calls = zone.followers_store.calls() - before.0;
-    let readers_calls = zone.readers_store.calls() - before.1;
+    let calls = zone.followers_store.read_count() - before.0;
+    let readers_calls = zone.readers_store.read_count() - before.1;
     assert!(calls * 3 < readers_calls, "{calls} calls beside the reader's {readers_calls}");
     zone.store.set_down(false);
     zone.simulated_store_use.send(StoreUse::Reads).unwrap();
--- a/crates/corianderstand_forward/tests/transfers.rs
+++ b/crates/corianderstand_forward/tests/transfers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MemoryStore, Running};
+use common::{MemoryStore, RouterThread};
 use corianderstand_schema::peers::{PeerMessage, RouterUpdate, StoreUse};
 use std::{
     net::SocketAddr,
@@ -37,7 +37,7 @@
     let target = common::Target::start().await;
     store.target(target.entry("target-1", "desk"));
     store.large_config(common::config(1, vec![common::route("/pay/", "desk")]), 6_000_000);
-    let router = Running::start(&store);
+    let router = RouterThread::start(&store);
     router.wait_ready().await;
 
     let mut served = Vec::new();
@@ -70,7 +70,7 @@
             tokio::time::sleep(SIPS).await;
         }
     };
-    tokio::time::timeout(common::PATIENCE, again).await.expect("the next one is served");
+    tokio::time::timeout(common::WAIT_LIMIT, again).await.expect("the next one is served");
 }
 
 /// A stronger router that plans, for ever.
@@ -103,7 +103,7 @@
     let store = MemoryStore::default();
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let seeds = vec![peer.local_addr().unwrap()];
-    let router = Running::start_with(&store, "reader", seeds, Duration::from_secs(8));
+    let router = RouterThread::start_with(&store, "reader", seeds, Duration::from_secs(8));
     // One that plans says more often that it is there.
     tokio::spawn(plan_instead_of(router.peers));
     let began = Instant::now();
@@ -120,7 +120,7 @@
                 }
             }
         };
-        tokio::time::timeout(common::PATIENCE, told).await.expect("the change is told");
+        tokio::time::timeout(common::WAIT_LIMIT, told).await.expect("the change is told");
     }
     let took = began.elapsed();
     assert!(took < Duration::from_secs(CHANGES / 2), "{took:?} for {CHANGES} changes");
