--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum CallError {
     /// nobody listens at {0}
-    Nobody(SocketAddr),
+    ConnectionRefused(SocketAddr),
     /// no connection ({0})
     NotSent(String),
     /// nothing came for {0} ms
@@ -141,7 +141,7 @@
     ) -> Result<(pool::Lease, Response<Incoming>), CallError> {
         let broken = |error: hyper::Error| CallError::Broken(error.to_string());
         let not_sent = |error: std::io::Error| match error.kind() {
-            std::io::ErrorKind::ConnectionRefused => CallError::Nobody(addr),
+            std::io::ErrorKind::ConnectionRefused => CallError::ConnectionRefused(addr),
             _ => CallError::NotSent(error.to_string()),
         };
         let mut lease = self.pool.lease(self.clock.now(), addr).await.map_err(not_sent)?;
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -44,7 +44,8 @@
     async fn report(&self) -> Result<dialect::EngineReport, dialect::ReportError> {
         let shelf = self.0.lock().unwrap();
         if shelf.has_ended {
-            let nobody = client::CallError::Nobody(SocketAddr::from(([127, 0, 0, 1], 1)));
+            let nobody =
+                client::CallError::ConnectionRefused(SocketAddr::from(([127, 0, 0, 1], 1)));
             return Err(dialect::ReportError::Ended(nobody));
         }
         Ok(dialect::EngineReport {
