--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -31,7 +31,7 @@
     /// no connection ({0})
     NotSent(String),
     /// nothing came for {0} ms
-    Silent(u64),
+    TimedOut(u64),
     /// the answer broke off ({0})
     Broken(String),
 }
@@ -161,11 +161,11 @@
     }
 }
 
-/// What comes within a time, or [`CallError::Silent`].
+/// What comes within a time, or [`CallError::TimedOut`].
 async fn within<T>(
     limit: Duration,
     work: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    let silent = || CallError::Silent(limit.as_millis() as u64);
+    let silent = || CallError::TimedOut(limit.as_millis() as u64);
     tokio::time::timeout(limit, work).await.map_err(|_| silent())?
 }
