--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -33,7 +33,7 @@
     /// nothing came for {0} ms
     TimedOut(u64),
     /// the answer broke off ({0})
-    Broken(String),
+    Interrupted(String),
 }
 
 impl std::error::Error for CallError {}
@@ -95,7 +95,7 @@
             let (lease, answer) = self.begin(addr, req).await?;
             let (head, body) = answer.into_parts();
             let body = Limited::new(body, MOST_BYTES).collect().await;
-            let body = body.map_err(|error| CallError::Broken(error.to_string()))?.to_bytes();
+            let body = body.map_err(|error| CallError::Interrupted(error.to_string()))?.to_bytes();
             self.pool.give_back(self.clock.now(), lease, keep);
             Ok(Response::from_parts(head, body))
         };
@@ -120,7 +120,8 @@
         let (head, body) = answer.into_parts();
         let mut body = Limited::new(body, MOST_BYTES);
         let mut bytes = BytesMut::new();
-        let part = |part: Result<_, BoxError>| part.map_err(|e| CallError::Broken(e.to_string()));
+        let part =
+            |part: Result<_, BoxError>| part.map_err(|e| CallError::Interrupted(e.to_string()));
         while let Some(frame) =
             within(silence.between, async { body.frame().await.map(part).transpose() }).await?
         {
@@ -139,7 +140,7 @@
         addr: SocketAddr,
         req: Request<pool::Body>,
     ) -> Result<(pool::Lease, Response<Incoming>), CallError> {
-        let broken = |error: hyper::Error| CallError::Broken(error.to_string());
+        let broken = |error: hyper::Error| CallError::Interrupted(error.to_string());
         let not_sent = |error: std::io::Error| match error.kind() {
             std::io::ErrorKind::ConnectionRefused => CallError::ConnectionRefused(addr),
             _ => CallError::NotSent(error.to_string()),
