--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -40,9 +40,9 @@
 
 /// When something last came of an answer that is on its way.
 #[derive(Clone, Debug, Default)]
-pub struct Heard(Rc<Cell<Option<Instant>>>);
+pub struct LastReceived(Rc<Cell<Option<Instant>>>);
 
-impl Heard {
+impl LastReceived {
     /// Something came.
     pub fn note(&self, now: Instant) {
         self.0.set(Some(now));
@@ -62,7 +62,7 @@
     /// Between two parts of it.
     pub between: Duration,
     /// Told of each part.
-    pub heard: Heard,
+    pub heard: LastReceived,
 }
 
 /// Makes calls.
--- a/crates/corianderstand_forward/src/copies.rs
+++ b/crates/corianderstand_forward/src/copies.rs
@@ -60,7 +60,7 @@
     read_at: Option<Instant>,
     gap: Option<Duration>,
     back_at: Option<Instant>,
-    heard: client::Heard,
+    heard: client::LastReceived,
     lost: bool,
 }
 
@@ -92,7 +92,7 @@
     }
 
     /// What notes when something of a read comes.
-    pub fn heard(&mut self, subject: Subject) -> client::Heard {
+    pub fn heard(&mut self, subject: Subject) -> client::LastReceived {
         self.by_subject.entry(subject).or_default().heard.clone()
     }
 
