--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -44,7 +44,7 @@
 
 impl LastReceived {
     /// Something came.
-    pub fn note(&self, now: Instant) {
+    pub fn record(&self, now: Instant) {
         self.0.set(Some(now));
     }
 
@@ -116,7 +116,7 @@
         keep: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
         let (lease, answer) = within(silence.first, self.begin(addr, req)).await?;
-        silence.heard.note(self.clock.now());
+        silence.heard.record(self.clock.now());
         let (head, body) = answer.into_parts();
         let mut body = Limited::new(body, MOST_BYTES);
         let mut bytes = BytesMut::new();
@@ -125,7 +125,7 @@
         while let Some(frame) =
             within(silence.between, async { body.frame().await.map(part).transpose() }).await?
         {
-            silence.heard.note(self.clock.now());
+            silence.heard.record(self.clock.now());
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
