--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -56,7 +56,7 @@
 
 /// How long the other end may be silent in a long answer.
 #[derive(Clone, Debug)]
-pub struct Silence {
+pub struct ResponseTimeouts {
     /// Before the answer begins.
     pub first: Duration,
     /// Between two parts of it.
@@ -112,7 +112,7 @@
         &self,
         addr: SocketAddr,
         req: Request<pool::Body>,
-        silence: &Silence,
+        silence: &ResponseTimeouts,
         keep: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
         let (lease, answer) = within(silence.first, self.begin(addr, req)).await?;
