--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub struct ResponseTimeouts {
     /// Before the answer begins.
-    pub first: Duration,
+    pub head: Duration,
     /// Between two parts of it.
     pub between: Duration,
     /// Told of each part.
@@ -115,7 +115,7 @@
         silence: &ResponseTimeouts,
         keep: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let (lease, answer) = within(silence.first, self.begin(addr, req)).await?;
+        let (lease, answer) = within(silence.head, self.begin(addr, req)).await?;
         silence.heard.record(self.clock.now());
         let (head, body) = answer.into_parts();
         let mut body = Limited::new(body, MOST_BYTES);
