--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -60,7 +60,7 @@
     /// Before the answer begins.
     pub head: Duration,
     /// Between two parts of it.
-    pub between: Duration,
+    pub idle: Duration,
     /// Told of each part.
     pub heard: LastReceived,
 }
@@ -123,7 +123,7 @@
         let part =
             |part: Result<_, BoxError>| part.map_err(|e| CallError::Interrupted(e.to_string()));
         while let Some(frame) =
-            within(silence.between, async { body.frame().await.map(part).transpose() }).await?
+            within(silence.idle, async { body.frame().await.map(part).transpose() }).await?
         {
             silence.heard.record(self.clock.now());
             if let Ok(data) = frame.into_data() {
