--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -62,7 +62,7 @@
     /// Between two parts of it.
     pub idle: Duration,
     /// Told of each part.
-    pub heard: LastReceived,
+    pub last_received: LastReceived,
 }
 
 /// Makes calls.
@@ -116,7 +116,7 @@
         keep: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
         let (lease, answer) = within(silence.head, self.begin(addr, req)).await?;
-        silence.heard.record(self.clock.now());
+        silence.last_received.record(self.clock.now());
         let (head, body) = answer.into_parts();
         let mut body = Limited::new(body, MOST_BYTES);
         let mut bytes = BytesMut::new();
@@ -125,7 +125,7 @@
         while let Some(frame) =
             within(silence.idle, async { body.frame().await.map(part).transpose() }).await?
         {
-            silence.heard.record(self.clock.now());
+            silence.last_received.record(self.clock.now());
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
