--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -189,7 +189,7 @@
     /// answer. An answer that comes, however slowly, is not.
     pub silence: Duration,
     /// Told of each part of the answer.
-    pub heard: client::LastReceived,
+    pub last_received: client::LastReceived,
 }
 
 /// The deployment's store.
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -203,7 +203,7 @@
         if let Some(link) = &self.0.link {
             let lens = page.records.iter().filter_map(|record| record.value.as_ref());
             let len = lens.map(Bytes::len).sum();
-            link.carry_all(len, || waiting.heard.record(Instant::now())).await;
+            link.carry_all(len, || waiting.last_received.record(Instant::now())).await;
         }
         Ok(page)
     }
