--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -187,7 +187,7 @@
     pub wait: Duration,
     /// Time beyond that after which a store that says nothing is given up, also in the middle of an
     /// answer. An answer that comes, however slowly, is not.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// Told of each part of the answer.
     pub last_received: client::LastReceived,
 }
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -124,7 +124,7 @@
         Subject::Config | Subject::Targets => wait(shared.bounds.borrow().config_within),
     };
     let heard = shared.copies.borrow_mut().heard(subject);
-    dialect::Waiting { wait, silence: SILENCE, last_received: heard }
+    dialect::Waiting { wait, idle_timeout: SILENCE, last_received: heard }
 }
 
 /// How long a read waits for news, if these are to be in force within a time.
