--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -182,7 +182,7 @@
 
 /// How a read of the store is waited for.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct ReadOptions {
     /// Longest time that the store waits for news.
     pub wait: Duration,
     /// Time beyond that after which a store that says nothing is given up, also in the middle of an
@@ -198,14 +198,14 @@
     fn newest(
         &self,
         subject: Subject,
-        waiting: &Waiting,
+        waiting: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
     /// Records from an offset on; waits for the first.
     fn read(
         &self,
         subject: Subject,
         from: u64,
-        waiting: &Waiting,
+        waiting: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
     /// Tells other routers of this one.
     fn announce(&self, entry: &RouterEntry) -> impl Future<Output = Result<(), StoreError>>;
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -118,13 +118,13 @@
     drop(tokio::time::timeout(pause, outdated).await);
 }
 
-fn waiting<P>(shared: &router::Shared<P>, subject: Subject) -> dialect::Waiting {
+fn waiting<P>(shared: &router::Shared<P>, subject: Subject) -> dialect::ReadOptions {
     let wait = match subject {
         Subject::Routers => Duration::ZERO,
         Subject::Config | Subject::Targets => wait(shared.bounds.borrow().config_within),
     };
     let heard = shared.copies.borrow_mut().heard(subject);
-    dialect::Waiting { wait, idle_timeout: SILENCE, last_received: heard }
+    dialect::ReadOptions { wait, idle_timeout: SILENCE, last_received: heard }
 }
 
 /// How long a read waits for news, if these are to be in force within a time.
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use corianderstand_fleet::{budget, choose, config, targets};
 use corianderstand_forward::{dialect, router};
 use corianderstand_types::clock::SystemClock;
-use dialect::{News, Page, Record, RecordError, RouterEntry, StoreError, Subject, Waiting};
+use dialect::{News, Page, ReadOptions, Record, RecordError, RouterEntry, StoreError, Subject};
 use http::{HeaderMap, HeaderValue, StatusCode};
 use std::{
     collections::BTreeMap,
@@ -186,7 +186,7 @@
 }
 
 impl dialect::Store for PlainPlatform {
-    async fn newest(&self, subject: Subject, _: &Waiting) -> Result<Page, StoreError> {
+    async fn newest(&self, subject: Subject, _: &ReadOptions) -> Result<Page, StoreError> {
         let slow = self.0.shelf.lock().unwrap().slow;
         tokio::time::sleep(slow).await;
         self.0.page(subject, 0)
@@ -196,7 +196,7 @@
         &self,
         subject: Subject,
         from: u64,
-        waiting: &Waiting,
+        waiting: &ReadOptions,
     ) -> Result<Page, StoreError> {
         tokio::time::sleep(Duration::from_millis(20)).await;
         let page = self.0.page(subject, from)?;
