--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -108,7 +108,7 @@
     /// # Errors
     ///
     /// See [`CallError`]; after [`CallError::NotSent`] the call was not made.
-    pub async fn call_long(
+    pub async fn call_with_idle_timeout(
         &self,
         addr: SocketAddr,
         req: Request<pool::Body>,
