--- a/crates/corianderstand_forward/src/body.rs
+++ b/crates/corianderstand_forward/src/body.rs
@@ -1,6 +1,6 @@
 //! Bodies of answers to callers.
 
-use crate::exchange::Broken;
+use crate::exchange::Aborted;
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
@@ -19,7 +19,7 @@
 
 enum Source {
     Whole(Full<Bytes>),
-    Stream(Pin<Box<dyn Body<Data = Bytes, Error = Broken>>>),
+    Stream(Pin<Box<dyn Body<Data = Bytes, Error = Aborted>>>),
 }
 
 impl AnswerBody {
@@ -29,7 +29,7 @@
     }
 
     /// A body that comes in pieces.
-    pub fn stream(body: impl Body<Data = Bytes, Error = Broken> + 'static) -> Self {
+    pub fn stream(body: impl Body<Data = Bytes, Error = Aborted> + 'static) -> Self {
         Self { source: Source::Stream(Box::pin(body)), _guard: None }
     }
 
@@ -42,12 +42,12 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Aborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut self.source {
             Source::Whole(full) => Pin::new(full)
                 .poll_frame(cx)
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -18,7 +18,7 @@
 
 /// An answer or a connection that ends without being whole.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, displaydoc::Display)]
-pub enum Broken {
+pub enum Aborted {
     /// the target broke off in the middle of its answer
     ByTarget,
     /// the route's time is over
@@ -27,7 +27,7 @@
     ByCaller,
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Aborted {}
 
 /// Deadline of requests whose route and caller name none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -50,12 +50,12 @@
 ///
 /// # Errors
 ///
-/// [`Broken`] closes the caller's connection without an answer.
+/// [`Aborted`] closes the caller's connection without an answer.
 pub async fn answer<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     connection: &pause::Connection,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Broken> {
+) -> Result<Response<AnswerBody>, Aborted> {
     let arrived = shared.clock.now();
     let (parts, body) = req.into_parts();
     let call = shared.platform.read_call(&parts.headers);
@@ -84,7 +84,7 @@
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             return Ok(own_answer(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None));
         }
-        Ok(Err(_)) | Err(_) => return Err(Broken::ByCaller),
+        Ok(Err(_)) | Err(_) => return Err(Aborted::ByCaller),
     };
     if route.runs_at_most_once()
         && shared.pauses.may_predate_pause(shared.clock.since_boot(), connection)
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -118,7 +118,7 @@
 
 impl<P: router::Platform> Passing<P> {
     /// The next bytes for the caller.
-    async fn next(&mut self) -> Option<Result<Bytes, exchange::Broken>> {
+    async fn next(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
         if self.over {
             return None;
         }
@@ -129,23 +129,23 @@
                     Ok(None) => {}
                     Err(relay::Gap) => {
                         let why = "the other target went on at another event";
-                        return self.break_off(why, exchange::Broken::ByTarget);
+                        return self.break_off(why, exchange::Aborted::ByTarget);
                     }
                 },
                 Step::Whole => return self.end(),
                 Step::TimeOver => {
-                    return self.break_off("the time is over", exchange::Broken::TimeOver);
+                    return self.break_off("the time is over", exchange::Aborted::TimeOver);
                 }
                 Step::Broke => {
                     let why = "the target broke off its stream";
                     if !self.take_up(why).await {
-                        return self.break_off(why, exchange::Broken::ByTarget);
+                        return self.break_off(why, exchange::Aborted::ByTarget);
                     }
                 }
                 Step::Silent => {
                     if !self.take_up("the target fell silent").await {
                         return self
-                            .break_off("the target fell silent", exchange::Broken::ByTarget);
+                            .break_off("the target fell silent", exchange::Aborted::ByTarget);
                     }
                 }
             }
@@ -216,7 +216,7 @@
     }
 
     /// The stream is whole.
-    fn end(&mut self) -> Option<Result<Bytes, exchange::Broken>> {
+    fn end(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
         self.over = true;
         if let Some(source) = self.source.take() {
             let Source { lease, flight, info, .. } = source;
@@ -232,8 +232,8 @@
     fn break_off(
         &mut self,
         why: &'static str,
-        broken: exchange::Broken,
-    ) -> Option<Result<Bytes, exchange::Broken>> {
+        broken: exchange::Aborted,
+    ) -> Option<Result<Bytes, exchange::Aborted>> {
         self.over = true;
         if let Some(source) = self.source.take() {
             self.shared.target_failed(source.flight.key(), why);
