--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -22,7 +22,7 @@
     /// the target broke off in the middle of its answer
     ByTarget,
     /// the route's time is over
-    TimeOver,
+    DeadlineExceeded,
     /// the caller broke off in the middle of its request
     ByCaller,
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -134,7 +134,7 @@
                 },
                 Step::Whole => return self.end(),
                 Step::TimeOver => {
-                    return self.break_off("the time is over", exchange::Aborted::TimeOver);
+                    return self.break_off("the time is over", exchange::Aborted::DeadlineExceeded);
                 }
                 Step::Broke => {
                     let why = "the target broke off its stream";
