--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -42,7 +42,7 @@
 const STARTING_HOLD: Duration = Duration::from_millis(600);
 const STARTING_HOLD_PART: u32 = 4;
 /// Time to come back after a target refused and no other may be tried.
-pub const REFUSED_RETURN: Duration = Duration::from_millis(200);
+pub const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Most targets that did not run a request that it is offered to; each costs a way there and back.
 const MOST_OFFERS: u32 = 4;
 
@@ -94,7 +94,7 @@
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
         let status = StatusCode::SERVICE_UNAVAILABLE;
         shared.log.refused(&call.id, &route.name, status, why, arrived, now);
-        return Ok(own_answer(status, why, Some(REFUSED_RETURN)));
+        return Ok(own_answer(status, why, Some(REFUSED_RETRY_AFTER)));
     }
     let hash = xxh3::xxh3_64(call.id.as_bytes());
     let Some(service) = route.service(hash).cloned() else {
@@ -213,7 +213,7 @@
                 job.last_trouble = "no connection to the target";
                 shared.log.attempt_failed(&job, job.last_trouble, None, shared.clock.now());
                 if job.offers > MOST_OFFERS {
-                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETURN);
+                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETRY_AFTER);
                 }
             }
             attempt::Attempt::NotRun => {
@@ -223,7 +223,7 @@
                 job.offers += 1;
                 job.last_trouble = "the target did not run it";
                 if !may_try_another(&shared, &job) {
-                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETURN);
+                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETRY_AFTER);
                 }
             }
             attempt::Attempt::Unknown(why) => {
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -74,7 +74,7 @@
             }
         };
         if now >= until {
-            return Err(GivenUp { why: reason(choice), after: exchange::REFUSED_RETURN });
+            return Err(GivenUp { why: reason(choice), after: exchange::REFUSED_RETRY_AFTER });
         }
         if let (None, Some(model)) = (&waiting, job.model()) {
             waiting = Some(Waiting::begin(shared, model));
