--- a/crates/corianderstand_forward/src/body.rs
+++ b/crates/corianderstand_forward/src/body.rs
@@ -11,7 +11,7 @@
 };
 
 /// A body that is there as a whole, or comes as events do.
-pub struct AnswerBody {
+pub struct ResponseBody {
     source: Source,
     /// Held for its drop alone: with the body, when it has gone out or the caller has left.
     _guard: Option<Box<dyn Any>>,
@@ -22,7 +22,7 @@
     Stream(Pin<Box<dyn Body<Data = Bytes, Error = Aborted>>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is there as a whole.
     pub fn whole(bytes: Bytes) -> Self {
         Self { source: Source::Whole(Full::new(bytes)), _guard: None }
@@ -40,7 +40,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Aborted;
 
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -5,7 +5,7 @@
 //! than once; and only while the route's number of targets and the budget allow it. What became of
 //! a request that was written and not answered is not known, so it is never refused as "not run".
 
-use crate::{attempt, body::AnswerBody, decisions, dialect, job, router, stream, waiting};
+use crate::{attempt, body::ResponseBody, decisions, dialect, job, router, stream, waiting};
 use bytes::Bytes;
 use corianderstand_fleet::{config, prefixes, targets, wait_limit};
 use corianderstand_types::{names, pause};
@@ -55,7 +55,7 @@
     shared: Rc<router::Shared<P>>,
     connection: &pause::Connection,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Aborted> {
+) -> Result<Response<ResponseBody>, Aborted> {
     let arrived = shared.clock.now();
     let (parts, body) = req.into_parts();
     let call = shared.platform.read_call(&parts.headers);
@@ -194,7 +194,7 @@
 async fn run<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     mut job: job::Job,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     loop {
         let key = match waiting::find_target(&shared, &mut job).await {
             Ok(key) => key,
@@ -253,7 +253,7 @@
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
     answered: attempt::Answered<P>,
-) -> Result<Response<AnswerBody>, Box<job::Job>> {
+) -> Result<Response<ResponseBody>, Box<job::Job>> {
     let key = answered.flight.key();
     if job.route.streams && answered.head.status.is_success() {
         return match stream::first(shared, job, answered).await {
@@ -281,7 +281,7 @@
     }
     shared.platform.hand_back(&mut head.headers);
     shared.log.answered(&job, head.status, "whole", shared.clock.now());
-    Ok(Response::from_parts(head, AnswerBody::whole(body)))
+    Ok(Response::from_parts(head, ResponseBody::whole(body)))
 }
 
 /// After an answer that broke off: the job, if another target may be tried, else the failure.
@@ -290,7 +290,7 @@
     mut job: job::Job,
     key: targets::TargetKey,
     why: &'static str,
-) -> Result<Response<AnswerBody>, Box<job::Job>> {
+) -> Result<Response<ResponseBody>, Box<job::Job>> {
     shared.target_failed(key, why);
     shared.log.attempt_failed(&job, why, None, shared.clock.now());
     job.last_trouble = why;
@@ -307,7 +307,7 @@
     job: &job::Job,
     why: &'static str,
     after: Duration,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if job.may_have_run {
         return fail(shared, job, StatusCode::BAD_GATEWAY, why);
     }
@@ -322,7 +322,7 @@
     job: &job::Job,
     status: StatusCode,
     why: &'static str,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     shared.log.answered(job, status, why, shared.clock.now());
     own_answer(status, why, None)
 }
@@ -332,8 +332,8 @@
     status: StatusCode,
     why: &'static str,
     after: Option<Duration>,
-) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(Bytes::from_static(why.as_bytes())));
+) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(Bytes::from_static(why.as_bytes())));
     *answer.status_mut() = status;
     if let Some(after) = after {
         let text = SmolStr::from(format!("{:.3}", after.as_secs_f64()));
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -251,7 +251,7 @@
     shared: Rc<router::Shared<P>>,
     connection: Arc<pause::Connection>,
     req: Request<Incoming>,
-) -> Result<Response<body::AnswerBody>, exchange::Aborted> {
+) -> Result<Response<body::ResponseBody>, exchange::Aborted> {
     shared.open.set(shared.open.get() + 1);
     let count = OpenCount(shared.clone());
     let mut answer = exchange::answer(shared.clone(), &connection, req).await?;
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -88,7 +88,7 @@
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
     answered: attempt::Answered<P>,
-) -> Result<Response<body::AnswerBody>, (Box<job::Job>, &'static str)> {
+) -> Result<Response<body::ResponseBody>, (Box<job::Job>, &'static str)> {
     let attempt::Answered { mut head, info, body: source, lease, flight } = answered;
     let mut passing = Passing {
         shared: shared.clone(),
@@ -112,7 +112,7 @@
         Some((next.map(Frame::data), watched))
     });
     let begin = stream::iter([Ok(Frame::data(first))]);
-    let body = body::AnswerBody::stream(StreamBody::new(begin.chain(rest)));
+    let body = body::ResponseBody::stream(StreamBody::new(begin.chain(rest)));
     Ok(Response::from_parts(head, body))
 }
 
