--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -67,13 +67,13 @@
         Err(Unrouted::NotNow(why)) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             shared.log.refused(&call.id, "", status, why, arrived, shared.clock.now());
-            return Ok(own_answer(status, why, Some(STARTING_RETURN)));
+            return Ok(local_response(status, why, Some(STARTING_RETURN)));
         }
         Err(Unrouted::Nowhere { version }) => {
             let now = shared.clock.now();
             let age = shared.age(now, dialect::Subject::Config);
             shared.log.denied(&call.id, version, age, arrived, now);
-            return Ok(own_answer(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
+            return Ok(local_response(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
         }
     };
     let patience = call.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
@@ -82,7 +82,7 @@
     let body = match tokio::time::timeout_at(latest.into(), read).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return Ok(own_answer(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None));
+            return Ok(local_response(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None));
         }
         Ok(Err(_)) | Err(_) => return Err(Aborted::ByCaller),
     };
@@ -94,11 +94,11 @@
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
         let status = StatusCode::SERVICE_UNAVAILABLE;
         shared.log.refused(&call.id, &route.name, status, why, arrived, now);
-        return Ok(own_answer(status, why, Some(REFUSED_RETRY_AFTER)));
+        return Ok(local_response(status, why, Some(REFUSED_RETRY_AFTER)));
     }
     let hash = xxh3::xxh3_64(call.id.as_bytes());
     let Some(service) = route.service(hash).cloned() else {
-        return Ok(own_answer(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
+        return Ok(local_response(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
     };
     let model = call.wanted.as_ref().map_or("", |wanted| wanted.model.as_str());
     let chain = prefixes::Chain::new(model, call.parts.iter().map(|part| (part.id, part.tokens)));
@@ -313,7 +313,7 @@
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
     shared.log.refused(&job.call.id, &job.route.name, status, why, job.arrived, shared.clock.now());
-    own_answer(status, why, Some(wait_limit::retry_after(after, job.spread())))
+    local_response(status, why, Some(wait_limit::retry_after(after, job.spread())))
 }
 
 /// Ends a request whose fate is not known, or that ran and failed.
@@ -324,11 +324,11 @@
     why: &'static str,
 ) -> Response<ResponseBody> {
     shared.log.answered(job, status, why, shared.clock.now());
-    own_answer(status, why, None)
+    local_response(status, why, None)
 }
 
 /// An answer of the router's own.
-pub fn own_answer(
+pub fn local_response(
     status: StatusCode,
     why: &'static str,
     after: Option<Duration>,
