--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// [`Aborted`] closes the caller's connection without an answer.
-pub async fn answer<P: router::Platform>(
+pub async fn handle_request<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     connection: &pause::Connection,
     req: Request<Incoming>,
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -254,7 +254,7 @@
 ) -> Result<Response<body::ResponseBody>, exchange::Aborted> {
     shared.open.set(shared.open.get() + 1);
     let count = OpenCount(shared.clone());
-    let mut answer = exchange::answer(shared.clone(), &connection, req).await?;
+    let mut answer = exchange::handle_request(shared.clone(), &connection, req).await?;
     if shared.stopping.get().is_some() {
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
