--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -32,7 +32,7 @@
     /// Times that another target took it up.
     pub resumes: u32,
     /// How the events came.
-    pub pace: stream::Pace,
+    pub pace: stream::EventTimings,
 }
 
 /// Kinds of lines, each with its own limit.
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -165,7 +165,7 @@
     }
 
     /// A stream has ended.
-    pub fn streamed(&self, job: &job::Job, pace: &stream::Pace) {
+    pub fn streamed(&self, job: &job::Job, pace: &stream::EventTimings) {
         let kind = Kind { kind: kind(&job.route) };
         if let Some(first) = pace.first {
             let took = first.saturating_duration_since(job.arrived);
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -27,12 +27,12 @@
     splitter: relay::Splitter,
     resumes: u32,
     over: bool,
-    pace: Pace,
+    pace: EventTimings,
 }
 
 /// How the events of a stream came, for the log.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct EventTimings {
     /// When the first came.
     pub first: Option<Instant>,
     /// When the last came.
@@ -41,7 +41,7 @@
     pub longest: Duration,
 }
 
-impl Pace {
+impl EventTimings {
     fn note(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if let Some(last) = self.last.replace(now) {
@@ -97,7 +97,7 @@
         splitter: relay::Splitter::default(),
         resumes: 0,
         over: false,
-        pace: Pace::default(),
+        pace: EventTimings::default(),
     };
     shared.platform.hand_back(&mut head.headers);
     head.headers.remove(http::header::CONTENT_LENGTH);
