--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -170,7 +170,7 @@
         if let Some(first) = pace.first {
             let took = first.saturating_duration_since(job.arrived);
             self.first_seconds.get_or_create(&kind).observe(took.as_secs_f64());
-            self.pause_seconds.get_or_create(&kind).observe(pace.longest.as_secs_f64());
+            self.pause_seconds.get_or_create(&kind).observe(pace.longest_gap.as_secs_f64());
         }
     }
 
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -38,14 +38,14 @@
     /// When the last came.
     pub last: Option<Instant>,
     /// Longest pause between two.
-    pub longest: Duration,
+    pub longest_gap: Duration,
 }
 
 impl EventTimings {
     fn note(&mut self, now: Instant) {
         self.first.get_or_insert(now);
         if let Some(last) = self.last.replace(now) {
-            self.longest = self.longest.max(now.saturating_duration_since(last));
+            self.longest_gap = self.longest_gap.max(now.saturating_duration_since(last));
         }
     }
 }
