--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -131,7 +131,7 @@
         if self.allows(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
             let (total_ms, tried) = (ms(now, job.arrived), job.tried.len());
-            let first_ms = end.pace.first.map(|first| ms(first, job.arrived));
+            let first_ms = end.pace.first_at.map(|first| ms(first, job.arrived));
             let longest_pause_ms = end.pace.longest_gap.as_millis() as u64;
             let aim_ms = job.route.latency_objective.as_millis() as u64;
             let pause_aim_ms = job.route.gap_objective.map(|pause| pause.as_millis() as u64);
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -167,7 +167,7 @@
     /// A stream has ended.
     pub fn streamed(&self, job: &job::Job, pace: &stream::EventTimings) {
         let kind = Kind { kind: kind(&job.route) };
-        if let Some(first) = pace.first {
+        if let Some(first) = pace.first_at {
             let took = first.saturating_duration_since(job.arrived);
             self.first_seconds.get_or_create(&kind).observe(took.as_secs_f64());
             self.pause_seconds.get_or_create(&kind).observe(pace.longest_gap.as_secs_f64());
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -34,17 +34,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventTimings {
     /// When the first came.
-    pub first: Option<Instant>,
+    pub first_at: Option<Instant>,
     /// When the last came.
-    pub last: Option<Instant>,
+    pub last_at: Option<Instant>,
     /// Longest pause between two.
     pub longest_gap: Duration,
 }
 
 impl EventTimings {
     fn note(&mut self, now: Instant) {
-        self.first.get_or_insert(now);
-        if let Some(last) = self.last.replace(now) {
+        self.first_at.get_or_insert(now);
+        if let Some(last) = self.last_at.replace(now) {
             self.longest_gap = self.longest_gap.max(now.saturating_duration_since(last));
         }
     }
@@ -176,7 +176,7 @@
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => {
                         let now = self.shared.clock.now();
-                        match self.pace.last {
+                        match self.pace.last_at {
                             Some(last) => self.shared.note_pause(source.flight.key(), now, last),
                             None => self.shared.note_first(&self.job, now),
                         }
@@ -255,7 +255,7 @@
             return false;
         }
         self.splitter.restart();
-        self.job.silent_since = self.pace.last.unwrap_or(self.job.arrived);
+        self.job.silent_since = self.pace.last_at.unwrap_or(self.job.arrived);
         let last = self.splitter.last().or(self.job.call.last_event);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
