--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -256,7 +256,7 @@
 ) -> Result<Response<ResponseBody>, Box<job::Job>> {
     let key = answered.flight.key();
     if job.route.streams && answered.head.status.is_success() {
-        return match stream::first(shared, job, answered).await {
+        return match stream::start(shared, job, answered).await {
             Ok(answer) => Ok(answer),
             Err((job, why)) => again_or_fail(shared, *job, key, why),
         };
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// Why no event came; nothing has gone to the caller yet.
-pub async fn first<P: router::Platform>(
+pub async fn start<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
     answered: attempt::Answered<P>,
