--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -126,7 +126,7 @@
 
 /// What a record says, in the system's own terms.
 #[derives(data)]
-pub enum News {
+pub enum Update {
     /// The configuration in force.
     Config(Arc<config::Config>),
     /// A target registered, or renewed its entry.
@@ -216,7 +216,7 @@
     /// # Errors
     ///
     /// A record that is not as it should be, which may be somebody else's.
-    fn decode(&self, subject: Subject, record: &Record) -> Result<Option<News>, RecordError>;
+    fn decode(&self, subject: Subject, record: &Record) -> Result<Option<Update>, RecordError>;
 }
 
 /// An engine's own account of itself.
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -209,8 +209,8 @@
 }
 
 /// A hash of what a record says, the same for an entry and its mere renewal.
-fn content(record: &dialect::Record, news: Option<&dialect::News>) -> u64 {
-    if let Some(dialect::News::Target(entry)) = news {
+fn content(record: &dialect::Record, news: Option<&dialect::Update>) -> u64 {
+    if let Some(dialect::Update::Target(entry)) = news {
         let entry = targets::Entry { renewals: 0, ..entry.clone() };
         match postcard::to_stdvec(&entry) {
             Ok(bytes) => return xxh3::xxh3_64(&bytes),
@@ -231,12 +231,12 @@
     shared: &Rc<router::Shared<P>>,
     subject: Subject,
     origin: Origin,
-    news: dialect::News,
+    news: dialect::Update,
 ) {
     let now = shared.clock.now();
     match news {
-        dialect::News::Config(config) => take_config(shared, origin, config),
-        dialect::News::Target(entry) => {
+        dialect::Update::Config(config) => take_config(shared, origin, config),
+        dialect::Update::Target(entry) => {
             let id = entry.id.clone();
             let mut view = shared.view.borrow_mut();
             let change = view.targets.register(now, entry);
@@ -245,18 +245,18 @@
                 view.wake_all();
             }
         }
-        dialect::News::TargetGone(id) => {
+        dialect::Update::TargetGone(id) => {
             let grace = shared.copies.borrow().just_back(now, subject);
             tracing::info!(target = %id, grace, "target's entry removed");
             shared.view.borrow_mut().targets.remove(now, &id, grace);
         }
-        dialect::News::Router(entry) => {
+        dialect::Update::Router(entry) => {
             if entry.router != shared.settings.name {
                 shared.peers.borrow_mut().add(now, entry.router, entry.addr);
                 control::say_hello(shared);
             }
         }
-        dialect::News::RouterGone(name) => shared.peers.borrow_mut().remove(&name),
+        dialect::Update::RouterGone(name) => shared.peers.borrow_mut().remove(&name),
     }
 }
 
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use corianderstand_fleet::{budget, choose, config, targets};
 use corianderstand_forward::{dialect, router};
 use corianderstand_types::clock::SystemClock;
-use dialect::{News, Page, ReadOptions, Record, RecordError, RouterEntry, StoreError, Subject};
+use dialect::{Page, ReadOptions, Record, RecordError, RouterEntry, StoreError, Subject, Update};
 use http::{HeaderMap, HeaderValue, StatusCode};
 use std::{
     collections::BTreeMap,
@@ -32,7 +32,7 @@
 /// What the store holds.
 #[derive(Default)]
 pub struct Shelf {
-    news: BTreeMap<u64, (Subject, Record, Option<News>)>,
+    news: BTreeMap<u64, (Subject, Record, Option<Update>)>,
     next: u64,
     down: bool,
     /// Time that the newest records take to be read.
@@ -79,12 +79,12 @@
         Self { link: Some(link.clone()), ..self.clone() }
     }
 
-    fn put(&self, subject: Subject, key: &str, news: Option<News>) {
+    fn put(&self, subject: Subject, key: &str, news: Option<Update>) {
         self.put_large(subject, key, news, 1);
     }
 
     /// Writes a record whose value has this many bytes.
-    fn put_large(&self, subject: Subject, key: &str, news: Option<News>, len: usize) {
+    fn put_large(&self, subject: Subject, key: &str, news: Option<Update>, len: usize) {
         let mut shelf = self.shelf.lock().unwrap();
         let offset = shelf.next;
         let value = Some(Bytes::from(vec![b'x'; len]));
@@ -94,22 +94,22 @@
     }
 
     pub fn config(&self, config: config::Config) {
-        self.put(Subject::Config, "config", Some(News::Config(Arc::new(config))));
+        self.put(Subject::Config, "config", Some(Update::Config(Arc::new(config))));
     }
 
     /// Writes a configuration whose document has this many bytes.
     pub fn large_config(&self, config: config::Config, len: usize) {
-        let news = News::Config(Arc::new(config));
+        let news = Update::Config(Arc::new(config));
         self.put_large(Subject::Config, "config", Some(news), len);
     }
 
     pub fn target(&self, entry: targets::Entry) {
         let key = entry.id.to_string();
-        self.put(Subject::Targets, &key, Some(News::Target(entry)));
+        self.put(Subject::Targets, &key, Some(Update::Target(entry)));
     }
 
     pub fn target_gone(&self, id: &str) {
-        self.put(Subject::Targets, id, Some(News::TargetGone(id.into())));
+        self.put(Subject::Targets, id, Some(Update::TargetGone(id.into())));
     }
 
     /// A record that nobody can read.
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    fn decode(&self, _: Subject, record: &Record) -> Result<Option<News>, RecordError> {
+    fn decode(&self, _: Subject, record: &Record) -> Result<Option<Update>, RecordError> {
         let shelf = self.0.shelf.lock().unwrap();
         let (_, _, news) = &shelf.news[&record.offset];
         let unreadable =
