--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -132,11 +132,11 @@
     /// A target registered, or renewed its entry.
     Target(targets::Entry),
     /// A target's entry was removed.
-    TargetGone(names::TargetId),
+    TargetRemoved(names::TargetId),
     /// A router is there.
     Router(RouterEntry),
     /// A router has stopped.
-    RouterGone(SmolStr),
+    RouterRemoved(SmolStr),
 }
 
 /// Where a router is reached by its peers.
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -245,7 +245,7 @@
                 view.wake_all();
             }
         }
-        dialect::Update::TargetGone(id) => {
+        dialect::Update::TargetRemoved(id) => {
             let grace = shared.copies.borrow().just_back(now, subject);
             tracing::info!(target = %id, grace, "target's entry removed");
             shared.view.borrow_mut().targets.remove(now, &id, grace);
@@ -256,7 +256,7 @@
                 control::say_hello(shared);
             }
         }
-        dialect::Update::RouterGone(name) => shared.peers.borrow_mut().remove(&name),
+        dialect::Update::RouterRemoved(name) => shared.peers.borrow_mut().remove(&name),
     }
 }
 
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -109,7 +109,7 @@
     }
 
     pub fn target_gone(&self, id: &str) {
-        self.put(Subject::Targets, id, Some(Update::TargetGone(id.into())));
+        self.put(Subject::Targets, id, Some(Update::TargetRemoved(id.into())));
     }
 
     /// A record that nobody can read.
