--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -153,7 +153,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum StoreError {
     /// the store no longer has the records after offset {0}: take the newest of each key instead
-    Forgotten(u64),
+    Compacted(u64),
     /// the store answered {0}: wait, the call is repeated with pauses
     Refused(u16),
     /// the store cannot be reached ({0}): check `platform.address`, or wait, the call is repeated
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -91,7 +91,7 @@
                     Subject::Routers => tokio::time::sleep(ROUTERS_PAUSE).await,
                 }
             }
-            Err(dialect::StoreError::Forgotten(first)) => {
+            Err(dialect::StoreError::Compacted(first)) => {
                 tracing::info!(
                     ?subject,
                     ?from,
