--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -159,7 +159,7 @@
     /// the store cannot be reached ({0}): check `platform.address`, or wait, the call is repeated
     Unreachable(String),
     /// nothing came from the store for {0} ms: wait, the call is repeated on another connection
-    Silent(u64),
+    TimedOut(u64),
     /// the store's answer cannot be read ({0}): check that `platform.address` is the store
     Garbled(String),
 }
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -137,7 +137,7 @@
 /// be in force is nearly over.
 pub const fn pause_after(error: &dialect::StoreError) -> Duration {
     match error {
-        dialect::StoreError::Silent(_) => Duration::ZERO,
+        dialect::StoreError::TimedOut(_) => Duration::ZERO,
         _ => FAILED_PAUSE,
     }
 }
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -118,7 +118,7 @@
 #[case::seven_seconds(7)]
 fn a_silent_read_is_followed_by_another_within_the_bound(#[case] seconds: u64) {
     let within = Duration::from_secs(seconds);
-    let silent = StoreError::Silent(follow::SILENCE.as_millis() as u64);
+    let silent = StoreError::TimedOut(follow::SILENCE.as_millis() as u64);
     let next = follow::wait(within) + follow::SILENCE + follow::pause_after(&silent);
     assert!(next < within, "the next read begins after {next:?}");
 }
