--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -161,7 +161,7 @@
     /// nothing came from the store for {0} ms: wait, the call is repeated on another connection
     TimedOut(u64),
     /// the store's answer cannot be read ({0}): check that `platform.address` is the store
-    Garbled(String),
+    Malformed(String),
 }
 
 impl std::error::Error for StoreError {}
