--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -280,7 +280,7 @@
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
     ) -> Option<names::TargetId> {
-        let born = report.born.unwrap_or(0);
+        let born = report.started_at_ms.unwrap_or(0);
         let orders = report.holdings.commands_accepted;
         if let Some(named) = &mut self.state.borrow_mut().named
             && named.born == born
@@ -315,7 +315,7 @@
     ) {
         let replaced = PeerMessage::EngineReplaced(peers::EngineReplaced {
             target: name,
-            born: report.born.unwrap_or(0),
+            born: report.started_at_ms.unwrap_or(0),
             before: plan.target.clone(),
         });
         routers(plan).for_each(|addr| self.outbox.send(addr, &replaced));
--- a/crates/corianderstand_forward/src/agent/account.rs
+++ b/crates/corianderstand_forward/src/agent/account.rs
@@ -78,7 +78,7 @@
     let targets::Load { running, waiting, cache_used } = report.load;
     peers::EngineNews {
         target: plan.target.clone(),
-        born: report.born.unwrap_or(0),
+        born: report.started_at_ms.unwrap_or(0),
         orders: report.holdings.commands_accepted,
         resident: resident.collect(),
         copies: Vec::new(),
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -223,7 +223,7 @@
 #[derives(data)]
 pub struct EngineReport {
     /// Its start, in Unix milliseconds, if it says so.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// What it holds.
     pub holdings: targets::Holdings,
     /// Whether it is carrying out an order for a model.
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -49,7 +49,7 @@
             return Err(dialect::ReportError::Ended(nobody));
         }
         Ok(dialect::EngineReport {
-            born: Some(BORN),
+            started_at_ms: Some(BORN),
             holdings: shelf.holdings.clone(),
             busy: false,
             adapters_coming: 0,
