--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -256,7 +256,7 @@
         }
         self.say(now, &plan.plan, &report);
         let Some(order) = self.next(now, &plan.plan, &report) else {
-            let busy = report.busy || report.adapters_coming > 0;
+            let busy = report.busy || report.adapters_loading > 0;
             let waits = self.state.borrow().ongoing.is_some() || busy;
             return if waits { BUSY_PAUSE } else { IDLE_PAUSE };
         };
@@ -350,7 +350,7 @@
             adapter_slots: plan.adapter_places as usize,
         };
         let parts = account::parts(plan);
-        let coming = report.adapters_coming;
+        let coming = report.adapters_loading;
         let adapter = || {
             reconcile::next_adapter_command(
                 now,
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -229,7 +229,7 @@
     /// Whether it is carrying out an order for a model.
     pub busy: bool,
     /// Adapters that are on their way to it.
-    pub adapters_coming: usize,
+    pub adapters_loading: usize,
     /// How busy it is.
     pub load: targets::Load,
 }
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -52,7 +52,7 @@
             started_at_ms: Some(BORN),
             holdings: shelf.holdings.clone(),
             busy: false,
-            adapters_coming: 0,
+            adapters_loading: 0,
             load: targets::Load::default(),
         })
     }
