--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -399,12 +399,12 @@
         tracing::info!(%target, ?order, ?end, after_orders, from_store, "order given");
         let mut state = self.state.borrow_mut();
         match end {
-            dialect::OrderEnd::Accepted | dialect::OrderEnd::Unknown => {
+            dialect::CommandOutcome::Accepted | dialect::CommandOutcome::Unknown => {
                 if let Some(ongoing) = &mut state.ongoing {
-                    ongoing.answered = end == dialect::OrderEnd::Accepted;
+                    ongoing.answered = end == dialect::CommandOutcome::Accepted;
                 }
             }
-            dialect::OrderEnd::OtherEngine => {
+            dialect::CommandOutcome::OtherEngine => {
                 state.ongoing = None;
                 state.ended = Some(target.clone());
                 state.named = None;
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -236,7 +236,7 @@
 
 /// What an engine said to an order.
 #[derives(key)]
-pub enum OrderEnd {
+pub enum CommandOutcome {
     /// It carries it out.
     Accepted,
     /// It holds already, or was carried out at once.
@@ -297,5 +297,5 @@
         path: &str,
     ) -> impl Future<Output = Result<Option<names::TargetId>, client::CallError>>;
     /// Gives it an order.
-    fn order(&self, order: SafeOrder) -> impl Future<Output = OrderEnd>;
+    fn order(&self, order: SafeOrder) -> impl Future<Output = CommandOutcome>;
 }
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -62,18 +62,18 @@
         Ok(self.0.lock().unwrap().name.clone())
     }
 
-    async fn order(&self, order: dialect::SafeOrder<'_>) -> dialect::OrderEnd {
+    async fn order(&self, order: dialect::SafeOrder<'_>) -> dialect::CommandOutcome {
         let mut shelf = self.0.lock().unwrap();
         shelf.given.push((Instant::now(), order.order.clone(), order.after_orders));
         if shelf.to_lose > 0 {
             shelf.to_lose -= 1;
-            return dialect::OrderEnd::Unknown;
+            return dialect::CommandOutcome::Unknown;
         }
         if let Some(name) = shelf.name.as_ref().filter(|name| *name != order.target) {
             panic!("{name} was given an order for {}", order.target);
         }
         if order.after_orders != shelf.holdings.commands_accepted {
-            return dialect::OrderEnd::Conflict;
+            return dialect::CommandOutcome::Conflict;
         }
         shelf.holdings.commands_accepted += 1;
         match order.order {
@@ -86,7 +86,7 @@
             }
             other => panic!("{other:?} was not planned"),
         }
-        dialect::OrderEnd::Accepted
+        dialect::CommandOutcome::Accepted
     }
 }
 
