--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -395,7 +395,7 @@
         }
         let target = &plan.target;
         let end =
-            self.engine.order(dialect::SafeOrder { target, order: &order, after_orders }).await;
+            self.engine.order(dialect::SafeOrder { target, command: &order, after_orders }).await;
         tracing::info!(%target, ?order, ?end, after_orders, from_store, "order given");
         let mut state = self.state.borrow_mut();
         match end {
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -259,7 +259,7 @@
     /// The engine that it is meant for.
     pub target: &'a names::TargetId,
     /// The order.
-    pub order: &'a corianderstand_fleet::reconcile::Command,
+    pub command: &'a corianderstand_fleet::reconcile::Command,
     /// Orders that the engine had accepted when this one was worked out.
     pub after_orders: u64,
 }
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -64,7 +64,7 @@
 
     async fn order(&self, order: dialect::SafeOrder<'_>) -> dialect::CommandOutcome {
         let mut shelf = self.0.lock().unwrap();
-        shelf.given.push((Instant::now(), order.order.clone(), order.after_orders));
+        shelf.given.push((Instant::now(), order.command.clone(), order.after_orders));
         if shelf.to_lose > 0 {
             shelf.to_lose -= 1;
             return dialect::CommandOutcome::Unknown;
@@ -76,7 +76,7 @@
             return dialect::CommandOutcome::Conflict;
         }
         shelf.holdings.commands_accepted += 1;
-        match order.order {
+        match order.command {
             reconcile::Command::Load(model) => {
                 let resident = targets::Resident { model: model.clone(), adapters: Vec::new() };
                 shelf.holdings.resident.push(resident);
