--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -394,8 +394,10 @@
             self.say(now, plan, report);
         }
         let target = &plan.target;
-        let end =
-            self.engine.order(dialect::SafeOrder { target, command: &order, after_orders }).await;
+        let end = self
+            .engine
+            .order(dialect::SafeOrder { target, command: &order, commands_accepted: after_orders })
+            .await;
         tracing::info!(%target, ?order, ?end, after_orders, from_store, "order given");
         let mut state = self.state.borrow_mut();
         match end {
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -261,7 +261,7 @@
     /// The order.
     pub command: &'a corianderstand_fleet::reconcile::Command,
     /// Orders that the engine had accepted when this one was worked out.
-    pub after_orders: u64,
+    pub commands_accepted: u64,
 }
 
 /// Why an engine gave no account of itself.
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -64,7 +64,7 @@
 
     async fn order(&self, order: dialect::SafeOrder<'_>) -> dialect::CommandOutcome {
         let mut shelf = self.0.lock().unwrap();
-        shelf.given.push((Instant::now(), order.command.clone(), order.after_orders));
+        shelf.given.push((Instant::now(), order.command.clone(), order.commands_accepted));
         if shelf.to_lose > 0 {
             shelf.to_lose -= 1;
             return dialect::CommandOutcome::Unknown;
@@ -72,7 +72,7 @@
         if let Some(name) = shelf.name.as_ref().filter(|name| *name != order.target) {
             panic!("{name} was given an order for {}", order.target);
         }
-        if order.after_orders != shelf.holdings.commands_accepted {
+        if order.commands_accepted != shelf.holdings.commands_accepted {
             return dialect::CommandOutcome::Conflict;
         }
         shelf.holdings.commands_accepted += 1;
