--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -396,7 +396,11 @@
         let target = &plan.target;
         let end = self
             .engine
-            .order(dialect::SafeOrder { target, command: &order, commands_accepted: after_orders })
+            .order(dialect::GuardedCommand {
+                target,
+                command: &order,
+                commands_accepted: after_orders,
+            })
             .await;
         tracing::info!(%target, ?order, ?end, after_orders, from_store, "order given");
         let mut state = self.state.borrow_mut();
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -255,7 +255,7 @@
 
 /// An order with what makes it safe.
 #[derive(Clone, Copy, Debug)]
-pub struct SafeOrder<'a> {
+pub struct GuardedCommand<'a> {
     /// The engine that it is meant for.
     pub target: &'a names::TargetId,
     /// The order.
@@ -297,5 +297,5 @@
         path: &str,
     ) -> impl Future<Output = Result<Option<names::TargetId>, client::CallError>>;
     /// Gives it an order.
-    fn order(&self, order: SafeOrder) -> impl Future<Output = CommandOutcome>;
+    fn order(&self, order: GuardedCommand) -> impl Future<Output = CommandOutcome>;
 }
