--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -396,7 +396,7 @@
         let target = &plan.target;
         let end = self
             .engine
-            .order(dialect::GuardedCommand {
+            .execute(dialect::GuardedCommand {
                 target,
                 command: &order,
                 commands_accepted: after_orders,
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -297,5 +297,5 @@
         path: &str,
     ) -> impl Future<Output = Result<Option<names::TargetId>, client::CallError>>;
     /// Gives it an order.
-    fn order(&self, order: GuardedCommand) -> impl Future<Output = CommandOutcome>;
+    fn execute(&self, order: GuardedCommand) -> impl Future<Output = CommandOutcome>;
 }
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -62,7 +62,7 @@
         Ok(self.0.lock().unwrap().name.clone())
     }
 
-    async fn order(&self, order: dialect::GuardedCommand<'_>) -> dialect::CommandOutcome {
+    async fn execute(&self, order: dialect::GuardedCommand<'_>) -> dialect::CommandOutcome {
         let mut shelf = self.0.lock().unwrap();
         shelf.given.push((Instant::now(), order.command.clone(), order.commands_accepted));
         if shelf.to_lose > 0 {
