--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -114,7 +114,7 @@
 /// # Errors
 ///
 /// See [`router::StartError`].
-pub fn run<E: dialect::EngineCalls + 'static>(
+pub fn run<E: dialect::EngineApi + 'static>(
     settings: Settings,
     clock: clock::SharedClock,
     engine: impl FnOnce(crate::client::Client) -> E,
@@ -151,7 +151,7 @@
     })
 }
 
-impl<E: dialect::EngineCalls> Agent<E> {
+impl<E: dialect::EngineApi> Agent<E> {
     fn take(&self, from: SocketAddr, message: PeerMessage) {
         let now = self.clock.now();
         match message {
--- a/crates/corianderstand_forward/src/agent/turns.rs
+++ b/crates/corianderstand_forward/src/agent/turns.rs
@@ -12,7 +12,7 @@
 /// Least pause between two looks at whose turn it is; reading a prompt takes some ten times as long.
 const LEAST_TURN_PAUSE: Duration = Duration::from_millis(2);
 
-impl<E: dialect::EngineCalls> Agent<E> {
+impl<E: dialect::EngineApi> Agent<E> {
     /// Answers a router that asks for a turn at the engine.
     pub(super) fn take_prefill(&self, now: Instant, from: SocketAddr, asked: &peers::PrefillAsked) {
         let millis = |ms: u32| Duration::from_millis(u64::from(ms));
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -280,7 +280,7 @@
 impl std::error::Error for ReportError {}
 
 /// The engine beside an agent.
-pub trait EngineCalls {
+pub trait EngineApi {
     /// Asks for its account of itself.
     ///
     /// # Errors
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -40,7 +40,7 @@
     }
 }
 
-impl dialect::EngineCalls for Engine {
+impl dialect::EngineApi for Engine {
     async fn report(&self) -> Result<dialect::EngineReport, dialect::ReportError> {
         let shelf = self.0.lock().unwrap();
         if shelf.has_ended {
