--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -63,7 +63,7 @@
         return Attempt::TimeOver;
     }
     let flight = job::Flight::begin(shared, key, job);
-    let passing = dialect::Passing {
+    let passing = dialect::ForwardedRequest {
         target: &id,
         time_left: left,
         priority: job.call.wanted.is_some().then_some(job.route.priority),
@@ -194,7 +194,7 @@
 fn request<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
-    passing: &dialect::Passing,
+    passing: &dialect::ForwardedRequest,
 ) -> Request<pool::Body> {
     let mut headers = job.headers.clone();
     shared.platform.pass_on(&mut headers, passing);
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -45,7 +45,7 @@
 
 /// What the router adds to a request that it passes on.
 #[derive(Clone, Copy, Debug)]
-pub struct Passing<'a> {
+pub struct ForwardedRequest<'a> {
     /// The target that it is meant for; any other refuses it.
     pub target: &'a names::TargetId,
     /// Time that is left for it.
@@ -81,7 +81,7 @@
     /// Reads a request's headers.
     fn read_call(&self, headers: &HeaderMap) -> Call;
     /// Takes out what concerns one connection or is not the caller's to set, and adds the router's.
-    fn pass_on(&self, headers: &mut HeaderMap, passing: &Passing);
+    fn pass_on(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
     /// Reads the head of an answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
     /// Takes out of an answer what concerns one connection.
