--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -37,7 +37,7 @@
     /// Status and headers as the target sent them.
     pub head: http::response::Parts,
     /// What they say.
-    pub info: dialect::AnswerHead,
+    pub info: dialect::ResponseHead,
     /// The rest.
     pub body: Incoming,
     /// The connection.
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -59,7 +59,7 @@
 /// What the head of a target's answer says.
 #[derives(data)]
 #[derive(Default)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The target says that it did not run the request and never will.
     pub not_run: bool,
     /// The target vouches for the answer.
@@ -83,7 +83,7 @@
     /// Takes out what concerns one connection or is not the caller's to set, and adds the router's.
     fn pass_on(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
     /// Reads the head of an answer.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
     /// Takes out of an answer what concerns one connection.
     fn hand_back(&self, headers: &mut HeaderMap);
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -55,7 +55,7 @@
     body: Incoming,
     lease: pool::Lease,
     flight: job::Flight<P>,
-    info: dialect::AnswerHead,
+    info: dialect::ResponseHead,
 }
 
 /// What the next wait brought.
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -168,9 +168,9 @@
         }
     }
 
-    fn read_answer(&self, _: StatusCode, headers: &HeaderMap) -> dialect::AnswerHead {
+    fn read_answer(&self, _: StatusCode, headers: &HeaderMap) -> dialect::ResponseHead {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-        dialect::AnswerHead {
+        dialect::ResponseHead {
             not_run: headers.contains_key("x-not-run"),
             signed: headers.contains_key("x-signed"),
             request: text("x-id").map(Into::into),
