--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -71,7 +71,7 @@
     /// How busy the target is.
     pub load: Option<targets::Load>,
     /// How long the target keeps the connection open unused; none if it does not say.
-    pub keep_for: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// The target closes the connection after this answer.
     pub closes: bool,
 }
