--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -73,7 +73,7 @@
     /// How long the target keeps the connection open unused; none if it does not say.
     pub keep_alive: Option<Duration>,
     /// The target closes the connection after this answer.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 /// Names and meanings of headers.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -268,7 +268,7 @@
         Ok(Err(_)) => return again_or_fail(shared, job, key, "the target broke off its answer"),
         Err(_) => return Ok(fail(shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over")),
     };
-    let keep = if info.closes { Some(Duration::ZERO) } else { info.keep_alive };
+    let keep = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
     shared.pool.give_back(shared.clock.now(), lease, keep);
     drop(flight);
     if head.status.is_server_error() {
