--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -79,7 +79,7 @@
 /// Names and meanings of headers.
 pub trait Dialect {
     /// Reads a request's headers.
-    fn read_call(&self, headers: &HeaderMap) -> Call;
+    fn parse_request(&self, headers: &HeaderMap) -> Call;
     /// Takes out what concerns one connection or is not the caller's to set, and adds the router's.
     fn pass_on(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
     /// Reads the head of an answer.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -58,7 +58,7 @@
 ) -> Result<Response<ResponseBody>, Aborted> {
     let arrived = shared.clock.now();
     let (parts, body) = req.into_parts();
-    let call = shared.platform.read_call(&parts.headers);
+    let call = shared.platform.parse_request(&parts.headers);
     let hold = STARTING_HOLD.min(call.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTING_HOLD_PART);
     // When it is over, the request is judged by what is known.
     drop(tokio::time::timeout(hold, first_knowledge(&shared)).await);
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -142,7 +142,7 @@
 pub struct PlainPlatform(pub MemoryStore);
 
 impl dialect::Dialect for PlainPlatform {
-    fn read_call(&self, headers: &HeaderMap) -> dialect::Call {
+    fn parse_request(&self, headers: &HeaderMap) -> dialect::Call {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let millis = |name: &str| text(name)?.parse().ok().map(Duration::from_millis);
         let wanted = text("x-model").map(|model| choose::RequestedModel {
