--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -197,7 +197,7 @@
     passing: &dialect::ForwardedRequest,
 ) -> Request<pool::Body> {
     let mut headers = job.headers.clone();
-    shared.platform.pass_on(&mut headers, passing);
+    shared.platform.rewrite_request(&mut headers, passing);
     if !job.body.is_empty() {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(job.body.len()));
     }
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -81,7 +81,7 @@
     /// Reads a request's headers.
     fn parse_request(&self, headers: &HeaderMap) -> Call;
     /// Takes out what concerns one connection or is not the caller's to set, and adds the router's.
-    fn pass_on(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
+    fn rewrite_request(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
     /// Reads the head of an answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
     /// Takes out of an answer what concerns one connection.
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -158,7 +158,7 @@
         }
     }
 
-    fn pass_on(&self, headers: &mut HeaderMap, passing: &dialect::ForwardedRequest) {
+    fn rewrite_request(&self, headers: &mut HeaderMap, passing: &dialect::ForwardedRequest) {
         headers.remove(http::header::CONNECTION);
         headers.remove(http::header::CONTENT_LENGTH);
         headers.insert("x-target", HeaderValue::from_str(passing.target.as_str()).unwrap());
