--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -126,7 +126,7 @@
 ) -> Attempt<P> {
     let key = flight.key();
     let (head, body) = answer.into_parts();
-    let info = shared.platform.read_answer(head.status, &head.headers);
+    let info = shared.platform.parse_response(head.status, &head.headers);
     if info.request.as_ref().is_some_and(|id| *id != job.call.id) {
         shared.target_failed(key, "answer to another request");
         return Attempt::Unknown("the answer was to another request");
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -83,7 +83,7 @@
     /// Takes out what concerns one connection or is not the caller's to set, and adds the router's.
     fn rewrite_request(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
     /// Reads the head of an answer.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
     /// Takes out of an answer what concerns one connection.
     fn hand_back(&self, headers: &mut HeaderMap);
 }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    fn read_answer(&self, _: StatusCode, headers: &HeaderMap) -> dialect::ResponseHead {
+    fn parse_response(&self, _: StatusCode, headers: &HeaderMap) -> dialect::ResponseHead {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         dialect::ResponseHead {
             not_run: headers.contains_key("x-not-run"),
