--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -85,7 +85,7 @@
     /// Reads the head of an answer.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
     /// Takes out of an answer what concerns one connection.
-    fn hand_back(&self, headers: &mut HeaderMap);
+    fn rewrite_response(&self, headers: &mut HeaderMap);
 }
 
 /// What is followed in the store.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -279,7 +279,7 @@
     } else {
         shared.target_succeeded(key);
     }
-    shared.platform.hand_back(&mut head.headers);
+    shared.platform.rewrite_response(&mut head.headers);
     shared.log.answered(&job, head.status, "whole", shared.clock.now());
     Ok(Response::from_parts(head, ResponseBody::whole(body)))
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -99,7 +99,7 @@
         over: false,
         pace: EventTimings::default(),
     };
-    shared.platform.hand_back(&mut head.headers);
+    shared.platform.rewrite_response(&mut head.headers);
     head.headers.remove(http::header::CONTENT_LENGTH);
     let first = match passing.next().await {
         Some(Ok(first)) => first,
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    fn hand_back(&self, headers: &mut HeaderMap) {
+    fn rewrite_response(&self, headers: &mut HeaderMap) {
         headers.remove(http::header::CONNECTION);
         headers.remove(http::header::TRANSFER_ENCODING);
     }
