--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -66,7 +66,7 @@
     let passing = dialect::ForwardedRequest {
         target: &id,
         time_left: left,
-        priority: job.call.wanted.is_some().then_some(job.route.priority),
+        priority: job.call.requested_model.is_some().then_some(job.route.priority),
         last_event,
     };
     let req = request(shared, job, &passing);
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -30,7 +30,7 @@
     /// How long the caller will wait.
     pub deadline: Option<Duration>,
     /// The model it wants.
-    pub wanted: Option<choose::RequestedModel>,
+    pub requested_model: Option<choose::RequestedModel>,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Most tokens of the answer.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -100,7 +100,7 @@
     let Some(service) = route.service(hash).cloned() else {
         return Ok(local_response(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
     };
-    let model = call.wanted.as_ref().map_or("", |wanted| wanted.model.as_str());
+    let model = call.requested_model.as_ref().map_or("", |wanted| wanted.model.as_str());
     let chain = prefixes::Chain::new(model, call.parts.iter().map(|part| (part.id, part.tokens)));
     let uri = parts.uri.path_and_query().cloned().map_or_else(|| parts.uri.clone(), Uri::from);
     let job = job::Job {
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -64,7 +64,7 @@
 impl Job {
     /// Tokens that it is expected to need.
     pub fn tokens(&self) -> u64 {
-        if self.call.wanted.is_none() {
+        if self.call.requested_model.is_none() {
             return 0;
         }
         let most = match self.call.most_output_tokens {
@@ -112,7 +112,7 @@
 
     /// The model that it wants.
     pub fn model(&self) -> Option<&names::ModelId> {
-        self.call.wanted.as_ref().map(|wanted| &wanted.model)
+        self.call.requested_model.as_ref().map(|wanted| &wanted.model)
     }
 }
 
@@ -127,7 +127,7 @@
 impl<P: router::Platform> Flight<P> {
     /// Counts a request at a target.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
-        let wanted = job.call.wanted.clone();
+        let wanted = job.call.requested_model.clone();
         let flight = Self { shared: shared.clone(), key, wanted, tokens: job.tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -159,7 +159,7 @@
     pub fn note_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
-        if let Some(wanted) = &job.call.wanted {
+        if let Some(wanted) = &job.call.requested_model {
             let weight = demand::RequestProfile {
                 prompt_tokens: job.call.prompt_tokens,
                 uses_adapter: wanted.adapter.is_some(),
@@ -213,7 +213,7 @@
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
         let query = choose::Query {
             service: &job.service,
-            requested: job.call.wanted.as_ref(),
+            requested: job.call.requested_model.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
@@ -243,7 +243,7 @@
             choose::Choice::NoTarget => wait_limit::Readiness::Unknown,
             choose::Choice::Full => wait_limit::Readiness::AtCapacity,
             choose::Choice::LoadAdapter(key) => self.view.borrow().expected_adapter(key),
-            _ => self.view.borrow().expected(now, &job.service, job.call.wanted.as_ref()),
+            _ => self.view.borrow().expected(now, &job.service, job.call.requested_model.as_ref()),
         }
     }
 
@@ -341,7 +341,7 @@
             self.targets_outdated.notify_one();
             return;
         }
-        match &job.call.wanted {
+        match &job.call.requested_model {
             Some(wanted) => target.record_absent_model(now, &wanted.model),
             None => target.health.record_failure(now),
         }
@@ -349,7 +349,7 @@
 
     /// Has an adapter loaded at a target.
     pub fn ask_for_adapter(&self, key: targets::TargetKey, job: &job::Job) {
-        let asked = job.call.wanted.as_ref().and_then(control::asked_adapter);
+        let asked = job.call.requested_model.as_ref().and_then(control::asked_adapter);
         control::ask_for_adapters(self, key, asked.into_iter().collect());
     }
 }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -152,7 +152,7 @@
         dialect::Call {
             id: text("x-id").unwrap_or_default().into(),
             deadline: millis("x-deadline-ms"),
-            wanted,
+            requested_model: wanted,
             prompt_tokens: text("x-prompt").and_then(|text| text.parse().ok()).unwrap_or(0),
             ..Default::default()
         }
