--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -34,7 +34,7 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Most tokens of the answer.
-    pub most_output_tokens: u64,
+    pub max_output_tokens: u64,
     /// Tokens of the answer, as the caller guesses.
     pub output_hint: Option<u64>,
     /// The prompt's parts, in order.
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -67,7 +67,7 @@
         if self.call.requested_model.is_none() {
             return 0;
         }
-        let most = match self.call.most_output_tokens {
+        let most = match self.call.max_output_tokens {
             0 => u64::MAX,
             most => most,
         };
