--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -118,7 +118,7 @@
 
 /// What became of a transfer.
 #[derives(key)]
-pub enum Fetched {
+pub enum TransferOutcome {
     /// Records were taken, which the peer, or whom it follows, read of the store this long ago; none if
     /// nobody has.
     Taken(Option<Duration>),
@@ -143,7 +143,7 @@
     shared: &Rc<router::Shared<P>>,
     reader: SocketAddr,
     subject: dialect::Subject,
-) -> Fetched {
+) -> TransferOutcome {
     let from = shared.copies.borrow().next(subject);
     let answer = ask(reader, Asked { subject, from: Some(from) }, || false).await;
     take(shared, reader, subject, answer)
@@ -156,7 +156,7 @@
     peer: SocketAddr,
     subject: dialect::Subject,
     next: u64,
-) -> Fetched {
+) -> TransferOutcome {
     let is_known = || shared.copies.borrow().next(subject) >= next;
     let answer = ask(peer, Asked { subject, from: None }, is_known).await;
     if let Ok(handed) = &answer {
@@ -170,17 +170,17 @@
     peer: SocketAddr,
     subject: dialect::Subject,
     answer: Result<Handed, TransferError>,
-) -> Fetched {
+) -> TransferOutcome {
     let (outcome, fetched) = match answer {
         Ok(Handed { age, page }) => {
             follow::take(shared, subject, copies::Source::Peer(peer), page);
-            ("taken", Fetched::Taken(age))
+            ("taken", TransferOutcome::Taken(age))
         }
-        Err(TransferError::Overtaken) => ("overtaken", Fetched::Nothing),
+        Err(TransferError::Overtaken) => ("overtaken", TransferOutcome::Nothing),
         Err(error) => {
             tracing::info!(%peer, ?subject, %error, "a peer gave no records");
             let refused = matches!(error, TransferError::Ended(_));
-            ("failed", if refused { Fetched::Refused } else { Fetched::Nothing })
+            ("failed", if refused { TransferOutcome::Refused } else { TransferOutcome::Nothing })
         }
     };
     shared.log.metrics.transferred(subject, outcome);
