--- a/crates/corianderstand_forward/src/follow/others.rs
+++ b/crates/corianderstand_forward/src/follow/others.rs
@@ -48,12 +48,12 @@
     let most = shared.bounds.borrow().drain_within.mul_f64(TARGETS_PART);
     for reader in readers {
         match transfer::follow(shared, *reader, subject).await {
-            transfer::TransferOutcome::Taken(Some(age)) if age <= most => {
+            transfer::TransferOutcome::Applied(Some(age)) if age <= most => {
                 note_read(shared, subject);
                 return true;
             }
             transfer::TransferOutcome::Refused => {}
-            transfer::TransferOutcome::Taken(_) | transfer::TransferOutcome::Nothing => {
+            transfer::TransferOutcome::Applied(_) | transfer::TransferOutcome::Nothing => {
                 return false;
             }
         }
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -121,7 +121,7 @@
 pub enum TransferOutcome {
     /// Records were taken, which the peer, or whom it follows, read of the store this long ago; none if
     /// nobody has.
-    Taken(Option<Duration>),
+    Applied(Option<Duration>),
     /// The peer has no room for another transfer, or has ended.
     Refused,
     /// It brought nothing.
@@ -174,7 +174,7 @@
     let (outcome, fetched) = match answer {
         Ok(Handed { age, page }) => {
             follow::take(shared, subject, copies::Source::Peer(peer), page);
-            ("taken", TransferOutcome::Taken(age))
+            ("taken", TransferOutcome::Applied(age))
         }
         Err(TransferError::Overtaken) => ("overtaken", TransferOutcome::Nothing),
         Err(error) => {
