--- a/crates/corianderstand_forward/src/follow/others.rs
+++ b/crates/corianderstand_forward/src/follow/others.rs
@@ -53,7 +53,7 @@
                 return true;
             }
             transfer::TransferOutcome::Refused => {}
-            transfer::TransferOutcome::Applied(_) | transfer::TransferOutcome::Nothing => {
+            transfer::TransferOutcome::Applied(_) | transfer::TransferOutcome::NoRecords => {
                 return false;
             }
         }
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -125,7 +125,7 @@
     /// The peer has no room for another transfer, or has ended.
     Refused,
     /// It brought nothing.
-    Nothing,
+    NoRecords,
 }
 
 fn handed<P: router::Platform>(shared: &router::Shared<P>, asked: Asked) -> Handed {
@@ -176,11 +176,11 @@
             follow::take(shared, subject, copies::Source::Peer(peer), page);
             ("taken", TransferOutcome::Applied(age))
         }
-        Err(TransferError::Overtaken) => ("overtaken", TransferOutcome::Nothing),
+        Err(TransferError::Overtaken) => ("overtaken", TransferOutcome::NoRecords),
         Err(error) => {
             tracing::info!(%peer, ?subject, %error, "a peer gave no records");
             let refused = matches!(error, TransferError::Ended(_));
-            ("failed", if refused { TransferOutcome::Refused } else { TransferOutcome::Nothing })
+            ("failed", if refused { TransferOutcome::Refused } else { TransferOutcome::NoRecords })
         }
     };
     shared.log.metrics.transferred(subject, outcome);
