--- a/crates/corianderstand_forward/src/follow/others.rs
+++ b/crates/corianderstand_forward/src/follow/others.rs
@@ -47,7 +47,7 @@
     let subject = Subject::Targets;
     let most = shared.bounds.borrow().drain_within.mul_f64(TARGETS_PART);
     for reader in readers {
-        match transfer::follow(shared, *reader, subject).await {
+        match transfer::fetch_changes(shared, *reader, subject).await {
             transfer::TransferOutcome::Applied(Some(age)) if age <= most => {
                 note_read(shared, subject);
                 return true;
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -139,7 +139,7 @@
 }
 
 /// Takes what has changed from a router that reads the store for this one.
-pub async fn follow<P: router::Platform>(
+pub async fn fetch_changes<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     reader: SocketAddr,
     subject: dialect::Subject,
