--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -417,7 +417,7 @@
         tokio::task::spawn_local(follow_settings(shared.clone(), reload));
         follow::start(&shared);
         control::start(&shared);
-        transfer::start(&shared, transfers);
+        transfer::serve(&shared, transfers);
         server::serve_ready(&shared, ready);
         tokio::task::spawn_local(watch_pauses(shared.clone()));
         tracing::info!(name = %shared.settings.name, front = %shared.settings.front, "router started");
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -55,7 +55,7 @@
 }
 
 /// Serves peers.
-pub fn start<P: router::Platform>(shared: &Rc<router::Shared<P>>, listener: TcpListener) {
+pub fn serve<P: router::Platform>(shared: &Rc<router::Shared<P>>, listener: TcpListener) {
     let shared = shared.clone();
     let room = Arc::new(Semaphore::new(MOST_AT_ONCE));
     tokio::task::spawn_local(async move {
