--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -96,7 +96,7 @@
             let (head, body) = answer.into_parts();
             let body = Limited::new(body, MOST_BYTES).collect().await;
             let body = body.map_err(|error| CallError::Interrupted(error.to_string()))?.to_bytes();
-            self.pool.give_back(self.clock.now(), lease, keep);
+            self.pool.release(self.clock.now(), lease, keep);
             Ok(Response::from_parts(head, body))
         };
         within(limit, work).await
@@ -130,7 +130,7 @@
                 bytes.extend_from_slice(&data);
             }
         }
-        self.pool.give_back(self.clock.now(), lease, keep);
+        self.pool.release(self.clock.now(), lease, keep);
         Ok(Response::from_parts(head, bytes.freeze()))
     }
 
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -269,7 +269,7 @@
         Err(_) => return Ok(fail(shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over")),
     };
     let keep = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
-    shared.pool.give_back(shared.clock.now(), lease, keep);
+    shared.pool.release(shared.clock.now(), lease, keep);
     drop(flight);
     if head.status.is_server_error() {
         shared.target_failed(key, "error of the target");
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -140,7 +140,7 @@
 
     /// Gives back a connection whose answer was read to its end. `keep` is the time for which the
     /// other end says that it keeps it.
-    pub fn give_back(&self, now: Instant, lease: Lease, keep: Option<Duration>) {
+    pub fn release(&self, now: Instant, lease: Lease, keep: Option<Duration>) {
         let keep = keep.unwrap_or(DEFAULT_KEEP * KEEP_PART) / KEEP_PART;
         if lease.sender.is_closed() || keep.is_zero() {
             return;
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -222,7 +222,7 @@
             let Source { lease, flight, info, .. } = source;
             self.shared.target_succeeded(flight.key());
             let keep = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
-            self.shared.pool.give_back(self.shared.clock.now(), lease, keep);
+            self.shared.pool.release(self.shared.clock.now(), lease, keep);
         }
         self.say("whole");
         None
