--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -159,7 +159,7 @@
     }
 
     /// Closes what leads to an address.
-    pub fn drop_all(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 
