--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -84,7 +84,7 @@
         let sending = lease.sender.try_send_request(req);
         let answer = match wait_for_head(shared, job, key, sending).await {
             Head::Came(answer) => answer,
-            Head::Unsent(req) if lease.used => {
+            Head::Unsent(req) if lease.reused => {
                 // The target had closed the connection before anything was written.
                 match shared.pool.open(addr).await {
                     Ok(new) => lease = new,
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -50,7 +50,7 @@
     /// Where it leads.
     pub addr: SocketAddr,
     /// It has carried a request before.
-    pub used: bool,
+    pub reused: bool,
 }
 
 /// A stream whose end is its reset: it is dropped without saying first that no more will come.
@@ -110,7 +110,7 @@
     /// What kept a new one from being opened.
     pub async fn lease(&self, now: Instant, addr: SocketAddr) -> Result<Lease, io::Error> {
         match self.take(now, addr) {
-            Some(sender) => Ok(Lease { sender, addr, used: true }),
+            Some(sender) => Ok(Lease { sender, addr, reused: true }),
             None => self.open(addr).await,
         }
     }
@@ -135,7 +135,7 @@
                 tracing::debug!(%addr, %error, "connection ended");
             }
         });
-        Ok(Lease { sender, addr, used: false })
+        Ok(Lease { sender, addr, reused: false })
     }
 
     /// Gives back a connection whose answer was read to its end. `keep` is the time for which the
