--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -13,7 +13,7 @@
 
 /// A target that took a stream up did not go on with the next event.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Gap;
+pub struct EventGap;
 
 /// Cuts a stream's bytes into whole events.
 #[derive(Debug, Default)]
@@ -29,8 +29,8 @@
     ///
     /// # Errors
     ///
-    /// [`Gap`] if the stream was taken up and its first event is not the next one.
-    pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, Gap> {
+    /// [`EventGap`] if the stream was taken up and its first event is not the next one.
+    pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, EventGap> {
         if self.partial.is_empty() && chunk.ends_with(END) {
             self.note(&chunk)?;
             return Ok(Some(chunk));
@@ -63,11 +63,11 @@
         self.events
     }
 
-    fn note(&mut self, whole: &[u8]) -> Result<(), Gap> {
+    fn note(&mut self, whole: &[u8]) -> Result<(), EventGap> {
         for event in whole.split(|&b| b == b'\n').filter_map(number) {
             let taken_up = std::mem::take(&mut self.taken_up);
             if taken_up && self.last.is_some_and(|last| event != last + 1) {
-                return Err(Gap);
+                return Err(EventGap);
             }
             self.last = Some(event);
             self.events += 1;
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -127,7 +127,7 @@
                 Step::Data(chunk) => match self.pass(chunk) {
                     Ok(Some(out)) => return Some(Ok(out)),
                     Ok(None) => {}
-                    Err(relay::Gap) => {
+                    Err(relay::EventGap) => {
                         let why = "the other target went on at another event";
                         return self.break_off(why, exchange::Aborted::ByTarget);
                     }
@@ -152,7 +152,7 @@
         }
     }
 
-    fn pass(&mut self, chunk: Bytes) -> Result<Option<Bytes>, relay::Gap> {
+    fn pass(&mut self, chunk: Bytes) -> Result<Option<Bytes>, relay::EventGap> {
         let whole = self.splitter.push(chunk.clone())?;
         // What cannot be taken up elsewhere goes on as it comes.
         Ok(if self.job.route.resumable { whole } else { Some(chunk) })
