--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -17,14 +17,14 @@
 
 /// Cuts a stream's bytes into whole events.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     partial: BytesMut,
     last: Option<u64>,
     taken_up: bool,
     events: u64,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes bytes and returns the whole events that are there now.
     ///
     /// # Errors
