--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -48,7 +48,7 @@
     }
 
     /// Forgets the event that is not whole; the next target begins it anew.
-    pub fn restart(&mut self) {
+    pub fn resume(&mut self) {
         self.partial.clear();
         self.taken_up = true;
     }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -254,7 +254,7 @@
         if !self.job.route.resumable {
             return false;
         }
-        self.splitter.restart();
+        self.splitter.resume();
         self.job.silent_since = self.pace.last_at.unwrap_or(self.job.arrived);
         let last = self.splitter.last().or(self.job.call.last_event);
         let shared = self.shared.clone();
