--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -54,7 +54,7 @@
     }
 
     /// Number of the last whole event.
-    pub const fn last(&self) -> Option<u64> {
+    pub const fn last_event(&self) -> Option<u64> {
         self.last
     }
 
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -256,7 +256,7 @@
         }
         self.splitter.resume();
         self.job.silent_since = self.pace.last_at.unwrap_or(self.job.arrived);
-        let last = self.splitter.last().or(self.job.call.last_event);
+        let last = self.splitter.last_event().or(self.job.call.last_event);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
             Ok(answered) => {
