--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -19,7 +19,7 @@
 const LEAST_SILENCE: Duration = Duration::from_millis(600);
 
 /// How one attempt ended.
-pub enum Attempt<P: router::Platform> {
+pub enum AttemptOutcome<P: router::Platform> {
     /// The head of an answer came.
     Answered(Box<Answered<P>>),
     /// Nothing was written to the target.
@@ -52,15 +52,15 @@
     job: &mut job::Job,
     key: targets::TargetKey,
     last_event: Option<u64>,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let now = shared.clock.now();
-    let Some((addr, id)) = shared.address(key) else { return Attempt::NotSent };
+    let Some((addr, id)) = shared.address(key) else { return AttemptOutcome::NotSent };
     job.last_target = id.clone();
     job.sent = Some(now);
     job.unread_tokens = job.unread(&shared.view.borrow(), key);
     let left = job.latest.saturating_duration_since(now).saturating_sub(ANSWER_WAY);
     if left.is_zero() {
-        return Attempt::TimeOver;
+        return AttemptOutcome::TimeOver;
     }
     let flight = job::Flight::begin(shared, key, job);
     let passing = dialect::ForwardedRequest {
@@ -75,12 +75,12 @@
         Err(error) => {
             shared.no_connection(key, &error);
             tracing::debug!(%addr, %error, "no connection to the target");
-            return Attempt::NotSent;
+            return AttemptOutcome::NotSent;
         }
     };
     let mut unsent = Some(req);
     loop {
-        let Some(req) = unsent.take() else { return Attempt::NotSent };
+        let Some(req) = unsent.take() else { return AttemptOutcome::NotSent };
         let sending = lease.sender.try_send_request(req);
         let answer = match wait_for_head(shared, job, key, sending).await {
             Head::Came(answer) => answer,
@@ -90,7 +90,7 @@
                     Ok(new) => lease = new,
                     Err(error) => {
                         shared.no_connection(key, &error);
-                        return Attempt::NotSent;
+                        return AttemptOutcome::NotSent;
                     }
                 }
                 unsent = Some(*req);
@@ -98,19 +98,19 @@
             }
             Head::Unsent(_) => {
                 shared.target_failed(key, "connection closed at once");
-                return Attempt::NotSent;
+                return AttemptOutcome::NotSent;
             }
             Head::Lost => {
                 shared.target_failed(key, "connection lost");
-                return Attempt::Unknown("the target's connection was lost");
+                return AttemptOutcome::Unknown("the target's connection was lost");
             }
             Head::Silent => {
                 shared.target_failed(key, "silent");
-                return Attempt::Unknown("the target was silent");
+                return AttemptOutcome::Unknown("the target was silent");
             }
             Head::TimeOver => {
                 shared.target_failed(key, "time over");
-                return Attempt::TimeOver;
+                return AttemptOutcome::TimeOver;
             }
         };
         return judge_head(shared, job, lease, flight, answer);
@@ -123,13 +123,13 @@
     lease: pool::Lease,
     flight: job::Flight<P>,
     answer: Response<Incoming>,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let key = flight.key();
     let (head, body) = answer.into_parts();
     let info = shared.platform.parse_response(head.status, &head.headers);
     if info.request.as_ref().is_some_and(|id| *id != job.call.id) {
         shared.target_failed(key, "answer to another request");
-        return Attempt::Unknown("the answer was to another request");
+        return AttemptOutcome::Unknown("the answer was to another request");
     }
     if let Some(load) = info.load {
         shared.note_load(key, load);
@@ -137,13 +137,13 @@
     if info.not_run {
         shared.not_run(key, job, head.status, info.target.as_ref());
         // Its short answer is not waited for; the connection is closed.
-        return Attempt::NotRun;
+        return AttemptOutcome::NotRun;
     }
     if !info.signed {
         shared.target_failed(key, "answer without signature");
-        return Attempt::Unknown("the answer was not the target's");
+        return AttemptOutcome::Unknown("the answer was not the target's");
     }
-    Attempt::Answered(Box::new(Answered { head, info, body, lease, flight }))
+    AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, flight }))
 }
 
 /// What came of waiting for the head of an answer.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -202,11 +202,13 @@
         };
         job.tried.push(key);
         match attempt::attempt(&shared, &mut job, key, None).await {
-            attempt::Attempt::Answered(answered) => match finish(&shared, job, *answered).await {
-                Ok(answer) => return answer,
-                Err(again) => job = *again,
-            },
-            attempt::Attempt::NotSent => {
+            attempt::AttemptOutcome::Answered(answered) => {
+                match finish(&shared, job, *answered).await {
+                    Ok(answer) => return answer,
+                    Err(again) => job = *again,
+                }
+            }
+            attempt::AttemptOutcome::NotSent => {
                 // Nobody got it, so it does not count as sent.
                 job.tried.pop();
                 job.offers += 1;
@@ -216,7 +218,7 @@
                     return refuse(&shared, &job, job.last_trouble, REFUSED_RETRY_AFTER);
                 }
             }
-            attempt::Attempt::NotRun => {
+            attempt::AttemptOutcome::NotRun => {
                 // It has run nowhere, so it does not count as one of the route's targets; the
                 // target itself is left out for a while, as it does not hold the model.
                 job.tried.pop();
@@ -226,7 +228,7 @@
                     return refuse(&shared, &job, job.last_trouble, REFUSED_RETRY_AFTER);
                 }
             }
-            attempt::Attempt::Unknown(why) => {
+            attempt::AttemptOutcome::Unknown(why) => {
                 shared.log.attempt_failed(&job, why, None, shared.clock.now());
                 job.last_trouble = why;
                 job.may_have_run = true;
@@ -234,7 +236,7 @@
                     return fail(&shared, &job, StatusCode::BAD_GATEWAY, why);
                 }
             }
-            attempt::Attempt::TimeOver => {
+            attempt::AttemptOutcome::TimeOver => {
                 return fail(&shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over");
             }
         }
@@ -356,12 +358,14 @@
     let key = waiting::find_target(shared, job).await.map_err(|given_up| given_up.why)?;
     job.tried.push(key);
     match attempt::attempt(shared, job, key, last_event).await {
-        attempt::Attempt::Answered(answered) if answered.head.status.is_success() => Ok(*answered),
-        attempt::Attempt::Answered(_) => Err("the other target failed"),
-        attempt::Attempt::NotSent | attempt::Attempt::NotRun => {
+        attempt::AttemptOutcome::Answered(answered) if answered.head.status.is_success() => {
+            Ok(*answered)
+        }
+        attempt::AttemptOutcome::Answered(_) => Err("the other target failed"),
+        attempt::AttemptOutcome::NotSent | attempt::AttemptOutcome::NotRun => {
             Err("the other target did not take it")
         }
-        attempt::Attempt::Unknown(why) => Err(why),
-        attempt::Attempt::TimeOver => Err("the time is over"),
+        attempt::AttemptOutcome::Unknown(why) => Err(why),
+        attempt::AttemptOutcome::TimeOver => Err("the time is over"),
     }
 }
