--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -29,7 +29,7 @@
     /// It may have run.
     Unknown(&'static str),
     /// The request's time is over.
-    TimeOver,
+    DeadlineExceeded,
 }
 
 /// The head of an answer, with what the rest comes over.
@@ -60,7 +60,7 @@
     job.unread_tokens = job.unread(&shared.view.borrow(), key);
     let left = job.latest.saturating_duration_since(now).saturating_sub(ANSWER_WAY);
     if left.is_zero() {
-        return AttemptOutcome::TimeOver;
+        return AttemptOutcome::DeadlineExceeded;
     }
     let flight = job::Flight::begin(shared, key, job);
     let passing = dialect::ForwardedRequest {
@@ -108,9 +108,9 @@
                 shared.target_failed(key, "silent");
                 return AttemptOutcome::Unknown("the target was silent");
             }
-            Head::TimeOver => {
+            Head::DeadlineExceeded => {
                 shared.target_failed(key, "time over");
-                return AttemptOutcome::TimeOver;
+                return AttemptOutcome::DeadlineExceeded;
             }
         };
         return judge_head(shared, job, lease, flight, answer);
@@ -152,7 +152,7 @@
     Unsent(Box<Request<pool::Body>>),
     Lost,
     Silent,
-    TimeOver,
+    DeadlineExceeded,
 }
 
 async fn wait_for_head<P: router::Platform>(
@@ -181,7 +181,7 @@
         }
         let now = shared.clock.now();
         if now >= shared.latest(job) {
-            return Head::TimeOver;
+            return Head::DeadlineExceeded;
         }
         if job.route.may_retry() && shared.has_alternative(now, job, key) {
             return Head::Silent;
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -236,7 +236,7 @@
                     return fail(&shared, &job, StatusCode::BAD_GATEWAY, why);
                 }
             }
-            attempt::AttemptOutcome::TimeOver => {
+            attempt::AttemptOutcome::DeadlineExceeded => {
                 return fail(&shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over");
             }
         }
@@ -366,6 +366,6 @@
             Err("the other target did not take it")
         }
         attempt::AttemptOutcome::Unknown(why) => Err(why),
-        attempt::AttemptOutcome::TimeOver => Err("the time is over"),
+        attempt::AttemptOutcome::DeadlineExceeded => Err("the time is over"),
     }
 }
