--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -43,7 +43,7 @@
     /// The connection.
     pub lease: pool::Lease,
     /// Counts the request at the target.
-    pub flight: job::Flight<P>,
+    pub in_flight: job::Flight<P>,
 }
 
 /// Sends the request to a target and waits for the head of its answer.
@@ -62,7 +62,7 @@
     if left.is_zero() {
         return AttemptOutcome::DeadlineExceeded;
     }
-    let flight = job::Flight::begin(shared, key, job);
+    let in_flight = job::Flight::begin(shared, key, job);
     let passing = dialect::ForwardedRequest {
         target: &id,
         time_left: left,
@@ -113,7 +113,7 @@
                 return AttemptOutcome::DeadlineExceeded;
             }
         };
-        return judge_head(shared, job, lease, flight, answer);
+        return judge_head(shared, job, lease, in_flight, answer);
     }
 }
 
@@ -121,10 +121,10 @@
     shared: &Rc<router::Shared<P>>,
     job: &job::Job,
     lease: pool::Lease,
-    flight: job::Flight<P>,
+    in_flight: job::Flight<P>,
     answer: Response<Incoming>,
 ) -> AttemptOutcome<P> {
-    let key = flight.key();
+    let key = in_flight.key();
     let (head, body) = answer.into_parts();
     let info = shared.platform.parse_response(head.status, &head.headers);
     if info.request.as_ref().is_some_and(|id| *id != job.call.id) {
@@ -143,7 +143,7 @@
         shared.target_failed(key, "answer without signature");
         return AttemptOutcome::Unknown("the answer was not the target's");
     }
-    AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, flight }))
+    AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, in_flight }))
 }
 
 /// What came of waiting for the head of an answer.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -256,14 +256,14 @@
     job: job::Job,
     answered: attempt::Answered<P>,
 ) -> Result<Response<ResponseBody>, Box<job::Job>> {
-    let key = answered.flight.key();
+    let key = answered.in_flight.key();
     if job.route.streams && answered.head.status.is_success() {
         return match stream::start(shared, job, answered).await {
             Ok(answer) => Ok(answer),
             Err((job, why)) => again_or_fail(shared, *job, key, why),
         };
     }
-    let attempt::Answered { mut head, info, body, lease, flight } = answered;
+    let attempt::Answered { mut head, info, body, lease, in_flight } = answered;
     let reading = Limited::new(body, MOST_ANSWER_BYTES).collect();
     let body = match tokio::time::timeout_at(shared.latest(&job).into(), reading).await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -272,7 +272,7 @@
     };
     let keep = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
     shared.pool.release(shared.clock.now(), lease, keep);
-    drop(flight);
+    drop(in_flight);
     if head.status.is_server_error() {
         shared.target_failed(key, "error of the target");
         if job.route.may_retry() && may_try_another(shared, &job) {
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -54,7 +54,7 @@
 struct Source<P: router::Platform> {
     body: Incoming,
     lease: pool::Lease,
-    flight: job::Flight<P>,
+    in_flight: job::Flight<P>,
     info: dialect::ResponseHead,
 }
 
@@ -89,11 +89,11 @@
     job: job::Job,
     answered: attempt::Answered<P>,
 ) -> Result<Response<body::ResponseBody>, (Box<job::Job>, &'static str)> {
-    let attempt::Answered { mut head, info, body: source, lease, flight } = answered;
+    let attempt::Answered { mut head, info, body: source, lease, in_flight } = answered;
     let mut passing = Passing {
         shared: shared.clone(),
         job,
-        source: Some(Source { body: source, lease, flight, info }),
+        source: Some(Source { body: source, lease, in_flight, info }),
         splitter: relay::EventSplitter::default(),
         resumes: 0,
         over: false,
@@ -177,7 +177,7 @@
                     Ok(data) => {
                         let now = self.shared.clock.now();
                         match self.pace.last_at {
-                            Some(last) => self.shared.note_pause(source.flight.key(), now, last),
+                            Some(last) => self.shared.note_pause(source.in_flight.key(), now, last),
                             None => self.shared.note_first(&self.job, now),
                         }
                         self.pace.note(now);
@@ -195,7 +195,7 @@
                 }
                 Err(_) => {
                     let now = self.shared.clock.now();
-                    let key = source.flight.key();
+                    let key = source.in_flight.key();
                     let can = self.splitter.events() > 0 && self.job.route.resumable;
                     if now < end && can && self.shared.has_alternative(now, &self.job, key) {
                         return Step::Silent;
@@ -219,8 +219,8 @@
     fn end(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
         self.over = true;
         if let Some(source) = self.source.take() {
-            let Source { lease, flight, info, .. } = source;
-            self.shared.target_succeeded(flight.key());
+            let Source { lease, in_flight, info, .. } = source;
+            self.shared.target_succeeded(in_flight.key());
             let keep = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
             self.shared.pool.release(self.shared.clock.now(), lease, keep);
         }
@@ -236,7 +236,7 @@
     ) -> Option<Result<Bytes, exchange::Aborted>> {
         self.over = true;
         if let Some(source) = self.source.take() {
-            self.shared.target_failed(source.flight.key(), why);
+            self.shared.target_failed(source.in_flight.key(), why);
         }
         self.say(why);
         Some(Err(broken))
@@ -247,7 +247,7 @@
         let now = self.shared.clock.now();
         self.shared.log.attempt_failed(&self.job, why, None, now);
         if let Some(source) = self.source.take() {
-            self.shared.target_failed(source.flight.key(), why);
+            self.shared.target_failed(source.in_flight.key(), why);
             // Closing the connection ends the work there before it goes on elsewhere.
             drop(source);
         }
@@ -260,8 +260,8 @@
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
             Ok(answered) => {
-                let attempt::Answered { info, body, lease, flight, .. } = answered;
-                self.source = Some(Source { body, lease, flight, info });
+                let attempt::Answered { info, body, lease, in_flight, .. } = answered;
+                self.source = Some(Source { body, lease, in_flight, info });
                 self.resumes += 1;
                 true
             }
