--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -43,7 +43,7 @@
     /// The connection.
     pub lease: pool::Lease,
     /// Counts the request at the target.
-    pub in_flight: job::Flight<P>,
+    pub in_flight: job::InFlight<P>,
 }
 
 /// Sends the request to a target and waits for the head of its answer.
@@ -62,7 +62,7 @@
     if left.is_zero() {
         return AttemptOutcome::DeadlineExceeded;
     }
-    let in_flight = job::Flight::begin(shared, key, job);
+    let in_flight = job::InFlight::begin(shared, key, job);
     let passing = dialect::ForwardedRequest {
         target: &id,
         time_left: left,
@@ -121,7 +121,7 @@
     shared: &Rc<router::Shared<P>>,
     job: &job::Job,
     lease: pool::Lease,
-    in_flight: job::Flight<P>,
+    in_flight: job::InFlight<P>,
     answer: Response<Incoming>,
 ) -> AttemptOutcome<P> {
     let key = in_flight.key();
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -117,29 +117,29 @@
 }
 
 /// A request that is at a target; counts there until it is dropped.
-pub struct Flight<P: router::Platform> {
+pub struct InFlight<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     key: targets::TargetKey,
     wanted: Option<choose::RequestedModel>,
     tokens: u64,
 }
 
-impl<P: router::Platform> Flight<P> {
+impl<P: router::Platform> InFlight<P> {
     /// Counts a request at a target.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
         let wanted = job.call.requested_model.clone();
-        let flight = Self { shared: shared.clone(), key, wanted, tokens: job.tokens() };
+        let in_flight = Self { shared: shared.clone(), key, wanted, tokens: job.tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
             target.local_requests += 1;
-            target.local_tokens += flight.tokens;
-            if let Some(wanted) = &flight.wanted {
+            target.local_tokens += in_flight.tokens;
+            if let Some(wanted) = &in_flight.wanted {
                 *target.in_flight.entry(wanted.clone()).or_default() += 1;
             }
         }
         view.prefixes.record(&job.chain, key);
         drop(view);
-        flight
+        in_flight
     }
 
     /// The target.
@@ -148,7 +148,7 @@
     }
 }
 
-impl<P: router::Platform> Drop for Flight<P> {
+impl<P: router::Platform> Drop for InFlight<P> {
     fn drop(&mut self) {
         let mut view = self.shared.view.borrow_mut();
         let Some(target) = view.targets.get_mut(self.key) else { return };
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -54,7 +54,7 @@
 struct Source<P: router::Platform> {
     body: Incoming,
     lease: pool::Lease,
-    in_flight: job::Flight<P>,
+    in_flight: job::InFlight<P>,
     info: dialect::ResponseHead,
 }
 
