--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -58,7 +58,7 @@
     job.last_target = id.clone();
     job.sent = Some(now);
     job.unread_tokens = job.unread(&shared.view.borrow(), key);
-    let left = job.latest.saturating_duration_since(now).saturating_sub(ANSWER_WAY);
+    let left = job.deadline.saturating_duration_since(now).saturating_sub(ANSWER_WAY);
     if left.is_zero() {
         return AttemptOutcome::DeadlineExceeded;
     }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -77,9 +77,9 @@
         }
     };
     let patience = call.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
-    let latest = arrived + patience;
+    let deadline = arrived + patience;
     let read = Limited::new(body, limit).collect();
-    let body = match tokio::time::timeout_at(latest.into(), read).await {
+    let body = match tokio::time::timeout_at(deadline.into(), read).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             return Ok(local_response(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None));
@@ -112,7 +112,7 @@
         headers: parts.headers,
         body,
         arrived,
-        latest,
+        deadline,
         silent_since: arrived,
         hash,
         chain,
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -38,7 +38,7 @@
     /// When it arrived.
     pub arrived: Instant,
     /// When its caller or its route gives up.
-    pub latest: Instant,
+    pub deadline: Instant,
     /// Since when its caller has heard nothing: its arrival, or a stream's last event.
     pub silent_since: Instant,
     /// Hash of its id.
@@ -98,11 +98,11 @@
     /// nothing for too long.
     pub fn held_until(&self) -> Instant {
         if !self.route.streams {
-            return self.latest;
+            return self.deadline;
         }
         let pause = self.route.gap_objective.unwrap_or_default() * LEFT_AFTER_PAUSES;
         let silence = LEFT_AFTER.max(self.route.latency_objective * LEFT_AFTER_AIMS).max(pause);
-        self.latest.min(self.silent_since + silence)
+        self.deadline.min(self.silent_since + silence)
     }
 
     /// A number between 0 and 1 that spreads requests.
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -152,7 +152,7 @@
     /// When a request that has nothing yet is given up: sooner than its own time if this router
     /// stops.
     pub fn latest(&self, job: &job::Job) -> Instant {
-        self.stopping.get().map_or(job.latest, |stop| job.latest.min(stop.answers_by))
+        self.stopping.get().map_or(job.deadline, |stop| job.deadline.min(stop.answers_by))
     }
 
     /// A request has come.
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -159,7 +159,7 @@
     }
 
     async fn step(&mut self) -> Step {
-        let end = self.job.latest + GRACE;
+        let end = self.job.deadline + GRACE;
         let silence = match self.job.route.gap_objective {
             Some(pause) => pause * SILENT_PAUSES,
             None => DEFAULT_SILENCE,
