--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -113,7 +113,7 @@
         body,
         arrived,
         deadline,
-        silent_since: arrived,
+        idle_since: arrived,
         hash,
         chain,
         tried: Vec::new(),
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -40,7 +40,7 @@
     /// When its caller or its route gives up.
     pub deadline: Instant,
     /// Since when its caller has heard nothing: its arrival, or a stream's last event.
-    pub silent_since: Instant,
+    pub idle_since: Instant,
     /// Hash of its id.
     pub hash: u64,
     /// Its prompt's parts.
@@ -102,7 +102,7 @@
         }
         let pause = self.route.gap_objective.unwrap_or_default() * LEFT_AFTER_PAUSES;
         let silence = LEFT_AFTER.max(self.route.latency_objective * LEFT_AFTER_AIMS).max(pause);
-        self.deadline.min(self.silent_since + silence)
+        self.deadline.min(self.idle_since + silence)
     }
 
     /// A number between 0 and 1 that spreads requests.
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -121,7 +121,7 @@
     fn send(&mut self, job: &job::Job) {
         let now = self.shared.clock.now();
         let until = |at: Instant| at.saturating_duration_since(now).as_millis() as u32;
-        self.ask.aim_in_ms = until(job.silent_since + job.route.latency_objective);
+        self.ask.aim_in_ms = until(job.idle_since + job.route.latency_objective);
         self.ask.useful_ms = until(self.useful_until(job));
         self.shared.outbox.send(self.agent, &PeerMessage::PrefillAsked(self.ask.clone()));
     }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -255,7 +255,7 @@
             return false;
         }
         self.splitter.resume();
-        self.job.silent_since = self.pace.last_at.unwrap_or(self.job.arrived);
+        self.job.idle_since = self.pace.last_at.unwrap_or(self.job.arrived);
         let last = self.splitter.last_event().or(self.job.call.last_event);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
