--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -116,7 +116,7 @@
         self.metrics.ended(job, if kind == Kind::Failed { how } else { "answered" }, now);
         if self.allows(kind, now) {
             let (ms, tried, status) = (ms(now, job.arrived), job.tried.len(), status.as_u16());
-            let trouble = job.last_trouble;
+            let trouble = job.last_failure;
             let aim_ms = job.route.latency_objective.as_millis() as u64;
             tracing::info!(id = %job.call.id, route = %job.route.name, status, how, trouble, tried, ms, aim_ms, "answered");
         }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -122,7 +122,7 @@
         sent: None,
         last_target: names::TargetId::default(),
         unread_tokens: 0,
-        last_trouble: "",
+        last_failure: "",
     };
     shared.note_arrival(&job);
     let mut open = Open { shared: shared.clone(), id: job.call.id.clone(), over: false };
@@ -212,10 +212,10 @@
                 // Nobody got it, so it does not count as sent.
                 job.tried.pop();
                 job.offers += 1;
-                job.last_trouble = "no connection to the target";
-                shared.log.attempt_failed(&job, job.last_trouble, None, shared.clock.now());
+                job.last_failure = "no connection to the target";
+                shared.log.attempt_failed(&job, job.last_failure, None, shared.clock.now());
                 if job.offers > MOST_OFFERS {
-                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETRY_AFTER);
+                    return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
                 }
             }
             attempt::AttemptOutcome::NotRun => {
@@ -223,14 +223,14 @@
                 // target itself is left out for a while, as it does not hold the model.
                 job.tried.pop();
                 job.offers += 1;
-                job.last_trouble = "the target did not run it";
+                job.last_failure = "the target did not run it";
                 if !may_try_another(&shared, &job) {
-                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETRY_AFTER);
+                    return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
                 }
             }
             attempt::AttemptOutcome::Unknown(why) => {
                 shared.log.attempt_failed(&job, why, None, shared.clock.now());
-                job.last_trouble = why;
+                job.last_failure = why;
                 job.may_have_run = true;
                 if !(job.route.may_retry() && may_try_another(&shared, &job)) {
                     return fail(&shared, &job, StatusCode::BAD_GATEWAY, why);
@@ -295,7 +295,7 @@
 ) -> Result<Response<ResponseBody>, Box<job::Job>> {
     shared.target_failed(key, why);
     shared.log.attempt_failed(&job, why, None, shared.clock.now());
-    job.last_trouble = why;
+    job.last_failure = why;
     job.may_have_run = true;
     if job.route.may_retry() && may_try_another(shared, &job) {
         return Err(Box::new(job));
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -58,7 +58,7 @@
     /// Tokens of its prompt that the target which it was last sent to has to read.
     pub unread_tokens: u64,
     /// Why it was last not answered.
-    pub last_trouble: &'static str,
+    pub last_failure: &'static str,
 }
 
 impl Job {
