--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -117,7 +117,7 @@
         hash,
         chain,
         tried: Vec::new(),
-        offers: 0,
+        unexecuted_attempts: 0,
         may_have_run: false,
         sent: None,
         last_target: names::TargetId::default(),
@@ -211,10 +211,10 @@
             attempt::AttemptOutcome::NotSent => {
                 // Nobody got it, so it does not count as sent.
                 job.tried.pop();
-                job.offers += 1;
+                job.unexecuted_attempts += 1;
                 job.last_failure = "no connection to the target";
                 shared.log.attempt_failed(&job, job.last_failure, None, shared.clock.now());
-                if job.offers > MOST_OFFERS {
+                if job.unexecuted_attempts > MOST_OFFERS {
                     return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
                 }
             }
@@ -222,7 +222,7 @@
                 // It has run nowhere, so it does not count as one of the route's targets; the
                 // target itself is left out for a while, as it does not hold the model.
                 job.tried.pop();
-                job.offers += 1;
+                job.unexecuted_attempts += 1;
                 job.last_failure = "the target did not run it";
                 if !may_try_another(&shared, &job) {
                     return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
@@ -246,7 +246,7 @@
 /// Whether another target may get the request; takes it from the budget.
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
     (job.tried.len() as u32) < job.route.max_targets
-        && job.offers < MOST_OFFERS
+        && job.unexecuted_attempts < MOST_OFFERS
         && shared.spend_repeat(&job.service)
 }
 
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -48,7 +48,7 @@
     /// Targets that it was sent to.
     pub tried: Vec<targets::TargetKey>,
     /// Targets that said that they did not run it.
-    pub offers: u32,
+    pub unexecuted_attempts: u32,
     /// An attempt was written to a target and its fate is not known.
     pub may_have_run: bool,
     /// When it was last sent.
