--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -119,7 +119,7 @@
         tried: Vec::new(),
         unexecuted_attempts: 0,
         may_have_run: false,
-        sent: None,
+        sent_at: None,
         last_target: names::TargetId::default(),
         unread_tokens: 0,
         last_failure: "",
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -52,7 +52,7 @@
     /// An attempt was written to a target and its fate is not known.
     pub may_have_run: bool,
     /// When it was last sent.
-    pub sent: Option<Instant>,
+    pub sent_at: Option<Instant>,
     /// The target that it was last sent to, for the log.
     pub last_target: names::TargetId,
     /// Tokens of its prompt that the target which it was last sent to has to read.
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -309,7 +309,7 @@
 
     /// The first event of a stream came.
     pub fn note_first(&self, job: &job::Job, now: Instant) {
-        let (Some(model), Some(sent)) = (job.model(), job.sent) else { return };
+        let (Some(model), Some(sent)) = (job.model(), job.sent_at) else { return };
         let took = now.saturating_duration_since(sent);
         self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, took);
     }
