--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -121,7 +121,7 @@
         may_have_run: false,
         sent_at: None,
         last_target: names::TargetId::default(),
-        unread_tokens: 0,
+        prefill_tokens: 0,
         last_failure: "",
     };
     shared.note_arrival(&job);
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -56,7 +56,7 @@
     /// The target that it was last sent to, for the log.
     pub last_target: names::TargetId,
     /// Tokens of its prompt that the target which it was last sent to has to read.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Why it was last not answered.
     pub last_failure: &'static str,
 }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -311,7 +311,7 @@
     pub fn note_first(&self, job: &job::Job, now: Instant) {
         let (Some(model), Some(sent)) = (job.model(), job.sent_at) else { return };
         let took = now.saturating_duration_since(sent);
-        self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, took);
+        self.view.borrow_mut().demand.record_first_event(model, job.prefill_tokens, took);
     }
 
     /// A target told its load.
