--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -57,7 +57,7 @@
     let Some((addr, id)) = shared.address(key) else { return AttemptOutcome::NotSent };
     job.last_target = id.clone();
     job.sent_at = Some(now);
-    job.prefill_tokens = job.unread(&shared.view.borrow(), key);
+    job.prefill_tokens = job.uncached_tokens(&shared.view.borrow(), key);
     let left = job.deadline.saturating_duration_since(now).saturating_sub(ANSWER_WAY);
     if left.is_zero() {
         return AttemptOutcome::DeadlineExceeded;
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -75,7 +75,7 @@
     }
 
     /// Tokens of its prompt that a target is not known to have read.
-    pub fn unread(&self, view: &view::View, key: targets::TargetKey) -> u64 {
+    pub fn uncached_tokens(&self, view: &view::View, key: targets::TargetKey) -> u64 {
         let read = view.prefixes.find(&self.chain).filter(|(there, _)| *there == key);
         self.call.prompt_tokens.saturating_sub(read.map_or(0, |(_, tokens)| tokens))
     }
@@ -87,7 +87,7 @@
         key: targets::TargetKey,
         now: Instant,
     ) -> Option<Duration> {
-        let unread = self.unread(view, key);
+        let unread = self.uncached_tokens(view, key);
         let model = self.model().filter(|_| unread > 0)?;
         let known = view.demand.model_demand(now, model).prefill_s_per_token;
         let each = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
