--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -81,7 +81,7 @@
     }
 
     /// Time that an engine needs to read the rest of its prompt alone; none if it has none to read.
-    pub fn reading_time(
+    pub fn prefill_time(
         &self,
         view: &view::View,
         key: targets::TargetKey,
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -103,7 +103,7 @@
         let now = shared.clock.now();
         let view = shared.view.borrow();
         let target = view.targets.get(key).filter(|target| target.agent_is_responsive(now))?;
-        let work = job.reading_time(&view, key, now)?;
+        let work = job.prefill_time(&view, key, now)?;
         let agent = std::net::SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
         let id = shared.turns.next_id(shared.incarnation);
         let waiting = Rc::<Waiting>::default();
