--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -96,7 +96,7 @@
 
     /// When a request that got nothing yet is of no more use: its caller leaves a stream that says
     /// nothing for too long.
-    pub fn held_until(&self) -> Instant {
+    pub fn abandoned_at(&self) -> Instant {
         if !self.route.streams {
             return self.deadline;
         }
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -127,7 +127,7 @@
     }
 
     fn useful_until(&self, job: &job::Job) -> Instant {
-        job.held_until().min(self.shared.latest(job))
+        job.abandoned_at().min(self.shared.latest(job))
     }
 
     async fn answer(&self, within: Duration) -> Option<Answer> {
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -59,7 +59,7 @@
                     shared.ask_for_adapter(key, job);
                 }
                 let expected = shared.expected(now, job, choice);
-                let until = job.held_until().min(shared.latest(job));
+                let until = job.abandoned_at().min(shared.latest(job));
                 if waiting.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
