--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -315,7 +315,7 @@
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
     shared.log.refused(&job.call.id, &job.route.name, status, why, job.arrived, shared.clock.now());
-    local_response(status, why, Some(wait_limit::retry_after(after, job.spread())))
+    local_response(status, why, Some(wait_limit::retry_after(after, job.jitter())))
 }
 
 /// Ends a request whose fate is not known, or that ran and failed.
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -106,7 +106,7 @@
     }
 
     /// A number between 0 and 1 that spreads requests.
-    pub fn spread(&self) -> f64 {
+    pub fn jitter(&self) -> f64 {
         (self.hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -163,7 +163,7 @@
             return question.given();
         }
         if now + answer.wait >= question.useful_until(job) {
-            return Turn::TooLate { after: wait_limit::retry_after(answer.wait, job.spread()) };
+            return Turn::TooLate { after: wait_limit::retry_after(answer.wait, job.jitter()) };
         }
         if !shared.may_serve(key, job, now) || (!settled && answer.wait >= LONG_WAIT) {
             return Turn::LookAgain;
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -63,7 +63,7 @@
                 if waiting.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
-                match wait_limit::decide(now, until, expected, job.spread()) {
+                match wait_limit::decide(now, until, expected, job.jitter()) {
                     wait_limit::Decision::Hold { until } => {
                         (until.min(shared.latest(job)), look_again(choice))
                     }
