--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -9,14 +9,14 @@
 
 /// The target is given this much less than is left, so that its own answer to an expired request
 /// arrives before ours is due.
-const ANSWER_WAY: Duration = Duration::from_millis(25);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
 /// A target that has said nothing for this many times the route's aim is given up for another, if
 /// the request may be repeated. At twice the aim it is late already, and three targets in four
 /// answer within one.
-const SILENT_AIMS: u32 = 2;
+const RESPONSE_TIMEOUT_OBJECTIVES: u32 = 2;
 /// Least time before a silent target is given up: work that takes five times as long as usual (0.3
 /// s) is slow, not lost.
-const LEAST_SILENCE: Duration = Duration::from_millis(600);
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How one attempt ended.
 pub enum AttemptOutcome<P: router::Platform> {
@@ -58,18 +58,18 @@
     job.last_target = id.clone();
     job.sent_at = Some(now);
     job.prefill_tokens = job.uncached_tokens(&shared.view.borrow(), key);
-    let left = job.deadline.saturating_duration_since(now).saturating_sub(ANSWER_WAY);
-    if left.is_zero() {
+    let time_left = job.deadline.saturating_duration_since(now).saturating_sub(RESPONSE_MARGIN);
+    if time_left.is_zero() {
         return AttemptOutcome::DeadlineExceeded;
     }
     let in_flight = job::InFlight::begin(shared, key, job);
-    let passing = dialect::ForwardedRequest {
+    let forwarded = dialect::ForwardedRequest {
         target: &id,
-        time_left: left,
+        time_left,
         priority: job.call.requested_model.is_some().then_some(job.route.priority),
         last_event,
     };
-    let req = request(shared, job, &passing);
+    let req = build_request(shared, job, &forwarded);
     let mut lease = match shared.pool.lease(now, addr).await {
         Ok(lease) => lease,
         Err(error) => {
@@ -83,8 +83,8 @@
         let Some(req) = unsent.take() else { return AttemptOutcome::NotSent };
         let sending = lease.sender.try_send_request(req);
         let answer = match wait_for_head(shared, job, key, sending).await {
-            Head::Came(answer) => answer,
-            Head::Unsent(req) if lease.reused => {
+            Head::Received(answer) => answer,
+            Head::NotSent(req) if lease.reused => {
                 // The target had closed the connection before anything was written.
                 match shared.pool.open(addr).await {
                     Ok(new) => lease = new,
@@ -96,15 +96,15 @@
                 unsent = Some(*req);
                 continue;
             }
-            Head::Unsent(_) => {
+            Head::NotSent(_) => {
                 shared.target_failed(key, "connection closed at once");
                 return AttemptOutcome::NotSent;
             }
-            Head::Lost => {
+            Head::ConnectionLost => {
                 shared.target_failed(key, "connection lost");
                 return AttemptOutcome::Unknown("the target's connection was lost");
             }
-            Head::Silent => {
+            Head::TimedOut => {
                 shared.target_failed(key, "silent");
                 return AttemptOutcome::Unknown("the target was silent");
             }
@@ -113,11 +113,11 @@
                 return AttemptOutcome::DeadlineExceeded;
             }
         };
-        return judge_head(shared, job, lease, in_flight, answer);
+        return classify_head(shared, job, lease, in_flight, answer);
     }
 }
 
-fn judge_head<P: router::Platform>(
+fn classify_head<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: &job::Job,
     lease: pool::Lease,
@@ -148,10 +148,10 @@
 
 /// What came of waiting for the head of an answer.
 enum Head {
-    Came(Response<Incoming>),
-    Unsent(Box<Request<pool::Body>>),
-    Lost,
-    Silent,
+    Received(Response<Incoming>),
+    NotSent(Box<Request<pool::Body>>),
+    ConnectionLost,
+    TimedOut,
     DeadlineExceeded,
 }
 
@@ -164,40 +164,41 @@
     >,
 ) -> Head {
     tokio::pin!(sending);
-    let silence = (job.route.latency_objective * SILENT_AIMS).max(LEAST_SILENCE);
-    let mut look = (shared.clock.now() + silence).min(shared.latest(job));
+    let response_timeout =
+        (job.route.latency_objective * RESPONSE_TIMEOUT_OBJECTIVES).max(MIN_RESPONSE_TIMEOUT);
+    let mut poll_at = (shared.clock.now() + response_timeout).min(shared.latest(job));
     loop {
         tokio::select! {
             sent = &mut sending => {
                 return match sent {
-                    Ok(answer) => Head::Came(answer),
+                    Ok(answer) => Head::Received(answer),
                     Err(mut error) => match error.take_message() {
-                        Some(req) => Head::Unsent(Box::new(req)),
-                        None => Head::Lost,
+                        Some(req) => Head::NotSent(Box::new(req)),
+                        None => Head::ConnectionLost,
                     },
                 };
             }
-            () = tokio::time::sleep_until(look.into()) => {}
+            () = tokio::time::sleep_until(poll_at.into()) => {}
         }
         let now = shared.clock.now();
         if now >= shared.latest(job) {
             return Head::DeadlineExceeded;
         }
         if job.route.may_retry() && shared.has_alternative(now, job, key) {
-            return Head::Silent;
+            return Head::TimedOut;
         }
-        look = (now + silence).min(shared.latest(job));
+        poll_at = (now + response_timeout).min(shared.latest(job));
     }
 }
 
 /// The request as the target gets it.
-fn request<P: router::Platform>(
+fn build_request<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
-    passing: &dialect::ForwardedRequest,
+    forwarded: &dialect::ForwardedRequest,
 ) -> Request<pool::Body> {
     let mut headers = job.headers.clone();
-    shared.platform.rewrite_request(&mut headers, passing);
+    shared.platform.rewrite_request(&mut headers, forwarded);
     if !job.body.is_empty() {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(job.body.len()));
     }
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -1,7 +1,7 @@
 //! One call over HTTP whose whole answer is wanted: to the store, or to the engine beside an agent.
 //!
 //! A short answer has a time for the whole of it. A long one, such as a large configuration on a slow
-//! link, has a time for silence only: given up by its whole time it would be begun again from nothing,
+//! link, has a time for timeouts only: given up by its whole time it would be begun again from nothing,
 //! and never be there where the link needs longer.
 
 use crate::pool;
@@ -19,7 +19,7 @@
 
 /// Largest answer that is read. The newest records of a topic come in pages of 1 MB, or in one larger
 /// record; a configuration of 4 MB has a third more in base64.
-const MOST_BYTES: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
@@ -92,14 +92,14 @@
         keep: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
         let work = async {
-            let (lease, answer) = self.begin(addr, req).await?;
+            let (lease, answer) = self.send(addr, req).await?;
             let (head, body) = answer.into_parts();
-            let body = Limited::new(body, MOST_BYTES).collect().await;
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|error| CallError::Interrupted(error.to_string()))?.to_bytes();
             self.pool.release(self.clock.now(), lease, keep);
             Ok(Response::from_parts(head, body))
         };
-        within(limit, work).await
+        with_timeout(limit, work).await
     }
 
     /// Sends a request and reads its whole answer, however long that takes, for as long as parts of
@@ -112,20 +112,21 @@
         &self,
         addr: SocketAddr,
         req: Request<pool::Body>,
-        silence: &ResponseTimeouts,
+        timeouts: &ResponseTimeouts,
         keep: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let (lease, answer) = within(silence.head, self.begin(addr, req)).await?;
-        silence.last_received.record(self.clock.now());
+        let (lease, answer) = with_timeout(timeouts.head, self.send(addr, req)).await?;
+        timeouts.last_received.record(self.clock.now());
         let (head, body) = answer.into_parts();
-        let mut body = Limited::new(body, MOST_BYTES);
+        let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
-        let part =
-            |part: Result<_, BoxError>| part.map_err(|e| CallError::Interrupted(e.to_string()));
+        let convert =
+            |frame: Result<_, BoxError>| frame.map_err(|e| CallError::Interrupted(e.to_string()));
         while let Some(frame) =
-            within(silence.idle, async { body.frame().await.map(part).transpose() }).await?
+            with_timeout(timeouts.idle, async { body.frame().await.map(convert).transpose() })
+                .await?
         {
-            silence.last_received.record(self.clock.now());
+            timeouts.last_received.record(self.clock.now());
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
@@ -135,12 +136,12 @@
     }
 
     /// Sends a request and waits for the head of its answer.
-    async fn begin(
+    async fn send(
         &self,
         addr: SocketAddr,
         req: Request<pool::Body>,
     ) -> Result<(pool::Lease, Response<Incoming>), CallError> {
-        let broken = |error: hyper::Error| CallError::Interrupted(error.to_string());
+        let interrupted = |error: hyper::Error| CallError::Interrupted(error.to_string());
         let not_sent = |error: std::io::Error| match error.kind() {
             std::io::ErrorKind::ConnectionRefused => CallError::ConnectionRefused(addr),
             _ => CallError::NotSent(error.to_string()),
@@ -153,9 +154,9 @@
                 // The other end had closed the connection before anything was written.
                 Some(req) => {
                     lease = self.pool.open(addr).await.map_err(not_sent)?;
-                    lease.sender.send_request(req).await.map_err(broken)?
+                    lease.sender.send_request(req).await.map_err(interrupted)?
                 }
-                None => return Err(broken(error.into_error())),
+                None => return Err(interrupted(error.into_error())),
             },
         };
         Ok((lease, answer))
@@ -163,10 +164,10 @@
 }
 
 /// What comes within a time, or [`CallError::TimedOut`].
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    let silent = || CallError::TimedOut(limit.as_millis() as u64);
-    tokio::time::timeout(limit, work).await.map_err(|_| silent())?
+    let timed_out = || CallError::TimedOut(limit.as_millis() as u64);
+    tokio::time::timeout(limit, work).await.map_err(|_| timed_out())?
 }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -32,19 +32,19 @@
 /// Deadline of requests whose route and caller name none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Largest answer that is read whole before it is passed on; plain services answer with some KB.
-const MOST_ANSWER_BYTES: usize = 8 << 20;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 /// Time to come back while no configuration is known, or from a router that ends: a process that
 /// starts learns the configuration within half a second of reaching the store, and a new connection
 /// leads to another router.
-const STARTING_RETURN: Duration = Duration::from_millis(700);
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(700);
 /// Longest time that a request waits for a router that has just started to read what it needs, and the
 /// part of the caller's time that it may be.
-const STARTING_HOLD: Duration = Duration::from_millis(600);
-const STARTING_HOLD_PART: u32 = 4;
+const STARTUP_WAIT: Duration = Duration::from_millis(600);
+const STARTUP_WAIT_DIVISOR: u32 = 4;
 /// Time to come back after a target refused and no other may be tried.
 pub const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Most targets that did not run a request that it is offered to; each costs a way there and back.
-const MOST_OFFERS: u32 = 4;
+const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
 /// Answers one request.
 ///
@@ -59,25 +59,26 @@
     let arrived = shared.clock.now();
     let (parts, body) = req.into_parts();
     let call = shared.platform.parse_request(&parts.headers);
-    let hold = STARTING_HOLD.min(call.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTING_HOLD_PART);
+    let startup_wait =
+        STARTUP_WAIT.min(call.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTUP_WAIT_DIVISOR);
     // When it is over, the request is judged by what is known.
-    drop(tokio::time::timeout(hold, first_knowledge(&shared)).await);
+    drop(tokio::time::timeout(startup_wait, wait_until_started(&shared)).await);
     let (route, limit) = match find_route(&shared, &parts) {
         Ok(found) => found,
-        Err(Unrouted::NotNow(why)) => {
+        Err(Unrouted::Unavailable(why)) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             shared.log.refused(&call.id, "", status, why, arrived, shared.clock.now());
-            return Ok(local_response(status, why, Some(STARTING_RETURN)));
+            return Ok(local_response(status, why, Some(STARTING_RETRY_AFTER)));
         }
-        Err(Unrouted::Nowhere { version }) => {
+        Err(Unrouted::NoRoute { version }) => {
             let now = shared.clock.now();
             let age = shared.age(now, dialect::Subject::Config);
             shared.log.denied(&call.id, version, age, arrived, now);
             return Ok(local_response(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
         }
     };
-    let patience = call.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
-    let deadline = arrived + patience;
+    let wait_limit = call.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let deadline = arrived + wait_limit;
     let read = Limited::new(body, limit).collect();
     let body = match tokio::time::timeout_at(deadline.into(), read).await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -100,7 +101,7 @@
     let Some(service) = route.service(hash).cloned() else {
         return Ok(local_response(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
     };
-    let model = call.requested_model.as_ref().map_or("", |wanted| wanted.model.as_str());
+    let model = call.requested_model.as_ref().map_or("", |requested| requested.model.as_str());
     let chain = prefixes::Chain::new(model, call.parts.iter().map(|part| (part.id, part.tokens)));
     let uri = parts.uri.path_and_query().cloned().map_or_else(|| parts.uri.clone(), Uri::from);
     let job = job::Job {
@@ -125,22 +126,23 @@
         last_failure: "",
     };
     shared.note_arrival(&job);
-    let mut open = Open { shared: shared.clone(), id: job.call.id.clone(), over: false };
-    let answer = run(shared, job).await;
-    open.over = true;
+    let mut pending =
+        PendingRequest { shared: shared.clone(), id: job.call.id.clone(), answered: false };
+    let answer = dispatch(shared, job).await;
+    pending.answered = true;
     Ok(answer)
 }
 
 /// A request without the head of an answer; says so when the caller leaves.
-struct Open<P: router::Platform> {
+struct PendingRequest<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     id: SmolStr,
-    over: bool,
+    answered: bool,
 }
 
-impl<P: router::Platform> Drop for Open<P> {
+impl<P: router::Platform> Drop for PendingRequest<P> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.answered {
             self.shared.log.left(&self.id, 0, self.shared.clock.now());
         }
     }
@@ -149,25 +151,25 @@
 /// Waits until a router that has just started knows the configuration and the targets. It reads both
 /// within a fraction of a second, and callers who were refused all come again at once. Where a read
 /// has failed nobody knows how long it takes, so they hear it.
-async fn first_knowledge<P: router::Platform>(shared: &router::Shared<P>) {
+async fn wait_until_started<P: router::Platform>(shared: &router::Shared<P>) {
     loop {
-        let changed = shared.view.borrow_mut().waker(None);
-        let changed = changed.notified();
-        tokio::pin!(changed);
-        changed.as_mut().enable();
+        let update = shared.view.borrow_mut().waker(None);
+        let update = update.notified();
+        tokio::pin!(update);
+        update.as_mut().enable();
         if !shared.is_starting() {
             return;
         }
-        changed.await;
+        update.await;
     }
 }
 
 /// A request without a route.
 enum Unrouted {
     /// This router cannot say.
-    NotNow(&'static str),
+    Unavailable(&'static str),
     /// The configuration of this version has none for it.
-    Nowhere {
+    NoRoute {
         /// The version.
         version: u64,
     },
@@ -178,34 +180,35 @@
     parts: &http::request::Parts,
 ) -> Result<(Arc<config::Route>, usize), Unrouted> {
     if shared.refuses(shared.clock.now()) {
-        return Err(Unrouted::NotNow("this router is stopping"));
+        return Err(Unrouted::Unavailable("this router is stopping"));
     }
     let view = shared.view.borrow();
-    let table = view.table.as_ref().ok_or(Unrouted::NotNow("no configuration is known yet"))?;
+    let table =
+        view.table.as_ref().ok_or(Unrouted::Unavailable("no configuration is known yet"))?;
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     let config = table.config();
     let route = table.find(host, parts.uri.path());
-    let route = route.ok_or(Unrouted::Nowhere { version: config.version })?;
+    let route = route.ok_or(Unrouted::NoRoute { version: config.version })?;
     Ok((route.clone(), config.limits.body_bytes))
 }
 
 /// Tries targets until one answers or the request is given up.
-async fn run<P: router::Platform>(
+async fn dispatch<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     mut job: job::Job,
 ) -> Response<ResponseBody> {
     loop {
         let key = match waiting::find_target(&shared, &mut job).await {
             Ok(key) => key,
-            Err(given_up) => return refuse(&shared, &job, given_up.why, given_up.after),
+            Err(rejected) => return refuse(&shared, &job, rejected.why, rejected.after),
         };
         job.tried.push(key);
         match attempt::attempt(&shared, &mut job, key, None).await {
             attempt::AttemptOutcome::Answered(answered) => {
-                match finish(&shared, job, *answered).await {
+                match forward_response(&shared, job, *answered).await {
                     Ok(answer) => return answer,
-                    Err(again) => job = *again,
+                    Err(retry) => job = *retry,
                 }
             }
             attempt::AttemptOutcome::NotSent => {
@@ -214,13 +217,13 @@
                 job.unexecuted_attempts += 1;
                 job.last_failure = "no connection to the target";
                 shared.log.attempt_failed(&job, job.last_failure, None, shared.clock.now());
-                if job.unexecuted_attempts > MOST_OFFERS {
+                if job.unexecuted_attempts > MAX_UNEXECUTED_ATTEMPTS {
                     return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
                 }
             }
             attempt::AttemptOutcome::NotRun => {
                 // It has run nowhere, so it does not count as one of the route's targets; the
-                // target itself is left out for a while, as it does not hold the model.
+                // target itself is left out for a while, as it does not startup_wait the model.
                 job.tried.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "the target did not run it";
@@ -246,12 +249,12 @@
 /// Whether another target may get the request; takes it from the budget.
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
     (job.tried.len() as u32) < job.route.max_targets
-        && job.unexecuted_attempts < MOST_OFFERS
+        && job.unexecuted_attempts < MAX_UNEXECUTED_ATTEMPTS
         && shared.spend_repeat(&job.service)
 }
 
 /// Passes the answer on; gives the job back if it failed and another target is to be tried.
-async fn finish<P: router::Platform>(
+async fn forward_response<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
     answered: attempt::Answered<P>,
@@ -260,18 +263,18 @@
     if job.route.streams && answered.head.status.is_success() {
         return match stream::start(shared, job, answered).await {
             Ok(answer) => Ok(answer),
-            Err((job, why)) => again_or_fail(shared, *job, key, why),
+            Err((job, why)) => retry_or_fail(shared, *job, key, why),
         };
     }
     let attempt::Answered { mut head, info, body, lease, in_flight } = answered;
-    let reading = Limited::new(body, MOST_ANSWER_BYTES).collect();
-    let body = match tokio::time::timeout_at(shared.latest(&job).into(), reading).await {
+    let read = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES).collect();
+    let body = match tokio::time::timeout_at(shared.latest(&job).into(), read).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(_)) => return again_or_fail(shared, job, key, "the target broke off its answer"),
+        Ok(Err(_)) => return retry_or_fail(shared, job, key, "the target broke off its answer"),
         Err(_) => return Ok(fail(shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over")),
     };
-    let keep = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
-    shared.pool.release(shared.clock.now(), lease, keep);
+    let keep_alive = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
+    shared.pool.release(shared.clock.now(), lease, keep_alive);
     drop(in_flight);
     if head.status.is_server_error() {
         shared.target_failed(key, "error of the target");
@@ -287,7 +290,7 @@
 }
 
 /// After an answer that broke off: the job, if another target may be tried, else the failure.
-fn again_or_fail<P: router::Platform>(
+fn retry_or_fail<P: router::Platform>(
     shared: &router::Shared<P>,
     mut job: job::Job,
     key: targets::TargetKey,
@@ -355,7 +358,7 @@
     if !may_try_another(shared, job) {
         return Err("no further target is allowed");
     }
-    let key = waiting::find_target(shared, job).await.map_err(|given_up| given_up.why)?;
+    let key = waiting::find_target(shared, job).await.map_err(|rejected| rejected.why)?;
     job.tried.push(key);
     match attempt::attempt(shared, job, key, last_event).await {
         attempt::AttemptOutcome::Answered(answered) if answered.head.status.is_success() => {
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -13,11 +13,11 @@
 
 /// Callers leave a stream that has said nothing for this long, or for this many of the route's aims
 /// or pauses, whichever is longest.
-const LEFT_AFTER: Duration = Duration::from_secs(2);
-const LEFT_AFTER_AIMS: u32 = 4;
-const LEFT_AFTER_PAUSES: u32 = 8;
+const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
+const ABANDON_OBJECTIVES: u32 = 4;
+const ABANDON_GAPS: u32 = 8;
 /// Tokens of an answer whose length nobody guesses.
-const USUAL_OUTPUT: u64 = 300;
+const DEFAULT_OUTPUT_TOKENS: u64 = 300;
 
 /// A request that was read and is to be answered.
 pub struct Job {
@@ -67,17 +67,17 @@
         if self.call.requested_model.is_none() {
             return 0;
         }
-        let most = match self.call.max_output_tokens {
+        let max = match self.call.max_output_tokens {
             0 => u64::MAX,
-            most => most,
+            max => max,
         };
-        self.call.prompt_tokens + self.call.output_hint.unwrap_or(USUAL_OUTPUT).min(most)
+        self.call.prompt_tokens + self.call.output_hint.unwrap_or(DEFAULT_OUTPUT_TOKENS).min(max)
     }
 
     /// Tokens of its prompt that a target is not known to have read.
     pub fn uncached_tokens(&self, view: &view::View, key: targets::TargetKey) -> u64 {
-        let read = view.prefixes.find(&self.chain).filter(|(there, _)| *there == key);
-        self.call.prompt_tokens.saturating_sub(read.map_or(0, |(_, tokens)| tokens))
+        let cached = view.prefixes.find(&self.chain).filter(|(holder, _)| *holder == key);
+        self.call.prompt_tokens.saturating_sub(cached.map_or(0, |(_, tokens)| tokens))
     }
 
     /// Time that an engine needs to read the rest of its prompt alone; none if it has none to read.
@@ -89,9 +89,10 @@
     ) -> Option<Duration> {
         let unread = self.uncached_tokens(view, key);
         let model = self.model().filter(|_| unread > 0)?;
-        let known = view.demand.model_demand(now, model).prefill_s_per_token;
-        let each = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
-        Some(Duration::from_secs_f64(unread as f64 * each))
+        let measured = view.demand.model_demand(now, model).prefill_s_per_token;
+        let s_per_token =
+            if measured > 0.0 { measured } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
+        Some(Duration::from_secs_f64(unread as f64 * s_per_token))
     }
 
     /// When a request that got nothing yet is of no more use: its caller leaves a stream that says
@@ -100,8 +101,9 @@
         if !self.route.streams {
             return self.deadline;
         }
-        let pause = self.route.gap_objective.unwrap_or_default() * LEFT_AFTER_PAUSES;
-        let silence = LEFT_AFTER.max(self.route.latency_objective * LEFT_AFTER_AIMS).max(pause);
+        let gaps = self.route.gap_objective.unwrap_or_default() * ABANDON_GAPS;
+        let silence =
+            ABANDON_TIMEOUT.max(self.route.latency_objective * ABANDON_OBJECTIVES).max(gaps);
         self.deadline.min(self.idle_since + silence)
     }
 
@@ -112,7 +114,7 @@
 
     /// The model that it wants.
     pub fn model(&self) -> Option<&names::ModelId> {
-        self.call.requested_model.as_ref().map(|wanted| &wanted.model)
+        self.call.requested_model.as_ref().map(|requested| &requested.model)
     }
 }
 
@@ -120,21 +122,21 @@
 pub struct InFlight<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     key: targets::TargetKey,
-    wanted: Option<choose::RequestedModel>,
+    requested: Option<choose::RequestedModel>,
     tokens: u64,
 }
 
 impl<P: router::Platform> InFlight<P> {
     /// Counts a request at a target.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
-        let wanted = job.call.requested_model.clone();
-        let in_flight = Self { shared: shared.clone(), key, wanted, tokens: job.tokens() };
+        let requested = job.call.requested_model.clone();
+        let in_flight = Self { shared: shared.clone(), key, requested, tokens: job.tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
             target.local_requests += 1;
             target.local_tokens += in_flight.tokens;
-            if let Some(wanted) = &in_flight.wanted {
-                *target.in_flight.entry(wanted.clone()).or_default() += 1;
+            if let Some(requested) = &in_flight.requested {
+                *target.in_flight.entry(requested.clone()).or_default() += 1;
             }
         }
         view.prefixes.record(&job.chain, key);
@@ -154,13 +156,13 @@
         let Some(target) = view.targets.get_mut(self.key) else { return };
         target.local_requests = target.local_requests.saturating_sub(1);
         target.local_tokens = target.local_tokens.saturating_sub(self.tokens);
-        let Some(wanted) = &self.wanted else { return };
-        if let Some(count) = target.in_flight.get_mut(wanted) {
+        let Some(requested) = &self.requested else { return };
+        if let Some(count) = target.in_flight.get_mut(requested) {
             *count -= 1;
             if *count == 0 {
-                target.in_flight.remove(wanted);
+                target.in_flight.remove(requested);
             }
         }
-        view.wake(&wanted.model);
+        view.wake(&requested.model);
     }
 }
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -30,16 +30,16 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Unused time after which a connection is not used again when the other end does not say how long
 /// it keeps it. Common defaults of servers begin at 5 s.
-const DEFAULT_KEEP: Duration = Duration::from_secs(2);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
 /// Part of the other end's time that is used; the rest covers a slowed host and a request on its way.
-const KEEP_PART: u32 = 2;
+const KEEP_ALIVE_DIVISOR: u32 = 2;
 /// Bytes that were sent and not acknowledged for this long end a connection.
-const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 struct Idle {
     sender: Sender,
-    since: Instant,
-    keep: Duration,
+    idle_since: Instant,
+    keep_alive: Duration,
 }
 
 /// A connection that is in use.
@@ -54,9 +54,9 @@
 }
 
 /// A stream whose end is its reset: it is dropped without saying first that no more will come.
-struct Abrupt(TokioIo<TcpStream>);
+struct ResetOnClose(TokioIo<TcpStream>);
 
-impl rt::Read for Abrupt {
+impl rt::Read for ResetOnClose {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -66,7 +66,7 @@
     }
 }
 
-impl rt::Write for Abrupt {
+impl rt::Write for ResetOnClose {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -109,7 +109,7 @@
     ///
     /// What kept a new one from being opened.
     pub async fn lease(&self, now: Instant, addr: SocketAddr) -> Result<Lease, io::Error> {
-        match self.take(now, addr) {
+        match self.pop_idle(now, addr) {
             Some(sender) => Ok(Lease { sender, addr, reused: true }),
             None => self.open(addr).await,
         }
@@ -124,11 +124,11 @@
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
         stream.set_nodelay(true)?;
         let socket = socket2::SockRef::from(&stream);
-        socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+        socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
         // A connection that is closed takes back what it has not delivered. Else a request that is
         // held up on a link that is cut arrives when the link is back, long after its caller left.
         socket.set_linger(Some(Duration::ZERO))?;
-        let handshake = http1::handshake(Abrupt(TokioIo::new(stream))).await;
+        let handshake = http1::handshake(ResetOnClose(TokioIo::new(stream))).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
@@ -140,12 +140,13 @@
 
     /// Gives back a connection whose answer was read to its end. `keep` is the time for which the
     /// other end says that it keeps it.
-    pub fn release(&self, now: Instant, lease: Lease, keep: Option<Duration>) {
-        let keep = keep.unwrap_or(DEFAULT_KEEP * KEEP_PART) / KEEP_PART;
-        if lease.sender.is_closed() || keep.is_zero() {
+    pub fn release(&self, now: Instant, lease: Lease, keep_alive: Option<Duration>) {
+        let keep_alive =
+            keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE * KEEP_ALIVE_DIVISOR) / KEEP_ALIVE_DIVISOR;
+        if lease.sender.is_closed() || keep_alive.is_zero() {
             return;
         }
-        let idle = Idle { sender: lease.sender, since: now, keep };
+        let idle = Idle { sender: lease.sender, idle_since: now, keep_alive };
         self.idle.borrow_mut().entry(lease.addr).or_default().push_back(idle);
     }
 
@@ -153,7 +154,7 @@
     pub fn sweep(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
-            list.retain(|idle| idle.is_sound(now));
+            list.retain(|idle| idle.is_usable(now));
         }
         idle.retain(|_, list| !list.is_empty());
     }
@@ -164,11 +165,11 @@
     }
 
     /// The one that was used last, as it is the least likely to be closing.
-    fn take(&self, now: Instant, addr: SocketAddr) -> Option<Sender> {
+    fn pop_idle(&self, now: Instant, addr: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&addr)?;
         while let Some(idle) = list.pop_back() {
-            if idle.is_sound(now) && idle.sender.is_ready() {
+            if idle.is_usable(now) && idle.sender.is_ready() {
                 return Some(idle.sender);
             }
         }
@@ -177,7 +178,7 @@
 }
 
 impl Idle {
-    fn is_sound(&self, now: Instant) -> bool {
-        !self.sender.is_closed() && now.saturating_duration_since(self.since) < self.keep
+    fn is_usable(&self, now: Instant) -> bool {
+        !self.sender.is_closed() && now.saturating_duration_since(self.idle_since) < self.keep_alive
     }
 }
--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -7,9 +7,9 @@
 use bytes::{Bytes, BytesMut};
 
 /// Ends an event.
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 /// Begins the line with an event's number.
-const ID: &[u8] = b"id:";
+const ID_FIELD: &[u8] = b"id:";
 
 /// A target that took a stream up did not go on with the next event.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -19,8 +19,8 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
-    last: Option<u64>,
-    taken_up: bool,
+    last_event: Option<u64>,
+    resumed: bool,
     events: u64,
 }
 
@@ -31,14 +31,14 @@
     ///
     /// [`EventGap`] if the stream was taken up and its first event is not the next one.
     pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, EventGap> {
-        if self.partial.is_empty() && chunk.ends_with(END) {
-            self.note(&chunk)?;
+        if self.partial.is_empty() && chunk.ends_with(EVENT_END) {
+            self.record(&chunk)?;
             return Ok(Some(chunk));
         }
         self.partial.extend_from_slice(&chunk);
-        let Some(end) = find_last(&self.partial, END) else { return Ok(None) };
-        let whole = self.partial.split_to(end + END.len()).freeze();
-        self.note(&whole)?;
+        let Some(end) = find_last(&self.partial, EVENT_END) else { return Ok(None) };
+        let whole = self.partial.split_to(end + EVENT_END.len()).freeze();
+        self.record(&whole)?;
         Ok(Some(whole))
     }
 
@@ -50,12 +50,12 @@
     /// Forgets the event that is not whole; the next target begins it anew.
     pub fn resume(&mut self) {
         self.partial.clear();
-        self.taken_up = true;
+        self.resumed = true;
     }
 
     /// Number of the last whole event.
     pub const fn last_event(&self) -> Option<u64> {
-        self.last
+        self.last_event
     }
 
     /// Whole events so far.
@@ -63,13 +63,13 @@
         self.events
     }
 
-    fn note(&mut self, whole: &[u8]) -> Result<(), EventGap> {
-        for event in whole.split(|&b| b == b'\n').filter_map(number) {
-            let taken_up = std::mem::take(&mut self.taken_up);
-            if taken_up && self.last.is_some_and(|last| event != last + 1) {
+    fn record(&mut self, whole: &[u8]) -> Result<(), EventGap> {
+        for event in whole.split(|&b| b == b'\n').filter_map(parse_event_id) {
+            let resumed = std::mem::take(&mut self.resumed);
+            if resumed && self.last_event.is_some_and(|last| event != last + 1) {
                 return Err(EventGap);
             }
-            self.last = Some(event);
+            self.last_event = Some(event);
             self.events += 1;
         }
         Ok(())
@@ -77,11 +77,11 @@
 }
 
 /// The number in a line `id: 12`.
-fn number(line: &[u8]) -> Option<u64> {
-    let rest = line.strip_prefix(ID)?;
+fn parse_event_id(line: &[u8]) -> Option<u64> {
+    let rest = line.strip_prefix(ID_FIELD)?;
     std::str::from_utf8(rest).ok()?.trim().parse().ok()
 }
 
-fn find_last(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    bytes.windows(what.len()).rposition(|window| window == what)
+fn find_last(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).rposition(|window| window == pattern)
 }
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -19,20 +19,20 @@
 
 /// Connections that may wait to be taken. A burst of clients after a host is gone brings some
 /// hundred at once; one that finds no room tries again only after a second.
-const BACKLOG: u32 = 1_024;
+const LISTEN_BACKLOG: u32 = 1_024;
 /// Time for which a stopping router still takes connections: whoever sends callers here asks once
 /// a second whether it is ready and goes by two answers.
-const LEAVE_TIME: Duration = Duration::from_millis(2_600);
+const READINESS_GRACE: Duration = Duration::from_millis(2_600);
 /// Time before the end of a stop at which requests without the head of an answer are answered: they
 /// would else end with a closed connection, which tells their callers nothing.
-const ANSWER_BEFORE: Duration = Duration::from_millis(900);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
 /// Time before the end of a stop at which what is still open is cut, so that callers see a closed
 /// connection and not a dead host.
-const CUT_BEFORE: Duration = Duration::from_millis(400);
+const CLOSE_MARGIN: Duration = Duration::from_millis(400);
 /// Pause between looks at what is still open during a stop.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Least room for the head of a request that the HTTP library takes.
-const LEAST_HEAD: usize = 8_192;
+const MIN_HEADER_BYTES: usize = 8_192;
 
 /// Opens a listening socket.
 ///
@@ -44,14 +44,14 @@
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     open().map_err(|error| router::StartError::Listen { addr, error })
 }
 
 /// Answers the readiness check.
 pub fn serve_ready<P: router::Platform>(shared: &Rc<router::Shared<P>>, listener: TcpListener) {
-    serve_small(shared, listener, readiness);
+    serve_local(shared, listener, readiness);
 }
 
 /// Answers with a text for a path, or 404.
@@ -60,14 +60,14 @@
     listener: TcpListener,
     text: impl Fn(&router::Shared<P>, &str) -> Option<String> + Copy + 'static,
 ) {
-    serve_small(shared, listener, move |shared, path| match text(shared, path) {
+    serve_local(shared, listener, move |shared, path| match text(shared, path) {
         Some(text) => Response::new(Full::from(text)),
         None => status(StatusCode::NOT_FOUND),
     });
 }
 
 /// Serves short answers that need nothing but what is known.
-fn serve_small<P: router::Platform>(
+fn serve_local<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
     answer: impl Fn(&router::Shared<P>, &str) -> Response<Full<Bytes>> + Copy + 'static,
@@ -115,9 +115,9 @@
 }
 
 /// Takes a caller's connection; notes when there is none.
-async fn accept_caller(watch: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
+async fn accept_caller(pauses: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
     let mut accept = pin!(accept(listener));
-    future::poll_fn(|cx| watch.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
+    future::poll_fn(|cx| pauses.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
 }
 
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
@@ -131,7 +131,7 @@
         Err(error) => {
             // Out of descriptors, as a rule: others have to be closed first.
             tracing::warn!(%error, "a connection could not be taken");
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             None
         }
     }
@@ -149,17 +149,17 @@
         tokio::select! {
             stream = accept_caller(&shared.pauses, &listener) => {
                 if let Some(stream) = stream {
-                    connection(shared, stream, closing.subscribe());
+                    spawn_connection(shared, stream, closing.subscribe());
                 }
             }
             () = &mut stop => break,
         }
     }
-    let began = shared.clock.now();
-    let within = shared.bounds.borrow().stop_within;
+    let stopping_since = shared.clock.now();
+    let stop_timeout = shared.bounds.borrow().stop_within;
     shared.stopping.set(Some(router::Stop {
-        refuses_from: began + LEAVE_TIME.min(within / 2),
-        answers_by: began + within.saturating_sub(ANSWER_BEFORE),
+        refuses_from: stopping_since + READINESS_GRACE.min(stop_timeout / 2),
+        answers_by: stopping_since + stop_timeout.saturating_sub(RESPONSE_MARGIN),
     }));
     tracing::info!(open = shared.open.get(), "stopping: no longer ready");
     // Each open connection ends with the answer that it is giving; unused ones end now. A request
@@ -167,14 +167,15 @@
     closing.send_replace(true);
     loop {
         let now = shared.clock.now();
-        let passed = now.saturating_duration_since(began);
-        let cut = within.saturating_sub(CUT_BEFORE);
-        if passed >= cut || (passed >= LEAVE_TIME && shared.open.get() == 0) {
+        let elapsed = now.saturating_duration_since(stopping_since);
+        let close_after = stop_timeout.saturating_sub(CLOSE_MARGIN);
+        if elapsed >= close_after || (elapsed >= READINESS_GRACE && shared.open.get() == 0) {
             break;
         }
-        let look = tokio::time::timeout(LOOK, accept_caller(&shared.pauses, &listener)).await;
-        if let Ok(Some(stream)) = look {
-            connection(shared, stream, closing.subscribe());
+        let accepted =
+            tokio::time::timeout(POLL_INTERVAL, accept_caller(&shared.pauses, &listener)).await;
+        if let Ok(Some(stream)) = accepted {
+            spawn_connection(shared, stream, closing.subscribe());
         }
     }
     if shared.open.get() > 0 {
@@ -186,7 +187,7 @@
 }
 
 /// Serves one connection.
-fn connection<P: router::Platform>(
+fn spawn_connection<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     stream: TcpStream,
     mut closing: watch::Receiver<bool>,
@@ -197,14 +198,14 @@
     tokio::task::spawn_local(async move {
         let served = Cell::new(false);
         let stream = pause::WatchedStream::new(stream, shared.pauses.clone());
-        let seen = stream.connection();
+        let tracked = stream.connection();
         let service = service_fn(|req| {
             served.set(true);
-            one(shared.clone(), seen.clone(), req)
+            serve_request(shared.clone(), tracked.clone(), req)
         });
-        let connection = builder(&limits).serve_connection(TokioIo::new(stream), service);
+        let connection = http_builder(&limits).serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
-        let mut told = false;
+        let mut notified = false;
         loop {
             tokio::select! {
                 end = connection.as_mut() => {
@@ -213,8 +214,8 @@
                     }
                     return;
                 }
-                _ = closing.wait_for(|closing| *closing), if !told => {
-                    told = true;
+                _ = closing.wait_for(|closing| *closing), if !notified => {
+                    notified = true;
                     // A connection that has carried nothing yet is new: its first request is on
                     // its way, and its answer will say that the connection ends. Closed now, its
                     // caller would get nothing.
@@ -227,13 +228,13 @@
     });
 }
 
-fn builder(limits: &config::Limits) -> http1::Builder {
+fn http_builder(limits: &config::Limits) -> http1::Builder {
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         // The time runs from the end of the last answer, so it bounds unused connections too.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.header_bytes.max(LEAST_HEAD))
+        .max_buf_size(limits.header_bytes.max(MIN_HEADER_BYTES))
         .half_close(false);
     builder
 }
@@ -247,7 +248,7 @@
     }
 }
 
-async fn one<P: router::Platform>(
+async fn serve_request<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     connection: Arc<pause::Connection>,
     req: Request<Incoming>,
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -13,21 +13,21 @@
 
 /// A target that sends nothing for this many of the longest useful pauses is given up for another
 /// that can take the stream up.
-const SILENT_PAUSES: u32 = 5;
+const IDLE_TIMEOUT_GAPS: u32 = 5;
 /// Used where a route names no pause.
-const DEFAULT_SILENCE: Duration = Duration::from_secs(2);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A stream is ended this long after its route's time; the target ends its own before that.
-const GRACE: Duration = Duration::from_millis(100);
+const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 
 /// A stream that is being passed on.
-struct Passing<P: router::Platform> {
+struct RelayedStream<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     job: job::Job,
-    source: Option<Source<P>>,
+    upstream: Option<Upstream<P>>,
     splitter: relay::EventSplitter,
     resumes: u32,
-    over: bool,
-    pace: EventTimings,
+    ended: bool,
+    timings: EventTimings,
 }
 
 /// How the events of a stream came, for the log.
@@ -42,7 +42,7 @@
 }
 
 impl EventTimings {
-    fn note(&mut self, now: Instant) {
+    fn record(&mut self, now: Instant) {
         self.first_at.get_or_insert(now);
         if let Some(last) = self.last_at.replace(now) {
             self.longest_gap = self.longest_gap.max(now.saturating_duration_since(last));
@@ -51,7 +51,7 @@
 }
 
 /// Where the events come from.
-struct Source<P: router::Platform> {
+struct Upstream<P: router::Platform> {
     body: Incoming,
     lease: pool::Lease,
     in_flight: job::InFlight<P>,
@@ -61,18 +61,18 @@
 /// What the next wait brought.
 enum Step {
     Data(Bytes),
-    Whole,
-    Broke,
-    Silent,
-    TimeOver,
+    Complete,
+    Interrupted,
+    TimedOut,
+    DeadlineExceeded,
 }
 
 /// A stream whose head has gone out; says so when the caller leaves before its end.
-struct Watched<P: router::Platform>(Passing<P>);
+struct AbandonGuard<P: router::Platform>(RelayedStream<P>);
 
-impl<P: router::Platform> Drop for Watched<P> {
+impl<P: router::Platform> Drop for AbandonGuard<P> {
     fn drop(&mut self) {
-        if !self.0.over {
+        if !self.0.ended {
             let now = self.0.shared.clock.now();
             self.0.shared.log.left(&self.0.job.call.id, self.0.splitter.events(), now);
         }
@@ -89,179 +89,181 @@
     job: job::Job,
     answered: attempt::Answered<P>,
 ) -> Result<Response<body::ResponseBody>, (Box<job::Job>, &'static str)> {
-    let attempt::Answered { mut head, info, body: source, lease, in_flight } = answered;
-    let mut passing = Passing {
+    let attempt::Answered { mut head, info, body: upstream, lease, in_flight } = answered;
+    let mut relayed = RelayedStream {
         shared: shared.clone(),
         job,
-        source: Some(Source { body: source, lease, in_flight, info }),
+        upstream: Some(Upstream { body: upstream, lease, in_flight, info }),
         splitter: relay::EventSplitter::default(),
         resumes: 0,
-        over: false,
-        pace: EventTimings::default(),
+        ended: false,
+        timings: EventTimings::default(),
     };
     shared.platform.rewrite_response(&mut head.headers);
     head.headers.remove(http::header::CONTENT_LENGTH);
-    let first = match passing.next().await {
+    let first = match relayed.next().await {
         Some(Ok(first)) => first,
         Some(Err(_)) | None => {
-            return Err((Box::new(passing.job), "the stream ended before its first event"));
+            return Err((Box::new(relayed.job), "the stream ended before its first event"));
         }
     };
-    let rest = stream::unfold(Watched(passing), |mut watched| async move {
-        let next = watched.0.next().await?;
-        Some((next.map(Frame::data), watched))
+    let rest = stream::unfold(AbandonGuard(relayed), |mut guard| async move {
+        let next = guard.0.next().await?;
+        Some((next.map(Frame::data), guard))
     });
-    let begin = stream::iter([Ok(Frame::data(first))]);
-    let body = body::ResponseBody::stream(StreamBody::new(begin.chain(rest)));
+    let first = stream::iter([Ok(Frame::data(first))]);
+    let body = body::ResponseBody::stream(StreamBody::new(first.chain(rest)));
     Ok(Response::from_parts(head, body))
 }
 
-impl<P: router::Platform> Passing<P> {
+impl<P: router::Platform> RelayedStream<P> {
     /// The next bytes for the caller.
     async fn next(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
-        if self.over {
+        if self.ended {
             return None;
         }
         loop {
             match self.step().await {
-                Step::Data(chunk) => match self.pass(chunk) {
+                Step::Data(chunk) => match self.forward(chunk) {
                     Ok(Some(out)) => return Some(Ok(out)),
                     Ok(None) => {}
                     Err(relay::EventGap) => {
                         let why = "the other target went on at another event";
-                        return self.break_off(why, exchange::Aborted::ByTarget);
+                        return self.abort(why, exchange::Aborted::ByTarget);
                     }
                 },
-                Step::Whole => return self.end(),
-                Step::TimeOver => {
-                    return self.break_off("the time is over", exchange::Aborted::DeadlineExceeded);
+                Step::Complete => return self.complete(),
+                Step::DeadlineExceeded => {
+                    return self.abort("the time is over", exchange::Aborted::DeadlineExceeded);
                 }
-                Step::Broke => {
+                Step::Interrupted => {
                     let why = "the target broke off its stream";
-                    if !self.take_up(why).await {
-                        return self.break_off(why, exchange::Aborted::ByTarget);
+                    if !self.resume(why).await {
+                        return self.abort(why, exchange::Aborted::ByTarget);
                     }
                 }
-                Step::Silent => {
-                    if !self.take_up("the target fell silent").await {
-                        return self
-                            .break_off("the target fell silent", exchange::Aborted::ByTarget);
+                Step::TimedOut => {
+                    if !self.resume("the target fell silent").await {
+                        return self.abort("the target fell silent", exchange::Aborted::ByTarget);
                     }
                 }
             }
         }
     }
 
-    fn pass(&mut self, chunk: Bytes) -> Result<Option<Bytes>, relay::EventGap> {
+    fn forward(&mut self, chunk: Bytes) -> Result<Option<Bytes>, relay::EventGap> {
         let whole = self.splitter.push(chunk.clone())?;
         // What cannot be taken up elsewhere goes on as it comes.
         Ok(if self.job.route.resumable { whole } else { Some(chunk) })
     }
 
     async fn step(&mut self) -> Step {
-        let end = self.job.deadline + GRACE;
-        let silence = match self.job.route.gap_objective {
-            Some(pause) => pause * SILENT_PAUSES,
-            None => DEFAULT_SILENCE,
+        let end = self.job.deadline + DEADLINE_GRACE;
+        let idle_timeout = match self.job.route.gap_objective {
+            Some(gap) => gap * IDLE_TIMEOUT_GAPS,
+            None => DEFAULT_IDLE_TIMEOUT,
         };
         loop {
             let now = self.shared.clock.now();
             if now >= end {
-                return Step::TimeOver;
+                return Step::DeadlineExceeded;
             }
-            let Some(source) = &mut self.source else { return Step::Broke };
-            let look: Instant = (now + silence).min(end);
-            match tokio::time::timeout_at(look.into(), source.body.frame()).await {
+            let Some(upstream) = &mut self.upstream else { return Step::Interrupted };
+            let poll_at: Instant = (now + idle_timeout).min(end);
+            match tokio::time::timeout_at(poll_at.into(), upstream.body.frame()).await {
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => {
                         let now = self.shared.clock.now();
-                        match self.pace.last_at {
-                            Some(last) => self.shared.note_pause(source.in_flight.key(), now, last),
+                        match self.timings.last_at {
+                            Some(last) => {
+                                self.shared.note_pause(upstream.in_flight.key(), now, last)
+                            }
                             None => self.shared.note_first(&self.job, now),
                         }
-                        self.pace.note(now);
+                        self.timings.record(now);
                         return Step::Data(data);
                     }
                     Err(_trailers) => {}
                 },
                 Ok(None) if self.job.route.resumable && self.splitter.has_partial() => {
-                    return Step::Broke;
+                    return Step::Interrupted;
                 }
-                Ok(None) => return Step::Whole,
+                Ok(None) => return Step::Complete,
                 Ok(Some(Err(error))) => {
                     tracing::debug!(id = %self.job.call.id, %error, "stream broke");
-                    return Step::Broke;
+                    return Step::Interrupted;
                 }
                 Err(_) => {
                     let now = self.shared.clock.now();
-                    let key = source.in_flight.key();
-                    let can = self.splitter.events() > 0 && self.job.route.resumable;
-                    if now < end && can && self.shared.has_alternative(now, &self.job, key) {
-                        return Step::Silent;
+                    let key = upstream.in_flight.key();
+                    let resumable = self.splitter.events() > 0 && self.job.route.resumable;
+                    if now < end && resumable && self.shared.has_alternative(now, &self.job, key) {
+                        return Step::TimedOut;
                     }
                 }
             }
         }
     }
 
-    fn say(&self, how: &str) {
+    fn log_end(&self, how: &str) {
         let ended = decisions::StreamEnd {
             how,
             events: self.splitter.events(),
             resumes: self.resumes,
-            pace: self.pace,
+            pace: self.timings,
         };
         self.shared.log.streamed(&self.job, &ended, self.shared.clock.now());
     }
 
     /// The stream is whole.
-    fn end(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
-        self.over = true;
-        if let Some(source) = self.source.take() {
-            let Source { lease, in_flight, info, .. } = source;
+    fn complete(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
+        self.ended = true;
+        if let Some(upstream) = self.upstream.take() {
+            let Upstream { lease, in_flight, info, .. } = upstream;
             self.shared.target_succeeded(in_flight.key());
-            let keep = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
-            self.shared.pool.release(self.shared.clock.now(), lease, keep);
+            let keep_alive =
+                if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
+            self.shared.pool.release(self.shared.clock.now(), lease, keep_alive);
         }
-        self.say("whole");
+        self.log_end("whole");
         None
     }
 
     /// The rest of the stream cannot be had; the caller's connection ends without its end.
-    fn break_off(
+    fn abort(
         &mut self,
         why: &'static str,
-        broken: exchange::Aborted,
+        aborted: exchange::Aborted,
     ) -> Option<Result<Bytes, exchange::Aborted>> {
-        self.over = true;
-        if let Some(source) = self.source.take() {
-            self.shared.target_failed(source.in_flight.key(), why);
+        self.ended = true;
+        if let Some(upstream) = self.upstream.take() {
+            self.shared.target_failed(upstream.in_flight.key(), why);
         }
-        self.say(why);
-        Some(Err(broken))
+        self.log_end(why);
+        Some(Err(aborted))
     }
 
     /// Has another target go on after the last event that went out.
-    async fn take_up(&mut self, why: &'static str) -> bool {
+    async fn resume(&mut self, why: &'static str) -> bool {
         let now = self.shared.clock.now();
         self.shared.log.attempt_failed(&self.job, why, None, now);
-        if let Some(source) = self.source.take() {
-            self.shared.target_failed(source.in_flight.key(), why);
+        if let Some(upstream) = self.upstream.take() {
+            self.shared.target_failed(upstream.in_flight.key(), why);
             // Closing the connection ends the work there before it goes on elsewhere.
-            drop(source);
+            drop(upstream);
         }
         if !self.job.route.resumable {
             return false;
         }
         self.splitter.resume();
-        self.job.idle_since = self.pace.last_at.unwrap_or(self.job.arrived);
+        self.job.idle_since = self.timings.last_at.unwrap_or(self.job.arrived);
         let last = self.splitter.last_event().or(self.job.call.last_event);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
             Ok(answered) => {
                 let attempt::Answered { info, body, lease, in_flight, .. } = answered;
-                self.source = Some(Source { body, lease, in_flight, info });
+                self.upstream = Some(Upstream { body, lease, in_flight, info });
                 self.resumes += 1;
                 true
             }
