--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -1,8 +1,8 @@
-//! One call over HTTP whose whole answer is wanted: to the store, or to the engine beside an agent.
+//! HTTP client for calls whose whole response is buffered: to the store, or to the engine beside an
+//! agent.
 //!
-//! A short answer has a time for the whole of it. A long one, such as a large configuration on a slow
-//! link, has a time for timeouts only: given up by its whole time it would be begun again from nothing,
-//! and never be there where the link needs longer.
+//! Short responses have a timeout for the whole call. Long ones, such as a large configuration over a
+//! slow link, have an idle timeout only, so that a slow transfer isn't restarted from the beginning.
 
 use crate::pool;
 use bytes::{Bytes, BytesMut};
@@ -17,55 +17,54 @@
     time::{Duration, Instant},
 };
 
-/// Largest answer that is read. The newest records of a topic come in pages of 1 MB, or in one larger
-/// record; a configuration of 4 MB has a third more in base64.
+/// Fits a single record with a 4 MB configuration in base64.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A call that got no whole answer.
+/// Why a call returned no complete response.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum CallError {
-    /// nobody listens at {0}
+    /// connection refused by {0}
     ConnectionRefused(SocketAddr),
     /// no connection ({0})
     NotSent(String),
-    /// nothing came for {0} ms
+    /// no data received for {0} ms
     TimedOut(u64),
-    /// the answer broke off ({0})
+    /// the response ended early ({0})
     Interrupted(String),
 }
 
 impl std::error::Error for CallError {}
 
-/// When something last came of an answer that is on its way.
+/// Shared time of the last data received of a pending response.
 #[derive(Clone, Debug, Default)]
 pub struct LastReceived(Rc<Cell<Option<Instant>>>);
 
 impl LastReceived {
-    /// Something came.
+    /// Records that data was received.
     pub fn record(&self, now: Instant) {
         self.0.set(Some(now));
     }
 
-    /// When it came; none if nothing ever did.
+    /// The recorded time, if any.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
 }
 
-/// How long the other end may be silent in a long answer.
+/// Timeouts of a response of unknown length.
 #[derive(Clone, Debug)]
 pub struct ResponseTimeouts {
-    /// Before the answer begins.
+    /// Limit until the response head arrives.
     pub head: Duration,
-    /// Between two parts of it.
+    /// Limit between two frames of the body.
     pub idle: Duration,
-    /// Told of each part.
+    /// Updated with each frame.
     pub last_received: LastReceived,
 }
 
-/// Makes calls.
+/// Sends requests over pooled connections.
 #[derive(Clone)]
 pub struct Client {
     pool: Rc<pool::Pool>,
@@ -73,17 +72,17 @@
 }
 
 impl Client {
-    /// A client over a pool of connections.
+    /// Creates a client on a connection pool.
     pub const fn new(pool: Rc<pool::Pool>, clock: clock::SharedClock) -> Self {
         Self { pool, clock }
     }
 
-    /// Sends a request and reads its whole answer within `limit`. `keep` is for how long the other
-    /// end keeps an unused connection, if that is known.
+    /// Sends a request and buffers its response within `limit`. `keep` is the server's keep-alive
+    /// time, if known.
     ///
     /// # Errors
     ///
-    /// See [`CallError`]; after [`CallError::NotSent`] the call was not made.
+    /// See [`CallError`]; after [`CallError::NotSent`] nothing was sent.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -102,12 +101,11 @@
         with_timeout(limit, work).await
     }
 
-    /// Sends a request and reads its whole answer, however long that takes, for as long as parts of
-    /// it come.
+    /// Sends a request and buffers its response, limited only by the timeouts between frames.
     ///
     /// # Errors
     ///
-    /// See [`CallError`]; after [`CallError::NotSent`] the call was not made.
+    /// See [`CallError`]; after [`CallError::NotSent`] nothing was sent.
     pub async fn call_with_idle_timeout(
         &self,
         addr: SocketAddr,
@@ -135,7 +133,6 @@
         Ok(Response::from_parts(head, bytes.freeze()))
     }
 
-    /// Sends a request and waits for the head of its answer.
     async fn send(
         &self,
         addr: SocketAddr,
@@ -151,7 +148,7 @@
         let answer = match sent {
             Ok(answer) => answer,
             Err(mut error) => match error.take_message() {
-                // The other end had closed the connection before anything was written.
+                // The server closed the connection before anything was written.
                 Some(req) => {
                     lease = self.pool.open(addr).await.map_err(not_sent)?;
                     lease.sender.send_request(req).await.map_err(interrupted)?
@@ -163,7 +160,6 @@
     }
 }
 
-/// What comes within a time, or [`CallError::TimedOut`].
 async fn with_timeout<T>(
     limit: Duration,
     work: impl Future<Output = Result<T, CallError>>,
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -1,9 +1,8 @@
-//! One request from its arrival to its answer.
+//! Handles one request from its arrival to its response.
 //!
-//! A request is sent to one target at a time. It is sent to a second one only if the first did not
-//! run it, as the target itself says or because nothing was written to it, or if it may run more
-//! than once; and only while the route's number of targets and the budget allow it. What became of
-//! a request that was written and not answered is not known, so it is never refused as "not run".
+//! A request is sent to one target at a time, and to another one only if the first did not run it
+//! (reported by the target, or nothing was written) or its route allows retries, within the limits of
+//! the route and the retry budget. An unanswered request is never reported as "not run".
 
 use crate::{attempt, body::ResponseBody, decisions, dialect, job, router, stream, waiting};
 use bytes::Bytes;
@@ -16,41 +15,39 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 use xxhash_rust::xxh3;
 
-/// An answer or a connection that ends without being whole.
+/// Why a response or a connection ended early.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum Aborted {
-    /// the target broke off in the middle of its answer
+    /// the target closed the connection during its response
     ByTarget,
-    /// the route's time is over
+    /// the route's deadline was exceeded
     DeadlineExceeded,
-    /// the caller broke off in the middle of its request
+    /// the caller closed the connection during its request
     ByCaller,
 }
 
 impl std::error::Error for Aborted {}
 
-/// Deadline of requests whose route and caller name none.
+/// Used where the caller sets no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest answer that is read whole before it is passed on; plain services answer with some KB.
+/// Largest response that is buffered before it is forwarded.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
-/// Time to come back while no configuration is known, or from a router that ends: a process that
-/// starts learns the configuration within half a second of reaching the store, and a new connection
-/// leads to another router.
+/// `Retry-After` of a router that is starting or stopping: a start reads the configuration within 0.5 s,
+/// and a new connection leads to another router.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(700);
-/// Longest time that a request waits for a router that has just started to read what it needs, and the
-/// part of the caller's time that it may be.
+/// Longest wait for the configuration and targets at startup, at most this part of the caller's deadline.
 const STARTUP_WAIT: Duration = Duration::from_millis(600);
 const STARTUP_WAIT_DIVISOR: u32 = 4;
-/// Time to come back after a target refused and no other may be tried.
+/// `Retry-After` when a target refused and no other may be tried.
 pub const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Most targets that did not run a request that it is offered to; each costs a way there and back.
+/// Each attempt that did not run costs a round trip.
 const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
-/// Answers one request.
+/// Handles one request.
 ///
 /// # Errors
 ///
-/// [`Aborted`] closes the caller's connection without an answer.
+/// [`Aborted`] closes the caller's connection without a response.
 pub async fn handle_request<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     connection: &pause::Connection,
@@ -61,7 +58,6 @@
     let call = shared.platform.parse_request(&parts.headers);
     let startup_wait =
         STARTUP_WAIT.min(call.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTUP_WAIT_DIVISOR);
-    // When it is over, the request is judged by what is known.
     drop(tokio::time::timeout(startup_wait, wait_until_started(&shared)).await);
     let (route, limit) = match find_route(&shared, &parts) {
         Ok(found) => found,
@@ -90,8 +86,8 @@
     if route.runs_at_most_once()
         && shared.pauses.may_predate_pause(shared.clock.since_boot(), connection)
     {
-        // It may have lain in the socket while this process stood still, and its caller may have
-        // given up and have booked elsewhere. Who still waits asks again.
+        // It may have been in the socket while this process was paused, and its caller may have left
+        // and retried elsewhere. A caller that still waits retries.
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
         let status = StatusCode::SERVICE_UNAVAILABLE;
         shared.log.refused(&call.id, &route.name, status, why, arrived, now);
@@ -133,7 +129,7 @@
     Ok(answer)
 }
 
-/// A request without the head of an answer; says so when the caller leaves.
+/// Logs that the caller left if it is dropped before the response head.
 struct PendingRequest<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     id: SmolStr,
@@ -148,9 +144,8 @@
     }
 }
 
-/// Waits until a router that has just started knows the configuration and the targets. It reads both
-/// within a fraction of a second, and callers who were refused all come again at once. Where a read
-/// has failed nobody knows how long it takes, so they hear it.
+/// Waits until a starting router has the configuration and the targets, or a read of them failed.
+/// Avoids that all callers are refused and retry at once.
 async fn wait_until_started<P: router::Platform>(shared: &router::Shared<P>) {
     loop {
         let update = shared.view.borrow_mut().waker(None);
@@ -164,13 +159,10 @@
     }
 }
 
-/// A request without a route.
 enum Unrouted {
-    /// This router cannot say.
     Unavailable(&'static str),
-    /// The configuration of this version has none for it.
+    /// The configuration of this version has no matching route.
     NoRoute {
-        /// The version.
         version: u64,
     },
 }
@@ -193,7 +185,7 @@
     Ok((route.clone(), config.limits.body_bytes))
 }
 
-/// Tries targets until one answers or the request is given up.
+/// Tries targets until one responds or the request is refused.
 async fn dispatch<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     mut job: job::Job,
@@ -212,7 +204,7 @@
                 }
             }
             attempt::AttemptOutcome::NotSent => {
-                // Nobody got it, so it does not count as sent.
+                // Nothing was written, so it does not count against the route's targets.
                 job.tried.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "no connection to the target";
@@ -222,8 +214,8 @@
                 }
             }
             attempt::AttemptOutcome::NotRun => {
-                // It has run nowhere, so it does not count as one of the route's targets; the
-                // target itself is left out for a while, as it does not startup_wait the model.
+                // It did not run, so it does not count against the route's targets. The target itself is
+                // excluded for a while, as it does not hold the model.
                 job.tried.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "the target did not run it";
@@ -246,14 +238,14 @@
     }
 }
 
-/// Whether another target may get the request; takes it from the budget.
+/// Whether another target may be tried; spends a retry from the budget.
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
     (job.tried.len() as u32) < job.route.max_targets
         && job.unexecuted_attempts < MAX_UNEXECUTED_ATTEMPTS
         && shared.spend_repeat(&job.service)
 }
 
-/// Passes the answer on; gives the job back if it failed and another target is to be tried.
+/// Forwards the response, or returns the job if it failed and another target is to be tried.
 async fn forward_response<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
@@ -289,7 +281,7 @@
     Ok(Response::from_parts(head, ResponseBody::whole(body)))
 }
 
-/// After an answer that broke off: the job, if another target may be tried, else the failure.
+/// After an interrupted response, returns the job if another target may be tried, else the failure.
 fn retry_or_fail<P: router::Platform>(
     shared: &router::Shared<P>,
     mut job: job::Job,
@@ -306,7 +298,7 @@
     Ok(fail(shared, &job, StatusCode::BAD_GATEWAY, why))
 }
 
-/// Refuses a request that has not run. One whose attempt may have run is not told so.
+/// Refuses a request that has not run; one that may have run is failed instead.
 fn refuse<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
@@ -321,7 +313,7 @@
     local_response(status, why, Some(wait_limit::retry_after(after, job.jitter())))
 }
 
-/// Ends a request whose fate is not known, or that ran and failed.
+/// Fails a request that ran, or may have run.
 fn fail<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
@@ -332,7 +324,7 @@
     local_response(status, why, None)
 }
 
-/// An answer of the router's own.
+/// A response of the router itself.
 pub fn local_response(
     status: StatusCode,
     why: &'static str,
@@ -349,7 +341,7 @@
     answer
 }
 
-/// One attempt at another target for the rest of a stream.
+/// Requests the rest of a stream from another target.
 pub async fn resume<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: &mut job::Job,
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: taken, served, and ended without cutting a request.
+//! HTTP server for callers: accepts and serves connections, and drains them on shutdown.
 
 use crate::{body, exchange, router};
 use bytes::Bytes;
@@ -17,21 +17,18 @@
     sync::watch,
 };
 
-/// Connections that may wait to be taken. A burst of clients after a host is gone brings some
-/// hundred at once; one that finds no room tries again only after a second.
+/// Holds a burst of reconnects after a host fails; a SYN that is dropped is resent only after 1 s.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// Time for which a stopping router still takes connections: whoever sends callers here asks once
-/// a second whether it is ready and goes by two answers.
+/// A stopping router accepts connections for this long: load balancers check readiness each second and
+/// act on the second failure.
 const READINESS_GRACE: Duration = Duration::from_millis(2_600);
-/// Time before the end of a stop at which requests without the head of an answer are answered: they
-/// would else end with a closed connection, which tells their callers nothing.
+/// Pending requests are answered this long before the stop timeout, rather than closed without a
+/// response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
-/// Time before the end of a stop at which what is still open is cut, so that callers see a closed
-/// connection and not a dead host.
+/// Open connections are closed this long before the stop timeout, before the process is killed.
 const CLOSE_MARGIN: Duration = Duration::from_millis(400);
-/// Pause between looks at what is still open during a stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Least room for the head of a request that the HTTP library takes.
+/// Smallest buffer that hyper accepts.
 const MIN_HEADER_BYTES: usize = 8_192;
 
 /// Opens a listening socket.
@@ -49,12 +46,12 @@
     open().map_err(|error| router::StartError::Listen { addr, error })
 }
 
-/// Answers the readiness check.
+/// Serves the readiness check.
 pub fn serve_ready<P: router::Platform>(shared: &Rc<router::Shared<P>>, listener: TcpListener) {
     serve_local(shared, listener, readiness);
 }
 
-/// Answers with a text for a path, or 404.
+/// Serves the text of a path, or 404.
 pub fn serve_text<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
@@ -66,7 +63,7 @@
     });
 }
 
-/// Serves short answers that need nothing but what is known.
+/// Serves responses that are computed from local state.
 fn serve_local<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
@@ -85,7 +82,7 @@
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 if let Err(error) = connection.await {
-                    tracing::debug!(%error, "a connection for short answers ended");
+                    tracing::debug!(%error, "local connection ended");
                 }
             });
         }
@@ -108,13 +105,13 @@
     }
 }
 
-/// Whether callers should be sent here.
+/// Whether load balancers may send callers here.
 pub fn is_ready<P: router::Platform>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
-/// Takes a caller's connection; notes when there is none.
+/// Accepts a connection and records in the pause detector when none is pending.
 async fn accept_caller(pauses: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
     let mut accept = pin!(accept(listener));
     future::poll_fn(|cx| pauses.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
@@ -124,20 +121,20 @@
     match listener.accept().await {
         Ok((stream, _)) => {
             if let Err(error) = stream.set_nodelay(true) {
-                tracing::debug!(%error, "connection without nodelay");
+                tracing::debug!(%error, "could not set TCP_NODELAY");
             }
             Some(stream)
         }
         Err(error) => {
-            // Out of descriptors, as a rule: others have to be closed first.
-            tracing::warn!(%error, "a connection could not be taken");
+            // Usually out of file descriptors: wait until others are closed.
+            tracing::warn!(%error, "could not accept a connection");
             tokio::time::sleep(POLL_INTERVAL).await;
             None
         }
     }
 }
 
-/// Serves callers until `stop` is done and what was begun is answered.
+/// Serves callers until `stop` completes, then drains open connections.
 pub async fn serve<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
@@ -161,9 +158,9 @@
         refuses_from: stopping_since + READINESS_GRACE.min(stop_timeout / 2),
         answers_by: stopping_since + stop_timeout.saturating_sub(RESPONSE_MARGIN),
     }));
-    tracing::info!(open = shared.open.get(), "stopping: no longer ready");
-    // Each open connection ends with the answer that it is giving; unused ones end now. A request
-    // that crosses the end of its connection was not read, and its caller may repeat it.
+    tracing::info!(open = shared.open.get(), "stopping: readiness withdrawn");
+    // Active connections close after their response, idle ones now. A request that arrives on a
+    // closing connection is not read, so its caller may retry it.
     closing.send_replace(true);
     loop {
         let now = shared.clock.now();
@@ -181,12 +178,11 @@
     if shared.open.get() > 0 {
         tracing::warn!(
             cut = shared.open.get(),
-            "stopped with requests that were not answered in time"
+            "stop timeout: closing connections with unanswered requests"
         );
     }
 }
 
-/// Serves one connection.
 fn spawn_connection<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     stream: TcpStream,
@@ -216,9 +212,8 @@
                 }
                 _ = closing.wait_for(|closing| *closing), if !notified => {
                     notified = true;
-                    // A connection that has carried nothing yet is new: its first request is on
-                    // its way, and its answer will say that the connection ends. Closed now, its
-                    // caller would get nothing.
+                    // On a new connection the first request may be on its way: its response will
+                    // carry `Connection: close`.
                     if served.get() {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -232,14 +227,14 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The time runs from the end of the last answer, so it bounds unused connections too.
+        // Starts at the end of the previous response, so it limits idle connections too.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
         .max_buf_size(limits.header_bytes.max(MIN_HEADER_BYTES))
         .half_close(false);
     builder
 }
 
-/// Counts a request while it is being answered.
+/// Decrements the number of open requests on drop.
 struct OpenCount<P>(Rc<router::Shared<P>>);
 
 impl<P> Drop for OpenCount<P> {
