--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one target.
+//! One attempt to send a request to a target.
 
 use crate::{dialect, job, pool, router};
 use corianderstand_fleet::targets;
@@ -7,46 +7,42 @@
 use hyper::body::Incoming;
 use std::{rc::Rc, time::Duration};
 
-/// The target is given this much less than is left, so that its own answer to an expired request
-/// arrives before ours is due.
+/// Subtracted from the target's deadline, so that its own timeout response arrives before ours is due.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
-/// A target that has said nothing for this many times the route's aim is given up for another, if
-/// the request may be repeated. At twice the aim it is late already, and three targets in four
-/// answer within one.
+/// Multiple of the route's latency objective after which a request that may be retried is tried elsewhere.
 const RESPONSE_TIMEOUT_OBJECTIVES: u32 = 2;
-/// Least time before a silent target is given up: work that takes five times as long as usual (0.3
-/// s) is slow, not lost.
+/// Keeps slow work, usually 0.3 s, from being taken for lost.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How one attempt ended.
 pub enum AttemptOutcome<P: router::Platform> {
-    /// The head of an answer came.
+    /// The response head arrived.
     Answered(Box<Answered<P>>),
     /// Nothing was written to the target.
     NotSent,
-    /// The target says that it did not run the request.
+    /// The target reported that it did not run the request.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown(&'static str),
-    /// The request's time is over.
+    /// The request's deadline was exceeded.
     DeadlineExceeded,
 }
 
-/// The head of an answer, with what the rest comes over.
+/// A response head and the connection that carries its body.
 pub struct Answered<P: router::Platform> {
-    /// Status and headers as the target sent them.
+    /// Status and headers.
     pub head: http::response::Parts,
-    /// What they say.
+    /// The parsed headers.
     pub info: dialect::ResponseHead,
-    /// The rest.
+    /// The body.
     pub body: Incoming,
     /// The connection.
     pub lease: pool::Lease,
-    /// Counts the request at the target.
+    /// The request's count at the target.
     pub in_flight: job::InFlight<P>,
 }
 
-/// Sends the request to a target and waits for the head of its answer.
+/// Sends the request to a target and waits for the response head.
 pub async fn attempt<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: &mut job::Job,
@@ -85,7 +81,7 @@
         let answer = match wait_for_head(shared, job, key, sending).await {
             Head::Received(answer) => answer,
             Head::NotSent(req) if lease.reused => {
-                // The target had closed the connection before anything was written.
+                // The target closed the idle connection before anything was written.
                 match shared.pool.open(addr).await {
                     Ok(new) => lease = new,
                     Err(error) => {
@@ -136,7 +132,7 @@
     }
     if info.not_run {
         shared.not_run(key, job, head.status, info.target.as_ref());
-        // Its short answer is not waited for; the connection is closed.
+        // The body isn't read; dropping the lease closes the connection.
         return AttemptOutcome::NotRun;
     }
     if !info.signed {
@@ -146,7 +142,6 @@
     AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, in_flight }))
 }
 
-/// What came of waiting for the head of an answer.
 enum Head {
     Received(Response<Incoming>),
     NotSent(Box<Request<pool::Body>>),
@@ -191,7 +186,6 @@
     }
 }
 
-/// The request as the target gets it.
 fn build_request<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
--- a/crates/corianderstand_forward/src/body.rs
+++ b/crates/corianderstand_forward/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use crate::exchange::Aborted;
 use bytes::Bytes;
@@ -10,10 +10,10 @@
     task::{Context, Poll},
 };
 
-/// A body that is there as a whole, or comes as events do.
+/// A buffered or streamed body.
 pub struct ResponseBody {
     source: Source,
-    /// Held for its drop alone: with the body, when it has gone out or the caller has left.
+    /// Dropped with the body, when it was sent or the caller left.
     _guard: Option<Box<dyn Any>>,
 }
 
@@ -23,17 +23,17 @@
 }
 
 impl ResponseBody {
-    /// A body that is there as a whole.
+    /// A buffered body.
     pub fn whole(bytes: Bytes) -> Self {
         Self { source: Source::Whole(Full::new(bytes)), _guard: None }
     }
 
-    /// A body that comes in pieces.
+    /// A streamed body.
     pub fn stream(body: impl Body<Data = Bytes, Error = Aborted> + 'static) -> Self {
         Self { source: Source::Stream(Box::pin(body)), _guard: None }
     }
 
-    /// Keeps something until the body has gone out.
+    /// Attaches a guard that is dropped with the body.
     #[must_use]
     pub fn with_guard(self, guard: impl Any) -> Self {
         Self { _guard: Some(Box::new(guard)), ..self }
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -1,4 +1,4 @@
-//! A request while it is answered, and its count at the target that has it.
+//! A request that is being handled, and its count at the target that handles it.
 
 use crate::{dialect, router, view};
 use bytes::Bytes;
@@ -11,58 +11,58 @@
     time::{Duration, Instant},
 };
 
-/// Callers leave a stream that has said nothing for this long, or for this many of the route's aims
-/// or pauses, whichever is longest.
+/// Callers leave an idle stream after this time, or this many of the route's latency or gap objectives,
+/// whichever is longest.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
 const ABANDON_OBJECTIVES: u32 = 4;
 const ABANDON_GAPS: u32 = 8;
-/// Tokens of an answer whose length nobody guesses.
+/// Used where the caller gives no estimate.
 const DEFAULT_OUTPUT_TOKENS: u64 = 300;
 
-/// A request that was read and is to be answered.
+/// A request that was read and awaits its response.
 pub struct Job {
-    /// What its headers say.
+    /// The parsed headers.
     pub call: dialect::Call,
-    /// The route that it took.
+    /// The matched route.
     pub route: Arc<config::Route>,
-    /// The service that it goes to.
+    /// The service of the route.
     pub service: names::ServiceId,
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// The headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Instant,
-    /// When its caller or its route gives up.
+    /// The earlier deadline of caller and route.
     pub deadline: Instant,
-    /// Since when its caller has heard nothing: its arrival, or a stream's last event.
+    /// When the caller last received data: arrival, or the last event of a stream.
     pub idle_since: Instant,
-    /// Hash of its id.
+    /// Hash of the request id.
     pub hash: u64,
-    /// Its prompt's parts.
+    /// The prompt's prefixes.
     pub chain: prefixes::Chain,
-    /// Targets that it was sent to.
+    /// Targets that were tried.
     pub tried: Vec<targets::TargetKey>,
-    /// Targets that said that they did not run it.
+    /// Attempts that did not run.
     pub unexecuted_attempts: u32,
-    /// An attempt was written to a target and its fate is not known.
+    /// Whether an attempt has an unknown outcome.
     pub may_have_run: bool,
-    /// When it was last sent.
+    /// Time of the last attempt.
     pub sent_at: Option<Instant>,
-    /// The target that it was last sent to, for the log.
+    /// Target of the last attempt, for the log.
     pub last_target: names::TargetId,
-    /// Tokens of its prompt that the target which it was last sent to has to read.
+    /// Prompt tokens that were not cached at the last target.
     pub prefill_tokens: u64,
-    /// Why it was last not answered.
+    /// Why the last attempt failed.
     pub last_failure: &'static str,
 }
 
 impl Job {
-    /// Tokens that it is expected to need.
+    /// Expected prompt and output tokens.
     pub fn tokens(&self) -> u64 {
         if self.call.requested_model.is_none() {
             return 0;
@@ -74,13 +74,13 @@
         self.call.prompt_tokens + self.call.output_hint.unwrap_or(DEFAULT_OUTPUT_TOKENS).min(max)
     }
 
-    /// Tokens of its prompt that a target is not known to have read.
+    /// Prompt tokens that are not known to be cached at a target.
     pub fn uncached_tokens(&self, view: &view::View, key: targets::TargetKey) -> u64 {
         let cached = view.prefixes.find(&self.chain).filter(|(holder, _)| *holder == key);
         self.call.prompt_tokens.saturating_sub(cached.map_or(0, |(_, tokens)| tokens))
     }
 
-    /// Time that an engine needs to read the rest of its prompt alone; none if it has none to read.
+    /// Expected prefill time of the uncached tokens, if there are any.
     pub fn prefill_time(
         &self,
         view: &view::View,
@@ -95,8 +95,7 @@
         Some(Duration::from_secs_f64(unread as f64 * s_per_token))
     }
 
-    /// When a request that got nothing yet is of no more use: its caller leaves a stream that says
-    /// nothing for too long.
+    /// When the caller is expected to leave if it receives nothing.
     pub fn abandoned_at(&self) -> Instant {
         if !self.route.streams {
             return self.deadline;
@@ -107,18 +106,18 @@
         self.deadline.min(self.idle_since + silence)
     }
 
-    /// A number between 0 and 1 that spreads requests.
+    /// A number in [0, 1) derived from the request id.
     pub fn jitter(&self) -> f64 {
         (self.hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// The model that it wants.
+    /// The requested model.
     pub fn model(&self) -> Option<&names::ModelId> {
         self.call.requested_model.as_ref().map(|requested| &requested.model)
     }
 }
 
-/// A request that is at a target; counts there until it is dropped.
+/// Counts a request at a target until it is dropped.
 pub struct InFlight<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     key: targets::TargetKey,
@@ -127,7 +126,7 @@
 }
 
 impl<P: router::Platform> InFlight<P> {
-    /// Counts a request at a target.
+    /// Adds a request to a target's counts.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
         let requested = job.call.requested_model.clone();
         let in_flight = Self { shared: shared.clone(), key, requested, tokens: job.tokens() };
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -1,9 +1,8 @@
-//! Connections to targets and to the store.
+//! Connection pool to targets and the store.
 //!
-//! A connection carries one request at a time. It is used again only if the other end is not about
-//! to close it: a request that crosses a close may or may not have been read, and one that may not
-//! be repeated would then fail without need. Connections that go silent are found by the request's
-//! own time limits and by `TCP_USER_TIMEOUT`.
+//! A connection carries one request at a time. It is reused only well before the server's keep-alive
+//! time ends: whether a request that crosses a close was read is unknown, so one that must not be
+//! retried would fail. Unresponsive connections are found by request timeouts and `TCP_USER_TIMEOUT`.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -20,20 +19,17 @@
 };
 use tokio::net::TcpStream;
 
-/// Body of the requests that this process sends.
+/// Body of outgoing requests.
 pub type Body = Full<Bytes>;
 /// Sends requests on one connection.
 pub type Sender = http1::SendRequest<Body>;
 
-/// Time for a connection to be opened. The other end is at most a few ms away; a host that is cut
-/// off does not answer at all.
+/// Servers are at most a few ms away.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Unused time after which a connection is not used again when the other end does not say how long
-/// it keeps it. Common defaults of servers begin at 5 s.
+/// Used where the server states no keep-alive time; common server defaults start at 5 s.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// Part of the other end's time that is used; the rest covers a slowed host and a request on its way.
+/// The rest of the server's keep-alive time covers a slow host and a request in transit.
 const KEEP_ALIVE_DIVISOR: u32 = 2;
-/// Bytes that were sent and not acknowledged for this long end a connection.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 struct Idle {
@@ -42,18 +38,18 @@
     keep_alive: Duration,
 }
 
-/// A connection that is in use.
+/// A connection in use.
 #[derive(Debug)]
 pub struct Lease {
-    /// Sends the request.
+    /// The request sender.
     pub sender: Sender,
-    /// Where it leads.
+    /// The server's address.
     pub addr: SocketAddr,
-    /// It has carried a request before.
+    /// Whether it carried a request before.
     pub reused: bool,
 }
 
-/// A stream whose end is its reset: it is dropped without saying first that no more will come.
+/// Skips the shutdown of the write half, so that closing resets the connection.
 struct ResetOnClose(TokioIo<TcpStream>);
 
 impl rt::Read for ResetOnClose {
@@ -96,18 +92,18 @@
     }
 }
 
-/// Connections that wait for their next request.
+/// Idle connections by address.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<HashMap<SocketAddr, VecDeque<Idle>>>,
 }
 
 impl Pool {
-    /// A connection: one that was used before if there is a sound one, else a new one.
+    /// Returns an idle connection, or opens one.
     ///
     /// # Errors
     ///
-    /// What kept a new one from being opened.
+    /// The connection could not be opened.
     pub async fn lease(&self, now: Instant, addr: SocketAddr) -> Result<Lease, io::Error> {
         match self.pop_idle(now, addr) {
             Some(sender) => Ok(Lease { sender, addr, reused: true }),
@@ -115,18 +111,18 @@
         }
     }
 
-    /// A new connection.
+    /// Opens a connection.
     ///
     /// # Errors
     ///
-    /// What kept it from being opened.
+    /// The connection could not be opened.
     pub async fn open(&self, addr: SocketAddr) -> Result<Lease, io::Error> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
         stream.set_nodelay(true)?;
         let socket = socket2::SockRef::from(&stream);
         socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
-        // A connection that is closed takes back what it has not delivered. Else a request that is
-        // held up on a link that is cut arrives when the link is back, long after its caller left.
+        // Closing discards unsent data. Otherwise a request that is delayed by a link failure arrives
+        // when the link is back, long after its caller left.
         socket.set_linger(Some(Duration::ZERO))?;
         let handshake = http1::handshake(ResetOnClose(TokioIo::new(stream))).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
@@ -138,8 +134,8 @@
         Ok(Lease { sender, addr, reused: false })
     }
 
-    /// Gives back a connection whose answer was read to its end. `keep` is the time for which the
-    /// other end says that it keeps it.
+    /// Returns a connection whose response was read to its end. `keep_alive` is the time that the
+    /// server stated.
     pub fn release(&self, now: Instant, lease: Lease, keep_alive: Option<Duration>) {
         let keep_alive =
             keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE * KEEP_ALIVE_DIVISOR) / KEEP_ALIVE_DIVISOR;
@@ -150,7 +146,7 @@
         self.idle.borrow_mut().entry(lease.addr).or_default().push_back(idle);
     }
 
-    /// Closes what has been unused for too long.
+    /// Closes expired connections.
     pub fn sweep(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
@@ -159,12 +155,12 @@
         idle.retain(|_, list| !list.is_empty());
     }
 
-    /// Closes what leads to an address.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 
-    /// The one that was used last, as it is the least likely to be closing.
+    /// Prefers the most recently used connection: it is the least likely to be closing.
     fn pop_idle(&self, now: Instant, addr: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&addr)?;
--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -1,21 +1,18 @@
-//! Passing a stream's events on as they come, and taking the stream up elsewhere when it breaks.
+//! Splits a server-sent event stream into whole events, so that it can be resumed at another target.
 //!
-//! Of a stream that may be taken up, only whole events are passed on: a target may stop in the
-//! middle of one, and the rest would be joined to the first event of the next target. The number of
-//! the last event that went out is what the next target is asked to go on after.
+//! A target may stop in the middle of an event, so only whole events of a resumable stream are
+//! forwarded. The next target is asked to continue after the id of the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Ends an event.
 const EVENT_END: &[u8] = b"\n\n";
-/// Begins the line with an event's number.
 const ID_FIELD: &[u8] = b"id:";
 
-/// A target that took a stream up did not go on with the next event.
+/// A resumed stream did not continue with the next event.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct EventGap;
 
-/// Cuts a stream's bytes into whole events.
+/// Splits a stream into whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -25,11 +22,11 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns the whole events that are there now.
+    /// Appends bytes and returns the events that are complete.
     ///
     /// # Errors
     ///
-    /// [`EventGap`] if the stream was taken up and its first event is not the next one.
+    /// [`EventGap`] if the stream was resumed and its first event is not the next one.
     pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, EventGap> {
         if self.partial.is_empty() && chunk.ends_with(EVENT_END) {
             self.record(&chunk)?;
@@ -42,23 +39,23 @@
         Ok(Some(whole))
     }
 
-    /// Whether bytes of an event that is not whole are left.
+    /// Whether an incomplete event is buffered.
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Forgets the event that is not whole; the next target begins it anew.
+    /// Discards the incomplete event, which the next target sends again.
     pub fn resume(&mut self) {
         self.partial.clear();
         self.resumed = true;
     }
 
-    /// Number of the last whole event.
+    /// Id of the last whole event.
     pub const fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Whole events so far.
+    /// Number of whole events.
     pub const fn events(&self) -> u64 {
         self.events
     }
@@ -76,7 +73,6 @@
     }
 }
 
-/// The number in a line `id: 12`.
 fn parse_event_id(line: &[u8]) -> Option<u64> {
     let rest = line.strip_prefix(ID_FIELD)?;
     std::str::from_utf8(rest).ok()?.trim().parse().ok()
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -25,7 +25,8 @@
 /// Pending requests are answered this long before the stop timeout, rather than closed without a
 /// response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
-/// Open connections are closed this long before the stop timeout, before the process is killed.
+/// Open connections are closed this long before the stop timeout, so that callers see a close rather
+/// than a dead host.
 const CLOSE_MARGIN: Duration = Duration::from_millis(400);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Smallest buffer that hyper accepts.
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -1,4 +1,4 @@
-//! The events of one stream on their way to the caller.
+//! Relays the events of one stream to the caller, and resumes it at another target when it breaks.
 
 use crate::{attempt, body, decisions, dialect, exchange, job, pool, relay, router};
 use bytes::Bytes;
@@ -11,15 +11,13 @@
     time::{Duration, Instant},
 };
 
-/// A target that sends nothing for this many of the longest useful pauses is given up for another
-/// that can take the stream up.
+/// Multiple of the route's gap objective after which a stream is resumed elsewhere.
 const IDLE_TIMEOUT_GAPS: u32 = 5;
-/// Used where a route names no pause.
+/// Used where the route has no gap objective.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A stream is ended this long after its route's time; the target ends its own before that.
+/// Lets the target end the stream itself at the deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 
-/// A stream that is being passed on.
 struct RelayedStream<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     job: job::Job,
@@ -30,14 +28,14 @@
     timings: EventTimings,
 }
 
-/// How the events of a stream came, for the log.
+/// When the events of a stream arrived.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventTimings {
-    /// When the first came.
+    /// Arrival of the first event.
     pub first_at: Option<Instant>,
-    /// When the last came.
+    /// Arrival of the last event.
     pub last_at: Option<Instant>,
-    /// Longest pause between two.
+    /// Longest gap between two events.
     pub longest_gap: Duration,
 }
 
@@ -50,7 +48,6 @@
     }
 }
 
-/// Where the events come from.
 struct Upstream<P: router::Platform> {
     body: Incoming,
     lease: pool::Lease,
@@ -58,7 +55,6 @@
     info: dialect::ResponseHead,
 }
 
-/// What the next wait brought.
 enum Step {
     Data(Bytes),
     Complete,
@@ -67,7 +63,7 @@
     DeadlineExceeded,
 }
 
-/// A stream whose head has gone out; says so when the caller leaves before its end.
+/// Logs that the caller left if the stream is dropped before its end.
 struct AbandonGuard<P: router::Platform>(RelayedStream<P>);
 
 impl<P: router::Platform> Drop for AbandonGuard<P> {
@@ -79,11 +75,11 @@
     }
 }
 
-/// Waits for the first event and answers with the stream.
+/// Waits for the first event and returns the response with the stream.
 ///
 /// # Errors
 ///
-/// Why no event came; nothing has gone to the caller yet.
+/// The job and why there was no event; nothing was sent to the caller yet.
 pub async fn start<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
@@ -117,7 +113,6 @@
 }
 
 impl<P: router::Platform> RelayedStream<P> {
-    /// The next bytes for the caller.
     async fn next(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
         if self.ended {
             return None;
@@ -153,7 +148,7 @@
 
     fn forward(&mut self, chunk: Bytes) -> Result<Option<Bytes>, relay::EventGap> {
         let whole = self.splitter.push(chunk.clone())?;
-        // What cannot be taken up elsewhere goes on as it comes.
+        // A stream that can't be resumed needn't be cut at events.
         Ok(if self.job.route.resumable { whole } else { Some(chunk) })
     }
 
@@ -191,7 +186,7 @@
                 }
                 Ok(None) => return Step::Complete,
                 Ok(Some(Err(error))) => {
-                    tracing::debug!(id = %self.job.call.id, %error, "stream broke");
+                    tracing::debug!(id = %self.job.call.id, %error, "stream interrupted");
                     return Step::Interrupted;
                 }
                 Err(_) => {
@@ -216,7 +211,6 @@
         self.shared.log.streamed(&self.job, &ended, self.shared.clock.now());
     }
 
-    /// The stream is whole.
     fn complete(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
         self.ended = true;
         if let Some(upstream) = self.upstream.take() {
@@ -230,7 +224,7 @@
         None
     }
 
-    /// The rest of the stream cannot be had; the caller's connection ends without its end.
+    /// Closes the caller's connection without the end of the stream.
     fn abort(
         &mut self,
         why: &'static str,
@@ -244,13 +238,13 @@
         Some(Err(aborted))
     }
 
-    /// Has another target go on after the last event that went out.
+    /// Continues at another target after the last event that was sent.
     async fn resume(&mut self, why: &'static str) -> bool {
         let now = self.shared.clock.now();
         self.shared.log.attempt_failed(&self.job, why, None, now);
         if let Some(upstream) = self.upstream.take() {
             self.shared.target_failed(upstream.in_flight.key(), why);
-            // Closing the connection ends the work there before it goes on elsewhere.
+            // Closing the connection cancels the request there before it continues elsewhere.
             drop(upstream);
         }
         if !self.job.route.resumable {
@@ -268,7 +262,7 @@
                 true
             }
             Err(why) => {
-                tracing::debug!(id = %self.job.call.id, why, "stream not taken up");
+                tracing::debug!(id = %self.job.call.id, why, "could not resume the stream");
                 false
             }
         }
