--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -1,6 +1,6 @@
-//! What a platform's adapter supplies: names on the wire, and calls to the store and to engines.
+//! Traits that a platform adapter implements: header names, and calls to the store and to engines.
 //!
-//! Each trait stands for one edge of the system. An adapter translates and decides nothing.
+//! An adapter only translates; it makes no decisions.
 
 use crate::client;
 use bytes::Bytes;
@@ -15,80 +15,80 @@
 /// A part of a prompt that other requests may share.
 #[derives(key)]
 pub struct PromptPart {
-    /// What identifies it, together with the parts before it.
+    /// Identifies the part together with those before it.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a request's headers say.
+/// The parsed headers of a request.
 #[derives(data)]
 #[derive(Default)]
 pub struct Call {
-    /// The caller's id of this attempt.
+    /// The caller's request id.
     pub id: SmolStr,
-    /// How long the caller will wait.
+    /// The caller's timeout.
     pub deadline: Option<Duration>,
-    /// The model it wants.
+    /// The requested model and adapter.
     pub requested_model: Option<choose::RequestedModel>,
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Limit of output tokens; 0 for none.
     pub max_output_tokens: u64,
-    /// Tokens of the answer, as the caller guesses.
+    /// The caller's estimate of output tokens.
     pub output_hint: Option<u64>,
     /// The prompt's parts, in order.
     pub parts: Vec<PromptPart>,
-    /// The caller has the stream's events up to this one.
+    /// The last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What the router adds to a request that it passes on.
+/// What the router adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedRequest<'a> {
-    /// The target that it is meant for; any other refuses it.
+    /// The intended target; any other refuses the request.
     pub target: &'a names::TargetId,
-    /// Time that is left for it.
+    /// Time until the deadline.
     pub time_left: Duration,
-    /// Rank at an engine; 0 is the most urgent.
+    /// Priority at an engine; 0 is the highest.
     pub priority: Option<u8>,
-    /// The last event that the caller has.
+    /// The last event that the caller received.
     pub last_event: Option<u64>,
 }
 
-/// What the head of a target's answer says.
+/// The parsed head of a target's response.
 #[derives(data)]
 #[derive(Default)]
 pub struct ResponseHead {
-    /// The target says that it did not run the request and never will.
+    /// The target did not run the request and never will.
     pub not_run: bool,
-    /// The target vouches for the answer.
+    /// The target signed the response.
     pub signed: bool,
-    /// The id of the request that it answers, if it names one.
+    /// Id of the answered request.
     pub request: Option<SmolStr>,
-    /// The target that answers, if it says who it is.
+    /// Id of the responding target.
     pub target: Option<names::TargetId>,
-    /// How busy the target is.
+    /// Load of the target.
     pub load: Option<targets::Load>,
-    /// How long the target keeps the connection open unused; none if it does not say.
+    /// The target's keep-alive time.
     pub keep_alive: Option<Duration>,
-    /// The target closes the connection after this answer.
+    /// The target closes the connection after this response.
     pub closes_connection: bool,
 }
 
-/// Names and meanings of headers.
+/// Translates headers.
 pub trait Dialect {
-    /// Reads a request's headers.
+    /// Parses the headers of a request.
     fn parse_request(&self, headers: &HeaderMap) -> Call;
-    /// Takes out what concerns one connection or is not the caller's to set, and adds the router's.
+    /// Removes hop-by-hop headers and those that callers may not set, and adds the router's.
     fn rewrite_request(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
-    /// Reads the head of an answer.
+    /// Parses the head of a response.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
-    /// Takes out of an answer what concerns one connection.
+    /// Removes hop-by-hop headers from a response.
     fn rewrite_response(&self, headers: &mut HeaderMap);
 }
 
-/// What is followed in the store.
+/// A kind of records in the store.
 #[derives(key)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub enum Subject {
@@ -100,180 +100,179 @@
     Routers,
 }
 
-/// The newest value of one key.
+/// The latest value of a key.
 #[derives(wire)]
 #[derive(Eq)]
 pub struct Record {
     /// The key.
     pub key: SmolStr,
-    /// Its value; none if it was dropped.
+    /// The value, or none if the key was deleted.
     pub value: Option<Bytes>,
-    /// Its place in the subject's history.
+    /// The record's offset in the subject's log.
     pub offset: u64,
 }
 
-/// Records of a subject in order.
+/// Records of a subject, in order.
 #[derives(wire)]
 #[derive(Default, Eq)]
 pub struct Page {
     /// The records.
     pub records: Vec<Record>,
-    /// Where to go on.
+    /// Offset to continue from.
     pub next: u64,
-    /// All keys are in it: what is not is gone.
+    /// Contains all keys: missing ones were deleted.
     pub whole: bool,
 }
 
-/// What a record says, in the system's own terms.
+/// A decoded record.
 #[derives(data)]
 pub enum Update {
-    /// The configuration in force.
+    /// A new configuration.
     Config(Arc<config::Config>),
-    /// A target registered, or renewed its entry.
+    /// A target registered or renewed its entry.
     Target(targets::Entry),
     /// A target's entry was removed.
     TargetRemoved(names::TargetId),
-    /// A router is there.
+    /// A router was announced.
     Router(RouterEntry),
-    /// A router has stopped.
+    /// A router was withdrawn.
     RouterRemoved(SmolStr),
 }
 
-/// Where a router is reached by its peers.
+/// A router's address for its peers.
 #[derives(wire)]
 #[derive(Eq)]
 pub struct RouterEntry {
-    /// Its name.
+    /// The router's name.
     pub router: SmolStr,
-    /// Address and port for datagrams and transfers.
+    /// Address for datagrams and transfers.
     pub addr: std::net::SocketAddr,
 }
 
-/// A call to the store that failed.
+/// Why a call to the store failed.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum StoreError {
-    /// the store no longer has the records after offset {0}: take the newest of each key instead
+    /// the store no longer has the records after offset {0}: the newest of each key are read instead
     Compacted(u64),
-    /// the store answered {0}: wait, the call is repeated with pauses
+    /// the store returned status {0}: wait, the call is retried with backoff
     Refused(u16),
-    /// the store cannot be reached ({0}): check `platform.address`, or wait, the call is repeated
+    /// the store cannot be reached ({0}): check `platform.address`, or wait, the call is retried
     Unreachable(String),
-    /// nothing came from the store for {0} ms: wait, the call is repeated on another connection
+    /// no data received from the store for {0} ms: wait, the call is retried on another connection
     TimedOut(u64),
-    /// the store's answer cannot be read ({0}): check that `platform.address` is the store
+    /// the store's response cannot be decoded ({0}): check that `platform.address` is the store
     Malformed(String),
 }
 
 impl std::error::Error for StoreError {}
 
-/// A record that cannot be used.
+/// Why a record was skipped.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum RecordError {
-    /// `{key}` cannot be read ({reason}): it was left out, what was in force before stays
+    /// `{key}` cannot be decoded ({reason}): it was skipped, the previous value stays in force
     Unreadable {
-        /// Its key.
+        /// The record's key.
         key: SmolStr,
-        /// What is wrong.
+        /// The decoding error.
         reason: String,
     },
 }
 
 impl std::error::Error for RecordError {}
 
-/// How a read of the store is waited for.
+/// Timeouts of a read from the store.
 #[derive(Clone, Debug)]
 pub struct ReadOptions {
-    /// Longest time that the store waits for news.
+    /// Longest time that the store waits for a new record.
     pub wait: Duration,
-    /// Time beyond that after which a store that says nothing is given up, also in the middle of an
-    /// answer. An answer that comes, however slowly, is not.
+    /// Added to `wait` until the response begins, and the limit between two parts of it.
     pub idle_timeout: Duration,
-    /// Told of each part of the answer.
+    /// Updated with each part of the response.
     pub last_received: client::LastReceived,
 }
 
 /// The deployment's store.
 pub trait Store {
-    /// The newest record of each key of a subject.
+    /// Reads the newest record of each key of a subject.
     fn newest(
         &self,
         subject: Subject,
         waiting: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
-    /// Records from an offset on; waits for the first.
+    /// Reads records from an offset on; waits for the first.
     fn read(
         &self,
         subject: Subject,
         from: u64,
         waiting: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
-    /// Tells other routers of this one.
+    /// Announces this router to the others.
     fn announce(&self, entry: &RouterEntry) -> impl Future<Output = Result<(), StoreError>>;
-    /// Tells other routers that this one has stopped.
+    /// Withdraws this router's announcement.
     fn withdraw(&self, router: &str) -> impl Future<Output = Result<(), StoreError>>;
-    /// What a record says; none if it is of no interest.
+    /// Decodes a record; none if it is not relevant.
     ///
     /// # Errors
     ///
-    /// A record that is not as it should be, which may be somebody else's.
+    /// The record is malformed.
     fn decode(&self, subject: Subject, record: &Record) -> Result<Option<Update>, RecordError>;
 }
 
-/// An engine's own account of itself.
+/// An engine's report of its state.
 #[derives(data)]
 pub struct EngineReport {
-    /// Its start, in Unix milliseconds, if it says so.
+    /// Start of the process as a Unix timestamp, if reported.
     pub started_at_ms: Option<u64>,
-    /// What it holds.
+    /// Resident models and cached weights.
     pub holdings: targets::Holdings,
-    /// Whether it is carrying out an order for a model.
+    /// Whether it is executing a command for a model.
     pub busy: bool,
-    /// Adapters that are on their way to it.
+    /// Number of adapters that are being loaded.
     pub adapters_loading: usize,
-    /// How busy it is.
+    /// Load of the engine.
     pub load: targets::Load,
 }
 
-/// What an engine said to an order.
+/// Result of sending a command to an engine.
 #[derives(key)]
 pub enum CommandOutcome {
-    /// It carries it out.
+    /// The engine executes the command.
     Accepted,
-    /// It holds already, or was carried out at once.
+    /// The command had no effect or was executed at once.
     Done,
-    /// Another order is under way, or its state has moved on.
+    /// Another command is executing, or the engine's state has changed.
     Conflict,
-    /// It is not the engine that the order was meant for.
+    /// The command was meant for another engine.
     OtherEngine,
-    /// It will not do it.
+    /// The engine returned this status.
     Rejected(u16),
-    /// It could not be reached; the order was not sent.
+    /// The command was not sent.
     NotSent,
-    /// It did not answer: it may carry the order out now, later or never.
+    /// No response: the command may be executed now, later or never.
     Unknown,
 }
 
-/// An order with what makes it safe.
+/// A command with the preconditions that the engine checks.
 #[derive(Clone, Copy, Debug)]
 pub struct GuardedCommand<'a> {
-    /// The engine that it is meant for.
+    /// The intended engine.
     pub target: &'a names::TargetId,
-    /// The order.
+    /// The command.
     pub command: &'a corianderstand_fleet::reconcile::Command,
-    /// Orders that the engine had accepted when this one was worked out.
+    /// Number of commands that the engine had accepted when this one was planned.
     pub commands_accepted: u64,
 }
 
-/// Why an engine gave no account of itself.
+/// Why an engine's report could not be read.
 #[derive(Debug, Display)]
 pub enum ReportError {
-    /// its process has ended: {0}
+    /// the process has exited: {0}
     Ended(client::CallError),
     /// {0}
     Call(client::CallError),
-    /// it answered {0}
+    /// the engine returned status {0}
     Status(StatusCode),
-    /// its answer cannot be read: {0}
+    /// the response cannot be decoded: {0}
     Unreadable(String),
 }
 
@@ -281,21 +280,21 @@
 
 /// The engine beside an agent.
 pub trait EngineApi {
-    /// Asks for its account of itself.
+    /// Requests the engine's report.
     ///
     /// # Errors
     ///
     /// See [`ReportError`].
     fn report(&self) -> impl Future<Output = Result<EngineReport, ReportError>>;
-    /// Asks for its name, which it says at this path; none if it does not say it.
+    /// Requests the engine's name from a path; none if it is not stated.
     ///
     /// # Errors
     ///
-    /// The call was not answered.
+    /// The call failed.
     fn name(
         &self,
         path: &str,
     ) -> impl Future<Output = Result<Option<names::TargetId>, client::CallError>>;
-    /// Gives it an order.
+    /// Sends a command.
     fn execute(&self, order: GuardedCommand) -> impl Future<Output = CommandOutcome>;
 }
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -1,11 +1,9 @@
-//! Handing over what was read of the store, from router to router.
+//! Transfer of replicated store records from router to router.
 //!
-//! A router that the store turns away, or that starts while it is down, takes the records of a
-//! peer ([`crate::catch_up`]). The records are the store's own, with their offsets, so nothing is told
-//! twice or in another form, and nothing older replaces anything newer.
+//! A router that the store refuses, or that starts during a store outage, requests the records of a peer
+//! ([`crate::catch_up`]). They keep the store's offsets, so older records never replace newer ones.
 //!
-//! Records come in chunks. A transfer is given up when no chunk comes, not when its whole time is over:
-//! a slow link may need seconds for a large configuration.
+//! A transfer has an idle timeout only: a large configuration may take seconds on a slow link.
 
 use crate::{copies, dialect, follow, router};
 use bytes::{Bytes, BytesMut};
@@ -20,31 +18,28 @@
 };
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Bytes of a chunk: 13 ms of a link of 10 Mbit/s, so that one among many flows still moves.
+/// 13 ms of a 10 Mbit/s link, so that each of many transfers makes progress within the idle timeout.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Most bytes of one transfer: a configuration has 4 MB at most, the entries of 730 engines under 1 MB.
+/// A configuration has 4 MB at most, the entries of 730 engines under 1 MB.
 const MAX_TRANSFER_BYTES: usize = 8 << 20;
-/// Transfers to peers at once. After all but one of the routers were killed while the store is away, all
-/// ask the one that is left: side by side none of them has a large configuration in time; two after two,
-/// the first can hand it on while the others wait.
+/// When many routers start during a store outage, the first ones served can serve the others; all at
+/// once would share the link and none would finish in time.
 const MAX_CONCURRENT_TRANSFERS: usize = 2;
-/// Pause after a connection that could not be taken.
 const ACCEPT_BACKOFF: Duration = Duration::from_secs(1);
 
 type Chunks = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Why a transfer brought nothing.
 #[derive(Debug, Display)]
 enum TransferError {
-    /// nothing came for {0} ms: another peer is asked, look at the links of both if it goes on
+    /// no data received for {0} ms: another peer is tried, check the links of both if this repeats
     TimedOut(u128),
-    /// the connection ended ({0}): another peer is asked
+    /// the connection was closed ({0}): another peer is tried
     Disconnected(io::Error),
-    /// the records have more than {0} bytes: the store has to bring them
+    /// the records exceed {0} bytes: they have to be read from the store
     TooLarge(usize),
-    /// it cannot be read ({0}): check that both routers have the same version
+    /// the records cannot be decoded ({0}): check that both routers have the same version
     Malformed(postcard::Error),
-    /// the store was quicker
+    /// the store returned the records first
     Superseded,
 }
 
@@ -54,7 +49,7 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_TRANSFER_BYTES).new_framed(stream)
 }
 
-/// Serves peers.
+/// Serves records to peers.
 pub fn serve<P: router::Platform>(shared: &Rc<router::Shared<P>>, listener: TcpListener) {
     let shared = shared.clone();
     let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_TRANSFERS));
@@ -62,18 +57,18 @@
         loop {
             match listener.accept().await {
                 Ok((stream, peer)) => {
-                    // Closed at once: the peer asks another one that has as much, or asks again.
+                    // Dropped without a response: the peer tries another router, or retries.
                     let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
                     let shared = shared.clone();
                     tokio::task::spawn_local(async move {
                         let _permit = permit;
                         if let Err(error) = send_records(&shared, stream).await {
-                            tracing::debug!(%peer, %error, "a peer did not take what it asked for");
+                            tracing::debug!(%peer, %error, "transfer to a peer failed");
                         }
                     });
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "a peer's connection could not be taken");
+                    tracing::warn!(%error, "could not accept a peer's connection");
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
@@ -97,35 +92,32 @@
         send_chunk(&mut chunks, page.slice(at..end)).await?;
         at = end;
     }
-    // An empty chunk ends it: a connection that breaks off must not look like a whole page.
+    // An empty chunk marks the end: an interrupted transfer must not look complete.
     send_chunk(&mut chunks, Bytes::new()).await
 }
 
-/// What a router asks for.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct RecordsRequest {
     subject: dialect::Subject,
-    /// Only what has changed from this offset on; none for all there is.
+    /// Requests only changes from this offset on.
     from: Option<u64>,
 }
 
-/// What a router hands over.
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordsResponse {
-    /// Time since the store was read.
+    /// Time since the store was last read.
     age: Option<Duration>,
     page: dialect::Page,
 }
 
-/// What became of a transfer.
+/// Outcome of a transfer.
 #[derives(key)]
 pub enum TransferOutcome {
-    /// Records were taken, which the peer, or whom it follows, read of the store this long ago; none if
-    /// nobody has.
+    /// The records were applied; the peer, or the one it follows, read the store this long ago, if ever.
     Applied(Option<Duration>),
-    /// The peer has no room for another transfer, or has ended.
+    /// The peer is at its transfer limit, or has stopped.
     Refused,
-    /// It brought nothing.
+    /// No records were received.
     NoRecords,
 }
 
@@ -142,7 +134,7 @@
     RecordsResponse { age, page }
 }
 
-/// Takes what has changed from a router that reads the store for this one.
+/// Fetches and applies the changes from a router that reads the store for this one.
 pub async fn fetch_changes<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     reader: SocketAddr,
@@ -154,8 +146,8 @@
     apply(shared, reader, subject, response)
 }
 
-/// Takes a peer's records of a subject, which reach up to `next` as the peer has said. It ends when the
-/// store has brought as much.
+/// Fetches and applies a peer's records of a subject, which reach up to `next`. Stops early once the
+/// store has returned as much.
 pub async fn fetch<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     peer: SocketAddr,
@@ -166,7 +158,7 @@
     let response =
         request_records(peer, RecordsRequest { subject, from: None }, is_superseded).await;
     if let Ok(response) = &response {
-        tracing::info!(%peer, ?subject, next = response.page.next, "records taken from a peer");
+        tracing::info!(%peer, ?subject, next = response.page.next, "records received from a peer");
     }
     apply(shared, peer, subject, response)
 }
@@ -184,7 +176,7 @@
         }
         Err(TransferError::Superseded) => ("overtaken", TransferOutcome::NoRecords),
         Err(error) => {
-            tracing::info!(%peer, ?subject, %error, "a peer gave no records");
+            tracing::info!(%peer, ?subject, %error, "no records received from a peer");
             let refused = matches!(error, TransferError::Disconnected(_));
             ("failed", if refused { TransferOutcome::Refused } else { TransferOutcome::NoRecords })
         }
