--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -221,7 +221,7 @@
 /// An engine's report of its state.
 #[derives(data)]
 pub struct EngineReport {
-    /// Start of the process as a Unix timestamp, if reported.
+    /// Start of the process in Unix milliseconds, if reported.
     pub started_at_ms: Option<u64>,
     /// Resident models and cached weights.
     pub holdings: targets::Holdings,
@@ -238,13 +238,13 @@
 pub enum CommandOutcome {
     /// The engine executes the command.
     Accepted,
-    /// The command had no effect or was executed at once.
+    /// The engine is already in the requested state, or executed the command at once.
     Done,
     /// Another command is executing, or the engine's state has changed.
     Conflict,
     /// The command was meant for another engine.
     OtherEngine,
-    /// The engine returned this status.
+    /// The engine rejected the command with this status.
     Rejected(u16),
     /// The command was not sent.
     NotSent,
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to callers when targets fail, break off or fall silent.
+//! Responses to callers when targets fail, disconnect or time out.
 
 mod common;
 
@@ -14,8 +14,8 @@
 
 const ID: &str = "request-1";
 
-/// Two targets of one service behind one route, and a router before them.
-async fn pair(route: Route) -> (Running, Target, Target) {
+/// Starts a router with one route to two targets of a service.
+async fn start_with_two_targets(route: Route) -> (Running, Target, Target) {
     let store = MemoryStore::default();
     let (one, two) = (Target::start().await, Target::start().await);
     store.config(common::config(1, vec![route]));
@@ -26,103 +26,102 @@
     (router, one, two)
 }
 
-/// The request at whichever target got it, and the other target.
-async fn first<'a>(one: &'a Target, two: &'a Target) -> (Got, &'a Target) {
+/// Returns the request from the target that received it, and the other target.
+async fn receive<'a>(one: &'a Target, two: &'a Target) -> (Got, &'a Target) {
     tokio::select! {
         got = one.next() => (got, two),
         got = two.next() => (got, one),
     }
 }
 
-fn once() -> Route {
+fn non_retryable() -> Route {
     common::route("/pay/", "desk")
 }
 
-fn repeatable() -> Route {
-    Route { retry_policy: RetryPolicy::Allowed, ..once() }
+fn retryable() -> Route {
+    Route { retry_policy: RetryPolicy::Allowed, ..non_retryable() }
 }
 
 fn resumable() -> Route {
-    Route { streams: true, resumable: true, ..once() }
+    Route { streams: true, resumable: true, ..non_retryable() }
 }
 
 #[tokio::test]
-async fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
-    let (router, one, two) = pair(once()).await;
+async fn a_request_and_its_response_are_forwarded_unchanged() {
+    let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let headers = [("x-id", ID), ("x-deadline-ms", "5000"), ("x-own", "kept")];
     let mut caller =
         common::send(router.front, "POST", "/pay/1?n=2", &headers, "body").await.unwrap();
-    let (got, _) = first(&one, &two).await;
+    let (got, _) = receive(&one, &two).await;
     assert!(got.head.starts_with("post /pay/1?n=2 http/1.1"), "{}", got.head);
     assert_eq!(got.header("x-own"), Some("kept"));
-    let left: u64 = got.header("x-left-ms").unwrap().parse().unwrap();
-    assert!((4_000..5_000).contains(&left), "the target gets what is left: {left}");
+    let remaining: u64 = got.header("x-left-ms").unwrap().parse().unwrap();
+    assert!(
+        (4_000..5_000).contains(&remaining),
+        "the target receives the remaining time: {remaining}"
+    );
     got.answer_whole(ID, "paid").await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("paid"), "{answer}");
 }
 
-/// A target takes a payment and its connection breaks before the answer. Whether it was paid is not
-/// known. A caller that is told "not run" pays twice.
+/// A payment is lost with its connection before the response. A caller that receives "not run" would pay
+/// twice.
 #[tokio::test]
-async fn a_payment_whose_fate_is_unknown_is_not_called_not_run() {
-    let (router, one, two) = pair(once()).await;
+async fn a_payment_with_an_unknown_outcome_is_not_reported_as_not_run() {
+    let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = first(&one, &two).await;
+    let (got, other) = receive(&one, &two).await;
     drop(got);
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
     let none = tokio::time::timeout(Duration::from_millis(300), other.next()).await;
-    assert!(none.is_err(), "it is not sent again");
+    assert!(none.is_err(), "it is not retried");
 }
 
-/// A target says that it did not run a payment, so another one may.
 #[tokio::test]
 async fn a_payment_that_was_not_run_goes_to_another_target() {
-    let (router, one, two) = pair(once()).await;
+    let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = first(&one, &two).await;
+    let (got, other) = receive(&one, &two).await;
     let full = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\nx-id: request-1\r\nContent-Length: 0\r\n\r\n";
     got.answer(full).await;
     other.next().await.answer_whole(ID, "paid").await;
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("paid"));
 }
 
-/// A target's connection breaks before the answer to a look-up, which may run any number of times.
 #[tokio::test]
 async fn a_lookup_whose_target_is_lost_goes_to_another() {
-    let (router, one, two) = pair(repeatable()).await;
+    let (router, one, two) = start_with_two_targets(retryable()).await;
     let mut caller =
         common::send(router.front, "GET", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = first(&one, &two).await;
+    let (got, other) = receive(&one, &two).await;
     drop(got);
     other.next().await.answer_whole(ID, "found").await;
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("found"));
 }
 
-/// A target sends the answer to an earlier request where this one's is due. A caller would get
-/// somebody else's data.
+/// A target sends the response to an earlier request. The caller would receive another caller's data.
 #[tokio::test]
 async fn an_answer_to_another_request_reaches_nobody() {
-    let (router, one, two) = pair(once()).await;
+    let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, _) = first(&one, &two).await;
+    let (got, _) = receive(&one, &two).await;
     got.answer_whole("request-0", "of somebody else").await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 502") && !answer.contains("somebody"), "{answer}");
 }
 
-/// A target crashes in the middle of an event. The other goes on after the last whole event; the
-/// caller sees each event once and the stream's end.
+/// A target crashes in the middle of an event. The caller must receive each event once, and the end.
 #[tokio::test]
-async fn a_stream_goes_on_at_another_target_after_its_last_whole_event() {
-    let (router, one, two) = pair(resumable()).await;
+async fn a_stream_resumes_at_another_target_after_its_last_whole_event() {
+    let (router, one, two) = start_with_two_targets(resumable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, other) = first(&one, &two).await;
+    let (mut got, other) = receive(&one, &two).await;
     got.begin_stream(ID).await;
     got.piece("id: 0\ndata: a\n\n").await;
     got.piece("id: 1\ndata: b\n\nid: 2\nda").await;
@@ -135,37 +134,36 @@
     let answer = common::read_all(&mut caller).await.unwrap();
     let events: Vec<_> = answer.lines().filter(|line| line.starts_with("data")).collect();
     assert_eq!(events, ["data: a", "data: b", "data: c"], "{answer}");
-    assert!(answer.ends_with("0\r\n\r\n"), "the end is marked");
+    assert!(answer.ends_with("0\r\n\r\n"), "the last chunk is sent");
 }
 
-/// The target that takes a stream up begins with another event than the next. Passed on, the caller
-/// would miss a piece without knowing.
+/// The target that resumes a stream skips events. The caller would miss them without notice.
 #[tokio::test]
-async fn a_stream_with_a_hole_is_broken_off() {
-    let (router, one, two) = pair(resumable()).await;
+async fn a_stream_with_missing_events_is_aborted() {
+    let (router, one, two) = start_with_two_targets(resumable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, other) = first(&one, &two).await;
+    let (mut got, other) = receive(&one, &two).await;
     got.begin_stream(ID).await;
     got.piece("id: 0\ndata: a\n\n").await;
     drop(got);
     let mut next = other.next().await;
     next.begin_stream(ID).await;
     next.piece("id: 5\ndata: f\n\n").await;
-    // The router breaks the connection off at the wrong event, which may be before the end is written.
+    // The router may close the connection before the end is written.
     next.end_unless_reset().await;
     let answer = common::read_all(&mut caller).await.unwrap_or_default();
     assert!(!answer.contains("data: f") && !answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-/// A stream that may not be taken up breaks off. It must not look whole to its caller.
+/// An interrupted stream that can't be resumed must not look complete to its caller.
 #[tokio::test]
-async fn a_stream_that_breaks_off_does_not_look_whole() {
-    let route = Route { streams: true, ..once() };
-    let (router, one, two) = pair(route).await;
+async fn an_interrupted_stream_does_not_look_complete() {
+    let route = Route { streams: true, ..non_retryable() };
+    let (router, one, two) = start_with_two_targets(route).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, _) = first(&one, &two).await;
+    let (mut got, _) = receive(&one, &two).await;
     got.begin_stream(ID).await;
     got.piece("id: 0\ndata: a\n\n").await;
     drop(got);
@@ -173,27 +171,27 @@
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-/// A caller leaves while its request is at a target, on a link that may hold up what is sent. The
-/// target must hear of it at once, and nothing undelivered may arrive later: the router resets the
-/// connection, which takes back what is on its way, and does not merely end it.
+/// A caller leaves while its request is at a target. The connection must be reset rather than closed, so
+/// that undelivered data is discarded.
 #[tokio::test]
-async fn a_caller_who_leaves_takes_the_request_back() {
-    let (router, one, two) = pair(once()).await;
+async fn a_request_is_cancelled_when_its_caller_leaves() {
+    let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let caller = common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, _) = first(&one, &two).await;
+    let (mut got, _) = receive(&one, &two).await;
     drop(caller);
     let read = tokio::time::timeout(common::PATIENCE, got.stream.read(&mut [0; 16])).await;
-    let error = read.expect("the target hears of it").expect_err("a reset, not an end");
+    let error =
+        read.expect("the target's connection ends").expect_err("a reset, not an end of file");
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
 }
 
-/// An engine has ended and another has its address, while its entry stays because the store is away.
-/// Each request sent there is refused, and callers see refusals although the other engine is free.
+/// An engine's address is reused by another one while its entry stays because of a store outage. Requests
+/// sent there are refused although the other engine is free.
 #[tokio::test]
-async fn a_target_whose_address_belongs_to_another_gets_no_more() {
+async fn a_target_whose_address_was_reused_gets_no_more_requests() {
     let store = MemoryStore::default();
     let (one, two) = (Target::start().await, Target::start().await);
-    store.config(common::config(1, vec![once()]));
+    store.config(common::config(1, vec![non_retryable()]));
     for (target, id) in [(&one, "target-1"), (&two, "target-2")] {
         let resident = targets::Resident { model: "m".into(), adapters: Vec::new() };
         let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
@@ -208,39 +206,38 @@
         let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
         match left {
             None => {
-                let (got, rest) = first(&one, &two).await;
+                let (got, other) = receive(&one, &two).await;
                 let refusal = format!(
                     "HTTP/1.1 421 Another\r\nx-not-run: 1\r\nx-id: {id}\r\nx-target: target-9\r\nContent-Length: 0\r\n\r\n"
                 );
                 got.answer(&refusal).await;
-                rest.next().await.answer_whole(&id, "paid").await;
-                left = Some(rest);
+                other.next().await.answer_whole(&id, "paid").await;
+                left = Some(other);
             }
-            Some(rest) => {
-                let gone = if std::ptr::eq(rest, &one) { &two } else { &one };
+            Some(other) => {
+                let replaced = if std::ptr::eq(other, &one) { &two } else { &one };
                 tokio::select! {
-                    got = rest.next() => got.answer_whole(&id, "paid").await,
-                    _ = gone.next() => panic!("{id} went to the target that is gone"),
+                    got = other.next() => got.answer_whole(&id, "paid").await,
+                    _ = replaced.next() => panic!("{id} was sent to the replaced target"),
                 }
             }
         }
         assert!(common::read_all(&mut caller).await.unwrap().ends_with("paid"));
-        // A refusal for a model that is not there is forgotten after less.
+        // Longer than a refusal for an absent model is remembered.
         tokio::time::sleep(Duration::from_millis(450)).await;
     }
 }
 
-/// What came of requests is counted, and the metrics agree with what the callers saw.
 #[tokio::test]
 async fn metrics_agree_with_what_callers_saw() {
-    let (router, one, two) = pair(once()).await;
+    let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    first(&one, &two).await.0.answer_whole(ID, "paid").await;
+    receive(&one, &two).await.0.answer_whole(ID, "paid").await;
     common::read_all(&mut caller).await.unwrap();
     let mut caller =
         common::send(router.front, "POST", "/pay/2", &[("x-id", ID)], "").await.unwrap();
-    drop(first(&one, &two).await.0);
+    drop(receive(&one, &two).await.0);
     common::read_all(&mut caller).await.unwrap();
     let text = common::get(router.metrics, "/metrics", &[]).await.unwrap();
     assert!(text.contains(r#"requests_total{kind="once",outcome="answered"} 1"#), "{text}");
@@ -249,11 +246,10 @@
     assert!(text.contains("request_seconds_bucket"), "{text}");
 }
 
-/// An engine crashes in the middle of a stream while no other holds the model; one has it a second
-/// later. The wait for it used to be counted from the request's arrival, so a stream that had run for
-/// two seconds was broken off at once although its caller would have had the rest.
+/// An engine crashes in the middle of a stream and another one loads the model a second later. The wait
+/// must start at the last event: counted from the request's arrival, it would already be over.
 #[tokio::test]
-async fn a_long_stream_waits_for_its_model_elsewhere() {
+async fn a_long_stream_waits_for_its_model_at_another_target() {
     let store = MemoryStore::default();
     let (one, two) = (Target::start().await, Target::start().await);
     let mut config = common::config(1, vec![resumable()]);
@@ -297,9 +293,8 @@
     assert!(answer.contains("data: y") && answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-/// An engine that holds a model carries out another order for five seconds, and can load no adapter
-/// meanwhile. Requests for an adapter were held until their callers left after two seconds, without a
-/// word in the log; a caller that is told at once can come back when the engine is free.
+/// An engine that executes a command for 5 s can load no adapter meanwhile. Requests for an adapter must
+/// be refused with the time to retry, instead of held until their callers leave.
 #[tokio::test]
 async fn a_request_for_an_adapter_that_cannot_come_in_time_is_refused_at_once() {
     let store = MemoryStore::default();
@@ -320,7 +315,7 @@
     store.target(targets::Entry { holdings, ..target.entry("target-1", "desk") });
     let router = Running::start(&store);
     router.wait_ready().await;
-    let news = peers::EngineNews {
+    let update = peers::EngineNews {
         target: "target-1".into(),
         born: 0,
         orders: 3,
@@ -337,38 +332,37 @@
         cache_used: 0,
     };
     let agent = UdpSocket::bind(common::free_port()).await.unwrap();
-    let news = postcard::to_stdvec(&peers::PeerMessage::EngineNews(news)).unwrap();
-    agent.send_to(&news, router.peers).await.unwrap();
+    let update = postcard::to_stdvec(&peers::PeerMessage::EngineNews(update)).unwrap();
+    agent.send_to(&update, router.peers).await.unwrap();
     tokio::time::sleep(Duration::from_millis(100)).await;
     let headers = [("x-id", ID), ("x-model", "m"), ("x-adapter", "a1")];
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
     let after = answer.to_lowercase().lines().find_map(|line| {
         line.strip_prefix("retry-after: ").map(|after| after.parse::<f64>().unwrap())
     });
-    assert!(after.is_some_and(|after| after > 4.0), "when the engine is free: {answer}");
+    assert!(after.is_some_and(|after| after > 4.0), "retry when the engine is available: {answer}");
 }
 
-/// Operators take the budget for second attempts away because back ends are drowning, and give it
-/// back later, without a restart in between. A router that read its settings at its start only would
-/// go on repeating.
+/// Operators remove the retry budget to relieve overloaded targets, and restore it later. A router that
+/// reads its settings at startup only would keep retrying.
 #[tokio::test]
-async fn changed_settings_hold_without_a_restart() {
-    let (router, one, two) = pair(repeatable()).await;
+async fn changed_settings_apply_without_a_restart() {
+    let (router, one, two) = start_with_two_targets(retryable()).await;
     let mut settings = router.settings.clone();
     settings.bounds.allowance = budget::Allowance { ratio: 0.0, fixed: 0.0, ..Default::default() };
     router.reload.send(settings).unwrap();
     let answer = loop {
         let mut caller =
             common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-        let (got, other) = first(&one, &two).await;
+        let (got, other) = receive(&one, &two).await;
         drop(got);
-        // Until the change is in force, the other target is asked.
-        let again = tokio::time::timeout(Duration::from_millis(300), other.next()).await;
-        match again {
+        // The request is retried until the change is applied.
+        let retried = tokio::time::timeout(Duration::from_millis(300), other.next()).await;
+        match retried {
             Ok(got) => got.answer_whole(ID, "paid").await,
             Err(_) => break common::read_all(&mut caller).await.unwrap(),
         }
@@ -378,7 +372,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = first(&one, &two).await;
+    let (got, other) = receive(&one, &two).await;
     drop(got);
     other.next().await.answer_whole(ID, "paid").await;
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("paid"));
--- a/crates/corianderstand_forward/tests/transfers.rs
+++ b/crates/corianderstand_forward/tests/transfers.rs
@@ -1,4 +1,4 @@
-//! What a router tells and hands over to others.
+//! Updates and transfers of records between routers.
 
 mod common;
 
@@ -13,26 +13,25 @@
     net::{TcpSocket, TcpStream, UdpSocket},
 };
 
-/// Asks for the whole configuration, in a frame of two bytes.
-const ASK: [u8; 6] = [0, 0, 0, 2, 0, 0];
-/// Bytes that a slow peer takes at once, and how often.
-const SIP: usize = 16 << 10;
-const SIPS: Duration = Duration::from_millis(50);
+/// Requests the whole configuration, in a frame of two bytes.
+const REQUEST: [u8; 6] = [0, 0, 0, 2, 0, 0];
+/// How much a slow peer reads at a time, and how often.
+const READ_BYTES: usize = 16 << 10;
+const READ_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Begins a transfer of which little is taken at once.
-async fn ask(router: SocketAddr) -> TcpStream {
+/// Starts a transfer with a small receive buffer.
+async fn request_config(router: SocketAddr) -> TcpStream {
     let socket = TcpSocket::new_v4().unwrap();
-    socket.set_recv_buffer_size(SIP as u32).unwrap();
+    socket.set_recv_buffer_size(READ_BYTES as u32).unwrap();
     let mut stream = socket.connect(router).await.unwrap();
-    stream.write_all(&ASK).await.unwrap();
+    stream.write_all(&REQUEST).await.unwrap();
     stream
 }
 
-/// All routers but one were killed while the store was away, and all ask the one that is left. Side by
-/// side on its link, no transfer of a large configuration would come to its end in time, and
-/// nobody could hand it on; callers would be told that no configuration is known.
+/// Many routers restart during a store outage and request a large configuration from the same peer. All
+/// at once, no transfer would finish in time.
 #[tokio::test]
-async fn a_router_hands_over_to_few_at_once() {
+async fn concurrent_transfers_are_limited() {
     let store = MemoryStore::default();
     let target = common::Target::start().await;
     store.target(target.entry("target-1", "desk"));
@@ -42,41 +41,41 @@
 
     let mut served = Vec::new();
     for _ in 0..2 {
-        let mut stream = ask(router.peers).await;
-        let mut sip = vec![0; SIP];
-        assert!(stream.read(&mut sip).await.unwrap() > 0, "the first two are served");
+        let mut stream = request_config(router.peers).await;
+        let mut buf = vec![0; READ_BYTES];
+        assert!(stream.read(&mut buf).await.unwrap() > 0, "the first two are served");
         served.push(tokio::spawn(async move {
-            let mut taken = 0;
-            while let Ok(len @ 1..) = stream.read(&mut sip).await {
-                taken += len;
-                tokio::time::sleep(SIPS).await;
+            let mut read = 0;
+            while let Ok(len @ 1..) = stream.read(&mut buf).await {
+                read += len;
+                tokio::time::sleep(READ_INTERVAL).await;
             }
-            taken
+            read
         }));
     }
-    let mut third = ask(router.peers).await;
+    let mut third = request_config(router.peers).await;
     let refused = third.read(&mut [0; 64]).await;
-    assert!(!matches!(refused, Ok(1..)), "a third one is closed at once: {refused:?}");
-    assert!(served.iter().all(|taking| !taking.is_finished()), "the first two go on");
+    assert!(!matches!(refused, Ok(1..)), "a third connection is closed at once: {refused:?}");
+    assert!(served.iter().all(|transfer| !transfer.is_finished()), "the first two continue");
 
-    // There is room again when one of them has gone.
+    // A slot is released when one of them disconnects.
     served.pop().unwrap().abort();
-    let again = async {
+    let retry = async {
         loop {
-            let mut stream = ask(router.peers).await;
+            let mut stream = request_config(router.peers).await;
             if let Ok(1..) = stream.read(&mut [0; 64]).await {
                 return;
             }
-            tokio::time::sleep(SIPS).await;
+            tokio::time::sleep(READ_INTERVAL).await;
         }
     };
-    tokio::time::timeout(common::PATIENCE, again).await.expect("the next one is served");
+    tokio::time::timeout(common::PATIENCE, retry).await.expect("the next transfer is served");
 }
 
-/// A stronger router that plans, for ever.
-async fn plan_instead_of(router: SocketAddr) {
+/// Keeps announcing a stronger router, so that `router` doesn't become the planner.
+async fn announce_planner(router: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let news = RouterNews {
+    let update = RouterNews {
         router: "planner".into(),
         incarnation: 1,
         zone: "here".into(),
@@ -88,40 +87,40 @@
         models: Vec::new(),
         running: Vec::new(),
     };
-    let message = postcard::to_stdvec(&PeerMessage::RouterNews(news)).unwrap();
+    let message = postcard::to_stdvec(&PeerMessage::RouterNews(update)).unwrap();
     loop {
         socket.send_to(&message, router).await.unwrap();
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
 }
 
-/// The store turns a router away, and a peer has read a change. If the peer says so only at its next
-/// turn, once a second, callers of the first router meet the older configuration for that much longer.
+/// A router without access to the store learns of changes from its peers. Announced only with the next
+/// periodic message, each change would be up to a second late.
 #[tokio::test]
-async fn a_change_is_told_at_once() {
+async fn a_change_is_announced_at_once() {
     const CHANGES: u64 = 10;
     let store = MemoryStore::default();
     let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let seeds = vec![peer.local_addr().unwrap()];
     let router = Running::start_with(&store, "reader", seeds, Duration::from_secs(8));
-    // One that plans says more often that it is there.
-    tokio::spawn(plan_instead_of(router.peers));
-    let began = Instant::now();
+    // A planner sends its heartbeats more often.
+    tokio::spawn(announce_planner(router.peers));
+    let started_at = Instant::now();
     for version in 1..=CHANGES {
         store.config(common::config(version, vec![common::route("/pay/", "desk")]));
-        let told = async {
+        let announced = async {
             let mut buf = vec![0; 60_000];
             loop {
                 let len = peer.recv(&mut buf).await.unwrap();
                 let message = postcard::from_bytes(&buf[..len]);
-                if matches!(message, Ok(PeerMessage::RouterNews(news)) if news.config_next >= version)
+                if matches!(message, Ok(PeerMessage::RouterNews(update)) if update.config_next >= version)
                 {
                     return;
                 }
             }
         };
-        tokio::time::timeout(common::PATIENCE, told).await.expect("the change is told");
+        tokio::time::timeout(common::PATIENCE, announced).await.expect("the change is announced");
     }
-    let took = began.elapsed();
-    assert!(took < Duration::from_secs(CHANGES / 2), "{took:?} for {CHANGES} changes");
+    let elapsed = started_at.elapsed();
+    assert!(elapsed < Duration::from_secs(CHANGES / 2), "{elapsed:?} for {CHANGES} changes");
 }
