--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -78,8 +78,8 @@
     loop {
         let Some(req) = unsent.take() else { return AttemptOutcome::NotSent };
         let sending = lease.sender.try_send_request(req);
-        let answer = match wait_for_head(shared, job, key, sending).await {
-            Head::Received(answer) => answer,
+        let response = match wait_for_head(shared, job, key, sending).await {
+            Head::Received(response) => response,
             Head::NotSent(req) if lease.reused => {
                 // The target closed the idle connection before anything was written.
                 match shared.pool.open(addr).await {
@@ -109,7 +109,7 @@
                 return AttemptOutcome::DeadlineExceeded;
             }
         };
-        return classify_head(shared, job, lease, in_flight, answer);
+        return classify_head(shared, job, lease, in_flight, response);
     }
 }
 
@@ -118,10 +118,10 @@
     job: &job::Job,
     lease: pool::Lease,
     in_flight: job::InFlight<P>,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
 ) -> AttemptOutcome<P> {
     let key = in_flight.key();
-    let (head, body) = answer.into_parts();
+    let (head, body) = response.into_parts();
     let info = shared.platform.parse_response(head.status, &head.headers);
     if info.request.as_ref().is_some_and(|id| *id != job.call.id) {
         shared.target_failed(key, "answer to another request");
@@ -166,7 +166,7 @@
         tokio::select! {
             sent = &mut sending => {
                 return match sent {
-                    Ok(answer) => Head::Received(answer),
+                    Ok(response) => Head::Received(response),
                     Err(mut error) => match error.take_message() {
                         Some(req) => Head::NotSent(Box::new(req)),
                         None => Head::ConnectionLost,
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -37,7 +37,7 @@
 
 impl std::error::Error for CallError {}
 
-/// Shared time of the last data received of a pending response.
+/// Shared time at which data of a pending response was last received.
 #[derive(Clone, Debug, Default)]
 pub struct LastReceived(Rc<Cell<Option<Instant>>>);
 
@@ -77,7 +77,7 @@
         Self { pool, clock }
     }
 
-    /// Sends a request and buffers its response within `limit`. `keep` is the server's keep-alive
+    /// Sends a request and buffers its response within `limit`. `keep_alive` is the server's keep-alive
     /// time, if known.
     ///
     /// # Errors
@@ -88,17 +88,17 @@
         addr: SocketAddr,
         req: Request<pool::Body>,
         limit: Duration,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let work = async {
-            let (lease, answer) = self.send(addr, req).await?;
-            let (head, body) = answer.into_parts();
+        let call = async {
+            let (lease, response) = self.send(addr, req).await?;
+            let (head, body) = response.into_parts();
             let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
             let body = body.map_err(|error| CallError::Interrupted(error.to_string()))?.to_bytes();
-            self.pool.release(self.clock.now(), lease, keep);
+            self.pool.release(self.clock.now(), lease, keep_alive);
             Ok(Response::from_parts(head, body))
         };
-        with_timeout(limit, work).await
+        with_timeout(limit, call).await
     }
 
     /// Sends a request and buffers its response, limited only by the timeouts between frames.
@@ -111,11 +111,11 @@
         addr: SocketAddr,
         req: Request<pool::Body>,
         timeouts: &ResponseTimeouts,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let (lease, answer) = with_timeout(timeouts.head, self.send(addr, req)).await?;
+        let (lease, response) = with_timeout(timeouts.head, self.send(addr, req)).await?;
         timeouts.last_received.record(self.clock.now());
-        let (head, body) = answer.into_parts();
+        let (head, body) = response.into_parts();
         let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
         let convert =
@@ -129,7 +129,7 @@
                 bytes.extend_from_slice(&data);
             }
         }
-        self.pool.release(self.clock.now(), lease, keep);
+        self.pool.release(self.clock.now(), lease, keep_alive);
         Ok(Response::from_parts(head, bytes.freeze()))
     }
 
@@ -145,8 +145,8 @@
         };
         let mut lease = self.pool.lease(self.clock.now(), addr).await.map_err(not_sent)?;
         let sent = lease.sender.try_send_request(req).await;
-        let answer = match sent {
-            Ok(answer) => answer,
+        let response = match sent {
+            Ok(response) => response,
             Err(mut error) => match error.take_message() {
                 // The server closed the connection before anything was written.
                 Some(req) => {
@@ -156,7 +156,7 @@
                 None => return Err(interrupted(error.into_error())),
             },
         };
-        Ok((lease, answer))
+        Ok((lease, response))
     }
 }
 
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -81,7 +81,7 @@
     /// Parses the headers of a request.
     fn parse_request(&self, headers: &HeaderMap) -> Call;
     /// Removes hop-by-hop headers and those that callers may not set, and adds the router's.
-    fn rewrite_request(&self, headers: &mut HeaderMap, passing: &ForwardedRequest);
+    fn rewrite_request(&self, headers: &mut HeaderMap, forwarded: &ForwardedRequest);
     /// Parses the head of a response.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
     /// Removes hop-by-hop headers from a response.
@@ -197,14 +197,14 @@
     fn newest(
         &self,
         subject: Subject,
-        waiting: &ReadOptions,
+        options: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
     /// Reads records from an offset on; waits for the first.
     fn read(
         &self,
         subject: Subject,
         from: u64,
-        waiting: &ReadOptions,
+        options: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
     /// Announces this router to the others.
     fn announce(&self, entry: &RouterEntry) -> impl Future<Output = Result<(), StoreError>>;
@@ -296,5 +296,5 @@
         path: &str,
     ) -> impl Future<Output = Result<Option<names::TargetId>, client::CallError>>;
     /// Sends a command.
-    fn execute(&self, order: GuardedCommand) -> impl Future<Output = CommandOutcome>;
+    fn execute(&self, command: GuardedCommand) -> impl Future<Output = CommandOutcome>;
 }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -124,9 +124,9 @@
     shared.note_arrival(&job);
     let mut pending =
         PendingRequest { shared: shared.clone(), id: job.call.id.clone(), answered: false };
-    let answer = dispatch(shared, job).await;
+    let response = dispatch(shared, job).await;
     pending.answered = true;
-    Ok(answer)
+    Ok(response)
 }
 
 /// Logs that the caller left if it is dropped before the response head.
@@ -199,7 +199,7 @@
         match attempt::attempt(&shared, &mut job, key, None).await {
             attempt::AttemptOutcome::Answered(answered) => {
                 match forward_response(&shared, job, *answered).await {
-                    Ok(answer) => return answer,
+                    Ok(response) => return response,
                     Err(retry) => job = *retry,
                 }
             }
@@ -254,7 +254,7 @@
     let key = answered.in_flight.key();
     if job.route.streams && answered.head.status.is_success() {
         return match stream::start(shared, job, answered).await {
-            Ok(answer) => Ok(answer),
+            Ok(response) => Ok(response),
             Err((job, why)) => retry_or_fail(shared, *job, key, why),
         };
     }
@@ -303,14 +303,14 @@
     shared: &router::Shared<P>,
     job: &job::Job,
     why: &'static str,
-    after: Duration,
+    retry_after: Duration,
 ) -> Response<ResponseBody> {
     if job.may_have_run {
         return fail(shared, job, StatusCode::BAD_GATEWAY, why);
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
     shared.log.refused(&job.call.id, &job.route.name, status, why, job.arrived, shared.clock.now());
-    local_response(status, why, Some(wait_limit::retry_after(after, job.jitter())))
+    local_response(status, why, Some(wait_limit::retry_after(retry_after, job.jitter())))
 }
 
 /// Fails a request that ran, or may have run.
@@ -328,17 +328,17 @@
 pub fn local_response(
     status: StatusCode,
     why: &'static str,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::whole(Bytes::from_static(why.as_bytes())));
-    *answer.status_mut() = status;
-    if let Some(after) = after {
-        let text = SmolStr::from(format!("{:.3}", after.as_secs_f64()));
+    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(why.as_bytes())));
+    *response.status_mut() = status;
+    if let Some(retry_after) = retry_after {
+        let text = SmolStr::from(format!("{:.3}", retry_after.as_secs_f64()));
         if let Ok(value) = HeaderValue::from_str(&text) {
-            answer.headers_mut().insert(header::RETRY_AFTER, value);
+            response.headers_mut().insert(header::RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
 /// Requests the rest of a stream from another target.
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -87,12 +87,12 @@
         key: targets::TargetKey,
         now: Instant,
     ) -> Option<Duration> {
-        let unread = self.uncached_tokens(view, key);
-        let model = self.model().filter(|_| unread > 0)?;
+        let uncached = self.uncached_tokens(view, key);
+        let model = self.model().filter(|_| uncached > 0)?;
         let measured = view.demand.model_demand(now, model).prefill_s_per_token;
         let s_per_token =
             if measured > 0.0 { measured } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
-        Some(Duration::from_secs_f64(unread as f64 * s_per_token))
+        Some(Duration::from_secs_f64(uncached as f64 * s_per_token))
     }
 
     /// When the caller is expected to leave if it receives nothing.
@@ -101,9 +101,9 @@
             return self.deadline;
         }
         let gaps = self.route.gap_objective.unwrap_or_default() * ABANDON_GAPS;
-        let silence =
+        let idle_limit =
             ABANDON_TIMEOUT.max(self.route.latency_objective * ABANDON_OBJECTIVES).max(gaps);
-        self.deadline.min(self.idle_since + silence)
+        self.deadline.min(self.idle_since + idle_limit)
     }
 
     /// A number in [0, 1) derived from the request id.
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -68,7 +68,7 @@
 fn serve_local<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
-    answer: impl Fn(&router::Shared<P>, &str) -> Response<Full<Bytes>> + Copy + 'static,
+    response: impl Fn(&router::Shared<P>, &str) -> Response<Full<Bytes>> + Copy + 'static,
 ) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
@@ -76,8 +76,8 @@
             let Some(stream) = accept(&listener).await else { continue };
             let shared = shared.clone();
             let service = service_fn(move |req: Request<Incoming>| {
-                let answer = answer(&shared, req.uri().path());
-                async move { Ok::<_, Infallible>(answer) }
+                let response = response(&shared, req.uri().path());
+                async move { Ok::<_, Infallible>(response) }
             });
             tokio::task::spawn_local(async move {
                 let connection =
@@ -91,9 +91,9 @@
 }
 
 fn status(status: StatusCode) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = status;
+    response
 }
 
 fn readiness<P: router::Platform>(shared: &router::Shared<P>, path: &str) -> Response<Full<Bytes>> {
@@ -251,9 +251,9 @@
 ) -> Result<Response<body::ResponseBody>, exchange::Aborted> {
     shared.open.set(shared.open.get() + 1);
     let count = OpenCount(shared.clone());
-    let mut answer = exchange::handle_request(shared.clone(), &connection, req).await?;
+    let mut response = exchange::handle_request(shared.clone(), &connection, req).await?;
     if shared.stopping.get().is_some() {
-        answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer.map(|body| body.with_guard(count)))
+    Ok(response.map(|body| body.with_guard(count)))
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -171,9 +171,7 @@
                     Ok(data) => {
                         let now = self.shared.clock.now();
                         match self.timings.last_at {
-                            Some(last) => {
-                                self.shared.note_pause(upstream.in_flight.key(), now, last)
-                            }
+                            Some(at) => self.shared.note_pause(upstream.in_flight.key(), now, at),
                             None => self.shared.note_first(&self.job, now),
                         }
                         self.timings.record(now);
