--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -231,7 +231,7 @@
                     state.ongoing = None;
                     state.named = None;
                     drop(state);
-                    if matches!(error, dialect::ReportError::Ended(_)) {
+                    if matches!(error, dialect::ReportError::Exited(_)) {
                         self.say_gone();
                     }
                     IDLE_PAUSE
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -267,7 +267,7 @@
 #[derive(Debug, Display)]
 pub enum ReportError {
     /// the process has exited: {0}
-    Ended(client::CallError),
+    Exited(client::CallError),
     /// {0}
     Call(client::CallError),
     /// the engine returned status {0}
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -46,7 +46,7 @@
         if shelf.has_ended {
             let nobody =
                 client::CallError::ConnectionRefused(SocketAddr::from(([127, 0, 0, 1], 1)));
-            return Err(dialect::ReportError::Ended(nobody));
+            return Err(dialect::ReportError::Exited(nobody));
         }
         Ok(dialect::EngineReport {
             started_at_ms: Some(BORN),
