--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -38,7 +38,7 @@
     /// The caller's estimate of output tokens.
     pub output_hint: Option<u64>,
     /// The prompt's parts, in order.
-    pub parts: Vec<PromptPart>,
+    pub prompt_parts: Vec<PromptPart>,
     /// The last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
