--- a/crates/corianderstand_forward/src/body.rs
+++ b/crates/corianderstand_forward/src/body.rs
@@ -18,14 +18,14 @@
 }
 
 enum Source {
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     Stream(Pin<Box<dyn Body<Data = Bytes, Error = Aborted>>>),
 }
 
 impl ResponseBody {
     /// A buffered body.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self { source: Source::Whole(Full::new(bytes)), _guard: None }
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self { source: Source::Buffered(Full::new(bytes)), _guard: None }
     }
 
     /// A streamed body.
@@ -49,7 +49,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut self.source {
-            Source::Whole(full) => Pin::new(full)
+            Source::Buffered(full) => Pin::new(full)
                 .poll_frame(cx)
                 .map(|frame| frame.map(|f| f.map_err(|never| match never {}))),
             Source::Stream(body) => body.as_mut().poll_frame(cx),
@@ -58,14 +58,14 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.source {
-            Source::Whole(full) => full.is_end_stream(),
+            Source::Buffered(full) => full.is_end_stream(),
             Source::Stream(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Whole(full) => full.size_hint(),
+            Source::Buffered(full) => full.size_hint(),
             Source::Stream(body) => body.size_hint(),
         }
     }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -279,7 +279,7 @@
     }
     shared.platform.rewrite_response(&mut head.headers);
     shared.log.answered(&job, head.status, "whole", shared.clock.now());
-    Ok(Response::from_parts(head, ResponseBody::whole(body)))
+    Ok(Response::from_parts(head, ResponseBody::buffered(body)))
 }
 
 /// After an interrupted response, returns the job if another target may be tried, else the failure.
@@ -331,7 +331,7 @@
     why: &'static str,
     retry_after: Option<Duration>,
 ) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::whole(Bytes::from_static(why.as_bytes())));
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from_static(why.as_bytes())));
     *response.status_mut() = status;
     if let Some(retry_after) = retry_after {
         let text = SmolStr::from(format!("{:.3}", retry_after.as_secs_f64()));
