--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -211,10 +211,6 @@
     /// Withdraws this router's announcement.
     fn withdraw(&self, router: &str) -> impl Future<Output = Result<(), StoreError>>;
     /// Decodes a record; none if it is not relevant.
-    ///
-    /// # Errors
-    ///
-    /// The record is malformed.
     fn decode(&self, subject: Subject, record: &Record) -> Result<Option<Update>, RecordError>;
 }
 
@@ -281,16 +277,8 @@
 /// The engine beside an agent.
 pub trait EngineApi {
     /// Requests the engine's report.
-    ///
-    /// # Errors
-    ///
-    /// See [`ReportError`].
     fn report(&self) -> impl Future<Output = Result<EngineReport, ReportError>>;
     /// Requests the engine's name from a path; none if it is not stated.
-    ///
-    /// # Errors
-    ///
-    /// The call failed.
     fn name(
         &self,
         path: &str,
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -30,7 +30,6 @@
 
 /// Used where the caller sets no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest response that is buffered before it is forwarded.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 /// `Retry-After` of a router that is starting or stopping: a start reads the configuration within 0.5 s,
 /// and a new connection leads to another router.
@@ -40,7 +39,6 @@
 const STARTUP_WAIT_DIVISOR: u32 = 4;
 /// `Retry-After` when a target refused and no other may be tried.
 pub const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Each attempt that did not run costs a round trip.
 const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
 /// Handles one request.
@@ -146,7 +144,6 @@
 }
 
 /// Waits until a starting router has the configuration and the targets, or a read of them failed.
-/// Avoids that all callers are refused and retry at once.
 async fn wait_until_started<P: router::Platform>(shared: &router::Shared<P>) {
     loop {
         let update = shared.view.borrow_mut().waker(None);
@@ -314,7 +311,6 @@
     local_response(status, why, Some(wait_limit::retry_after(retry_after, job.jitter())))
 }
 
-/// Fails a request that ran, or may have run.
 fn fail<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -100,10 +100,6 @@
 
 impl Pool {
     /// Returns an idle connection, or opens one.
-    ///
-    /// # Errors
-    ///
-    /// The connection could not be opened.
     pub async fn lease(&self, now: Instant, addr: SocketAddr) -> Result<Lease, io::Error> {
         match self.pop_idle(now, addr) {
             Some(sender) => Ok(Lease { sender, addr, reused: true }),
@@ -112,10 +108,6 @@
     }
 
     /// Opens a connection.
-    ///
-    /// # Errors
-    ///
-    /// The connection could not be opened.
     pub async fn open(&self, addr: SocketAddr) -> Result<Lease, io::Error> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
         stream.set_nodelay(true)?;
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -33,10 +33,6 @@
 const MIN_HEADER_BYTES: usize = 8_192;
 
 /// Opens a listening socket.
-///
-/// # Errors
-///
-/// The address cannot be bound.
 pub fn listen(addr: SocketAddr) -> Result<TcpListener, router::StartError> {
     let open = || {
         let socket = tokio::net::TcpSocket::new_v4()?;
@@ -64,7 +60,6 @@
     });
 }
 
-/// Serves responses that are computed from local state.
 fn serve_local<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
@@ -235,7 +230,6 @@
     builder
 }
 
-/// Decrements the number of open requests on drop.
 struct OpenCount<P>(Rc<router::Shared<P>>);
 
 impl<P> Drop for OpenCount<P> {
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -222,7 +222,6 @@
         None
     }
 
-    /// Closes the caller's connection without the end of the stream.
     fn abort(
         &mut self,
         why: &'static str,
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -105,7 +105,6 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordsResponse {
-    /// Time since the store was last read.
     age: Option<Duration>,
     page: dialect::Page,
 }
