--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -104,7 +104,7 @@
 /// # Errors
 ///
 /// See [`router::StartError`].
-pub fn run<E: dialect::EngineCalls + 'static>(
+pub fn run<E: dialect::EngineApi + 'static>(
     settings: Settings,
     clock: clock::SharedClock,
     engine: impl FnOnce(crate::client::Client) -> E,
@@ -141,7 +141,7 @@
     })
 }
 
-impl<E: dialect::EngineCalls> Agent<E> {
+impl<E: dialect::EngineApi> Agent<E> {
     fn on_message(&self, from: SocketAddr, message: PeerMessage) {
         let now = self.clock.now();
         match message {
@@ -231,7 +231,7 @@
                     state.ongoing = None;
                     state.identity = None;
                     drop(state);
-                    if matches!(error, dialect::ReportError::Ended(_)) {
+                    if matches!(error, dialect::ReportError::Exited(_)) {
                         self.send_engine_gone();
                     }
                     IDLE_POLL_INTERVAL
@@ -256,7 +256,7 @@
         }
         self.send_update(now, &plan.plan, &report);
         let Some(command) = self.next_command(now, &plan.plan, &report) else {
-            let busy = report.busy || report.adapters_coming > 0;
+            let busy = report.busy || report.adapters_loading > 0;
             let in_progress = self.state.borrow().ongoing.is_some() || busy;
             return if in_progress { BUSY_POLL_INTERVAL } else { IDLE_POLL_INTERVAL };
         };
@@ -280,7 +280,7 @@
         plan: &peers::EnginePlan,
         report: &dialect::EngineReport,
     ) -> Option<names::TargetId> {
-        let started_at_ms = report.born.unwrap_or(0);
+        let started_at_ms = report.started_at_ms.unwrap_or(0);
         let commands_accepted = report.holdings.commands_accepted;
         if let Some(identity) = &mut self.state.borrow_mut().identity
             && identity.started_at_ms == started_at_ms
@@ -320,7 +320,7 @@
     ) {
         let replaced = PeerMessage::EngineReplaced(peers::EngineReplaced {
             target: name,
-            born: report.born.unwrap_or(0),
+            born: report.started_at_ms.unwrap_or(0),
             before: plan.target.clone(),
         });
         router_addresses(plan).for_each(|addr| self.outbox.send(addr, &replaced));
@@ -356,7 +356,7 @@
             adapter_slots: plan.adapter_places as usize,
         };
         let models = report::engine_models(plan);
-        let adapters_loading = report.adapters_coming;
+        let adapters_loading = report.adapters_loading;
         let adapter = || {
             reconcile::next_adapter_command(
                 now,
@@ -402,17 +402,21 @@
         let target = &plan.target;
         let result = self
             .engine
-            .order(dialect::SafeOrder { target, order: &command, after_orders: commands_before })
+            .execute(dialect::GuardedCommand {
+                target,
+                command: &command,
+                commands_accepted: commands_before,
+            })
             .await;
         tracing::info!(%target, order = ?command, end = ?result, after_orders = commands_before, from_store, "command sent");
         let mut state = self.state.borrow_mut();
         match result {
-            dialect::OrderEnd::Accepted | dialect::OrderEnd::Unknown => {
+            dialect::CommandOutcome::Accepted | dialect::CommandOutcome::Unknown => {
                 if let Some(ongoing) = &mut state.ongoing {
-                    ongoing.accepted = result == dialect::OrderEnd::Accepted;
+                    ongoing.accepted = result == dialect::CommandOutcome::Accepted;
                 }
             }
-            dialect::OrderEnd::OtherEngine => {
+            dialect::CommandOutcome::OtherEngine => {
                 state.ongoing = None;
                 state.ended_target = Some(target.clone());
                 state.identity = None;
--- a/crates/corianderstand_forward/src/agent/permits.rs
+++ b/crates/corianderstand_forward/src/agent/permits.rs
@@ -12,7 +12,7 @@
 /// Bounds the wake-ups of the grant loop; a prefill takes about ten times as long.
 const MIN_GRANT_INTERVAL: Duration = Duration::from_millis(2);
 
-impl<E: dialect::EngineCalls> Agent<E> {
+impl<E: dialect::EngineApi> Agent<E> {
     pub(super) fn on_prefill_request(
         &self,
         now: Instant,
--- a/crates/corianderstand_forward/src/agent/report.rs
+++ b/crates/corianderstand_forward/src/agent/report.rs
@@ -83,7 +83,7 @@
     let targets::Load { running, waiting, cache_used } = report.load;
     peers::EngineUpdate {
         target: plan.target.clone(),
-        born: report.born.unwrap_or(0),
+        born: report.started_at_ms.unwrap_or(0),
         orders: report.holdings.commands_accepted,
         resident: resident.collect(),
         copies: Vec::new(),
--- a/crates/corianderstand_forward/src/body.rs
+++ b/crates/corianderstand_forward/src/body.rs
@@ -1,6 +1,6 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
-use crate::exchange::Broken;
+use crate::exchange::Aborted;
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::Full;
@@ -10,46 +10,46 @@
     task::{Context, Poll},
 };
 
-/// A body that is there as a whole, or comes as events do.
-pub struct AnswerBody {
+/// A buffered or streamed body.
+pub struct ResponseBody {
     source: Source,
-    /// Held for its drop alone: with the body, when it has gone out or the caller has left.
+    /// Dropped with the body, when it was sent or the caller left.
     _guard: Option<Box<dyn Any>>,
 }
 
 enum Source {
-    Whole(Full<Bytes>),
-    Stream(Pin<Box<dyn Body<Data = Bytes, Error = Broken>>>),
+    Buffered(Full<Bytes>),
+    Stream(Pin<Box<dyn Body<Data = Bytes, Error = Aborted>>>),
 }
 
-impl AnswerBody {
-    /// A body that is there as a whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self { source: Source::Whole(Full::new(bytes)), _guard: None }
+impl ResponseBody {
+    /// A buffered body.
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self { source: Source::Buffered(Full::new(bytes)), _guard: None }
     }
 
-    /// A body that comes in pieces.
-    pub fn stream(body: impl Body<Data = Bytes, Error = Broken> + 'static) -> Self {
+    /// A streamed body.
+    pub fn stream(body: impl Body<Data = Bytes, Error = Aborted> + 'static) -> Self {
         Self { source: Source::Stream(Box::pin(body)), _guard: None }
     }
 
-    /// Keeps something until the body has gone out.
+    /// Attaches a guard that is dropped with the body.
     #[must_use]
     pub fn with_guard(self, guard: impl Any) -> Self {
         Self { _guard: Some(Box::new(guard)), ..self }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Aborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match &mut self.source {
-            Source::Whole(full) => Pin::new(full)
+            Source::Buffered(full) => Pin::new(full)
                 .poll_frame(cx)
                 .map(|frame| frame.map(|f| f.map_err(|never| match never {}))),
             Source::Stream(body) => body.as_mut().poll_frame(cx),
@@ -58,14 +58,14 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.source {
-            Source::Whole(full) => full.is_end_stream(),
+            Source::Buffered(full) => full.is_end_stream(),
             Source::Stream(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            Source::Whole(full) => full.size_hint(),
+            Source::Buffered(full) => full.size_hint(),
             Source::Stream(body) => body.size_hint(),
         }
     }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -26,7 +26,7 @@
     /// Number of times another target resumed the stream.
     pub resumes: u32,
     /// Intervals between the events.
-    pub pace: stream::Pace,
+    pub pace: stream::EventTimings,
 }
 
 /// Each kind has its own rate limit, so that a flood of one does not suppress the others.
@@ -115,7 +115,7 @@
         if self.may_log(kind, now) {
             let (ms, tried, status) =
                 (millis_between(now, job.arrived), job.tried.len(), status.as_u16());
-            let failure_score = job.last_trouble;
+            let failure_score = job.last_failure;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
             tracing::info!(id = %job.call.id, route = %job.route.name, status, how, trouble = failure_score, tried, ms, aim_ms = latency_objective_ms, "answered");
         }
@@ -130,8 +130,8 @@
         if self.may_log(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
             let (total_ms, tried) = (millis_between(now, job.arrived), job.tried.len());
-            let first_ms = end.pace.first.map(|first| millis_between(first, job.arrived));
-            let longest_pause_ms = end.pace.longest.as_millis() as u64;
+            let first_ms = end.pace.first_at.map(|first| millis_between(first, job.arrived));
+            let longest_pause_ms = end.pace.longest_gap.as_millis() as u64;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
             let gap_objective_ms = job.route.gap_objective.map(|gap| gap.as_millis() as u64);
             let target = job.last_target.as_str();
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -1,11 +1,10 @@
-//! One request from its arrival to its answer.
+//! Handles one request from its arrival to its response.
 //!
-//! A request is sent to one target at a time. It is sent to a second one only if the first did not
-//! run it, as the target itself says or because nothing was written to it, or if it may run more
-//! than once; and only while the route's number of targets and the budget allow it. What became of
-//! a request that was written and not answered is not known, so it is never refused as "not run".
+//! A request is sent to one target at a time, and to another one only if the first did not run it
+//! (reported by the target, or nothing was written) or its route allows retries, within the limits of
+//! the route and the retry budget. An unanswered request is never reported as "not run".
 
-use crate::{attempt, body::AnswerBody, decisions, dialect, job, router, stream, waiting};
+use crate::{attempt, body::ResponseBody, decisions, dialect, job, router, stream, waiting};
 use bytes::Bytes;
 use corianderstand_fleet::{config, prefixes, targets, wait_limit};
 use corianderstand_types::{names, pause};
@@ -16,92 +15,89 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 use xxhash_rust::xxh3;
 
-/// An answer or a connection that ends without being whole.
+/// Why a response or a connection ended early.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, displaydoc::Display)]
-pub enum Broken {
-    /// the target broke off in the middle of its answer
+pub enum Aborted {
+    /// the target closed the connection during its response
     ByTarget,
-    /// the route's time is over
-    TimeOver,
-    /// the caller broke off in the middle of its request
+    /// the route's deadline was exceeded
+    DeadlineExceeded,
+    /// the caller closed the connection during its request
     ByCaller,
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Aborted {}
 
-/// Deadline of requests whose route and caller name none.
+/// Used where the caller sets no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest answer that is read whole before it is passed on; plain services answer with some KB.
-const MOST_ANSWER_BYTES: usize = 8 << 20;
-/// Time to come back while no configuration is known, or from a router that ends: a process that
-/// starts learns the configuration within half a second of reaching the store, and a new connection
-/// leads to another router.
-const STARTING_RETURN: Duration = Duration::from_millis(700);
-/// Longest time that a request waits for a router that has just started to read what it needs, and the
-/// part of the caller's time that it may be.
-const STARTING_HOLD: Duration = Duration::from_millis(600);
-const STARTING_HOLD_PART: u32 = 4;
-/// Time to come back after a target refused and no other may be tried.
-pub const REFUSED_RETURN: Duration = Duration::from_millis(200);
-/// Most targets that did not run a request that it is offered to; each costs a way there and back.
-const MOST_OFFERS: u32 = 4;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
+/// `Retry-After` of a router that is starting or stopping: a start reads the configuration within 0.5 s,
+/// and a new connection leads to another router.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(700);
+/// Longest wait for the configuration and targets at startup, at most this part of the caller's deadline.
+const STARTUP_WAIT: Duration = Duration::from_millis(600);
+const STARTUP_WAIT_DIVISOR: u32 = 4;
+/// `Retry-After` when a target refused and no other may be tried.
+pub const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
+const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
-/// Answers one request.
+/// Handles one request.
 ///
 /// # Errors
 ///
-/// [`Broken`] closes the caller's connection without an answer.
-pub async fn answer<P: router::Platform>(
+/// [`Aborted`] closes the caller's connection without a response.
+pub async fn handle_request<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     connection: &pause::Connection,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Broken> {
+) -> Result<Response<ResponseBody>, Aborted> {
     let arrived = shared.clock.now();
     let (parts, body) = req.into_parts();
-    let call = shared.platform.read_call(&parts.headers);
-    let hold = STARTING_HOLD.min(call.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTING_HOLD_PART);
-    // When it is over, the request is judged by what is known.
-    drop(tokio::time::timeout(hold, first_knowledge(&shared)).await);
+    let call = shared.platform.parse_request(&parts.headers);
+    let startup_wait =
+        STARTUP_WAIT.min(call.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTUP_WAIT_DIVISOR);
+    drop(tokio::time::timeout(startup_wait, wait_until_started(&shared)).await);
     let (route, limit) = match find_route(&shared, &parts) {
         Ok(found) => found,
-        Err(Unrouted::NotNow(why)) => {
+        Err(Unrouted::Unavailable(why)) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
             shared.log.refused(&call.id, "", status, why, arrived, shared.clock.now());
-            return Ok(own_answer(status, why, Some(STARTING_RETURN)));
+            return Ok(local_response(status, why, Some(STARTING_RETRY_AFTER)));
         }
-        Err(Unrouted::Nowhere { version }) => {
+        Err(Unrouted::NoRoute { version }) => {
             let now = shared.clock.now();
             let age = shared.age(now, dialect::Subject::Config);
             shared.log.no_route(&call.id, version, age, arrived, now);
-            return Ok(own_answer(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
+            return Ok(local_response(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
         }
     };
-    let patience = call.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
-    let latest = arrived + patience;
+    let wait_limit = call.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let deadline = arrived + wait_limit;
     let read = Limited::new(body, limit).collect();
-    let body = match tokio::time::timeout_at(latest.into(), read).await {
+    let body = match tokio::time::timeout_at(deadline.into(), read).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return Ok(own_answer(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None));
+            return Ok(local_response(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None));
         }
-        Ok(Err(_)) | Err(_) => return Err(Broken::ByCaller),
+        Ok(Err(_)) | Err(_) => return Err(Aborted::ByCaller),
     };
     if route.runs_at_most_once()
         && shared.pauses.may_predate_pause(shared.clock.since_boot(), connection)
     {
-        // It may have lain in the socket while this process stood still, and its caller may have
-        // given up and have booked elsewhere. Who still waits asks again.
+        // It may have been in the socket while this process was paused, and its caller may have left
+        // and retried elsewhere. A caller that still waits retries.
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
         let status = StatusCode::SERVICE_UNAVAILABLE;
         shared.log.refused(&call.id, &route.name, status, why, arrived, now);
-        return Ok(own_answer(status, why, Some(REFUSED_RETURN)));
+        return Ok(local_response(status, why, Some(REFUSED_RETRY_AFTER)));
     }
     let hash = xxh3::xxh3_64(call.id.as_bytes());
     let Some(service) = route.service(hash).cloned() else {
-        return Ok(own_answer(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
+        return Ok(local_response(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
     };
-    let model = call.wanted.as_ref().map_or("", |wanted| wanted.model.as_str());
-    let chain = prefixes::Chain::new(model, call.parts.iter().map(|part| (part.id, part.tokens)));
+    let model = call.requested_model.as_ref().map_or("", |requested| requested.model.as_str());
+    let chain =
+        prefixes::Chain::new(model, call.prompt_parts.iter().map(|part| (part.id, part.tokens)));
     let uri = parts.uri.path_and_query().cloned().map_or_else(|| parts.uri.clone(), Uri::from);
     let job = job::Job {
         call,
@@ -112,63 +108,59 @@
         headers: parts.headers,
         body,
         arrived,
-        latest,
-        silent_since: arrived,
+        deadline,
+        idle_since: arrived,
         hash,
         chain,
         tried: Vec::new(),
-        offers: 0,
+        unexecuted_attempts: 0,
         may_have_run: false,
-        sent: None,
+        sent_at: None,
         last_target: names::TargetId::default(),
-        unread_tokens: 0,
-        last_trouble: "",
+        prefill_tokens: 0,
+        last_failure: "",
     };
     shared.record_arrival(&job);
-    let mut open = Open { shared: shared.clone(), id: job.call.id.clone(), over: false };
-    let answer = run(shared, job).await;
-    open.over = true;
-    Ok(answer)
+    let mut pending =
+        PendingRequest { shared: shared.clone(), id: job.call.id.clone(), answered: false };
+    let response = dispatch(shared, job).await;
+    pending.answered = true;
+    Ok(response)
 }
 
-/// A request without the head of an answer; says so when the caller leaves.
-struct Open<P: router::Platform> {
+/// Logs that the caller left if it is dropped before the response head.
+struct PendingRequest<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     id: SmolStr,
-    over: bool,
+    answered: bool,
 }
 
-impl<P: router::Platform> Drop for Open<P> {
+impl<P: router::Platform> Drop for PendingRequest<P> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.answered {
             self.shared.log.caller_left(&self.id, 0, self.shared.clock.now());
         }
     }
 }
 
-/// Waits until a router that has just started knows the configuration and the targets. It reads both
-/// within a fraction of a second, and callers who were refused all come again at once. Where a read
-/// has failed nobody knows how long it takes, so they hear it.
-async fn first_knowledge<P: router::Platform>(shared: &router::Shared<P>) {
+/// Waits until a starting router has the configuration and the targets, or a read of them failed.
+async fn wait_until_started<P: router::Platform>(shared: &router::Shared<P>) {
     loop {
-        let changed = shared.view.borrow_mut().waker(None);
-        let changed = changed.notified();
-        tokio::pin!(changed);
-        changed.as_mut().enable();
+        let update = shared.view.borrow_mut().waker(None);
+        let update = update.notified();
+        tokio::pin!(update);
+        update.as_mut().enable();
         if !shared.is_starting() {
             return;
         }
-        changed.await;
+        update.await;
     }
 }
 
-/// A request without a route.
 enum Unrouted {
-    /// This router cannot say.
-    NotNow(&'static str),
-    /// The configuration of this version has none for it.
-    Nowhere {
-        /// The version.
+    Unavailable(&'static str),
+    /// The configuration of this version has no matching route.
+    NoRoute {
         version: u64,
     },
 }
@@ -178,99 +170,102 @@
     parts: &http::request::Parts,
 ) -> Result<(Arc<config::Route>, usize), Unrouted> {
     if shared.rejects_requests(shared.clock.now()) {
-        return Err(Unrouted::NotNow("this router is stopping"));
+        return Err(Unrouted::Unavailable("this router is stopping"));
     }
     let view = shared.view.borrow();
-    let table = view.table.as_ref().ok_or(Unrouted::NotNow("no configuration is known yet"))?;
+    let table =
+        view.table.as_ref().ok_or(Unrouted::Unavailable("no configuration is known yet"))?;
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     let config = table.config();
     let route = table.find(host, parts.uri.path());
-    let route = route.ok_or(Unrouted::Nowhere { version: config.version })?;
+    let route = route.ok_or(Unrouted::NoRoute { version: config.version })?;
     Ok((route.clone(), config.limits.body_bytes))
 }
 
-/// Tries targets until one answers or the request is given up.
-async fn run<P: router::Platform>(
+/// Tries targets until one responds or the request is refused.
+async fn dispatch<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     mut job: job::Job,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     loop {
         let key = match waiting::find_target(&shared, &mut job).await {
             Ok(key) => key,
-            Err(given_up) => return refuse(&shared, &job, given_up.reason, given_up.retry_after),
+            Err(rejected) => return refuse(&shared, &job, rejected.reason, rejected.retry_after),
         };
         job.tried.push(key);
         match attempt::attempt(&shared, &mut job, key, None).await {
-            attempt::Attempt::Answered(answered) => match finish(&shared, job, *answered).await {
-                Ok(answer) => return answer,
-                Err(again) => job = *again,
-            },
-            attempt::Attempt::NotSent => {
-                // Nobody got it, so it does not count as sent.
+            attempt::AttemptOutcome::Answered(answered) => {
+                match forward_response(&shared, job, *answered).await {
+                    Ok(response) => return response,
+                    Err(retry) => job = *retry,
+                }
+            }
+            attempt::AttemptOutcome::NotSent => {
+                // Nothing was written, so it does not count against the route's targets.
                 job.tried.pop();
-                job.offers += 1;
-                job.last_trouble = "no connection to the target";
-                shared.log.attempt_failed(&job, job.last_trouble, None, shared.clock.now());
-                if job.offers > MOST_OFFERS {
-                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETURN);
+                job.unexecuted_attempts += 1;
+                job.last_failure = "no connection to the target";
+                shared.log.attempt_failed(&job, job.last_failure, None, shared.clock.now());
+                if job.unexecuted_attempts > MAX_UNEXECUTED_ATTEMPTS {
+                    return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
                 }
             }
-            attempt::Attempt::NotRun => {
-                // It has run nowhere, so it does not count as one of the route's targets; the
-                // target itself is left out for a while, as it does not hold the model.
+            attempt::AttemptOutcome::NotRun => {
+                // It did not run, so it does not count against the route's targets. The target itself is
+                // excluded for a while, as it does not hold the model.
                 job.tried.pop();
-                job.offers += 1;
-                job.last_trouble = "the target did not run it";
+                job.unexecuted_attempts += 1;
+                job.last_failure = "the target did not run it";
                 if !may_try_another(&shared, &job) {
-                    return refuse(&shared, &job, job.last_trouble, REFUSED_RETURN);
+                    return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
                 }
             }
-            attempt::Attempt::Unknown(why) => {
+            attempt::AttemptOutcome::Unknown(why) => {
                 shared.log.attempt_failed(&job, why, None, shared.clock.now());
-                job.last_trouble = why;
+                job.last_failure = why;
                 job.may_have_run = true;
                 if !(job.route.may_retry() && may_try_another(&shared, &job)) {
                     return fail(&shared, &job, StatusCode::BAD_GATEWAY, why);
                 }
             }
-            attempt::Attempt::TimeOver => {
+            attempt::AttemptOutcome::DeadlineExceeded => {
                 return fail(&shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over");
             }
         }
     }
 }
 
-/// Whether another target may get the request; takes it from the budget.
+/// Whether another target may be tried; spends a retry from the budget.
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
     (job.tried.len() as u32) < job.route.max_targets
-        && job.offers < MOST_OFFERS
+        && job.unexecuted_attempts < MAX_UNEXECUTED_ATTEMPTS
         && shared.spend_retry(&job.service)
 }
 
-/// Passes the answer on; gives the job back if it failed and another target is to be tried.
-async fn finish<P: router::Platform>(
+/// Forwards the response, or returns the job if it failed and another target is to be tried.
+async fn forward_response<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
     answered: attempt::Answered<P>,
-) -> Result<Response<AnswerBody>, Box<job::Job>> {
-    let key = answered.flight.key();
+) -> Result<Response<ResponseBody>, Box<job::Job>> {
+    let key = answered.in_flight.key();
     if job.route.streams && answered.head.status.is_success() {
-        return match stream::first(shared, job, answered).await {
-            Ok(answer) => Ok(answer),
-            Err((job, why)) => again_or_fail(shared, *job, key, why),
+        return match stream::start(shared, job, answered).await {
+            Ok(response) => Ok(response),
+            Err((job, why)) => retry_or_fail(shared, *job, key, why),
         };
     }
-    let attempt::Answered { mut head, info, body, lease, flight } = answered;
-    let reading = Limited::new(body, MOST_ANSWER_BYTES).collect();
-    let body = match tokio::time::timeout_at(shared.response_deadline(&job).into(), reading).await {
+    let attempt::Answered { mut head, info, body, lease, in_flight } = answered;
+    let read = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES).collect();
+    let body = match tokio::time::timeout_at(shared.response_deadline(&job).into(), read).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(_)) => return again_or_fail(shared, job, key, "the target broke off its answer"),
+        Ok(Err(_)) => return retry_or_fail(shared, job, key, "the target broke off its answer"),
         Err(_) => return Ok(fail(shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over")),
     };
-    let keep = if info.closes { Some(Duration::ZERO) } else { info.keep_for };
-    shared.pool.give_back(shared.clock.now(), lease, keep);
-    drop(flight);
+    let keep_alive = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
+    shared.pool.release(shared.clock.now(), lease, keep_alive);
+    drop(in_flight);
     if head.status.is_server_error() {
         shared.target_failed(key, "error of the target");
         if job.route.may_retry() && may_try_another(shared, &job) {
@@ -279,21 +274,21 @@
     } else {
         shared.target_succeeded(key);
     }
-    shared.platform.hand_back(&mut head.headers);
+    shared.platform.rewrite_response(&mut head.headers);
     shared.log.answered(&job, head.status, "whole", shared.clock.now());
-    Ok(Response::from_parts(head, AnswerBody::whole(body)))
+    Ok(Response::from_parts(head, ResponseBody::buffered(body)))
 }
 
-/// After an answer that broke off: the job, if another target may be tried, else the failure.
-fn again_or_fail<P: router::Platform>(
+/// After an interrupted response, returns the job if another target may be tried, else the failure.
+fn retry_or_fail<P: router::Platform>(
     shared: &router::Shared<P>,
     mut job: job::Job,
     key: targets::TargetKey,
     why: &'static str,
-) -> Result<Response<AnswerBody>, Box<job::Job>> {
+) -> Result<Response<ResponseBody>, Box<job::Job>> {
     shared.target_failed(key, why);
     shared.log.attempt_failed(&job, why, None, shared.clock.now());
-    job.last_trouble = why;
+    job.last_failure = why;
     job.may_have_run = true;
     if job.route.may_retry() && may_try_another(shared, &job) {
         return Err(Box::new(job));
@@ -301,50 +296,49 @@
     Ok(fail(shared, &job, StatusCode::BAD_GATEWAY, why))
 }
 
-/// Refuses a request that has not run. One whose attempt may have run is not told so.
+/// Refuses a request that has not run; one that may have run is failed instead.
 fn refuse<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
     why: &'static str,
-    after: Duration,
-) -> Response<AnswerBody> {
+    retry_after: Duration,
+) -> Response<ResponseBody> {
     if job.may_have_run {
         return fail(shared, job, StatusCode::BAD_GATEWAY, why);
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
     shared.log.refused(&job.call.id, &job.route.name, status, why, job.arrived, shared.clock.now());
-    own_answer(status, why, Some(wait_limit::retry_after(after, job.spread())))
+    local_response(status, why, Some(wait_limit::retry_after(retry_after, job.jitter())))
 }
 
-/// Ends a request whose fate is not known, or that ran and failed.
 fn fail<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
     status: StatusCode,
     why: &'static str,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     shared.log.answered(job, status, why, shared.clock.now());
-    own_answer(status, why, None)
+    local_response(status, why, None)
 }
 
-/// An answer of the router's own.
-pub fn own_answer(
+/// A response of the router itself.
+pub fn local_response(
     status: StatusCode,
     why: &'static str,
-    after: Option<Duration>,
-) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(Bytes::from_static(why.as_bytes())));
-    *answer.status_mut() = status;
-    if let Some(after) = after {
-        let text = SmolStr::from(format!("{:.3}", after.as_secs_f64()));
+    retry_after: Option<Duration>,
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(Bytes::from_static(why.as_bytes())));
+    *response.status_mut() = status;
+    if let Some(retry_after) = retry_after {
+        let text = SmolStr::from(format!("{:.3}", retry_after.as_secs_f64()));
         if let Ok(value) = HeaderValue::from_str(&text) {
-            answer.headers_mut().insert(header::RETRY_AFTER, value);
+            response.headers_mut().insert(header::RETRY_AFTER, value);
         }
     }
-    answer
+    response
 }
 
-/// One attempt at another target for the rest of a stream.
+/// Requests the rest of a stream from another target.
 pub async fn resume<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: &mut job::Job,
@@ -353,15 +347,17 @@
     if !may_try_another(shared, job) {
         return Err("no further target is allowed");
     }
-    let key = waiting::find_target(shared, job).await.map_err(|given_up| given_up.reason)?;
+    let key = waiting::find_target(shared, job).await.map_err(|rejected| rejected.reason)?;
     job.tried.push(key);
     match attempt::attempt(shared, job, key, last_event).await {
-        attempt::Attempt::Answered(answered) if answered.head.status.is_success() => Ok(*answered),
-        attempt::Attempt::Answered(_) => Err("the other target failed"),
-        attempt::Attempt::NotSent | attempt::Attempt::NotRun => {
+        attempt::AttemptOutcome::Answered(answered) if answered.head.status.is_success() => {
+            Ok(*answered)
+        }
+        attempt::AttemptOutcome::Answered(_) => Err("the other target failed"),
+        attempt::AttemptOutcome::NotSent | attempt::AttemptOutcome::NotRun => {
             Err("the other target did not take it")
         }
-        attempt::Attempt::Unknown(why) => Err(why),
-        attempt::Attempt::TimeOver => Err("the time is over"),
+        attempt::AttemptOutcome::Unknown(why) => Err(why),
+        attempt::AttemptOutcome::DeadlineExceeded => Err("the time is over"),
     }
 }
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -85,7 +85,7 @@
                     Subject::Routers => tokio::time::sleep(ROUTERS_INTERVAL).await,
                 }
             }
-            Err(dialect::StoreError::Forgotten(first)) => {
+            Err(dialect::StoreError::Compacted(first)) => {
                 tracing::info!(
                     ?subject,
                     ?from,
@@ -111,13 +111,13 @@
     drop(tokio::time::timeout(delay, outdated).await);
 }
 
-fn read_options<P>(shared: &router::Shared<P>, subject: Subject) -> dialect::Waiting {
+fn read_options<P>(shared: &router::Shared<P>, subject: Subject) -> dialect::ReadOptions {
     let wait = match subject {
         Subject::Routers => Duration::ZERO,
         Subject::Config | Subject::Targets => long_poll_wait(shared.bounds.borrow().config_within),
     };
     let last_received = shared.records.borrow_mut().last_received(subject);
-    dialect::Waiting { wait, silence: RESPONSE_TIMEOUT, heard: last_received }
+    dialect::ReadOptions { wait, idle_timeout: RESPONSE_TIMEOUT, last_received }
 }
 
 /// Long-poll duration that leaves time to apply a change within `within`.
@@ -128,7 +128,7 @@
 /// No delay follows a response timeout: the dead connection may have hidden a change.
 pub const fn retry_delay(error: &dialect::StoreError) -> Duration {
     match error {
-        dialect::StoreError::Silent(_) => Duration::ZERO,
+        dialect::StoreError::TimedOut(_) => Duration::ZERO,
         _ => RETRY_DELAY,
     }
 }
@@ -203,8 +203,8 @@
 }
 
 /// Hashes a record's content, ignoring the renewal counter of a target's entry.
-fn content_hash(record: &dialect::Record, update: Option<&dialect::News>) -> u64 {
-    if let Some(dialect::News::Target(entry)) = update {
+fn content_hash(record: &dialect::Record, update: Option<&dialect::Update>) -> u64 {
+    if let Some(dialect::Update::Target(entry)) = update {
         let entry = targets::Entry { renewals: 0, ..entry.clone() };
         match postcard::to_stdvec(&entry) {
             Ok(bytes) => return xxh3::xxh3_64(&bytes),
@@ -224,12 +224,12 @@
     shared: &Rc<router::Shared<P>>,
     subject: Subject,
     origin: Origin,
-    update: dialect::News,
+    update: dialect::Update,
 ) {
     let now = shared.clock.now();
     match update {
-        dialect::News::Config(config) => apply_config(shared, origin, config),
-        dialect::News::Target(entry) => {
+        dialect::Update::Config(config) => apply_config(shared, origin, config),
+        dialect::Update::Target(entry) => {
             let id = entry.id.clone();
             let mut view = shared.view.borrow_mut();
             let change = view.targets.register(now, entry);
@@ -238,18 +238,18 @@
                 view.wake_all();
             }
         }
-        dialect::News::TargetGone(id) => {
+        dialect::Update::TargetRemoved(id) => {
             let grace = shared.records.borrow().recovered_recently(now, subject);
             tracing::info!(target = %id, grace, "target's entry removed");
             shared.view.borrow_mut().targets.remove(now, &id, grace);
         }
-        dialect::News::Router(entry) => {
+        dialect::Update::Router(entry) => {
             if entry.router != shared.settings.name {
                 shared.peers.borrow_mut().add(now, entry.router, entry.addr);
                 control::send_hello(shared);
             }
         }
-        dialect::News::RouterGone(name) => shared.peers.borrow_mut().remove(&name),
+        dialect::Update::RouterRemoved(name) => shared.peers.borrow_mut().remove(&name),
     }
 }
 
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -45,13 +45,15 @@
     let subject = Subject::Targets;
     let max_age = shared.bounds.borrow().drain_within.mul_f64(TARGETS_INTERVAL_RATIO);
     for reader in readers {
-        match transfer::follow(shared, *reader, subject).await {
-            transfer::Fetched::Taken(Some(age)) if age <= max_age => {
+        match transfer::fetch_changes(shared, *reader, subject).await {
+            transfer::TransferOutcome::Applied(Some(age)) if age <= max_age => {
                 record_read(shared, subject);
                 return true;
             }
-            transfer::Fetched::Refused => {}
-            transfer::Fetched::Taken(_) | transfer::Fetched::Nothing => return false,
+            transfer::TransferOutcome::Refused => {}
+            transfer::TransferOutcome::Applied(_) | transfer::TransferOutcome::NoRecords => {
+                return false;
+            }
         }
     }
     false
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -1,4 +1,4 @@
-//! A request while it is answered, and its count at the target that has it.
+//! A request that is being handled, and its count at the target that handles it.
 
 use crate::{dialect, router, view};
 use bytes::Bytes;
@@ -11,135 +11,136 @@
     time::{Duration, Instant},
 };
 
-/// Callers leave a stream that has said nothing for this long, or for this many of the route's aims
-/// or pauses, whichever is longest.
-const LEFT_AFTER: Duration = Duration::from_secs(2);
-const LEFT_AFTER_AIMS: u32 = 4;
-const LEFT_AFTER_PAUSES: u32 = 8;
-/// Tokens of an answer whose length nobody guesses.
-const USUAL_OUTPUT: u64 = 300;
+/// Callers leave an idle stream after this time, or this many of the route's latency or gap objectives,
+/// whichever is longest.
+const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
+const ABANDON_OBJECTIVES: u32 = 4;
+const ABANDON_GAPS: u32 = 8;
+/// Used where the caller gives no estimate.
+const DEFAULT_OUTPUT_TOKENS: u64 = 300;
 
-/// A request that was read and is to be answered.
+/// A request that was read and awaits its response.
 pub struct Job {
-    /// What its headers say.
+    /// The parsed headers.
     pub call: dialect::Call,
-    /// The route that it took.
+    /// The matched route.
     pub route: Arc<config::Route>,
-    /// The service that it goes to.
+    /// The service of the route.
     pub service: names::ServiceId,
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// The headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Instant,
-    /// When its caller or its route gives up.
-    pub latest: Instant,
-    /// Since when its caller has heard nothing: its arrival, or a stream's last event.
-    pub silent_since: Instant,
-    /// Hash of its id.
+    /// The earlier deadline of caller and route.
+    pub deadline: Instant,
+    /// When the caller last received data: arrival, or the last event of a stream.
+    pub idle_since: Instant,
+    /// Hash of the request id.
     pub hash: u64,
-    /// Its prompt's parts.
+    /// The prompt's prefixes.
     pub chain: prefixes::Chain,
-    /// Targets that it was sent to.
+    /// Targets that were tried.
     pub tried: Vec<targets::TargetKey>,
-    /// Targets that said that they did not run it.
-    pub offers: u32,
-    /// An attempt was written to a target and its fate is not known.
+    /// Attempts that did not run.
+    pub unexecuted_attempts: u32,
+    /// Whether an attempt has an unknown outcome.
     pub may_have_run: bool,
-    /// When it was last sent.
-    pub sent: Option<Instant>,
-    /// The target that it was last sent to, for the log.
+    /// Time of the last attempt.
+    pub sent_at: Option<Instant>,
+    /// Target of the last attempt, for the log.
     pub last_target: names::TargetId,
-    /// Tokens of its prompt that the target which it was last sent to has to read.
-    pub unread_tokens: u64,
-    /// Why it was last not answered.
-    pub last_trouble: &'static str,
+    /// Prompt tokens that were not cached at the last target.
+    pub prefill_tokens: u64,
+    /// Why the last attempt failed.
+    pub last_failure: &'static str,
 }
 
 impl Job {
-    /// Tokens that it is expected to need.
+    /// Expected prompt and output tokens.
     pub fn tokens(&self) -> u64 {
-        if self.call.wanted.is_none() {
+        if self.call.requested_model.is_none() {
             return 0;
         }
-        let most = match self.call.most_output_tokens {
+        let max = match self.call.max_output_tokens {
             0 => u64::MAX,
-            most => most,
+            max => max,
         };
-        self.call.prompt_tokens + self.call.output_hint.unwrap_or(USUAL_OUTPUT).min(most)
+        self.call.prompt_tokens + self.call.output_hint.unwrap_or(DEFAULT_OUTPUT_TOKENS).min(max)
     }
 
-    /// Tokens of its prompt that a target is not known to have read.
-    pub fn unread(&self, view: &view::View, key: targets::TargetKey) -> u64 {
-        let read = view.prefixes.find(&self.chain).filter(|(there, _)| *there == key);
-        self.call.prompt_tokens.saturating_sub(read.map_or(0, |(_, tokens)| tokens))
+    /// Prompt tokens that are not known to be cached at a target.
+    pub fn uncached_tokens(&self, view: &view::View, key: targets::TargetKey) -> u64 {
+        let cached = view.prefixes.find(&self.chain).filter(|(holder, _)| *holder == key);
+        self.call.prompt_tokens.saturating_sub(cached.map_or(0, |(_, tokens)| tokens))
     }
 
-    /// Time that an engine needs to read the rest of its prompt alone; none if it has none to read.
-    pub fn reading_time(
+    /// Expected prefill time of the uncached tokens, if there are any.
+    pub fn prefill_time(
         &self,
         view: &view::View,
         key: targets::TargetKey,
         now: Instant,
     ) -> Option<Duration> {
-        let unread = self.unread(view, key);
-        let model = self.model().filter(|_| unread > 0)?;
-        let known = view.demand.model_demand(now, model).prefill_s_per_token;
-        let each = if known > 0.0 { known } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
-        Some(Duration::from_secs_f64(unread as f64 * each))
+        let uncached = self.uncached_tokens(view, key);
+        let model = self.model().filter(|_| uncached > 0)?;
+        let measured = view.demand.model_demand(now, model).prefill_s_per_token;
+        let s_per_token =
+            if measured > 0.0 { measured } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
+        Some(Duration::from_secs_f64(uncached as f64 * s_per_token))
     }
 
-    /// When a request that got nothing yet is of no more use: its caller leaves a stream that says
-    /// nothing for too long.
-    pub fn held_until(&self) -> Instant {
+    /// When the caller is expected to leave if it receives nothing.
+    pub fn abandoned_at(&self) -> Instant {
         if !self.route.streams {
-            return self.latest;
+            return self.deadline;
         }
-        let pause = self.route.gap_objective.unwrap_or_default() * LEFT_AFTER_PAUSES;
-        let silence = LEFT_AFTER.max(self.route.latency_objective * LEFT_AFTER_AIMS).max(pause);
-        self.latest.min(self.silent_since + silence)
+        let gaps = self.route.gap_objective.unwrap_or_default() * ABANDON_GAPS;
+        let idle_limit =
+            ABANDON_TIMEOUT.max(self.route.latency_objective * ABANDON_OBJECTIVES).max(gaps);
+        self.deadline.min(self.idle_since + idle_limit)
     }
 
-    /// A number between 0 and 1 that spreads requests.
-    pub fn spread(&self) -> f64 {
+    /// A number in [0, 1) derived from the request id.
+    pub fn jitter(&self) -> f64 {
         (self.hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// The model that it wants.
+    /// The requested model.
     pub fn model(&self) -> Option<&names::ModelId> {
-        self.call.wanted.as_ref().map(|wanted| &wanted.model)
+        self.call.requested_model.as_ref().map(|requested| &requested.model)
     }
 }
 
-/// A request that is at a target; counts there until it is dropped.
-pub struct Flight<P: router::Platform> {
+/// Counts a request at a target until it is dropped.
+pub struct InFlight<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     key: targets::TargetKey,
-    wanted: Option<choose::RequestedModel>,
+    requested: Option<choose::RequestedModel>,
     tokens: u64,
 }
 
-impl<P: router::Platform> Flight<P> {
-    /// Counts a request at a target.
+impl<P: router::Platform> InFlight<P> {
+    /// Adds a request to a target's counts.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
-        let wanted = job.call.wanted.clone();
-        let flight = Self { shared: shared.clone(), key, wanted, tokens: job.tokens() };
+        let requested = job.call.requested_model.clone();
+        let in_flight = Self { shared: shared.clone(), key, requested, tokens: job.tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
             target.local_requests += 1;
-            target.local_tokens += flight.tokens;
-            if let Some(wanted) = &flight.wanted {
-                *target.in_flight.entry(wanted.clone()).or_default() += 1;
+            target.local_tokens += in_flight.tokens;
+            if let Some(requested) = &in_flight.requested {
+                *target.in_flight.entry(requested.clone()).or_default() += 1;
             }
         }
         view.prefixes.record(&job.chain, key);
         drop(view);
-        flight
+        in_flight
     }
 
     /// The target.
@@ -148,19 +149,19 @@
     }
 }
 
-impl<P: router::Platform> Drop for Flight<P> {
+impl<P: router::Platform> Drop for InFlight<P> {
     fn drop(&mut self) {
         let mut view = self.shared.view.borrow_mut();
         let Some(target) = view.targets.get_mut(self.key) else { return };
         target.local_requests = target.local_requests.saturating_sub(1);
         target.local_tokens = target.local_tokens.saturating_sub(self.tokens);
-        let Some(wanted) = &self.wanted else { return };
-        if let Some(count) = target.in_flight.get_mut(wanted) {
+        let Some(requested) = &self.requested else { return };
+        if let Some(count) = target.in_flight.get_mut(requested) {
             *count -= 1;
             if *count == 0 {
-                target.in_flight.remove(wanted);
+                target.in_flight.remove(requested);
             }
         }
-        view.wake(&wanted.model);
+        view.wake(&requested.model);
     }
 }
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -99,7 +99,7 @@
         let now = shared.clock.now();
         let view = shared.view.borrow();
         let target = view.targets.get(key).filter(|target| target.agent_is_responsive(now))?;
-        let prefill_time = job.reading_time(&view, key, now)?;
+        let prefill_time = job.prefill_time(&view, key, now)?;
         let agent = std::net::SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
         let id = shared.prefill_permits.next_id(shared.incarnation);
         let pending = Rc::<PendingAnswer>::default();
@@ -117,13 +117,13 @@
     fn send(&mut self, job: &job::Job) {
         let now = self.shared.clock.now();
         let millis_until = |at: Instant| at.saturating_duration_since(now).as_millis() as u32;
-        self.request.aim_in_ms = millis_until(job.silent_since + job.route.latency_objective);
+        self.request.aim_in_ms = millis_until(job.idle_since + job.route.latency_objective);
         self.request.useful_ms = millis_until(self.expires_at(job));
         self.shared.outbox.send(self.agent, &PeerMessage::PrefillAsked(self.request.clone()));
     }
 
     fn expires_at(&self, job: &job::Job) -> Instant {
-        job.held_until().min(self.shared.response_deadline(job))
+        job.abandoned_at().min(self.shared.response_deadline(job))
     }
 
     async fn answer(&self, within: Duration) -> Option<PermitAnswer> {
@@ -159,7 +159,7 @@
         }
         if now + answer.wait >= claim.expires_at(job) {
             return PermitOutcome::TooLate {
-                retry_after: wait_limit::retry_after(answer.wait, job.spread()),
+                retry_after: wait_limit::retry_after(answer.wait, job.jitter()),
             };
         }
         if !shared.may_serve(key, job, now) || (!final_choice && answer.wait >= CHOOSE_AGAIN_WAIT) {
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -53,7 +53,7 @@
     read_at: Option<Instant>,
     previous_read_age: Option<Duration>,
     recovered_at: Option<Instant>,
-    last_received: client::Heard,
+    last_received: client::LastReceived,
     last_read_failed: bool,
 }
 
@@ -89,7 +89,7 @@
     }
 
     /// Shared marker that a read updates on each part of its response.
-    pub fn last_received(&mut self, subject: Subject) -> client::Heard {
+    pub fn last_received(&mut self, subject: Subject) -> client::LastReceived {
         self.by_subject.entry(subject).or_default().last_received.clone()
     }
 
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -150,14 +150,14 @@
 
     /// Returns when a request without a response fails; a shutdown may bring this forward.
     pub fn response_deadline(&self, job: &job::Job) -> Instant {
-        self.stopping.get().map_or(job.latest, |stop| job.latest.min(stop.respond_by))
+        self.stopping.get().map_or(job.deadline, |stop| job.deadline.min(stop.respond_by))
     }
 
     /// Records the arrival of a request.
     pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
-        if let Some(requested) = &job.call.wanted {
+        if let Some(requested) = &job.call.requested_model {
             let profile = demand::RequestProfile {
                 prompt_tokens: job.call.prompt_tokens,
                 uses_adapter: requested.adapter.is_some(),
@@ -212,7 +212,7 @@
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
         let query = choose::Query {
             service: &job.service,
-            requested: job.call.wanted.as_ref(),
+            requested: job.call.requested_model.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
@@ -242,7 +242,11 @@
             choose::Choice::NoTarget => wait_limit::Readiness::Unknown,
             choose::Choice::Full => wait_limit::Readiness::AtCapacity,
             choose::Choice::LoadAdapter(key) => self.view.borrow().adapter_readiness(key),
-            _ => self.view.borrow().model_readiness(now, &job.service, job.call.wanted.as_ref()),
+            _ => self.view.borrow().model_readiness(
+                now,
+                &job.service,
+                job.call.requested_model.as_ref(),
+            ),
         }
     }
 
@@ -308,9 +312,9 @@
 
     /// Records the time to the first event of a stream.
     pub fn record_first_event(&self, job: &job::Job, now: Instant) {
-        let (Some(model), Some(sent)) = (job.model(), job.sent) else { return };
+        let (Some(model), Some(sent)) = (job.model(), job.sent_at) else { return };
         let elapsed = now.saturating_duration_since(sent);
-        self.view.borrow_mut().demand.record_first_event(model, job.unread_tokens, elapsed);
+        self.view.borrow_mut().demand.record_first_event(model, job.prefill_tokens, elapsed);
     }
 
     /// Records the load that a target reported.
@@ -340,7 +344,7 @@
             self.targets_outdated.notify_one();
             return;
         }
-        match &job.call.wanted {
+        match &job.call.requested_model {
             Some(requested) => target.record_absent_model(now, &requested.model),
             None => target.health.record_failure(now),
         }
@@ -348,7 +352,7 @@
 
     /// Requests that a target load the adapter of a request.
     pub fn request_adapter(&self, key: targets::TargetKey, job: &job::Job) {
-        let adapter = job.call.wanted.as_ref().and_then(control::adapter_request);
+        let adapter = job.call.requested_model.as_ref().and_then(control::adapter_request);
         control::request_adapters(self, key, adapter.into_iter().collect());
     }
 }
@@ -416,7 +420,7 @@
         tokio::task::spawn_local(apply_reloads(shared.clone(), reload));
         follow::start(&shared);
         control::start(&shared);
-        transfer::start(&shared, peers);
+        transfer::serve(&shared, peers);
         server::serve_ready(&shared, ready);
         tokio::task::spawn_local(tick_pause_detector(shared.clone()));
         tracing::info!(name = %shared.settings.name, front = %shared.settings.front, "router started");
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: taken, served, and ended without cutting a request.
+//! HTTP server for callers: accepts and serves connections, and drains them on shutdown.
 
 use crate::{body, exchange, router};
 use bytes::Bytes;
@@ -17,60 +17,53 @@
     sync::watch,
 };
 
-/// Connections that may wait to be taken. A burst of clients after a host is gone brings some
-/// hundred at once; one that finds no room tries again only after a second.
-const BACKLOG: u32 = 1_024;
-/// Time for which a stopping router still takes connections: whoever sends callers here asks once
-/// a second whether it is ready and goes by two answers.
-const LEAVE_TIME: Duration = Duration::from_millis(2_600);
-/// Time before the end of a stop at which requests without the head of an answer are answered: they
-/// would else end with a closed connection, which tells their callers nothing.
-const ANSWER_BEFORE: Duration = Duration::from_millis(900);
-/// Time before the end of a stop at which what is still open is cut, so that callers see a closed
-/// connection and not a dead host.
-const CUT_BEFORE: Duration = Duration::from_millis(400);
-/// Pause between looks at what is still open during a stop.
-const LOOK: Duration = Duration::from_millis(50);
-/// Least room for the head of a request that the HTTP library takes.
-const LEAST_HEAD: usize = 8_192;
+/// Holds a burst of reconnects after a host fails; a SYN that is dropped is resent only after 1 s.
+const LISTEN_BACKLOG: u32 = 1_024;
+/// A stopping router accepts connections for this long: load balancers check readiness each second and
+/// act on the second failure.
+const READINESS_GRACE: Duration = Duration::from_millis(2_600);
+/// Pending requests are answered this long before the stop timeout, rather than closed without a
+/// response.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
+/// Open connections are closed this long before the stop timeout, so that callers see a close rather
+/// than a dead host.
+const CLOSE_MARGIN: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Smallest buffer that hyper accepts.
+const MIN_HEADER_BYTES: usize = 8_192;
 
 /// Opens a listening socket.
-///
-/// # Errors
-///
-/// The address cannot be bound.
 pub fn listen(addr: SocketAddr) -> Result<TcpListener, router::StartError> {
     let open = || {
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     open().map_err(|error| router::StartError::Listen { addr, error })
 }
 
-/// Answers the readiness check.
+/// Serves the readiness check.
 pub fn serve_ready<P: router::Platform>(shared: &Rc<router::Shared<P>>, listener: TcpListener) {
-    serve_small(shared, listener, readiness);
+    serve_local(shared, listener, readiness);
 }
 
-/// Answers with a text for a path, or 404.
+/// Serves the text of a path, or 404.
 pub fn serve_text<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
     text: impl Fn(&router::Shared<P>, &str) -> Option<String> + Copy + 'static,
 ) {
-    serve_small(shared, listener, move |shared, path| match text(shared, path) {
+    serve_local(shared, listener, move |shared, path| match text(shared, path) {
         Some(text) => Response::new(Full::from(text)),
         None => status(StatusCode::NOT_FOUND),
     });
 }
 
-/// Serves short answers that need nothing but what is known.
-fn serve_small<P: router::Platform>(
+fn serve_local<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
-    answer: impl Fn(&router::Shared<P>, &str) -> Response<Full<Bytes>> + Copy + 'static,
+    response: impl Fn(&router::Shared<P>, &str) -> Response<Full<Bytes>> + Copy + 'static,
 ) {
     let shared = shared.clone();
     tokio::task::spawn_local(async move {
@@ -78,14 +71,14 @@
             let Some(stream) = accept(&listener).await else { continue };
             let shared = shared.clone();
             let service = service_fn(move |req: Request<Incoming>| {
-                let answer = answer(&shared, req.uri().path());
-                async move { Ok::<_, Infallible>(answer) }
+                let response = response(&shared, req.uri().path());
+                async move { Ok::<_, Infallible>(response) }
             });
             tokio::task::spawn_local(async move {
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 if let Err(error) = connection.await {
-                    tracing::debug!(%error, "a connection for short answers ended");
+                    tracing::debug!(%error, "local connection ended");
                 }
             });
         }
@@ -93,9 +86,9 @@
 }
 
 fn status(status: StatusCode) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = status;
+    response
 }
 
 fn readiness<P: router::Platform>(shared: &router::Shared<P>, path: &str) -> Response<Full<Bytes>> {
@@ -108,36 +101,36 @@
     }
 }
 
-/// Whether callers should be sent here.
+/// Whether load balancers may send callers here.
 pub fn is_ready<P: router::Platform>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
-/// Takes a caller's connection; notes when there is none.
-async fn accept_caller(watch: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
+/// Accepts a connection and records in the pause detector when none is pending.
+async fn accept_caller(pauses: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
     let mut accept = pin!(accept(listener));
-    future::poll_fn(|cx| watch.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
+    future::poll_fn(|cx| pauses.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
 }
 
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept().await {
         Ok((stream, _)) => {
             if let Err(error) = stream.set_nodelay(true) {
-                tracing::debug!(%error, "connection without nodelay");
+                tracing::debug!(%error, "could not set TCP_NODELAY");
             }
             Some(stream)
         }
         Err(error) => {
-            // Out of descriptors, as a rule: others have to be closed first.
-            tracing::warn!(%error, "a connection could not be taken");
-            tokio::time::sleep(LOOK).await;
+            // Usually out of file descriptors: wait until others are closed.
+            tracing::warn!(%error, "could not accept a connection");
+            tokio::time::sleep(POLL_INTERVAL).await;
             None
         }
     }
 }
 
-/// Serves callers until `stop` is done and what was begun is answered.
+/// Serves callers until `stop` completes, then drains open connections.
 pub async fn serve<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     listener: TcpListener,
@@ -149,44 +142,45 @@
         tokio::select! {
             stream = accept_caller(&shared.pauses, &listener) => {
                 if let Some(stream) = stream {
-                    connection(shared, stream, closing.subscribe());
+                    spawn_connection(shared, stream, closing.subscribe());
                 }
             }
             () = &mut stop => break,
         }
     }
-    let began = shared.clock.now();
-    let within = shared.bounds.borrow().stop_within;
+    let stopping_since = shared.clock.now();
+    let stop_timeout = shared.bounds.borrow().stop_within;
     shared.stopping.set(Some(router::StopDeadlines {
-        reject_from: began + LEAVE_TIME.min(within / 2),
-        respond_by: began + within.saturating_sub(ANSWER_BEFORE),
+        reject_from: stopping_since + READINESS_GRACE.min(stop_timeout / 2),
+        respond_by: stopping_since + stop_timeout.saturating_sub(RESPONSE_MARGIN),
     }));
-    tracing::info!(open = shared.open_requests.get(), "stopping: no longer ready");
-    // Each open connection ends with the answer that it is giving; unused ones end now. A request
-    // that crosses the end of its connection was not read, and its caller may repeat it.
+    tracing::info!(open = shared.open_requests.get(), "stopping: readiness withdrawn");
+    // Active connections close after their response, idle ones now. A request that arrives on a
+    // closing connection is not read, so its caller may retry it.
     closing.send_replace(true);
     loop {
         let now = shared.clock.now();
-        let passed = now.saturating_duration_since(began);
-        let cut = within.saturating_sub(CUT_BEFORE);
-        if passed >= cut || (passed >= LEAVE_TIME && shared.open_requests.get() == 0) {
+        let elapsed = now.saturating_duration_since(stopping_since);
+        let close_after = stop_timeout.saturating_sub(CLOSE_MARGIN);
+        if elapsed >= close_after || (elapsed >= READINESS_GRACE && shared.open_requests.get() == 0)
+        {
             break;
         }
-        let look = tokio::time::timeout(LOOK, accept_caller(&shared.pauses, &listener)).await;
-        if let Ok(Some(stream)) = look {
-            connection(shared, stream, closing.subscribe());
+        let accepted =
+            tokio::time::timeout(POLL_INTERVAL, accept_caller(&shared.pauses, &listener)).await;
+        if let Ok(Some(stream)) = accepted {
+            spawn_connection(shared, stream, closing.subscribe());
         }
     }
     if shared.open_requests.get() > 0 {
         tracing::warn!(
             cut = shared.open_requests.get(),
-            "stopped with requests that were not answered in time"
+            "stop timeout: closing connections with unanswered requests"
         );
     }
 }
 
-/// Serves one connection.
-fn connection<P: router::Platform>(
+fn spawn_connection<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     stream: TcpStream,
     mut closing: watch::Receiver<bool>,
@@ -197,14 +191,14 @@
     tokio::task::spawn_local(async move {
         let served = Cell::new(false);
         let stream = pause::WatchedStream::new(stream, shared.pauses.clone());
-        let seen = stream.connection();
+        let tracked = stream.connection();
         let service = service_fn(|req| {
             served.set(true);
-            one(shared.clone(), seen.clone(), req)
+            serve_request(shared.clone(), tracked.clone(), req)
         });
-        let connection = builder(&limits).serve_connection(TokioIo::new(stream), service);
+        let connection = http_builder(&limits).serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
-        let mut told = false;
+        let mut notified = false;
         loop {
             tokio::select! {
                 end = connection.as_mut() => {
@@ -213,11 +207,10 @@
                     }
                     return;
                 }
-                _ = closing.wait_for(|closing| *closing), if !told => {
-                    told = true;
-                    // A connection that has carried nothing yet is new: its first request is on
-                    // its way, and its answer will say that the connection ends. Closed now, its
-                    // caller would get nothing.
+                _ = closing.wait_for(|closing| *closing), if !notified => {
+                    notified = true;
+                    // On a new connection the first request may be on its way: its response will
+                    // carry `Connection: close`.
                     if served.get() {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -227,18 +220,17 @@
     });
 }
 
-fn builder(limits: &config::Limits) -> http1::Builder {
+fn http_builder(limits: &config::Limits) -> http1::Builder {
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The time runs from the end of the last answer, so it bounds unused connections too.
+        // Starts at the end of the previous response, so it limits idle connections too.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.header_bytes.max(LEAST_HEAD))
+        .max_buf_size(limits.header_bytes.max(MIN_HEADER_BYTES))
         .half_close(false);
     builder
 }
 
-/// Counts a request while it is being answered.
 struct OpenCount<P>(Rc<router::Shared<P>>);
 
 impl<P> Drop for OpenCount<P> {
@@ -247,16 +239,16 @@
     }
 }
 
-async fn one<P: router::Platform>(
+async fn serve_request<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     connection: Arc<pause::Connection>,
     req: Request<Incoming>,
-) -> Result<Response<body::AnswerBody>, exchange::Broken> {
+) -> Result<Response<body::ResponseBody>, exchange::Aborted> {
     shared.open_requests.set(shared.open_requests.get() + 1);
     let count = OpenCount(shared.clone());
-    let mut answer = exchange::answer(shared.clone(), &connection, req).await?;
+    let mut response = exchange::handle_request(shared.clone(), &connection, req).await?;
     if shared.stopping.get().is_some() {
-        answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer.map(|body| body.with_guard(count)))
+    Ok(response.map(|body| body.with_guard(count)))
 }
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -64,11 +64,11 @@
                     shared.request_adapter(key, job);
                 }
                 let expected = shared.expected_readiness(now, job, choice);
-                let until = job.held_until().min(shared.response_deadline(job));
+                let until = job.abandoned_at().min(shared.response_deadline(job));
                 if waiting.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
-                match wait_limit::decide(now, until, expected, job.spread()) {
+                match wait_limit::decide(now, until, expected, job.jitter()) {
                     wait_limit::Decision::Hold { until } => {
                         (until.min(shared.response_deadline(job)), poll_interval(choice))
                     }
@@ -81,7 +81,7 @@
         if now >= until {
             return Err(PlacementError {
                 reason: reason(choice),
-                retry_after: exchange::REFUSED_RETURN,
+                retry_after: exchange::REFUSED_RETRY_AFTER,
             });
         }
         if let (None, Some(model)) = (&waiting, job.model()) {
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -37,18 +37,19 @@
     }
 }
 
-impl dialect::EngineCalls for Engine {
+impl dialect::EngineApi for Engine {
     async fn report(&self) -> Result<dialect::EngineReport, dialect::ReportError> {
         let state = self.0.lock().unwrap();
         if state.has_ended {
-            let refused = client::CallError::Nobody(SocketAddr::from(([127, 0, 0, 1], 1)));
-            return Err(dialect::ReportError::Ended(refused));
+            let refused =
+                client::CallError::ConnectionRefused(SocketAddr::from(([127, 0, 0, 1], 1)));
+            return Err(dialect::ReportError::Exited(refused));
         }
         Ok(dialect::EngineReport {
-            born: Some(STARTED_AT_MS),
+            started_at_ms: Some(STARTED_AT_MS),
             holdings: state.holdings.clone(),
             busy: false,
-            adapters_coming: 0,
+            adapters_loading: 0,
             load: targets::Load::default(),
         })
     }
@@ -58,21 +59,21 @@
         Ok(self.0.lock().unwrap().name.clone())
     }
 
-    async fn order(&self, order: dialect::SafeOrder<'_>) -> dialect::OrderEnd {
+    async fn execute(&self, order: dialect::GuardedCommand<'_>) -> dialect::CommandOutcome {
         let mut state = self.0.lock().unwrap();
-        state.commands.push((Instant::now(), order.order.clone(), order.after_orders));
+        state.commands.push((Instant::now(), order.command.clone(), order.commands_accepted));
         if state.commands_to_drop > 0 {
             state.commands_to_drop -= 1;
-            return dialect::OrderEnd::Unknown;
+            return dialect::CommandOutcome::Unknown;
         }
         if let Some(name) = state.name.as_ref().filter(|name| *name != order.target) {
             panic!("{name} received a command for {}", order.target);
         }
-        if order.after_orders != state.holdings.commands_accepted {
-            return dialect::OrderEnd::Conflict;
+        if order.commands_accepted != state.holdings.commands_accepted {
+            return dialect::CommandOutcome::Conflict;
         }
         state.holdings.commands_accepted += 1;
-        match order.order {
+        match order.command {
             reconcile::Command::Load(model) => {
                 let resident = targets::Resident { model: model.clone(), adapters: Vec::new() };
                 state.holdings.resident.push(resident);
@@ -82,7 +83,7 @@
             }
             other => panic!("{other:?} was not planned"),
         }
-        dialect::OrderEnd::Accepted
+        dialect::CommandOutcome::Accepted
     }
 }
 
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use corianderstand_fleet::{budget, choose, config, targets};
 use corianderstand_forward::{dialect, router};
 use corianderstand_types::clock::SystemClock;
-use dialect::{News, Page, Record, RecordError, RouterEntry, StoreError, Subject, Waiting};
+use dialect::{Page, ReadOptions, Record, RecordError, RouterEntry, StoreError, Subject, Update};
 use http::{HeaderMap, HeaderValue, StatusCode};
 use std::{
     collections::BTreeMap,
@@ -31,7 +31,7 @@
 /// Contents and simulated faults of the store.
 #[derive(Default)]
 pub struct StoreState {
-    entries: BTreeMap<u64, (Subject, Record, Option<News>)>,
+    entries: BTreeMap<u64, (Subject, Record, Option<Update>)>,
     next: u64,
     down: bool,
     read_delay: Duration,
@@ -75,11 +75,11 @@
         Self { link: Some(link.clone()), ..self.clone() }
     }
 
-    fn put(&self, subject: Subject, key: &str, update: Option<News>) {
+    fn put(&self, subject: Subject, key: &str, update: Option<Update>) {
         self.put_large(subject, key, update, 1);
     }
 
-    fn put_large(&self, subject: Subject, key: &str, update: Option<News>, len: usize) {
+    fn put_large(&self, subject: Subject, key: &str, update: Option<Update>, len: usize) {
         let mut state = self.state.lock().unwrap();
         let offset = state.next;
         let value = Some(Bytes::from(vec![b'x'; len]));
@@ -89,22 +89,22 @@
     }
 
     pub fn config(&self, config: config::Config) {
-        self.put(Subject::Config, "config", Some(News::Config(Arc::new(config))));
+        self.put(Subject::Config, "config", Some(Update::Config(Arc::new(config))));
     }
 
     /// Writes a configuration with a document of `len` bytes.
     pub fn large_config(&self, config: config::Config, len: usize) {
-        let update = News::Config(Arc::new(config));
+        let update = Update::Config(Arc::new(config));
         self.put_large(Subject::Config, "config", Some(update), len);
     }
 
     pub fn target(&self, entry: targets::Entry) {
         let key = entry.id.to_string();
-        self.put(Subject::Targets, &key, Some(News::Target(entry)));
+        self.put(Subject::Targets, &key, Some(Update::Target(entry)));
     }
 
     pub fn target_gone(&self, id: &str) {
-        self.put(Subject::Targets, id, Some(News::TargetGone(id.into())));
+        self.put(Subject::Targets, id, Some(Update::TargetRemoved(id.into())));
     }
 
     pub fn unreadable_record(&self, subject: Subject, key: &str) {
@@ -135,7 +135,7 @@
 pub struct PlainPlatform(pub MemoryStore);
 
 impl dialect::Dialect for PlainPlatform {
-    fn read_call(&self, headers: &HeaderMap) -> dialect::Call {
+    fn parse_request(&self, headers: &HeaderMap) -> dialect::Call {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let millis = |name: &str| text(name)?.parse().ok().map(Duration::from_millis);
         let wanted = text("x-model").map(|model| choose::RequestedModel {
@@ -151,7 +151,7 @@
         }
     }
 
-    fn pass_on(&self, headers: &mut HeaderMap, passing: &dialect::Passing) {
+    fn rewrite_request(&self, headers: &mut HeaderMap, passing: &dialect::ForwardedRequest) {
         headers.remove(http::header::CONNECTION);
         headers.remove(http::header::CONTENT_LENGTH);
         headers.insert("x-target", HeaderValue::from_str(passing.target.as_str()).unwrap());
@@ -161,9 +161,9 @@
         }
     }
 
-    fn read_answer(&self, _: StatusCode, headers: &HeaderMap) -> dialect::AnswerHead {
+    fn parse_response(&self, _: StatusCode, headers: &HeaderMap) -> dialect::ResponseHead {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-        dialect::AnswerHead {
+        dialect::ResponseHead {
             not_run: headers.contains_key("x-not-run"),
             signed: headers.contains_key("x-signed"),
             request: text("x-id").map(Into::into),
@@ -172,14 +172,14 @@
         }
     }
 
-    fn hand_back(&self, headers: &mut HeaderMap) {
+    fn rewrite_response(&self, headers: &mut HeaderMap) {
         headers.remove(http::header::CONNECTION);
         headers.remove(http::header::TRANSFER_ENCODING);
     }
 }
 
 impl dialect::Store for PlainPlatform {
-    async fn newest(&self, subject: Subject, _: &Waiting) -> Result<Page, StoreError> {
+    async fn newest(&self, subject: Subject, _: &ReadOptions) -> Result<Page, StoreError> {
         let read_delay = self.0.state.lock().unwrap().read_delay;
         tokio::time::sleep(read_delay).await;
         self.0.page(subject, 0)
@@ -189,14 +189,14 @@
         &self,
         subject: Subject,
         from: u64,
-        waiting: &Waiting,
+        waiting: &ReadOptions,
     ) -> Result<Page, StoreError> {
         tokio::time::sleep(Duration::from_millis(20)).await;
         let page = self.0.page(subject, from)?;
         if let Some(link) = &self.0.link {
             let lens = page.records.iter().filter_map(|record| record.value.as_ref());
             let len = lens.map(Bytes::len).sum();
-            link.transfer(len, || waiting.heard.note(Instant::now())).await;
+            link.transfer(len, || waiting.last_received.record(Instant::now())).await;
         }
         Ok(page)
     }
@@ -209,7 +209,7 @@
         Ok(())
     }
 
-    fn decode(&self, _: Subject, record: &Record) -> Result<Option<News>, RecordError> {
+    fn decode(&self, _: Subject, record: &Record) -> Result<Option<Update>, RecordError> {
         let state = self.0.state.lock().unwrap();
         let (_, _, update) = &state.entries[&record.offset];
         let unreadable =
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -115,7 +115,7 @@
 #[case::seven_seconds(7)]
 fn an_unresponsive_read_is_repeated_within_the_limit(#[case] seconds: u64) {
     let within = Duration::from_secs(seconds);
-    let timed_out = StoreError::Silent(follow::RESPONSE_TIMEOUT.as_millis() as u64);
+    let timed_out = StoreError::TimedOut(follow::RESPONSE_TIMEOUT.as_millis() as u64);
     let next =
         follow::long_poll_wait(within) + follow::RESPONSE_TIMEOUT + follow::retry_delay(&timed_out);
     assert!(next < within, "the next read begins after {next:?}");
