--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -3,7 +3,7 @@
 use crate::{
     answer::{self, Shape},
     call::CallInProgress,
-    http::{Asked, Door},
+    http::{Asked, HandlerContext},
     params::Params,
     problem::{self, Problem},
 };
@@ -63,7 +63,7 @@
 ///
 /// Any [`Problem`]; nothing has been sent then.
 pub async fn complete(
-    door: &Door,
+    door: &HandlerContext,
     asked: &Asked,
     chat: bool,
     req: &mut Request,
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -48,7 +48,7 @@
 const RETRY_FULL: Duration = Duration::from_secs(1);
 
 /// What the handlers share.
-pub struct Door {
+pub struct HandlerContext {
     /// Name of this router.
     pub name: WriterId,
     /// Asks other routers.
@@ -116,7 +116,7 @@
     NoSuchPath,
 }
 
-struct Endpoint(Arc<Door>, Kind);
+struct Endpoint(Arc<HandlerContext>, Kind);
 
 const GET: &str = "GET";
 const POST: &str = "POST";
@@ -140,7 +140,7 @@
 ];
 
 /// All paths; what is none of them is answered in the same form.
-pub fn routes(door: &Arc<Door>) -> Router {
+pub fn routes(door: &Arc<HandlerContext>) -> Router {
     let at = |kind| Endpoint(door.clone(), kind);
     let services = Router::with_path("services/{service}/{**rest}").goal(at(Kind::Service));
     let known = PATHS.into_iter().fold(Router::new().push(services), |routes, path| {
@@ -204,7 +204,7 @@
     value.strip_prefix("Bearer ").map(str::trim).ok_or(Problem::Unauthorized)
 }
 
-impl Door {
+impl HandlerContext {
     async fn answer(
         &self,
         kind: Kind,
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -1,7 +1,7 @@
 //! What operators ask: apply settings, read them, see what is in force.
 
 use crate::{
-    http::{self, Door},
+    http::{self, HandlerContext},
     problem::{self, Problem},
     status,
 };
@@ -81,7 +81,7 @@
 ///
 /// Any [`Problem`].
 pub async fn answer(
-    door: &Door,
+    door: &HandlerContext,
     kind: Kind,
     req: &mut Request,
     res: &mut Response,
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-async fn apply(door: &Door, req: &mut Request) -> Result<Value, Problem> {
+async fn apply(door: &HandlerContext, req: &mut Request) -> Result<Value, Problem> {
     let body = door.read_body(req, door.max_body_bytes).await?;
     let asked: ApplyRequest = serde_json::from_slice(&body)
         .map_err(|error| Problem::Invalid(format!("the change cannot be read: {error}")))?;
@@ -155,7 +155,7 @@
 ///
 /// "Refused" is said of a change that is not in the log only once the log has been read beyond
 /// the time after which the fold voids it; before that it is not known yet.
-fn ticket(door: &Door, ticket: &str) -> Result<Value, Problem> {
+fn ticket(door: &HandlerContext, ticket: &str) -> Result<Value, Problem> {
     let unknown = || Problem::Invalid("`ticket` is not one that a router gave".into());
     let not_after_ms = not_after_ms(ticket).ok_or_else(unknown)?;
     let snapshot = door.control.current.load();
@@ -178,7 +178,7 @@
     })
 }
 
-fn history(door: &Door, prefix: &str) -> Value {
+fn history(door: &HandlerContext, prefix: &str) -> Value {
     let snapshot = door.control.current.load();
     let entries: Vec<Value> =
         snapshot.state.history.of_path(prefix).map(|entry| json!(entry)).collect();
@@ -186,7 +186,7 @@
 }
 
 /// On how many routers a version is in force, as they say themselves.
-async fn spread(door: &Door, req: &Request) -> Result<Value, Problem> {
+async fn spread(door: &HandlerContext, req: &Request) -> Result<Value, Problem> {
     let wanted = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
     let asked = door.peers.iter().map(|peer| version_of(peer, bearer));
@@ -207,7 +207,7 @@
 }
 
 /// The whole state, for a process that starts while the log is down.
-fn state(door: &Door) -> Result<Vec<u8>, Problem> {
+fn state(door: &HandlerContext) -> Result<Vec<u8>, Problem> {
     let snapshot = door.control.current.load();
     if !snapshot.caught_up {
         return Err(Problem::NotReady(snapshot.waiting.reason()));
@@ -230,7 +230,7 @@
     Ok(Change { path, base, value })
 }
 
-fn get(door: &Door, prefix: &str) -> Value {
+fn get(door: &HandlerContext, prefix: &str) -> Value {
     let snapshot = door.control.current.load();
     let documents = snapshot.state.documents.by_path.iter();
     let documents: Vec<Value> = documents
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     call::CallInProgress,
-    http::{Asked, Door},
+    http::{Asked, HandlerContext},
     once::{self, Answer, Once},
     problem::{self, Problem},
 };
@@ -24,7 +24,7 @@
 ///
 /// Any [`Problem`]; nothing has been sent then.
 pub async fn call(
-    door: &Door,
+    door: &HandlerContext,
     asked: &Asked,
     req: &mut Request,
     res: &mut Response,
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -7,7 +7,7 @@
     decide::Decider,
     dial,
     event::Event,
-    http::{self, Door},
+    http::{self, HandlerContext},
     link::Shared,
     operator,
 };
@@ -110,7 +110,7 @@
     start_link(&settings, incarnation, &control, events.clone(), budget)?;
 
     let peer_client = reqwest::Client::builder().no_proxy().build();
-    let door = Arc::new(Door {
+    let door = Arc::new(HandlerContext {
         name: settings.name.clone(),
         peer_client: peer_client.expect("the client has no settings that can fail"),
         events,
@@ -199,7 +199,7 @@
 fn start_http(
     settings: &RouterSettings,
     incarnation: u64,
-    door: &Arc<Door>,
+    door: &Arc<HandlerContext>,
 ) -> Result<(ServerHandle, thread::JoinHandle<()>), RouterError> {
     let listen_error = |error| RouterError::Listen(settings.listen.to_string(), error);
     let listener = std::net::TcpListener::bind(settings.listen.as_str()).map_err(listen_error)?;
@@ -238,7 +238,7 @@
 }
 
 /// Turns the watch for pauses on the thread that reads requests.
-async fn watch(door: Arc<Door>) {
+async fn watch(door: Arc<HandlerContext>) {
     loop {
         door.arrivals.turn(door.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -5,7 +5,7 @@
 //! than a node may spend on control, for a picture that is looked at a few times a day; and a
 //! connection made now shows whether the target can be reached now.
 
-use crate::http::Door;
+use crate::http::HandlerContext;
 use corianderstand_link::{
     PROTOCOL, STATUS_QUERY_INCARNATION, connection,
     frame::{self, FrameError},
@@ -34,7 +34,7 @@
 }
 
 /// What this router knows by itself, without asking anybody: `GET /operator/status?own=true`.
-pub fn own(door: &Door) -> Value {
+pub fn own(door: &HandlerContext) -> Value {
     let snapshot = door.control.current.load();
     let state = &snapshot.state;
     let targets = state.targets.by_name.values().map(|target| target_json(&target.record));
@@ -60,7 +60,7 @@
 }
 
 /// The whole picture.
-pub async fn whole(door: &Door, authorization: &str) -> Value {
+pub async fn whole(door: &HandlerContext, authorization: &str) -> Value {
     let mut whole = own(door);
     let snapshot = door.control.current.load();
     let state = &snapshot.state;
@@ -115,7 +115,7 @@
 }
 
 fn ask_target(
-    door: &Door,
+    door: &HandlerContext,
     record: &TargetRecord,
 ) -> impl Future<Output = (TargetRecord, Option<Told>)> + use<> {
     let (name, record) = (door.name.clone(), record.clone());
@@ -154,7 +154,7 @@
 
 /// Asks another router which version it follows, with the operator's own key.
 fn ask_router(
-    door: &Door,
+    door: &HandlerContext,
     peer: &SmolStr,
     authorization: &str,
 ) -> impl Future<Output = Value> + use<> {
@@ -172,6 +172,6 @@
 }
 
 /// What this router alone follows: `GET /operator/version`.
-pub fn version(door: &Door) -> Value {
+pub fn version(door: &HandlerContext) -> Value {
     json!({ "router": door.name, "version": door.control.current.load().state.documents.version })
 }
