--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -63,15 +63,15 @@
 ///
 /// Any [`Problem`]; nothing has been sent then.
 pub async fn complete(
-    door: &HandlerContext,
+    context: &HandlerContext,
     asked: &Asked,
     chat: bool,
     req: &mut Request,
     res: &mut Response,
 ) -> Result<(), Problem> {
     let team = asked.team_view()?;
-    let longest = door.max_body_bytes.min(team.team.max_prompt_bytes as usize);
-    let body = door.read_body(req, longest).await?;
+    let longest = context.max_body_bytes.min(team.team.max_prompt_bytes as usize);
+    let body = context.read_body(req, longest).await?;
     let wanted = read(body, chat, team, &asked.snapshot.view)?;
     let allowed = &team.models[&wanted.base.model];
     let urgency = asked.urgency(req, allowed.urgency.unwrap_or(team.team.default_urgency))?;
@@ -83,7 +83,7 @@
         open.position = position(req)?;
     }
     work.shape = wanted.shape;
-    let call = CallInProgress::submit(&door.events, work, open, wanted.body)?;
+    let call = CallInProgress::submit(&context.events, work, open, wanted.body)?;
     let shape = Shape {
         chat,
         request: asked.request.clone(),
@@ -92,10 +92,10 @@
         created: clock::unix_ms(SystemTime::now()) / 1000,
     };
     if wanted.stream {
-        let began = door.clock.now();
+        let began = context.clock.now();
         let streamed = answer::stream(call, shape, deadline, res).await;
         if streamed.is_ok() {
-            door.metrics.time(Metric::RouterFirstChunk, door.clock.now() - began);
+            context.metrics.time(Metric::RouterFirstChunk, context.clock.now() - began);
         }
         streamed
     } else {
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -140,8 +140,8 @@
 ];
 
 /// All paths; what is none of them is answered in the same form.
-pub fn routes(door: &Arc<HandlerContext>) -> Router {
-    let at = |kind| Endpoint(door.clone(), kind);
+pub fn routes(context: &Arc<HandlerContext>) -> Router {
+    let at = |kind| Endpoint(context.clone(), kind);
     let services = Router::with_path("services/{service}/{**rest}").goal(at(Kind::Service));
     let known = PATHS.into_iter().fold(Router::new().push(services), |routes, path| {
         let (path, method, kind) = path;
@@ -162,17 +162,17 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        let Self(door, kind) = self;
+        let Self(context, kind) = self;
         let request = format_smolstr!("r-{:032x}", rand::random::<u128>());
         problem::set_header(res, problem::REQUEST_ID_HEADER, &request);
-        if door.draining.load(Ordering::Relaxed) {
+        if context.draining.load(Ordering::Relaxed) {
             // A connection kept alive would bring further requests here until it is closed under
             // one of them; told so, its caller opens the next one at another router.
             problem::set_header(res, "connection", "close");
         }
-        if let Err(problem) = door.answer(*kind, request.clone(), req, res).await {
+        if let Err(problem) = context.answer(*kind, request.clone(), req, res).await {
             tracing::info!(%request, code = problem.code(), "request not answered");
-            door.metrics.count_tagged(Metric::RouterRefusals, 1, "reason", problem.code());
+            context.metrics.count_tagged(Metric::RouterRefusals, 1, "reason", problem.code());
             problem.write(&request, res);
         }
     }
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -24,7 +24,7 @@
 ///
 /// Any [`Problem`]; nothing has been sent then.
 pub async fn call(
-    door: &HandlerContext,
+    context: &HandlerContext,
     asked: &Asked,
     req: &mut Request,
     res: &mut Response,
@@ -49,7 +49,7 @@
         None => path,
     };
     let content_type = header(req, "content-type").unwrap_or_default().into();
-    let body = door.read_body(req, door.max_body_bytes).await?;
+    let body = context.read_body(req, context.max_body_bytes).await?;
     let digest = calls::digest(&method, &path, &body);
     let operation = Operation::Call {
         service: service.clone(),
@@ -64,16 +64,16 @@
         open.expires_ms = asked.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
     }
     let caller = req.remote_addr().clone().into_std();
-    let submit = || CallInProgress::submit(&door.events, work, open, body);
+    let submit = || CallInProgress::submit(&context.events, work, open, body);
     let answer = match idempotency_key {
         None => once::read(&mut submit()?, deadline).await?,
-        Some(_) if door.arrivals.is_doubtful(door.clock.since_boot(), caller) => {
+        Some(_) if context.arrivals.is_doubtful(context.clock.since_boot(), caller) => {
             // Its copy of the log is as old as the pause, so "not run" would say too much.
             return Err(Problem::Unknown("this router stood still for a while".into()));
         }
         Some(key) => {
             let key = CallKey { team: asked.team.clone(), service, key };
-            let once = Once { control: &door.control, key, digest, deadline };
+            let once = Once { control: &context.control, key, digest, deadline };
             once.answer(submit).await?
         }
     };
