--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -3,7 +3,7 @@
 use crate::{
     answer::{self, Shape},
     call::CallInProgress,
-    http::{Asked, HandlerContext},
+    http::{CallerRequest, HandlerContext},
     params::Params,
     problem::{self, Problem},
 };
@@ -64,21 +64,21 @@
 /// Any [`Problem`]; nothing has been sent then.
 pub async fn complete(
     context: &HandlerContext,
-    asked: &Asked,
+    caller_request: &CallerRequest,
     chat: bool,
     req: &mut Request,
     res: &mut Response,
 ) -> Result<(), Problem> {
-    let team = asked.team_view()?;
+    let team = caller_request.team_view()?;
     let longest = context.max_body_bytes.min(team.team.max_prompt_bytes as usize);
     let body = context.read_body(req, longest).await?;
-    let wanted = read(body, chat, team, &asked.snapshot.view)?;
+    let wanted = read(body, chat, team, &caller_request.snapshot.view)?;
     let allowed = &team.models[&wanted.base.model];
-    let urgency = asked.urgency(req, allowed.urgency.unwrap_or(team.team.default_urgency))?;
+    let urgency = caller_request.urgency(req, allowed.urgency.unwrap_or(team.team.default_urgency))?;
     let limit = team.team.max_deadline_ms.0;
-    let budget = asked.deadline(req, team.team.default_deadline_ms.0, limit)?;
+    let budget = caller_request.deadline(req, team.team.default_deadline_ms.0, limit)?;
     let deadline = Instant::now() + budget;
-    let (mut work, mut open) = open(asked, &wanted, chat, urgency, budget);
+    let (mut work, mut open) = open(caller_request, &wanted, chat, urgency, budget);
     if wanted.stream {
         open.position = position(req)?;
     }
@@ -86,7 +86,7 @@
     let call = CallInProgress::submit(&context.events, work, open, wanted.body)?;
     let shape = Shape {
         chat,
-        request: asked.request.clone(),
+        request: caller_request.request.clone(),
         model: wanted.name,
         usage: wanted.usage,
         created: clock::unix_ms(SystemTime::now()) / 1000,
@@ -115,7 +115,7 @@
 }
 
 fn open(
-    asked: &Asked,
+    caller_request: &CallerRequest,
     wanted: &Wanted,
     chat: bool,
     urgency: u8,
@@ -132,7 +132,7 @@
         Operation::Completion { model, version, adapter }
     };
     let need = Requirement::Weights { base: wanted.base.clone(), adapter: wanted.adapter.clone() };
-    asked.open(need, operation, urgency, budget, true)
+    caller_request.open(need, operation, urgency, budget, true)
 }
 
 fn read(body: Bytes, chat: bool, team: &TeamView, view: &View) -> Result<Wanted, Problem> {
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -88,7 +88,7 @@
 }
 
 /// One request with its caller's team.
-pub struct Asked {
+pub struct CallerRequest {
     /// The request's identity.
     pub request: SmolStr,
     /// The caller's team.
@@ -262,15 +262,15 @@
     ) -> Result<(), Problem> {
         let began = self.clock.now();
         self.metrics.count(Metric::RouterRequests, 1);
-        let asked = self.ask(request, req)?;
+        let caller_request = self.ask(request, req)?;
         let done = match kind {
-            Kind::Chat => completions::complete(self, &asked, true, req, res).await,
+            Kind::Chat => completions::complete(self, &caller_request, true, req, res).await,
             Kind::Models => {
-                completions::models(&asked.team, asked.team_view()?, &asked.snapshot.view, res);
+                completions::models(&caller_request.team, caller_request.team_view()?, &caller_request.snapshot.view, res);
                 Ok(())
             }
-            Kind::Service => services::call(self, &asked, req, res).await,
-            _ => completions::complete(self, &asked, false, req, res).await,
+            Kind::Service => services::call(self, &caller_request, req, res).await,
+            _ => completions::complete(self, &caller_request, false, req, res).await,
         };
         let took = self.clock.now() - began;
         self.metrics.time(Metric::RouterTime, took);
@@ -279,12 +279,12 @@
             self.metrics.count_tagged(Metric::RouterCalls, 1, "outcome", outcome);
         }
         tracing::info!(
-            trace_id = %format_args!("{:032x}", asked.trace.trace),
-            span_id = %format_args!("{:016x}", asked.trace.span),
-            parent_id = %format_args!("{:016x}", asked.trace.parent),
-            request = %asked.request,
+            trace_id = %format_args!("{:032x}", caller_request.trace.trace),
+            span_id = %format_args!("{:016x}", caller_request.trace.span),
+            parent_id = %format_args!("{:016x}", caller_request.trace.parent),
+            request = %caller_request.request,
             caller_request = caller_id(req).ok().flatten(),
-            team = %asked.team,
+            team = %caller_request.team,
             took_us = took.as_micros() as u64,
             outcome = done.as_ref().map_or_else(Problem::code, |()| "answered"),
             "hop router"
@@ -292,7 +292,7 @@
         done
     }
 
-    fn ask(&self, request: SmolStr, req: &Request) -> Result<Asked, Problem> {
+    fn ask(&self, request: SmolStr, req: &Request) -> Result<CallerRequest, Problem> {
         let snapshot = self.control.current.load();
         Self::check_started(&snapshot)?;
         let team = self.hasher.team(&snapshot.view, bearer(req)?);
@@ -301,7 +301,7 @@
             return Err(Problem::Refused(RefusalReason::QueueFull, RETRY_FULL));
         }
         let trace = TraceContext::continue_from(header(req, "traceparent"));
-        Ok(Asked { request, team, snapshot, trace, clock: self.clock.clone() })
+        Ok(CallerRequest { request, team, snapshot, trace, clock: self.clock.clone() })
     }
 
     /// Whether new callers should come here. During a planned stop they should not, but those
@@ -352,7 +352,7 @@
     }
 }
 
-impl Asked {
+impl CallerRequest {
     /// What the caller's team may do.
     ///
     /// # Errors
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     call::CallInProgress,
-    http::{Asked, HandlerContext},
+    http::{CallerRequest, HandlerContext},
     once::{self, Answer, Once},
     problem::{self, Problem},
 };
@@ -25,24 +25,24 @@
 /// Any [`Problem`]; nothing has been sent then.
 pub async fn call(
     context: &HandlerContext,
-    asked: &Asked,
+    caller_request: &CallerRequest,
     req: &mut Request,
     res: &mut Response,
 ) -> Result<(), Problem> {
     let service = ServiceId::new(req.param::<String>("service").unwrap_or_default())
         .map_err(|error| Problem::Invalid(error.to_string()))?;
     let path = format!("/{}", req.param::<String>("rest").unwrap_or_default());
-    let team = asked.team_view()?;
+    let team = caller_request.team_view()?;
     let allowed = team.services.get(&service).ok_or(Problem::NotFound)?;
     if !allowed.path_prefixes.iter().any(|prefix| path.starts_with(prefix.as_str())) {
         return Err(Problem::Forbidden);
     }
     let method = SmolStr::new(req.method().as_str());
-    let once = is_unrepeatable(&asked.snapshot.view, &service, &method, &path);
+    let once = is_unrepeatable(&caller_request.snapshot.view, &service, &method, &path);
     let idempotency_key = if once { Some(key(req)?) } else { None };
-    let urgency = asked.urgency(req, team.team.default_urgency)?;
+    let urgency = caller_request.urgency(req, team.team.default_urgency)?;
     let limit = team.team.max_deadline_ms.0;
-    let budget = asked.deadline(req, allowed.deadline_ms.0, limit)?;
+    let budget = caller_request.deadline(req, allowed.deadline_ms.0, limit)?;
     let deadline = Instant::now() + budget;
     let path = match req.uri().query() {
         Some(query) => format!("{path}?{query}"),
@@ -59,9 +59,9 @@
         idempotency_key: idempotency_key.clone(),
     };
     let need = Requirement::Service(service.clone());
-    let (work, mut open) = asked.open(need, operation, urgency, budget, !once);
+    let (work, mut open) = caller_request.open(need, operation, urgency, budget, !once);
     if once {
-        open.expires_ms = asked.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
+        open.expires_ms = caller_request.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
     }
     let caller = req.remote_addr().clone().into_std();
     let submit = || CallInProgress::submit(&context.events, work, open, body);
@@ -72,7 +72,7 @@
             return Err(Problem::Unknown("this router stood still for a while".into()));
         }
         Some(key) => {
-            let key = CallKey { team: asked.team.clone(), service, key };
+            let key = CallKey { team: caller_request.team.clone(), service, key };
             let once = Once { control: &context.control, key, digest, deadline };
             once.answer(submit).await?
         }
