--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -86,7 +86,7 @@
     let call = CallInProgress::submit(&context.events, work, open, wanted.body)?;
     let shape = Shape {
         chat,
-        request: caller_request.request.clone(),
+        request: caller_request.id.clone(),
         model: wanted.name,
         usage: wanted.usage,
         created: clock::unix_ms(SystemTime::now()) / 1000,
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -90,7 +90,7 @@
 /// One request with its caller's team.
 pub struct CallerRequest {
     /// The request's identity.
-    pub request: SmolStr,
+    pub id: SmolStr,
     /// The caller's team.
     pub team: WorkspaceId,
     /// The state it is judged by.
@@ -282,7 +282,7 @@
             trace_id = %format_args!("{:032x}", caller_request.trace.trace),
             span_id = %format_args!("{:016x}", caller_request.trace.span),
             parent_id = %format_args!("{:016x}", caller_request.trace.parent),
-            request = %caller_request.request,
+            request = %caller_request.id,
             caller_request = caller_id(req).ok().flatten(),
             team = %caller_request.team,
             took_us = took.as_micros() as u64,
@@ -301,7 +301,7 @@
             return Err(Problem::Refused(RefusalReason::QueueFull, RETRY_FULL));
         }
         let trace = TraceContext::continue_from(header(req, "traceparent"));
-        Ok(CallerRequest { request, team, snapshot, trace, clock: self.clock.clone() })
+        Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
     }
 
     /// Whether new callers should come here. During a planned stop they should not, but those
@@ -420,7 +420,7 @@
         };
         let open = OpenStream {
             stream: 0,
-            request: self.request.clone(),
+            request: self.id.clone(),
             team: self.team.clone(),
             operation,
             urgency,
