--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -51,7 +51,7 @@
     /// Targets whose agents said that they take no new work.
     pub told: BTreeSet<TargetId>,
     /// Requests held, for the limit and for a planned stop.
-    pub held: std::sync::Arc<AtomicUsize>,
+    pub in_flight: std::sync::Arc<AtomicUsize>,
     /// Where measures go.
     pub metrics: Metrics,
 }
@@ -67,7 +67,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.held.store(self.calls.len(), Ordering::Relaxed);
+            self.in_flight.store(self.calls.len(), Ordering::Relaxed);
         }
     }
 
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -78,7 +78,7 @@
     /// Most requests held.
     pub max_in_flight: usize,
     /// Requests held now.
-    pub held: Arc<AtomicUsize>,
+    pub in_flight: Arc<AtomicUsize>,
     /// Whether a planned stop has begun.
     pub draining: Arc<AtomicBool>,
     /// Callers' connections, and the pauses of this process.
@@ -297,7 +297,7 @@
         Self::check_started(&snapshot)?;
         let team = self.hasher.team(&snapshot.view, bearer(req)?);
         let team = team.ok_or(Problem::Unauthorized)?;
-        if self.held.load(Ordering::Relaxed) >= self.max_in_flight {
+        if self.in_flight.load(Ordering::Relaxed) >= self.max_in_flight {
             return Err(Problem::Refused(RefusalReason::QueueFull, RETRY_FULL));
         }
         let trace = TraceContext::continue_from(header(req, "traceparent"));
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -103,7 +103,7 @@
         versions: (u64::MAX, 0, 0),
         hosts: Arc::default(),
         told: BTreeSet::new(),
-        held: held.clone(),
+        in_flight: held.clone(),
         metrics: metrics.clone(),
     };
     spawn("decide", move || decider.run(&events_rx))?;
@@ -125,7 +125,7 @@
         max_body_bytes: settings.limits.max_body_bytes as usize,
         read_timeout: settings.limits.read_timeout_ms.0,
         max_in_flight: settings.limits.max_in_flight as usize,
-        held: held.clone(),
+        in_flight: held.clone(),
         draining: draining.clone(),
         arrivals: Arrivals::new(clock.since_boot()),
         clock,
@@ -222,7 +222,7 @@
     let identity = Identity { writer: settings.name.clone(), incarnation };
     let reported = door.clone();
     let more = move |metrics: &Metrics| {
-        metrics.gauge(Metric::RouterHeld, reported.held.load(Ordering::Relaxed) as u64);
+        metrics.gauge(Metric::RouterHeld, reported.in_flight.load(Ordering::Relaxed) as u64);
         metrics.gauge(Metric::RouterConnections, reported.connections.held() as u64);
         reported.tail.budget().report(metrics);
     };
