--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -49,7 +49,7 @@
     /// Hosts that the logic knows.
     pub hosts: std::sync::Arc<Hosts>,
     /// Targets whose agents said that they take no new work.
-    pub told: BTreeSet<TargetId>,
+    pub reported_draining: BTreeSet<TargetId>,
     /// Requests held, for the limit and for a planned stop.
     pub in_flight: std::sync::Arc<AtomicUsize>,
     /// Where measures go.
@@ -95,7 +95,7 @@
         let names: Vec<TargetId> = self.router.targets().map(|t| t.name.clone()).collect();
         for name in names.iter().filter(|name| !targets.contains_key(*name)) {
             self.router.remove_target(name);
-            self.told.remove(name);
+            self.reported_draining.remove(name);
         }
         let mut services: BTreeMap<ServiceId, Vec<TargetKey>> = BTreeMap::new();
         for (name, target) in targets {
@@ -103,7 +103,7 @@
             self.router.set_connected(key, self.connections.contains_key(name));
             // The host list may tell a router before the agent does, or while it cannot.
             let leaving = target.leaving || self.hosts.leaving.contains(&target.record.host);
-            self.router.set_draining(key, leaving || self.told.contains(name));
+            self.router.set_draining(key, leaving || self.reported_draining.contains(name));
             if let Some(service) = &target.record.service {
                 services.entry(service.clone()).or_default().push(key);
             }
@@ -131,9 +131,9 @@
             Event::Connected { target, draining, commands } => {
                 self.connections.insert(target.clone(), commands);
                 if draining {
-                    self.told.insert(target.clone());
+                    self.reported_draining.insert(target.clone());
                 } else {
-                    self.told.remove(&target);
+                    self.reported_draining.remove(&target);
                 }
                 if let Some(key) = self.router.target(&target) {
                     self.router.set_connected(key, true);
@@ -148,7 +148,7 @@
                 }
             }
             Event::Draining(target) => {
-                self.told.insert(target.clone());
+                self.reported_draining.insert(target.clone());
                 if let Some(key) = self.router.target(&target) {
                     self.router.set_draining(key, true);
                 }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -102,7 +102,7 @@
         connections: HashMap::new(),
         versions: (u64::MAX, 0, 0),
         hosts: Arc::default(),
-        told: BTreeSet::new(),
+        reported_draining: BTreeSet::new(),
         in_flight: held.clone(),
         metrics: metrics.clone(),
     };
