--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -1,7 +1,7 @@
 //! The `http` thread: what callers and operators speak to.
 
 use crate::{
-    arrivals::Arrivals,
+    watched::WatchedConnections,
     auth::Hasher,
     completions,
     connections::Connections,
@@ -82,7 +82,7 @@
     /// Whether a planned stop has begun.
     pub draining: Arc<AtomicBool>,
     /// Callers' connections, and the pauses of this process.
-    pub arrivals: Arc<Arrivals>,
+    pub watched_connections: Arc<WatchedConnections>,
     /// Time.
     pub clock: SharedClock,
 }
--- a/crates/corianderstand_router/src/lib.rs
+++ b/crates/corianderstand_router/src/lib.rs
@@ -17,7 +17,6 @@
 //! ```
 
 mod answer;
-mod arrivals;
 pub mod auth;
 mod call;
 mod completions;
@@ -36,5 +35,6 @@
 mod services;
 mod start;
 mod status;
+mod watched;
 
 pub use start::{RouterError, RouterHandle, start};
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -1,7 +1,7 @@
 //! Starts a router's threads and stops them as planned.
 
 use crate::{
-    arrivals::{Arrivals, WatchedAcceptor},
+    watched::{WatchedConnections, WatchedAcceptor},
     auth::{AuthError, Hasher},
     connections::{Connections, Policy},
     decide::Decider,
@@ -127,7 +127,7 @@
         max_in_flight: settings.limits.max_in_flight as usize,
         in_flight: held.clone(),
         draining: draining.clone(),
-        arrivals: Arrivals::new(clock.since_boot()),
+        watched_connections: WatchedConnections::new(clock.since_boot()),
         clock,
     });
     let (server, http) = start_http(&settings, incarnation, &door)?;
@@ -214,7 +214,7 @@
         let listener = tokio::net::TcpListener::from_std(listener).map_err(listen_error)?;
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
-    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.arrivals.clone()))
+    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.watched_connections.clone()))
         .fuse_policy(Policy(door.connections.clone()));
     server.http1_mut().max_header_size(door.max_header_bytes * HEAD_SLACK);
     let handle = server.handle();
@@ -240,7 +240,7 @@
 /// Turns the watch for pauses on the thread that reads requests.
 async fn watch(door: Arc<HandlerContext>) {
     loop {
-        door.arrivals.turn(door.clock.since_boot());
+        door.watched_connections.turn(door.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
--- a/crates/corianderstand_router/src/arrivals.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -22,12 +22,12 @@
 
 /// Connections held now, by their callers' addresses.
 #[derive(Debug)]
-pub struct Arrivals {
+pub struct WatchedConnections {
     watch: Arc<PauseDetector>,
     by_caller: Mutex<HashMap<SocketAddr, Weak<Connection>>>,
 }
 
-impl Arrivals {
+impl WatchedConnections {
     /// None yet.
     pub fn new(now: Duration) -> Arc<Self> {
         Arc::new(Self { watch: Arc::new(PauseDetector::new(now)), by_caller: Mutex::default() })
@@ -53,13 +53,13 @@
 /// Takes callers' connections.
 pub struct WatchedAcceptor {
     inner: TcpAcceptor,
-    arrivals: Arc<Arrivals>,
+    watched_connections: Arc<WatchedConnections>,
 }
 
 impl WatchedAcceptor {
     /// Takes connections from `inner`.
-    pub const fn new(inner: TcpAcceptor, arrivals: Arc<Arrivals>) -> Self {
-        Self { inner, arrivals }
+    pub const fn new(inner: TcpAcceptor, watched_connections: Arc<WatchedConnections>) -> Self {
+        Self { inner, watched_connections }
     }
 }
 
@@ -75,18 +75,18 @@
         &mut self,
         fuse_policy: Option<ArcFusePolicy>,
     ) -> io::Result<Accepted<Self::Coupler, Self::Stream>> {
-        let Self { inner, arrivals } = self;
+        let Self { inner, watched_connections } = self;
         let mut accept = pin!(inner.accept(fuse_policy));
         let poll = |cx: &mut std::task::Context<'_>| {
-            arrivals.watch.poll_accept(cx, |cx| accept.as_mut().poll(cx))
+            watched_connections.watch.poll_accept(cx, |cx| accept.as_mut().poll(cx))
         };
         let accepted = future::poll_fn(poll).await?;
         let caller = accepted.remote_addr.clone().into_std();
-        let wrap = |stream| WatchedStream::new(stream, arrivals.watch.clone());
+        let wrap = |stream| WatchedStream::new(stream, watched_connections.watch.clone());
         let accepted = accepted.map_into(|_| TcpCoupler::new(), wrap);
         if let Some(caller) = caller {
             let connection = accepted.stream.connection();
-            arrivals.lock().insert(caller, Arc::downgrade(&connection));
+            watched_connections.lock().insert(caller, Arc::downgrade(&connection));
         }
         Ok(accepted)
     }
