--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -240,7 +240,7 @@
 /// Turns the watch for pauses on the thread that reads requests.
 async fn watch(door: Arc<HandlerContext>) {
     loop {
-        door.watched_connections.turn(door.clock.since_boot());
+        door.watched_connections.tick(door.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -34,7 +34,7 @@
     }
 
     /// Turns the watch for pauses.
-    pub fn turn(&self, now: Duration) {
+    pub fn tick(&self, now: Duration) {
         self.watch.tick(now);
         self.lock().retain(|_, connection| connection.strong_count() > 0);
     }
