--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -67,7 +67,7 @@
     let submit = || CallInProgress::submit(&context.events, work, open, body);
     let answer = match idempotency_key {
         None => once::read(&mut submit()?, deadline).await?,
-        Some(_) if context.watched_connections.is_doubtful(context.clock.since_boot(), caller) => {
+        Some(_) if context.watched_connections.may_predate_pause(context.clock.since_boot(), caller) => {
             // Its copy of the log is as old as the pause, so "not run" would say too much.
             return Err(Problem::Unknown("this router stood still for a while".into()));
         }
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether a request that was read now may have been sent before a pause of this process.
-    pub fn is_doubtful(&self, now: Duration, caller: Option<SocketAddr>) -> bool {
+    pub fn may_predate_pause(&self, now: Duration, caller: Option<SocketAddr>) -> bool {
         let connection = caller.and_then(|caller| self.lock().get(&caller)?.upgrade());
         connection.is_none_or(|connection| self.watch.may_predate_pause(now, &connection))
     }
