--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -23,26 +23,26 @@
 /// Connections held now, by their callers' addresses.
 #[derive(Debug)]
 pub struct WatchedConnections {
-    watch: Arc<PauseDetector>,
+    pause_detector: Arc<PauseDetector>,
     by_caller: Mutex<HashMap<SocketAddr, Weak<Connection>>>,
 }
 
 impl WatchedConnections {
     /// None yet.
     pub fn new(now: Duration) -> Arc<Self> {
-        Arc::new(Self { watch: Arc::new(PauseDetector::new(now)), by_caller: Mutex::default() })
+        Arc::new(Self { pause_detector: Arc::new(PauseDetector::new(now)), by_caller: Mutex::default() })
     }
 
     /// Turns the watch for pauses.
     pub fn tick(&self, now: Duration) {
-        self.watch.tick(now);
+        self.pause_detector.tick(now);
         self.lock().retain(|_, connection| connection.strong_count() > 0);
     }
 
     /// Whether a request that was read now may have been sent before a pause of this process.
     pub fn may_predate_pause(&self, now: Duration, caller: Option<SocketAddr>) -> bool {
         let connection = caller.and_then(|caller| self.lock().get(&caller)?.upgrade());
-        connection.is_none_or(|connection| self.watch.may_predate_pause(now, &connection))
+        connection.is_none_or(|connection| self.pause_detector.may_predate_pause(now, &connection))
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Weak<Connection>>> {
@@ -78,11 +78,11 @@
         let Self { inner, watched_connections } = self;
         let mut accept = pin!(inner.accept(fuse_policy));
         let poll = |cx: &mut std::task::Context<'_>| {
-            watched_connections.watch.poll_accept(cx, |cx| accept.as_mut().poll(cx))
+            watched_connections.pause_detector.poll_accept(cx, |cx| accept.as_mut().poll(cx))
         };
         let accepted = future::poll_fn(poll).await?;
         let caller = accepted.remote_addr.clone().into_std();
-        let wrap = |stream| WatchedStream::new(stream, watched_connections.watch.clone());
+        let wrap = |stream| WatchedStream::new(stream, watched_connections.pause_detector.clone());
         let accepted = accepted.map_into(|_| TcpCoupler::new(), wrap);
         if let Some(caller) = caller {
             let connection = accepted.stream.connection();
