--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -27,7 +27,7 @@
 pub struct Connections {
     limit: usize,
     fuse: FuseConfig,
-    held: AtomicUsize,
+    count: AtomicUsize,
     excess: Mutex<HashSet<SocketAddr>>,
 }
 
@@ -41,12 +41,12 @@
             .with_http1_header_timeout(limits.read_timeout_ms.0)
             .with_write_stall_timeout(limits.write_timeout_ms.0);
         let limit = limits.max_connections as usize;
-        Arc::new(Self { limit, fuse, held: AtomicUsize::new(0), excess: Mutex::default() })
+        Arc::new(Self { limit, fuse, count: AtomicUsize::new(0), excess: Mutex::default() })
     }
 
     /// How many there are.
-    pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+    pub fn count(&self) -> usize {
+        self.count.load(Ordering::Relaxed)
     }
 
     /// Whether a connection came when as many as allowed were held already.
@@ -66,7 +66,7 @@
 impl FusePolicy for Policy {
     async fn decide(&self, _info: &FuseInfo) -> FuseAction {
         let connections = &self.0;
-        if connections.held.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS {
+        if connections.count.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS {
             return FuseAction::Reject;
         }
         FuseAction::Accept(connections.fuse)
@@ -74,7 +74,7 @@
 
     fn observe(&self, info: &FuseInfo, _ctrl: &ConnCtrl) -> Option<ArcConnObserver> {
         let connections = self.0.clone();
-        let before = connections.held.fetch_add(1, Ordering::Relaxed);
+        let before = connections.count.fetch_add(1, Ordering::Relaxed);
         let remote = info.remote_addr.clone().into_std();
         if before >= connections.limit {
             connections.lock().extend(remote);
@@ -93,7 +93,7 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.connections.held.fetch_sub(1, Ordering::Relaxed);
+        self.connections.count.fetch_sub(1, Ordering::Relaxed);
         if let Some(remote) = &self.remote {
             self.connections.lock().remove(remote);
         }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -223,7 +223,7 @@
     let reported = door.clone();
     let more = move |metrics: &Metrics| {
         metrics.gauge(Metric::RouterHeld, reported.in_flight.load(Ordering::Relaxed) as u64);
-        metrics.gauge(Metric::RouterConnections, reported.connections.held() as u64);
+        metrics.gauge(Metric::RouterConnections, reported.connections.count() as u64);
         reported.tail.budget().report(metrics);
     };
     let report =
