--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -74,7 +74,8 @@
     let body = context.read_body(req, longest).await?;
     let wanted = read(body, chat, team, &caller_request.snapshot.view)?;
     let allowed = &team.models[&wanted.base.model];
-    let urgency = caller_request.urgency(req, allowed.urgency.unwrap_or(team.team.default_urgency))?;
+    let urgency =
+        caller_request.urgency(req, allowed.urgency.unwrap_or(team.team.default_urgency))?;
     let limit = team.team.max_deadline_ms.0;
     let budget = caller_request.deadline(req, team.team.default_deadline_ms.0, limit)?;
     let deadline = Instant::now() + budget;
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -16,7 +16,7 @@
 };
 
 /// Connections beyond the limit that are still told so; those beyond are closed at once.
-const MAX_EXCESS: usize = 256;
+const MAX_EXCESS_CONNECTIONS: usize = 256;
 
 /// The connections held now.
 ///
@@ -60,13 +60,13 @@
 }
 
 /// What the server asks at each new connection.
-pub struct Policy(pub Arc<Connections>);
+pub struct ConnectionPolicy(pub Arc<Connections>);
 
 #[async_trait]
-impl FusePolicy for Policy {
+impl FusePolicy for ConnectionPolicy {
     async fn decide(&self, _info: &FuseInfo) -> FuseAction {
         let connections = &self.0;
-        if connections.count.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS {
+        if connections.count.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS_CONNECTIONS {
             return FuseAction::Reject;
         }
         FuseAction::Accept(connections.fuse)
@@ -79,19 +79,19 @@
         if before >= connections.limit {
             connections.lock().extend(remote);
         }
-        Some(Arc::new(Held { connections, remote }))
+        Some(Arc::new(ConnectionGuard { connections, remote }))
     }
 }
 
 /// One connection; the server drops it when the connection ends.
-struct Held {
+struct ConnectionGuard {
     connections: Arc<Connections>,
     remote: Option<SocketAddr>,
 }
 
-impl ConnObserver for Held {}
+impl ConnObserver for ConnectionGuard {}
 
-impl Drop for Held {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.connections.count.fetch_sub(1, Ordering::Relaxed);
         if let Some(remote) = &self.remote {
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -1,7 +1,6 @@
 //! The `http` thread: what callers and operators speak to.
 
 use crate::{
-    watched::WatchedConnections,
     auth::Hasher,
     completions,
     connections::Connections,
@@ -9,6 +8,7 @@
     operator,
     problem::{self, Problem},
     relay, services,
+    watched::WatchedConnections,
 };
 use bytes::Bytes;
 use corianderstand_control::{
@@ -266,7 +266,12 @@
         let done = match kind {
             Kind::Chat => completions::complete(self, &caller_request, true, req, res).await,
             Kind::Models => {
-                completions::models(&caller_request.team, caller_request.team_view()?, &caller_request.snapshot.view, res);
+                completions::models(
+                    &caller_request.team,
+                    caller_request.team_view()?,
+                    &caller_request.snapshot.view,
+                    res,
+                );
                 Ok(())
             }
             Kind::Service => services::call(self, &caller_request, req, res).await,
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -61,13 +61,18 @@
     let need = Requirement::Service(service.clone());
     let (work, mut open) = caller_request.open(need, operation, urgency, budget, !once);
     if once {
-        open.expires_ms = caller_request.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
+        open.expires_ms =
+            caller_request.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
     }
     let caller = req.remote_addr().clone().into_std();
     let submit = || CallInProgress::submit(&context.events, work, open, body);
     let answer = match idempotency_key {
         None => once::read(&mut submit()?, deadline).await?,
-        Some(_) if context.watched_connections.may_predate_pause(context.clock.since_boot(), caller) => {
+        Some(_)
+            if context
+                .watched_connections
+                .may_predate_pause(context.clock.since_boot(), caller) =>
+        {
             // Its copy of the log is as old as the pause, so "not run" would say too much.
             return Err(Problem::Unknown("this router stood still for a while".into()));
         }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -1,15 +1,15 @@
 //! Starts a router's threads and stops them as planned.
 
 use crate::{
-    watched::{WatchedConnections, WatchedAcceptor},
     auth::{AuthError, Hasher},
-    connections::{Connections, Policy},
+    connections::{ConnectionPolicy, Connections},
     decide::Decider,
     dial,
     event::Event,
     http::{self, HandlerContext},
     link::Shared,
     operator,
+    watched::{WatchedAcceptor, WatchedConnections},
 };
 use corianderstand_control::{
     appender::Identity,
@@ -215,7 +215,7 @@
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
     let mut server = Server::new(WatchedAcceptor::new(acceptor, door.watched_connections.clone()))
-        .fuse_policy(Policy(door.connections.clone()));
+        .fuse_policy(ConnectionPolicy(door.connections.clone()));
     server.http1_mut().max_header_size(door.max_header_bytes * HEAD_SLACK);
     let handle = server.handle();
     let routes = http::routes(door);
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -30,7 +30,10 @@
 impl WatchedConnections {
     /// None yet.
     pub fn new(now: Duration) -> Arc<Self> {
-        Arc::new(Self { pause_detector: Arc::new(PauseDetector::new(now)), by_caller: Mutex::default() })
+        Arc::new(Self {
+            pause_detector: Arc::new(PauseDetector::new(now)),
+            by_caller: Mutex::default(),
+        })
     }
 
     /// Turns the watch for pauses.
