--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -11,21 +11,21 @@
 use std::{sync::mpsc, time::Duration};
 use tokio::time::Instant;
 
-struct Fake {
+struct TestCall {
     call: CallInProgress,
     events: mpsc::Receiver<Event>,
-    handed_in: Call,
+    submitted_call: Call,
 }
 
-impl Fake {
+impl TestCall {
     fn new(repeatable: bool) -> Self {
         let service = ServiceId::new("agenda").expect("a good name");
         let team = WorkspaceId::new("vidrio").expect("a good name");
         let deadline = Instant::now().into_std() + Duration::from_secs(60);
-        let need = Requirement::Service(service.clone());
-        let work = RequestSpec {
+        let requirement = Requirement::Service(service.clone());
+        let spec = RequestSpec {
             team: team.clone(),
-            requirement: need,
+            requirement,
             urgency: 1,
             deadline,
             repeatable,
@@ -52,13 +52,13 @@
             as_of: 0,
         };
         let (tx, events) = mpsc::sync_channel(64);
-        let call = CallInProgress::submit(&tx, work, open, Bytes::new()).expect("there is room");
-        let handed_in = submitted(&events);
-        Self { call, events, handed_in }
+        let call = CallInProgress::submit(&tx, spec, open, Bytes::new()).expect("there is room");
+        let submitted_call = submitted(&events);
+        Self { call, events, submitted_call }
     }
 
     fn send(&self, update: Update) {
-        self.handed_in.reply.try_send(update).expect("there is room");
+        self.submitted_call.reply.try_send(update).expect("there is room");
     }
 
     fn chunk(&self, position: u64) {
@@ -102,12 +102,12 @@
 #[rstest]
 fn repeated_parts_are_handed_out_once() {
     block_on(async {
-        let mut fake = Fake::new(true);
+        let mut test_call = TestCall::new(true);
         for position in [0, 1, 0, 1, 2, 2] {
-            fake.chunk(position);
+            test_call.chunk(position);
         }
-        fake.end(3);
-        assert_eq!(fake.read().await, Ok("0 1 2 ".into()));
+        test_call.end(3);
+        assert_eq!(test_call.read().await, Ok("0 1 2 ".into()));
     });
 }
 
@@ -121,10 +121,10 @@
 #[case::end_too_late(&[0, 1], 5)]
 fn an_answer_with_a_hole_is_never_whole(#[case] positions: &[u64], #[case] end: u64) {
     block_on(async {
-        let mut fake = Fake::new(false);
-        positions.iter().for_each(|position| fake.chunk(*position));
-        fake.end(end);
-        assert!(matches!(fake.read().await, Err(Problem::Failed(_))));
+        let mut test_call = TestCall::new(false);
+        positions.iter().for_each(|position| test_call.chunk(*position));
+        test_call.end(end);
+        assert!(matches!(test_call.read().await, Err(Problem::Failed(_))));
     });
 }
 
@@ -133,12 +133,12 @@
 #[rstest]
 fn a_lost_answer_is_taken_up_at_its_position() {
     block_on(async {
-        let mut fake = Fake::new(true);
-        fake.chunk(0);
-        fake.chunk(1);
-        fake.send(Update::Lost { failed: false });
-        fake.chunk(2);
-        let events = std::mem::replace(&mut fake.events, mpsc::sync_channel(1).1);
+        let mut test_call = TestCall::new(true);
+        test_call.chunk(0);
+        test_call.chunk(1);
+        test_call.send(Update::Lost { failed: false });
+        test_call.chunk(2);
+        let events = std::mem::replace(&mut test_call.events, mpsc::sync_channel(1).1);
         let second = std::thread::spawn(move || {
             let call = submitted(&events);
             let finish_reason = "stop".into();
@@ -148,7 +148,7 @@
             call.reply.try_send(Update::End { position: 3, ending }).expect("there is room");
             call.open.position
         });
-        assert_eq!(fake.read().await, Ok("0 1 second ".into()));
+        assert_eq!(test_call.read().await, Ok("0 1 second ".into()));
         assert_eq!(second.join().expect("it ends"), 2);
     });
 }
@@ -158,10 +158,10 @@
 #[rstest]
 fn a_call_that_may_not_be_repeated_is_not_handed_in_again() {
     block_on(async {
-        let mut fake = Fake::new(false);
-        fake.send(Update::Lost { failed: false });
-        assert!(matches!(fake.read().await, Err(Problem::Failed(_))));
-        assert!(fake.events.try_recv().is_err());
+        let mut test_call = TestCall::new(false);
+        test_call.send(Update::Lost { failed: false });
+        assert!(matches!(test_call.read().await, Err(Problem::Failed(_))));
+        assert!(test_call.events.try_recv().is_err());
     });
 }
 
@@ -170,11 +170,11 @@
 #[rstest]
 fn a_refusal_is_passed_on_at_once() {
     block_on(async {
-        let mut fake = Fake::new(true);
+        let mut test_call = TestCall::new(true);
         let reason = RefusalReason::QueueFull;
         let retry_after = Duration::from_secs(1);
-        fake.send(Update::Refused { refusal: Refusal { reason, retry_after }, moving: false });
-        assert_eq!(fake.read().await, Err(Problem::Refused(reason, retry_after)));
-        assert!(fake.events.try_recv().is_err());
+        test_call.send(Update::Refused { refusal: Refusal { reason, retry_after }, moving: false });
+        assert_eq!(test_call.read().await, Err(Problem::Refused(reason, retry_after)));
+        assert!(test_call.events.try_recv().is_err());
     });
 }
