--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -28,9 +28,9 @@
 use tokio::sync::mpsc;
 
 /// Longest time between two looks at the snapshot.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+const SNAPSHOT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// When to come back after the connection to the only target broke.
-const RETRY_LOST: Duration = Duration::from_millis(500);
+const CONNECTION_LOST_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The thread's state.
 pub struct Decider {
@@ -60,10 +60,10 @@
     /// Runs until all senders of events are gone.
     pub fn run(mut self, events: &Receiver<Event>) {
         loop {
-            let event = events.recv_timeout(LONGEST_WAIT);
+            let event = events.recv_timeout(SNAPSHOT_POLL_INTERVAL);
             self.refresh();
             match event {
-                Ok(event) => self.take(event),
+                Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -119,14 +119,14 @@
         })
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
             Event::Submit(submitted) => {
-                let (work, call) = *submitted;
-                let (key, decision) = self.router.submit(now, work);
+                let (spec, call) = *submitted;
+                let (key, decision) = self.router.submit(now, spec);
                 self.calls.insert(key, call);
-                self.perform(key, decision);
+                self.execute(key, decision);
             }
             Event::Connected { target, draining, commands } => {
                 self.connections.insert(target.clone(), commands);
@@ -156,29 +156,29 @@
             Event::Refused { key, refusal, load } => {
                 if self.calls.contains_key(&key) {
                     let decision = self.router.refused(now, key, refusal, load);
-                    self.perform_again(key, decision);
+                    self.execute_retry(key, decision);
                 }
             }
             Event::Ended { key, load } => {
                 self.calls.remove(&key);
                 self.router.finished(now, key, load);
             }
-            Event::Lost { key, position, failed } => self.lost(key, position, failed),
+            Event::Lost { key, position, failed } => self.on_target_lost(key, position, failed),
         }
     }
 
     /// A request's target was lost before its answer was whole. A request that may be repeated
     /// goes on at another target, from the position reached; of others it is not known whether
     /// they ran. Where no other target takes it up now, its handler decides.
-    fn lost(&mut self, key: RequestKey, position: u64, failed: bool) {
+    fn on_target_lost(&mut self, key: RequestKey, position: u64, failed: bool) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.open.position = call.open.position.max(position);
         // What the handler has not read yet fills its ring; it gives credit for the rest.
         call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA) as u64;
         let reason = RefusalReason::NotLoaded;
-        let refusal = Refusal { reason, retry_after: RETRY_LOST };
+        let refusal = Refusal { reason, retry_after: CONNECTION_LOST_RETRY_AFTER };
         match self.router.connection_lost(self.clock.now(), key, refusal) {
-            Some(decision @ Decision::Send(_)) => self.perform(key, decision),
+            Some(decision @ Decision::Send(_)) => self.execute(key, decision),
             Some(Decision::Refuse(_)) | None => {
                 if let Some(call) = self.calls.remove(&key) {
                     drop(call.reply.try_send(Update::Lost { failed }));
@@ -187,15 +187,15 @@
         }
     }
 
-    /// As [`Self::perform`], for a request that was with a target already.
-    fn perform_again(&mut self, key: RequestKey, decision: Decision) {
+    /// As [`Self::execute`], for a request that was with a target already.
+    fn execute_retry(&mut self, key: RequestKey, decision: Decision) {
         if matches!(decision, Decision::Send(_)) {
             self.metrics.count(Metric::RouterRetries, 1);
         }
-        self.perform(key, decision);
+        self.execute(key, decision);
     }
 
-    fn perform(&mut self, key: RequestKey, decision: Decision) {
+    fn execute(&mut self, key: RequestKey, decision: Decision) {
         match decision {
             Decision::Send(target) => self.send(key, target),
             Decision::Refuse(refusal) => {
@@ -214,7 +214,7 @@
             return false;
         }
         let snapshot = self.current.load();
-        let (wanted, owners): (usize, Vec<&TargetId>) = match operation {
+        let (expected, owners): (usize, Vec<&TargetId>) = match operation {
             Operation::Completion { model, .. } | Operation::Chat { model, .. } => {
                 let slots = snapshot.state.slots.by_key.iter();
                 let slots = slots.filter(|(slot, _)| slot.model == *model);
@@ -223,15 +223,15 @@
             }
             Operation::Call { service, .. } => {
                 let targets = snapshot.state.targets.by_name.iter();
-                let offers = targets.filter(|(_, t)| t.record.service.as_ref() == Some(service));
-                (1, offers.map(|(name, _)| name).collect())
+                let providers = targets.filter(|(_, t)| t.record.service.as_ref() == Some(service));
+                (1, providers.map(|(name, _)| name).collect())
             }
         };
         let serves = |name: &&&TargetId| {
             let target = self.router.target(name).and_then(|key| self.router.target_state(key));
             target.is_some_and(|target| target.connected && !target.draining)
         };
-        owners.iter().filter(serves).count() < wanted.max(owners.len())
+        owners.iter().filter(serves).count() < expected.max(owners.len())
     }
 
     fn send(&mut self, key: RequestKey, target: TargetKey) {
@@ -244,10 +244,10 @@
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
             // The connection is gone or far behind: its ring is as good as a refusal.
-            let refusal = Refusal { reason: RefusalReason::QueueFull, retry_after: RETRY_LOST };
+            let refusal = Refusal { reason: RefusalReason::QueueFull, retry_after: CONNECTION_LOST_RETRY_AFTER };
             let load = Load { running: 0, queued: 0, wait_ms: 0 };
             let decision = self.router.refused(self.clock.now(), key, refusal, load);
-            self.perform_again(key, decision);
+            self.execute_retry(key, decision);
         }
     }
 }
