--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -133,7 +133,7 @@
         Operation::Completion { model, version, adapter }
     };
     let need = Requirement::Weights { base: wanted.base.clone(), adapter: wanted.adapter.clone() };
-    caller_request.open(need, operation, urgency, budget, true)
+    caller_request.open_stream(need, operation, urgency, budget, true)
 }
 
 fn read(body: Bytes, chat: bool, team: &TeamView, view: &View) -> Result<Wanted, Problem> {
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -45,7 +45,7 @@
 /// Header with the urgency: `low`, `normal` or `urgent`.
 pub const URGENCY_HEADER: &str = "x-urgency";
 /// When to come back if this router holds as many requests as it may.
-const RETRY_FULL: Duration = Duration::from_secs(1);
+const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What the handlers share.
 pub struct HandlerContext {
@@ -141,16 +141,16 @@
 
 /// All paths; what is none of them is answered in the same form.
 pub fn routes(context: &Arc<HandlerContext>) -> Router {
-    let at = |kind| Endpoint(context.clone(), kind);
-    let services = Router::with_path("services/{service}/{**rest}").goal(at(Kind::Service));
-    let known = PATHS.into_iter().fold(Router::new().push(services), |routes, path| {
+    let endpoint = |kind| Endpoint(context.clone(), kind);
+    let services = Router::with_path("services/{service}/{**rest}").goal(endpoint(Kind::Service));
+    let routes = PATHS.into_iter().fold(Router::new().push(services), |routes, path| {
         let (path, method, kind) = path;
-        let own = Router::with_path(path);
-        let own = if method == GET { own.get(at(kind)) } else { own.post(at(kind)) };
-        let other = Router::with_path(path).goal(at(Kind::OtherMethod(method)));
-        routes.push(own).push(other)
+        let route = Router::with_path(path);
+        let route = if method == GET { route.get(endpoint(kind)) } else { route.post(endpoint(kind)) };
+        let other_methods = Router::with_path(path).goal(endpoint(Kind::OtherMethod(method)));
+        routes.push(route).push(other_methods)
     });
-    known.push(Router::with_path("{**rest}").goal(at(Kind::NoSuchPath)))
+    routes.push(Router::with_path("{**rest}").goal(endpoint(Kind::NoSuchPath)))
 }
 
 #[async_trait]
@@ -260,10 +260,10 @@
         req: &mut Request,
         res: &mut Response,
     ) -> Result<(), Problem> {
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         self.metrics.count(Metric::RouterRequests, 1);
-        let caller_request = self.ask(request, req)?;
-        let done = match kind {
+        let caller_request = self.admit(request, req)?;
+        let result = match kind {
             Kind::Chat => completions::complete(self, &caller_request, true, req, res).await,
             Kind::Models => {
                 completions::models(
@@ -277,10 +277,10 @@
             Kind::Service => services::call(self, &caller_request, req, res).await,
             _ => completions::complete(self, &caller_request, false, req, res).await,
         };
-        let took = self.clock.now() - began;
-        self.metrics.time(Metric::RouterTime, took);
+        let elapsed = self.clock.now() - started_at;
+        self.metrics.time(Metric::RouterTime, elapsed);
         if matches!(kind, Kind::Service) {
-            let outcome = done.as_ref().map_or_else(Problem::outcome, |()| "ran");
+            let outcome = result.as_ref().map_or_else(Problem::outcome, |()| "ran");
             self.metrics.count_tagged(Metric::RouterCalls, 1, "outcome", outcome);
         }
         tracing::info!(
@@ -290,20 +290,20 @@
             request = %caller_request.id,
             caller_request = caller_id(req).ok().flatten(),
             team = %caller_request.team,
-            took_us = took.as_micros() as u64,
-            outcome = done.as_ref().map_or_else(Problem::code, |()| "answered"),
+            took_us = elapsed.as_micros() as u64,
+            outcome = result.as_ref().map_or_else(Problem::code, |()| "answered"),
             "hop router"
         );
-        done
+        result
     }
 
-    fn ask(&self, request: SmolStr, req: &Request) -> Result<CallerRequest, Problem> {
+    fn admit(&self, request: SmolStr, req: &Request) -> Result<CallerRequest, Problem> {
         let snapshot = self.control.current.load();
         Self::check_started(&snapshot)?;
         let team = self.hasher.team(&snapshot.view, bearer(req)?);
         let team = team.ok_or(Problem::Unauthorized)?;
         if self.in_flight.load(Ordering::Relaxed) >= self.max_in_flight {
-            return Err(Problem::Refused(RefusalReason::QueueFull, RETRY_FULL));
+            return Err(Problem::Refused(RefusalReason::QueueFull, IN_FLIGHT_RETRY_AFTER));
         }
         let trace = TraceContext::continue_from(header(req, "traceparent"));
         Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
@@ -340,15 +340,15 @@
     /// # Errors
     ///
     /// A body that is too long or takes too long ends the request.
-    pub async fn read_body(&self, req: &mut Request, longest: usize) -> Result<Bytes, Problem> {
+    pub async fn read_body(&self, req: &mut Request, max_bytes: usize) -> Result<Bytes, Problem> {
         let declared = header(req, "content-length").and_then(|v| v.parse::<usize>().ok());
-        if declared.is_some_and(|length| length > longest) {
-            return Err(Problem::TooLong(longest));
+        if declared.is_some_and(|length| length > max_bytes) {
+            return Err(Problem::TooLong(max_bytes));
         }
-        let read = time::timeout(self.read_timeout, req.payload_with_max_size(longest)).await;
-        match read {
+        let result = time::timeout(self.read_timeout, req.payload_with_max_size(max_bytes)).await;
+        match result {
             Err(_) => Err(Problem::TooSlow(self.read_timeout.as_millis())),
-            Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::TooLong(longest)),
+            Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::TooLong(max_bytes)),
             Ok(Err(error)) => {
                 Err(Problem::Invalid(format!("the body cannot be read ({error}): send it again")))
             }
@@ -405,9 +405,9 @@
     }
 
     /// What the decisions and the agent need to know.
-    pub fn open(
+    pub fn open_stream(
         &self,
-        need: Requirement,
+        requirement: Requirement,
         operation: Operation,
         urgency: u8,
         budget: Duration,
@@ -415,9 +415,9 @@
     ) -> (RequestSpec, OpenStream) {
         let deadline = self.clock.now() + budget;
         let shape = Shape::default();
-        let work = RequestSpec {
+        let spec = RequestSpec {
             team: self.team.clone(),
-            requirement: need,
+            requirement,
             urgency,
             deadline,
             repeatable,
@@ -436,6 +436,6 @@
             as_of: 0,
             expires_ms: 0,
         };
-        (work, open)
+        (spec, open)
     }
 }
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -59,7 +59,7 @@
         idempotency_key: idempotency_key.clone(),
     };
     let need = Requirement::Service(service.clone());
-    let (work, mut open) = caller_request.open(need, operation, urgency, budget, !once);
+    let (work, mut open) = caller_request.open_stream(need, operation, urgency, budget, !once);
     if once {
         open.expires_ms =
             caller_request.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
