--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 /// Longest `Idempotency-Key`, in bytes.
-const MAX_KEY_BYTES: usize = 255;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
 /// Answers a call to a plain service.
 ///
@@ -38,8 +38,8 @@
         return Err(Problem::Forbidden);
     }
     let method = SmolStr::new(req.method().as_str());
-    let once = is_unrepeatable(&caller_request.snapshot.view, &service, &method, &path);
-    let idempotency_key = if once { Some(key(req)?) } else { None };
+    let run_once = is_unrepeatable(&caller_request.snapshot.view, &service, &method, &path);
+    let idempotency_key = if run_once { Some(read_idempotency_key(req)?) } else { None };
     let urgency = caller_request.urgency(req, team.team.default_urgency)?;
     let limit = team.team.max_deadline_ms.0;
     let budget = caller_request.deadline(req, allowed.deadline_ms.0, limit)?;
@@ -58,14 +58,14 @@
         content_type,
         idempotency_key: idempotency_key.clone(),
     };
-    let need = Requirement::Service(service.clone());
-    let (work, mut open) = caller_request.open_stream(need, operation, urgency, budget, !once);
-    if once {
+    let requirement = Requirement::Service(service.clone());
+    let (spec, mut open) = caller_request.open_stream(requirement, operation, urgency, budget, !run_once);
+    if run_once {
         open.expires_ms =
             caller_request.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
     }
     let caller = req.remote_addr().clone().into_std();
-    let submit = || CallInProgress::submit(&context.events, work, open, body);
+    let submit = || CallInProgress::submit(&context.events, spec, open, body);
     let answer = match idempotency_key {
         None => once::read(&mut submit()?, deadline).await?,
         Some(_)
@@ -82,14 +82,14 @@
             once.answer(submit).await?
         }
     };
-    write(answer, res);
+    write_answer(answer, res);
     Ok(())
 }
 
 /// Header that tells that a repeat's body was too long to be kept.
 const BODY_HEADER: &str = "x-corianderstand-body";
 
-fn write(answer: Answer, res: &mut Response) {
+fn write_answer(answer: Answer, res: &mut Response) {
     res.status_code(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY));
     problem::set_header(res, "content-type", &answer.content_type);
     problem::set_header(res, problem::OUTCOME_HEADER, "ran");
@@ -100,20 +100,20 @@
 }
 
 fn is_unrepeatable(view: &View, service: &ServiceId, method: &str, path: &str) -> bool {
-    let Some(facts) = view.services.get(service) else { return false };
+    let Some(settings) = view.services.get(service) else { return false };
     let matches = |pattern: &corianderstand_schema::settings::CallPattern| {
         pattern.method == method && path.starts_with(pattern.path_prefix.as_str())
     };
-    facts.unrepeatable.iter().any(matches)
+    settings.unrepeatable.iter().any(matches)
 }
 
 fn header<'a>(req: &'a Request, name: &str) -> Option<&'a str> {
     req.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-fn key(req: &Request) -> Result<SmolStr, Problem> {
+fn read_idempotency_key(req: &Request) -> Result<SmolStr, Problem> {
     let key = header(req, "idempotency-key").unwrap_or_default();
-    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
         return Err(Problem::KeyRequired);
     }
     Ok(key.into())
