--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -45,7 +45,7 @@
 }
 
 /// One call under its key.
-pub struct Once<'a> {
+pub struct KeyedCall<'a> {
     /// The log.
     pub control: &'a ControlHandle,
     /// The key.
@@ -56,7 +56,7 @@
     pub deadline: Instant,
 }
 
-impl Once<'_> {
+impl KeyedCall<'_> {
     /// Answers from the log, or submits the call and sees it through.
     ///
     /// # Errors
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -3,7 +3,7 @@
 use crate::{
     call::CallInProgress,
     http::{CallerRequest, HandlerContext},
-    once::{self, Answer, Once},
+    once::{self, Answer, KeyedCall},
     problem::{self, Problem},
 };
 use corianderstand_decide::request::Requirement;
@@ -78,8 +78,8 @@
         }
         Some(key) => {
             let key = CallKey { team: caller_request.team.clone(), service, key };
-            let once = Once { control: &context.control, key, digest, deadline };
-            once.answer(submit).await?
+            let keyed_call = KeyedCall { control: &context.control, key, digest, deadline };
+            keyed_call.answer(submit).await?
         }
     };
     write_answer(answer, res);
