--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -29,9 +29,9 @@
 
 /// Time kept back from the deadline for writing a void and reading it: far beyond an append,
 /// so that a caller gets a certain answer rather than "unknown" wherever the log is up.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_RESERVE: Duration = Duration::from_secs(1);
 /// When to come back while the log is down.
-const RETRY_LOG: Duration = Duration::from_secs(2);
+const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A service's answer.
 #[derives(data)]
@@ -66,23 +66,23 @@
         &self,
         submit: impl FnOnce() -> Result<CallInProgress, Problem>,
     ) -> Result<Answer, Problem> {
-        if is_forgotten(&self.key.key, SystemTime::now()) {
+        if is_past_retention(&self.key.key, SystemTime::now()) {
             return Err(Problem::KeyForgotten);
         }
         let snapshot = self.control.current.load();
         match snapshot.state.calls.status(&self.key, self.digest) {
             CallStatus::Unclaimed if !snapshot.log_up => {
-                return Err(Problem::Refused(RefusalReason::LogDown, RETRY_LOG));
+                return Err(Problem::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
             }
             CallStatus::Unclaimed => {}
-            _ => return self.wait().await,
+            _ => return self.wait_for_outcome().await,
         }
         let mut call = submit()?;
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        let settle_at = self.deadline - SETTLE.min(left / 4);
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        let settle_at = self.deadline - SETTLE_RESERVE.min(remaining / 4);
         match time::timeout_at(settle_at, read(&mut call, self.deadline)).await {
-            Ok(Err(problem)) if !is_certain(&problem) => self.settle(None).await,
-            Ok(done) => done,
+            Ok(Err(problem)) if !is_certainly_not_run(&problem) => self.settle(None).await,
+            Ok(result) => result,
             Err(_) => self.settle(Some(call)).await,
         }
     }
@@ -90,36 +90,36 @@
     /// Gives up: declares the call not run, or finds out what became of it. The answer may
     /// still come over `call` in the meantime.
     async fn settle(&self, call: Option<CallInProgress>) -> Result<Answer, Problem> {
-        let mut settled = pin!(self.void());
+        let mut settled = pin!(self.append_void());
         if let Some(mut call) = call {
             tokio::select! {
                 settled = &mut settled => return settled,
-                done = read(&mut call, self.deadline) => match done {
-                    Err(problem) if !is_certain(&problem) => {}
-                    done => return done,
+                result = read(&mut call, self.deadline) => match result {
+                    Err(problem) if !is_certainly_not_run(&problem) => {}
+                    result => return result,
                 }
             }
         }
         settled.await
     }
 
-    async fn void(&self) -> Result<Answer, Problem> {
-        let known = self.control.current.load().state.calls.status(&self.key, self.digest);
-        if known != CallStatus::Unclaimed {
-            return self.wait().await;
+    async fn append_void(&self) -> Result<Answer, Problem> {
+        let status = self.control.current.load().state.calls.status(&self.key, self.digest);
+        if status != CallStatus::Unclaimed {
+            return self.wait_for_outcome().await;
         }
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let body = Body::CallVoided { key: self.key.clone() };
-        let decided = self.control.appender.append(body, left).await;
-        match decided.map(|decided| claim::void_decision(&decided.outcome)) {
+        let decision = self.control.appender.append(body, remaining).await;
+        match decision.map(|decision| claim::void_decision(&decision.outcome)) {
             Ok(VoidDecision::NotRun) => Err(Problem::NotRun("no answer came in time".into())),
-            Ok(VoidDecision::ReadStatus) => self.wait().await,
+            Ok(VoidDecision::ReadStatus) => self.wait_for_outcome().await,
             Ok(VoidDecision::Unknown) | Err(_) => Err(unknown("no answer by the deadline")),
         }
     }
 
     /// Waits until the log tells an outcome, or the deadline.
-    async fn wait(&self) -> Result<Answer, Problem> {
+    async fn wait_for_outcome(&self) -> Result<Answer, Problem> {
         let mut changed = self.control.current.subscribe();
         loop {
             match self.control.current.load().state.calls.status(&self.key, self.digest) {
@@ -128,7 +128,7 @@
                     return Err(Problem::NotRun("it was given up before it began".into()));
                 }
                 CallStatus::Conflict => {
-                    return Err(Problem::Refused(RefusalReason::KeyConflict, RETRY_LOG));
+                    return Err(Problem::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER));
                 }
                 // Forgotten while it was waited for.
                 CallStatus::Unclaimed => return Err(unknown("its key is no longer remembered")),
@@ -155,7 +155,7 @@
 
 /// Whether a problem tells for certain that the request did not run: the agent refused it
 /// before it made the call, or the router never sent it.
-const fn is_certain(problem: &Problem) -> bool {
+const fn is_certainly_not_run(problem: &Problem) -> bool {
     matches!(problem, Problem::Refused(..) | Problem::NotRun(_))
 }
 
@@ -185,13 +185,13 @@
 ///
 /// A key that has been forgotten looks like a new one, and its call would run a second time.
 /// UUIDs of version 7 begin with the time of their making, so of these it can be told.
-fn is_forgotten(key: &str, now: SystemTime) -> bool {
+fn is_past_retention(key: &str, now: SystemTime) -> bool {
     let digits: String = key.chars().filter(|c| *c != '-').collect();
     if key.len() != 36 || digits.len() != 32 || !digits[12..].starts_with('7') {
         return false;
     }
-    let Ok(made_ms) = u64::from_str_radix(&digits[..12], 16) else { return false };
-    corianderstand_types::clock::unix_ms(now) > made_ms + calls::KEY_RETENTION_MS
+    let Ok(created_ms) = u64::from_str_radix(&digits[..12], 16) else { return false };
+    corianderstand_types::clock::unix_ms(now) > created_ms + calls::KEY_RETENTION_MS
 }
 
 #[cfg(test)]
--- a/crates/corianderstand_router/src/once/tests.rs
+++ b/crates/corianderstand_router/src/once/tests.rs
@@ -1,9 +1,9 @@
-use super::is_forgotten;
+use super::is_past_retention;
 use corianderstand_state::calls;
 use rstest::rstest;
 use std::time::{Duration, SystemTime};
 
-const MADE_MS: u64 = 0x018f_3b2c_4d5e;
+const CREATED_MS: u64 = 0x018f_3b2c_4d5e;
 
 /// A phone that was off for two days sends its booking again. The key is no longer remembered,
 /// so taking it for a new one would book a second time.
@@ -18,6 +18,6 @@
     #[case] age_ms: u64,
     #[case] expected: bool,
 ) {
-    let now = SystemTime::UNIX_EPOCH + Duration::from_millis(MADE_MS + age_ms);
-    assert_eq!(is_forgotten(key, now), expected);
+    let now = SystemTime::UNIX_EPOCH + Duration::from_millis(CREATED_MS + age_ms);
+    assert_eq!(is_past_retention(key, now), expected);
 }
