--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -14,7 +14,7 @@
 
 /// Shape of the answer.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct AnswerFormat {
     /// Whether it is a chat.
     pub chat: bool,
     /// The request's identity.
@@ -22,9 +22,9 @@
     /// The model as the caller named it.
     pub model: String,
     /// Whether a stream ends with the usage.
-    pub usage: bool,
+    pub include_usage: bool,
     /// When it was asked, in seconds since the Unix epoch.
-    pub created: u64,
+    pub created_s: u64,
 }
 
 /// Longest pause inside a stream that has begun.
@@ -35,7 +35,7 @@
 /// Most bytes gathered into one write to a caller.
 const GATHER_BYTES: usize = 16 * 1024;
 
-impl Shape {
+impl AnswerFormat {
     fn object(&self, streamed: bool) -> &'static str {
         match (self.chat, streamed) {
             (true, true) => "chat.completion.chunk",
@@ -48,7 +48,7 @@
         json!({
             "id": self.request,
             "object": self.object(streamed),
-            "created": self.created,
+            "created": self.created_s,
             "model": self.model,
             "choices": [choice],
         })
@@ -108,7 +108,7 @@
 /// Any [`Problem`]; nothing has been sent then.
 pub async fn whole(
     mut call: CallInProgress,
-    shape: &Shape,
+    format: &AnswerFormat,
     deadline: Instant,
     res: &mut Response,
 ) -> Result<(), Problem> {
@@ -120,7 +120,7 @@
             Part::Whole { prompt_tokens, completion_tokens, finish_reason } => {
                 let usage = usage(prompt_tokens, completion_tokens);
                 let text = String::from_utf8_lossy(&text);
-                let body = shape.whole(&text, &finish_reason, usage);
+                let body = format.whole(&text, &finish_reason, usage);
                 problem::set_header(res, "content-type", "application/json");
                 drop(res.write_body(body.to_string()));
                 return Ok(());
@@ -136,21 +136,21 @@
 /// Any [`Problem`] before the first part; later ones are an error event, and no `[DONE]`.
 pub async fn stream(
     mut call: CallInProgress,
-    shape: Shape,
+    format: AnswerFormat,
     deadline: Instant,
     res: &mut Response,
 ) -> Result<(), Problem> {
     let first = call.next(deadline).await?;
     problem::set_header(res, "content-type", "text/event-stream");
     problem::set_header(res, "cache-control", "no-cache");
-    let state = Events { call, shape, waiting: Some(first), over: false };
+    let state = Events { call, format, waiting: Some(first), over: false };
     res.stream(stream::unfold(state, Events::step));
     Ok(())
 }
 
 struct Events {
     call: CallInProgress,
-    shape: Shape,
+    format: AnswerFormat,
     waiting: Option<Part>,
     over: bool,
 }
@@ -182,19 +182,19 @@
             Ok(Part::Chunk(body)) => {
                 // The id lets a caller whose router is gone take up the rest at any other.
                 buf.push_str(&format!("id: {}\n", self.call.position()));
-                event(buf, &self.shape.delta(&String::from_utf8_lossy(&body)));
+                event(buf, &self.format.delta(&String::from_utf8_lossy(&body)));
             }
             Ok(Part::Whole { prompt_tokens, completion_tokens, finish_reason }) => {
-                event(buf, &self.shape.finish(&finish_reason));
-                if self.shape.usage {
+                event(buf, &self.format.finish(&finish_reason));
+                if self.format.include_usage {
                     let usage = usage(prompt_tokens, completion_tokens);
-                    event(buf, &self.shape.counted(usage));
+                    event(buf, &self.format.counted(usage));
                 }
                 buf.push_str("data: [DONE]\n\n");
                 self.over = true;
             }
             Err(problem) => {
-                event(buf, &problem.body(&self.shape.request));
+                event(buf, &problem.body(&self.format.request));
                 self.over = true;
             }
         }
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -1,7 +1,7 @@
 //! `POST /v1/completions`, `POST /v1/chat/completions` and `GET /v1/models`.
 
 use crate::{
-    answer::{self, Shape},
+    answer::{self, AnswerFormat},
     call::CallInProgress,
     http::{CallerRequest, HandlerContext},
     params::Params,
@@ -85,22 +85,22 @@
     }
     work.shape = wanted.shape;
     let call = CallInProgress::submit(&context.events, work, open, wanted.body)?;
-    let shape = Shape {
+    let format = AnswerFormat {
         chat,
         request: caller_request.id.clone(),
         model: wanted.name,
-        usage: wanted.usage,
-        created: clock::unix_ms(SystemTime::now()) / 1000,
+        include_usage: wanted.usage,
+        created_s: clock::unix_ms(SystemTime::now()) / 1000,
     };
     if wanted.stream {
         let began = context.clock.now();
-        let streamed = answer::stream(call, shape, deadline, res).await;
+        let streamed = answer::stream(call, format, deadline, res).await;
         if streamed.is_ok() {
             context.metrics.time(Metric::RouterFirstChunk, context.clock.now() - began);
         }
         streamed
     } else {
-        answer::whole(call, &shape, deadline, res).await
+        answer::whole(call, &format, deadline, res).await
     }
 }
 
