--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -244,7 +244,10 @@
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
             // The connection is gone or far behind: its ring is as good as a refusal.
-            let refusal = Refusal { reason: RefusalReason::QueueFull, retry_after: CONNECTION_LOST_RETRY_AFTER };
+            let refusal = Refusal {
+                reason: RefusalReason::QueueFull,
+                retry_after: CONNECTION_LOST_RETRY_AFTER,
+            };
             let load = Load { running: 0, queued: 0, wait_ms: 0 };
             let decision = self.router.refused(self.clock.now(), key, refusal, load);
             self.execute_retry(key, decision);
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -146,7 +146,8 @@
     let routes = PATHS.into_iter().fold(Router::new().push(services), |routes, path| {
         let (path, method, kind) = path;
         let route = Router::with_path(path);
-        let route = if method == GET { route.get(endpoint(kind)) } else { route.post(endpoint(kind)) };
+        let route =
+            if method == GET { route.get(endpoint(kind)) } else { route.post(endpoint(kind)) };
         let other_methods = Router::with_path(path).goal(endpoint(Kind::OtherMethod(method)));
         routes.push(route).push(other_methods)
     });
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -59,7 +59,8 @@
         idempotency_key: idempotency_key.clone(),
     };
     let requirement = Requirement::Service(service.clone());
-    let (spec, mut open) = caller_request.open_stream(requirement, operation, urgency, budget, !run_once);
+    let (spec, mut open) =
+        caller_request.open_stream(requirement, operation, urgency, budget, !run_once);
     if run_once {
         open.expires_ms =
             caller_request.snapshot.log_now_ms(SystemTime::now()) + budget.as_millis() as u64;
