--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -26,13 +26,13 @@
 use tokio::time::Instant;
 
 /// What a caller asks of a model.
-struct Wanted {
+struct RequestedCompletion {
     base: Weights,
     adapter: Option<Weights>,
     name: String,
     stream: bool,
     shape: request::Shape,
-    usage: bool,
+    include_usage: bool,
     body: Bytes,
 }
 
@@ -45,9 +45,9 @@
             "version": version }));
     };
     for (model, allowed) in &team.models {
-        let Some(facts) = view.models.get(model) else { continue };
+        let Some(settings) = view.models.get(model) else { continue };
         let versions =
-            if allowed.versions.is_empty() { &facts.versions } else { &allowed.versions };
+            if allowed.versions.is_empty() { &settings.versions } else { &allowed.versions };
         add(model.to_string(), versions.first().map_or("", |v| v.as_str()));
         for adapter in &allowed.adapters {
             add(format!("{model}:{}", adapter.name), adapter.version.as_str());
@@ -70,35 +70,35 @@
     res: &mut Response,
 ) -> Result<(), Problem> {
     let team = caller_request.team_view()?;
-    let longest = context.max_body_bytes.min(team.team.max_prompt_bytes as usize);
-    let body = context.read_body(req, longest).await?;
-    let wanted = read(body, chat, team, &caller_request.snapshot.view)?;
-    let allowed = &team.models[&wanted.base.model];
+    let max_bytes = context.max_body_bytes.min(team.team.max_prompt_bytes as usize);
+    let body = context.read_body(req, max_bytes).await?;
+    let requested = parse(body, chat, team, &caller_request.snapshot.view)?;
+    let allowed = &team.models[&requested.base.model];
     let urgency =
         caller_request.urgency(req, allowed.urgency.unwrap_or(team.team.default_urgency))?;
     let limit = team.team.max_deadline_ms.0;
     let budget = caller_request.deadline(req, team.team.default_deadline_ms.0, limit)?;
     let deadline = Instant::now() + budget;
-    let (mut work, mut open) = open(caller_request, &wanted, chat, urgency, budget);
-    if wanted.stream {
-        open.position = position(req)?;
+    let (mut spec, mut open) = open_stream(caller_request, &requested, chat, urgency, budget);
+    if requested.stream {
+        open.position = resume_position(req)?;
     }
-    work.shape = wanted.shape;
-    let call = CallInProgress::submit(&context.events, work, open, wanted.body)?;
+    spec.shape = requested.shape;
+    let call = CallInProgress::submit(&context.events, spec, open, requested.body)?;
     let format = AnswerFormat {
         chat,
         request: caller_request.id.clone(),
-        model: wanted.name,
-        include_usage: wanted.usage,
+        model: requested.name,
+        include_usage: requested.include_usage,
         created_s: clock::unix_ms(SystemTime::now()) / 1000,
     };
-    if wanted.stream {
-        let began = context.clock.now();
-        let streamed = answer::stream(call, format, deadline, res).await;
-        if streamed.is_ok() {
-            context.metrics.time(Metric::RouterFirstChunk, context.clock.now() - began);
+    if requested.stream {
+        let started_at = context.clock.now();
+        let result = answer::stream(call, format, deadline, res).await;
+        if result.is_ok() {
+            context.metrics.time(Metric::RouterFirstChunk, context.clock.now() - started_at);
         }
-        streamed
+        result
     } else {
         answer::whole(call, &format, deadline, res).await
     }
@@ -106,24 +106,24 @@
 
 /// Header with the last event that a caller has of a stream, as the standard of server-sent
 /// events names it.
-const LAST_EVENT_HEADER: &str = "last-event-id";
+const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
 /// Position that a caller takes a stream up at: the parts that it has already.
-fn position(req: &Request) -> Result<u64, Problem> {
-    let Some(value) = req.headers().get(LAST_EVENT_HEADER) else { return Ok(0) };
+fn resume_position(req: &Request) -> Result<u64, Problem> {
+    let Some(value) = req.headers().get(LAST_EVENT_ID_HEADER) else { return Ok(0) };
     let position = value.to_str().ok().and_then(|text| text.parse().ok());
     position.ok_or_else(|| Problem::Invalid("`Last-Event-ID` is the `id` of an event".into()))
 }
 
-fn open(
+fn open_stream(
     caller_request: &CallerRequest,
-    wanted: &Wanted,
+    requested: &RequestedCompletion,
     chat: bool,
     urgency: u8,
     budget: Duration,
 ) -> (RequestSpec, OpenStream) {
-    let (model, version) = (wanted.base.model.clone(), wanted.base.version.clone());
-    let adapter = wanted.adapter.as_ref().and_then(|weights| {
+    let (model, version) = (requested.base.model.clone(), requested.base.version.clone());
+    let adapter = requested.adapter.as_ref().and_then(|weights| {
         let name = weights.adapter.clone()?;
         Some(AdapterRef { name, version: weights.version.clone() })
     });
@@ -132,16 +132,16 @@
     } else {
         Operation::Completion { model, version, adapter }
     };
-    let need = Requirement::Weights { base: wanted.base.clone(), adapter: wanted.adapter.clone() };
-    caller_request.open_stream(need, operation, urgency, budget, true)
+    let requirement = Requirement::Weights { base: requested.base.clone(), adapter: requested.adapter.clone() };
+    caller_request.open_stream(requirement, operation, urgency, budget, true)
 }
 
-fn read(body: Bytes, chat: bool, team: &TeamView, view: &View) -> Result<Wanted, Problem> {
+fn parse(body: Bytes, chat: bool, team: &TeamView, view: &View) -> Result<RequestedCompletion, Problem> {
     let params = Params::read(&body, chat)?;
     let (base, adapter) = resolve(&params.model, team, view)?;
     let shape = params.shape(chat);
-    let (stream, usage) = (params.is_streamed(), params.includes_usage());
-    Ok(Wanted { base, adapter, name: params.model, stream, shape, usage, body })
+    let (stream, include_usage) = (params.is_streamed(), params.includes_usage());
+    Ok(RequestedCompletion { base, adapter, name: params.model, stream, shape, include_usage, body })
 }
 
 /// Finds what `model`, `model:adapter`, `model@version` or `model:adapter@version` names.
@@ -163,9 +163,9 @@
     };
     let model = ModelId::new(model).map_err(|error| Problem::Invalid(error.to_string()))?;
     let allowed = team.models.get(&model).ok_or(Problem::NotFound)?;
-    let facts = view.models.get(&model).ok_or(Problem::NotFound)?;
+    let settings = view.models.get(&model).ok_or(Problem::NotFound)?;
     let base_version = version.filter(|_| adapter.is_none());
-    let base = Weights::model(model.clone(), base(allowed, facts, base_version)?);
+    let base = Weights::model(model.clone(), resolve_version(allowed, settings, base_version)?);
     let Some(adapter) = adapter else { return Ok((base, None)) };
     let adapter = AdapterId::new(adapter).map_err(|error| Problem::Invalid(error.to_string()))?;
     let found = allowed.adapters.iter().find(|known| {
@@ -176,12 +176,12 @@
     Ok((base, Some(Weights { model, version, adapter })))
 }
 
-fn base(
+fn resolve_version(
     allowed: &settings::TeamModel,
-    facts: &settings::Model,
+    settings: &settings::Model,
     version: Option<&str>,
 ) -> Result<VersionId, Problem> {
-    let mut versions = facts
+    let mut versions = settings
         .versions
         .iter()
         .filter(|v| allowed.versions.is_empty() || allowed.versions.contains(v));
