--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -31,9 +31,9 @@
 ///
 /// Slow is not silent: the agent's heartbeats tell a dead connection apart, so this only bounds
 /// a target that makes no progress at all.
-const STREAM_PAUSE: Duration = Duration::from_secs(120);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Most bytes gathered into one write to a caller.
-const GATHER_BYTES: usize = 16 * 1024;
+const MAX_WRITE_BYTES: usize = 16 * 1024;
 
 impl AnswerFormat {
     fn object(&self, streamed: bool) -> &'static str {
@@ -44,7 +44,7 @@
         }
     }
 
-    fn base(&self, streamed: bool, choice: Value) -> Value {
+    fn envelope(&self, streamed: bool, choice: Value) -> Value {
         json!({
             "id": self.request,
             "object": self.object(streamed),
@@ -60,7 +60,7 @@
         } else {
             json!({ "index": 0, "text": text, "finish_reason": null })
         };
-        self.base(true, choice)
+        self.envelope(true, choice)
     }
 
     fn finish(&self, reason: &str) -> Value {
@@ -69,25 +69,25 @@
         } else {
             json!({ "index": 0, "text": "", "finish_reason": reason })
         };
-        self.base(true, choice)
+        self.envelope(true, choice)
     }
 
     /// The last event of a stream whose caller asked for the usage.
-    fn counted(&self, usage: Value) -> Value {
-        let mut value = self.base(true, Value::Null);
+    fn usage_event(&self, usage: Value) -> Value {
+        let mut value = self.envelope(true, Value::Null);
         value["choices"] = json!([]);
         value["usage"] = usage;
         value
     }
 
-    fn whole(&self, text: &str, reason: &str, usage: Value) -> Value {
+    fn document(&self, text: &str, reason: &str, usage: Value) -> Value {
         let choice = if self.chat {
             let message = json!({ "role": "assistant", "content": text });
             json!({ "index": 0, "message": message, "finish_reason": reason })
         } else {
             json!({ "index": 0, "text": text, "finish_reason": reason })
         };
-        let mut value = self.base(false, choice);
+        let mut value = self.envelope(false, choice);
         value["usage"] = usage;
         value
     }
@@ -120,7 +120,7 @@
             Part::Whole { prompt_tokens, completion_tokens, finish_reason } => {
                 let usage = usage(prompt_tokens, completion_tokens);
                 let text = String::from_utf8_lossy(&text);
-                let body = format.whole(&text, &finish_reason, usage);
+                let body = format.document(&text, &finish_reason, usage);
                 problem::set_header(res, "content-type", "application/json");
                 drop(res.write_body(body.to_string()));
                 return Ok(());
@@ -143,30 +143,30 @@
     let first = call.next(deadline).await?;
     problem::set_header(res, "content-type", "text/event-stream");
     problem::set_header(res, "cache-control", "no-cache");
-    let state = Events { call, format, waiting: Some(first), over: false };
-    res.stream(stream::unfold(state, Events::step));
+    let state = EventStream { call, format, first: Some(first), finished: false };
+    res.stream(stream::unfold(state, EventStream::next));
     Ok(())
 }
 
-struct Events {
+struct EventStream {
     call: CallInProgress,
     format: AnswerFormat,
-    waiting: Option<Part>,
-    over: bool,
+    first: Option<Part>,
+    finished: bool,
 }
 
-impl Events {
-    async fn step(mut self) -> Option<(Result<Bytes, Infallible>, Self)> {
-        if self.over {
+impl EventStream {
+    async fn next(mut self) -> Option<(Result<Bytes, Infallible>, Self)> {
+        if self.finished {
             return None;
         }
         let mut buf = String::new();
-        let first = match self.waiting.take() {
+        let first = match self.first.take() {
             Some(part) => Ok(part),
-            None => self.call.next(Instant::now() + STREAM_PAUSE).await,
+            None => self.call.next(Instant::now() + STREAM_IDLE_TIMEOUT).await,
         };
         self.write(first, &mut buf);
-        while !self.over && buf.len() < GATHER_BYTES {
+        while !self.finished && buf.len() < MAX_WRITE_BYTES {
             match self.call.try_next() {
                 Ok(None) => break,
                 Ok(Some(part)) => self.write(Ok(part), &mut buf),
@@ -182,26 +182,26 @@
             Ok(Part::Chunk(body)) => {
                 // The id lets a caller whose router is gone take up the rest at any other.
                 buf.push_str(&format!("id: {}\n", self.call.position()));
-                event(buf, &self.format.delta(&String::from_utf8_lossy(&body)));
+                write_event(buf, &self.format.delta(&String::from_utf8_lossy(&body)));
             }
             Ok(Part::Whole { prompt_tokens, completion_tokens, finish_reason }) => {
-                event(buf, &self.format.finish(&finish_reason));
+                write_event(buf, &self.format.finish(&finish_reason));
                 if self.format.include_usage {
                     let usage = usage(prompt_tokens, completion_tokens);
-                    event(buf, &self.format.counted(usage));
+                    write_event(buf, &self.format.usage_event(usage));
                 }
                 buf.push_str("data: [DONE]\n\n");
-                self.over = true;
+                self.finished = true;
             }
             Err(problem) => {
-                event(buf, &problem.body(&self.format.request));
-                self.over = true;
+                write_event(buf, &problem.body(&self.format.request));
+                self.finished = true;
             }
         }
     }
 }
 
-fn event(buf: &mut String, value: &Value) {
+fn write_event(buf: &mut String, value: &Value) {
     buf.push_str("data: ");
     buf.push_str(&value.to_string());
     buf.push_str("\n\n");
