--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -12,7 +12,7 @@
 use std::ops::RangeInclusive;
 
 /// Most sequences that end an answer.
-const MAX_STOPS: usize = 16;
+const MAX_STOP_SEQUENCES: usize = 16;
 /// Most tokens that a request may ask for.
 const MAX_TOKENS: u32 = 16 * 1024 * 1024;
 
@@ -80,7 +80,7 @@
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "true, false or a number")]
 enum Logprobs {
-    Asked(bool),
+    Enabled(bool),
     Count(u32),
 }
 
@@ -125,9 +125,9 @@
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
         let text = |index: usize| content(index).unwrap_or_default();
-        let beginning = format!("{}\n{}", text(0), text(1));
+        let prefix = format!("{}\n{}", text(0), text(1));
         let tokens = self.max_completion_tokens.or(self.max_tokens).map(u64::from);
-        request::Shape::of(tokens, chat, beginning.as_bytes())
+        request::Shape::of(tokens, chat, prefix.as_bytes())
     }
 
     fn check(&self, chat: bool) -> Result<(), Problem> {
@@ -145,15 +145,15 @@
     }
 
     fn check_ranges(&self) -> Result<(), Problem> {
-        count("max_tokens", self.max_tokens)?;
-        count("max_completion_tokens", self.max_completion_tokens)?;
-        range("temperature", self.temperature, 0.0..=2.0)?;
-        range("top_p", self.top_p, 0.0..=1.0)?;
-        range("presence_penalty", self.presence_penalty, -2.0..=2.0)?;
-        range("frequency_penalty", self.frequency_penalty, -2.0..=2.0)?;
+        check_count("max_tokens", self.max_tokens)?;
+        check_count("max_completion_tokens", self.max_completion_tokens)?;
+        check_range("temperature", self.temperature, 0.0..=2.0)?;
+        check_range("top_p", self.top_p, 0.0..=1.0)?;
+        check_range("presence_penalty", self.presence_penalty, -2.0..=2.0)?;
+        check_range("frequency_penalty", self.frequency_penalty, -2.0..=2.0)?;
         match &self.stop {
-            Some(Stop::Many(stops)) if stops.len() > MAX_STOPS => {
-                Err(invalid("stop", &format!("has at most {MAX_STOPS} sequences")))
+            Some(Stop::Many(stops)) if stops.len() > MAX_STOP_SEQUENCES => {
+                Err(invalid("stop", &format!("has at most {MAX_STOP_SEQUENCES} sequences")))
             }
             _ => Ok(()),
         }
@@ -168,7 +168,7 @@
         }
         let logprobs = !matches!(
             self.logprobs,
-            None | Some(Logprobs::Asked(false)) | Some(Logprobs::Count(0))
+            None | Some(Logprobs::Enabled(false)) | Some(Logprobs::Count(0))
         );
         let unsupported = [
             ("echo", self.echo == Some(true)),
@@ -184,7 +184,7 @@
             ("modalities", self.modalities.is_some()),
             ("audio", self.audio.is_some()),
         ];
-        match unsupported.iter().find(|(_, given)| *given) {
+        match unsupported.iter().find(|(_, present)| *present) {
             Some((field, _)) => Err(invalid(field, "is not supported: leave it out")),
             None => Ok(()),
         }
@@ -195,7 +195,7 @@
     Problem::Invalid(format!("`{field}` {message}"))
 }
 
-fn count(field: &str, value: Option<u32>) -> Result<(), Problem> {
+fn check_count(field: &str, value: Option<u32>) -> Result<(), Problem> {
     match value {
         Some(0) | Some(MAX_TOKENS..) => {
             Err(invalid(field, &format!("is a whole number from 1 to {}", MAX_TOKENS - 1)))
@@ -204,7 +204,7 @@
     }
 }
 
-fn range(field: &str, value: Option<f64>, range: RangeInclusive<f64>) -> Result<(), Problem> {
+fn check_range(field: &str, value: Option<f64>, range: RangeInclusive<f64>) -> Result<(), Problem> {
     match value {
         Some(value) if !range.contains(&value) => {
             Err(invalid(field, &format!("is a number from {} to {}", range.start(), range.end())))
