--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -132,16 +132,30 @@
     } else {
         Operation::Completion { model, version, adapter }
     };
-    let requirement = Requirement::Weights { base: requested.base.clone(), adapter: requested.adapter.clone() };
+    let requirement =
+        Requirement::Weights { base: requested.base.clone(), adapter: requested.adapter.clone() };
     caller_request.open_stream(requirement, operation, urgency, budget, true)
 }
 
-fn parse(body: Bytes, chat: bool, team: &TeamView, view: &View) -> Result<RequestedCompletion, Problem> {
+fn parse(
+    body: Bytes,
+    chat: bool,
+    team: &TeamView,
+    view: &View,
+) -> Result<RequestedCompletion, Problem> {
     let params = Params::read(&body, chat)?;
     let (base, adapter) = resolve(&params.model, team, view)?;
     let shape = params.shape(chat);
     let (stream, include_usage) = (params.is_streamed(), params.includes_usage());
-    Ok(RequestedCompletion { base, adapter, name: params.model, stream, shape, include_usage, body })
+    Ok(RequestedCompletion {
+        base,
+        adapter,
+        name: params.model,
+        stream,
+        shape,
+        include_usage,
+        body,
+    })
 }
 
 /// Finds what `model`, `model:adapter`, `model@version` or `model:adapter@version` names.
