--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in the form that callers of language models know.
+//! Encodes model answers as OpenAI-compatible JSON and server-sent events.
 
 use crate::{
     call::{CallInProgress, Part},
@@ -12,27 +12,23 @@
 use std::{convert::Infallible, time::Duration};
 use tokio::time::Instant;
 
-/// Shape of the answer.
+/// Format and metadata of an answer.
 #[derive(Clone, Debug)]
 pub struct AnswerFormat {
-    /// Whether it is a chat.
+    /// Whether it answers a chat completion.
     pub chat: bool,
-    /// The request's identity.
+    /// The request id.
     pub request: SmolStr,
-    /// The model as the caller named it.
+    /// The model name that the caller sent.
     pub model: String,
     /// Whether a stream ends with the usage.
     pub include_usage: bool,
-    /// When it was asked, in seconds since the Unix epoch.
+    /// When the request was received, in seconds since the Unix epoch.
     pub created_s: u64,
 }
 
-/// Longest pause inside a stream that has begun.
-///
-/// Slow is not silent: the agent's heartbeats tell a dead connection apart, so this only bounds
-/// a target that makes no progress at all.
+/// Bounds a target that makes no progress; lost connections are detected by heartbeats.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Most bytes gathered into one write to a caller.
 const MAX_WRITE_BYTES: usize = 16 * 1024;
 
 impl AnswerFormat {
@@ -72,7 +68,6 @@
         self.envelope(true, choice)
     }
 
-    /// The last event of a stream whose caller asked for the usage.
     fn usage_event(&self, usage: Value) -> Value {
         let mut value = self.envelope(true, Value::Null);
         value["choices"] = json!([]);
@@ -101,11 +96,11 @@
     })
 }
 
-/// Gathers the whole answer and sends it as one JSON document.
+/// Collects the answer and sends it as one JSON document.
 ///
 /// # Errors
 ///
-/// Any [`Problem`]; nothing has been sent then.
+/// Any [`Problem`]; nothing was sent in that case.
 pub async fn whole(
     mut call: CallInProgress,
     format: &AnswerFormat,
@@ -129,11 +124,12 @@
     }
 }
 
-/// Sends the answer as server-sent events, as it comes.
+/// Streams the answer as server-sent events.
 ///
 /// # Errors
 ///
-/// Any [`Problem`] before the first part; later ones are an error event, and no `[DONE]`.
+/// Any [`Problem`] before the first part; a later one is sent as an event and ends the stream
+/// without `[DONE]`.
 pub async fn stream(
     mut call: CallInProgress,
     format: AnswerFormat,
@@ -180,7 +176,7 @@
         match part {
             Ok(Part::Head { .. }) => {}
             Ok(Part::Chunk(body)) => {
-                // The id lets a caller whose router is gone take up the rest at any other.
+                // With the id, a caller can resume the stream at another router.
                 buf.push_str(&format!("id: {}\n", self.call.position()));
                 write_event(buf, &self.format.delta(&String::from_utf8_lossy(&body)));
             }
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -1,8 +1,7 @@
-//! One call from the handler's side: hand it in, receive its updates, give credit, cancel.
+//! A call in progress, as its HTTP handler sees it.
 //!
-//! Parts are handed out in order, each once. Where the connection to the agent, the agent or its
-//! engine is lost, a call that may be repeated is handed in again from the position reached, so
-//! that its caller gets the rest and notices a pause at most.
+//! Parts are returned in order, each once. If the target is lost, a repeatable call is submitted
+//! again from the position reached.
 
 use crate::{
     event::{Attachment, Call, Command, Event, REPLY_RING, Update, WINDOW},
@@ -15,38 +14,32 @@
 use std::{sync::mpsc::SyncSender, time::Duration};
 use tokio::{sync::mpsc, time};
 
-/// Positions passed on before credit is given for more.
+/// Positions consumed before more credit is granted.
 const CREDIT_STEP: u64 = WINDOW / 2;
-/// Pause before a call is taken up again; doubled each time, so that a target that restarts or
-/// a slot that moves is not asked without end.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause before a call is taken up again.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Tries without progress before a call is given up: some four seconds in all, the time that a
-/// planned restart or the replacement of a silent connection takes.
+/// Attempts without progress; their backoff outlasts a planned restart of a target.
 const MAX_ATTEMPTS: u32 = 12;
-/// Tries that a failure at the engine counts for: a request that makes engines fail must not
-/// go round all of them.
+/// Attempts that an engine failure counts as, so that a request that crashes engines reaches only
+/// a few of them.
 const ATTEMPTS_PER_FAILURE: u32 = 4;
-/// Least time that an answer which has begun has to be taken up elsewhere. Its deadline was
-/// met by its first part, so it must not be refused for that deadline.
+/// Minimum time to resume an answer that has begun: its first part met the deadline already.
 const MIN_RESUME_TIME: Duration = Duration::from_secs(10);
-/// When to come back if this router is overwhelmed.
 const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What comes of a call.
+/// A part of a call's answer.
 #[derive(Debug)]
 pub enum Part {
-    /// Status of a service's answer.
+    /// Status line of a service's answer.
     Head {
         /// HTTP status.
         status: u16,
         /// Content type.
         content_type: SmolStr,
     },
-    /// Part of the answer.
+    /// A piece of the body.
     Chunk(Bytes),
-    /// The whole answer was handed out.
+    /// The answer is complete.
     Whole {
         /// Tokens in the prompt.
         prompt_tokens: u64,
@@ -57,7 +50,7 @@
     },
 }
 
-/// What was asked, so that it can be asked again.
+/// Everything needed to submit a call, kept for retries.
 struct Submission {
     events: SyncSender<Event>,
     spec: RequestSpec,
@@ -76,11 +69,9 @@
     }
 }
 
-/// Why no further part comes from this try.
 enum AttemptEnd {
-    /// The call is over.
     Final(Problem),
-    /// The try is over; it counts for so many.
+    /// Carries the number of attempts to count.
     Retryable(Problem, u32),
 }
 
@@ -97,11 +88,11 @@
 }
 
 impl CallInProgress {
-    /// Hands a call to the `decide` thread.
+    /// Submits a call to the `decide` thread.
     ///
     /// # Errors
     ///
-    /// A full ring is a refusal: waiting for room would only make the answer late.
+    /// [`Problem::Refused`] if the event channel is full.
     pub fn submit(
         events: &SyncSender<Event>,
         spec: RequestSpec,
@@ -131,7 +122,7 @@
         self.position
     }
 
-    /// The next part of the answer, by `deadline`.
+    /// Waits for the next part until `deadline`, resuming the call if needed.
     ///
     /// # Errors
     ///
@@ -153,7 +144,7 @@
         }
     }
 
-    /// The next part if it has come already.
+    /// Returns the next part if it was received already.
     ///
     /// # Errors
     ///
@@ -174,7 +165,7 @@
         Ok(None)
     }
 
-    /// Hands the call in again from the position reached, after a pause.
+    /// Submits the call again from the position reached, after a backoff.
     async fn resume(
         &mut self,
         problem: Problem,
@@ -211,12 +202,12 @@
 
     fn apply(&mut self, update: Option<Update>) -> Result<Option<Part>, AttemptEnd> {
         match update {
-            // Whoever held the far end has let go of it without an ending. That tells nothing of
-            // whether the request ran, so it must not be answered as a refusal.
-            None => Err(self.on_lost("its state was lost", 1)),
+            // The sender was dropped without an ending. The request may have run, so this is not
+            // a refusal.
+            None => Err(self.on_lost("the router lost its state", 1)),
             Some(Update::Attached(attachment)) => {
                 self.attachment = Some(attachment);
-                // A second target does not know the credit that the first was given.
+                // Credit granted to an earlier target does not carry over.
                 if self.position > self.submission.open.position {
                     self.send_command(|stream, upto| Command::Credit { stream, upto });
                 }
@@ -229,7 +220,7 @@
             Some(Update::End { position, ending }) => self.on_end(position, ending).map(Some),
             Some(Update::Refused { refusal, moving }) => Err(self.on_refused(refusal, moving)),
             Some(Update::Lost { failed: false }) => {
-                Err(self.on_lost("the connection to the target broke", 1))
+                Err(self.on_lost("connection to the target lost", 1))
             }
             Some(Update::Lost { failed: true }) => {
                 Err(self.on_lost("the target failed", ATTEMPTS_PER_FAILURE))
@@ -242,7 +233,6 @@
         self.retry_if_repeatable(Problem::Failed(reason.into()), attempts)
     }
 
-    /// What may run a second time is taken up again; of the rest the caller hears.
     const fn retry_if_repeatable(&self, problem: Problem, attempts: u32) -> AttemptEnd {
         if self.submission.spec.repeatable {
             AttemptEnd::Retryable(problem, attempts)
@@ -251,14 +241,13 @@
         }
     }
 
-    /// A refusal is passed on, so that its caller can go elsewhere at once; but an answer that
-    /// has begun looks for another replica, and while a target restarts or a slot moves, which
-    /// takes a moment, a planned stop must not be seen by callers. A refused request has not
-    /// run, so this holds for those that may not be repeated as well.
+    /// Returns a refusal to the caller, unless the answer has begun or the replica is out of
+    /// service only briefly (`moving`). A refused request has not run, so any call may be retried
+    /// while `moving`.
     fn on_refused(&mut self, refusal: Refusal, moving: bool) -> AttemptEnd {
         self.finished = true;
         if self.position > self.submission.open.position || self.attempts > 0 && self.position > 0 {
-            return self.retry_if_repeatable(Problem::Failed("no replica takes it up".into()), 1);
+            return self.retry_if_repeatable(Problem::Failed("no replica can resume it".into()), 1);
         }
         if moving {
             AttemptEnd::Retryable(refusal.into(), 1)
@@ -267,8 +256,7 @@
         }
     }
 
-    /// Takes chunks in order only: one that was sent twice is skipped, and a gap ends the try,
-    /// as an answer with a hole would look whole.
+    /// Accepts chunks in order only: duplicates are skipped, and a gap ends the attempt.
     fn on_chunk(&mut self, position: u64, body: Bytes) -> Result<Option<Part>, AttemptEnd> {
         if position < self.position {
             return Ok(None);
@@ -313,8 +301,8 @@
 
     fn send_command(&self, command: impl FnOnce(u64, u64) -> Command) {
         if let Some(Attachment { stream, commands, .. }) = &self.attachment {
-            // A full ring delays credit until the next chunk, and a cancel until the
-            // connection finds the handler's ring closed.
+            // With a full channel, credit is sent with the next chunk, and the connection cancels
+            // once it finds `updates` closed.
             drop(commands.try_send(command(*stream, self.credit_limit)));
         }
     }
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -19,8 +19,8 @@
 
 impl TestCall {
     fn new(repeatable: bool) -> Self {
-        let service = ServiceId::new("agenda").expect("a good name");
-        let team = WorkspaceId::new("vidrio").expect("a good name");
+        let service = ServiceId::new("agenda").expect("valid name");
+        let team = WorkspaceId::new("vidrio").expect("valid name");
         let deadline = Instant::now().into_std() + Duration::from_secs(60);
         let requirement = Requirement::Service(service.clone());
         let spec = RequestSpec {
@@ -52,13 +52,14 @@
             as_of: 0,
         };
         let (tx, events) = mpsc::sync_channel(64);
-        let call = CallInProgress::submit(&tx, spec, open, Bytes::new()).expect("there is room");
+        let call = CallInProgress::submit(&tx, spec, open, Bytes::new())
+            .expect("the channel has capacity");
         let submitted_call = submitted(&events);
         Self { call, events, submitted_call }
     }
 
     fn send(&self, update: Update) {
-        self.submitted_call.reply.try_send(update).expect("there is room");
+        self.submitted_call.reply.try_send(update).expect("the channel has capacity");
     }
 
     fn chunk(&self, position: u64) {
@@ -73,7 +74,6 @@
         self.send(Update::End { position, ending });
     }
 
-    /// Reads to the end; the text, or the problem that ended it.
     async fn read(&mut self) -> Result<String, Problem> {
         let mut text = String::new();
         loop {
@@ -87,20 +87,20 @@
 }
 
 fn submitted(events: &mpsc::Receiver<Event>) -> Call {
-    match events.recv().expect("the call was handed in") {
+    match events.recv().expect("the call was submitted") {
         Event::Submit(submitted) => submitted.1,
-        other => panic!("not a call: {other:?}"),
+        other => panic!("expected a submitted call, got {other:?}"),
     }
 }
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime starts").block_on(run)
 }
 
-/// Parts come twice, after a connection was replaced. A user would read words twice.
+/// Duplicate parts after a connection was replaced must not reach the caller.
 #[rstest]
-fn repeated_parts_are_handed_out_once() {
+fn duplicate_parts_are_skipped() {
     block_on(async {
         let mut test_call = TestCall::new(true);
         for position in [0, 1, 0, 1, 2, 2] {
@@ -111,15 +111,14 @@
     });
 }
 
-/// A part is lost or comes too early, or the end is said to come earlier or later than it does.
-/// The answer would have a hole that nobody sees; of a call that may not be repeated the caller
-/// hears that it broke off.
+/// Missing or reordered parts, or a wrong end position, must fail the call rather than complete an
+/// answer with a gap.
 #[rstest]
-#[case::hole(&[0, 2], 3)]
+#[case::gap(&[0, 2], 3)]
 #[case::reordered(&[1, 0], 2)]
 #[case::end_too_early(&[0, 1], 1)]
 #[case::end_too_late(&[0, 1], 5)]
-fn an_answer_with_a_hole_is_never_whole(#[case] positions: &[u64], #[case] end: u64) {
+fn an_answer_with_a_gap_is_never_complete(#[case] positions: &[u64], #[case] end: u64) {
     block_on(async {
         let mut test_call = TestCall::new(false);
         positions.iter().for_each(|position| test_call.chunk(*position));
@@ -128,10 +127,10 @@
     });
 }
 
-/// A target is lost in the midst of an answer. The call is handed in again from the position
-/// reached, and what the lost target still sends does not come through.
+/// A target is lost during an answer: the call resumes at the position reached, and later parts of
+/// the lost target are ignored.
 #[rstest]
-fn a_lost_answer_is_taken_up_at_its_position() {
+fn a_lost_answer_resumes_at_its_position() {
     block_on(async {
         let mut test_call = TestCall::new(true);
         test_call.chunk(0);
@@ -144,19 +143,22 @@
             let finish_reason = "stop".into();
             let ending = Ending::Whole { prompt_tokens: 1, completion_tokens: 3, finish_reason };
             let body = Bytes::from("second ");
-            call.reply.try_send(Update::Chunk { position: 2, body }).expect("there is room");
-            call.reply.try_send(Update::End { position: 3, ending }).expect("there is room");
+            call.reply
+                .try_send(Update::Chunk { position: 2, body })
+                .expect("the channel has capacity");
+            call.reply
+                .try_send(Update::End { position: 3, ending })
+                .expect("the channel has capacity");
             call.open.position
         });
         assert_eq!(test_call.read().await, Ok("0 1 second ".into()));
-        assert_eq!(second.join().expect("it ends"), 2);
+        assert_eq!(second.join().expect("the thread does not panic"), 2);
     });
 }
 
-/// A call that may not be repeated loses its target. Handed in again it might run twice, so its
-/// handler hears of the loss and asks the log.
+/// Submitting an unrepeatable call again after a loss could run it twice.
 #[rstest]
-fn a_call_that_may_not_be_repeated_is_not_handed_in_again() {
+fn an_unrepeatable_call_is_not_submitted_again() {
     block_on(async {
         let mut test_call = TestCall::new(false);
         test_call.send(Update::Lost { failed: false });
@@ -165,10 +167,9 @@
     });
 }
 
-/// A refusal is final unless a replica is out of service for a moment; a caller who is refused
-/// hears it at once and can go elsewhere.
+/// A refusal must reach the caller without retries unless a replica is briefly out of service.
 #[rstest]
-fn a_refusal_is_passed_on_at_once() {
+fn a_refusal_is_returned_at_once() {
     block_on(async {
         let mut test_call = TestCall::new(true);
         let reason = RefusalReason::QueueFull;
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -25,7 +25,6 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// What a caller asks of a model.
 struct RequestedCompletion {
     base: Weights,
     adapter: Option<Weights>,
@@ -57,11 +56,11 @@
     drop(res.write_body(json!({ "object": "list", "data": data }).to_string()));
 }
 
-/// Answers a completion or a chat.
+/// Answers a completion or chat completion.
 ///
 /// # Errors
 ///
-/// Any [`Problem`]; nothing has been sent then.
+/// Any [`Problem`] before the first part; nothing was sent in that case.
 pub async fn complete(
     context: &HandlerContext,
     caller_request: &CallerRequest,
@@ -104,15 +103,13 @@
     }
 }
 
-/// Header with the last event that a caller has of a stream, as the standard of server-sent
-/// events names it.
+/// Header of server-sent events with which a caller resumes a stream.
 const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
-/// Position that a caller takes a stream up at: the parts that it has already.
 fn resume_position(req: &Request) -> Result<u64, Problem> {
     let Some(value) = req.headers().get(LAST_EVENT_ID_HEADER) else { return Ok(0) };
     let position = value.to_str().ok().and_then(|text| text.parse().ok());
-    position.ok_or_else(|| Problem::Invalid("`Last-Event-ID` is the `id` of an event".into()))
+    position.ok_or_else(|| Problem::Invalid("`Last-Event-ID` must be the `id` of an event".into()))
 }
 
 fn open_stream(
@@ -158,10 +155,9 @@
     })
 }
 
-/// Finds what `model`, `model:adapter`, `model@version` or `model:adapter@version` names.
+/// Resolves `model`, `model:adapter`, `model@version` or `model:adapter@version`.
 ///
-/// What the team may not call and what does not exist get the same answer, so that nothing is
-/// learnt about other teams.
+/// Forbidden and unknown names return the same error, so that nothing about other workspaces leaks.
 fn resolve(
     name: &str,
     team: &TeamView,
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections from callers: how many are held, and how long each may stall.
+//! Limits the number of connections from callers and the time each may stall.
 
 use corianderstand_schema::process::Limits;
 use salvo::{
@@ -15,14 +15,13 @@
     },
 };
 
-/// Connections beyond the limit that are still told so; those beyond are closed at once.
+/// Connections over the limit whose requests get a refusal; any further ones are closed at once.
 const MAX_EXCESS_CONNECTIONS: usize = 256;
 
-/// The connections held now.
+/// Counts open connections.
 ///
-/// Accepting no more at the limit would leave a caller waiting in the system's backlog without
-/// a word. So some more are accepted, and each request on them is refused with a time to come
-/// back; the ones within the limit are not touched.
+/// Some connections over the limit are accepted and their requests refused with `Retry-After`, so
+/// that callers do not wait in the listen backlog without an answer.
 #[derive(Debug)]
 pub struct Connections {
     limit: usize,
@@ -32,11 +31,10 @@
 }
 
 impl Connections {
-    /// No connections yet, under the limits of the settings.
+    /// Creates a count of zero under `limits`.
     pub fn new(limits: &Limits) -> Arc<Self> {
-        // A caller that sends no whole head in time is closed, also one that keeps a connection
-        // idle; one that leaves an answer unread is closed, so that what is held for it here and
-        // at the engine is given back.
+        // The header timeout also closes idle connections. The write timeout frees the resources of
+        // callers that stop reading.
         let fuse = FuseConfig::disabled()
             .with_http1_header_timeout(limits.read_timeout_ms.0)
             .with_write_stall_timeout(limits.write_timeout_ms.0);
@@ -44,12 +42,12 @@
         Arc::new(Self { limit, fuse, count: AtomicUsize::new(0), excess: Mutex::default() })
     }
 
-    /// How many there are.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Whether a connection came when as many as allowed were held already.
+    /// Whether a connection was accepted over the limit.
     pub fn is_excess(&self, remote: Option<SocketAddr>) -> bool {
         remote.is_some_and(|remote| self.lock().contains(&remote))
     }
@@ -59,7 +57,7 @@
     }
 }
 
-/// What the server asks at each new connection.
+/// Applies [`Connections`] to new connections of the server.
 pub struct ConnectionPolicy(pub Arc<Connections>);
 
 #[async_trait]
@@ -83,7 +81,6 @@
     }
 }
 
-/// One connection; the server drops it when the connection ends.
 struct ConnectionGuard {
     connections: Arc<Connections>,
     remote: Option<SocketAddr>,
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -1,4 +1,4 @@
-//! The `decide` thread: feeds events to the pure logic and hands on what it decides.
+//! The `decide` thread: passes events to the routing logic and executes its decisions.
 
 use crate::{
     event::{Call, Command, Event, REPLY_EXTRA, Update},
@@ -27,37 +27,35 @@
 };
 use tokio::sync::mpsc;
 
-/// Longest time between two looks at the snapshot.
 const SNAPSHOT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// When to come back after the connection to the only target broke.
 const CONNECTION_LOST_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The thread's state.
+/// State of the `decide` thread.
 pub struct Decider {
-    /// The pure logic.
+    /// The routing logic, without I/O.
     pub router: Router,
-    /// Snapshots.
+    /// The current snapshot of the agreed state.
     pub current: CurrentSnapshot,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
-    /// Requests held, so that they can be sent to a second target.
+    /// Requests in flight, kept for retries.
     pub calls: HashMap<RequestKey, Call>,
-    /// Connections that are up.
+    /// Open connections to agents.
     pub connections: HashMap<TargetId, mpsc::Sender<Command>>,
-    /// Versions of the targets, slots and settings that the logic knows.
+    /// Versions of the targets, slots and settings last passed to `router`.
     pub versions: (u64, u64, u64),
-    /// Hosts that the logic knows.
+    /// Hosts last passed to `router`.
     pub hosts: std::sync::Arc<Hosts>,
-    /// Targets whose agents said that they take no new work.
+    /// Targets whose agents reported that they accept no new requests.
     pub reported_draining: BTreeSet<TargetId>,
-    /// Requests held, for the limit and for a planned stop.
+    /// Number of requests in flight.
     pub in_flight: std::sync::Arc<AtomicUsize>,
-    /// Where measures go.
+    /// The metrics.
     pub metrics: Metrics,
 }
 
 impl Decider {
-    /// Runs until all senders of events are gone.
+    /// Runs until all event senders are dropped.
     pub fn run(mut self, events: &Receiver<Event>) {
         loop {
             let event = events.recv_timeout(SNAPSHOT_POLL_INTERVAL);
@@ -101,7 +99,7 @@
         for (name, target) in targets {
             let key = self.router.add_target(name, &target.record.place);
             self.router.set_connected(key, self.connections.contains_key(name));
-            // The host list may tell a router before the agent does, or while it cannot.
+            // The host list may report this before the agent does, or when the agent cannot.
             let leaving = target.leaving || self.hosts.leaving.contains(&target.record.host);
             self.router.set_draining(key, leaving || self.reported_draining.contains(name));
             if let Some(service) = &target.record.service {
@@ -167,13 +165,12 @@
         }
     }
 
-    /// A request's target was lost before its answer was whole. A request that may be repeated
-    /// goes on at another target, from the position reached; of others it is not known whether
-    /// they ran. Where no other target takes it up now, its handler decides.
+    /// Resumes a repeatable request at another target after its target was lost. Otherwise reports
+    /// the loss to the handler, which may retry later.
     fn on_target_lost(&mut self, key: RequestKey, position: u64, failed: bool) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.open.position = call.open.position.max(position);
-        // What the handler has not read yet fills its ring; it gives credit for the rest.
+        // Updates that the handler has not read yet occupy its channel; it grants credit for more.
         call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA) as u64;
         let reason = RefusalReason::NotLoaded;
         let refusal = Refusal { reason, retry_after: CONNECTION_LOST_RETRY_AFTER };
@@ -187,7 +184,6 @@
         }
     }
 
-    /// As [`Self::execute`], for a request that was with a target already.
     fn execute_retry(&mut self, key: RequestKey, decision: Decision) {
         if matches!(decision, Decision::Send(_)) {
             self.metrics.count(Metric::RouterRetries, 1);
@@ -207,8 +203,8 @@
         }
     }
 
-    /// Whether a refusal comes from a replica that is out of service for a moment: decided for,
-    /// but stopping, restarting or moving. Its callers wait a little rather than see an error.
+    /// Whether a refusal is due to a replica that is briefly out of service: planned, but stopping,
+    /// restarting or moving. Its callers wait rather than see an error.
     fn is_moving(&self, operation: &Operation, reason: RefusalReason) -> bool {
         if !matches!(reason, RefusalReason::Draining | RefusalReason::NotLoaded) {
             return false;
@@ -239,11 +235,11 @@
         let connection = name.and_then(|name| self.connections.get(&name));
         let Some(mut call) = self.calls.get(&key).cloned() else { return };
         call.open.stream = link::stream_of(key);
-        // The target may fold the slot a little later than this router did; it waits for this.
+        // A target that has not folded the slot yet waits for this version.
         call.open.as_of = self.versions.1.max(self.versions.2);
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
-            // The connection is gone or far behind: its ring is as good as a refusal.
+            // A closed or full connection counts as a refusal.
             let refusal = Refusal {
                 reason: RefusalReason::QueueFull,
                 retry_after: CONNECTION_LOST_RETRY_AFTER,
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -1,4 +1,4 @@
-//! The `http` thread: what callers and operators speak to.
+//! HTTP endpoints for callers and operators, served by the `http` thread.
 
 use crate::{
     auth::Hasher,
@@ -40,68 +40,66 @@
 };
 use tokio::time;
 
-/// Header with the deadline, in milliseconds from now.
+/// Request header for the deadline, in milliseconds from now.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the urgency: `low`, `normal` or `urgent`.
+/// Request header for the urgency: `low`, `normal` or `urgent`.
 pub const URGENCY_HEADER: &str = "x-urgency";
-/// When to come back if this router holds as many requests as it may.
 const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the handlers share.
+/// State shared by all handlers.
 pub struct HandlerContext {
     /// Name of this router.
     pub name: WriterId,
-    /// Asks other routers.
+    /// Client for requests to other routers.
     pub peer_client: reqwest::Client,
-    /// To the `decide` thread.
+    /// Events to the `decide` thread.
     pub events: SyncSender<Event>,
-    /// The log.
+    /// The control thread.
     pub control: ControlHandle,
-    /// Records for processes that follow this router.
+    /// Recent records, for processes that follow this router.
     pub tail: Tail,
     /// Hashes bearer keys.
     pub hasher: Hasher,
-    /// Hash of the operators' key.
+    /// Hash of the operators' bearer key.
     pub operator_key_hash: SmolStr,
-    /// Where measures go.
+    /// The metrics.
     pub metrics: Metrics,
-    /// Connections held now.
+    /// Open connections from callers.
     pub connections: Arc<Connections>,
-    /// Longest head, in bytes.
+    /// Maximum size of a request's head.
     pub max_header_bytes: usize,
-    /// Other routers.
+    /// Addresses of other routers.
     pub peers: Vec<SmolStr>,
-    /// Longest body, in bytes.
+    /// Maximum size of a request's body.
     pub max_body_bytes: usize,
-    /// Longest time a body may take to come.
+    /// Time limit for reading a body.
     pub read_timeout: Duration,
-    /// Most requests held.
+    /// Maximum number of requests in flight.
     pub max_in_flight: usize,
-    /// Requests held now.
+    /// Number of requests in flight.
     pub in_flight: Arc<AtomicUsize>,
-    /// Whether a planned stop has begun.
+    /// Whether a planned shutdown has begun.
     pub draining: Arc<AtomicBool>,
-    /// Callers' connections, and the pauses of this process.
+    /// Detects requests that may predate a pause of this process.
     pub watched_connections: Arc<WatchedConnections>,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
 }
 
-/// One request with its caller's team.
+/// An authenticated request.
 pub struct CallerRequest {
-    /// The request's identity.
+    /// The request id.
     pub id: SmolStr,
-    /// The caller's team.
+    /// The caller's workspace.
     pub team: WorkspaceId,
-    /// The state it is judged by.
+    /// The snapshot that it is decided on.
     pub snapshot: Arc<Snapshot>,
-    /// The trace that this hop belongs to.
+    /// The trace context of this hop.
     pub trace: TraceContext,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
 }
 
-/// What a path is for.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
     Completion,
@@ -121,7 +119,6 @@
 const GET: &str = "GET";
 const POST: &str = "POST";
 
-/// All paths with a method.
 const PATHS: [(&str, &str, Kind); 14] = [
     ("v1/completions", POST, Kind::Completion),
     ("v1/chat/completions", POST, Kind::Chat),
@@ -139,7 +136,7 @@
     ("readyz", GET, Kind::Ready),
 ];
 
-/// All paths; what is none of them is answered in the same form.
+/// Builds the routes; unknown paths and methods also get a [`Problem`] as their answer.
 pub fn routes(context: &Arc<HandlerContext>) -> Router {
     let endpoint = |kind| Endpoint(context.clone(), kind);
     let services = Router::with_path("services/{service}/{**rest}").goal(endpoint(Kind::Service));
@@ -167,8 +164,7 @@
         let request = format_smolstr!("r-{:032x}", rand::random::<u128>());
         problem::set_header(res, problem::REQUEST_ID_HEADER, &request);
         if context.draining.load(Ordering::Relaxed) {
-            // A connection kept alive would bring further requests here until it is closed under
-            // one of them; told so, its caller opens the next one at another router.
+            // Makes the caller reconnect to another router before this one closes its connections.
             problem::set_header(res, "connection", "close");
         }
         if let Err(problem) = context.answer(*kind, request.clone(), req, res).await {
@@ -179,14 +175,14 @@
     }
 }
 
-/// The caller's own id, for the log only.
+/// The caller's own request id, used only in the log.
 ///
-/// A request's identity is always made here. Engines cancel by it; if callers chose it, one who
-/// picked another's, by chance or not, would end the other's answer by hanging up.
+/// Engines cancel by request id, so the id is generated here: a caller that chose it could cancel
+/// another's request.
 fn caller_id(req: &Request) -> Result<Option<&str>, Problem> {
     let Some(id) = header(req, problem::REQUEST_ID_HEADER) else { return Ok(None) };
     names::check(id).map_err(|error| {
-        Problem::Invalid(format!("`{}` cannot be used: {error}", problem::REQUEST_ID_HEADER))
+        Problem::Invalid(format!("`{}` is invalid: {error}", problem::REQUEST_ID_HEADER))
     })?;
     Ok(Some(id))
 }
@@ -195,11 +191,11 @@
     req.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-/// The caller's bearer key.
+/// Returns the caller's bearer key.
 ///
 /// # Errors
 ///
-/// [`Problem::Unauthorized`] without one.
+/// [`Problem::Unauthorized`] if it is missing.
 pub fn bearer(req: &Request) -> Result<&str, Problem> {
     let value = header(req, "authorization").ok_or(Problem::Unauthorized)?;
     value.strip_prefix("Bearer ").map(str::trim).ok_or(Problem::Unauthorized)
@@ -242,7 +238,6 @@
         }
     }
 
-    /// Checks what every request has to keep to, before anything is done for it.
     fn check_head(&self, req: &Request) -> Result<(), Problem> {
         if self.connections.is_excess(req.remote_addr().clone().into_std()) {
             return Err(Problem::TooManyConnections);
@@ -310,11 +305,10 @@
         Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
     }
 
-    /// Whether new callers should come here. During a planned stop they should not, but those
-    /// who come before the balancer has seen it are served.
+    /// Readiness for load balancers. Requests that still arrive during a planned shutdown are served.
     fn ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
         if self.draining.load(Ordering::Relaxed) {
-            return Err(Problem::NotReady("it is stopping"));
+            return Err(Problem::NotReady("it is shutting down"));
         }
         Self::check_started(snapshot)
     }
@@ -340,7 +334,7 @@
     ///
     /// # Errors
     ///
-    /// A body that is too long or takes too long ends the request.
+    /// A [`Problem`] if the body is too long, too slow or unreadable.
     pub async fn read_body(&self, req: &mut Request, max_bytes: usize) -> Result<Bytes, Problem> {
         let declared = header(req, "content-length").and_then(|v| v.parse::<usize>().ok());
         if declared.is_some_and(|length| length > max_bytes) {
@@ -351,7 +345,7 @@
             Err(_) => Err(Problem::TooSlow(self.read_timeout.as_millis())),
             Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::TooLong(max_bytes)),
             Ok(Err(error)) => {
-                Err(Problem::Invalid(format!("the body cannot be read ({error}): send it again")))
+                Err(Problem::Invalid(format!("failed to read the body ({error}): send it again")))
             }
             Ok(Ok(body)) => Ok(body.clone()),
         }
@@ -359,25 +353,25 @@
 }
 
 impl CallerRequest {
-    /// What the caller's team may do.
+    /// Returns the permissions of the caller's workspace.
     ///
     /// # Errors
     ///
-    /// [`Problem::Unauthorized`] if the team is gone.
+    /// [`Problem::Unauthorized`] if the workspace no longer exists.
     pub fn team_view(&self) -> Result<&TeamView, Problem> {
         self.snapshot.view.teams.get(&self.team).ok_or(Problem::Unauthorized)
     }
 
-    /// The urgency asked for, or the default.
+    /// Returns the requested urgency, or `default`.
     ///
     /// # Errors
     ///
-    /// [`Problem::Invalid`] for an unknown one.
+    /// [`Problem::Invalid`] for an unknown urgency.
     pub fn urgency(&self, req: &Request, default: Urgency) -> Result<u8, Problem> {
         let urgency = match header(req, URGENCY_HEADER) {
             None => default,
             Some(text) => text.parse().map_err(|_| {
-                Problem::Invalid(format!("`{URGENCY_HEADER}` is low, normal or urgent"))
+                Problem::Invalid(format!("`{URGENCY_HEADER}` must be low, normal or urgent"))
             })?,
         };
         Ok(match urgency {
@@ -387,11 +381,11 @@
         })
     }
 
-    /// The time until the deadline asked for, or the default; at most `limit`.
+    /// Returns the time until the requested deadline, or `default`; at most `limit`.
     ///
     /// # Errors
     ///
-    /// [`Problem::Invalid`] for a deadline that is no number.
+    /// [`Problem::Invalid`] if the deadline is not a number.
     pub fn deadline(
         &self,
         req: &Request,
@@ -400,12 +394,12 @@
     ) -> Result<Duration, Problem> {
         let Some(text) = header(req, DEADLINE_HEADER) else { return Ok(default.min(limit)) };
         let ms: u64 = text.parse().map_err(|_| {
-            Problem::Invalid(format!("`{DEADLINE_HEADER}` is a whole number of milliseconds"))
+            Problem::Invalid(format!("`{DEADLINE_HEADER}` must be a whole number of milliseconds"))
         })?;
         Ok(Duration::from_millis(ms).min(limit))
     }
 
-    /// What the decisions and the agent need to know.
+    /// Builds the request's description for the `decide` thread and its header for the agent.
     pub fn open_stream(
         &self,
         requirement: Requirement,
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -1,9 +1,8 @@
-//! Calls that may not be repeated, from the router's side: an answer that is true, in time.
+//! Calls that run at most once, identified by an idempotency key.
 //!
-//! A caller is told one of three things. "Ran" comes with the service's answer, from the agent
-//! or from the log. "Not run" is said where the request was refused before any claim, or where
-//! the log says so. All else is "unknown". A router that gives up writes a void: if that comes
-//! first in the log, nobody can claim the key any more, and "not run" stays true for ever.
+//! The outcome is "ran" with the service's answer, "not run" if the call was refused before it was
+//! claimed or the log records so, and "unknown" otherwise. A router that times out appends a
+//! `CallVoided` record: if it precedes any claim in the log, the call can never run.
 
 use crate::{
     call::{CallInProgress, Part},
@@ -27,10 +26,8 @@
 };
 use tokio::time::{self, Instant};
 
-/// Time kept back from the deadline for writing a void and reading it: far beyond an append,
-/// so that a caller gets a certain answer rather than "unknown" wherever the log is up.
+/// Time reserved before the deadline to append a `CallVoided` record and read its result.
 const SETTLE_RESERVE: Duration = Duration::from_secs(1);
-/// When to come back while the log is down.
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A service's answer.
@@ -40,28 +37,28 @@
     pub status: u16,
     /// Content type.
     pub content_type: SmolStr,
-    /// The body; `None` if it was too long to be kept for a repeat.
+    /// The body; `None` if it was too long to be stored for repeated requests.
     pub body: Option<Bytes>,
 }
 
-/// One call under its key.
+/// A call under an idempotency key.
 pub struct KeyedCall<'a> {
-    /// The log.
+    /// The control thread.
     pub control: &'a ControlHandle,
-    /// The key.
+    /// The idempotency key with its workspace and service.
     pub key: CallKey,
-    /// Digest of the call.
+    /// Digest of the call, to detect a key that is reused for another one.
     pub digest: u64,
-    /// When the caller must have an answer.
+    /// Deadline of the answer.
     pub deadline: Instant,
 }
 
 impl KeyedCall<'_> {
-    /// Answers from the log, or submits the call and sees it through.
+    /// Answers from the log, or submits the call and waits for its outcome.
     ///
     /// # Errors
     ///
-    /// Any [`Problem`]; its outcome is "not run" only where that is certain.
+    /// Any [`Problem`]; its outcome is "not run" only if that is certain.
     pub async fn answer(
         &self,
         submit: impl FnOnce() -> Result<CallInProgress, Problem>,
@@ -87,8 +84,7 @@
         }
     }
 
-    /// Gives up: declares the call not run, or finds out what became of it. The answer may
-    /// still come over `call` in the meantime.
+    /// Voids the call or determines its outcome, while still accepting an answer from `call`.
     async fn settle(&self, call: Option<CallInProgress>) -> Result<Answer, Problem> {
         let mut settled = pin!(self.append_void());
         if let Some(mut call) = call {
@@ -112,31 +108,35 @@
         let body = Body::CallVoided { key: self.key.clone() };
         let decision = self.control.appender.append(body, remaining).await;
         match decision.map(|decision| claim::void_decision(&decision.outcome)) {
-            Ok(VoidDecision::NotRun) => Err(Problem::NotRun("no answer came in time".into())),
+            Ok(VoidDecision::NotRun) => Err(Problem::NotRun("timed out before it began".into())),
             Ok(VoidDecision::ReadStatus) => self.wait_for_outcome().await,
-            Ok(VoidDecision::Unknown) | Err(_) => Err(unknown("no answer by the deadline")),
+            Ok(VoidDecision::Unknown) | Err(_) => Err(unknown("no answer before the deadline")),
         }
     }
 
-    /// Waits until the log tells an outcome, or the deadline.
+    /// Waits until the log records an outcome, or the deadline.
     async fn wait_for_outcome(&self) -> Result<Answer, Problem> {
         let mut changed = self.control.current.subscribe();
         loop {
             match self.control.current.load().state.calls.status(&self.key, self.digest) {
                 CallStatus::Ran(answer) => return Ok(answer.into()),
                 CallStatus::NotRun => {
-                    return Err(Problem::NotRun("it was given up before it began".into()));
+                    return Err(Problem::NotRun("canceled before it began".into()));
                 }
                 CallStatus::Conflict => {
                     return Err(Problem::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER));
                 }
-                // Forgotten while it was waited for.
-                CallStatus::Unclaimed => return Err(unknown("its key is no longer remembered")),
+                // The key's retention ended during the wait.
+                CallStatus::Unclaimed => return Err(unknown("its key has expired")),
                 CallStatus::Claimed => {}
             }
             match time::timeout_at(self.deadline, changed.changed()).await {
                 Ok(Ok(())) => {}
-                _ => return Err(unknown("it has begun, and no outcome came by the deadline")),
+                _ => {
+                    return Err(unknown(
+                        "it began, but no outcome was recorded before the deadline",
+                    ));
+                }
             }
         }
     }
@@ -153,17 +153,15 @@
     Problem::Unknown(reason.into())
 }
 
-/// Whether a problem tells for certain that the request did not run: the agent refused it
-/// before it made the call, or the router never sent it.
 const fn is_certainly_not_run(problem: &Problem) -> bool {
     matches!(problem, Problem::Refused(..) | Problem::NotRun(_))
 }
 
-/// Reads the whole answer of a call.
+/// Reads a call's complete answer.
 ///
 /// # Errors
 ///
-/// Any [`Problem`].
+/// Any [`Problem`] that ends the call.
 pub async fn read(call: &mut CallInProgress, deadline: Instant) -> Result<Answer, Problem> {
     let mut answer = Answer { status: 200, content_type: SmolStr::default(), body: None };
     let mut body = Vec::new();
@@ -181,10 +179,8 @@
     }
 }
 
-/// Whether a key tells by itself that it is older than keys are remembered.
-///
-/// A key that has been forgotten looks like a new one, and its call would run a second time.
-/// UUIDs of version 7 begin with the time of their making, so of these it can be told.
+/// Whether a key's own timestamp is older than the retention of keys, so that its call may have run
+/// before. Only UUIDs of version 7 contain a timestamp.
 fn is_past_retention(key: &str, now: SystemTime) -> bool {
     let digits: String = key.chars().filter(|c| *c != '-').collect();
     if key.len() != 36 || digits.len() != 32 || !digits[12..].starts_with('7') {
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -1,9 +1,8 @@
-//! The body of a model request: what is supported, and a clear refusal of the rest.
+//! Parses and validates the body of a model request.
 //!
-//! Engines get the caller's body as it came. What would change the form of the answer
-//! (several choices, log probabilities, tool calls) is not passed on by this system, so it is
-//! refused rather than ignored: an ignored field gives the answer to another question. A field
-//! that is null counts as absent.
+//! Engines receive the body unchanged. Fields that would change the format of the answer (several
+//! choices, log probabilities, tool calls) are rejected rather than ignored. A null field counts as
+//! absent.
 
 use crate::problem::Problem;
 use corianderstand_decide::request;
@@ -11,17 +10,16 @@
 use serde_json::Value;
 use std::ops::RangeInclusive;
 
-/// Most sequences that end an answer.
 const MAX_STOP_SEQUENCES: usize = 16;
-/// Most tokens that a request may ask for.
+/// Exclusive limit of `max_tokens`.
 const MAX_TOKENS: u32 = 16 * 1024 * 1024;
 
-/// A model request.
+/// Parameters of a model request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "an object with `model` and `prompt` or `messages`")]
 pub struct Params {
-    /// The model as the caller names it.
+    /// The model name that the caller sent.
     pub model: String,
     prompt: Option<String>,
     messages: Option<Vec<Message>>,
@@ -92,23 +90,23 @@
 }
 
 impl Params {
-    /// Reads and checks a body.
+    /// Parses and validates a body.
     ///
     /// # Errors
     ///
-    /// [`Problem::Invalid`] names the field and what it may be.
+    /// [`Problem::Invalid`] names the field and its allowed values.
     pub fn read(body: &[u8], chat: bool) -> Result<Self, Problem> {
         let mut json = serde_json::Deserializer::from_slice(body);
         let params: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
             let path = error.path().to_string();
-            invalid(&path, &format!("cannot be used: {}", error.into_inner()))
+            invalid(&path, &format!("is invalid: {}", error.into_inner()))
         })?;
-        json.end().map_err(|error| invalid("the body", &format!("goes on after it: {error}")))?;
+        json.end().map_err(|error| invalid("the body", &format!("has trailing data: {error}")))?;
         params.check(chat)?;
         Ok(params)
     }
 
-    /// Whether the answer is wanted as it comes.
+    /// Whether the caller requested a stream.
     pub fn is_streamed(&self) -> bool {
         self.stream.unwrap_or(false)
     }
@@ -119,8 +117,8 @@
         options.and_then(|options| options.include_usage).unwrap_or(false)
     }
 
-    /// What decisions know of the request; a session keeps its first messages, so they tell
-    /// where its prompt may be cached.
+    /// Returns the features used for routing. A session keeps its first messages, so they identify
+    /// its cached prompt.
     pub fn shape(&self, chat: bool) -> request::Shape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
@@ -134,11 +132,13 @@
         match (chat, &self.messages, &self.prompt) {
             (true, Some(messages), None) if !messages.is_empty() => {}
             (false, None, Some(_)) => {}
-            (true, ..) => return Err(invalid("messages", "has at least one, and no `prompt`")),
-            (false, ..) => return Err(invalid("prompt", "is one string, and no `messages`")),
+            (true, ..) => {
+                return Err(invalid("messages", "must have at least one message, without `prompt`"));
+            }
+            (false, ..) => return Err(invalid("prompt", "must be one string, without `messages`")),
         }
         if self.stream_options.is_some() && !self.is_streamed() {
-            return Err(invalid("stream_options", "goes with `stream`: true only"));
+            return Err(invalid("stream_options", "requires `stream`: true"));
         }
         self.check_ranges()?;
         self.check_unsupported()
@@ -153,7 +153,7 @@
         check_range("frequency_penalty", self.frequency_penalty, -2.0..=2.0)?;
         match &self.stop {
             Some(Stop::Many(stops)) if stops.len() > MAX_STOP_SEQUENCES => {
-                Err(invalid("stop", &format!("has at most {MAX_STOP_SEQUENCES} sequences")))
+                Err(invalid("stop", &format!("may have at most {MAX_STOP_SEQUENCES} sequences")))
             }
             _ => Ok(()),
         }
@@ -161,10 +161,10 @@
 
     fn check_unsupported(&self) -> Result<(), Problem> {
         if self.n.is_some_and(|n| n != 1) {
-            return Err(invalid("n", "is 1: ask several times for several answers"));
+            return Err(invalid("n", "must be 1: send one request for each answer"));
         }
         if self.best_of.is_some_and(|n| n != 1) {
-            return Err(invalid("best_of", "is 1: ask several times for several answers"));
+            return Err(invalid("best_of", "must be 1: send one request for each answer"));
         }
         let logprobs = !matches!(
             self.logprobs,
@@ -198,7 +198,7 @@
 fn check_count(field: &str, value: Option<u32>) -> Result<(), Problem> {
     match value {
         Some(0) | Some(MAX_TOKENS..) => {
-            Err(invalid(field, &format!("is a whole number from 1 to {}", MAX_TOKENS - 1)))
+            Err(invalid(field, &format!("must be a whole number from 1 to {}", MAX_TOKENS - 1)))
         }
         _ => Ok(()),
     }
@@ -206,9 +206,10 @@
 
 fn check_range(field: &str, value: Option<f64>, range: RangeInclusive<f64>) -> Result<(), Problem> {
     match value {
-        Some(value) if !range.contains(&value) => {
-            Err(invalid(field, &format!("is a number from {} to {}", range.start(), range.end())))
-        }
+        Some(value) if !range.contains(&value) => Err(invalid(
+            field,
+            &format!("must be a number from {} to {}", range.start(), range.end()),
+        )),
         _ => Ok(()),
     }
 }
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -1,4 +1,4 @@
-//! `/services/{service}/…`: calls to plain services.
+//! `/services/{service}/…`: calls to services other than models.
 
 use crate::{
     call::CallInProgress,
@@ -15,14 +15,13 @@
 use std::time::SystemTime;
 use tokio::time::Instant;
 
-/// Longest `Idempotency-Key`, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
-/// Answers a call to a plain service.
+/// Answers a call to a service.
 ///
 /// # Errors
 ///
-/// Any [`Problem`]; nothing has been sent then.
+/// Any [`Problem`]; nothing was sent in that case.
 pub async fn call(
     context: &HandlerContext,
     caller_request: &CallerRequest,
@@ -74,8 +73,8 @@
                 .watched_connections
                 .may_predate_pause(context.clock.since_boot(), caller) =>
         {
-            // Its copy of the log is as old as the pause, so "not run" would say too much.
-            return Err(Problem::Unknown("this router stood still for a while".into()));
+            // The state may be outdated by the pause, so "not run" would not be certain.
+            return Err(Problem::Unknown("this router was paused".into()));
         }
         Some(key) => {
             let key = CallKey { team: caller_request.team.clone(), service, key };
@@ -87,7 +86,7 @@
     Ok(())
 }
 
-/// Header that tells that a repeat's body was too long to be kept.
+/// Marks a repeated answer whose body was too long to be stored.
 const BODY_HEADER: &str = "x-corianderstand-body";
 
 fn write_answer(answer: Answer, res: &mut Response) {
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -1,6 +1,6 @@
-//! Callers' connections as they are taken: each notes when its socket was last seen empty.
+//! Tracks when each caller's socket was last found empty, to detect requests that predate a pause.
 //!
-//! A handler knows its connection by the caller's address only, so the two are joined here.
+//! Handlers know a connection only by the caller's address.
 
 use corianderstand_types::pause::{Connection, PauseDetector, WatchedStream};
 use salvo::{
@@ -20,7 +20,7 @@
 };
 use tokio::net::TcpStream;
 
-/// Connections held now, by their callers' addresses.
+/// Open connections by their callers' addresses.
 #[derive(Debug)]
 pub struct WatchedConnections {
     pause_detector: Arc<PauseDetector>,
@@ -28,7 +28,7 @@
 }
 
 impl WatchedConnections {
-    /// None yet.
+    /// Creates an empty set at `now`, the time since boot.
     pub fn new(now: Duration) -> Arc<Self> {
         Arc::new(Self {
             pause_detector: Arc::new(PauseDetector::new(now)),
@@ -36,13 +36,13 @@
         })
     }
 
-    /// Turns the watch for pauses.
+    /// Checks for a pause and drops closed connections.
     pub fn tick(&self, now: Duration) {
         self.pause_detector.tick(now);
         self.lock().retain(|_, connection| connection.strong_count() > 0);
     }
 
-    /// Whether a request that was read now may have been sent before a pause of this process.
+    /// Whether a request read at `now` may have been sent before a pause of this process.
     pub fn may_predate_pause(&self, now: Duration, caller: Option<SocketAddr>) -> bool {
         let connection = caller.and_then(|caller| self.lock().get(&caller)?.upgrade());
         connection.is_none_or(|connection| self.pause_detector.may_predate_pause(now, &connection))
@@ -53,14 +53,14 @@
     }
 }
 
-/// Takes callers' connections.
+/// Accepts connections and registers them in [`WatchedConnections`].
 pub struct WatchedAcceptor {
     inner: TcpAcceptor,
     watched_connections: Arc<WatchedConnections>,
 }
 
 impl WatchedAcceptor {
-    /// Takes connections from `inner`.
+    /// Wraps `inner`.
     pub const fn new(inner: TcpAcceptor, watched_connections: Arc<WatchedConnections>) -> Self {
         Self { inner, watched_connections }
     }
