--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -96,11 +96,7 @@
     })
 }
 
-/// Collects the answer and sends it as one JSON document.
-///
-/// # Errors
-///
-/// Any [`Problem`]; nothing was sent in that case.
+/// Collects the answer and sends it as one JSON document; on an error nothing was sent.
 pub async fn whole(
     mut call: CallInProgress,
     format: &AnswerFormat,
@@ -124,12 +120,8 @@
     }
 }
 
-/// Streams the answer as server-sent events.
-///
-/// # Errors
-///
-/// Any [`Problem`] before the first part; a later one is sent as an event and ends the stream
-/// without `[DONE]`.
+/// Streams the answer as server-sent events. Errors after the first part are sent as an event and
+/// end the stream without `[DONE]`.
 pub async fn stream(
     mut call: CallInProgress,
     format: AnswerFormat,
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -72,7 +72,7 @@
 enum AttemptEnd {
     Final(Problem),
     /// Carries the number of attempts to count.
-    Retryable(Problem, u32),
+    Retry(Problem, u32),
 }
 
 /// A call in progress; dropping it cancels it.
@@ -83,16 +83,12 @@
     position: u64,
     credit_limit: u64,
     attempts: u32,
-    pending_retry: Option<(Problem, u32)>,
+    retry: Option<(Problem, u32)>,
     finished: bool,
 }
 
 impl CallInProgress {
-    /// Submits a call to the `decide` thread.
-    ///
-    /// # Errors
-    ///
-    /// [`Problem::Refused`] if the event channel is full.
+    /// Submits a call to the `decide` thread; refused if the event channel is full.
     pub fn submit(
         events: &SyncSender<Event>,
         spec: RequestSpec,
@@ -104,7 +100,7 @@
         let submission = Submission { events: events.clone(), spec, open, body };
         let updates = submission.send()?;
         let credit_limit = position + WINDOW;
-        let (attachment, pending_retry) = (None, None);
+        let (attachment, retry) = (None, None);
         Ok(Self {
             submission,
             updates,
@@ -112,7 +108,7 @@
             position,
             credit_limit,
             attempts: 0,
-            pending_retry,
+            retry,
             finished: false,
         })
     }
@@ -122,14 +118,10 @@
         self.position
     }
 
-    /// Waits for the next part until `deadline`, resuming the call if needed.
-    ///
-    /// # Errors
-    ///
-    /// A [`Problem`] ends the call.
+    /// Waits for the next part, resuming the call if its target is lost. An error ends the call.
     pub async fn next(&mut self, deadline: time::Instant) -> Result<Part, Problem> {
         loop {
-            if let Some((problem, attempts)) = self.pending_retry.take() {
+            if let Some((problem, attempts)) = self.retry.take() {
                 self.resume(problem, attempts, deadline).await?;
             }
             let update = time::timeout_at(deadline, self.updates.recv()).await;
@@ -137,29 +129,21 @@
                 Ok(Some(part)) => return Ok(part),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retryable(problem, attempts)) => {
-                    self.pending_retry = Some((problem, attempts))
-                }
+                Err(AttemptEnd::Retry(problem, count)) => self.retry = Some((problem, count)),
             }
         }
     }
 
-    /// Returns the next part if it was received already.
-    ///
-    /// # Errors
-    ///
-    /// A [`Problem`] ends the call.
+    /// Returns the next part if it was received already. An error ends the call.
     pub fn try_next(&mut self) -> Result<Option<Part>, Problem> {
-        while self.pending_retry.is_none()
+        while self.retry.is_none()
             && let Ok(update) = self.updates.try_recv()
         {
             match self.apply(Some(update)) {
                 Ok(Some(part)) => return Ok(Some(part)),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retryable(problem, attempts)) => {
-                    self.pending_retry = Some((problem, attempts))
-                }
+                Err(AttemptEnd::Retry(problem, count)) => self.retry = Some((problem, count)),
             }
         }
         Ok(None)
@@ -235,7 +219,7 @@
 
     const fn retry_if_repeatable(&self, problem: Problem, attempts: u32) -> AttemptEnd {
         if self.submission.spec.repeatable {
-            AttemptEnd::Retryable(problem, attempts)
+            AttemptEnd::Retry(problem, attempts)
         } else {
             AttemptEnd::Final(problem)
         }
@@ -250,7 +234,7 @@
             return self.retry_if_repeatable(Problem::Failed("no replica can resume it".into()), 1);
         }
         if moving {
-            AttemptEnd::Retryable(refusal.into(), 1)
+            AttemptEnd::Retry(refusal.into(), 1)
         } else {
             AttemptEnd::Final(refusal.into())
         }
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -56,11 +56,7 @@
     drop(res.write_body(json!({ "object": "list", "data": data }).to_string()));
 }
 
-/// Answers a completion or chat completion.
-///
-/// # Errors
-///
-/// Any [`Problem`] before the first part; nothing was sent in that case.
+/// Answers a completion or chat completion; on an error nothing was sent.
 pub async fn complete(
     context: &HandlerContext,
     caller_request: &CallerRequest,
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -28,7 +28,7 @@
 use tokio::sync::mpsc;
 
 const SNAPSHOT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-const CONNECTION_LOST_RETRY_AFTER: Duration = Duration::from_millis(500);
+const LOST_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// State of the `decide` thread.
 pub struct Decider {
@@ -173,7 +173,7 @@
         // Updates that the handler has not read yet occupy its channel; it grants credit for more.
         call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA) as u64;
         let reason = RefusalReason::NotLoaded;
-        let refusal = Refusal { reason, retry_after: CONNECTION_LOST_RETRY_AFTER };
+        let refusal = Refusal { reason, retry_after: LOST_RETRY_AFTER };
         match self.router.connection_lost(self.clock.now(), key, refusal) {
             Some(decision @ Decision::Send(_)) => self.execute(key, decision),
             Some(Decision::Refuse(_)) | None => {
@@ -240,10 +240,8 @@
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
             // A closed or full connection counts as a refusal.
-            let refusal = Refusal {
-                reason: RefusalReason::QueueFull,
-                retry_after: CONNECTION_LOST_RETRY_AFTER,
-            };
+            let refusal =
+                Refusal { reason: RefusalReason::QueueFull, retry_after: LOST_RETRY_AFTER };
             let load = Load { running: 0, queued: 0, wait_ms: 0 };
             let decision = self.router.refused(self.clock.now(), key, refusal, load);
             self.execute_retry(key, decision);
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -192,10 +192,6 @@
 }
 
 /// Returns the caller's bearer key.
-///
-/// # Errors
-///
-/// [`Problem::Unauthorized`] if it is missing.
 pub fn bearer(req: &Request) -> Result<&str, Problem> {
     let value = header(req, "authorization").ok_or(Problem::Unauthorized)?;
     value.strip_prefix("Bearer ").map(str::trim).ok_or(Problem::Unauthorized)
@@ -305,7 +301,7 @@
         Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
     }
 
-    /// Readiness for load balancers. Requests that still arrive during a planned shutdown are served.
+    /// Readiness for load balancers; requests that arrive during a shutdown are still served.
     fn ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
         if self.draining.load(Ordering::Relaxed) {
             return Err(Problem::NotReady("it is shutting down"));
@@ -330,11 +326,7 @@
         if hash == self.operator_key_hash { Ok(()) } else { Err(Problem::Forbidden) }
     }
 
-    /// Reads a request's body.
-    ///
-    /// # Errors
-    ///
-    /// A [`Problem`] if the body is too long, too slow or unreadable.
+    /// Reads a request's body within its limits of size and time.
     pub async fn read_body(&self, req: &mut Request, max_bytes: usize) -> Result<Bytes, Problem> {
         let declared = header(req, "content-length").and_then(|v| v.parse::<usize>().ok());
         if declared.is_some_and(|length| length > max_bytes) {
@@ -353,20 +345,12 @@
 }
 
 impl CallerRequest {
-    /// Returns the permissions of the caller's workspace.
-    ///
-    /// # Errors
-    ///
-    /// [`Problem::Unauthorized`] if the workspace no longer exists.
+    /// Returns the permissions of the caller's workspace, if it still exists.
     pub fn team_view(&self) -> Result<&TeamView, Problem> {
         self.snapshot.view.teams.get(&self.team).ok_or(Problem::Unauthorized)
     }
 
     /// Returns the requested urgency, or `default`.
-    ///
-    /// # Errors
-    ///
-    /// [`Problem::Invalid`] for an unknown urgency.
     pub fn urgency(&self, req: &Request, default: Urgency) -> Result<u8, Problem> {
         let urgency = match header(req, URGENCY_HEADER) {
             None => default,
@@ -382,10 +366,6 @@
     }
 
     /// Returns the time until the requested deadline, or `default`; at most `limit`.
-    ///
-    /// # Errors
-    ///
-    /// [`Problem::Invalid`] if the deadline is not a number.
     pub fn deadline(
         &self,
         req: &Request,
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -55,10 +55,6 @@
 
 impl KeyedCall<'_> {
     /// Answers from the log, or submits the call and waits for its outcome.
-    ///
-    /// # Errors
-    ///
-    /// Any [`Problem`]; its outcome is "not run" only if that is certain.
     pub async fn answer(
         &self,
         submit: impl FnOnce() -> Result<CallInProgress, Problem>,
@@ -121,7 +117,7 @@
             match self.control.current.load().state.calls.status(&self.key, self.digest) {
                 CallStatus::Ran(answer) => return Ok(answer.into()),
                 CallStatus::NotRun => {
-                    return Err(Problem::NotRun("canceled before it began".into()));
+                    return Err(Problem::NotRun("cancelled before it began".into()));
                 }
                 CallStatus::Conflict => {
                     return Err(Problem::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER));
@@ -132,11 +128,7 @@
             }
             match time::timeout_at(self.deadline, changed.changed()).await {
                 Ok(Ok(())) => {}
-                _ => {
-                    return Err(unknown(
-                        "it began, but no outcome was recorded before the deadline",
-                    ));
-                }
+                _ => return Err(unknown("it began, but no outcome was recorded in time")),
             }
         }
     }
@@ -158,10 +150,6 @@
 }
 
 /// Reads a call's complete answer.
-///
-/// # Errors
-///
-/// Any [`Problem`] that ends the call.
 pub async fn read(call: &mut CallInProgress, deadline: Instant) -> Result<Answer, Problem> {
     let mut answer = Answer { status: 200, content_type: SmolStr::default(), body: None };
     let mut body = Vec::new();
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -91,10 +91,6 @@
 
 impl Params {
     /// Parses and validates a body.
-    ///
-    /// # Errors
-    ///
-    /// [`Problem::Invalid`] names the field and its allowed values.
     pub fn read(body: &[u8], chat: bool) -> Result<Self, Problem> {
         let mut json = serde_json::Deserializer::from_slice(body);
         let params: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -133,7 +129,10 @@
             (true, Some(messages), None) if !messages.is_empty() => {}
             (false, None, Some(_)) => {}
             (true, ..) => {
-                return Err(invalid("messages", "must have at least one message, without `prompt`"));
+                return Err(invalid(
+                    "messages",
+                    "must have at least one message, without `prompt`",
+                ));
             }
             (false, ..) => return Err(invalid("prompt", "must be one string, without `messages`")),
         }
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -17,11 +17,7 @@
 
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
-/// Answers a call to a service.
-///
-/// # Errors
-///
-/// Any [`Problem`]; nothing was sent in that case.
+/// Answers a call to a service; on an error nothing was sent.
 pub async fn call(
     context: &HandlerContext,
     caller_request: &CallerRequest,
