--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -128,12 +128,7 @@
         match (chat, &self.messages, &self.prompt) {
             (true, Some(messages), None) if !messages.is_empty() => {}
             (false, None, Some(_)) => {}
-            (true, ..) => {
-                return Err(invalid(
-                    "messages",
-                    "must have at least one message, without `prompt`",
-                ));
-            }
+            (true, ..) => return Err(invalid("messages", "needs at least one, and no `prompt`")),
             (false, ..) => return Err(invalid("prompt", "must be one string, without `messages`")),
         }
         if self.stream_options.is_some() && !self.is_streamed() {
@@ -152,7 +147,7 @@
         check_range("frequency_penalty", self.frequency_penalty, -2.0..=2.0)?;
         match &self.stop {
             Some(Stop::Many(stops)) if stops.len() > MAX_STOP_SEQUENCES => {
-                Err(invalid("stop", &format!("may have at most {MAX_STOP_SEQUENCES} sequences")))
+                Err(invalid("stop", &format!("allows at most {MAX_STOP_SEQUENCES} sequences")))
             }
             _ => Ok(()),
         }
@@ -205,10 +200,9 @@
 
 fn check_range(field: &str, value: Option<f64>, range: RangeInclusive<f64>) -> Result<(), Problem> {
     match value {
-        Some(value) if !range.contains(&value) => Err(invalid(
-            field,
-            &format!("must be a number from {} to {}", range.start(), range.end()),
-        )),
+        Some(value) if !range.contains(&value) => {
+            Err(invalid(field, &format!("must be from {} to {}", range.start(), range.end())))
+        }
         _ => Ok(()),
     }
 }
