--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -81,7 +81,7 @@
     /// Whether a planned shutdown has begun.
     pub draining: Arc<AtomicBool>,
     /// Detects requests that may predate a pause of this process.
-    pub watched_connections: Arc<WatchedConnections>,
+    pub watched: Arc<WatchedConnections>,
     /// The clock.
     pub clock: SharedClock,
 }
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -64,11 +64,7 @@
     let submit = || CallInProgress::submit(&context.events, spec, open, body);
     let answer = match idempotency_key {
         None => once::read(&mut submit()?, deadline).await?,
-        Some(_)
-            if context
-                .watched_connections
-                .may_predate_pause(context.clock.since_boot(), caller) =>
-        {
+        Some(_) if context.watched.may_predate_pause(context.clock.since_boot(), caller) => {
             // The state may be outdated by the pause, so "not run" would not be certain.
             return Err(Problem::Unknown("this router was paused".into()));
         }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -127,7 +127,7 @@
         max_in_flight: settings.limits.max_in_flight as usize,
         in_flight: held.clone(),
         draining: draining.clone(),
-        watched_connections: WatchedConnections::new(clock.since_boot()),
+        watched: WatchedConnections::new(clock.since_boot()),
         clock,
     });
     let (server, http) = start_http(&settings, incarnation, &door)?;
@@ -214,7 +214,7 @@
         let listener = tokio::net::TcpListener::from_std(listener).map_err(listen_error)?;
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
-    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.watched_connections.clone()))
+    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.watched.clone()))
         .fuse_policy(ConnectionPolicy(door.connections.clone()));
     server.http1_mut().max_header_size(door.max_header_bytes * HEAD_SLACK);
     let handle = server.handle();
@@ -240,7 +240,7 @@
 /// Turns the watch for pauses on the thread that reads requests.
 async fn watch(door: Arc<HandlerContext>) {
     loop {
-        door.watched_connections.tick(door.clock.since_boot());
+        door.watched.tick(door.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -56,13 +56,13 @@
 /// Accepts connections and registers them in [`WatchedConnections`].
 pub struct WatchedAcceptor {
     inner: TcpAcceptor,
-    watched_connections: Arc<WatchedConnections>,
+    watched: Arc<WatchedConnections>,
 }
 
 impl WatchedAcceptor {
     /// Wraps `inner`.
-    pub const fn new(inner: TcpAcceptor, watched_connections: Arc<WatchedConnections>) -> Self {
-        Self { inner, watched_connections }
+    pub const fn new(inner: TcpAcceptor, watched: Arc<WatchedConnections>) -> Self {
+        Self { inner, watched }
     }
 }
 
@@ -78,18 +78,18 @@
         &mut self,
         fuse_policy: Option<ArcFusePolicy>,
     ) -> io::Result<Accepted<Self::Coupler, Self::Stream>> {
-        let Self { inner, watched_connections } = self;
+        let Self { inner, watched } = self;
         let mut accept = pin!(inner.accept(fuse_policy));
         let poll = |cx: &mut std::task::Context<'_>| {
-            watched_connections.pause_detector.poll_accept(cx, |cx| accept.as_mut().poll(cx))
+            watched.pause_detector.poll_accept(cx, |cx| accept.as_mut().poll(cx))
         };
         let accepted = future::poll_fn(poll).await?;
         let caller = accepted.remote_addr.clone().into_std();
-        let wrap = |stream| WatchedStream::new(stream, watched_connections.pause_detector.clone());
+        let wrap = |stream| WatchedStream::new(stream, watched.pause_detector.clone());
         let accepted = accepted.map_into(|_| TcpCoupler::new(), wrap);
         if let Some(caller) = caller {
             let connection = accepted.stream.connection();
-            watched_connections.lock().insert(caller, Arc::downgrade(&connection));
+            watched.lock().insert(caller, Arc::downgrade(&connection));
         }
         Ok(accepted)
     }
