--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -18,7 +18,7 @@
 const CREDIT_STEP: u64 = WINDOW / 2;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Attempts without progress; their backoff outlasts a planned restart of a target.
+/// Attempts without progress before a call fails; their backoff outlasts a planned restart.
 const MAX_ATTEMPTS: u32 = 12;
 /// Attempts that an engine failure counts as, so that a request that crashes engines reaches only
 /// a few of them.
@@ -30,7 +30,7 @@
 /// A part of a call's answer.
 #[derive(Debug)]
 pub enum Part {
-    /// Status line of a service's answer.
+    /// Status and content type of a service's answer.
     Head {
         /// HTTP status.
         status: u16,
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -31,7 +31,7 @@
 }
 
 impl Connections {
-    /// Creates a count of zero under `limits`.
+    /// Creates the counter, with the limits of the settings.
     pub fn new(limits: &Limits) -> Arc<Self> {
         // The header timeout also closes idle connections. The write timeout frees the resources of
         // callers that stop reading.
