--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers in the form that callers of language models know.
+//! Encodes model answers as OpenAI-compatible JSON and server-sent events.
 
 use crate::{
     call::{CallInProgress, Part},
@@ -12,30 +12,26 @@
 use std::{convert::Infallible, time::Duration};
 use tokio::time::Instant;
 
-/// Shape of the answer.
+/// Format and metadata of an answer.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    /// Whether it is a chat.
+pub struct AnswerFormat {
+    /// Whether it answers a chat completion.
     pub chat: bool,
-    /// The request's identity.
+    /// The request id.
     pub request: SmolStr,
-    /// The model as the caller named it.
+    /// The model name that the caller sent.
     pub model: String,
     /// Whether a stream ends with the usage.
-    pub usage: bool,
-    /// When it was asked, in seconds since the Unix epoch.
-    pub created: u64,
+    pub include_usage: bool,
+    /// When the request was received, in seconds since the Unix epoch.
+    pub created_s: u64,
 }
 
-/// Longest pause inside a stream that has begun.
-///
-/// Slow is not silent: the agent's heartbeats tell a dead connection apart, so this only bounds
-/// a target that makes no progress at all.
-const STREAM_PAUSE: Duration = Duration::from_secs(120);
-/// Most bytes gathered into one write to a caller.
-const GATHER_BYTES: usize = 16 * 1024;
+/// Bounds a target that makes no progress; lost connections are detected by heartbeats.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+const MAX_WRITE_BYTES: usize = 16 * 1024;
 
-impl Shape {
+impl AnswerFormat {
     fn object(&self, streamed: bool) -> &'static str {
         match (self.chat, streamed) {
             (true, true) => "chat.completion.chunk",
@@ -44,11 +40,11 @@
         }
     }
 
-    fn base(&self, streamed: bool, choice: Value) -> Value {
+    fn envelope(&self, streamed: bool, choice: Value) -> Value {
         json!({
             "id": self.request,
             "object": self.object(streamed),
-            "created": self.created,
+            "created": self.created_s,
             "model": self.model,
             "choices": [choice],
         })
@@ -60,7 +56,7 @@
         } else {
             json!({ "index": 0, "text": text, "finish_reason": null })
         };
-        self.base(true, choice)
+        self.envelope(true, choice)
     }
 
     fn finish(&self, reason: &str) -> Value {
@@ -69,25 +65,24 @@
         } else {
             json!({ "index": 0, "text": "", "finish_reason": reason })
         };
-        self.base(true, choice)
+        self.envelope(true, choice)
     }
 
-    /// The last event of a stream whose caller asked for the usage.
-    fn counted(&self, usage: Value) -> Value {
-        let mut value = self.base(true, Value::Null);
+    fn usage_event(&self, usage: Value) -> Value {
+        let mut value = self.envelope(true, Value::Null);
         value["choices"] = json!([]);
         value["usage"] = usage;
         value
     }
 
-    fn whole(&self, text: &str, reason: &str, usage: Value) -> Value {
+    fn document(&self, text: &str, reason: &str, usage: Value) -> Value {
         let choice = if self.chat {
             let message = json!({ "role": "assistant", "content": text });
             json!({ "index": 0, "message": message, "finish_reason": reason })
         } else {
             json!({ "index": 0, "text": text, "finish_reason": reason })
         };
-        let mut value = self.base(false, choice);
+        let mut value = self.envelope(false, choice);
         value["usage"] = usage;
         value
     }
@@ -101,14 +96,10 @@
     })
 }
 
-/// Gathers the whole answer and sends it as one JSON document.
-///
-/// # Errors
-///
-/// Any [`Problem`]; nothing has been sent then.
+/// Collects the answer and sends it as one JSON document; on an error nothing was sent.
 pub async fn whole(
     mut call: CallInProgress,
-    shape: &Shape,
+    format: &AnswerFormat,
     deadline: Instant,
     res: &mut Response,
 ) -> Result<(), Problem> {
@@ -120,7 +111,7 @@
             Part::Whole { prompt_tokens, completion_tokens, finish_reason } => {
                 let usage = usage(prompt_tokens, completion_tokens);
                 let text = String::from_utf8_lossy(&text);
-                let body = shape.whole(&text, &finish_reason, usage);
+                let body = format.document(&text, &finish_reason, usage);
                 problem::set_header(res, "content-type", "application/json");
                 drop(res.write_body(body.to_string()));
                 return Ok(());
@@ -129,44 +120,41 @@
     }
 }
 
-/// Sends the answer as server-sent events, as it comes.
-///
-/// # Errors
-///
-/// Any [`Problem`] before the first part; later ones are an error event, and no `[DONE]`.
+/// Streams the answer as server-sent events. Errors after the first part are sent as an event and
+/// end the stream without `[DONE]`.
 pub async fn stream(
     mut call: CallInProgress,
-    shape: Shape,
+    format: AnswerFormat,
     deadline: Instant,
     res: &mut Response,
 ) -> Result<(), Problem> {
     let first = call.next(deadline).await?;
     problem::set_header(res, "content-type", "text/event-stream");
     problem::set_header(res, "cache-control", "no-cache");
-    let state = Events { call, shape, waiting: Some(first), over: false };
-    res.stream(stream::unfold(state, Events::step));
+    let state = EventStream { call, format, first: Some(first), finished: false };
+    res.stream(stream::unfold(state, EventStream::next));
     Ok(())
 }
 
-struct Events {
+struct EventStream {
     call: CallInProgress,
-    shape: Shape,
-    waiting: Option<Part>,
-    over: bool,
+    format: AnswerFormat,
+    first: Option<Part>,
+    finished: bool,
 }
 
-impl Events {
-    async fn step(mut self) -> Option<(Result<Bytes, Infallible>, Self)> {
-        if self.over {
+impl EventStream {
+    async fn next(mut self) -> Option<(Result<Bytes, Infallible>, Self)> {
+        if self.finished {
             return None;
         }
         let mut buf = String::new();
-        let first = match self.waiting.take() {
+        let first = match self.first.take() {
             Some(part) => Ok(part),
-            None => self.call.next(Instant::now() + STREAM_PAUSE).await,
+            None => self.call.next(Instant::now() + STREAM_IDLE_TIMEOUT).await,
         };
         self.write(first, &mut buf);
-        while !self.over && buf.len() < GATHER_BYTES {
+        while !self.finished && buf.len() < MAX_WRITE_BYTES {
             match self.call.try_next() {
                 Ok(None) => break,
                 Ok(Some(part)) => self.write(Ok(part), &mut buf),
@@ -180,28 +168,28 @@
         match part {
             Ok(Part::Head { .. }) => {}
             Ok(Part::Chunk(body)) => {
-                // The id lets a caller whose router is gone take up the rest at any other.
+                // With the id, a caller can resume the stream at another router.
                 buf.push_str(&format!("id: {}\n", self.call.position()));
-                event(buf, &self.shape.delta(&String::from_utf8_lossy(&body)));
+                write_event(buf, &self.format.delta(&String::from_utf8_lossy(&body)));
             }
             Ok(Part::Whole { prompt_tokens, completion_tokens, finish_reason }) => {
-                event(buf, &self.shape.finish(&finish_reason));
-                if self.shape.usage {
+                write_event(buf, &self.format.finish(&finish_reason));
+                if self.format.include_usage {
                     let usage = usage(prompt_tokens, completion_tokens);
-                    event(buf, &self.shape.counted(usage));
+                    write_event(buf, &self.format.usage_event(usage));
                 }
                 buf.push_str("data: [DONE]\n\n");
-                self.over = true;
+                self.finished = true;
             }
             Err(problem) => {
-                event(buf, &problem.body(&self.shape.request));
-                self.over = true;
+                write_event(buf, &problem.body(&self.format.request));
+                self.finished = true;
             }
         }
     }
 }
 
-fn event(buf: &mut String, value: &Value) {
+fn write_event(buf: &mut String, value: &Value) {
     buf.push_str("data: ");
     buf.push_str(&value.to_string());
     buf.push_str("\n\n");
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections from callers: how many are held, and how long each may stall.
+//! Limits the number of connections from callers and the time each may stall.
 
 use corianderstand_schema::process::Limits;
 use salvo::{
@@ -15,41 +15,39 @@
     },
 };
 
-/// Connections beyond the limit that are still told so; those beyond are closed at once.
-const MAX_EXCESS: usize = 256;
+/// Connections over the limit whose requests get a refusal; any further ones are closed at once.
+const MAX_EXCESS_CONNECTIONS: usize = 256;
 
-/// The connections held now.
+/// Counts open connections.
 ///
-/// Accepting no more at the limit would leave a caller waiting in the system's backlog without
-/// a word. So some more are accepted, and each request on them is refused with a time to come
-/// back; the ones within the limit are not touched.
+/// Some connections over the limit are accepted and their requests refused with `Retry-After`, so
+/// that callers do not wait in the listen backlog without an answer.
 #[derive(Debug)]
 pub struct Connections {
     limit: usize,
     fuse: FuseConfig,
-    held: AtomicUsize,
+    count: AtomicUsize,
     excess: Mutex<HashSet<SocketAddr>>,
 }
 
 impl Connections {
-    /// No connections yet, under the limits of the settings.
+    /// Creates the counter, with the limits of the settings.
     pub fn new(limits: &Limits) -> Arc<Self> {
-        // A caller that sends no whole head in time is closed, also one that keeps a connection
-        // idle; one that leaves an answer unread is closed, so that what is held for it here and
-        // at the engine is given back.
+        // The header timeout also closes idle connections. The write timeout frees the resources of
+        // callers that stop reading.
         let fuse = FuseConfig::disabled()
             .with_http1_header_timeout(limits.read_timeout_ms.0)
             .with_write_stall_timeout(limits.write_timeout_ms.0);
         let limit = limits.max_connections as usize;
-        Arc::new(Self { limit, fuse, held: AtomicUsize::new(0), excess: Mutex::default() })
+        Arc::new(Self { limit, fuse, count: AtomicUsize::new(0), excess: Mutex::default() })
     }
 
-    /// How many there are.
-    pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+    /// Number of open connections.
+    pub fn count(&self) -> usize {
+        self.count.load(Ordering::Relaxed)
     }
 
-    /// Whether a connection came when as many as allowed were held already.
+    /// Whether a connection was accepted over the limit.
     pub fn is_excess(&self, remote: Option<SocketAddr>) -> bool {
         remote.is_some_and(|remote| self.lock().contains(&remote))
     }
@@ -59,14 +57,14 @@
     }
 }
 
-/// What the server asks at each new connection.
-pub struct Policy(pub Arc<Connections>);
+/// Applies [`Connections`] to new connections of the server.
+pub struct ConnectionPolicy(pub Arc<Connections>);
 
 #[async_trait]
-impl FusePolicy for Policy {
+impl FusePolicy for ConnectionPolicy {
     async fn decide(&self, _info: &FuseInfo) -> FuseAction {
         let connections = &self.0;
-        if connections.held.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS {
+        if connections.count.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS_CONNECTIONS {
             return FuseAction::Reject;
         }
         FuseAction::Accept(connections.fuse)
@@ -74,26 +72,25 @@
 
     fn observe(&self, info: &FuseInfo, _ctrl: &ConnCtrl) -> Option<ArcConnObserver> {
         let connections = self.0.clone();
-        let before = connections.held.fetch_add(1, Ordering::Relaxed);
+        let before = connections.count.fetch_add(1, Ordering::Relaxed);
         let remote = info.remote_addr.clone().into_std();
         if before >= connections.limit {
             connections.lock().extend(remote);
         }
-        Some(Arc::new(Held { connections, remote }))
+        Some(Arc::new(ConnectionGuard { connections, remote }))
     }
 }
 
-/// One connection; the server drops it when the connection ends.
-struct Held {
+struct ConnectionGuard {
     connections: Arc<Connections>,
     remote: Option<SocketAddr>,
 }
 
-impl ConnObserver for Held {}
+impl ConnObserver for ConnectionGuard {}
 
-impl Drop for Held {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.connections.held.fetch_sub(1, Ordering::Relaxed);
+        self.connections.count.fetch_sub(1, Ordering::Relaxed);
         if let Some(remote) = &self.remote {
             self.connections.lock().remove(remote);
         }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -1,15 +1,15 @@
 //! Starts a router's threads and stops them as planned.
 
 use crate::{
-    arrivals::{Arrivals, WatchedAcceptor},
     auth::{AuthError, Hasher},
-    connections::{Connections, Policy},
+    connections::{ConnectionPolicy, Connections},
     decide::Decider,
     dial,
     event::Event,
-    http::{self, Door},
+    http::{self, HandlerContext},
     link::Shared,
     operator,
+    watched::{WatchedAcceptor, WatchedConnections},
 };
 use corianderstand_control::{
     appender::Identity,
@@ -102,15 +102,15 @@
         connections: HashMap::new(),
         versions: (u64::MAX, 0, 0),
         hosts: Arc::default(),
-        told: BTreeSet::new(),
-        held: held.clone(),
+        reported_draining: BTreeSet::new(),
+        in_flight: held.clone(),
         metrics: metrics.clone(),
     };
     spawn("decide", move || decider.run(&events_rx))?;
     start_link(&settings, incarnation, &control, events.clone(), budget)?;
 
     let peer_client = reqwest::Client::builder().no_proxy().build();
-    let door = Arc::new(Door {
+    let door = Arc::new(HandlerContext {
         name: settings.name.clone(),
         peer_client: peer_client.expect("the client has no settings that can fail"),
         events,
@@ -125,9 +125,9 @@
         max_body_bytes: settings.limits.max_body_bytes as usize,
         read_timeout: settings.limits.read_timeout_ms.0,
         max_in_flight: settings.limits.max_in_flight as usize,
-        held: held.clone(),
+        in_flight: held.clone(),
         draining: draining.clone(),
-        arrivals: Arrivals::new(clock.since_boot()),
+        watched: WatchedConnections::new(clock.since_boot()),
         clock,
     });
     let (server, http) = start_http(&settings, incarnation, &door)?;
@@ -199,7 +199,7 @@
 fn start_http(
     settings: &RouterSettings,
     incarnation: u64,
-    door: &Arc<Door>,
+    door: &Arc<HandlerContext>,
 ) -> Result<(ServerHandle, thread::JoinHandle<()>), RouterError> {
     let listen_error = |error| RouterError::Listen(settings.listen.to_string(), error);
     let listener = std::net::TcpListener::bind(settings.listen.as_str()).map_err(listen_error)?;
@@ -214,16 +214,16 @@
         let listener = tokio::net::TcpListener::from_std(listener).map_err(listen_error)?;
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
-    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.arrivals.clone()))
-        .fuse_policy(Policy(door.connections.clone()));
+    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.watched.clone()))
+        .fuse_policy(ConnectionPolicy(door.connections.clone()));
     server.http1_mut().max_header_size(door.max_header_bytes * HEAD_SLACK);
     let handle = server.handle();
     let routes = http::routes(door);
     let identity = Identity { writer: settings.name.clone(), incarnation };
     let reported = door.clone();
     let more = move |metrics: &Metrics| {
-        metrics.gauge(Metric::RouterHeld, reported.held.load(Ordering::Relaxed) as u64);
-        metrics.gauge(Metric::RouterConnections, reported.connections.held() as u64);
+        metrics.gauge(Metric::RouterHeld, reported.in_flight.load(Ordering::Relaxed) as u64);
+        metrics.gauge(Metric::RouterConnections, reported.connections.count() as u64);
         reported.tail.budget().report(metrics);
     };
     let report =
@@ -238,9 +238,9 @@
 }
 
 /// Turns the watch for pauses on the thread that reads requests.
-async fn watch(door: Arc<Door>) {
+async fn watch(door: Arc<HandlerContext>) {
     loop {
-        door.arrivals.turn(door.clock.since_boot());
+        door.watched.tick(door.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
