--- a/crates/corianderstand_router/src/pulse.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -13,54 +13,54 @@
 
 /// What to do at a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beat {
+pub enum HeartbeatAction {
     /// Nothing: both sides have spoken.
-    Rest,
+    Skip,
     /// Send a heartbeat.
     Ping(u64),
     /// Close: it has carried no stream for a while.
-    Idle,
+    CloseIdle,
     /// Give it up: the other side has said nothing for so long.
-    Silent(Duration),
+    Unresponsive(Duration),
 }
 
 /// What has been said on one connection, counted in ticks.
 #[derive(Debug)]
-pub struct Pulse {
+pub struct HeartbeatMonitor {
     interval: Duration,
-    silence: Duration,
+    response_timeout: Duration,
     nonce: u64,
-    ticks_silent: u32,
+    ticks_unresponsive: u32,
     ticks_idle: u32,
     sent: bool,
-    heard: bool,
-    heard_ever: bool,
+    received: bool,
+    ever_received: bool,
 }
 
-impl Pulse {
+impl HeartbeatMonitor {
     /// A connection that has just been opened.
     pub const fn new(timing: &Timing) -> Self {
         Self {
             interval: timing.heartbeat_ms.0,
-            silence: timing.silence_ms.0,
+            response_timeout: timing.silence_ms.0,
             nonce: 0,
-            ticks_silent: 0,
+            ticks_unresponsive: 0,
             ticks_idle: 0,
             sent: true,
-            heard: true,
-            heard_ever: false,
+            received: true,
+            ever_received: false,
         }
     }
 
     /// Something was sent.
-    pub const fn sent(&mut self) {
+    pub const fn on_sent(&mut self) {
         self.sent = true;
     }
 
     /// Something was received.
-    pub const fn heard(&mut self) {
-        self.heard = true;
-        self.heard_ever = true;
+    pub const fn on_received(&mut self) {
+        self.received = true;
+        self.ever_received = true;
     }
 
     /// One interval has passed; `busy` tells whether streams are in flight.
@@ -68,22 +68,22 @@
     /// A device between the two ends may lose track of the connection; no error ever comes
     /// then. The limit on silence is counted here, over all that is awaited, as a wait that is
     /// begun anew after each heartbeat would never end.
-    pub fn beat(&mut self, busy: bool) -> Beat {
-        self.ticks_silent = if self.heard { 0 } else { self.ticks_silent + 1 };
+    pub fn on_tick(&mut self, busy: bool) -> HeartbeatAction {
+        self.ticks_unresponsive = if self.received { 0 } else { self.ticks_unresponsive + 1 };
         self.ticks_idle = if busy { 0 } else { self.ticks_idle + 1 };
-        let spoken = std::mem::take(&mut self.sent) && std::mem::take(&mut self.heard);
-        self.heard = false;
-        let silent = self.interval * self.ticks_silent;
-        if silent >= self.silence {
-            return Beat::Silent(silent);
+        let active = std::mem::take(&mut self.sent) && std::mem::take(&mut self.received);
+        self.received = false;
+        let unresponsive_for = self.interval * self.ticks_unresponsive;
+        if unresponsive_for >= self.response_timeout {
+            return HeartbeatAction::Unresponsive(unresponsive_for);
         }
-        if self.ticks_idle > IDLE_HEARTBEATS && self.heard_ever {
-            return Beat::Idle;
+        if self.ticks_idle > IDLE_HEARTBEATS && self.ever_received {
+            return HeartbeatAction::CloseIdle;
         }
-        if spoken {
-            return Beat::Rest;
+        if active {
+            return HeartbeatAction::Skip;
         }
         self.nonce += 1;
-        Beat::Ping(self.nonce)
+        HeartbeatAction::Ping(self.nonce)
     }
 }
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     event::{Attachment, Call, Command, Event, Update},
-    pulse::{Beat, Pulse},
+    heartbeat::{HeartbeatAction, HeartbeatMonitor},
 };
 use bytes::Bytes;
 use corianderstand_control::budget::{Budget, TrafficClass};
@@ -117,30 +117,30 @@
         if let Err(error) = self.greet(first).await {
             return Ended::Broken(error);
         }
-        let mut pulse = Pulse::new(&self.shared.timing);
+        let mut heartbeat = HeartbeatMonitor::new(&self.shared.timing);
         let mut ticks = time::interval(self.shared.timing.heartbeat_ms.0);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             let done = tokio::select! {
                 next = reader.next::<ToRouter>() => match next {
                     Ok((message, body)) => {
-                        pulse.heard();
+                        heartbeat.on_received();
                         self.take(message, body)
                     }
                     Err(error) => Err(error),
                 },
                 command = commands.recv() => match command {
                     Some(command) => {
-                        pulse.sent();
+                        heartbeat.on_sent();
                         self.command(command).await
                     }
                     None => Err(FrameError::Closed),
                 },
-                _ = ticks.tick() => match pulse.beat(!self.streams.is_empty()) {
-                    Beat::Rest => Ok(()),
-                    Beat::Ping(nonce) => self.control(&ToAgent::Ping { nonce }).await,
-                    Beat::Idle => return Ended::Idle,
-                    Beat::Silent(silence) => Err(FrameError::IdleTimeout(silence.as_millis())),
+                _ = ticks.tick() => match heartbeat.on_tick(!self.streams.is_empty()) {
+                    HeartbeatAction::Skip => Ok(()),
+                    HeartbeatAction::Ping(nonce) => self.control(&ToAgent::Ping { nonce }).await,
+                    HeartbeatAction::CloseIdle => return Ended::Idle,
+                    HeartbeatAction::Unresponsive(elapsed) => Err(FrameError::IdleTimeout(elapsed.as_millis())),
                 }
             };
             if let Err(error) = done {
