--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -5,7 +5,7 @@
 //! that its caller gets the rest and notices a pause at most.
 
 use crate::{
-    event::{Attachment, Call, Command, Event, REPLY_RING, Update, WINDOW},
+    event::{Attachment, CHUNK_WINDOW, Call, Command, Event, REPLY_QUEUE_CAPACITY, Update},
     problem::Problem,
 };
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 use tokio::{sync::mpsc, time};
 
 /// Positions passed on before credit is given for more.
-const CREDIT_STEP: u64 = WINDOW / 2;
+const CREDIT_STEP: u64 = CHUNK_WINDOW / 2;
 /// Pause before a call is taken up again; doubled each time, so that a target that restarts or
 /// a slot that moves is not asked without end.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
@@ -67,7 +67,7 @@
 
 impl Asked {
     fn hand_in(&self) -> Result<mpsc::Receiver<Update>, Problem> {
-        let (reply, rx) = mpsc::channel(REPLY_RING);
+        let (reply, rx) = mpsc::channel(REPLY_QUEUE_CAPACITY);
         let call = Call { open: self.open.clone(), body: self.body.clone(), reply };
         let event = Event::Submit(Box::new((self.work.clone(), call)));
         let refused = Problem::Refused(RefusalReason::QueueFull, RETRY_BUSY);
@@ -108,11 +108,11 @@
         mut open: OpenStream,
         body: Bytes,
     ) -> Result<Self, Problem> {
-        open.window = WINDOW;
+        open.window = CHUNK_WINDOW;
         let position = open.position;
         let asked = Asked { events: events.clone(), work, open, body };
         let rx = asked.hand_in()?;
-        let credited = position + WINDOW;
+        let credited = position + CHUNK_WINDOW;
         let (attachment, interrupted) = (None, None);
         Ok(Self { asked, rx, attachment, position, credited, tries: 0, interrupted, over: false })
     }
@@ -192,7 +192,7 @@
         );
         self.rx = asked.hand_in()?;
         (self.attachment, self.over) = (None, false);
-        self.credited = self.position + WINDOW;
+        self.credited = self.position + CHUNK_WINDOW;
         Ok(())
     }
 
@@ -262,7 +262,7 @@
         self.position += 1;
         self.tries = 0;
         if self.position + CREDIT_STEP >= self.credited {
-            self.credited = self.position + WINDOW;
+            self.credited = self.position + CHUNK_WINDOW;
             self.command(|stream, upto| Command::Credit { stream, upto });
         }
         Ok(Some(Part::Chunk(body)))
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -1,7 +1,7 @@
 //! The `decide` thread: feeds events to the pure logic and hands on what it decides.
 
 use crate::{
-    event::{Call, Command, Event, REPLY_EXTRA, Update},
+    event::{Call, Command, Event, REPLY_EXTRA_CAPACITY, Update},
     link,
 };
 use corianderstand_control::{
@@ -174,7 +174,7 @@
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.open.position = call.open.position.max(position);
         // What the handler has not read yet fills its ring; it gives credit for the rest.
-        call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA) as u64;
+        call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
         let reason = RefusalReason::NotLoaded;
         let refusal = Refusal { reason, retry_after: RETRY_LOST };
         match self.router.connection_lost(self.clock.now(), key, refusal) {
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -8,11 +8,11 @@
 use tokio::sync::mpsc;
 
 /// Chunks on their way to one caller; a slow reader holds up only itself.
-pub const WINDOW: u64 = 64;
+pub const CHUNK_WINDOW: u64 = 64;
 /// Updates that are no chunks: few for each target that a request is tried at.
-pub const REPLY_EXTRA: usize = 16;
+pub const REPLY_EXTRA_CAPACITY: usize = 16;
 /// Updates that wait for one caller's handler: the window, and the few that are no chunks.
-pub const REPLY_RING: usize = WINDOW as usize + REPLY_EXTRA;
+pub const REPLY_QUEUE_CAPACITY: usize = CHUNK_WINDOW as usize + REPLY_EXTRA_CAPACITY;
 
 /// A request as the handler hands it in.
 #[derive(Clone, Debug)]
