--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -238,7 +238,7 @@
         let name = self.router.target_state(target).map(|target| target.name.clone());
         let connection = name.and_then(|name| self.connections.get(&name));
         let Some(mut call) = self.calls.get(&key).cloned() else { return };
-        call.open.stream = link::stream_of(key);
+        call.open.stream = link::stream_id(key);
         // The target may fold the slot a little later than this router did; it waits for this.
         call.open.as_of = self.versions.1.max(self.versions.2);
         let open = Command::Open(Box::new(call));
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -179,6 +179,6 @@
     let Some(Command::Open(call)) = command else { return };
     let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_UNREACHED };
     let load = Load { running: 0, queued: 0, wait_ms: 0 };
-    let key = link::key(call.open.stream);
+    let key = link::request_key(call.open.stream);
     shared.tell(Event::Refused { key, refusal, load });
 }
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -103,7 +103,7 @@
 }
 
 /// The request of a stream number.
-pub fn key(stream: u64) -> RequestKey {
+pub fn request_key(stream: u64) -> RequestKey {
     KeyData::from_ffi(stream).into()
 }
 
@@ -181,7 +181,7 @@
                 if self.streams.remove(&stream).is_none() {
                     return Ok(());
                 }
-                self.tell(Event::Ended { key: key(stream), load: None });
+                self.tell(Event::Ended { key: request_key(stream), load: None });
                 self.send(&ToAgent::Cancel { stream }, b"").await
             }
         }
@@ -192,7 +192,7 @@
         let commands = self.commands.clone();
         let attached = Update::Attached(Attachment { stream, commands });
         if call.reply.send(attached).await.is_err() {
-            self.tell(Event::Ended { key: key(stream), load: None });
+            self.tell(Event::Ended { key: request_key(stream), load: None });
             return Ok(());
         }
         let position = call.open.position;
@@ -205,7 +205,7 @@
     }
 
     fn lost(&self, stream: u64, position: u64, failed: bool) {
-        self.tell(Event::Lost { key: key(stream), position, failed });
+        self.tell(Event::Lost { key: request_key(stream), position, failed });
     }
 
     fn take(&mut self, message: ToRouter, body: Bytes) -> Result<(), FrameError> {
@@ -236,13 +236,13 @@
             ToRouter::End { stream, position, ending, load } => {
                 self.update(stream, Update::End { position, ending });
                 self.streams.remove(&stream);
-                self.tell(Event::Ended { key: key(stream), load: Some(load) });
+                self.tell(Event::Ended { key: request_key(stream), load: Some(load) });
             }
             ToRouter::Refused { stream, reason, retry_after_ms, load } => {
                 self.streams.remove(&stream);
                 let retry_after = Duration::from_millis(retry_after_ms);
                 let refusal = Refusal { reason, retry_after };
-                self.tell(Event::Refused { key: key(stream), refusal, load });
+                self.tell(Event::Refused { key: request_key(stream), refusal, load });
             }
             ToRouter::Pong { .. } | ToRouter::Holdings { .. } => {}
             ToRouter::Draining => self.tell(Event::Draining(self.target.clone())),
@@ -275,6 +275,6 @@
 }
 
 /// The stream number of a request.
-pub fn stream_of(key: RequestKey) -> u64 {
+pub fn stream_id(key: RequestKey) -> u64 {
     key.data().as_ffi()
 }
