--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     event::{Command, Event},
-    link::{self, Ended, Shared},
+    link::{self, CloseReason, LinkContext},
 };
 use corianderstand_control::snapshot::CurrentSnapshot;
 use corianderstand_decide::request::Refusal;
@@ -44,7 +44,7 @@
 }
 
 /// Keeps one task for each target of the snapshot, for ever.
-pub async fn run(shared: Shared, current: CurrentSnapshot) {
+pub async fn run(context: LinkContext, current: CurrentSnapshot) {
     let mut changed = current.subscribe();
     let mut version = u64::MAX;
     let mut dialled: BTreeMap<TargetId, Dialled> = BTreeMap::new();
@@ -53,9 +53,9 @@
         let targets = &snapshot.state.targets;
         if targets.version != version {
             version = targets.version;
-            dialled.retain(|name, known| keeps(&shared, name, known, targets.by_name.get(name)));
+            dialled.retain(|name, known| keeps(&context, name, known, targets.by_name.get(name)));
             for (name, target) in &targets.by_name {
-                note(&shared, &mut dialled, name, target);
+                note(&context, &mut dialled, name, target);
             }
         }
         if changed.changed().await.is_err() {
@@ -65,11 +65,11 @@
 }
 
 /// Whether a target is still announced at the same address; if not, its task ends.
-fn keeps(shared: &Shared, name: &TargetId, known: &Dialled, target: Option<&Target>) -> bool {
+fn keeps(context: &LinkContext, name: &TargetId, known: &Dialled, target: Option<&Target>) -> bool {
     let keep = target.is_some_and(|target| target.record.address == known.address);
     if !keep {
         known.task.abort();
-        shared.tell(Event::Disconnected(name.clone()));
+        context.send_event(Event::Disconnected(name.clone()));
     }
     keep
 }
@@ -79,28 +79,28 @@
 /// An agent that was draining and has been restarted takes work again. Without a connection
 /// nothing but the new announcement tells that, and the target would stay unused.
 fn note(
-    shared: &Shared,
+    context: &LinkContext,
     dialled: &mut BTreeMap<TargetId, Dialled>,
     name: &TargetId,
     target: &Target,
 ) {
     let known = dialled.entry(name.clone()).or_insert_with(|| {
-        let (commands, rx) = mpsc::channel(link::RING);
+        let (commands, rx) = mpsc::channel(link::QUEUE_CAPACITY);
         let address = target.record.address.clone();
-        let keep = keep(shared.clone(), name.clone(), address.clone(), commands.clone(), rx);
+        let keep = keep(context.clone(), name.clone(), address.clone(), commands.clone(), rx);
         Dialled { address, announced: 0, commands, task: tokio::spawn(keep) }
     });
     if known.announced != target.offset {
         known.announced = target.offset;
         let commands = known.commands.clone();
-        shared.tell(Event::Connected { target: name.clone(), draining: false, commands });
+        context.send_event(Event::Connected { target: name.clone(), draining: false, commands });
     }
 }
 
 /// Opens a connection when there is a request for it, and again and again when it broke; the
 /// pause is random, so that routers do not return together.
 async fn keep(
-    shared: Shared,
+    context: LinkContext,
     target: TargetId,
     address: SmolStr,
     commands: mpsc::Sender<Command>,
@@ -108,14 +108,14 @@
 ) {
     let mut pause = MIN_RECONNECT;
     let mut reachable = true;
-    let mut waiting = Waiting { shared: shared.clone(), first: None, rx };
+    let mut waiting = Waiting { context: context.clone(), first: None, rx };
     loop {
         waiting.first = if reachable {
             first_request(&mut waiting.rx).await
         } else {
             let spread = rand::rng().random_range(0.5..1.5);
             time::sleep(pause.mul_f64(spread)).await;
-            pause = (pause * 2).min(shared.timing.reconnect_ms.0);
+            pause = (pause * 2).min(context.timing.reconnect_ms.0);
             None
         };
         match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&*address)).await {
@@ -123,22 +123,23 @@
                 pause = MIN_RECONNECT;
                 let first = waiting.first.take();
                 let rx = &mut waiting.rx;
-                let ended = link::serve(stream, &shared, &target, &commands, rx, first).await;
-                reachable = matches!(ended, Ended::Idle);
-                if let Ended::Broken(error) = ended {
+                let close_reason =
+                    link::serve(stream, &context, &target, &commands, rx, first).await;
+                reachable = matches!(close_reason, CloseReason::Idle);
+                if let CloseReason::Failed(error) = close_reason {
                     tracing::warn!(%target, %error, "connection to an agent broke");
                 }
             }
             failed => {
                 let error = failed.map_or_else(|late| late.to_string(), |done| format!("{done:?}"));
                 tracing::debug!(%target, error, "agent not reached");
-                shared.tell(Event::Disconnected(target.clone()));
+                context.send_event(Event::Disconnected(target.clone()));
                 reachable = false;
-                refuse(&shared, waiting.first.take());
+                refuse(&context, waiting.first.take());
             }
         }
         while !reachable && let Ok(command) = waiting.rx.try_recv() {
-            refuse(&shared, Some(command));
+            refuse(&context, Some(command));
         }
     }
 }
@@ -148,17 +149,17 @@
 /// The task ends in the midst when its target is withdrawn. A request that waits then would be
 /// forgotten and its caller hear nothing until its deadline; it is given back on the way out.
 struct Waiting {
-    shared: Shared,
+    context: LinkContext,
     first: Option<Command>,
     rx: mpsc::Receiver<Command>,
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        refuse(&self.shared, self.first.take());
+        refuse(&self.context, self.first.take());
         self.rx.close();
         while let Ok(command) = self.rx.try_recv() {
-            refuse(&self.shared, Some(command));
+            refuse(&self.context, Some(command));
         }
     }
 }
@@ -175,10 +176,10 @@
 
 /// Gives a request back that was never sent, so that it certainly did not run and may go to
 /// another target even if it may not be repeated.
-fn refuse(shared: &Shared, command: Option<Command>) {
+fn refuse(context: &LinkContext, command: Option<Command>) {
     let Some(Command::Open(call)) = command else { return };
     let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_UNREACHED };
     let load = Load { running: 0, queued: 0, wait_ms: 0 };
     let key = link::request_key(call.open.stream);
-    shared.tell(Event::Refused { key, refusal, load });
+    context.send_event(Event::Refused { key, refusal, load });
 }
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -28,11 +28,11 @@
 use tokio::{net::TcpStream, sync::mpsc, time};
 
 /// Frames and commands that wait on one connection.
-pub const RING: usize = 4096;
+pub const QUEUE_CAPACITY: usize = 4096;
 
 /// What every connection needs.
 #[derive(Clone)]
-pub struct Shared {
+pub struct LinkContext {
     /// Name of this router.
     pub router: WriterId,
     /// Start of this process.
@@ -45,20 +45,20 @@
     pub budget: Arc<Budget>,
 }
 
-impl Shared {
+impl LinkContext {
     /// Tells the `decide` thread.
-    pub fn tell(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         // The ring is bounded and its reader never waits for this thread, so this ends soon.
         drop(self.events.send(event));
     }
 }
 
 /// Why a connection is over.
-pub enum Ended {
+pub enum CloseReason {
     /// It carried nothing for a while.
     Idle,
     /// It broke.
-    Broken(FrameError),
+    Failed(FrameError),
 }
 
 /// A stream as the connection holds it.
@@ -68,7 +68,7 @@
 }
 
 struct Connection<'a> {
-    shared: &'a Shared,
+    context: &'a LinkContext,
     target: &'a TargetId,
     out: mpsc::Sender<Bytes>,
     commands: mpsc::Sender<Command>,
@@ -78,28 +78,28 @@
 /// Serves one connection until it is idle or broken; `first` is sent at once.
 pub async fn serve(
     stream: TcpStream,
-    shared: &Shared,
+    context: &LinkContext,
     target: &TargetId,
     commands: &mpsc::Sender<Command>,
     rx: &mut mpsc::Receiver<Command>,
     first: Option<Command>,
-) -> Ended {
-    let (out, frames) = mpsc::channel(RING);
+) -> CloseReason {
+    let (out, frames) = mpsc::channel(QUEUE_CAPACITY);
     let (commands, streams) = (commands.clone(), HashMap::new());
-    let mut connection = Connection { shared, target, out, commands, streams };
-    let ended = match connection::split(stream, shared.timing.silence_ms.0) {
+    let mut connection = Connection { context, target, out, commands, streams };
+    let close_reason = match connection::split(stream, context.timing.silence_ms.0) {
         Ok((reader, writer)) => tokio::select! {
-            ended = connection.run(reader, rx, first) => ended,
+            close_reason = connection.run(reader, rx, first) => close_reason,
             written = writer.run(frames) => {
-                Ended::Broken(written.err().unwrap_or(FrameError::Closed))
+                CloseReason::Failed(written.err().unwrap_or(FrameError::Closed))
             }
         },
-        Err(error) => Ended::Broken(FrameError::Io(error)),
+        Err(error) => CloseReason::Failed(FrameError::Io(error)),
     };
-    if let Ended::Broken(_) = &ended {
-        connection.tell(Event::Disconnected(target.clone()));
+    if let CloseReason::Failed(_) = &close_reason {
+        connection.send_event(Event::Disconnected(target.clone()));
     }
-    ended
+    close_reason
 }
 
 /// The request of a stream number.
@@ -113,12 +113,12 @@
         mut reader: Reader,
         commands: &mut mpsc::Receiver<Command>,
         first: Option<Command>,
-    ) -> Ended {
+    ) -> CloseReason {
         if let Err(error) = self.greet(first).await {
-            return Ended::Broken(error);
+            return CloseReason::Failed(error);
         }
-        let mut heartbeat = HeartbeatMonitor::new(&self.shared.timing);
-        let mut ticks = time::interval(self.shared.timing.heartbeat_ms.0);
+        let mut heartbeat = HeartbeatMonitor::new(&self.context.timing);
+        let mut ticks = time::interval(self.context.timing.heartbeat_ms.0);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             let done = tokio::select! {
@@ -139,19 +139,19 @@
                 _ = ticks.tick() => match heartbeat.on_tick(!self.streams.is_empty()) {
                     HeartbeatAction::Skip => Ok(()),
                     HeartbeatAction::Ping(nonce) => self.control(&ToAgent::Ping { nonce }).await,
-                    HeartbeatAction::CloseIdle => return Ended::Idle,
+                    HeartbeatAction::CloseIdle => return CloseReason::Idle,
                     HeartbeatAction::Unresponsive(elapsed) => Err(FrameError::IdleTimeout(elapsed.as_millis())),
                 }
             };
             if let Err(error) = done {
-                return Ended::Broken(error);
+                return CloseReason::Failed(error);
             }
         }
     }
 
     async fn greet(&mut self, first: Option<Command>) -> Result<(), FrameError> {
-        let router = self.shared.router.clone();
-        let incarnation = self.shared.incarnation;
+        let router = self.context.router.clone();
+        let incarnation = self.context.incarnation;
         self.control(&ToAgent::Hello { router, incarnation, protocol: PROTOCOL }).await?;
         match first {
             Some(command) => self.command(command).await,
@@ -162,7 +162,7 @@
     /// Sends what is not part of a caller's request.
     async fn control(&self, message: &ToAgent) -> Result<(), FrameError> {
         let frame = frame::encode(message, b"")?;
-        self.shared.budget.spend(TrafficClass::Link, frame.len() as u64);
+        self.context.budget.spend(TrafficClass::Link, frame.len() as u64);
         self.out.send(frame).await.map_err(|_| FrameError::Closed)
     }
 
@@ -181,7 +181,7 @@
                 if self.streams.remove(&stream).is_none() {
                     return Ok(());
                 }
-                self.tell(Event::Ended { key: request_key(stream), load: None });
+                self.send_event(Event::Ended { key: request_key(stream), load: None });
                 self.send(&ToAgent::Cancel { stream }, b"").await
             }
         }
@@ -192,7 +192,7 @@
         let commands = self.commands.clone();
         let attached = Update::Attached(Attachment { stream, commands });
         if call.reply.send(attached).await.is_err() {
-            self.tell(Event::Ended { key: request_key(stream), load: None });
+            self.send_event(Event::Ended { key: request_key(stream), load: None });
             return Ok(());
         }
         let position = call.open.position;
@@ -200,12 +200,12 @@
         self.send(&ToAgent::Open(call.open), &call.body).await
     }
 
-    fn tell(&self, event: Event) {
-        self.shared.tell(event);
+    fn send_event(&self, event: Event) {
+        self.context.send_event(event);
     }
 
     fn lost(&self, stream: u64, position: u64, failed: bool) {
-        self.tell(Event::Lost { key: request_key(stream), position, failed });
+        self.send_event(Event::Lost { key: request_key(stream), position, failed });
     }
 
     fn take(&mut self, message: ToRouter, body: Bytes) -> Result<(), FrameError> {
@@ -216,7 +216,7 @@
                     return Err(FrameError::Closed);
                 }
                 let commands = self.commands.clone();
-                self.tell(Event::Connected { target, draining, commands });
+                self.send_event(Event::Connected { target, draining, commands });
             }
             ToRouter::Head { stream, status, content_type } => {
                 self.update(stream, Update::Head { status, content_type });
@@ -236,16 +236,16 @@
             ToRouter::End { stream, position, ending, load } => {
                 self.update(stream, Update::End { position, ending });
                 self.streams.remove(&stream);
-                self.tell(Event::Ended { key: request_key(stream), load: Some(load) });
+                self.send_event(Event::Ended { key: request_key(stream), load: Some(load) });
             }
             ToRouter::Refused { stream, reason, retry_after_ms, load } => {
                 self.streams.remove(&stream);
                 let retry_after = Duration::from_millis(retry_after_ms);
                 let refusal = Refusal { reason, retry_after };
-                self.tell(Event::Refused { key: request_key(stream), refusal, load });
+                self.send_event(Event::Refused { key: request_key(stream), refusal, load });
             }
             ToRouter::Pong { .. } | ToRouter::Holdings { .. } => {}
-            ToRouter::Draining => self.tell(Event::Draining(self.target.clone())),
+            ToRouter::Draining => self.send_event(Event::Draining(self.target.clone())),
         }
         Ok(())
     }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -8,7 +8,7 @@
     dial,
     event::Event,
     http::{self, Door},
-    link::Shared,
+    link::LinkContext,
     operator,
 };
 use corianderstand_control::{
@@ -189,10 +189,11 @@
     budget: Arc<Budget>,
 ) -> Result<(), RouterError> {
     let timing = settings.timing.clone();
-    let shared = Shared { router: settings.name.clone(), incarnation, timing, events, budget };
+    let context =
+        LinkContext { router: settings.name.clone(), incarnation, timing, events, budget };
     let current = control.current.clone();
     let runtime = runtime()?;
-    spawn("link", move || runtime.block_on(dial::run(shared, current)))?;
+    spawn("link", move || runtime.block_on(dial::run(context, current)))?;
     Ok(())
 }
 
