--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -24,7 +24,7 @@
 use tokio::{net::TcpStream, sync::mpsc, task::JoinHandle, time};
 
 /// Shortest pause before a connection is tried again.
-const MIN_RECONNECT: Duration = Duration::from_millis(20);
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// Time to open a connection. A host that is gone does not answer at all, and the request that
 /// finds this out has to reach another target within its time to the first token.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -33,12 +33,12 @@
 /// asks many targets in turn would keep a connection to most of them.
 pub const IDLE_HEARTBEATS: u32 = 10;
 /// When to come back to a target that was not reached.
-const RETRY_UNREACHED: Duration = Duration::from_millis(500);
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// One target as this thread knows it.
-struct Dialled {
+struct TargetConnection {
     address: SmolStr,
-    announced: u64,
+    announced_offset: u64,
     commands: mpsc::Sender<Command>,
     task: JoinHandle<()>,
 }
@@ -47,15 +47,17 @@
 pub async fn run(context: LinkContext, current: CurrentSnapshot) {
     let mut changed = current.subscribe();
     let mut version = u64::MAX;
-    let mut dialled: BTreeMap<TargetId, Dialled> = BTreeMap::new();
+    let mut connections: BTreeMap<TargetId, TargetConnection> = BTreeMap::new();
     loop {
         let snapshot = current.load();
         let targets = &snapshot.state.targets;
         if targets.version != version {
             version = targets.version;
-            dialled.retain(|name, known| keeps(&context, name, known, targets.by_name.get(name)));
+            connections.retain(|name, connection| {
+                retain_connection(&context, name, connection, targets.by_name.get(name))
+            });
             for (name, target) in &targets.by_name {
-                note(&context, &mut dialled, name, target);
+                register_target(&context, &mut connections, name, target);
             }
         }
         if changed.changed().await.is_err() {
@@ -65,64 +67,75 @@
 }
 
 /// Whether a target is still announced at the same address; if not, its task ends.
-fn keeps(context: &LinkContext, name: &TargetId, known: &Dialled, target: Option<&Target>) -> bool {
-    let keep = target.is_some_and(|target| target.record.address == known.address);
-    if !keep {
-        known.task.abort();
+fn retain_connection(
+    context: &LinkContext,
+    name: &TargetId,
+    connection: &TargetConnection,
+    target: Option<&Target>,
+) -> bool {
+    let unchanged = target.is_some_and(|target| target.record.address == connection.address);
+    if !unchanged {
+        connection.task.abort();
         context.send_event(Event::Disconnected(name.clone()));
     }
-    keep
+    unchanged
 }
 
 /// Starts a target's task, or notes that its agent has started anew.
 ///
 /// An agent that was draining and has been restarted takes work again. Without a connection
 /// nothing but the new announcement tells that, and the target would stay unused.
-fn note(
+fn register_target(
     context: &LinkContext,
-    dialled: &mut BTreeMap<TargetId, Dialled>,
+    connections: &mut BTreeMap<TargetId, TargetConnection>,
     name: &TargetId,
     target: &Target,
 ) {
-    let known = dialled.entry(name.clone()).or_insert_with(|| {
+    let connection = connections.entry(name.clone()).or_insert_with(|| {
         let (commands, rx) = mpsc::channel(link::QUEUE_CAPACITY);
         let address = target.record.address.clone();
-        let keep = keep(context.clone(), name.clone(), address.clone(), commands.clone(), rx);
-        Dialled { address, announced: 0, commands, task: tokio::spawn(keep) }
+        let task = maintain_connection(
+            context.clone(),
+            name.clone(),
+            address.clone(),
+            commands.clone(),
+            rx,
+        );
+        TargetConnection { address, announced_offset: 0, commands, task: tokio::spawn(task) }
     });
-    if known.announced != target.offset {
-        known.announced = target.offset;
-        let commands = known.commands.clone();
+    if connection.announced_offset != target.offset {
+        connection.announced_offset = target.offset;
+        let commands = connection.commands.clone();
         context.send_event(Event::Connected { target: name.clone(), draining: false, commands });
     }
 }
 
 /// Opens a connection when there is a request for it, and again and again when it broke; the
 /// pause is random, so that routers do not return together.
-async fn keep(
+async fn maintain_connection(
     context: LinkContext,
     target: TargetId,
     address: SmolStr,
     commands: mpsc::Sender<Command>,
     rx: mpsc::Receiver<Command>,
 ) {
-    let mut pause = MIN_RECONNECT;
+    let mut delay = MIN_RECONNECT_DELAY;
     let mut reachable = true;
-    let mut waiting = Waiting { context: context.clone(), first: None, rx };
+    let mut pending = PendingRequests { context: context.clone(), first: None, rx };
     loop {
-        waiting.first = if reachable {
-            first_request(&mut waiting.rx).await
+        pending.first = if reachable {
+            first_request(&mut pending.rx).await
         } else {
-            let spread = rand::rng().random_range(0.5..1.5);
-            time::sleep(pause.mul_f64(spread)).await;
-            pause = (pause * 2).min(context.timing.reconnect_ms.0);
+            let jitter = rand::rng().random_range(0.5..1.5);
+            time::sleep(delay.mul_f64(jitter)).await;
+            delay = (delay * 2).min(context.timing.reconnect_ms.0);
             None
         };
         match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&*address)).await {
             Ok(Ok(stream)) => {
-                pause = MIN_RECONNECT;
-                let first = waiting.first.take();
-                let rx = &mut waiting.rx;
+                delay = MIN_RECONNECT_DELAY;
+                let first = pending.first.take();
+                let rx = &mut pending.rx;
                 let close_reason =
                     link::serve(stream, &context, &target, &commands, rx, first).await;
                 reachable = matches!(close_reason, CloseReason::Idle);
@@ -131,15 +144,16 @@
                 }
             }
             failed => {
-                let error = failed.map_or_else(|late| late.to_string(), |done| format!("{done:?}"));
+                let error = failed
+                    .map_or_else(|elapsed| elapsed.to_string(), |result| format!("{result:?}"));
                 tracing::debug!(%target, error, "agent not reached");
                 context.send_event(Event::Disconnected(target.clone()));
                 reachable = false;
-                refuse(&context, waiting.first.take());
+                reject_unsent(&context, pending.first.take());
             }
         }
-        while !reachable && let Ok(command) = waiting.rx.try_recv() {
-            refuse(&context, Some(command));
+        while !reachable && let Ok(command) = pending.rx.try_recv() {
+            reject_unsent(&context, Some(command));
         }
     }
 }
@@ -148,18 +162,18 @@
 ///
 /// The task ends in the midst when its target is withdrawn. A request that waits then would be
 /// forgotten and its caller hear nothing until its deadline; it is given back on the way out.
-struct Waiting {
+struct PendingRequests {
     context: LinkContext,
     first: Option<Command>,
     rx: mpsc::Receiver<Command>,
 }
 
-impl Drop for Waiting {
+impl Drop for PendingRequests {
     fn drop(&mut self) {
-        refuse(&self.context, self.first.take());
+        reject_unsent(&self.context, self.first.take());
         self.rx.close();
         while let Ok(command) = self.rx.try_recv() {
-            refuse(&self.context, Some(command));
+            reject_unsent(&self.context, Some(command));
         }
     }
 }
@@ -176,9 +190,10 @@
 
 /// Gives a request back that was never sent, so that it certainly did not run and may go to
 /// another target even if it may not be repeated.
-fn refuse(context: &LinkContext, command: Option<Command>) {
+fn reject_unsent(context: &LinkContext, command: Option<Command>) {
     let Some(Command::Open(call)) = command else { return };
-    let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_UNREACHED };
+    let refusal =
+        Refusal { reason: RefusalReason::NotLoaded, retry_after: UNREACHABLE_RETRY_AFTER };
     let load = Load { running: 0, queued: 0, wait_ms: 0 };
     let key = link::request_key(call.open.stream);
     context.send_event(Event::Refused { key, refusal, load });
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -70,7 +70,7 @@
 struct Connection<'a> {
     context: &'a LinkContext,
     target: &'a TargetId,
-    out: mpsc::Sender<Bytes>,
+    outgoing: mpsc::Sender<Bytes>,
     commands: mpsc::Sender<Command>,
     streams: HashMap<u64, Stream>,
 }
@@ -84,9 +84,9 @@
     rx: &mut mpsc::Receiver<Command>,
     first: Option<Command>,
 ) -> CloseReason {
-    let (out, frames) = mpsc::channel(QUEUE_CAPACITY);
+    let (outgoing, frames) = mpsc::channel(QUEUE_CAPACITY);
     let (commands, streams) = (commands.clone(), HashMap::new());
-    let mut connection = Connection { context, target, out, commands, streams };
+    let mut connection = Connection { context, target, outgoing, commands, streams };
     let close_reason = match connection::split(stream, context.timing.silence_ms.0) {
         Ok((reader, writer)) => tokio::select! {
             close_reason = connection.run(reader, rx, first) => close_reason,
@@ -114,64 +114,64 @@
         commands: &mut mpsc::Receiver<Command>,
         first: Option<Command>,
     ) -> CloseReason {
-        if let Err(error) = self.greet(first).await {
+        if let Err(error) = self.send_hello(first).await {
             return CloseReason::Failed(error);
         }
         let mut heartbeat = HeartbeatMonitor::new(&self.context.timing);
         let mut ticks = time::interval(self.context.timing.heartbeat_ms.0);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
-            let done = tokio::select! {
+            let result = tokio::select! {
                 next = reader.next::<ToRouter>() => match next {
                     Ok((message, body)) => {
                         heartbeat.on_received();
-                        self.take(message, body)
+                        self.on_message(message, body)
                     }
                     Err(error) => Err(error),
                 },
                 command = commands.recv() => match command {
                     Some(command) => {
                         heartbeat.on_sent();
-                        self.command(command).await
+                        self.execute(command).await
                     }
                     None => Err(FrameError::Closed),
                 },
                 _ = ticks.tick() => match heartbeat.on_tick(!self.streams.is_empty()) {
                     HeartbeatAction::Skip => Ok(()),
-                    HeartbeatAction::Ping(nonce) => self.control(&ToAgent::Ping { nonce }).await,
+                    HeartbeatAction::Ping(nonce) => self.send_control(&ToAgent::Ping { nonce }).await,
                     HeartbeatAction::CloseIdle => return CloseReason::Idle,
                     HeartbeatAction::Unresponsive(elapsed) => Err(FrameError::IdleTimeout(elapsed.as_millis())),
                 }
             };
-            if let Err(error) = done {
+            if let Err(error) = result {
                 return CloseReason::Failed(error);
             }
         }
     }
 
-    async fn greet(&mut self, first: Option<Command>) -> Result<(), FrameError> {
+    async fn send_hello(&mut self, first: Option<Command>) -> Result<(), FrameError> {
         let router = self.context.router.clone();
         let incarnation = self.context.incarnation;
-        self.control(&ToAgent::Hello { router, incarnation, protocol: PROTOCOL }).await?;
+        self.send_control(&ToAgent::Hello { router, incarnation, protocol: PROTOCOL }).await?;
         match first {
-            Some(command) => self.command(command).await,
+            Some(command) => self.execute(command).await,
             None => Ok(()),
         }
     }
 
     /// Sends what is not part of a caller's request.
-    async fn control(&self, message: &ToAgent) -> Result<(), FrameError> {
+    async fn send_control(&self, message: &ToAgent) -> Result<(), FrameError> {
         let frame = frame::encode(message, b"")?;
         self.context.budget.spend(TrafficClass::Link, frame.len() as u64);
-        self.out.send(frame).await.map_err(|_| FrameError::Closed)
+        self.outgoing.send(frame).await.map_err(|_| FrameError::Closed)
     }
 
     async fn send(&self, message: &ToAgent, body: &[u8]) -> Result<(), FrameError> {
         let frame = frame::encode(message, body)?;
-        self.out.send(frame).await.map_err(|_| FrameError::Closed)
+        self.outgoing.send(frame).await.map_err(|_| FrameError::Closed)
     }
 
-    async fn command(&mut self, command: Command) -> Result<(), FrameError> {
+    async fn execute(&mut self, command: Command) -> Result<(), FrameError> {
         match command {
             Command::Open(call) => self.open(*call).await,
             Command::Credit { stream, upto } => {
@@ -204,11 +204,11 @@
         self.context.send_event(event);
     }
 
-    fn lost(&self, stream: u64, position: u64, failed: bool) {
+    fn report_lost(&self, stream: u64, position: u64, failed: bool) {
         self.send_event(Event::Lost { key: request_key(stream), position, failed });
     }
 
-    fn take(&mut self, message: ToRouter, body: Bytes) -> Result<(), FrameError> {
+    fn on_message(&mut self, message: ToRouter, body: Bytes) -> Result<(), FrameError> {
         match message {
             ToRouter::Welcome { draining, target, .. } => {
                 if target != *self.target {
@@ -219,22 +219,22 @@
                 self.send_event(Event::Connected { target, draining, commands });
             }
             ToRouter::Head { stream, status, content_type } => {
-                self.update(stream, Update::Head { status, content_type });
+                self.forward_update(stream, Update::Head { status, content_type });
             }
             ToRouter::Chunk { stream, position } => {
-                if let Some(held) = self.streams.get_mut(&stream) {
-                    held.position = held.position.max(position + 1);
+                if let Some(entry) = self.streams.get_mut(&stream) {
+                    entry.position = entry.position.max(position + 1);
                 }
-                self.update(stream, Update::Chunk { position, body });
+                self.forward_update(stream, Update::Chunk { position, body });
             }
             ToRouter::End { stream, ending: Ending::Failed { reason }, .. } => {
                 tracing::info!(stream, %reason, "answer broke off at its target");
-                if let Some(held) = self.streams.remove(&stream) {
-                    self.lost(stream, held.position, true);
+                if let Some(entry) = self.streams.remove(&stream) {
+                    self.report_lost(stream, entry.position, true);
                 }
             }
             ToRouter::End { stream, position, ending, load } => {
-                self.update(stream, Update::End { position, ending });
+                self.forward_update(stream, Update::End { position, ending });
                 self.streams.remove(&stream);
                 self.send_event(Event::Ended { key: request_key(stream), load: Some(load) });
             }
@@ -251,13 +251,13 @@
     }
 
     /// Hands an update to its caller; a stream that is not known was cancelled before.
-    fn update(&mut self, stream: u64, update: Update) {
-        let Some(held) = self.streams.get_mut(&stream) else { return };
+    fn forward_update(&mut self, stream: u64, update: Update) {
+        let Some(entry) = self.streams.get_mut(&stream) else { return };
         // The agent keeps to the window, so there is room unless the caller is gone. Its own word
         // of that may still be on its way, or have found the ring full. The stream stays until a
         // cancel is taken, which tells the agent and the `decide` thread; removed here, it would
         // be forgotten on this side only, and count as in flight on the others for ever.
-        if held.reply.try_send(update).is_err() {
+        if entry.reply.try_send(update).is_err() {
             drop(self.commands.try_send(Command::Cancel { stream }));
         }
     }
@@ -268,8 +268,8 @@
     /// each request on it is taken up elsewhere, or its handler is told. One that was forgotten
     /// here would leave its caller waiting until the deadline.
     fn drop(&mut self) {
-        for (stream, held) in std::mem::take(&mut self.streams) {
-            self.lost(stream, held.position, false);
+        for (stream, entry) in std::mem::take(&mut self.streams) {
+            self.report_lost(stream, entry.position, false);
         }
     }
 }
