--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -321,7 +321,7 @@
     }
 
     fn check_peer(&self, req: &Request) -> Result<(), Problem> {
-        let token = self.hasher.hash(operator::PEER_LABEL);
+        let token = self.hasher.hash(operator::PEER_TOKEN_LABEL);
         if bearer(req)? == token { Ok(()) } else { Err(Problem::Forbidden) }
     }
 
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -65,7 +65,7 @@
 }
 
 /// Word whose hash proves a process to its peers.
-pub const PEER_LABEL: &str = "peer";
+pub const PEER_TOKEN_LABEL: &str = "peer";
 /// Log time for which a change may take force after it was asked for. Longer, and an operator
 /// who was told "not known yet" would wait long for certainty; shorter, and a log that is merely
 /// slow would refuse changes.
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -150,7 +150,7 @@
 /// Where this router reads the log: itself, or from another router.
 fn source(settings: &RouterSettings, hasher: &Hasher, tail: Tail) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
-    let token = hasher.hash(operator::PEER_LABEL);
+    let token = hasher.hash(operator::PEER_TOKEN_LABEL);
     let own = Some(&settings.listen);
     Source::for_process(log, &settings.name, own, &settings.peers, &token, tail)
 }
@@ -172,7 +172,7 @@
             clock: clock.clone(),
         }),
         hosts: Arc::new(Paced::new(HttpHostList::new(&settings.host_list_url), clock.clone())),
-        peers: Arc::new(HttpPeers::new(&settings.peers, hasher.hash(operator::PEER_LABEL))),
+        peers: Arc::new(HttpPeers::new(&settings.peers, hasher.hash(operator::PEER_TOKEN_LABEL))),
         clock,
         log_read_wait: poll,
         hosts_poll_interval: settings.timing.host_list_poll_ms.0,
