--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -99,11 +99,11 @@
         Kind::History => history(door, &text("prefix")),
         Kind::Spread => spread(door, req).await?,
         Kind::Version => status::version(door),
-        Kind::Status if text("own") == "true" => status::own(door),
+        Kind::Status if text("own") == "true" => status::local(door),
         Kind::Status | Kind::State => {
             let authorization = req.headers().get("authorization");
             let authorization = authorization.and_then(|value| value.to_str().ok());
-            status::whole(door, authorization.unwrap_or_default()).await
+            status::fleet(door, authorization.unwrap_or_default()).await
         }
     };
     problem::set_header(res, "content-type", "application/json");
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -23,19 +23,19 @@
 use tokio::{net::TcpStream, sync::mpsc, time};
 
 /// Targets and routers asked at once, so that a question does not crowd out callers.
-const AT_ONCE: usize = 32;
+const MAX_CONCURRENT_QUERIES: usize = 32;
 /// Time one of them has to answer; one that is gone must not hold up the picture of the rest.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What one target tells.
-struct Told {
+struct TargetStatus {
     version: u64,
     holdings: Vec<Holding>,
 }
 
 /// What this router knows by itself, without asking anybody: `GET /operator/status?own=true`.
-pub fn own(door: &Door) -> Value {
-    let snapshot = door.control.current.load();
+pub fn local(context: &Door) -> Value {
+    let snapshot = context.control.current.load();
     let state = &snapshot.state;
     let targets = state.targets.by_name.values().map(|target| target_json(&target.record));
     let slots = state.slots.by_key.iter();
@@ -60,41 +60,46 @@
 }
 
 /// The whole picture.
-pub async fn whole(door: &Door, authorization: &str) -> Value {
-    let mut whole = own(door);
-    let snapshot = door.control.current.load();
+pub async fn fleet(context: &Door, authorization: &str) -> Value {
+    let mut fleet = local(context);
+    let snapshot = context.control.current.load();
     let state = &snapshot.state;
-    let asked: Vec<_> =
-        state.targets.by_name.values().map(|target| ask_target(door, &target.record)).collect();
-    let targets: Vec<_> = stream::iter(asked).buffered(AT_ONCE).collect().await;
-    let asked: Vec<_> =
-        door.peers.iter().map(|peer| ask_router(door, peer, authorization)).collect();
-    let routers: Vec<_> = stream::iter(asked).buffered(AT_ONCE).collect().await;
-    let this = json!({ "router": door.name, "reached": true, "version": state.documents.version });
+    let queries: Vec<_> = state
+        .targets
+        .by_name
+        .values()
+        .map(|target| query_target(context, &target.record))
+        .collect();
+    let targets: Vec<_> = stream::iter(queries).buffered(MAX_CONCURRENT_QUERIES).collect().await;
+    let queries: Vec<_> =
+        context.peers.iter().map(|peer| query_router(context, peer, authorization)).collect();
+    let routers: Vec<_> = stream::iter(queries).buffered(MAX_CONCURRENT_QUERIES).collect().await;
+    let this =
+        json!({ "router": context.name, "reached": true, "version": state.documents.version });
     let all_routers = [vec![this], routers].concat();
     let targets_json: Vec<Value> = targets
         .iter()
-        .map(|(record, told)| {
+        .map(|(record, status)| {
             let mut target = target_json(record);
-            target["reached"] = told.is_some().into();
-            target["version"] = json!(told.as_ref().map(|told| told.version));
+            target["reached"] = status.is_some().into();
+            target["version"] = json!(status.as_ref().map(|status| status.version));
             target
         })
         .collect();
     let holdings: Vec<Value> = targets
         .iter()
-        .flat_map(|(record, told)| told.iter().map(move |told| (&record.target, told)))
-        .flat_map(|(name, told)| told.holdings.iter().map(move |holding| (name, holding)))
+        .flat_map(|(record, status)| status.iter().map(move |status| (&record.target, status)))
+        .flat_map(|(name, status)| status.holdings.iter().map(move |holding| (name, holding)))
         .map(|(name, h)| {
             json!({ "target": name, "weights": h.weights, "stage": h.stage,
                 "memory_mib": h.memory_mib, "users": h.users })
         })
         .collect();
-    whole["routers"] = all_routers.into();
-    whole["targets"] = targets_json.into();
-    whole["slots"] = slots(state, &holdings).into();
-    whole["holdings"] = holdings.into();
-    whole
+    fleet["routers"] = all_routers.into();
+    fleet["targets"] = targets_json.into();
+    fleet["slots"] = slots(state, &holdings).into();
+    fleet["holdings"] = holdings.into();
+    fleet
 }
 
 /// Each slot, and whether its model is cold, loading or warm there.
@@ -107,28 +112,28 @@
                 let model = weights.split(['@', ':']).next();
                 holding["target"] == slot.target.as_str() && model == Some(key.model.as_str())
             };
-            let held = holdings.iter().find(is_model);
-            let stage = held.map_or(json!("cold"), |holding| holding["stage"].clone());
+            let holding = holdings.iter().find(is_model);
+            let stage = holding.map_or(json!("cold"), |holding| holding["stage"].clone());
             json!({ "model": key.model, "slot": key.index, "target": slot.target, "stage": stage })
         })
         .collect()
 }
 
-fn ask_target(
-    door: &Door,
+fn query_target(
+    context: &Door,
     record: &TargetRecord,
-) -> impl Future<Output = (TargetRecord, Option<Told>)> + use<> {
-    let (name, record) = (door.name.clone(), record.clone());
+) -> impl Future<Output = (TargetRecord, Option<TargetStatus>)> + use<> {
+    let (name, record) = (context.name.clone(), record.clone());
     async move {
-        let told = time::timeout(TIMEOUT, ask(&name, &record.address)).await;
-        (record, told.ok().and_then(Result::ok))
+        let status = time::timeout(QUERY_TIMEOUT, query_agent(&name, &record.address)).await;
+        (record, status.ok().and_then(Result::ok))
     }
 }
 
 /// Asks an agent what its target holds.
-async fn ask(name: &WriterId, address: &str) -> Result<Told, FrameError> {
+async fn query_agent(name: &WriterId, address: &str) -> Result<TargetStatus, FrameError> {
     let stream = TcpStream::connect(address).await?;
-    let (mut reader, writer) = connection::split(stream, TIMEOUT)?;
+    let (mut reader, writer) = connection::split(stream, QUERY_TIMEOUT)?;
     let (out, rx) = mpsc::channel(2);
     let hello = ToAgent::Hello {
         router: name.clone(),
@@ -142,36 +147,36 @@
     let read = async {
         loop {
             if let (ToRouter::Holdings { version, holdings }, _) = reader.next().await? {
-                return Ok(Told { version, holdings });
+                return Ok(TargetStatus { version, holdings });
             }
         }
     };
     tokio::select! {
-        told = read => told,
+        status = read => status,
         written = writer.run(rx) => Err(written.err().unwrap_or(FrameError::Closed)),
     }
 }
 
 /// Asks another router which version it follows, with the operator's own key.
-fn ask_router(
-    door: &Door,
+fn query_router(
+    context: &Door,
     peer: &SmolStr,
     authorization: &str,
 ) -> impl Future<Output = Value> + use<> {
-    let req = door.peer_client.get(format!("http://{peer}/operator/version"));
-    let req = req.header("authorization", authorization).timeout(TIMEOUT);
+    let req = context.peer_client.get(format!("http://{peer}/operator/version"));
+    let req = req.header("authorization", authorization).timeout(QUERY_TIMEOUT);
     let peer = peer.clone();
     async move {
-        let told: Value = match req.send().await {
-            Ok(answer) => answer.json().await.unwrap_or_default(),
+        let response: Value = match req.send().await {
+            Ok(response) => response.json().await.unwrap_or_default(),
             Err(_) => Value::Null,
         };
-        let name = told["router"].as_str().unwrap_or(&peer);
-        json!({ "router": name, "reached": told.is_object(), "version": told["version"] })
+        let name = response["router"].as_str().unwrap_or(&peer);
+        json!({ "router": name, "reached": response.is_object(), "version": response["version"] })
     }
 }
 
 /// What this router alone follows: `GET /operator/version`.
-pub fn version(door: &Door) -> Value {
-    json!({ "router": door.name, "version": door.control.current.load().state.documents.version })
+pub fn version(context: &Door) -> Value {
+    json!({ "router": context.name, "version": context.control.current.load().state.documents.version })
 }
