--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -138,9 +138,13 @@
                 },
                 _ = ticks.tick() => match heartbeat.on_tick(!self.streams.is_empty()) {
                     HeartbeatAction::Skip => Ok(()),
-                    HeartbeatAction::Ping(nonce) => self.send_control(&ToAgent::Ping { nonce }).await,
+                    HeartbeatAction::Ping(nonce) => {
+                        self.send_control(&ToAgent::Ping { nonce }).await
+                    }
                     HeartbeatAction::CloseIdle => return CloseReason::Idle,
-                    HeartbeatAction::Unresponsive(elapsed) => Err(FrameError::IdleTimeout(elapsed.as_millis())),
+                    HeartbeatAction::Unresponsive(elapsed) => {
+                        Err(FrameError::IdleTimeout(elapsed.as_millis()))
+                    }
                 }
             };
             if let Err(error) = result {
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -69,9 +69,9 @@
 /// Log time for which a change may take force after it was asked for. Longer, and an operator
 /// who was told "not known yet" would wait long for certainty; shorter, and a log that is merely
 /// slow would refuse changes.
-pub const FORCE_WINDOW: Duration = Duration::from_secs(8);
+pub const EXPIRY_WINDOW: Duration = Duration::from_secs(8);
 /// Time a peer has to say which version it has.
-const PEER_SILENCE: Duration = Duration::from_secs(2);
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time the log has to decide a change: the window and a little for reading it back.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -81,29 +81,29 @@
 ///
 /// Any [`Problem`].
 pub async fn answer(
-    door: &Door,
+    context: &Door,
     kind: Kind,
     req: &mut Request,
     res: &mut Response,
 ) -> Result<(), Problem> {
     if kind == Kind::State {
         problem::set_header(res, "content-type", "application/octet-stream");
-        drop(res.write_body(state(door)?));
+        drop(res.write_body(state(context)?));
         return Ok(());
     }
     let text = |name: &str| req.query::<String>(name).unwrap_or_default();
     let value = match kind {
-        Kind::Apply => apply(door, req).await?,
-        Kind::Get => get(door, &text("prefix")),
-        Kind::Ticket => ticket(door, &text("ticket"))?,
-        Kind::History => history(door, &text("prefix")),
-        Kind::Spread => spread(door, req).await?,
-        Kind::Version => status::version(door),
-        Kind::Status if text("own") == "true" => status::local(door),
+        Kind::Apply => apply(context, req).await?,
+        Kind::Get => get(context, &text("prefix")),
+        Kind::Ticket => ticket(context, &text("ticket"))?,
+        Kind::History => history(context, &text("prefix")),
+        Kind::Spread => rollout(context, req).await?,
+        Kind::Version => status::version(context),
+        Kind::Status if text("own") == "true" => status::local(context),
         Kind::Status | Kind::State => {
             let authorization = req.headers().get("authorization");
             let authorization = authorization.and_then(|value| value.to_str().ok());
-            status::fleet(door, authorization.unwrap_or_default()).await
+            status::fleet(context, authorization.unwrap_or_default()).await
         }
     };
     problem::set_header(res, "content-type", "application/json");
@@ -111,25 +111,26 @@
     Ok(())
 }
 
-async fn apply(door: &Door, req: &mut Request) -> Result<Value, Problem> {
-    let body = door.read_body(req, door.max_body_bytes).await?;
-    let asked: ApplyRequest = serde_json::from_slice(&body)
+async fn apply(context: &Door, req: &mut Request) -> Result<Value, Problem> {
+    let body = context.read_body(req, context.max_body_bytes).await?;
+    let request: ApplyRequest = serde_json::from_slice(&body)
         .map_err(|error| Problem::Invalid(format!("the change cannot be read: {error}")))?;
-    let changes = asked.changes.into_iter().map(change).collect::<Result<Vec<_>, _>>()?;
-    let snapshot = door.control.current.load();
+    let changes =
+        request.changes.into_iter().map(validate_change).collect::<Result<Vec<_>, _>>()?;
+    let snapshot = context.control.current.load();
     if !snapshot.log_up {
         return Err(Problem::LogDown("the log does not answer"));
     }
-    let ticket = new_ticket(&snapshot, &door.clock);
-    let (author, not_after_ms) = (asked.author, not_after_ms(&ticket).unwrap_or_default());
+    let ticket = new_ticket(&snapshot, &context.clock);
+    let (author, not_after_ms) = (request.author, not_after_ms(&ticket).unwrap_or_default());
     let body = Body::Settings { changes, author, ticket: ticket.clone(), not_after_ms };
-    let decided = match door.control.appender.append(body, APPLY_TIMEOUT).await {
-        Ok(decided) => decided,
+    let appended = match context.control.appender.append(body, APPLY_TIMEOUT).await {
+        Ok(appended) => appended,
         Err(AppendError::Full) => return Err(Problem::LogDown("too many records wait for it")),
         Err(AppendError::Undecided) => return Err(Problem::Undecided(ticket)),
     };
-    match decided.outcome {
-        Outcome::Applied => Ok(json!({ "version": decided.offset, "ticket": ticket })),
+    match appended.outcome {
+        Outcome::Applied => Ok(json!({ "version": appended.offset, "ticket": ticket })),
         Outcome::Rejected(rejection @ Rejection::Conflict { .. }) => {
             Err(Problem::Conflict(rejection.to_string()))
         }
@@ -143,7 +144,7 @@
 /// A name for a change that also tells when it can no longer take force.
 fn new_ticket(snapshot: &Snapshot, clock: &SharedClock) -> SmolStr {
     let now_ms = clock::unix_ms(clock.wall()).saturating_add_signed(snapshot.log_clock_ms);
-    let not_after_ms = now_ms + FORCE_WINDOW.as_millis() as u64;
+    let not_after_ms = now_ms + EXPIRY_WINDOW.as_millis() as u64;
     format_smolstr!("{not_after_ms}-{:016x}", rand::random::<u64>())
 }
 
@@ -155,10 +156,10 @@
 ///
 /// "Refused" is said of a change that is not in the log only once the log has been read beyond
 /// the time after which the fold voids it; before that it is not known yet.
-fn ticket(door: &Door, ticket: &str) -> Result<Value, Problem> {
-    let unknown = || Problem::Invalid("`ticket` is not one that a router gave".into());
-    let not_after_ms = not_after_ms(ticket).ok_or_else(unknown)?;
-    let snapshot = door.control.current.load();
+fn ticket(context: &Door, ticket: &str) -> Result<Value, Problem> {
+    let malformed = || Problem::Invalid("`ticket` is not one that a router gave".into());
+    let not_after_ms = not_after_ms(ticket).ok_or_else(malformed)?;
+    let snapshot = context.control.current.load();
     let history = &snapshot.state.history;
     if let Some(entry) = history.find(ticket) {
         return Ok(match &entry.refused {
@@ -166,10 +167,10 @@
             Some(reason) => json!({ "outcome": "refused", "reason": reason }),
         });
     }
-    let window_ms = FORCE_WINDOW.as_millis() as u64;
-    let forgotten = history.entries.len() >= MAX_ENTRIES
+    let window_ms = EXPIRY_WINDOW.as_millis() as u64;
+    let evicted = history.entries.len() >= MAX_ENTRIES
         && history.entries.front().is_some_and(|first| first.at_ms + window_ms >= not_after_ms);
-    Ok(if forgotten {
+    Ok(if evicted {
         json!({ "outcome": "forgotten", "reason": "it is too old: see what is in force" })
     } else if snapshot.read_to_ms > not_after_ms {
         json!({ "outcome": "refused", "reason": "it did not reach the log in time: apply again" })
@@ -178,37 +179,38 @@
     })
 }
 
-fn history(door: &Door, prefix: &str) -> Value {
-    let snapshot = door.control.current.load();
+fn history(context: &Door, prefix: &str) -> Value {
+    let snapshot = context.control.current.load();
     let entries: Vec<Value> =
         snapshot.state.history.of_path(prefix).map(|entry| json!(entry)).collect();
     json!({ "entries": entries })
 }
 
 /// On how many routers a version is in force, as they say themselves.
-async fn spread(door: &Door, req: &Request) -> Result<Value, Problem> {
-    let wanted = req.query::<u64>("version").unwrap_or_default();
+async fn rollout(context: &Door, req: &Request) -> Result<Value, Problem> {
+    let requested = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
-    let asked = door.peers.iter().map(|peer| version_of(peer, bearer));
-    let versions = futures::future::join_all(asked).await;
-    let own = door.control.current.load().state.documents.version;
-    let known: Vec<u64> = versions.iter().flatten().copied().chain([own]).collect();
-    let in_force = known.iter().filter(|version| **version >= wanted).count();
-    let routers = door.peers.len() + 1;
-    let silent = routers - known.len();
-    Ok(json!({ "version": wanted, "routers": routers, "in_force": in_force, "silent": silent }))
+    let queries = context.peers.iter().map(|peer| query_version(peer, bearer));
+    let versions = futures::future::join_all(queries).await;
+    let local = context.control.current.load().state.documents.version;
+    let reported: Vec<u64> = versions.iter().flatten().copied().chain([local]).collect();
+    let in_force = reported.iter().filter(|version| **version >= requested).count();
+    let routers = context.peers.len() + 1;
+    let unresponsive = routers - reported.len();
+    Ok(json!({ "version": requested, "routers": routers, "in_force": in_force,
+        "silent": unresponsive }))
 }
 
-async fn version_of(peer: &str, bearer: &str) -> Option<u64> {
-    let system = HttpSystem::new("a peer router", &format!("http://{peer}"), PEER_SILENCE);
+async fn query_version(peer: &str, bearer: &str) -> Option<u64> {
+    let system = HttpSystem::new("a peer router", &format!("http://{peer}"), PEER_TIMEOUT);
     let req = system.request(reqwest::Method::GET, "/operator/get?prefix=-").bearer_auth(bearer);
-    let answer: Value = system.json(req).await.ok()?;
-    answer["version"].as_u64()
+    let response: Value = system.json(req).await.ok()?;
+    response["version"].as_u64()
 }
 
 /// The whole state, for a process that starts while the log is down.
-fn state(door: &Door) -> Result<Vec<u8>, Problem> {
-    let snapshot = door.control.current.load();
+fn state(context: &Door) -> Result<Vec<u8>, Problem> {
+    let snapshot = context.control.current.load();
     if !snapshot.caught_up {
         return Err(Problem::NotReady(snapshot.waiting.reason()));
     }
@@ -217,21 +219,21 @@
 
 /// A change is checked here too: a document that does not follow its schema must not get into
 /// the log, whatever program sent it.
-fn change(change: ApplyChange) -> Result<Change, Problem> {
+fn validate_change(change: ApplyChange) -> Result<Change, Problem> {
     let ApplyChange { path, base, value } = change;
     if let Some(value) = &value {
-        let faults = view::check_document(&path, value);
-        if !faults.is_empty() {
-            let faults: Vec<String> = faults.iter().map(|f| format!("{path} {f}")).collect();
-            return Err(Problem::Invalid(faults.join("; ")));
+        let errors = view::check_document(&path, value);
+        if !errors.is_empty() {
+            let errors: Vec<String> = errors.iter().map(|f| format!("{path} {f}")).collect();
+            return Err(Problem::Invalid(errors.join("; ")));
         }
     }
     let value = value.map(|value| value.to_string());
     Ok(Change { path, base, value })
 }
 
-fn get(door: &Door, prefix: &str) -> Value {
-    let snapshot = door.control.current.load();
+fn get(context: &Door, prefix: &str) -> Value {
+    let snapshot = context.control.current.load();
     let documents = snapshot.state.documents.by_path.iter();
     let documents: Vec<Value> = documents
         .filter(|(path, _)| path.starts_with(prefix))
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -70,7 +70,7 @@
 /// How a caller proves its team.
 const CHALLENGE: &str = "Bearer realm=\"corianderstand\"";
 /// When to come back where no other time is known.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Problem {
     /// The stable code.
@@ -139,10 +139,10 @@
         match self {
             Self::Refused(_, after) => Some(*after),
             Self::NotReady(_) | Self::LogDown(_) | Self::Failed(_) | Self::Deadline => {
-                Some(DEFAULT_RETRY)
+                Some(DEFAULT_RETRY_AFTER)
             }
-            Self::Unknown(_) | Self::Undecided(_) => Some(DEFAULT_RETRY),
-            Self::TooManyConnections | Self::TooSlow(_) => Some(DEFAULT_RETRY),
+            Self::Unknown(_) | Self::Undecided(_) => Some(DEFAULT_RETRY_AFTER),
+            Self::TooManyConnections | Self::TooSlow(_) => Some(DEFAULT_RETRY_AFTER),
             _ => None,
         }
     }
--- a/crates/corianderstand_router/src/relay.rs
+++ b/crates/corianderstand_router/src/relay.rs
@@ -19,11 +19,11 @@
             problem::set_header(res, "content-type", "application/json");
             drop(res.write_body(serde_json::to_vec(&page).expect("a page is plain data")));
         }
-        Err(error) => refuse(error, res),
+        Err(error) => write_error(error, res),
     }
 }
 
-fn refuse(error: RelayError, res: &mut Response) {
+fn write_error(error: RelayError, res: &mut Response) {
     let status = match error {
         RelayError::Gone => StatusCode::GONE,
         RelayError::Stale | RelayError::Busy(_) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -43,12 +43,12 @@
 use tokio::{runtime, time};
 
 /// Events that wait for the `decide` thread.
-const EVENT_RING: usize = 16384;
+const EVENT_QUEUE_CAPACITY: usize = 16384;
 /// How many times the limit a head may be long to be refused in our own form; the HTTP library
 /// refuses a longer one with an empty body.
-const HEAD_SLACK: usize = 8;
+const HEADER_HARD_LIMIT_RATIO: usize = 8;
 /// Time between two looks during a planned stop.
-const STOP_PAUSE: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A router that cannot start.
 #[derive(Debug, displaydoc::Display)]
@@ -90,7 +90,7 @@
     let metrics = Metrics::new(settings.statsd.as_deref(), settings.name.as_str());
     let metrics = metrics.map_err(RouterError::Statsd)?;
     let control = start_control(&settings, incarnation, &hasher, source, clock.clone(), &metrics)?;
-    let (events, events_rx) = mpsc::sync_channel(EVENT_RING);
+    let (events, events_rx) = mpsc::sync_channel(EVENT_QUEUE_CAPACITY);
     let held = Arc::new(AtomicUsize::new(0));
     let draining = Arc::new(AtomicBool::new(false));
 
@@ -110,7 +110,7 @@
     start_link(&settings, incarnation, &control, events.clone(), budget)?;
 
     let peer_client = reqwest::Client::builder().no_proxy().build();
-    let door = Arc::new(Door {
+    let context = Arc::new(Door {
         name: settings.name.clone(),
         peer_client: peer_client.expect("the client has no settings that can fail"),
         events,
@@ -130,7 +130,7 @@
         arrivals: Arrivals::new(clock.since_boot()),
         clock,
     });
-    let (server, http) = start_http(&settings, incarnation, &door)?;
+    let (server, http) = start_http(&settings, incarnation, &context)?;
     let (grace, drain_limit) = (settings.timing.grace_ms.0, settings.timing.drain_ms.0);
     Ok(RouterHandle { draining, held, server, http, control, grace, drain_limit })
 }
@@ -200,7 +200,7 @@
 fn start_http(
     settings: &RouterSettings,
     incarnation: u64,
-    door: &Arc<Door>,
+    context: &Arc<Door>,
 ) -> Result<(ServerHandle, thread::JoinHandle<()>), RouterError> {
     let listen_error = |error| RouterError::Listen(settings.listen.to_string(), error);
     let listener = std::net::TcpListener::bind(settings.listen.as_str()).map_err(listen_error)?;
@@ -215,33 +215,37 @@
         let listener = tokio::net::TcpListener::from_std(listener).map_err(listen_error)?;
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
-    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.arrivals.clone()))
-        .fuse_policy(Policy(door.connections.clone()));
-    server.http1_mut().max_header_size(door.max_header_bytes * HEAD_SLACK);
+    let mut server = Server::new(WatchedAcceptor::new(acceptor, context.arrivals.clone()))
+        .fuse_policy(Policy(context.connections.clone()));
+    server.http1_mut().max_header_size(context.max_header_bytes * HEADER_HARD_LIMIT_RATIO);
     let handle = server.handle();
-    let routes = http::routes(door);
+    let routes = http::routes(context);
     let identity = Identity { writer: settings.name.clone(), incarnation };
-    let reported = door.clone();
-    let more = move |metrics: &Metrics| {
-        metrics.gauge(Metric::RouterHeld, reported.held.load(Ordering::Relaxed) as u64);
-        metrics.gauge(Metric::RouterConnections, reported.connections.held() as u64);
-        reported.tail.budget().report(metrics);
+    let metrics_context = context.clone();
+    let report_gauges = move |metrics: &Metrics| {
+        metrics.gauge(Metric::RouterHeld, metrics_context.held.load(Ordering::Relaxed) as u64);
+        metrics.gauge(Metric::RouterConnections, metrics_context.connections.held() as u64);
+        metrics_context.tail.budget().report(metrics);
     };
-    let report =
-        measured::report(door.metrics.clone(), identity, door.control.current.clone(), more);
-    let watched = door.clone();
+    let report = measured::report(
+        context.metrics.clone(),
+        identity,
+        context.control.current.clone(),
+        report_gauges,
+    );
+    let pause_context = context.clone();
     let http = spawn("http", move || {
         runtime.spawn(report);
-        runtime.spawn(watch(watched));
+        runtime.spawn(detect_pauses(pause_context));
         runtime.block_on(server.serve(routes));
     })?;
     Ok((handle, http))
 }
 
 /// Turns the watch for pauses on the thread that reads requests.
-async fn watch(door: Arc<Door>) {
+async fn detect_pauses(context: Arc<Door>) {
     loop {
-        door.arrivals.turn(door.clock.since_boot());
+        context.arrivals.turn(context.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
@@ -269,15 +273,15 @@
         }
         thread::sleep(self.grace);
         self.server.stop_graceful(None);
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !self.http.is_finished() {
-            if began.elapsed() >= self.drain_limit {
+            if started_at.elapsed() >= self.drain_limit {
                 let held = self.held.load(Ordering::Relaxed);
                 tracing::warn!(held, "planned stop: limit reached with requests in flight");
                 self.server.stop_forceful();
                 break;
             }
-            thread::sleep(STOP_PAUSE);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 }
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -178,5 +178,6 @@
 
 /// What this router alone follows: `GET /operator/version`.
 pub fn version(context: &Door) -> Value {
-    json!({ "router": context.name, "version": context.control.current.load().state.documents.version })
+    json!({ "router": context.name,
+        "version": context.control.current.load().state.documents.version })
 }
