--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -1,13 +1,11 @@
-//! When a connection to an agent is opened and closed.
+//! Opens and closes connections to agents on demand.
 //!
-//! Made for 340 routers before 730 agents: a connection from each to each, with a heartbeat on
-//! it, would cost a router more than all its control traffic may. A connection is opened for the
-//! first request to a target and closed when it has been idle for [`IDLE_HEARTBEATS`]. Opening
-//! takes one round trip less than a millisecond inside a place, and the request goes along
-//! without waiting for the greeting.
+//! Heartbeats on a full mesh of routers and agents would exceed a router's budget for control
+//! traffic. A connection is therefore opened for the first request to a target and closed after
+//! [`IDLE_HEARTBEATS`]; the request is sent without waiting for the handshake.
 //!
-//! A target without a connection counts as reachable until an attempt fails. Then its requests
-//! go elsewhere, and it is tried again until it answers.
+//! A target without a connection counts as reachable until a connection attempt fails. Its
+//! requests are then rejected, and the connection is retried until it succeeds.
 
 use crate::{
     event::{Command, Event},
@@ -23,19 +21,13 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::{net::TcpStream, sync::mpsc, task::JoinHandle, time};
 
-/// Shortest pause before a connection is tried again.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// Time to open a connection. A host that is gone does not answer at all, and the request that
-/// finds this out has to reach another target within its time to the first token.
+// Short, so that a request to a lost host can still reach another target in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Heartbeats for which a connection may carry no stream before it is closed. Shorter, and a
-/// target that is asked every few seconds would be greeted each time; longer, and a router that
-/// asks many targets in turn would keep a connection to most of them.
+/// Heartbeat intervals without a stream after which a connection is closed.
 pub const IDLE_HEARTBEATS: u32 = 10;
-/// When to come back to a target that was not reached.
 const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// One target as this thread knows it.
 struct TargetConnection {
     address: SmolStr,
     announced_offset: u64,
@@ -43,7 +35,7 @@
     task: JoinHandle<()>,
 }
 
-/// Keeps one task for each target of the snapshot, for ever.
+/// Runs one connection task for each target of the current snapshot.
 pub async fn run(context: LinkContext, current: CurrentSnapshot) {
     let mut changed = current.subscribe();
     let mut version = u64::MAX;
@@ -66,7 +58,7 @@
     }
 }
 
-/// Whether a target is still announced at the same address; if not, its task ends.
+/// Returns whether a target is still announced at the same address; aborts its task otherwise.
 fn retain_connection(
     context: &LinkContext,
     name: &TargetId,
@@ -81,10 +73,8 @@
     unchanged
 }
 
-/// Starts a target's task, or notes that its agent has started anew.
-///
-/// An agent that was draining and has been restarted takes work again. Without a connection
-/// nothing but the new announcement tells that, and the target would stay unused.
+/// Starts the connection task of a new target, and marks a target as available when it is
+/// announced again: without a connection, nothing else reports that a drained agent restarted.
 fn register_target(
     context: &LinkContext,
     connections: &mut BTreeMap<TargetId, TargetConnection>,
@@ -110,8 +100,7 @@
     }
 }
 
-/// Opens a connection when there is a request for it, and again and again when it broke; the
-/// pause is random, so that routers do not return together.
+/// Connects on the first request and reconnects with jittered exponential backoff after a failure.
 async fn maintain_connection(
     context: LinkContext,
     target: TargetId,
@@ -140,13 +129,13 @@
                     link::serve(stream, &context, &target, &commands, rx, first).await;
                 reachable = matches!(close_reason, CloseReason::Idle);
                 if let CloseReason::Failed(error) = close_reason {
-                    tracing::warn!(%target, %error, "connection to an agent broke");
+                    tracing::warn!(%target, %error, "connection to agent failed");
                 }
             }
             failed => {
                 let error = failed
                     .map_or_else(|elapsed| elapsed.to_string(), |result| format!("{result:?}"));
-                tracing::debug!(%target, error, "agent not reached");
+                tracing::debug!(%target, error, "failed to connect to agent");
                 context.send_event(Event::Disconnected(target.clone()));
                 reachable = false;
                 reject_unsent(&context, pending.first.take());
@@ -160,8 +149,8 @@
 
 /// Requests that wait for a connection.
 ///
-/// The task ends in the midst when its target is withdrawn. A request that waits then would be
-/// forgotten and its caller hear nothing until its deadline; it is given back on the way out.
+/// Rejects them on drop: the task is aborted when its target is withdrawn, and a request lost
+/// with it would leave its caller waiting until the deadline.
 struct PendingRequests {
     context: LinkContext,
     first: Option<Command>,
@@ -178,7 +167,7 @@
     }
 }
 
-/// Waits for a request; credit and cancelling of streams that are over concern nobody.
+/// Waits for a request; discards credit and cancellation of streams that have ended.
 async fn first_request(rx: &mut mpsc::Receiver<Command>) -> Option<Command> {
     while let Some(command) = rx.recv().await {
         if matches!(command, Command::Open(_)) {
@@ -188,8 +177,8 @@
     None
 }
 
-/// Gives a request back that was never sent, so that it certainly did not run and may go to
-/// another target even if it may not be repeated.
+/// Reports a request that was never sent as refused, so that it may go to another target even if
+/// it is not repeatable.
 fn reject_unsent(context: &LinkContext, command: Option<Command>) {
     let Some(Command::Open(call)) = command else { return };
     let refusal =
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router tell each other.
+//! Messages between the threads of a router.
 
 use bytes::Bytes;
 use corianderstand_decide::request::{Refusal, RequestKey, RequestSpec};
@@ -7,131 +7,131 @@
 use smol_str::SmolStr;
 use tokio::sync::mpsc;
 
-/// Chunks on their way to one caller; a slow reader holds up only itself.
+/// Flow-control window of a stream, in chunks.
 pub const CHUNK_WINDOW: u64 = 64;
-/// Updates that are no chunks: few for each target that a request is tried at.
+/// Queue capacity for updates other than chunks, of which each attempt causes only a few.
 pub const REPLY_EXTRA_CAPACITY: usize = 16;
-/// Updates that wait for one caller's handler: the window, and the few that are no chunks.
+/// Capacity of the update queue of one caller's handler.
 pub const REPLY_QUEUE_CAPACITY: usize = CHUNK_WINDOW as usize + REPLY_EXTRA_CAPACITY;
 
-/// A request as the handler hands it in.
+/// A request submitted by a handler.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The header for the agent; its stream number is filled in later.
+    /// The header for the agent; the `decide` thread sets its stream id.
     pub open: OpenStream,
-    /// The caller's body.
+    /// The request body.
     pub body: Bytes,
-    /// To the handler.
+    /// Update channel of the handler.
     pub reply: mpsc::Sender<Update>,
 }
 
-/// To a caller's handler.
+/// Message to a caller's handler.
 #[derive(Debug)]
 pub enum Update {
-    /// The request is with a target.
+    /// The request was sent to a target.
     Attached(Attachment),
-    /// Status of a service's answer.
+    /// Response head of a service.
     Head {
         /// HTTP status.
         status: u16,
         /// Content type.
         content_type: SmolStr,
     },
-    /// Part of the answer.
+    /// Part of the response.
     Chunk {
-        /// Its place.
+        /// Index of the chunk in the response.
         position: u64,
-        /// Its bytes.
+        /// Payload.
         body: Bytes,
     },
-    /// The answer is over.
+    /// The response has ended.
     End {
-        /// Chunks in the whole answer.
+        /// Number of chunks in the complete response.
         position: u64,
-        /// How it ended.
+        /// Outcome of the response.
         ending: Ending,
     },
-    /// The request is not run.
+    /// The request was not run.
     Refused {
-        /// Why.
+        /// Reason and retry delay.
         refusal: Refusal,
-        /// Whether a replica that was decided for is out of service for a moment.
+        /// Whether an assigned replica is temporarily unavailable, so that a retry may succeed.
         moving: bool,
     },
-    /// The target was lost, and no other has taken the request up.
+    /// The target was lost and no other target accepted the request.
     Lost {
         /// Whether the target failed, rather than the connection to it.
         failed: bool,
     },
 }
 
-/// Where a request's stream is, for credit and cancelling.
+/// The stream of a request, used to grant credit and to cancel.
 #[derive(Clone, Debug)]
 pub struct Attachment {
-    /// Number of the stream on its connection.
+    /// Stream id.
     pub stream: u64,
-    /// To the connection.
+    /// Command channel of the connection.
     pub commands: mpsc::Sender<Command>,
 }
 
-/// To a connection.
+/// Command to a connection.
 #[derive(Debug)]
 pub enum Command {
-    /// Open a stream.
+    /// Opens a stream.
     Open(Box<Call>),
-    /// More chunks may come.
+    /// Extends the flow-control window.
     Credit {
-        /// The stream.
+        /// Stream id.
         stream: u64,
-        /// First position not to be sent yet.
+        /// First position outside the window.
         upto: u64,
     },
-    /// Nobody waits any more.
+    /// Cancels a stream.
     Cancel {
-        /// The stream.
+        /// Stream id.
         stream: u64,
     },
 }
 
-/// To the `decide` thread.
+/// Event for the `decide` thread.
 #[derive(Debug)]
 pub enum Event {
-    /// A request has come.
+    /// A request was submitted.
     Submit(Box<(RequestSpec, Call)>),
-    /// A connection is up.
+    /// A target is available: its connection is open, or it was announced.
     Connected {
         /// The target.
         target: TargetId,
-        /// Whether it takes no new work.
+        /// Whether it accepts no new requests.
         draining: bool,
-        /// To the connection.
+        /// Command channel of the connection.
         commands: mpsc::Sender<Command>,
     },
-    /// A connection is gone.
+    /// A target is unreachable or was withdrawn.
     Disconnected(TargetId),
-    /// A target takes no new work.
+    /// A target accepts no new requests.
     Draining(TargetId),
     /// A target refused a request.
     Refused {
-        /// Which.
+        /// The request.
         key: RequestKey,
-        /// Why.
+        /// Reason and retry delay.
         refusal: Refusal,
-        /// How busy the target is.
+        /// Load of the target.
         load: Load,
     },
     /// A request has ended.
     Ended {
-        /// Which.
+        /// The request.
         key: RequestKey,
-        /// How busy the target is, if it told.
+        /// Load of the target, if reported.
         load: Option<Load>,
     },
-    /// A request's target was lost before its answer was whole.
+    /// The target of a request was lost before the response was complete.
     Lost {
-        /// Which.
+        /// The request.
         key: RequestKey,
-        /// First position that has not come.
+        /// First position that was not received.
         position: u64,
         /// Whether the target failed, rather than the connection to it.
         failed: bool,
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -1,8 +1,7 @@
-//! When a connection needs a heartbeat, and when it is idle or silent.
+//! Decides when a connection needs a heartbeat and when it is idle or unresponsive.
 //!
-//! Chunks and credit of a stream in flight show both ends that the connection lives, so a
-//! heartbeat is sent only in an interval in which one side said nothing. At the peak a router
-//! has some two hundred streams in flight, most of them with a token every few milliseconds.
+//! Stream traffic in both directions proves that the connection works, so a heartbeat is sent
+//! only after an interval in which one side sent nothing.
 
 #[cfg(test)]
 mod tests;
@@ -11,20 +10,20 @@
 use corianderstand_schema::process::Timing;
 use std::time::Duration;
 
-/// What to do at a tick.
+/// Action to take at a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// Nothing: both sides have spoken.
+    /// No heartbeat is needed: both sides have sent something.
     Skip,
-    /// Send a heartbeat.
+    /// Send a heartbeat with this nonce.
     Ping(u64),
-    /// Close: it has carried no stream for a while.
+    /// Close the idle connection.
     CloseIdle,
-    /// Give it up: the other side has said nothing for so long.
+    /// Close the connection: nothing was received for this long.
     Unresponsive(Duration),
 }
 
-/// What has been said on one connection, counted in ticks.
+/// Tracks the traffic of a connection between ticks.
 #[derive(Debug)]
 pub struct HeartbeatMonitor {
     interval: Duration,
@@ -38,7 +37,7 @@
 }
 
 impl HeartbeatMonitor {
-    /// A connection that has just been opened.
+    /// Creates the monitor of a newly opened connection.
     pub const fn new(timing: &Timing) -> Self {
         Self {
             interval: timing.heartbeat_ms.0,
@@ -52,22 +51,21 @@
         }
     }
 
-    /// Something was sent.
+    /// Records that something was sent.
     pub const fn on_sent(&mut self) {
         self.sent = true;
     }
 
-    /// Something was received.
+    /// Records that something was received.
     pub const fn on_received(&mut self) {
         self.received = true;
         self.ever_received = true;
     }
 
-    /// One interval has passed; `busy` tells whether streams are in flight.
+    /// Ends an interval; `busy` is whether streams are in flight.
     ///
-    /// A device between the two ends may lose track of the connection; no error ever comes
-    /// then. The limit on silence is counted here, over all that is awaited, as a wait that is
-    /// begun anew after each heartbeat would never end.
+    /// The response timeout is counted across ticks, because a timeout on each read would restart
+    /// with every heartbeat sent and never expire on a half-open connection.
     pub fn on_tick(&mut self, busy: bool) -> HeartbeatAction {
         self.ticks_unresponsive = if self.received { 0 } else { self.ticks_unresponsive + 1 };
         self.ticks_idle = if busy { 0 } else { self.ticks_idle + 1 };
--- a/crates/corianderstand_router/src/heartbeat/tests.rs
+++ b/crates/corianderstand_router/src/heartbeat/tests.rs
@@ -1,4 +1,4 @@
-//! Heartbeats where they are needed, none where they are not.
+//! Tests of heartbeats, idle connections and unresponsive connections.
 
 use super::{HeartbeatAction, HeartbeatMonitor};
 use crate::dial::IDLE_HEARTBEATS;
@@ -32,8 +32,7 @@
     }
 }
 
-/// Something between the two ends has lost track of the connection. No error comes, and a
-/// caller would wait for its answer for ever.
+/// Guards against callers that wait forever on a half-open connection, which reports no error.
 #[rstest]
 fn unresponsive_connection_fails_despite_outgoing_heartbeats() {
     let mut monitor = monitor();
--- a/crates/corianderstand_router/src/lib.rs
+++ b/crates/corianderstand_router/src/lib.rs
@@ -1,8 +1,8 @@
-//! The process that takes calls: it authenticates, decides, forwards and answers.
+//! The router process: authenticates requests, selects a target and forwards them to its agent.
 //!
-//! Its threads are `http` (callers and operators), `decide` (the pure logic of
-//! `corianderstand_decide`), `link` (connections to agents) and `control` (the log), joined by
-//! bounded rings. Chunks of an answer go from `link` straight to the caller's handler.
+//! Its threads are `http` (callers and operators), `decide` (the scheduling logic of
+//! `corianderstand_decide`), `link` (connections to agents) and `control` (the log), connected by
+//! bounded channels. Chunks of a response go from `link` directly to the caller's handler.
 //!
 //! ```no_run
 //! use corianderstand_schema::process::RouterSettings;
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to an agent: streams of requests, heartbeats when nothing else is said.
+//! A connection to an agent, which multiplexes request streams.
 //!
 //! [`crate::dial`] opens and closes it; both run on the `link` thread.
 
@@ -27,41 +27,40 @@
 };
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-/// Frames and commands that wait on one connection.
+/// Capacity of the frame and command queues of a connection.
 pub const QUEUE_CAPACITY: usize = 4096;
 
-/// What every connection needs.
+/// Context shared by all connections.
 #[derive(Clone)]
 pub struct LinkContext {
     /// Name of this router.
     pub router: WriterId,
-    /// Start of this process.
+    /// Incarnation of this process.
     pub incarnation: u64,
-    /// Intervals.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// To the `decide` thread.
+    /// Events for the `decide` thread.
     pub events: SyncSender<Event>,
-    /// What control traffic may cost.
+    /// Budget for control traffic.
     pub budget: Arc<Budget>,
 }
 
 impl LinkContext {
-    /// Tells the `decide` thread.
+    /// Sends an event to the `decide` thread.
     pub fn send_event(&self, event: Event) {
-        // The ring is bounded and its reader never waits for this thread, so this ends soon.
+        // Blocks briefly at most: the receiver never waits for this thread.
         drop(self.events.send(event));
     }
 }
 
-/// Why a connection is over.
+/// Why a connection was closed.
 pub enum CloseReason {
-    /// It carried nothing for a while.
+    /// It carried no stream for a while.
     Idle,
-    /// It broke.
+    /// It failed.
     Failed(FrameError),
 }
 
-/// A stream as the connection holds it.
 struct Stream {
     reply: mpsc::Sender<Update>,
     position: u64,
@@ -75,7 +74,7 @@
     streams: HashMap<u64, Stream>,
 }
 
-/// Serves one connection until it is idle or broken; `first` is sent at once.
+/// Serves a connection until it is idle or fails; executes `first` right after the handshake.
 pub async fn serve(
     stream: TcpStream,
     context: &LinkContext,
@@ -102,7 +101,7 @@
     close_reason
 }
 
-/// The request of a stream number.
+/// Returns the request key of a stream id.
 pub fn request_key(stream: u64) -> RequestKey {
     KeyData::from_ffi(stream).into()
 }
@@ -163,7 +162,7 @@
         }
     }
 
-    /// Sends what is not part of a caller's request.
+    /// Sends a message that counts as control traffic.
     async fn send_control(&self, message: &ToAgent) -> Result<(), FrameError> {
         let frame = frame::encode(message, b"")?;
         self.context.budget.spend(TrafficClass::Link, frame.len() as u64);
@@ -216,7 +215,7 @@
         match message {
             ToRouter::Welcome { draining, target, .. } => {
                 if target != *self.target {
-                    tracing::error!(%target, expected = %self.target, "another target answers");
+                    tracing::error!(%target, expected = %self.target, "connected to the wrong target");
                     return Err(FrameError::Closed);
                 }
                 let commands = self.commands.clone();
@@ -232,7 +231,7 @@
                 self.forward_update(stream, Update::Chunk { position, body });
             }
             ToRouter::End { stream, ending: Ending::Failed { reason }, .. } => {
-                tracing::info!(stream, %reason, "answer broke off at its target");
+                tracing::info!(stream, %reason, "response stream failed at its target");
                 if let Some(entry) = self.streams.remove(&stream) {
                     self.report_lost(stream, entry.position, true);
                 }
@@ -254,13 +253,12 @@
         Ok(())
     }
 
-    /// Hands an update to its caller; a stream that is not known was cancelled before.
+    /// Forwards an update to the caller's handler; ignores streams that were cancelled.
     fn forward_update(&mut self, stream: u64, update: Update) {
         let Some(entry) = self.streams.get_mut(&stream) else { return };
-        // The agent keeps to the window, so there is room unless the caller is gone. Its own word
-        // of that may still be on its way, or have found the ring full. The stream stays until a
-        // cancel is taken, which tells the agent and the `decide` thread; removed here, it would
-        // be forgotten on this side only, and count as in flight on the others for ever.
+        // The agent respects the window, so sending fails only if the caller is gone. The stream is
+        // not removed here: `Cancel` removes it and notifies the agent and the `decide` thread,
+        // which would otherwise count it as in flight forever.
         if entry.reply.try_send(update).is_err() {
             drop(self.commands.try_send(Command::Cancel { stream }));
         }
@@ -268,9 +266,8 @@
 }
 
 impl Drop for Connection<'_> {
-    /// The connection is gone, or its target was withdrawn and its task ended in the midst:
-    /// each request on it is taken up elsewhere, or its handler is told. One that was forgotten
-    /// here would leave its caller waiting until the deadline.
+    /// Reports the remaining streams as lost, also when the task was aborted, so that their
+    /// requests are resumed on another target or fail before the deadline.
     fn drop(&mut self) {
         for (stream, entry) in std::mem::take(&mut self.streams) {
             self.report_lost(stream, entry.position, false);
@@ -278,7 +275,7 @@
     }
 }
 
-/// The stream number of a request.
+/// Returns the stream id of a request.
 pub fn stream_id(key: RequestKey) -> u64 {
     key.data().as_ffi()
 }
--- a/crates/corianderstand_router/src/relay.rs
+++ b/crates/corianderstand_router/src/relay.rs
@@ -1,15 +1,14 @@
-//! `GET /internal/read?from=&max=&wait_ms=`: the log's own read, for processes that follow this
-//! router.
+//! `GET /internal/read?from=&max=&wait_ms=`: serves log reads to followers of this router.
 
 use crate::problem;
 use corianderstand_control::relay::{RelayError, Tail};
 use salvo::{Request, Response, http::StatusCode};
 use std::time::Duration;
 
-/// Most records in one page, whatever is asked for.
+/// Upper limit of `max`.
 const MAX_RECORDS: u32 = 1024;
 
-/// Answers with a page, or says why there is none.
+/// Responds with a page of records or an error.
 pub async fn answer(tail: &Tail, req: &mut Request, res: &mut Response) {
     let number = |name: &str| req.query::<u64>(name).unwrap_or_default();
     let max = u32::try_from(number("max")).map_or(MAX_RECORDS, |max| max.min(MAX_RECORDS));
