--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask: apply settings, read them, see what is in force.
+//! The operator API: applies and reads settings, and reports the status of the fleet.
 
 use crate::{
     http::{self, Door},
@@ -21,7 +21,7 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::time::Duration;
 
-/// What an operator's path is for.
+/// Endpoint of the operator API.
 #[derives(key)]
 pub enum Kind {
     /// `POST /operator/apply`.
@@ -46,36 +46,35 @@
 #[derives(wire)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// The changes, all or none.
+    /// The changes, applied atomically.
     pub changes: Vec<ApplyChange>,
-    /// Who asks.
+    /// Author of the changes.
     pub author: SmolStr,
 }
 
-/// One change.
+/// Change of a document.
 #[derives(wire)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyChange {
     /// Path of the document.
     pub path: SmolStr,
-    /// Version it was made from; 0 where there was none.
+    /// Version that the change is based on; 0 for a new document.
     pub base: u64,
-    /// The new document; null removes it.
+    /// New content; null removes the document.
     pub value: Option<Value>,
 }
 
-/// Word whose hash proves a process to its peers.
+/// Label whose keyed hash authenticates a process to its peers.
 pub const PEER_TOKEN_LABEL: &str = "peer";
-/// Log time for which a change may take force after it was asked for. Longer, and an operator
-/// who was told "not known yet" would wait long for certainty; shorter, and a log that is merely
-/// slow would refuse changes.
+/// Log time after a request within which its change may take effect.
+///
+/// Bounds how long the outcome of a change can be unknown, and has to tolerate a slow log.
 pub const EXPIRY_WINDOW: Duration = Duration::from_secs(8);
-/// Time a peer has to say which version it has.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time the log has to decide a change: the window and a little for reading it back.
+// `EXPIRY_WINDOW` and time to read the change back.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers an operator.
+/// Handles a request to the operator API.
 ///
 /// # Errors
 ///
@@ -114,19 +113,21 @@
 async fn apply(context: &Door, req: &mut Request) -> Result<Value, Problem> {
     let body = context.read_body(req, context.max_body_bytes).await?;
     let request: ApplyRequest = serde_json::from_slice(&body)
-        .map_err(|error| Problem::Invalid(format!("the change cannot be read: {error}")))?;
+        .map_err(|error| Problem::Invalid(format!("cannot parse the change: {error}")))?;
     let changes =
         request.changes.into_iter().map(validate_change).collect::<Result<Vec<_>, _>>()?;
     let snapshot = context.control.current.load();
     if !snapshot.log_up {
-        return Err(Problem::LogDown("the log does not answer"));
+        return Err(Problem::LogDown("the log does not respond"));
     }
     let ticket = new_ticket(&snapshot, &context.clock);
     let (author, not_after_ms) = (request.author, not_after_ms(&ticket).unwrap_or_default());
     let body = Body::Settings { changes, author, ticket: ticket.clone(), not_after_ms };
     let appended = match context.control.appender.append(body, APPLY_TIMEOUT).await {
         Ok(appended) => appended,
-        Err(AppendError::Full) => return Err(Problem::LogDown("too many records wait for it")),
+        Err(AppendError::Full) => {
+            return Err(Problem::LogDown("the append queue of the log is full"));
+        }
         Err(AppendError::Undecided) => return Err(Problem::Undecided(ticket)),
     };
     match appended.outcome {
@@ -135,13 +136,13 @@
             Err(Problem::Conflict(rejection.to_string()))
         }
         Outcome::Rejected(Rejection::Expired { .. }) => {
-            Err(Problem::LogDown("it took the change too late"))
+            Err(Problem::LogDown("the change reached the log too late"))
         }
         _ => Err(Problem::Undecided(ticket)),
     }
 }
 
-/// A name for a change that also tells when it can no longer take force.
+/// Returns a unique ticket for a change, which contains its expiry time.
 fn new_ticket(snapshot: &Snapshot, clock: &SharedClock) -> SmolStr {
     let now_ms = clock::unix_ms(clock.wall()).saturating_add_signed(snapshot.log_clock_ms);
     let not_after_ms = now_ms + EXPIRY_WINDOW.as_millis() as u64;
@@ -152,12 +153,12 @@
     ticket.split_once('-')?.0.parse().ok()
 }
 
-/// What became of a change.
+/// Returns the outcome of a change.
 ///
-/// "Refused" is said of a change that is not in the log only once the log has been read beyond
-/// the time after which the fold voids it; before that it is not known yet.
+/// A change that is not in the log is reported as refused only after the log has been read past
+/// its expiry time; until then its outcome is unknown.
 fn ticket(context: &Door, ticket: &str) -> Result<Value, Problem> {
-    let malformed = || Problem::Invalid("`ticket` is not one that a router gave".into());
+    let malformed = || Problem::Invalid("`ticket` was not issued by a router".into());
     let not_after_ms = not_after_ms(ticket).ok_or_else(malformed)?;
     let snapshot = context.control.current.load();
     let history = &snapshot.state.history;
@@ -171,11 +172,11 @@
     let evicted = history.entries.len() >= MAX_ENTRIES
         && history.entries.front().is_some_and(|first| first.at_ms + window_ms >= not_after_ms);
     Ok(if evicted {
-        json!({ "outcome": "forgotten", "reason": "it is too old: see what is in force" })
+        json!({ "outcome": "forgotten", "reason": "the change is too old: read the current settings" })
     } else if snapshot.read_to_ms > not_after_ms {
-        json!({ "outcome": "refused", "reason": "it did not reach the log in time: apply again" })
+        json!({ "outcome": "refused", "reason": "the change did not reach the log in time: apply it again" })
     } else {
-        json!({ "outcome": "unknown", "reason": "not known yet: ask again in a few seconds" })
+        json!({ "outcome": "unknown", "reason": "not known yet: query again in a few seconds" })
     })
 }
 
@@ -186,7 +187,7 @@
     json!({ "entries": entries })
 }
 
-/// On how many routers a version is in force, as they say themselves.
+/// Returns how many routers report that a version is in force.
 async fn rollout(context: &Door, req: &Request) -> Result<Value, Problem> {
     let requested = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
@@ -208,7 +209,7 @@
     response["version"].as_u64()
 }
 
-/// The whole state, for a process that starts while the log is down.
+/// Returns a checkpoint of the state, for a process that starts while the log is down.
 fn state(context: &Door) -> Result<Vec<u8>, Problem> {
     let snapshot = context.control.current.load();
     if !snapshot.caught_up {
@@ -217,8 +218,7 @@
     Ok(checkpoint::encode(&snapshot.state))
 }
 
-/// A change is checked here too: a document that does not follow its schema must not get into
-/// the log, whatever program sent it.
+/// Rejects a document that does not follow its schema before it reaches the log.
 fn validate_change(change: ApplyChange) -> Result<Change, Problem> {
     let ApplyChange { path, base, value } = change;
     if let Some(value) = &value {
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them: a stable code, a message with the remedy, a request id.
+//! Errors returned to callers: a stable code, a message with a remedy, and a request id.
 
 use corianderstand_decide::request::Refusal;
 use corianderstand_schema::messages::RefusalReason;
@@ -7,55 +7,55 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// Header that tells what became of a call: `ran`, `not-run` or `unknown`.
+/// Response header with the outcome of a call: `ran`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "x-corianderstand-outcome";
-/// Header with the request's identity.
+/// Header with the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Why a request got no answer.
+/// Why a request failed.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
 pub enum Problem {
-    /// the request cannot be used: {0}
+    /// invalid request: {0}
     Invalid(String),
-    /// the body has more than {0} bytes: send a shorter one
+    /// the body exceeds {0} bytes: send a shorter one
     TooLong(usize),
-    /// the head has more than {0} bytes: send fewer or shorter headers
+    /// the request head exceeds {0} bytes: send fewer or shorter headers
     HeadTooLong(usize),
-    /// the body did not come within {0} ms: send it faster, or send less
+    /// the body was not received within {0} ms: send it faster, or send a shorter one
     TooSlow(u128),
-    /// this router holds as many connections as it may: come back after the time in `Retry-After`, or use another router
+    /// this router has reached its connection limit: retry after the time in `Retry-After`, or use another router
     TooManyConnections,
-    /// there is no such path: see the callers' page for the paths
+    /// the path does not exist: see the API documentation for the available paths
     NoSuchPath,
-    /// this path does not take that method: use {0}
+    /// the path does not support this method: use {0}
     Method(&'static str),
-    /// a bearer key is missing or wrong: send `Authorization: Bearer` with your team's key
+    /// the bearer key is missing or invalid: send `Authorization: Bearer` with your team's key
     Unauthorized,
-    /// your team may not call this: ask your operators to allow it in the team's settings
+    /// your team is not permitted to call this: ask your operators to allow it in the team's settings
     Forbidden,
-    /// nothing is known by this name: see `GET /v1/models`
+    /// unknown model or service: see `GET /v1/models`
     NotFound,
-    /// this call may run only once: send an `Idempotency-Key` header of 1 to 255 characters
+    /// this call must not run more than once: send an `Idempotency-Key` header of 1 to 255 characters
     KeyRequired,
-    /// the request is not run ({0}): come back after the time in `Retry-After`
+    /// the request was not run ({0}): retry after the time in `Retry-After`
     Refused(RefusalReason, Duration),
-    /// the answer broke off ({0}): ask again
+    /// the response was interrupted ({0}): send the request again
     Failed(SmolStr),
-    /// whether the call ran is not known ({0}): ask again with the same `Idempotency-Key`
+    /// it is not known whether the call ran ({0}): retry with the same `Idempotency-Key`
     Unknown(SmolStr),
-    /// the call did not run and never will under this key ({0}): send it under a new key
+    /// the call did not run and never will under this key ({0}): send it with a new key
     NotRun(SmolStr),
-    /// the key is older than keys are remembered, so whether its call ran is not known: look it up at the service
+    /// the key has expired, so it is not known whether its call ran: check at the service
     KeyForgotten,
-    /// no answer came by the deadline: ask again, or allow more time
+    /// no response before the deadline: retry, or set a later deadline
     Deadline,
-    /// this process is not ready ({0}): use another router, or come back
+    /// this process is not ready ({0}): use another router, or retry later
     NotReady(&'static str),
-    /// two operators changed the same settings: {0}
+    /// conflicting change of the same settings: {0}
     Conflict(String),
-    /// whether the change is accepted is not known yet: ask for ticket {0} at any router
+    /// it is not known yet whether the change was accepted: query ticket {0} at any router
     Undecided(SmolStr),
-    /// the change is refused, nothing was written ({0}): apply again later
+    /// the change was refused and nothing was written ({0}): apply it again later
     LogDown(&'static str),
 }
 
@@ -67,13 +67,11 @@
     }
 }
 
-/// How a caller proves its team.
 const CHALLENGE: &str = "Bearer realm=\"corianderstand\"";
-/// When to come back where no other time is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Problem {
-    /// The stable code.
+    /// Returns the stable error code.
     pub const fn code(&self) -> &'static str {
         match self {
             Self::Invalid(_) => "invalid_request",
@@ -102,7 +100,7 @@
         }
     }
 
-    /// The HTTP status.
+    /// Returns the HTTP status.
     pub const fn status(&self) -> StatusCode {
         match self {
             Self::Invalid(_) | Self::KeyRequired => StatusCode::BAD_REQUEST,
@@ -125,7 +123,7 @@
         }
     }
 
-    /// What became of the request: `not-run` only where that is certain.
+    /// Returns the outcome of the request: `not-run` only if that is certain.
     pub const fn outcome(&self) -> &'static str {
         match self {
             Self::Failed(_) | Self::Unknown(_) | Self::Deadline | Self::Undecided(_) => "unknown",
@@ -134,7 +132,7 @@
         }
     }
 
-    /// When to come back, for refusals and for what may be tried again.
+    /// Returns the delay after which to retry, if a retry can succeed.
     pub const fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Refused(_, after) => Some(*after),
@@ -147,7 +145,7 @@
         }
     }
 
-    /// The JSON body.
+    /// Returns the JSON body.
     pub fn body(&self, request: &str) -> serde_json::Value {
         json!({ "error": {
             "code": self.code(),
@@ -158,7 +156,7 @@
         }})
     }
 
-    /// Answers with this problem.
+    /// Writes this problem as the response.
     pub fn write(&self, request: &str, res: &mut Response) {
         res.status_code(self.status());
         if let Some(after) = self.retry_after() {
@@ -168,7 +166,7 @@
         match self {
             Self::Unauthorized => set_header(res, "www-authenticate", CHALLENGE),
             Self::Method(allowed) => set_header(res, "allow", allowed),
-            // What is left unread of the request must not be taken for the next one.
+            // Unread bytes of the body must not be parsed as the next request.
             Self::TooSlow(_) | Self::TooManyConnections => set_header(res, "connection", "close"),
             _ => {}
         }
@@ -178,7 +176,7 @@
     }
 }
 
-/// Sets a header whose value is known to be well formed; another is left out.
+/// Sets a header; ignores a malformed value.
 pub fn set_header(res: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = value.parse() {
         res.headers_mut().insert(name, value);
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts a router's threads and stops them as planned.
+//! Starts and gracefully stops the threads of a router.
 
 use crate::{
     arrivals::{Arrivals, WatchedAcceptor},
@@ -42,22 +42,20 @@
 };
 use tokio::{runtime, time};
 
-/// Events that wait for the `decide` thread.
 const EVENT_QUEUE_CAPACITY: usize = 16384;
-/// How many times the limit a head may be long to be refused in our own form; the HTTP library
-/// refuses a longer one with an empty body.
+/// Ratio of the HTTP library's header limit to the configured one. Heads between the two limits
+/// are refused with a [`crate::problem::Problem`]; the library refuses longer ones without a body.
 const HEADER_HARD_LIMIT_RATIO: usize = 8;
-/// Time between two looks during a planned stop.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A router that cannot start.
+/// Why a router failed to start.
 #[derive(Debug, displaydoc::Display)]
 pub enum RouterError {
-    /// cannot listen on {0} ({1}): free the address, or change `listen`
+    /// cannot listen on {0} ({1}): free the address or change `listen`
     Listen(String, std::io::Error),
-    /// cannot send metrics ({0}): mend `statsd`, or leave it out
+    /// cannot send metrics ({0}): correct or remove `statsd`
     Statsd(std::io::Error),
-    /// cannot start a thread ({0}): raise the host's limits
+    /// cannot start a thread ({0}): raise the process limits of the host
     Thread(std::io::Error),
     /// {0}
     Auth(AuthError),
@@ -76,7 +74,7 @@
     drain_limit: Duration,
 }
 
-/// Starts a router; it returns as soon as its port is bound.
+/// Starts a router; returns once its port is bound.
 ///
 /// # Errors
 ///
@@ -147,7 +145,7 @@
     builder.spawn(run).map_err(RouterError::Thread)
 }
 
-/// Where this router reads the log: itself, or from another router.
+/// Selects whether this router reads the log directly or from another router.
 fn source(settings: &RouterSettings, hasher: &Hasher, tail: Tail) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
     let token = hasher.hash(operator::PEER_TOKEN_LABEL);
@@ -205,9 +203,8 @@
     let listen_error = |error| RouterError::Listen(settings.listen.to_string(), error);
     let listener = std::net::TcpListener::bind(settings.listen.as_str()).map_err(listen_error)?;
     listener.set_nonblocking(true).map_err(listen_error)?;
-    // Connections inherit this. Without it a part of an answer waits until the caller has
-    // acknowledged the one before, which its system delays by 40 ms: a stream then comes in
-    // pairs of tokens with pauses between them, however fast the engine is.
+    // Accepted connections inherit this. With Nagle's algorithm and delayed acknowledgements,
+    // tokens of a stream would be held back for up to 40 ms.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true).map_err(listen_error)?;
     let runtime = runtime()?;
     let acceptor = {
@@ -242,7 +239,7 @@
     Ok((handle, http))
 }
 
-/// Turns the watch for pauses on the thread that reads requests.
+/// Polls the pause detector on the thread that reads requests.
 async fn detect_pauses(context: Arc<Door>) {
     loop {
         context.arrivals.turn(context.clock.since_boot());
@@ -251,22 +248,21 @@
 }
 
 impl RouterHandle {
-    /// Begins a planned stop: not ready any more, requests in flight go on.
+    /// Starts to drain: the router reports not ready, requests in flight continue.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Requests with targets now, for who ends the process before they are done.
+    /// Returns the number of requests in flight, for a forced exit.
     pub fn in_flight(&self) -> Arc<AtomicUsize> {
         self.held.clone()
     }
 
-    /// Stops as planned: serves on until balancers have seen that this router is not ready,
-    /// then takes no connection, and waits until each answer was read by its caller, or for
-    /// the limit.
+    /// Stops gracefully: keeps serving until balancers have noticed that this router is not ready,
+    /// then accepts no connections and waits until all are closed or the drain limit is reached.
     ///
-    /// A caller that reads slowly still has much of its answer to come when its target is done,
-    /// so the connections decide when this ends, not the requests held.
+    /// Waits for connections rather than requests in flight, as slow callers may still be reading
+    /// when their targets have finished.
     pub fn join(self) {
         if let Ok(runtime) = runtime() {
             runtime.block_on(self.control.resign());
@@ -277,7 +273,7 @@
         while !self.http.is_finished() {
             if started_at.elapsed() >= self.drain_limit {
                 let held = self.held.load(Ordering::Relaxed);
-                tracing::warn!(held, "planned stop: limit reached with requests in flight");
+                tracing::warn!(held, "drain limit reached with requests in flight");
                 self.server.stop_forceful();
                 break;
             }
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -1,9 +1,8 @@
-//! `GET /operator/status`: what is in force where, what each target holds, who has which duty.
+//! `GET /operator/status`: settings versions, cached weights, replica slots and the lease.
 //!
-//! Agents and other routers are asked when an operator asks, each over a short connection of its
-//! own. Reports that agents sent to all routers all the time would at the planned size take more
-//! than a node may spend on control, for a picture that is looked at a few times a day; and a
-//! connection made now shows whether the target can be reached now.
+//! Agents and other routers are queried on demand, each over a short-lived connection: periodic
+//! reports from every agent to every router would exceed the budget for control traffic, and a
+//! new connection shows whether the target is reachable now.
 
 use crate::http::Door;
 use corianderstand_link::{
@@ -22,18 +21,17 @@
 use std::time::Duration;
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-/// Targets and routers asked at once, so that a question does not crowd out callers.
+// Bounded, so that a status request does not compete with callers.
 const MAX_CONCURRENT_QUERIES: usize = 32;
-/// Time one of them has to answer; one that is gone must not hold up the picture of the rest.
+/// Timeout of one query; a lost target or router must not delay the status of the others.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What one target tells.
 struct TargetStatus {
     version: u64,
     holdings: Vec<Holding>,
 }
 
-/// What this router knows by itself, without asking anybody: `GET /operator/status?own=true`.
+/// Returns the status known to this router alone: `GET /operator/status?own=true`.
 pub fn local(context: &Door) -> Value {
     let snapshot = context.control.current.load();
     let state = &snapshot.state;
@@ -59,7 +57,7 @@
         "address": record.address, "service": record.service })
 }
 
-/// The whole picture.
+/// Returns the status of the fleet, including all targets and routers.
 pub async fn fleet(context: &Door, authorization: &str) -> Value {
     let mut fleet = local(context);
     let snapshot = context.control.current.load();
@@ -102,7 +100,7 @@
     fleet
 }
 
-/// Each slot, and whether its model is cold, loading or warm there.
+/// Returns each replica slot and whether its model is cold, loading or warm on its target.
 fn slots(state: &State, holdings: &[Value]) -> Vec<Value> {
     let slots = state.slots.by_key.iter();
     slots
@@ -130,7 +128,6 @@
     }
 }
 
-/// Asks an agent what its target holds.
 async fn query_agent(name: &WriterId, address: &str) -> Result<TargetStatus, FrameError> {
     let stream = TcpStream::connect(address).await?;
     let (mut reader, writer) = connection::split(stream, QUERY_TIMEOUT)?;
@@ -157,7 +154,7 @@
     }
 }
 
-/// Asks another router which version it follows, with the operator's own key.
+/// Queries the settings version of another router with the operator's key.
 fn query_router(
     context: &Door,
     peer: &SmolStr,
@@ -176,7 +173,7 @@
     }
 }
 
-/// What this router alone follows: `GET /operator/version`.
+/// Returns the settings version of this router: `GET /operator/version`.
 pub fn version(context: &Door) -> Value {
     json!({ "router": context.name,
         "version": context.control.current.load().state.documents.version })
