--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -66,7 +66,7 @@
 /// A running router.
 pub struct RouterHandle {
     draining: Arc<AtomicBool>,
-    held: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
     server: ServerHandle,
     http: thread::JoinHandle<()>,
     control: ControlHandle,
@@ -89,7 +89,7 @@
     let metrics = metrics.map_err(RouterError::Statsd)?;
     let control = start_control(&settings, incarnation, &hasher, source, clock.clone(), &metrics)?;
     let (events, events_rx) = mpsc::sync_channel(EVENT_QUEUE_CAPACITY);
-    let held = Arc::new(AtomicUsize::new(0));
+    let in_flight = Arc::new(AtomicUsize::new(0));
     let draining = Arc::new(AtomicBool::new(false));
 
     let decider = Decider {
@@ -101,7 +101,7 @@
         versions: (u64::MAX, 0, 0),
         hosts: Arc::default(),
         told: BTreeSet::new(),
-        held: held.clone(),
+        held: in_flight.clone(),
         metrics: metrics.clone(),
     };
     spawn("decide", move || decider.run(&events_rx))?;
@@ -123,14 +123,14 @@
         max_body_bytes: settings.limits.max_body_bytes as usize,
         read_timeout: settings.limits.read_timeout_ms.0,
         max_in_flight: settings.limits.max_in_flight as usize,
-        held: held.clone(),
+        held: in_flight.clone(),
         draining: draining.clone(),
         arrivals: Arrivals::new(clock.since_boot()),
         clock,
     });
     let (server, http) = start_http(&settings, incarnation, &context)?;
     let (grace, drain_limit) = (settings.timing.grace_ms.0, settings.timing.drain_ms.0);
-    Ok(RouterHandle { draining, held, server, http, control, grace, drain_limit })
+    Ok(RouterHandle { draining, in_flight, server, http, control, grace, drain_limit })
 }
 
 fn runtime() -> Result<runtime::Runtime, RouterError> {
@@ -255,7 +255,7 @@
 
     /// Returns the number of requests in flight, for a forced exit.
     pub fn in_flight(&self) -> Arc<AtomicUsize> {
-        self.held.clone()
+        self.in_flight.clone()
     }
 
     /// Stops gracefully: keeps serving until balancers have noticed that this router is not ready,
@@ -272,8 +272,8 @@
         let started_at = Instant::now();
         while !self.http.is_finished() {
             if started_at.elapsed() >= self.drain_limit {
-                let held = self.held.load(Ordering::Relaxed);
-                tracing::warn!(held, "drain limit reached with requests in flight");
+                let in_flight = self.in_flight.load(Ordering::Relaxed);
+                tracing::warn!(held = in_flight, "drain limit reached with requests in flight");
                 self.server.stop_forceful();
                 break;
             }
