--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -37,7 +37,6 @@
 }
 
 impl HeartbeatMonitor {
-    /// Creates the monitor of a newly opened connection.
     pub const fn new(timing: &Timing) -> Self {
         Self {
             interval: timing.heartbeat_ms.0,
@@ -51,12 +50,10 @@
         }
     }
 
-    /// Records that something was sent.
     pub const fn on_sent(&mut self) {
         self.sent = true;
     }
 
-    /// Records that something was received.
     pub const fn on_received(&mut self) {
         self.received = true;
         self.ever_received = true;
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -33,13 +33,9 @@
 /// Context shared by all connections.
 #[derive(Clone)]
 pub struct LinkContext {
-    /// Name of this router.
     pub router: WriterId,
-    /// Incarnation of this process.
     pub incarnation: u64,
-    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Events for the `decide` thread.
     pub events: SyncSender<Event>,
     /// Budget for control traffic.
     pub budget: Arc<Budget>,
@@ -57,7 +53,6 @@
 pub enum CloseReason {
     /// It carried no stream for a while.
     Idle,
-    /// It failed.
     Failed(FrameError),
 }
 
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -48,15 +48,12 @@
 pub struct ApplyRequest {
     /// The changes, applied atomically.
     pub changes: Vec<ApplyChange>,
-    /// Author of the changes.
     pub author: SmolStr,
 }
 
-/// Change of a document.
 #[derives(wire)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyChange {
-    /// Path of the document.
     pub path: SmolStr,
     /// Version that the change is based on; 0 for a new document.
     pub base: u64,
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -71,7 +71,6 @@
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Problem {
-    /// Returns the stable error code.
     pub const fn code(&self) -> &'static str {
         match self {
             Self::Invalid(_) => "invalid_request",
@@ -100,7 +99,6 @@
         }
     }
 
-    /// Returns the HTTP status.
     pub const fn status(&self) -> StatusCode {
         match self {
             Self::Invalid(_) | Self::KeyRequired => StatusCode::BAD_REQUEST,
@@ -145,7 +143,6 @@
         }
     }
 
-    /// Returns the JSON body.
     pub fn body(&self, request: &str) -> serde_json::Value {
         json!({ "error": {
             "code": self.code(),
