--- a/crates/corianderstand_router/src/heartbeat/tests.rs
+++ b/crates/corianderstand_router/src/heartbeat/tests.rs
@@ -46,15 +46,15 @@
 #[rstest]
 fn only_an_idle_connection_is_closed() {
     let mut monitor = monitor();
-    let mut ended = None;
+    let mut closed_at_tick = None;
     for tick in 0..IDLE_HEARTBEATS * 2 {
         monitor.on_received();
         if monitor.on_tick(false) == HeartbeatAction::CloseIdle {
-            ended = Some(tick);
+            closed_at_tick = Some(tick);
             break;
         }
     }
-    assert_eq!(ended, Some(IDLE_HEARTBEATS));
+    assert_eq!(closed_at_tick, Some(IDLE_HEARTBEATS));
     let mut monitor = self::monitor();
     for _ in 0..IDLE_HEARTBEATS * 10 {
         monitor.on_received();
