--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -338,12 +338,12 @@
     pub async fn read_body(&self, req: &mut Request, longest: usize) -> Result<Bytes, Problem> {
         let declared = header(req, "content-length").and_then(|v| v.parse::<usize>().ok());
         if declared.is_some_and(|length| length > longest) {
-            return Err(Problem::TooLong(longest));
+            return Err(Problem::BodyTooLong(longest));
         }
         let read = time::timeout(self.read_timeout, req.payload_with_max_size(longest)).await;
         match read {
             Err(_) => Err(Problem::TooSlow(self.read_timeout.as_millis())),
-            Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::TooLong(longest)),
+            Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::BodyTooLong(longest)),
             Ok(Err(error)) => {
                 Err(Problem::Invalid(format!("the body cannot be read ({error}): send it again")))
             }
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -18,7 +18,7 @@
     /// invalid request: {0}
     Invalid(String),
     /// the body exceeds {0} bytes: send a shorter one
-    TooLong(usize),
+    BodyTooLong(usize),
     /// the request head exceeds {0} bytes: send fewer or shorter headers
     HeadTooLong(usize),
     /// the body was not received within {0} ms: send it faster, or send a shorter one
@@ -74,7 +74,7 @@
     pub const fn code(&self) -> &'static str {
         match self {
             Self::Invalid(_) => "invalid_request",
-            Self::TooLong(_) => "body_too_long",
+            Self::BodyTooLong(_) => "body_too_long",
             Self::HeadTooLong(_) => "head_too_long",
             Self::TooSlow(_) => "request_timeout",
             Self::TooManyConnections => "too_many_connections",
@@ -102,7 +102,7 @@
     pub const fn status(&self) -> StatusCode {
         match self {
             Self::Invalid(_) | Self::KeyRequired => StatusCode::BAD_REQUEST,
-            Self::TooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyTooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
             Self::HeadTooLong(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::TooSlow(_) => StatusCode::REQUEST_TIMEOUT,
             Self::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
