--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -342,7 +342,7 @@
         }
         let read = time::timeout(self.read_timeout, req.payload_with_max_size(longest)).await;
         match read {
-            Err(_) => Err(Problem::TooSlow(self.read_timeout.as_millis())),
+            Err(_) => Err(Problem::BodyTimeout(self.read_timeout.as_millis())),
             Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::BodyTooLong(longest)),
             Ok(Err(error)) => {
                 Err(Problem::Invalid(format!("the body cannot be read ({error}): send it again")))
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -22,7 +22,7 @@
     /// the request head exceeds {0} bytes: send fewer or shorter headers
     HeadTooLong(usize),
     /// the body was not received within {0} ms: send it faster, or send a shorter one
-    TooSlow(u128),
+    BodyTimeout(u128),
     /// this router has reached its connection limit: retry after the time in `Retry-After`, or use another router
     TooManyConnections,
     /// the path does not exist: see the API documentation for the available paths
@@ -76,7 +76,7 @@
             Self::Invalid(_) => "invalid_request",
             Self::BodyTooLong(_) => "body_too_long",
             Self::HeadTooLong(_) => "head_too_long",
-            Self::TooSlow(_) => "request_timeout",
+            Self::BodyTimeout(_) => "request_timeout",
             Self::TooManyConnections => "too_many_connections",
             Self::NoSuchPath => "no_such_path",
             Self::Method(_) => "method_not_allowed",
@@ -104,7 +104,7 @@
             Self::Invalid(_) | Self::KeyRequired => StatusCode::BAD_REQUEST,
             Self::BodyTooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
             Self::HeadTooLong(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-            Self::TooSlow(_) => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTimeout(_) => StatusCode::REQUEST_TIMEOUT,
             Self::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::Forbidden => StatusCode::FORBIDDEN,
@@ -138,7 +138,7 @@
                 Some(DEFAULT_RETRY_AFTER)
             }
             Self::Unknown(_) | Self::Undecided(_) => Some(DEFAULT_RETRY_AFTER),
-            Self::TooManyConnections | Self::TooSlow(_) => Some(DEFAULT_RETRY_AFTER),
+            Self::TooManyConnections | Self::BodyTimeout(_) => Some(DEFAULT_RETRY_AFTER),
             _ => None,
         }
     }
@@ -164,7 +164,9 @@
             Self::Unauthorized => set_header(res, "www-authenticate", CHALLENGE),
             Self::Method(allowed) => set_header(res, "allow", allowed),
             // Unread bytes of the body must not be parsed as the next request.
-            Self::TooSlow(_) | Self::TooManyConnections => set_header(res, "connection", "close"),
+            Self::BodyTimeout(_) | Self::TooManyConnections => {
+                set_header(res, "connection", "close")
+            }
             _ => {}
         }
         set_header(res, OUTCOME_HEADER, self.outcome());
