--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -214,7 +214,7 @@
     ) -> Result<(), Problem> {
         self.check_head(req)?;
         match kind {
-            Kind::OtherMethod(allowed) => Err(Problem::Method(allowed)),
+            Kind::OtherMethod(allowed) => Err(Problem::MethodNotAllowed(allowed)),
             Kind::NoSuchPath => Err(Problem::NoSuchPath),
             Kind::Healthy => {
                 drop(res.write_body("ok\n"));
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -28,7 +28,7 @@
     /// the path does not exist: see the API documentation for the available paths
     NoSuchPath,
     /// the path does not support this method: use {0}
-    Method(&'static str),
+    MethodNotAllowed(&'static str),
     /// the bearer key is missing or invalid: send `Authorization: Bearer` with your team's key
     Unauthorized,
     /// your team is not permitted to call this: ask your operators to allow it in the team's settings
@@ -79,7 +79,7 @@
             Self::BodyTimeout(_) => "request_timeout",
             Self::TooManyConnections => "too_many_connections",
             Self::NoSuchPath => "no_such_path",
-            Self::Method(_) => "method_not_allowed",
+            Self::MethodNotAllowed(_) => "method_not_allowed",
             Self::Unauthorized => "unauthorized",
             Self::Forbidden => "forbidden",
             Self::NotFound => "not_found",
@@ -105,7 +105,7 @@
             Self::BodyTooLong(_) => StatusCode::PAYLOAD_TOO_LARGE,
             Self::HeadTooLong(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::BodyTimeout(_) => StatusCode::REQUEST_TIMEOUT,
-            Self::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
+            Self::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::Forbidden => StatusCode::FORBIDDEN,
             Self::NotFound | Self::NoSuchPath => StatusCode::NOT_FOUND,
@@ -162,7 +162,7 @@
         }
         match self {
             Self::Unauthorized => set_header(res, "www-authenticate", CHALLENGE),
-            Self::Method(allowed) => set_header(res, "allow", allowed),
+            Self::MethodNotAllowed(allowed) => set_header(res, "allow", allowed),
             // Unread bytes of the body must not be parsed as the next request.
             Self::BodyTimeout(_) | Self::TooManyConnections => {
                 set_header(res, "connection", "close")
