--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -69,7 +69,7 @@
     streams: HashMap<u64, Stream>,
 }
 
-/// Serves a connection until it is idle or fails; executes `first` right after the handshake.
+/// Serves a connection until it is idle or fails; `first` does not wait for the `Welcome`.
 pub async fn serve(
     stream: TcpStream,
     context: &LinkContext,
