--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -165,7 +165,7 @@
             Self::MethodNotAllowed(allowed) => set_header(res, "allow", allowed),
             // Unread bytes of the body must not be parsed as the next request.
             Self::BodyTimeout(_) | Self::TooManyConnections => {
-                set_header(res, "connection", "close")
+                set_header(res, "connection", "close");
             }
             _ => {}
         }
