--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -4,7 +4,7 @@
 //! again from the position reached.
 
 use crate::{
-    event::{Attachment, Call, Command, Event, REPLY_RING, Update, WINDOW},
+    event::{Attachment, CHUNK_WINDOW, Call, Command, Event, REPLY_QUEUE_CAPACITY, Update},
     problem::Problem,
 };
 use bytes::Bytes;
@@ -15,7 +15,7 @@
 use tokio::{sync::mpsc, time};
 
 /// Positions consumed before more credit is granted.
-const CREDIT_STEP: u64 = WINDOW / 2;
+const CREDIT_STEP: u64 = CHUNK_WINDOW / 2;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// Attempts without progress before a call fails; their backoff outlasts a planned restart.
@@ -60,7 +60,7 @@
 
 impl Submission {
     fn send(&self) -> Result<mpsc::Receiver<Update>, Problem> {
-        let (reply, rx) = mpsc::channel(REPLY_RING);
+        let (reply, rx) = mpsc::channel(REPLY_QUEUE_CAPACITY);
         let call = Call { open: self.open.clone(), body: self.body.clone(), reply };
         let event = Event::Submit(Box::new((self.spec.clone(), call)));
         let rejected = Problem::Refused(RefusalReason::QueueFull, QUEUE_FULL_RETRY_AFTER);
@@ -95,11 +95,11 @@
         mut open: OpenStream,
         body: Bytes,
     ) -> Result<Self, Problem> {
-        open.window = WINDOW;
+        open.window = CHUNK_WINDOW;
         let position = open.position;
         let submission = Submission { events: events.clone(), spec, open, body };
         let updates = submission.send()?;
-        let credit_limit = position + WINDOW;
+        let credit_limit = position + CHUNK_WINDOW;
         let (attachment, retry) = (None, None);
         Ok(Self {
             submission,
@@ -180,7 +180,7 @@
         );
         self.updates = submission.send()?;
         (self.attachment, self.finished) = (None, false);
-        self.credit_limit = self.position + WINDOW;
+        self.credit_limit = self.position + CHUNK_WINDOW;
         Ok(())
     }
 
@@ -251,7 +251,7 @@
         self.position += 1;
         self.attempts = 0;
         if self.position + CREDIT_STEP >= self.credit_limit {
-            self.credit_limit = self.position + WINDOW;
+            self.credit_limit = self.position + CHUNK_WINDOW;
             self.send_command(|stream, upto| Command::Credit { stream, upto });
         }
         Ok(Some(Part::Chunk(body)))
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -1,7 +1,7 @@
 //! The `decide` thread: passes events to the routing logic and executes its decisions.
 
 use crate::{
-    event::{Call, Command, Event, REPLY_EXTRA, Update},
+    event::{Call, Command, Event, REPLY_EXTRA_CAPACITY, Update},
     link,
 };
 use corianderstand_control::{
@@ -171,7 +171,7 @@
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.open.position = call.open.position.max(position);
         // Updates that the handler has not read yet occupy its channel; it grants credit for more.
-        call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA) as u64;
+        call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
         let reason = RefusalReason::NotLoaded;
         let refusal = Refusal { reason, retry_after: LOST_RETRY_AFTER };
         match self.router.connection_lost(self.clock.now(), key, refusal) {
@@ -234,7 +234,7 @@
         let name = self.router.target_state(target).map(|target| target.name.clone());
         let connection = name.and_then(|name| self.connections.get(&name));
         let Some(mut call) = self.calls.get(&key).cloned() else { return };
-        call.open.stream = link::stream_of(key);
+        call.open.stream = link::stream_id(key);
         // A target that has not folded the slot yet waits for this version.
         call.open.as_of = self.versions.1.max(self.versions.2);
         let open = Command::Open(Box::new(call));
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -1,17 +1,15 @@
-//! When a connection to an agent is opened and closed.
+//! Opens and closes connections to agents on demand.
 //!
-//! Made for 340 routers before 730 agents: a connection from each to each, with a heartbeat on
-//! it, would cost a router more than all its control traffic may. A connection is opened for the
-//! first request to a target and closed when it has been idle for [`IDLE_HEARTBEATS`]. Opening
-//! takes one round trip less than a millisecond inside a place, and the request goes along
-//! without waiting for the greeting.
+//! Heartbeats on a full mesh of routers and agents would exceed a router's budget for control
+//! traffic. A connection is therefore opened for the first request to a target and closed after
+//! [`IDLE_HEARTBEATS`]; the request is sent without waiting for the handshake.
 //!
-//! A target without a connection counts as reachable until an attempt fails. Then its requests
-//! go elsewhere, and it is tried again until it answers.
+//! A target without a connection counts as reachable until a connection attempt fails. Its
+//! requests are then rejected, and the connection is retried until it succeeds.
 
 use crate::{
     event::{Command, Event},
-    link::{self, Ended, Shared},
+    link::{self, CloseReason, LinkContext},
 };
 use corianderstand_control::snapshot::CurrentSnapshot;
 use corianderstand_decide::request::Refusal;
@@ -23,39 +21,35 @@
 use std::{collections::BTreeMap, time::Duration};
 use tokio::{net::TcpStream, sync::mpsc, task::JoinHandle, time};
 
-/// Shortest pause before a connection is tried again.
-const MIN_RECONNECT: Duration = Duration::from_millis(20);
-/// Time to open a connection. A host that is gone does not answer at all, and the request that
-/// finds this out has to reach another target within its time to the first token.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
+// Short, so that a request to a lost host can still reach another target in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Heartbeats for which a connection may carry no stream before it is closed. Shorter, and a
-/// target that is asked every few seconds would be greeted each time; longer, and a router that
-/// asks many targets in turn would keep a connection to most of them.
+/// Heartbeat intervals without a stream after which a connection is closed.
 pub const IDLE_HEARTBEATS: u32 = 10;
-/// When to come back to a target that was not reached.
-const RETRY_UNREACHED: Duration = Duration::from_millis(500);
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// One target as this thread knows it.
-struct Dialled {
+struct TargetConnection {
     address: SmolStr,
-    announced: u64,
+    announced_offset: u64,
     commands: mpsc::Sender<Command>,
     task: JoinHandle<()>,
 }
 
-/// Keeps one task for each target of the snapshot, for ever.
-pub async fn run(shared: Shared, current: CurrentSnapshot) {
+/// Runs one connection task for each target of the current snapshot.
+pub async fn run(context: LinkContext, current: CurrentSnapshot) {
     let mut changed = current.subscribe();
     let mut version = u64::MAX;
-    let mut dialled: BTreeMap<TargetId, Dialled> = BTreeMap::new();
+    let mut connections: BTreeMap<TargetId, TargetConnection> = BTreeMap::new();
     loop {
         let snapshot = current.load();
         let targets = &snapshot.state.targets;
         if targets.version != version {
             version = targets.version;
-            dialled.retain(|name, known| keeps(&shared, name, known, targets.by_name.get(name)));
+            connections.retain(|name, connection| {
+                retain_connection(&context, name, connection, targets.by_name.get(name))
+            });
             for (name, target) in &targets.by_name {
-                note(&shared, &mut dialled, name, target);
+                register_target(&context, &mut connections, name, target);
             }
         }
         if changed.changed().await.is_err() {
@@ -64,106 +58,116 @@
     }
 }
 
-/// Whether a target is still announced at the same address; if not, its task ends.
-fn keeps(shared: &Shared, name: &TargetId, known: &Dialled, target: Option<&Target>) -> bool {
-    let keep = target.is_some_and(|target| target.record.address == known.address);
-    if !keep {
-        known.task.abort();
-        shared.tell(Event::Disconnected(name.clone()));
+/// Returns whether a target is still announced at the same address; aborts its task otherwise.
+fn retain_connection(
+    context: &LinkContext,
+    name: &TargetId,
+    connection: &TargetConnection,
+    target: Option<&Target>,
+) -> bool {
+    let unchanged = target.is_some_and(|target| target.record.address == connection.address);
+    if !unchanged {
+        connection.task.abort();
+        context.send_event(Event::Disconnected(name.clone()));
     }
-    keep
+    unchanged
 }
 
-/// Starts a target's task, or notes that its agent has started anew.
-///
-/// An agent that was draining and has been restarted takes work again. Without a connection
-/// nothing but the new announcement tells that, and the target would stay unused.
-fn note(
-    shared: &Shared,
-    dialled: &mut BTreeMap<TargetId, Dialled>,
+/// Starts the connection task of a new target, and marks a target as available when it is
+/// announced again: without a connection, nothing else reports that a drained agent restarted.
+fn register_target(
+    context: &LinkContext,
+    connections: &mut BTreeMap<TargetId, TargetConnection>,
     name: &TargetId,
     target: &Target,
 ) {
-    let known = dialled.entry(name.clone()).or_insert_with(|| {
-        let (commands, rx) = mpsc::channel(link::RING);
+    let connection = connections.entry(name.clone()).or_insert_with(|| {
+        let (commands, rx) = mpsc::channel(link::QUEUE_CAPACITY);
         let address = target.record.address.clone();
-        let keep = keep(shared.clone(), name.clone(), address.clone(), commands.clone(), rx);
-        Dialled { address, announced: 0, commands, task: tokio::spawn(keep) }
+        let task = maintain_connection(
+            context.clone(),
+            name.clone(),
+            address.clone(),
+            commands.clone(),
+            rx,
+        );
+        TargetConnection { address, announced_offset: 0, commands, task: tokio::spawn(task) }
     });
-    if known.announced != target.offset {
-        known.announced = target.offset;
-        let commands = known.commands.clone();
-        shared.tell(Event::Connected { target: name.clone(), draining: false, commands });
+    if connection.announced_offset != target.offset {
+        connection.announced_offset = target.offset;
+        let commands = connection.commands.clone();
+        context.send_event(Event::Connected { target: name.clone(), draining: false, commands });
     }
 }
 
-/// Opens a connection when there is a request for it, and again and again when it broke; the
-/// pause is random, so that routers do not return together.
-async fn keep(
-    shared: Shared,
+/// Connects on the first request and reconnects with jittered exponential backoff after a failure.
+async fn maintain_connection(
+    context: LinkContext,
     target: TargetId,
     address: SmolStr,
     commands: mpsc::Sender<Command>,
     rx: mpsc::Receiver<Command>,
 ) {
-    let mut pause = MIN_RECONNECT;
+    let mut delay = MIN_RECONNECT_DELAY;
     let mut reachable = true;
-    let mut waiting = Waiting { shared: shared.clone(), first: None, rx };
+    let mut pending = PendingRequests { context: context.clone(), first: None, rx };
     loop {
-        waiting.first = if reachable {
-            first_request(&mut waiting.rx).await
+        pending.first = if reachable {
+            first_request(&mut pending.rx).await
         } else {
-            let spread = rand::rng().random_range(0.5..1.5);
-            time::sleep(pause.mul_f64(spread)).await;
-            pause = (pause * 2).min(shared.timing.reconnect_ms.0);
+            let jitter = rand::rng().random_range(0.5..1.5);
+            time::sleep(delay.mul_f64(jitter)).await;
+            delay = (delay * 2).min(context.timing.reconnect_ms.0);
             None
         };
         match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&*address)).await {
             Ok(Ok(stream)) => {
-                pause = MIN_RECONNECT;
-                let first = waiting.first.take();
-                let rx = &mut waiting.rx;
-                let ended = link::serve(stream, &shared, &target, &commands, rx, first).await;
-                reachable = matches!(ended, Ended::Idle);
-                if let Ended::Broken(error) = ended {
-                    tracing::warn!(%target, %error, "connection to an agent broke");
+                delay = MIN_RECONNECT_DELAY;
+                let first = pending.first.take();
+                let rx = &mut pending.rx;
+                let close_reason =
+                    link::serve(stream, &context, &target, &commands, rx, first).await;
+                reachable = matches!(close_reason, CloseReason::Idle);
+                if let CloseReason::Failed(error) = close_reason {
+                    tracing::warn!(%target, %error, "connection to agent failed");
                 }
             }
             failed => {
-                let error = failed.map_or_else(|late| late.to_string(), |done| format!("{done:?}"));
-                tracing::debug!(%target, error, "agent not reached");
-                shared.tell(Event::Disconnected(target.clone()));
+                let error = failed
+                    .map_or_else(|elapsed| elapsed.to_string(), |result| format!("{result:?}"));
+                tracing::debug!(%target, error, "failed to connect to agent");
+                context.send_event(Event::Disconnected(target.clone()));
                 reachable = false;
-                refuse(&shared, waiting.first.take());
+                reject_unsent(&context, pending.first.take());
             }
         }
-        while !reachable && let Ok(command) = waiting.rx.try_recv() {
-            refuse(&shared, Some(command));
+        while !reachable && let Ok(command) = pending.rx.try_recv() {
+            reject_unsent(&context, Some(command));
         }
     }
 }
 
 /// Requests that wait for a connection.
 ///
-/// The task ends in the midst when its target is withdrawn. A request that waits then would be
-/// forgotten and its caller hear nothing until its deadline; it is given back on the way out.
-struct Waiting {
-    shared: Shared,
+/// Rejects them on drop: the task is aborted when its target is withdrawn, and a request lost
+/// with it would leave its caller waiting until the deadline.
+struct PendingRequests {
+    context: LinkContext,
     first: Option<Command>,
     rx: mpsc::Receiver<Command>,
 }
 
-impl Drop for Waiting {
+impl Drop for PendingRequests {
     fn drop(&mut self) {
-        refuse(&self.shared, self.first.take());
+        reject_unsent(&self.context, self.first.take());
         self.rx.close();
         while let Ok(command) = self.rx.try_recv() {
-            refuse(&self.shared, Some(command));
+            reject_unsent(&self.context, Some(command));
         }
     }
 }
 
-/// Waits for a request; credit and cancelling of streams that are over concern nobody.
+/// Waits for a request; discards credit and cancellation of streams that have ended.
 async fn first_request(rx: &mut mpsc::Receiver<Command>) -> Option<Command> {
     while let Some(command) = rx.recv().await {
         if matches!(command, Command::Open(_)) {
@@ -173,12 +177,13 @@
     None
 }
 
-/// Gives a request back that was never sent, so that it certainly did not run and may go to
-/// another target even if it may not be repeated.
-fn refuse(shared: &Shared, command: Option<Command>) {
+/// Reports a request that was never sent as refused, so that it may go to another target even if
+/// it is not repeatable.
+fn reject_unsent(context: &LinkContext, command: Option<Command>) {
     let Some(Command::Open(call)) = command else { return };
-    let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_UNREACHED };
+    let refusal =
+        Refusal { reason: RefusalReason::NotLoaded, retry_after: UNREACHABLE_RETRY_AFTER };
     let load = Load { running: 0, queued: 0, wait_ms: 0 };
-    let key = link::key(call.open.stream);
-    shared.tell(Event::Refused { key, refusal, load });
+    let key = link::request_key(call.open.stream);
+    context.send_event(Event::Refused { key, refusal, load });
 }
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -207,7 +207,7 @@
     ) -> Result<(), Problem> {
         self.check_head(req)?;
         match kind {
-            Kind::OtherMethod(allowed) => Err(Problem::Method(allowed)),
+            Kind::OtherMethod(allowed) => Err(Problem::MethodNotAllowed(allowed)),
             Kind::NoSuchPath => Err(Problem::NoSuchPath),
             Kind::Healthy => {
                 drop(res.write_body("ok\n"));
@@ -317,7 +317,7 @@
     }
 
     fn check_peer(&self, req: &Request) -> Result<(), Problem> {
-        let token = self.hasher.hash(operator::PEER_LABEL);
+        let token = self.hasher.hash(operator::PEER_TOKEN_LABEL);
         if bearer(req)? == token { Ok(()) } else { Err(Problem::Forbidden) }
     }
 
@@ -330,12 +330,12 @@
     pub async fn read_body(&self, req: &mut Request, max_bytes: usize) -> Result<Bytes, Problem> {
         let declared = header(req, "content-length").and_then(|v| v.parse::<usize>().ok());
         if declared.is_some_and(|length| length > max_bytes) {
-            return Err(Problem::TooLong(max_bytes));
+            return Err(Problem::BodyTooLong(max_bytes));
         }
         let result = time::timeout(self.read_timeout, req.payload_with_max_size(max_bytes)).await;
         match result {
-            Err(_) => Err(Problem::TooSlow(self.read_timeout.as_millis())),
-            Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::TooLong(max_bytes)),
+            Err(_) => Err(Problem::BodyTimeout(self.read_timeout.as_millis())),
+            Ok(Err(ParseError::PayloadTooLarge)) => Err(Problem::BodyTooLong(max_bytes)),
             Ok(Err(error)) => {
                 Err(Problem::Invalid(format!("failed to read the body ({error}): send it again")))
             }
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts a router's threads and stops them as planned.
+//! Starts and gracefully stops the threads of a router.
 
 use crate::{
     auth::{AuthError, Hasher},
@@ -7,7 +7,7 @@
     dial,
     event::Event,
     http::{self, HandlerContext},
-    link::Shared,
+    link::LinkContext,
     operator,
     watched::{WatchedAcceptor, WatchedConnections},
 };
@@ -42,22 +42,20 @@
 };
 use tokio::{runtime, time};
 
-/// Events that wait for the `decide` thread.
-const EVENT_RING: usize = 16384;
-/// How many times the limit a head may be long to be refused in our own form; the HTTP library
-/// refuses a longer one with an empty body.
-const HEAD_SLACK: usize = 8;
-/// Time between two looks during a planned stop.
-const STOP_PAUSE: Duration = Duration::from_millis(50);
+const EVENT_QUEUE_CAPACITY: usize = 16384;
+/// Ratio of the HTTP library's header limit to the configured one. Heads between the two limits
+/// are refused with a [`crate::problem::Problem`]; the library refuses longer ones without a body.
+const HEADER_HARD_LIMIT_RATIO: usize = 8;
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A router that cannot start.
+/// Why a router failed to start.
 #[derive(Debug, displaydoc::Display)]
 pub enum RouterError {
-    /// cannot listen on {0} ({1}): free the address, or change `listen`
+    /// cannot listen on {0} ({1}): free the address or change `listen`
     Listen(String, std::io::Error),
-    /// cannot send metrics ({0}): mend `statsd`, or leave it out
+    /// cannot send metrics ({0}): correct or remove `statsd`
     Statsd(std::io::Error),
-    /// cannot start a thread ({0}): raise the host's limits
+    /// cannot start a thread ({0}): raise the process limits of the host
     Thread(std::io::Error),
     /// {0}
     Auth(AuthError),
@@ -68,7 +66,7 @@
 /// A running router.
 pub struct RouterHandle {
     draining: Arc<AtomicBool>,
-    held: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
     server: ServerHandle,
     http: thread::JoinHandle<()>,
     control: ControlHandle,
@@ -76,7 +74,7 @@
     drain_limit: Duration,
 }
 
-/// Starts a router; it returns as soon as its port is bound.
+/// Starts a router; returns once its port is bound.
 ///
 /// # Errors
 ///
@@ -90,8 +88,8 @@
     let metrics = Metrics::new(settings.statsd.as_deref(), settings.name.as_str());
     let metrics = metrics.map_err(RouterError::Statsd)?;
     let control = start_control(&settings, incarnation, &hasher, source, clock.clone(), &metrics)?;
-    let (events, events_rx) = mpsc::sync_channel(EVENT_RING);
-    let held = Arc::new(AtomicUsize::new(0));
+    let (events, events_rx) = mpsc::sync_channel(EVENT_QUEUE_CAPACITY);
+    let in_flight = Arc::new(AtomicUsize::new(0));
     let draining = Arc::new(AtomicBool::new(false));
 
     let decider = Decider {
@@ -103,14 +101,14 @@
         versions: (u64::MAX, 0, 0),
         hosts: Arc::default(),
         reported_draining: BTreeSet::new(),
-        in_flight: held.clone(),
+        in_flight: in_flight.clone(),
         metrics: metrics.clone(),
     };
     spawn("decide", move || decider.run(&events_rx))?;
     start_link(&settings, incarnation, &control, events.clone(), budget)?;
 
     let peer_client = reqwest::Client::builder().no_proxy().build();
-    let door = Arc::new(HandlerContext {
+    let context = Arc::new(HandlerContext {
         name: settings.name.clone(),
         peer_client: peer_client.expect("the client has no settings that can fail"),
         events,
@@ -125,14 +123,14 @@
         max_body_bytes: settings.limits.max_body_bytes as usize,
         read_timeout: settings.limits.read_timeout_ms.0,
         max_in_flight: settings.limits.max_in_flight as usize,
-        in_flight: held.clone(),
+        in_flight: in_flight.clone(),
         draining: draining.clone(),
         watched: WatchedConnections::new(clock.since_boot()),
         clock,
     });
-    let (server, http) = start_http(&settings, incarnation, &door)?;
+    let (server, http) = start_http(&settings, incarnation, &context)?;
     let (grace, drain_limit) = (settings.timing.grace_ms.0, settings.timing.drain_ms.0);
-    Ok(RouterHandle { draining, held, server, http, control, grace, drain_limit })
+    Ok(RouterHandle { draining, in_flight, server, http, control, grace, drain_limit })
 }
 
 fn runtime() -> Result<runtime::Runtime, RouterError> {
@@ -147,10 +145,10 @@
     builder.spawn(run).map_err(RouterError::Thread)
 }
 
-/// Where this router reads the log: itself, or from another router.
+/// Selects whether this router reads the log directly or from another router.
 fn source(settings: &RouterSettings, hasher: &Hasher, tail: Tail) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
-    let token = hasher.hash(operator::PEER_LABEL);
+    let token = hasher.hash(operator::PEER_TOKEN_LABEL);
     let own = Some(&settings.listen);
     Source::for_process(log, &settings.name, own, &settings.peers, &token, tail)
 }
@@ -172,7 +170,7 @@
             clock: clock.clone(),
         }),
         hosts: Arc::new(Paced::new(HttpHostList::new(&settings.host_list_url), clock.clone())),
-        peers: Arc::new(HttpPeers::new(&settings.peers, hasher.hash(operator::PEER_LABEL))),
+        peers: Arc::new(HttpPeers::new(&settings.peers, hasher.hash(operator::PEER_TOKEN_LABEL))),
         clock,
         log_read_wait: poll,
         hosts_poll_interval: settings.timing.host_list_poll_ms.0,
@@ -189,24 +187,24 @@
     budget: Arc<Budget>,
 ) -> Result<(), RouterError> {
     let timing = settings.timing.clone();
-    let shared = Shared { router: settings.name.clone(), incarnation, timing, events, budget };
+    let context =
+        LinkContext { router: settings.name.clone(), incarnation, timing, events, budget };
     let current = control.current.clone();
     let runtime = runtime()?;
-    spawn("link", move || runtime.block_on(dial::run(shared, current)))?;
+    spawn("link", move || runtime.block_on(dial::run(context, current)))?;
     Ok(())
 }
 
 fn start_http(
     settings: &RouterSettings,
     incarnation: u64,
-    door: &Arc<HandlerContext>,
+    context: &Arc<HandlerContext>,
 ) -> Result<(ServerHandle, thread::JoinHandle<()>), RouterError> {
     let listen_error = |error| RouterError::Listen(settings.listen.to_string(), error);
     let listener = std::net::TcpListener::bind(settings.listen.as_str()).map_err(listen_error)?;
     listener.set_nonblocking(true).map_err(listen_error)?;
-    // Connections inherit this. Without it a part of an answer waits until the caller has
-    // acknowledged the one before, which its system delays by 40 ms: a stream then comes in
-    // pairs of tokens with pauses between them, however fast the engine is.
+    // Accepted connections inherit this. With Nagle's algorithm and delayed acknowledgements,
+    // tokens of a stream would be held back for up to 40 ms.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true).map_err(listen_error)?;
     let runtime = runtime()?;
     let acceptor = {
@@ -214,69 +212,72 @@
         let listener = tokio::net::TcpListener::from_std(listener).map_err(listen_error)?;
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
-    let mut server = Server::new(WatchedAcceptor::new(acceptor, door.watched.clone()))
-        .fuse_policy(ConnectionPolicy(door.connections.clone()));
-    server.http1_mut().max_header_size(door.max_header_bytes * HEAD_SLACK);
+    let mut server = Server::new(WatchedAcceptor::new(acceptor, context.watched.clone()))
+        .fuse_policy(ConnectionPolicy(context.connections.clone()));
+    server.http1_mut().max_header_size(context.max_header_bytes * HEADER_HARD_LIMIT_RATIO);
     let handle = server.handle();
-    let routes = http::routes(door);
+    let routes = http::routes(context);
     let identity = Identity { writer: settings.name.clone(), incarnation };
-    let reported = door.clone();
-    let more = move |metrics: &Metrics| {
-        metrics.gauge(Metric::RouterHeld, reported.in_flight.load(Ordering::Relaxed) as u64);
-        metrics.gauge(Metric::RouterConnections, reported.connections.count() as u64);
-        reported.tail.budget().report(metrics);
+    let metrics_context = context.clone();
+    let report_gauges = move |metrics: &Metrics| {
+        metrics.gauge(Metric::RouterHeld, metrics_context.in_flight.load(Ordering::Relaxed) as u64);
+        metrics.gauge(Metric::RouterConnections, metrics_context.connections.count() as u64);
+        metrics_context.tail.budget().report(metrics);
     };
-    let report =
-        measured::report(door.metrics.clone(), identity, door.control.current.clone(), more);
-    let watched = door.clone();
+    let report = measured::report(
+        context.metrics.clone(),
+        identity,
+        context.control.current.clone(),
+        report_gauges,
+    );
+    let pause_context = context.clone();
     let http = spawn("http", move || {
         runtime.spawn(report);
-        runtime.spawn(watch(watched));
+        runtime.spawn(detect_pauses(pause_context));
         runtime.block_on(server.serve(routes));
     })?;
     Ok((handle, http))
 }
 
-/// Turns the watch for pauses on the thread that reads requests.
-async fn watch(door: Arc<HandlerContext>) {
+/// Polls the pause detector on the thread that reads requests.
+async fn detect_pauses(context: Arc<HandlerContext>) {
     loop {
-        door.watched.tick(door.clock.since_boot());
+        context.watched.tick(context.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
 
 impl RouterHandle {
-    /// Begins a planned stop: not ready any more, requests in flight go on.
+    /// Starts to drain: the router reports not ready, requests in flight continue.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Requests with targets now, for who ends the process before they are done.
+    /// Returns the number of requests in flight, for a forced exit.
     pub fn in_flight(&self) -> Arc<AtomicUsize> {
-        self.held.clone()
+        self.in_flight.clone()
     }
 
-    /// Stops as planned: serves on until balancers have seen that this router is not ready,
-    /// then takes no connection, and waits until each answer was read by its caller, or for
-    /// the limit.
+    /// Stops gracefully: keeps serving until balancers have noticed that this router is not ready,
+    /// then accepts no connections and waits until all are closed or the drain limit is reached.
     ///
-    /// A caller that reads slowly still has much of its answer to come when its target is done,
-    /// so the connections decide when this ends, not the requests held.
+    /// Waits for connections rather than requests in flight, as slow callers may still be reading
+    /// when their targets have finished.
     pub fn join(self) {
         if let Ok(runtime) = runtime() {
             runtime.block_on(self.control.resign());
         }
         thread::sleep(self.grace);
         self.server.stop_graceful(None);
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !self.http.is_finished() {
-            if began.elapsed() >= self.drain_limit {
-                let held = self.held.load(Ordering::Relaxed);
-                tracing::warn!(held, "planned stop: limit reached with requests in flight");
+            if started_at.elapsed() >= self.drain_limit {
+                let in_flight = self.in_flight.load(Ordering::Relaxed);
+                tracing::warn!(held = in_flight, "drain limit reached with requests in flight");
                 self.server.stop_forceful();
                 break;
             }
-            thread::sleep(STOP_PAUSE);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 }
