--- a/crates/corianderstand_agent/src/announce.rs
+++ b/crates/corianderstand_agent/src/announce.rs
@@ -1,6 +1,6 @@
 //! What an agent says of its target in the log: that it is there, what it gives back.
 
-use crate::release::Releases;
+use crate::release::SlotReleases;
 use corianderstand_control::start::ControlHandle;
 use corianderstand_schema::records::{Body, TargetRecord};
 use corianderstand_types::names::TargetId;
@@ -45,8 +45,8 @@
     }
 }
 
-/// Releases slots in the log as they are given up.
-pub async fn release(control: ControlHandle, mut releases: watch::Receiver<Releases>) {
+/// SlotReleases slots in the log as they are given up.
+pub async fn release(control: ControlHandle, mut releases: watch::Receiver<SlotReleases>) {
     loop {
         let due = releases.borrow_and_update().clone();
         let snapshot = control.current.load();
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -1,12 +1,12 @@
 //! The `decide` thread: feeds events to the pure logic and hands on what it decides.
 
 use crate::{
-    early::{self, Early},
     event::{ConnectionId, Event, Job, Request},
-    pause::PauseWatch,
-    reconcile::Asking,
-    release::{Release, Releases},
-    sizes::ViewSizes,
+    freshness::FreshnessGuard,
+    held_requests::{self, HeldRequests},
+    reconcile::ReconcileTimer,
+    release::{SlotReleaser, SlotReleases},
+    view_config::ViewConfig,
 };
 use bytes::Bytes;
 use corianderstand_control::{
@@ -69,19 +69,19 @@
     /// Whether the ledger has been taken over from the engine.
     pub rebuilt: bool,
     /// Models that may be loaded under the slots in force.
-    pub kept: BTreeSet<ModelId>,
+    pub loadable_models: BTreeSet<ModelId>,
     /// Slots to give back.
-    pub release: Release,
+    pub releaser: SlotReleaser,
     /// Those that may be released, for the `link` thread.
-    pub releases: watch::Sender<Releases>,
+    pub releases: watch::Sender<SlotReleases>,
     /// Whether a planned stop has begun.
     pub stopping: bool,
     /// Notices that this process stood still.
-    pub pause: PauseWatch,
+    pub freshness: FreshnessGuard,
     /// When to ask the engine what is loaded.
-    pub asking: Asking,
+    pub reconcile_timer: ReconcileTimer,
     /// Requests that came before the records they were chosen by.
-    pub early: Early<Box<(RequestSpec, Request)>>,
+    pub held_requests: HeldRequests<Box<(RequestSpec, Request)>>,
 }
 
 impl Decider {
@@ -90,20 +90,24 @@
         loop {
             let now = self.clock.now();
             let wake = self.agent.next_wake().map(|at| at.saturating_duration_since(now));
-            let longest = if self.early.is_empty() { LONGEST_WAIT } else { early::POLL };
+            let longest = if self.held_requests.is_empty() {
+                LONGEST_WAIT
+            } else {
+                held_requests::POLL_INTERVAL
+            };
             let wait = wake.unwrap_or(longest).min(longest);
             let event = events.recv_timeout(wait);
             let snapshot = self.current.load();
-            self.pause.turn(self.clock.now(), snapshot.reads);
-            self.take_early(&snapshot);
+            self.freshness.on_iteration(self.clock.now(), snapshot.reads);
+            self.submit_held(&snapshot);
             match event {
                 Ok(event) => self.take(event, &snapshot),
                 Err(RecvTimeoutError::Timeout) => self.step(&snapshot),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.ask_engine();
+            self.query_loaded_if_due();
             self.load.send_replace(self.agent.load());
-            self.idle.send_replace(self.agent.is_idle() && self.early.is_empty());
+            self.idle.send_replace(self.agent.is_idle() && self.held_requests.is_empty());
             self.held.store(self.requests.len(), Ordering::Relaxed);
         }
     }
@@ -112,13 +116,13 @@
         self.refresh_slots(snapshot);
         let now = self.clock.now();
         self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
-        let actions = self.agent.step(now, &ViewSizes(&snapshot.view));
+        let actions = self.agent.step(now, &ViewConfig(&snapshot.view));
         self.perform(actions, snapshot);
     }
 
-    fn ask_engine(&mut self) {
+    fn query_loaded_if_due(&mut self) {
         let ledger = self.agent.ledger();
-        if self.asking.is_due(self.clock.now(), ledger.has_unknown()) {
+        if self.reconcile_timer.is_due(self.clock.now(), ledger.has_unknown()) {
             drop(self.jobs.send(Job::Ask { version: ledger.version() }));
         }
     }
@@ -135,29 +139,32 @@
         let leaving = self.stopping || snapshot.state.targets.is_leaving(&self.target);
         self.agent.set_draining(leaving);
         let (state, in_use) = (&snapshot.state, self.agent.models_in_use());
-        let kept = self.release.kept(state, &snapshot.view, &self.target, leaving, &in_use);
-        if kept != self.kept {
-            self.kept.clone_from(&kept);
-            self.agent.set_slots(kept.clone());
+        let loadable_models =
+            self.releaser.loadable_models(state, &snapshot.view, &self.target, leaving, &in_use);
+        if loadable_models != self.loadable_models {
+            self.loadable_models.clone_from(&loadable_models);
+            self.agent.set_slots(loadable_models.clone());
         }
         let ledger = self.agent.ledger();
-        let given_up =
-            self.release.give_up(state, &self.target, &kept, |model| ledger.holds(model));
+        let releases =
+            self.releaser.update_releases(state, &self.target, &loadable_models, |model| {
+                ledger.holds(model)
+            });
         self.releases.send_if_modified(|current| {
-            let changed = current != given_up;
+            let changed = current != releases;
             if changed {
-                current.clone_from(given_up);
+                current.clone_from(releases);
             }
             changed
         });
     }
 
-    fn take_early(&mut self, snapshot: &Snapshot) {
-        if self.early.is_empty() {
+    fn submit_held(&mut self, snapshot: &Snapshot) {
+        if self.held_requests.is_empty() {
             return;
         }
         self.refresh_slots(snapshot);
-        for submitted in self.early.take(self.clock.now(), snapshot.state.next) {
+        for submitted in self.held_requests.take_ready(self.clock.now(), snapshot.state.next) {
             let actions = self.submit(*submitted, snapshot);
             self.perform(actions, snapshot);
         }
@@ -166,7 +173,7 @@
     fn submit(&mut self, submitted: (RequestSpec, Request), snapshot: &Snapshot) -> Vec<Action> {
         let (work, request) = submitted;
         let now = self.clock.now();
-        let (key, actions) = self.agent.submit(now, work, &ViewSizes(&snapshot.view));
+        let (key, actions) = self.agent.submit(now, work, &ViewConfig(&snapshot.view));
         self.since.insert(key, now);
         self.streams.insert((request.end.connection, request.end.stream), key);
         self.requests.insert(key, request);
@@ -177,37 +184,37 @@
         self.refresh_slots(snapshot);
         let now = self.clock.now();
         self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
-        let sizes = ViewSizes(&snapshot.view);
+        let config = ViewConfig(&snapshot.view);
         let actions = match event {
             Event::Submit(submitted) => {
                 let request = &submitted.1;
                 let stream = (request.end.connection, request.end.stream);
                 let (next, as_of) = (snapshot.state.next, request.open.as_of);
-                match self.early.hold(now, next, as_of, stream, submitted) {
+                match self.held_requests.hold(now, next, as_of, stream, submitted) {
                     Some(submitted) => self.submit(*submitted, snapshot),
                     None => Vec::new(),
                 }
             }
             Event::Cancelled { connection, stream } => {
-                self.early.cancel((connection, stream));
+                self.held_requests.cancel((connection, stream));
                 let key = self.streams.get(&(connection, stream)).copied();
-                key.map_or_else(Vec::new, |key| self.cancel(key, &sizes))
+                key.map_or_else(Vec::new, |key| self.cancel(key, &config))
             }
             Event::Gone(connection) => {
-                self.early.forget(connection);
+                self.held_requests.remove_connection(connection);
                 let gone = self.streams.iter().filter(|((c, _), _)| *c == connection);
                 let keys: Vec<RequestKey> = gone.map(|(_, key)| *key).collect();
-                keys.into_iter().flat_map(|key| self.cancel(key, &sizes)).collect()
+                keys.into_iter().flat_map(|key| self.cancel(key, &config)).collect()
             }
             Event::Ended { key } => {
                 self.forget(key);
-                self.agent.on_request_finished(now, key, &sizes)
+                self.agent.on_request_finished(now, key, &config)
             }
             Event::Loaded(weights, outcome) => {
-                self.agent.on_load_finished(now, &weights, outcome, &sizes)
+                self.agent.on_load_finished(now, &weights, outcome, &config)
             }
             Event::Unloaded(weights, confirmed) => {
-                self.agent.on_unload_finished(now, &weights, confirmed, &sizes)
+                self.agent.on_unload_finished(now, &weights, confirmed, &config)
             }
             Event::Rebuilt(loaded) => {
                 self.agent.rebuild(loaded);
@@ -220,9 +227,9 @@
             }
             Event::Asked { version, loaded } => {
                 let actions = loaded
-                    .map(|loaded| self.agent.reconcile(now, version, &loaded, &sizes))
+                    .map(|loaded| self.agent.reconcile(now, version, &loaded, &config))
                     .unwrap_or_default();
-                self.asking.answered(now, self.agent.ledger().has_unknown());
+                self.reconcile_timer.on_response(now, self.agent.ledger().has_unknown());
                 actions
             }
             Event::Drain => {
@@ -256,12 +263,12 @@
 
     /// A request that runs is ended by the `target` thread, which sees its credit closed; one
     /// that waits is simply forgotten.
-    fn cancel(&mut self, key: RequestKey, sizes: &ViewSizes<'_>) -> Vec<Action> {
+    fn cancel(&mut self, key: RequestKey, config: &ViewConfig<'_>) -> Vec<Action> {
         if self.agent.is_running(key) {
             return Vec::new();
         }
         self.forget(key);
-        self.agent.on_request_finished(self.clock.now(), key, sizes)
+        self.agent.on_request_finished(self.clock.now(), key, config)
     }
 
     fn forget(&mut self, key: RequestKey) -> Option<Request> {
@@ -291,8 +298,8 @@
                 }
                 // Whatever wanted it, nothing is loaded without a slot, nor by an old picture.
                 Action::Load(weights, _)
-                    if !self.kept.contains(&weights.model)
-                        || !self.pause.is_fresh(snapshot.reads) =>
+                    if !self.loadable_models.contains(&weights.model)
+                        || !self.freshness.is_fresh(snapshot.reads) =>
                 {
                     self.decline(&weights, snapshot);
                     continue;
@@ -318,8 +325,8 @@
 
     /// Takes an order back that must not be given now; who waits for it goes elsewhere.
     fn decline(&mut self, weights: &Weights, snapshot: &Snapshot) {
-        let sizes = ViewSizes(&snapshot.view);
-        let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &sizes);
+        let config = ViewConfig(&snapshot.view);
+        let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &config);
         self.perform(actions, snapshot);
     }
 
--- a/crates/corianderstand_agent/src/early.rs
+++ b/crates/corianderstand_agent/src/held_requests.rs
@@ -10,16 +10,16 @@
 
 /// Longest time a request is held. An agent that is further behind has lost the log; the request
 /// then goes on as it is, so that it is refused in time to be tried elsewhere.
-pub const LONGEST_HOLD: Duration = Duration::from_millis(1000);
+pub const MAX_HOLD_TIME: Duration = Duration::from_millis(1000);
 /// Requests held at once. Made for the burst after a change of slots; beyond it a request goes
 /// on at once, so that an agent that lags for long does not gather all of a burst.
-pub const MAX_HELD: usize = 1024;
+pub const MAX_HELD_REQUESTS: usize = 1024;
 /// Time between two looks while requests are held.
-pub const POLL: Duration = Duration::from_millis(5);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// One request that is held.
 #[derive(Debug)]
-struct Held<T> {
+struct HeldRequest<T> {
     as_of: u64,
     until: Instant,
     stream: (ConnectionId, u64),
@@ -28,17 +28,17 @@
 
 /// Requests held, in the order they came.
 #[derive(Debug)]
-pub struct Early<T> {
-    held: Vec<Held<T>>,
+pub struct HeldRequests<T> {
+    held: Vec<HeldRequest<T>>,
 }
 
-impl<T> Default for Early<T> {
+impl<T> Default for HeldRequests<T> {
     fn default() -> Self {
         Self { held: Vec::new() }
     }
 }
 
-impl<T> Early<T> {
+impl<T> HeldRequests<T> {
     /// Holds a request chosen by the record at `as_of`, unless the fold has passed it or too
     /// many are held; then the request comes back.
     pub fn hold(
@@ -49,16 +49,16 @@
         stream: (ConnectionId, u64),
         request: T,
     ) -> Option<T> {
-        if as_of < next || self.held.len() >= MAX_HELD {
+        if as_of < next || self.held.len() >= MAX_HELD_REQUESTS {
             return Some(request);
         }
-        self.held.push(Held { as_of, until: now + LONGEST_HOLD, stream, request });
+        self.held.push(HeldRequest { as_of, until: now + MAX_HOLD_TIME, stream, request });
         None
     }
 
     /// Takes out all requests whose record is folded or whose time is over, in order.
-    pub fn take(&mut self, now: Instant, next: u64) -> Vec<T> {
-        let ready = |held: &mut Held<T>| held.as_of < next || held.until <= now;
+    pub fn take_ready(&mut self, now: Instant, next: u64) -> Vec<T> {
+        let ready = |held: &mut HeldRequest<T>| held.as_of < next || held.until <= now;
         self.held.extract_if(.., ready).map(|held| held.request).collect()
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Forgets all requests of a connection that is gone.
-    pub fn forget(&mut self, connection: ConnectionId) {
+    pub fn remove_connection(&mut self, connection: ConnectionId) {
         self.held.retain(|held| held.stream.0 != connection);
     }
 
--- a/crates/corianderstand_agent/src/lib.rs
+++ b/crates/corianderstand_agent/src/lib.rs
@@ -21,14 +21,14 @@
 mod announce;
 mod calls;
 mod decide;
-mod early;
 mod event;
-mod pause;
+mod freshness;
+mod held_requests;
 mod reconcile;
 mod release;
 mod run;
 mod shape;
-mod sizes;
 mod start;
+mod view_config;
 
 pub use start::{AgentError, AgentHandle, start};
--- a/crates/corianderstand_agent/src/reconcile.rs
+++ b/crates/corianderstand_agent/src/reconcile.rs
@@ -7,49 +7,50 @@
 use std::time::{Duration, Instant};
 
 /// First pause before the engine is asked again.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(250);
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 /// Longest pause while an outcome is unknown: an engine that is overloaded or down is not
 /// helped by more questions.
-pub const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Pause while nothing is unknown.
-pub const CALM_PAUSE: Duration = Duration::from_secs(10);
+pub const RECONCILE_INTERVAL: Duration = Duration::from_secs(10);
 /// Time after which a question that was not answered is given up.
-pub const ANSWER_LIMIT: Duration = Duration::from_secs(150);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(150);
 
 /// The state of the questions.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking {
-    next: Instant,
-    pause: Duration,
-    underway: bool,
+pub struct ReconcileTimer {
+    next_at: Instant,
+    backoff: Duration,
+    in_progress: bool,
 }
 
-impl Asking {
+impl ReconcileTimer {
     /// The first question comes after a calm pause, as the engine is asked at start.
     pub fn new(now: Instant) -> Self {
-        Self { next: now + CALM_PAUSE, pause: FIRST_PAUSE, underway: false }
+        Self { next_at: now + RECONCILE_INTERVAL, backoff: INITIAL_BACKOFF, in_progress: false }
     }
 
     /// Whether the engine is to be asked now.
     pub fn is_due(&mut self, now: Instant, has_unknown: bool) -> bool {
         if !has_unknown {
-            self.pause = FIRST_PAUSE;
-        } else if !self.underway {
-            self.next = self.next.min(now + self.pause);
+            self.backoff = INITIAL_BACKOFF;
+        } else if !self.in_progress {
+            self.next_at = self.next_at.min(now + self.backoff);
         }
-        if now < self.next {
+        if now < self.next_at {
             return false;
         }
-        self.underway = true;
-        self.next = now + ANSWER_LIMIT;
+        self.in_progress = true;
+        self.next_at = now + RESPONSE_TIMEOUT;
         true
     }
 
     /// The engine has answered, or has failed to.
-    pub fn answered(&mut self, now: Instant, has_unknown: bool) {
-        self.underway = false;
-        self.pause = if has_unknown { (self.pause * 2).min(LONGEST_PAUSE) } else { FIRST_PAUSE };
-        self.next = now + if has_unknown { self.pause } else { CALM_PAUSE };
+    pub fn on_response(&mut self, now: Instant, has_unknown: bool) {
+        self.in_progress = false;
+        self.backoff =
+            if has_unknown { (self.backoff * 2).min(MAX_BACKOFF) } else { INITIAL_BACKOFF };
+        self.next_at = now + if has_unknown { self.backoff } else { RECONCILE_INTERVAL };
     }
 }
 
--- a/crates/corianderstand_agent/src/reconcile/tests.rs
+++ b/crates/corianderstand_agent/src/reconcile/tests.rs
@@ -1,4 +1,4 @@
-use super::{Asking, CALM_PAUSE, FIRST_PAUSE, LONGEST_PAUSE};
+use super::{INITIAL_BACKOFF, MAX_BACKOFF, RECONCILE_INTERVAL, ReconcileTimer};
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 #[rstest]
 fn pauses_grow_to_a_bound_while_an_outcome_is_unknown() {
     let clock = ManualClock::default();
-    let mut asking = Asking::new(clock.now());
-    let (mut pauses, mut waited) = (Vec::new(), Duration::ZERO);
-    while pauses.len() < 8 {
-        clock.advance(FIRST_PAUSE);
-        waited += FIRST_PAUSE;
-        if asking.is_due(clock.now(), true) {
-            asking.answered(clock.now(), true);
-            pauses.push(waited);
+    let mut timer = ReconcileTimer::new(clock.now());
+    let (mut intervals, mut waited) = (Vec::new(), Duration::ZERO);
+    while intervals.len() < 8 {
+        clock.advance(INITIAL_BACKOFF);
+        waited += INITIAL_BACKOFF;
+        if timer.is_due(clock.now(), true) {
+            timer.on_response(clock.now(), true);
+            intervals.push(waited);
             waited = Duration::ZERO;
         }
     }
-    assert!(pauses[0] <= FIRST_PAUSE * 2);
-    assert!(pauses.is_sorted());
-    assert!(pauses.iter().all(|pause| *pause <= LONGEST_PAUSE + FIRST_PAUSE));
+    assert!(intervals[0] <= INITIAL_BACKOFF * 2);
+    assert!(intervals.is_sorted());
+    assert!(intervals.iter().all(|interval| *interval <= MAX_BACKOFF + INITIAL_BACKOFF));
 }
 
 #[rstest]
 fn one_question_at_a_time_and_few_in_the_calm() {
     let clock = ManualClock::default();
-    let mut asking = Asking::new(clock.now());
-    assert!(!asking.is_due(clock.now(), false));
-    clock.advance(CALM_PAUSE);
-    assert!(asking.is_due(clock.now(), false));
-    clock.advance(LONGEST_PAUSE);
-    assert!(!asking.is_due(clock.now(), true), "the first is not answered yet");
+    let mut timer = ReconcileTimer::new(clock.now());
+    assert!(!timer.is_due(clock.now(), false));
+    clock.advance(RECONCILE_INTERVAL);
+    assert!(timer.is_due(clock.now(), false));
+    clock.advance(MAX_BACKOFF);
+    assert!(!timer.is_due(clock.now(), true), "the first is not answered yet");
 }
--- a/crates/corianderstand_agent/src/release.rs
+++ b/crates/corianderstand_agent/src/release.rs
@@ -15,20 +15,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Assignments to release, by slot: offset of each.
-pub type Releases = BTreeMap<SlotKey, u64>;
+pub type SlotReleases = BTreeMap<SlotKey, u64>;
 
 /// What the target may hold and what it gives back.
 #[derive(Debug, Default)]
-pub struct Release {
-    given_up: Releases,
+pub struct SlotReleaser {
+    pending: SlotReleases,
 }
 
-impl Release {
+impl SlotReleaser {
     /// Models that may be loaded under the slots in force.
     ///
     /// `leaving` tells that the host leaves or the agent stops; then only models in `in_use`
     /// stay, for the requests already here.
-    pub fn kept(
+    pub fn loadable_models(
         &mut self,
         state: &State,
         view: &View,
@@ -37,32 +37,32 @@
         in_use: &BTreeSet<ModelId>,
     ) -> BTreeSet<ModelId> {
         let owned = owned(state, target);
-        self.given_up
+        self.pending
             .retain(|key, assigned| owned.get(key).is_some_and(|s| s.assigned == *assigned));
-        let wanted = |key: &SlotKey| {
+        let is_wanted = |key: &SlotKey| {
             let stays = !leaving || in_use.contains(&key.model);
             let declared = view.models.contains_key(&key.model);
             stays && declared && key.index < view.replicas(&key.model)
         };
-        let kept = owned.keys().filter(|key| wanted(key) && !self.given_up.contains_key(key));
-        kept.map(|key| key.model.clone()).collect()
+        let loadable = owned.keys().filter(|key| is_wanted(key) && !self.pending.contains_key(key));
+        loadable.map(|key| key.model.clone()).collect()
     }
 
     /// Gives up the slots of models that are neither kept nor `held` by the engine; all that
     /// are to be released.
-    pub fn give_up(
+    pub fn update_releases(
         &mut self,
         state: &State,
         target: &TargetId,
-        kept: &BTreeSet<ModelId>,
-        held: impl Fn(&ModelId) -> bool,
-    ) -> &Releases {
+        loadable: &BTreeSet<ModelId>,
+        is_held: impl Fn(&ModelId) -> bool,
+    ) -> &SlotReleases {
         for (key, slot) in owned(state, target) {
-            if !kept.contains(&key.model) && !held(&key.model) {
-                self.given_up.insert(key, slot.assigned);
+            if !loadable.contains(&key.model) && !is_held(&key.model) {
+                self.pending.insert(key, slot.assigned);
             }
         }
-        &self.given_up
+        &self.pending
     }
 }
 
--- a/crates/corianderstand_agent/src/release/tests.rs
+++ b/crates/corianderstand_agent/src/release/tests.rs
@@ -1,7 +1,7 @@
 mod random;
 mod world;
 
-use super::Release;
+use super::SlotReleaser;
 use corianderstand_schema::records::{Body, Record};
 use corianderstand_state::{fold::State, slots::SlotKey, view::View};
 use corianderstand_types::names::{ModelId, TargetId};
@@ -12,7 +12,7 @@
 struct Bench {
     state: State,
     target: TargetId,
-    release: Release,
+    releaser: SlotReleaser,
 }
 
 impl Bench {
@@ -31,13 +31,13 @@
             let outcome = state.apply(offset, 0, &record);
             assert_eq!(outcome, corianderstand_state::fold::Outcome::Applied);
         }
-        Self { state, target, release: Release::default() }
+        Self { state, target, releaser: SlotReleaser::default() }
     }
 
-    fn kept(&mut self, leaving: bool, in_use: &[&str]) -> BTreeSet<ModelId> {
+    fn loadable_models(&mut self, leaving: bool, in_use: &[&str]) -> BTreeSet<ModelId> {
         let view = View::new(&self.state.documents);
         let in_use = in_use.iter().map(|model| ModelId::from(*model)).collect();
-        self.release.kept(&self.state, &view, &self.target, leaving, &in_use)
+        self.releaser.loadable_models(&self.state, &view, &self.target, leaving, &in_use)
     }
 
     fn change(&mut self, body: Body) {
@@ -54,13 +54,16 @@
     let mut bench = Bench::new();
     let base = bench.state.documents.version_of("teams/t/models/quotes");
     bench.change(settings("quotes", 1, base));
-    let kept = bench.kept(false, &[]);
-    assert_eq!(kept, [ModelId::from("rounds")].into());
+    let loadable = bench.loadable_models(false, &[]);
+    assert_eq!(loadable, [ModelId::from("rounds")].into());
     let (state, target) = (&bench.state, &bench.target);
-    assert!(bench.release.give_up(state, target, &kept, |_| true).is_empty(), "still loaded");
-    let given_up = bench.release.give_up(state, target, &kept, |_| false);
+    assert!(
+        bench.releaser.update_releases(state, target, &loadable, |_| true).is_empty(),
+        "still loaded"
+    );
+    let releases = bench.releaser.update_releases(state, target, &loadable, |_| false);
     let key = SlotKey { model: "quotes".into(), index: 1 };
-    assert_eq!(given_up.get(&key), Some(&5));
+    assert_eq!(releases.get(&key), Some(&5));
 }
 
 /// A host is leaving while a long answer runs on it. Unloading its model at once would cut the
@@ -68,8 +71,8 @@
 #[rstest]
 fn a_leaving_host_keeps_the_models_of_requests_in_flight() {
     let mut bench = Bench::new();
-    assert_eq!(bench.kept(true, &["quotes"]), [ModelId::from("quotes")].into());
-    assert_eq!(bench.kept(true, &[]), BTreeSet::new());
+    assert_eq!(bench.loadable_models(true, &["quotes"]), [ModelId::from("quotes")].into());
+    assert_eq!(bench.loadable_models(true, &[]), BTreeSet::new());
 }
 
 /// The host list shows a host as leaving for one reading and then as live. The release may have
@@ -77,7 +80,7 @@
 #[rstest]
 fn a_slot_once_given_up_is_not_used_again() {
     let mut bench = Bench::new();
-    let kept = bench.kept(true, &[]);
-    bench.release.give_up(&bench.state, &bench.target, &kept, |_| false);
-    assert_eq!(bench.kept(false, &[]), BTreeSet::new());
+    let loadable = bench.loadable_models(true, &[]);
+    bench.releaser.update_releases(&bench.state, &bench.target, &loadable, |_| false);
+    assert_eq!(bench.loadable_models(false, &[]), BTreeSet::new());
 }
--- a/crates/corianderstand_agent/src/release/tests/random.rs
+++ b/crates/corianderstand_agent/src/release/tests/random.rs
@@ -3,7 +3,7 @@
 use super::world::{
     AgentSim, EngineSim, LEASE_TTL_MS, MODEL_MIB, MODELS, Reader, World, settings, target_up,
 };
-use crate::release::Release;
+use crate::release::SlotReleaser;
 use corianderstand_decide::ledger::{ABSENCE_TIMEOUT, Ledger, Stage};
 use corianderstand_schema::records::{Body, Record};
 use corianderstand_state::{checkpoint, fold::Outcome, plan, view::View};
@@ -78,7 +78,7 @@
     AgentSim {
         reader: Reader::new(&format!("e{index}{}", "x".repeat(index % 2))),
         ledger: Ledger::new(Mib(ENGINE_MIB)),
-        release: Release::default(),
+        releaser: SlotReleaser::default(),
         engine: EngineSim { memory_mib: ENGINE_MIB, loaded, inbox },
         rebuilt_at: Some(0),
         paused_until: 0,
@@ -275,7 +275,7 @@
     fn start_agent(&mut self, index: usize) {
         let agent = &mut self.agents[index];
         agent.ledger = Ledger::new(Mib(ENGINE_MIB));
-        agent.release = Release::default();
+        agent.releaser = SlotReleaser::default();
         agent.rebuilt_at = Some(self.world.now_ms + REBUILD_MS);
     }
 
@@ -317,9 +317,10 @@
         let state = agent.reader.state.clone();
         let target = TargetId::from(agent.reader.name.as_str());
         let (view, leaving) = (View::new(&state.documents), self.world.chance(5));
-        let kept = agent.release.kept(&state, &view, &target, leaving, &BTreeSet::new());
+        let loadable =
+            agent.releaser.loadable_models(&state, &view, &target, leaving, &BTreeSet::new());
         let unowned = agent.ledger.entries().filter(|(weights, entry)| {
-            entry.stage == Stage::Ready && !kept.contains(&weights.model)
+            entry.stage == Stage::Ready && !loadable.contains(&weights.model)
         });
         let unowned: Vec<_> = unowned.map(|(w, entry)| (w.clone(), entry.memory)).collect();
         for (weights, memory) in unowned {
@@ -327,15 +328,16 @@
             order(&mut self.world, agent, false, &weights, memory);
         }
         let ledger = &agent.ledger;
-        let given_up = agent.release.give_up(&state, &target, &kept, |model| ledger.holds(model));
-        for (key, assigned) in given_up.clone() {
+        let releases =
+            agent.releaser.update_releases(&state, &target, &loadable, |model| ledger.holds(model));
+        for (key, assigned) in releases.clone() {
             let (model, index) = (key.model, key.index);
             let body = Body::SlotReleased { model, index, assigned, epoch: None };
             let record = agent.reader.record(body);
             self.world.append(&record);
         }
-        let wanted = self.world.rng.random_range(0..kept.len().max(1));
-        if let Some(model) = kept.iter().nth(wanted) {
+        let wanted = self.world.rng.random_range(0..loadable.len().max(1));
+        if let Some(model) = loadable.iter().nth(wanted) {
             let weights = Weights::model(model.clone(), "1".into());
             if agent.ledger.reserve(&weights, Mib(MODEL_MIB)).is_ok() {
                 order(&mut self.world, agent, true, &weights, Mib(MODEL_MIB));
--- a/crates/corianderstand_agent/src/release/tests/world.rs
+++ b/crates/corianderstand_agent/src/release/tests/world.rs
@@ -1,6 +1,6 @@
 //! A small world for generated histories: one log, routers, agents, engines.
 
-use crate::release::Release;
+use crate::release::SlotReleaser;
 use corianderstand_decide::ledger::Ledger;
 use corianderstand_schema::records::{Body, Change, Record, TargetRecord};
 use corianderstand_state::{
@@ -112,7 +112,7 @@
 pub struct AgentSim {
     pub reader: Reader,
     pub ledger: Ledger,
-    pub release: Release,
+    pub releaser: SlotReleaser,
     pub engine: EngineSim,
     /// When the ledger may be taken over from the engine.
     pub rebuilt_at: Option<u64>,
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -4,11 +4,11 @@
     accept::{self, Shared},
     announce,
     decide::Decider,
-    early::Early,
     event::Event,
-    pause::PauseWatch,
-    reconcile::Asking,
-    release::{Release, Releases},
+    freshness::FreshnessGuard,
+    held_requests::HeldRequests,
+    reconcile::ReconcileTimer,
+    release::{SlotReleaser, SlotReleases},
     run::{Runner, Target},
 };
 use corianderstand_control::{
@@ -102,7 +102,7 @@
     let (idle, idle_rx) = watch::channel(true);
     let held = Arc::new(AtomicUsize::new(0));
     let (draining, draining_rx) = watch::channel(false);
-    let (releases, releases_rx) = watch::channel(Releases::new());
+    let (releases, releases_rx) = watch::channel(SlotReleases::new());
     let target = TargetId(settings.name.0.clone());
 
     let decider = Decider {
@@ -119,13 +119,13 @@
         since: HashMap::new(),
         metrics: metrics.clone(),
         rebuilt: matches!(settings.target.kind, TargetKind::Service { .. }),
-        kept: BTreeSet::new(),
-        release: Release::default(),
+        loadable_models: BTreeSet::new(),
+        releaser: SlotReleaser::default(),
         releases,
         stopping: false,
-        pause: PauseWatch::new(clock.now()),
-        asking: Asking::new(clock.now()),
-        early: Early::default(),
+        freshness: FreshnessGuard::new(clock.now()),
+        reconcile_timer: ReconcileTimer::new(clock.now()),
+        held_requests: HeldRequests::default(),
     };
     spawn("decide", move || decider.run(&events_rx))?;
 
--- a/crates/corianderstand_agent/src/sizes.rs
+++ b/crates/corianderstand_agent/src/view_config.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 /// Sizes as one version of the settings gives them.
-pub struct ViewSizes<'a>(pub &'a View);
+pub struct ViewConfig<'a>(pub &'a View);
 
-impl SchedulingConfig for ViewSizes<'_> {
+impl SchedulingConfig for ViewConfig<'_> {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         let model = self.0.models.get(&weights.model)?;
         let adapter = weights.adapter.is_some();
