--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -1,7 +1,7 @@
 //! Connections from routers.
 
 use crate::{
-    event::{ConnectionId, Event, Request, StreamEnd},
+    event::{ConnectionId, Event, Request, ResponseStream},
     shape,
 };
 use bytes::Bytes;
@@ -24,17 +24,17 @@
 };
 
 /// Frames that wait to be written to one router.
-const OUT_RING: usize = 1024;
+const OUTBOUND_QUEUE_CAPACITY: usize = 1024;
 
 /// What every connection needs.
 #[derive(Clone)]
-pub struct Shared {
+pub struct ConnectionContext {
     /// Name of the target.
     pub target: TargetId,
     /// Start of this process.
     pub incarnation: u64,
     /// Limit on silence.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// To the `decide` thread.
     pub events: SyncSender<Event>,
     /// How busy the target is.
@@ -46,7 +46,7 @@
 }
 
 /// Accepts for ever.
-pub async fn run(listener: TcpListener, shared: Shared) {
+pub async fn run(listener: TcpListener, context: ConnectionContext) {
     let mut next_id: ConnectionId = 0;
     loop {
         let stream = match listener.accept().await {
@@ -58,38 +58,39 @@
             }
         };
         next_id += 1;
-        tokio::spawn(serve(stream, next_id, shared.clone()));
+        tokio::spawn(serve(stream, next_id, context.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, id: ConnectionId, shared: Shared) {
-    let Ok((reader, writer)) = connection::split(stream, shared.silence) else { return };
-    let (out, rx) = mpsc::channel(OUT_RING);
-    let events = shared.events.clone();
-    let mut connection = Connection { id, out, shared, credits: HashMap::new(), greeted: false };
+async fn serve(stream: TcpStream, id: ConnectionId, context: ConnectionContext) {
+    let Ok((reader, writer)) = connection::split(stream, context.idle_timeout) else { return };
+    let (outbound, rx) = mpsc::channel(OUTBOUND_QUEUE_CAPACITY);
+    let events = context.events.clone();
+    let mut connection =
+        Connection { id, outbound, context, credits: HashMap::new(), sends_requests: false };
     let ended = tokio::select! {
         ended = connection.read(reader) => ended,
         written = writer.run(rx) => written.err().unwrap_or(FrameError::Closed),
     };
-    if connection.greeted {
+    if connection.sends_requests {
         tracing::info!(connection = id, error = %ended, "connection from a router ended");
     }
     // The ring is bounded and its reader never waits for this thread, so this ends soon.
-    drop(events.send(Event::Gone(id)));
+    drop(events.send(Event::Disconnected(id)));
 }
 
 struct Connection {
     id: ConnectionId,
-    out: mpsc::Sender<Bytes>,
-    shared: Shared,
+    outbound: mpsc::Sender<Bytes>,
+    context: ConnectionContext,
     credits: HashMap<u64, watch::Sender<u64>>,
     /// Whether a router greeted to send requests, not only to ask what is loaded.
-    greeted: bool,
+    sends_requests: bool,
 }
 
 impl Connection {
     async fn read(&mut self, mut reader: Reader) -> FrameError {
-        let mut draining = self.shared.draining.clone();
+        let mut draining = self.context.draining.clone();
         loop {
             let next = tokio::select! {
                 next = reader.next::<ToAgent>() => next,
@@ -104,7 +105,7 @@
                 Ok(next) => next,
                 Err(error) => return error,
             };
-            if let Err(error) = self.take(message, body).await {
+            if let Err(error) = self.handle(message, body).await {
                 return error;
             }
         }
@@ -112,13 +113,13 @@
 
     async fn send(&self, message: &ToRouter) -> bool {
         let Ok(frame) = frame::encode(message, b"") else { return false };
-        self.out.send(frame).await.is_ok()
+        self.outbound.send(frame).await.is_ok()
     }
 
-    async fn take(&mut self, message: ToAgent, body: Bytes) -> Result<(), FrameError> {
+    async fn handle(&mut self, message: ToAgent, body: Bytes) -> Result<(), FrameError> {
         match message {
             ToAgent::Hello { router, incarnation, protocol } => {
-                self.greeted = incarnation != corianderstand_link::STATUS_QUERY_INCARNATION;
+                self.sends_requests = incarnation != corianderstand_link::STATUS_QUERY_INCARNATION;
                 self.welcome(&router.0, protocol).await
             }
             ToAgent::Open(open) => self.open(open, body),
@@ -130,11 +131,11 @@
             }
             ToAgent::Cancel { stream } => {
                 self.credits.remove(&stream);
-                self.tell(Event::Cancelled { connection: self.id, stream })
+                self.send_event(Event::Cancelled { connection: self.id, stream })
             }
-            ToAgent::List => self.tell(Event::List(self.out.clone())),
+            ToAgent::List => self.send_event(Event::ListHoldings(self.outbound.clone())),
             ToAgent::Ping { nonce } => {
-                let load = self.shared.load.borrow().clone();
+                let load = self.context.load.borrow().clone();
                 self.send(&ToRouter::Pong { nonce, load }).await;
                 self.credits.retain(|_, credit| !credit.is_closed());
                 Ok(())
@@ -147,9 +148,9 @@
             tracing::error!(router, protocol, "router speaks another version: upgrade it");
             return Err(FrameError::Closed);
         }
-        let target = self.shared.target.clone();
-        let draining = *self.shared.draining.borrow();
-        let incarnation = self.shared.incarnation;
+        let target = self.context.target.clone();
+        let draining = *self.context.draining.borrow();
+        let incarnation = self.context.incarnation;
         self.send(&ToRouter::Welcome { target, incarnation, draining }).await;
         Ok(())
     }
@@ -157,18 +158,23 @@
     fn open(&mut self, open: OpenStream, body: Bytes) -> Result<(), FrameError> {
         let (credit, rx) = watch::channel(open.position + open.window);
         let stream = open.stream;
-        let end = StreamEnd { connection: self.id, stream, out: self.out.clone(), credit: rx };
+        let response = ResponseStream {
+            connection: self.id,
+            stream,
+            frames: self.outbound.clone(),
+            credit: rx,
+        };
         self.credits.insert(stream, credit);
-        let work = work(&open, &body, self.shared.clock.now());
-        let deadline = work.deadline;
-        let request = Request { open, body, end, deadline };
-        self.tell(Event::Submit(Box::new((work, request))))
+        let spec = request_spec(&open, &body, self.context.clock.now());
+        let deadline = spec.deadline;
+        let request = Request { open, body, response, deadline };
+        self.send_event(Event::Submit(Box::new((spec, request))))
     }
 
     /// A full ring means that the `decide` thread is far behind; the connection is closed, so
     /// that its router goes elsewhere, rather than holding up all other connections.
-    fn tell(&self, event: Event) -> Result<(), FrameError> {
-        match self.shared.events.try_send(event) {
+    fn send_event(&self, event: Event) -> Result<(), FrameError> {
+        match self.context.events.try_send(event) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(_)) => {
                 tracing::error!("the decide ring is full: closing a connection");
@@ -179,8 +185,8 @@
     }
 }
 
-fn work(open: &OpenStream, body: &[u8], now: std::time::Instant) -> RequestSpec {
-    let need = match &open.operation {
+fn request_spec(open: &OpenStream, body: &[u8], now: std::time::Instant) -> RequestSpec {
+    let requirement = match &open.operation {
         Operation::Completion { model, version, adapter }
         | Operation::Chat { model, version, adapter } => {
             let base = Weights::model(model.clone(), version.clone());
@@ -195,10 +201,10 @@
     };
     RequestSpec {
         team: open.team.clone(),
-        requirement: need,
+        requirement,
         urgency: open.urgency,
         deadline: now + Duration::from_millis(open.deadline_ms),
         repeatable: true,
-        shape: shape::of(&open.operation, body),
+        shape: shape::request_shape(&open.operation, body),
     }
 }
--- a/crates/corianderstand_agent/src/announce.rs
+++ b/crates/corianderstand_agent/src/announce.rs
@@ -9,12 +9,12 @@
 use tokio::{sync::watch, time};
 
 /// Time the log has to decide a record before it is tried again.
-pub const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
+pub const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest time a planned stop waits for its slots to be released; after it they stay with the
 /// target until its host is gone or it starts again.
-pub const RELEASE_LIMIT: Duration = Duration::from_secs(10);
+pub const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause before a release that was not decided is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Announces the target, and again whenever it is missing from the state.
 ///
@@ -34,7 +34,7 @@
         let missing = known.is_none_or(|target| target.incarnation < incarnation);
         if missing && snapshot.caught_up && !*stopping.borrow() {
             let body = Body::TargetUp { target: record.clone() };
-            if let Err(error) = control.appender.append(body, RECORD_TIMEOUT).await {
+            if let Err(error) = control.appender.append(body, APPEND_TIMEOUT).await {
                 tracing::warn!(%error, "target not announced yet");
             }
             continue;
@@ -46,7 +46,7 @@
 }
 
 /// SlotReleases slots in the log as they are given up.
-pub async fn release(control: ControlHandle, mut releases: watch::Receiver<SlotReleases>) {
+pub async fn append_releases(control: ControlHandle, mut releases: watch::Receiver<SlotReleases>) {
     loop {
         let due = releases.borrow_and_update().clone();
         let snapshot = control.current.load();
@@ -61,7 +61,7 @@
             epoch: None,
         });
         let appends: Vec<_> =
-            bodies.map(|body| control.appender.append(body, RECORD_TIMEOUT)).collect();
+            bodies.map(|body| control.appender.append(body, APPEND_TIMEOUT)).collect();
         if appends.is_empty() {
             if releases.changed().await.is_err() {
                 return;
@@ -71,13 +71,13 @@
         let decided = future::join_all(appends).await;
         if decided.iter().any(Result::is_err) {
             tracing::warn!("release of slots not decided yet");
-            time::sleep(RETRY_PAUSE).await;
+            time::sleep(RELEASE_RETRY_DELAY).await;
         }
     }
 }
 
 /// Says that the target stops, after its slots are released or the limit has passed.
-pub async fn farewell(control: &ControlHandle, target: &TargetId) {
+pub async fn announce_down(control: &ControlHandle, target: &TargetId) {
     let released = async {
         let mut changed = control.current.subscribe();
         while control.current.load().state.slots.by_key.values().any(|s| s.target == *target) {
@@ -86,11 +86,11 @@
             }
         }
     };
-    if time::timeout(RELEASE_LIMIT, released).await.is_err() {
+    if time::timeout(RELEASE_TIMEOUT, released).await.is_err() {
         tracing::warn!("planned stop: slots not released in time, they stay with this target");
     }
     let body = Body::TargetDown { target: target.clone() };
-    if let Err(error) = control.appender.append(body, RECORD_TIMEOUT).await {
+    if let Err(error) = control.appender.append(body, APPEND_TIMEOUT).await {
         tracing::warn!(%error, "goodbye not decided");
     }
 }
--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     event::Request,
-    run::{Finish, Runner, Target, failed},
+    run::{Finish, JobRunner, Target, failed},
 };
 use corianderstand_control::appender::{AppendError, Decided};
 use corianderstand_edge::{
@@ -29,18 +29,18 @@
 /// Time that an answer waits for its own record. A caller who was told "ran" should find the
 /// same on asking again, even if this process dies at once; a log that is slow must not hold up
 /// a good answer for long.
-const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
+const RECORD_WAIT_LIMIT: Duration = Duration::from_secs(1);
 /// Time that a record is kept for a log that is down: the longest outage that is ridden out.
-const RECORD_PATIENCE: Duration = Duration::from_secs(6 * 3600);
+const RECORD_APPEND_TIMEOUT: Duration = Duration::from_secs(6 * 3600);
 /// When to come back while the log decides nothing.
-const RETRY_LOG: Duration = Duration::from_secs(2);
+const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// When to come back while as many keys are remembered as may be.
-const RETRY_FULL: Duration = Duration::from_secs(60);
+const KEYS_FULL_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-type Called = Result<ServiceResponse, Finish>;
+type CallResult = Result<ServiceResponse, Finish>;
 
 /// Runs a call and sends its answer.
-pub async fn run(runner: &Runner, request: &Request, trace: TraceContext) -> Finish {
+pub async fn run(runner: &JobRunner, request: &Request, trace: TraceContext) -> Finish {
     let Operation::Call { service, method, path, idempotency_key, .. } = &request.open.operation
     else {
         return ended(failed("the request is no call"));
@@ -52,15 +52,15 @@
         }),
         Some(key) => {
             let team = request.open.team.clone();
-            let once = Once {
+            let idempotent = IdempotentCall {
                 key: CallKey { team, service: service.clone(), key: key.clone() },
                 digest: calls::digest(method, path, &request.body),
             };
-            once.call(runner, request, trace).await
+            idempotent.call(runner, request, trace).await
         }
     };
     match answer {
-        Ok(answer) => send(request, &answer).await,
+        Ok(answer) => send_response(request, &answer).await,
         Err(finish) => finish,
     }
 }
@@ -69,18 +69,18 @@
     Finish::Ended(ending, 0)
 }
 
-async fn send(request: &Request, answer: &ServiceResponse) -> Finish {
-    let stream = request.end.stream;
+async fn send_response(request: &Request, answer: &ServiceResponse) -> Finish {
+    let stream = request.response.stream;
     let (status, content_type) = (answer.status, answer.content_type.clone());
-    request.end.send(&ToRouter::Head { stream, status, content_type }, b"").await;
-    request.end.send(&ToRouter::Chunk { stream, position: 0 }, &answer.body).await;
+    request.response.send(&ToRouter::Head { stream, status, content_type }, b"").await;
+    request.response.send(&ToRouter::Chunk { stream, position: 0 }, &answer.body).await;
     let finish_reason = "stop".into();
     let whole = Ending::Whole { prompt_tokens: 0, completion_tokens: 0, finish_reason };
     Finish::Ended(whole, 1)
 }
 
 async fn call(
-    runner: &Runner,
+    runner: &JobRunner,
     request: &Request,
     trace: TraceContext,
 ) -> Result<ServiceResponse, EdgeError> {
@@ -108,60 +108,62 @@
 }
 
 /// A call that may not be repeated.
-struct Once {
+struct IdempotentCall {
     key: CallKey,
     digest: u64,
 }
 
-impl Once {
+impl IdempotentCall {
     /// Runs the call only if this agent's claim is the first for its key in the log.
     ///
     /// Without a claim two agents could run the same call for one caller who asked twice, or a
     /// frozen agent could run it minutes after another did.
-    async fn call(&self, runner: &Runner, request: &Request, trace: TraceContext) -> Called {
+    async fn call(&self, runner: &JobRunner, request: &Request, trace: TraceContext) -> CallResult {
         let snapshot = runner.control.current.load();
         match snapshot.state.calls.status(&self.key, self.digest) {
             CallStatus::Unclaimed => {}
-            known => return told(known),
+            status => return result_of(status),
         }
-        if !is_in_time(runner, request) {
-            return Err(Finish::Refused(RefusalReason::Deadline, RETRY_LOG));
+        if !is_before_deadline(runner, request) {
+            return Err(Finish::Refused(RefusalReason::Deadline, LOG_RETRY_AFTER));
         }
         // A claim that is queued while the log decides nothing would only be withdrawn later.
-        let stalled = runner.stalled.load(Ordering::Relaxed) > 0;
-        if stalled || !snapshot.log_up {
-            return Err(Finish::Refused(RefusalReason::LogDown, RETRY_LOG));
+        let log_stalled = runner.undecided_claims.load(Ordering::Relaxed) > 0;
+        if log_stalled || !snapshot.log_up {
+            return Err(Finish::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
         }
         let Some(Decided { offset, outcome }) = self.claim(runner, request).await else {
-            return Err(Finish::Refused(RefusalReason::LogDown, RETRY_LOG));
+            return Err(Finish::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
         };
-        let in_time = is_in_time(runner, request);
-        match claim::claim_action(&outcome, true, in_time) {
+        let before_deadline = is_before_deadline(runner, request);
+        match claim::claim_action(&outcome, true, before_deadline) {
             ClaimAction::Run => self.run(runner, request, trace, offset).await,
             ClaimAction::Withdraw => {
                 self.record(runner, offset, None).await;
                 Err(not_run("its deadline passed before it could begin"))
             }
             ClaimAction::ReadStatus => {
-                told(runner.control.current.load().state.calls.status(&self.key, self.digest))
+                result_of(runner.control.current.load().state.calls.status(&self.key, self.digest))
+            }
+            ClaimAction::Refuse => {
+                Err(Finish::Refused(RefusalReason::QueueFull, KEYS_FULL_RETRY_AFTER))
             }
-            ClaimAction::Refuse => Err(Finish::Refused(RefusalReason::QueueFull, RETRY_FULL)),
         }
     }
 
     /// Claims the key; `None` if the log has not decided in time. Such a claim may still come
     /// to stand in the log; whoever waits for it here then withdraws it, so that it never runs
     /// after its caller was refused, and repeats get a definite answer.
-    async fn claim(&self, runner: &Runner, request: &Request) -> Option<Decided> {
+    async fn claim(&self, runner: &JobRunner, request: &Request) -> Option<Decided> {
         let (key, target) = (self.key.clone(), runner.name.clone());
         let body = Body::Claimed { key, digest: self.digest, target };
         let (tx, mut rx) = oneshot::channel();
-        let (runner_, once) = (runner.clone(), Self { key: self.key.clone(), ..*self });
+        let (task_runner, idempotent) = (runner.clone(), Self { key: self.key.clone(), ..*self });
         tokio::spawn(async move {
-            let decided = runner_.control.appender.append(body, RECORD_PATIENCE).await;
+            let decided = task_runner.control.appender.append(body, RECORD_APPEND_TIMEOUT).await;
             if let Err(decided) = tx.send(decided) {
-                runner_.stalled.fetch_sub(1, Ordering::Relaxed);
-                once.give_up(&runner_, decided).await;
+                task_runner.undecided_claims.fetch_sub(1, Ordering::Relaxed);
+                idempotent.withdraw_late_claim(&task_runner, decided).await;
             }
         });
         let left = request.deadline.saturating_duration_since(runner.clock.now());
@@ -169,18 +171,18 @@
             return decided.ok();
         }
         // Counted before the ring is closed, so that the far end never counts down first.
-        runner.stalled.fetch_add(1, Ordering::Relaxed);
+        runner.undecided_claims.fetch_add(1, Ordering::Relaxed);
         rx.close();
         match rx.try_recv() {
             Ok(decided) => {
-                runner.stalled.fetch_sub(1, Ordering::Relaxed);
+                runner.undecided_claims.fetch_sub(1, Ordering::Relaxed);
                 decided.ok()
             }
             Err(_) => None,
         }
     }
 
-    async fn give_up(&self, runner: &Runner, decided: Result<Decided, AppendError>) {
+    async fn withdraw_late_claim(&self, runner: &JobRunner, decided: Result<Decided, AppendError>) {
         let Ok(Decided { offset, outcome }) = decided else { return };
         if claim::claim_action(&outcome, false, false) == ClaimAction::Withdraw {
             tracing::warn!(key = %self.key.key, "late claim withdrawn: the call does not run");
@@ -190,14 +192,14 @@
 
     async fn run(
         &self,
-        runner: &Runner,
+        runner: &JobRunner,
         request: &Request,
         trace: TraceContext,
         claim: u64,
-    ) -> Called {
+    ) -> CallResult {
         match call(runner, request, trace).await {
             Ok(answer) => {
-                self.record(runner, claim, Some(stored(&answer))).await;
+                self.record(runner, claim, Some(stored_answer(&answer))).await;
                 Ok(answer)
             }
             // The connection was refused: the service cannot have heard of the call.
@@ -211,16 +213,16 @@
 
     /// Records the outcome, and waits for the record for a while; it is written in any case,
     /// as long as this process lives.
-    async fn record(&self, runner: &Runner, claim: u64, answer: Option<CallAnswer>) {
+    async fn record(&self, runner: &JobRunner, claim: u64, answer: Option<CallAnswer>) {
         let body = Body::CallEnded { key: self.key.clone(), claim, answer };
         let appender = runner.control.appender.clone();
         let record = tokio::spawn(async move {
-            match appender.append(body, RECORD_PATIENCE).await {
+            match appender.append(body, RECORD_APPEND_TIMEOUT).await {
                 Ok(Decided { outcome: Outcome::Applied, .. }) => {}
                 other => tracing::error!(?other, "outcome of a call not recorded"),
             }
         });
-        if time::timeout(RECORD_TIMEOUT, record).await.is_err() {
+        if time::timeout(RECORD_WAIT_LIMIT, record).await.is_err() {
             tracing::warn!(key = %self.key.key, "outcome of a call not decided yet");
         }
     }
@@ -231,13 +233,13 @@
 /// A process that was frozen with a request in its socket reads it as if it had just come, so
 /// the time since it was read tells nothing. Run then, it would be a booking minutes after its
 /// caller had made another. The log's clock is the one clock that the router shares.
-fn is_in_time(runner: &Runner, request: &Request) -> bool {
+fn is_before_deadline(runner: &JobRunner, request: &Request) -> bool {
     let now_ms = runner.control.current.load().log_now_ms(runner.clock.wall());
     let expires_ms = request.open.expires_ms;
     runner.clock.now() < request.deadline && (expires_ms == 0 || now_ms < expires_ms)
 }
 
-fn stored(answer: &ServiceResponse) -> CallAnswer {
+fn stored_answer(answer: &ServiceResponse) -> CallAnswer {
     let kept = answer.body.len() <= calls::MAX_ANSWER_BODY_BYTES;
     CallAnswer {
         status: answer.status,
@@ -252,14 +254,14 @@
 
 /// The answer to a repeat. Where no outcome can be sent from here, the router waits for it in
 /// its own copy of the log.
-fn told(known: CallStatus) -> Called {
-    match known {
+fn result_of(status: CallStatus) -> CallResult {
+    match status {
         CallStatus::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
             let body = bytes::Bytes::copy_from_slice(&body);
             Ok(ServiceResponse { status, content_type, body })
         }
         CallStatus::NotRun => Err(not_run("it was given up before it began")),
-        CallStatus::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, RETRY_LOG)),
+        CallStatus::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER)),
         CallStatus::Claimed | CallStatus::Unclaimed | CallStatus::Ran(_) => {
             Err(ended(Ending::Unknown { reason: "it was claimed before".into() }))
         }
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -37,7 +37,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// Longest time between two looks at the snapshot.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const MS_PER_SECOND: u64 = 1000;
 
 /// The thread's state.
@@ -57,13 +57,13 @@
     /// Whether nothing is held, for a planned stop.
     pub idle: watch::Sender<bool>,
     /// Requests held, for who ends the process before they are done.
-    pub held: Arc<AtomicUsize>,
+    pub in_flight: Arc<AtomicUsize>,
     /// Requests waiting or running.
     pub requests: HashMap<RequestKey, Request>,
     /// Their keys by stream.
     pub streams: HashMap<(ConnectionId, u64), RequestKey>,
     /// When each request that waits came.
-    pub since: HashMap<RequestKey, Instant>,
+    pub queued_at: HashMap<RequestKey, Instant>,
     /// Where measures go.
     pub metrics: Metrics,
     /// Whether the ledger has been taken over from the engine.
@@ -90,25 +90,25 @@
         loop {
             let now = self.clock.now();
             let wake = self.agent.next_wake().map(|at| at.saturating_duration_since(now));
-            let longest = if self.held_requests.is_empty() {
-                LONGEST_WAIT
+            let max_wait = if self.held_requests.is_empty() {
+                MAX_POLL_INTERVAL
             } else {
                 held_requests::POLL_INTERVAL
             };
-            let wait = wake.unwrap_or(longest).min(longest);
+            let wait = wake.unwrap_or(max_wait).min(max_wait);
             let event = events.recv_timeout(wait);
             let snapshot = self.current.load();
             self.freshness.on_iteration(self.clock.now(), snapshot.reads);
             self.submit_held(&snapshot);
             match event {
-                Ok(event) => self.take(event, &snapshot),
+                Ok(event) => self.handle(event, &snapshot),
                 Err(RecvTimeoutError::Timeout) => self.step(&snapshot),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             self.query_loaded_if_due();
             self.load.send_replace(self.agent.load());
             self.idle.send_replace(self.agent.is_idle() && self.held_requests.is_empty());
-            self.held.store(self.requests.len(), Ordering::Relaxed);
+            self.in_flight.store(self.requests.len(), Ordering::Relaxed);
         }
     }
 
@@ -117,13 +117,13 @@
         let now = self.clock.now();
         self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
         let actions = self.agent.step(now, &ViewConfig(&snapshot.view));
-        self.perform(actions, snapshot);
+        self.execute(actions, snapshot);
     }
 
     fn query_loaded_if_due(&mut self) {
         let ledger = self.agent.ledger();
         if self.reconcile_timer.is_due(self.clock.now(), ledger.has_unknown()) {
-            drop(self.jobs.send(Job::Ask { version: ledger.version() }));
+            drop(self.jobs.send(Job::QueryLoaded { ledger_version: ledger.version() }));
         }
     }
 
@@ -166,21 +166,21 @@
         self.refresh_slots(snapshot);
         for submitted in self.held_requests.take_ready(self.clock.now(), snapshot.state.next) {
             let actions = self.submit(*submitted, snapshot);
-            self.perform(actions, snapshot);
+            self.execute(actions, snapshot);
         }
     }
 
     fn submit(&mut self, submitted: (RequestSpec, Request), snapshot: &Snapshot) -> Vec<Action> {
-        let (work, request) = submitted;
+        let (spec, request) = submitted;
         let now = self.clock.now();
-        let (key, actions) = self.agent.submit(now, work, &ViewConfig(&snapshot.view));
-        self.since.insert(key, now);
-        self.streams.insert((request.end.connection, request.end.stream), key);
+        let (key, actions) = self.agent.submit(now, spec, &ViewConfig(&snapshot.view));
+        self.queued_at.insert(key, now);
+        self.streams.insert((request.response.connection, request.response.stream), key);
         self.requests.insert(key, request);
         actions
     }
 
-    fn take(&mut self, event: Event, snapshot: &Snapshot) {
+    fn handle(&mut self, event: Event, snapshot: &Snapshot) {
         self.refresh_slots(snapshot);
         let now = self.clock.now();
         self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
@@ -188,7 +188,7 @@
         let actions = match event {
             Event::Submit(submitted) => {
                 let request = &submitted.1;
-                let stream = (request.end.connection, request.end.stream);
+                let stream = (request.response.connection, request.response.stream);
                 let (next, as_of) = (snapshot.state.next, request.open.as_of);
                 match self.held_requests.hold(now, next, as_of, stream, submitted) {
                     Some(submitted) => self.submit(*submitted, snapshot),
@@ -200,20 +200,20 @@
                 let key = self.streams.get(&(connection, stream)).copied();
                 key.map_or_else(Vec::new, |key| self.cancel(key, &config))
             }
-            Event::Gone(connection) => {
+            Event::Disconnected(connection) => {
                 self.held_requests.remove_connection(connection);
                 let gone = self.streams.iter().filter(|((c, _), _)| *c == connection);
                 let keys: Vec<RequestKey> = gone.map(|(_, key)| *key).collect();
                 keys.into_iter().flat_map(|key| self.cancel(key, &config)).collect()
             }
-            Event::Ended { key } => {
-                self.forget(key);
+            Event::RequestFinished { key } => {
+                self.remove_request(key);
                 self.agent.on_request_finished(now, key, &config)
             }
-            Event::Loaded(weights, outcome) => {
+            Event::LoadFinished(weights, outcome) => {
                 self.agent.on_load_finished(now, &weights, outcome, &config)
             }
-            Event::Unloaded(weights, confirmed) => {
+            Event::UnloadFinished(weights, confirmed) => {
                 self.agent.on_unload_finished(now, &weights, confirmed, &config)
             }
             Event::Rebuilt(loaded) => {
@@ -221,13 +221,13 @@
                 self.rebuilt = true;
                 Vec::new()
             }
-            Event::List(out) => {
-                self.list(&out, snapshot);
+            Event::ListHoldings(outbound) => {
+                self.send_holdings(&outbound, snapshot);
                 Vec::new()
             }
-            Event::Asked { version, loaded } => {
+            Event::LoadedReported { ledger_version, loaded } => {
                 let actions = loaded
-                    .map(|loaded| self.agent.reconcile(now, version, &loaded, &config))
+                    .map(|loaded| self.agent.reconcile(now, ledger_version, &loaded, &config))
                     .unwrap_or_default();
                 self.reconcile_timer.on_response(now, self.agent.ledger().has_unknown());
                 actions
@@ -238,10 +238,10 @@
                 Vec::new()
             }
         };
-        self.perform(actions, snapshot);
+        self.execute(actions, snapshot);
     }
 
-    fn list(&self, out: &mpsc::Sender<Bytes>, snapshot: &Snapshot) {
+    fn send_holdings(&self, outbound: &mpsc::Sender<Bytes>, snapshot: &Snapshot) {
         let holdings = self.agent.ledger().entries().map(|(weights, entry)| Holding {
             weights: weights.to_string().into(),
             stage: match entry.stage {
@@ -257,7 +257,7 @@
         let version = snapshot.state.documents.version;
         if let Ok(frame) = frame::encode(&ToRouter::Holdings { version, holdings }, b"") {
             // An operator whose connection takes nothing more asks again.
-            drop(out.try_send(frame));
+            drop(outbound.try_send(frame));
         }
     }
 
@@ -267,33 +267,33 @@
         if self.agent.is_running(key) {
             return Vec::new();
         }
-        self.forget(key);
+        self.remove_request(key);
         self.agent.on_request_finished(self.clock.now(), key, config)
     }
 
-    fn forget(&mut self, key: RequestKey) -> Option<Request> {
-        self.since.remove(&key);
+    fn remove_request(&mut self, key: RequestKey) -> Option<Request> {
+        self.queued_at.remove(&key);
         let request = self.requests.remove(&key)?;
-        self.streams.remove(&(request.end.connection, request.end.stream));
+        self.streams.remove(&(request.response.connection, request.response.stream));
         Some(request)
     }
 
-    fn perform(&mut self, actions: Vec<Action>, snapshot: &Snapshot) {
+    fn execute(&mut self, actions: Vec<Action>, snapshot: &Snapshot) {
         for action in actions {
             let job = match action {
                 Action::Run(key) => {
                     let Some(request) = self.requests.get(&key) else { continue };
                     let job = Job::Run(key, Box::new(request.clone()));
-                    if let Some(since) = self.since.remove(&key) {
-                        self.metrics.time(Metric::AgentWait, self.clock.now() - since);
+                    if let Some(queued_at) = self.queued_at.remove(&key) {
+                        self.metrics.time(Metric::AgentWait, self.clock.now() - queued_at);
                     }
                     job
                 }
                 Action::Refuse(key, refusal) => {
-                    let Some(request) = self.forget(key) else { continue };
+                    let Some(request) = self.remove_request(key) else { continue };
                     let reason = refusal.reason.to_string();
                     self.metrics.count_tagged(Metric::AgentRefusals, 1, "reason", &reason);
-                    let refused = self.refused(&request, refusal);
+                    let refused = self.refused_message(&request, refusal);
                     Job::Refuse(Box::new(request), refused)
                 }
                 // Whatever wanted it, nothing is loaded without a slot, nor by an old picture.
@@ -301,18 +301,18 @@
                     if !self.loadable_models.contains(&weights.model)
                         || !self.freshness.is_fresh(snapshot.reads) =>
                 {
-                    self.decline(&weights, snapshot);
+                    self.fail_load(&weights, snapshot);
                     continue;
                 }
                 Action::Load(weights, memory) => {
                     if weights.adapter.is_none() {
                         self.metrics.count(Metric::AgentColdStarts, 1);
                     }
-                    let fence = self.fence(&weights, snapshot);
+                    let fence = self.fencing_token(&weights, snapshot);
                     Job::Load { weights, memory, fence }
                 }
                 Action::Unload(weights, memory) => {
-                    let fence = self.fence(&weights, snapshot);
+                    let fence = self.fencing_token(&weights, snapshot);
                     Job::Unload { weights, memory, fence }
                 }
                 // Asked for only under a coordinator, which no process is yet.
@@ -324,22 +324,22 @@
     }
 
     /// Takes an order back that must not be given now; who waits for it goes elsewhere.
-    fn decline(&mut self, weights: &Weights, snapshot: &Snapshot) {
+    fn fail_load(&mut self, weights: &Weights, snapshot: &Snapshot) {
         let config = ViewConfig(&snapshot.view);
         let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &config);
-        self.perform(actions, snapshot);
+        self.execute(actions, snapshot);
     }
 
-    fn refused(&self, request: &Request, refusal: Refusal) -> ToRouter {
+    fn refused_message(&self, request: &Request, refusal: Refusal) -> ToRouter {
         ToRouter::Refused {
-            stream: request.end.stream,
+            stream: request.response.stream,
             reason: refusal.reason,
             retry_after_ms: refusal.retry_after.as_millis() as u64,
             load: self.agent.load(),
         }
     }
 
-    fn fence(&self, weights: &Weights, snapshot: &Snapshot) -> u64 {
+    fn fencing_token(&self, weights: &Weights, snapshot: &Snapshot) -> u64 {
         let slot = snapshot.state.slots.owned(&weights.model, &self.target);
         slot.map_or(snapshot.state.next, |slot| slot.assigned)
     }
--- a/crates/corianderstand_agent/src/event.rs
+++ b/crates/corianderstand_agent/src/event.rs
@@ -12,22 +12,22 @@
 
 /// One stream of one connection, as the other threads hold it.
 #[derive(Clone, Debug)]
-pub struct StreamEnd {
+pub struct ResponseStream {
     /// The connection.
     pub connection: ConnectionId,
     /// Its number there.
     pub stream: u64,
     /// Frames to the router.
-    pub out: mpsc::Sender<Bytes>,
+    pub frames: mpsc::Sender<Bytes>,
     /// First position not to be sent yet; closed when the router has cancelled or is gone.
     pub credit: watch::Receiver<u64>,
 }
 
-impl StreamEnd {
+impl ResponseStream {
     /// Queues a message; false if the connection is gone.
     pub async fn send(&self, message: &ToRouter, body: &[u8]) -> bool {
         let Ok(frame) = corianderstand_link::frame::encode(message, body) else { return false };
-        self.out.send(frame).await.is_ok()
+        self.frames.send(frame).await.is_ok()
     }
 }
 
@@ -39,7 +39,7 @@
     /// The caller's body.
     pub body: Bytes,
     /// Where its answer goes.
-    pub end: StreamEnd,
+    pub response: ResponseStream,
     /// When its caller must have an answer.
     pub deadline: Instant,
 }
@@ -57,25 +57,25 @@
         stream: u64,
     },
     /// A connection is gone, and all its streams with it.
-    Gone(ConnectionId),
+    Disconnected(ConnectionId),
     /// A request has ended.
-    Ended {
+    RequestFinished {
         /// Which.
         key: RequestKey,
     },
     /// An order to load was answered; `None` if its outcome is unknown.
-    Loaded(Weights, Option<bool>),
+    LoadFinished(Weights, Option<bool>),
     /// An order to unload was answered.
-    Unloaded(Weights, bool),
+    UnloadFinished(Weights, bool),
     /// What the engine says is loaded.
     Rebuilt(Vec<(Weights, Mib, bool)>),
     /// Tell what the target holds, on this connection.
-    List(mpsc::Sender<Bytes>),
+    ListHoldings(mpsc::Sender<Bytes>),
     /// What the engine says is loaded, asked as of a version of the ledger; `None` if it did
     /// not say.
-    Asked {
+    LoadedReported {
         /// Version of the ledger.
-        version: u64,
+        ledger_version: u64,
         /// The answer.
         loaded: Option<Vec<(Weights, Mib, bool)>>,
     },
@@ -91,9 +91,9 @@
     /// Refuse a request.
     Refuse(Box<Request>, ToRouter),
     /// Ask the engine what is loaded.
-    Ask {
+    QueryLoaded {
         /// Version of the ledger.
-        version: u64,
+        ledger_version: u64,
     },
     /// Load under a fencing number.
     Load {
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     calls,
-    event::{Event, Job, Request, StreamEnd},
+    event::{Event, Job, Request, ResponseStream},
 };
 use corianderstand_control::{
     metrics::{Metric, Metrics},
@@ -39,7 +39,7 @@
 
 /// What every job needs.
 #[derive(Clone)]
-pub struct Runner {
+pub struct JobRunner {
     /// The target.
     pub target: Target,
     /// Its name.
@@ -55,7 +55,7 @@
     /// Where measures go.
     pub metrics: Metrics,
     /// Claims that were given up while the log had not decided them.
-    pub stalled: Arc<AtomicUsize>,
+    pub undecided_claims: Arc<AtomicUsize>,
 }
 
 /// How a request is done with.
@@ -67,46 +67,53 @@
     Refused(RefusalReason, Duration),
 }
 
-impl Runner {
+impl JobRunner {
     /// Takes jobs for ever.
     pub async fn run(self, mut jobs: mpsc::UnboundedReceiver<Job>) {
         while let Some(job) = jobs.recv().await {
-            tokio::spawn(self.clone().take(job));
+            tokio::spawn(self.clone().run_job(job));
         }
     }
 
-    async fn take(self, job: Job) {
+    async fn run_job(self, job: Job) {
         match job {
             Job::Run(key, request) => self.run_request(key, *request).await,
             Job::Refuse(request, refused) => {
-                request.end.send(&refused, b"").await;
+                request.response.send(&refused, b"").await;
             }
             Job::Load { weights, memory, fence } => {
-                self.order(CommandAction::Load, weights, memory, fence).await;
+                self.execute_command(CommandAction::Load, weights, memory, fence).await;
             }
             Job::Unload { weights, memory, fence } => {
-                self.order(CommandAction::Unload, weights, memory, fence).await;
+                self.execute_command(CommandAction::Unload, weights, memory, fence).await;
             }
-            Job::Ask { version } => self.ask(version).await,
+            Job::QueryLoaded { ledger_version } => self.query_loaded(ledger_version).await,
         }
     }
 
-    async fn order(&self, action: CommandAction, weights: Weights, memory: Mib, fence: u64) {
+    async fn execute_command(
+        &self,
+        action: CommandAction,
+        weights: Weights,
+        memory: Mib,
+        fence: u64,
+    ) {
         let Target::Engine(engine) = &self.target else { return };
-        let order = EngineCommand { action, weights: weights.clone(), memory_mib: memory.0, fence };
-        let began = self.clock.now();
-        let answer = engine.execute(&order).await;
-        if let Err(error) = &answer {
+        let command =
+            EngineCommand { action, weights: weights.clone(), memory_mib: memory.0, fence };
+        let started_at = self.clock.now();
+        let response = engine.execute(&command).await;
+        if let Err(error) = &response {
             tracing::warn!(%weights, ?action, %error, "order not confirmed");
         }
-        let outcome = match answer {
+        let outcome = match response {
             Ok(()) => Some(true),
             // An error of the engine's own says nothing of how far the order came.
             Err(EdgeError::Status { status, .. }) if status < 500 => Some(false),
             Err(error) if error.never_sent() => Some(false),
             Err(_) => None,
         };
-        let told = match outcome {
+        let outcome_tag = match outcome {
             Some(true) => "done",
             Some(false) => "failed",
             None => "unknown",
@@ -115,17 +122,17 @@
             CommandAction::Load => Metric::AgentLoads,
             CommandAction::Unload => Metric::AgentUnloads,
         };
-        self.metrics.count_tagged(metric, 1, "outcome", told);
+        self.metrics.count_tagged(metric, 1, "outcome", outcome_tag);
         if action == CommandAction::Load {
-            self.metrics.time(Metric::AgentLoadTime, self.clock.now() - began);
+            self.metrics.time(Metric::AgentLoadTime, self.clock.now() - started_at);
         }
-        self.tell(match action {
-            CommandAction::Load => Event::Loaded(weights, outcome),
-            CommandAction::Unload => Event::Unloaded(weights, outcome == Some(true)),
+        self.send_event(match action {
+            CommandAction::Load => Event::LoadFinished(weights, outcome),
+            CommandAction::Unload => Event::UnloadFinished(weights, outcome == Some(true)),
         });
     }
 
-    async fn ask(&self, version: u64) {
+    async fn query_loaded(&self, ledger_version: u64) {
         let Target::Engine(engine) = &self.target else { return };
         let loaded = engine.loaded().await;
         if let Err(error) = &loaded {
@@ -134,16 +141,16 @@
         let loaded = loaded.ok().map(|loaded| {
             loaded.into_iter().map(|l| (l.weights, Mib(l.memory_mib), l.ready)).collect()
         });
-        self.tell(Event::Asked { version, loaded });
+        self.send_event(Event::LoadedReported { ledger_version, loaded });
     }
 
     /// The ring is bounded and its reader never waits for this thread, so this ends soon.
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         drop(self.events.send(event));
     }
 
     async fn run_request(&self, key: RequestKey, request: Request) {
-        let began = self.clock.now();
+        let started_at = self.clock.now();
         let trace = corianderstand_link::trace::TraceContext::continue_from(Some(
             request.open.traceparent.as_str(),
         ));
@@ -154,8 +161,8 @@
                 Finish::Ended(ending, position)
             }
         };
-        let took = self.clock.now() - began;
-        self.metrics.time(Metric::AgentRun, took);
+        let elapsed = self.clock.now() - started_at;
+        self.metrics.time(Metric::AgentRun, elapsed);
         if let Finish::Ended(_, position) = &finish {
             self.metrics.count(Metric::AgentTokens, *position);
         }
@@ -164,12 +171,12 @@
             span_id = %format_args!("{:016x}", trace.span),
             parent_id = %format_args!("{:016x}", trace.parent),
             request = %request.open.request,
-            took_us = took.as_micros() as u64,
+            took_us = elapsed.as_micros() as u64,
             finish = ?finish,
             "hop agent"
         );
-        self.tell(Event::Ended { key });
-        let (stream, load) = (request.end.stream, self.load.borrow().clone());
+        self.send_event(Event::RequestFinished { key });
+        let (stream, load) = (request.response.stream, self.load.borrow().clone());
         let message = match finish {
             Finish::Ended(ending, position) => ToRouter::End { stream, position, ending, load },
             Finish::Refused(reason, retry_after) => {
@@ -177,7 +184,7 @@
                 ToRouter::Refused { stream, reason, retry_after_ms, load }
             }
         };
-        request.end.send(&message, b"").await;
+        request.response.send(&message, b"").await;
     }
 
     async fn generate(
@@ -189,23 +196,23 @@
         let Target::Engine(engine) = &self.target else {
             return (failed("this target is a plain service: name a model elsewhere"), position);
         };
-        let Some(generate) = generate_of(request, trace) else {
+        let Some(generate) = generate_request(request, trace) else {
             return (failed("the request names no model"), position);
         };
         let id = generate.request.clone();
-        let begun = tokio::select! {
-            begun = engine.generate(generate) => Some(begun),
-            () = closed(request.end.credit.clone()) => None,
+        let started = tokio::select! {
+            started = engine.generate(generate) => Some(started),
+            () = cancelled(request.response.credit.clone()) => None,
         };
-        let pumped = match begun {
-            Some(Ok(stream)) => pump(stream, &request.end, &mut position).await,
-            Some(Err(error)) => Pumped::Ended(failed(&error.to_string())),
-            None => Pumped::Left,
+        let outcome = match started {
+            Some(Ok(stream)) => forward_stream(stream, &request.response, &mut position).await,
+            Some(Err(error)) => StreamOutcome::Ended(failed(&error.to_string())),
+            None => StreamOutcome::CallerDisconnected,
         };
-        let ending = match pumped {
-            Pumped::Ended(ending) => return (ending, position),
-            Pumped::Left => failed("the caller left"),
-            Pumped::Stalled => failed("the engine made no progress"),
+        let ending = match outcome {
+            StreamOutcome::Ended(ending) => return (ending, position),
+            StreamOutcome::CallerDisconnected => failed("the caller left"),
+            StreamOutcome::Stalled => failed("the engine made no progress"),
         };
         // Nobody waits for this generation any more: the engine's work and memory are given
         // back at once.
@@ -221,7 +228,7 @@
     Ending::Failed { reason: reason.into() }
 }
 
-fn generate_of(
+fn generate_request(
     request: &Request,
     trace: corianderstand_link::trace::TraceContext,
 ) -> Option<GenerateRequest> {
@@ -242,7 +249,7 @@
         chat,
         weights,
         body: request.body.clone(),
-        request: engine_id(&request.open.request),
+        request: unique_engine_request_id(&request.open.request),
         priority: request.open.urgency,
         position: request.open.position,
         traceparent: trace.header(),
@@ -253,21 +260,21 @@
 ///
 /// A request that is taken up again can meet its own first generation on the same engine; under
 /// one identity, cancelling the first would cancel the second.
-fn engine_id(request: &str) -> SmolStr {
+fn unique_engine_request_id(request: &str) -> SmolStr {
     format_smolstr!("{request}-{:016x}", rand::random::<u64>())
 }
 
 /// Longest pause before an engine's first part: a long prompt is read first.
-const FIRST_STALL: Duration = Duration::from_secs(60);
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
 /// Longest pause between two parts of an engine's answer: hundreds of times the usual one.
-const STALL: Duration = Duration::from_secs(10);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How an engine's answer ended.
-enum Pumped {
+enum StreamOutcome {
     /// As the engine said, or with its connection.
     Ended(Ending),
     /// The caller has left.
-    Left,
+    CallerDisconnected,
     /// Nothing came for too long, though the connection stands.
     Stalled,
 }
@@ -277,40 +284,44 @@
 /// A device between agent and engine may lose track of their connection. It stays open then and
 /// nothing comes, which a caller would see as a sentence that stops. Slow is not silent: each
 /// part starts the time anew.
-async fn pump(mut stream: EngineStream, end: &StreamEnd, position: &mut u64) -> Pumped {
-    let mut credit = end.credit.clone();
-    let mut patience = FIRST_STALL;
+async fn forward_stream(
+    mut stream: EngineStream,
+    response: &ResponseStream,
+    position: &mut u64,
+) -> StreamOutcome {
+    let mut credit = response.credit.clone();
+    let mut chunk_timeout = FIRST_CHUNK_TIMEOUT;
     loop {
         let event = tokio::select! {
-            event = time::timeout(patience, stream.next()) => event,
-            () = closed(credit.clone()) => return Pumped::Left,
+            event = time::timeout(chunk_timeout, stream.next()) => event,
+            () = cancelled(credit.clone()) => return StreamOutcome::CallerDisconnected,
         };
-        patience = STALL;
+        chunk_timeout = CHUNK_TIMEOUT;
         match event {
-            Err(_) => return Pumped::Stalled,
+            Err(_) => return StreamOutcome::Stalled,
             Ok(Some(Ok(EngineEvent::Text(text)))) => {
                 if credit.wait_for(|upto| *position < *upto).await.is_err() {
-                    return Pumped::Left;
+                    return StreamOutcome::CallerDisconnected;
                 }
-                let chunk = ToRouter::Chunk { stream: end.stream, position: *position };
-                if !end.send(&chunk, text.as_bytes()).await {
-                    return Pumped::Left;
+                let chunk = ToRouter::Chunk { stream: response.stream, position: *position };
+                if !response.send(&chunk, text.as_bytes()).await {
+                    return StreamOutcome::CallerDisconnected;
                 }
                 *position += 1;
             }
             Ok(Some(Ok(EngineEvent::Finished { reason, prompt_tokens, completion_tokens }))) => {
                 let finish_reason = reason.into();
                 let whole = Ending::Whole { prompt_tokens, completion_tokens, finish_reason };
-                return Pumped::Ended(whole);
+                return StreamOutcome::Ended(whole);
             }
-            Ok(Some(Err(error))) => return Pumped::Ended(failed(&error.to_string())),
+            Ok(Some(Err(error))) => return StreamOutcome::Ended(failed(&error.to_string())),
             // A connection that just closes is not an end: without the engine's own mark the
             // answer would look whole to the caller and be cut.
-            Ok(None) => return Pumped::Ended(failed("the engine broke off: ask again")),
+            Ok(None) => return StreamOutcome::Ended(failed("the engine broke off: ask again")),
         }
     }
 }
 
-async fn closed(mut credit: watch::Receiver<u64>) {
+async fn cancelled(mut credit: watch::Receiver<u64>) {
     while credit.changed().await.is_ok() {}
 }
--- a/crates/corianderstand_agent/src/shape.rs
+++ b/crates/corianderstand_agent/src/shape.rs
@@ -6,19 +6,19 @@
 
 /// What a body says about the length of its answer.
 #[derive(Deserialize)]
-struct Limits {
+struct TokenLimits {
     max_tokens: Option<u64>,
     max_completion_tokens: Option<u64>,
 }
 
 /// The shape of a request; its session matters only to routers.
-pub fn of(operation: &Operation, body: &[u8]) -> Shape {
+pub fn request_shape(operation: &Operation, body: &[u8]) -> Shape {
     let chat = match operation {
         Operation::Chat { .. } => true,
         Operation::Completion { .. } => false,
         Operation::Call { .. } => return Shape::default(),
     };
-    let limits: Option<Limits> = serde_json::from_slice(body).ok();
+    let limits: Option<TokenLimits> = serde_json::from_slice(body).ok();
     let tokens = limits.and_then(|limits| limits.max_completion_tokens.or(limits.max_tokens));
     Shape { prefix: None, ..Shape::of(tokens, chat, b"") }
 }
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -1,7 +1,7 @@
 //! Starts an agent's threads and stops them as planned.
 
 use crate::{
-    accept::{self, Shared},
+    accept::{self, ConnectionContext},
     announce,
     decide::Decider,
     event::Event,
@@ -9,7 +9,7 @@
     held_requests::HeldRequests,
     reconcile::ReconcileTimer,
     release::{SlotReleaser, SlotReleases},
-    run::{Runner, Target},
+    run::{JobRunner, Target},
 };
 use corianderstand_control::{
     appender::Identity,
@@ -48,15 +48,15 @@
 };
 
 /// Events that wait for the `decide` thread.
-const EVENT_RING: usize = 8192;
+const EVENT_QUEUE_CAPACITY: usize = 8192;
 /// Time a plain service has to answer one call.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Bytes of records an agent keeps for others: nobody follows an agent.
-const NO_TAIL: usize = 0;
+const TAIL_CAPACITY_BYTES: usize = 0;
 /// Pause between two questions to the engine at start.
-const REBUILD_PAUSE: Duration = Duration::from_millis(500);
+const REBUILD_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause between two looks at a planned stop.
-const STOP_PAUSE: Duration = Duration::from_millis(100);
+const IDLE_SETTLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An agent that cannot start.
 #[derive(Debug, displaydoc::Display)]
@@ -77,7 +77,7 @@
     events: std_mpsc::SyncSender<Event>,
     draining: watch::Sender<bool>,
     idle: watch::Receiver<bool>,
-    held: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
     control: ControlHandle,
     target: TargetId,
     drain_limit: Duration,
@@ -89,34 +89,34 @@
 ///
 /// See [`AgentError`].
 pub fn start(settings: AgentSettings, clock: SharedClock) -> Result<AgentHandle, AgentError> {
-    let listener = listen(&settings.listen)?;
+    let listener = bind_listener(&settings.listen)?;
     let incarnation = clock::unix_ms(clock.wall());
     let metrics = Metrics::new(settings.statsd.as_deref(), settings.name.as_str());
     let metrics = metrics.map_err(AgentError::Statsd)?;
     let budget = Arc::new(Budget::new(clock.clone()));
     let source = source(&settings, &clock, budget.clone());
     let control = start_control(&settings, incarnation, source, clock.clone(), &metrics)?;
-    let (events, events_rx) = std_mpsc::sync_channel(EVENT_RING);
+    let (events, events_rx) = std_mpsc::sync_channel(EVENT_QUEUE_CAPACITY);
     let (jobs, jobs_rx) = mpsc::unbounded_channel();
     let (load, load_rx) = watch::channel(Load { running: 0, queued: 0, wait_ms: 0 });
     let (idle, idle_rx) = watch::channel(true);
-    let held = Arc::new(AtomicUsize::new(0));
+    let in_flight = Arc::new(AtomicUsize::new(0));
     let (draining, draining_rx) = watch::channel(false);
     let (releases, releases_rx) = watch::channel(SlotReleases::new());
     let target = TargetId(settings.name.0.clone());
 
     let decider = Decider {
-        agent: Agent::new(limits(&settings), memory(&settings)),
+        agent: Agent::new(limits(&settings), engine_memory(&settings)),
         target: target.clone(),
         current: control.current.clone(),
         clock: clock.clone(),
         jobs,
         load,
         idle,
-        held: held.clone(),
+        in_flight: in_flight.clone(),
         requests: HashMap::new(),
         streams: HashMap::new(),
-        since: HashMap::new(),
+        queued_at: HashMap::new(),
         metrics: metrics.clone(),
         rebuilt: matches!(settings.target.kind, TargetKind::Service { .. }),
         loadable_models: BTreeSet::new(),
@@ -129,7 +129,7 @@
     };
     spawn("decide", move || decider.run(&events_rx))?;
 
-    let runner = Runner {
+    let runner = JobRunner {
         target: connect(&settings),
         name: target.clone(),
         events: events.clone(),
@@ -137,10 +137,10 @@
         control: control.clone(),
         clock: clock.clone(),
         metrics: metrics.clone(),
-        stalled: Arc::default(),
+        undecided_claims: Arc::default(),
     };
     let target_runtime = runtime()?;
-    target_runtime.spawn(report(
+    target_runtime.spawn(report_metrics(
         &settings,
         incarnation,
         &control,
@@ -150,10 +150,10 @@
     ));
     spawn("target", move || target_runtime.block_on(runner.run(jobs_rx)))?;
 
-    let shared = Shared {
+    let context = ConnectionContext {
         target: target.clone(),
         incarnation,
-        silence: settings.timing.silence_ms.0,
+        idle_timeout: settings.timing.silence_ms.0,
         events: events.clone(),
         load: load_rx,
         draining: draining_rx.clone(),
@@ -161,25 +161,25 @@
     };
     let link_runtime = runtime()?;
     let (link_control, link_target) = (control.clone(), connect(&settings));
-    let record = record(&settings);
+    let record = target_record(&settings);
     let link_events = events.clone();
     spawn("link", move || {
         link_runtime.block_on(async move {
             // The engine is asked before any router can reach this process.
-            rebuild(&link_target, &link_events).await;
-            tokio::spawn(announce::release(link_control.clone(), releases_rx));
+            rebuild_ledger(&link_target, &link_events).await;
+            tokio::spawn(announce::append_releases(link_control.clone(), releases_rx));
             tokio::spawn(announce::keep_announced(link_control, record, incarnation, draining_rx));
             match tokio::net::TcpListener::from_std(listener) {
-                Ok(listener) => accept::run(listener, shared).await,
+                Ok(listener) => accept::run(listener, context).await,
                 Err(error) => tracing::error!(%error, "the bound port cannot be used"),
             }
         });
     })?;
     let drain_limit = settings.timing.drain_ms.0;
-    Ok(AgentHandle { events, draining, idle: idle_rx, held, control, target, drain_limit })
+    Ok(AgentHandle { events, draining, idle: idle_rx, in_flight, control, target, drain_limit })
 }
 
-fn report(
+fn report_metrics(
     settings: &AgentSettings,
     incarnation: u64,
     control: &ControlHandle,
@@ -188,14 +188,14 @@
     budget: Arc<Budget>,
 ) -> impl Future<Output = ()> + Send + use<> {
     let identity = Identity { writer: settings.name.clone(), incarnation };
-    let more = move |metrics: &Metrics| {
+    let extra_gauges = move |metrics: &Metrics| {
         let load = load.borrow();
         metrics.gauge(Metric::AgentRunning, u64::from(load.running));
         metrics.gauge(Metric::AgentQueue, u64::from(load.queued));
         metrics.gauge(Metric::AgentWaitEstimate, load.wait_ms);
         budget.report(metrics);
     };
-    measured::report(metrics, identity, control.current.clone(), more)
+    measured::report(metrics, identity, control.current.clone(), extra_gauges)
 }
 
 /// Binds the port that is also the lock against a second agent beside the same target.
@@ -203,13 +203,13 @@
 /// Two agents would each commit the engine's memory as if it were alone. The kernel gives the
 /// port to one process at a time, a paused one included, so the second fails here and says so.
 /// For that reason the socket must never get `SO_REUSEPORT`.
-fn listen(address: &str) -> Result<std::net::TcpListener, AgentError> {
-    let listen = || -> std::io::Result<std::net::TcpListener> {
+fn bind_listener(address: &str) -> Result<std::net::TcpListener, AgentError> {
+    let bind = || -> std::io::Result<std::net::TcpListener> {
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         Ok(listener)
     };
-    listen().map_err(|error| AgentError::Listen(address.to_owned(), error))
+    bind().map_err(|error| AgentError::Listen(address.to_owned(), error))
 }
 
 fn runtime() -> Result<runtime::Runtime, AgentError> {
@@ -224,7 +224,7 @@
 /// Where this agent reads the log: from a router, if it was given some and a token.
 fn source(settings: &AgentSettings, clock: &SharedClock, budget: Arc<Budget>) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
-    let tail = Tail::new(clock.clone(), budget, NO_TAIL);
+    let tail = Tail::new(clock.clone(), budget, TAIL_CAPACITY_BYTES);
     let token = settings.peer_token.clone().unwrap_or_default();
     let peers = if token.is_empty() { &[] } else { settings.peers.as_slice() };
     Source::for_process(log, &settings.name, None, peers, &token, tail)
@@ -267,7 +267,7 @@
     Limits { concurrency: settings.target.concurrency, queue: settings.target.queue }
 }
 
-fn memory(settings: &AgentSettings) -> Mib {
+fn engine_memory(settings: &AgentSettings) -> Mib {
     match &settings.target.kind {
         TargetKind::Engine { memory_mib, .. } => *memory_mib,
         TargetKind::Service { .. } => Mib(0),
@@ -284,7 +284,7 @@
     }
 }
 
-fn record(settings: &AgentSettings) -> TargetRecord {
+fn target_record(settings: &AgentSettings) -> TargetRecord {
     let (accelerators, service) = match &settings.target.kind {
         TargetKind::Engine { accelerators, .. } => (*accelerators, None),
         TargetKind::Service { service, .. } => (0, Some(service.clone())),
@@ -294,7 +294,7 @@
         host: settings.host.clone(),
         place: settings.place.clone(),
         address: settings.advertise.clone().unwrap_or_else(|| settings.listen.clone()),
-        memory_mib: memory(settings),
+        memory_mib: engine_memory(settings),
         accelerators,
         service,
     }
@@ -305,12 +305,12 @@
 /// An order of an agent that died may lie in the engine's socket and be carried out just after
 /// the first answer; the pause lets it show in the second. Ordering by the first answer alone
 /// would commit that memory twice.
-async fn rebuild(target: &Target, events: &std_mpsc::SyncSender<Event>) {
+async fn rebuild_ledger(target: &Target, events: &std_mpsc::SyncSender<Event>) {
     let Target::Engine(engine) = target else { return };
-    let mut answers = 0;
+    let mut responses = 0;
     loop {
         match engine.loaded().await {
-            Ok(_) if answers == 0 => answers = 1,
+            Ok(_) if responses == 0 => responses = 1,
             Ok(loaded) => {
                 let loaded = loaded.into_iter();
                 let loaded = loaded.map(|l| (l.weights, Mib(l.memory_mib), l.ready)).collect();
@@ -319,7 +319,7 @@
             }
             Err(error) => tracing::warn!(%error, "engine not asked what is loaded yet"),
         }
-        time::sleep(REBUILD_PAUSE).await;
+        time::sleep(REBUILD_QUERY_INTERVAL).await;
     }
 }
 
@@ -332,7 +332,7 @@
 
     /// Requests waiting or running, for who ends the process before they are done.
     pub fn in_flight(&self) -> Arc<AtomicUsize> {
-        self.held.clone()
+        self.in_flight.clone()
     }
 
     /// Waits until nothing is in flight, or the limit has passed, and says goodbye in the log.
@@ -340,12 +340,12 @@
         let Ok(runtime) = runtime() else { return };
         runtime.block_on(async {
             // One turn of the decide loop, so that what has just come is counted.
-            time::sleep(STOP_PAUSE * 2).await;
+            time::sleep(IDLE_SETTLE_INTERVAL * 2).await;
             let idle = self.idle.wait_for(|idle| *idle);
             if time::timeout(self.drain_limit, idle).await.is_err() {
                 tracing::warn!("planned stop: limit reached with work in flight");
             }
-            announce::farewell(&self.control, &self.target).await;
+            announce::announce_down(&self.control, &self.target).await;
         });
     }
 
