--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -23,36 +23,29 @@
     sync::{mpsc, watch},
 };
 
-/// Frames that wait to be written to one router.
+/// Capacity in frames of the queue to one router.
 const OUTBOUND_QUEUE_CAPACITY: usize = 1024;
 
-/// What every connection needs.
+/// State shared by all connections.
 #[derive(Clone)]
 pub struct ConnectionContext {
-    /// Name of the target.
     pub target: TargetId,
-    /// Start of this process.
     pub incarnation: u64,
-    /// Limit on silence.
     pub idle_timeout: Duration,
-    /// To the `decide` thread.
     pub events: SyncSender<Event>,
-    /// How busy the target is.
     pub load: watch::Receiver<Load>,
-    /// Whether new work is taken.
+    /// Whether new requests are refused.
     pub draining: watch::Receiver<bool>,
-    /// Time.
     pub clock: SharedClock,
 }
 
-/// Accepts for ever.
 pub async fn run(listener: TcpListener, context: ConnectionContext) {
     let mut next_id: ConnectionId = 0;
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "connection not accepted");
+                tracing::warn!(%error, "cannot accept a connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
@@ -73,9 +66,9 @@
         written = writer.run(rx) => written.err().unwrap_or(FrameError::Closed),
     };
     if connection.sends_requests {
-        tracing::info!(connection = id, error = %ended, "connection from a router ended");
+        tracing::info!(connection = id, error = %ended, "connection from a router closed");
     }
-    // The ring is bounded and its reader never waits for this thread, so this ends soon.
+    // Blocks only briefly: the `decide` thread never waits for this one.
     drop(events.send(Event::Disconnected(id)));
 }
 
@@ -84,7 +77,7 @@
     outbound: mpsc::Sender<Bytes>,
     context: ConnectionContext,
     credits: HashMap<u64, watch::Sender<u64>>,
-    /// Whether a router greeted to send requests, not only to ask what is loaded.
+    /// Whether the router connected to send requests, not only to query the status.
     sends_requests: bool,
 }
 
@@ -145,7 +138,11 @@
 
     async fn welcome(&self, router: &str, protocol: u32) -> Result<(), FrameError> {
         if protocol != PROTOCOL {
-            tracing::error!(router, protocol, "router speaks another version: upgrade it");
+            tracing::error!(
+                router,
+                protocol,
+                "router uses an incompatible protocol version: upgrade it"
+            );
             return Err(FrameError::Closed);
         }
         let target = self.context.target.clone();
@@ -171,13 +168,13 @@
         self.send_event(Event::Submit(Box::new((spec, request))))
     }
 
-    /// A full ring means that the `decide` thread is far behind; the connection is closed, so
-    /// that its router goes elsewhere, rather than holding up all other connections.
+    /// Closes the connection if the queue is full, so that its router retries elsewhere and the
+    /// other connections are not blocked.
     fn send_event(&self, event: Event) -> Result<(), FrameError> {
         match self.context.events.try_send(event) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(_)) => {
-                tracing::error!("the decide ring is full: closing a connection");
+                tracing::error!("event queue of the decide thread is full, closing a connection");
                 Err(FrameError::Closed)
             }
             Err(TrySendError::Disconnected(_)) => Err(FrameError::Closed),
--- a/crates/corianderstand_agent/src/announce.rs
+++ b/crates/corianderstand_agent/src/announce.rs
@@ -1,4 +1,4 @@
-//! What an agent says of its target in the log: that it is there, what it gives back.
+//! Records of the target in the log: availability and slot releases.
 
 use crate::release::SlotReleases;
 use corianderstand_control::start::ControlHandle;
@@ -8,19 +8,18 @@
 use std::time::Duration;
 use tokio::{sync::watch, time};
 
-/// Time the log has to decide a record before it is tried again.
+/// Time after which an undecided append is retried.
 pub const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time a planned stop waits for its slots to be released; after it they stay with the
-/// target until its host is gone or it starts again.
+/// Time that a graceful shutdown waits for its slots to be released. After it they stay with the
+/// target until its host is gone or the agent starts again.
 pub const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause before a release that was not decided is tried again.
 const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Announces the target, and again whenever it is missing from the state.
+/// Announces the target whenever it is missing from the state.
 ///
-/// A host that the list loses for long is removed with its target although its agent may live;
-/// without a new announcement the target would serve nobody until a restart. An announcement
-/// of a later start of the same target is left alone, so that two do not take turns for ever.
+/// A host that is missing from the host list for long is removed with its target, even if the
+/// agent still runs. An announcement of a later incarnation is kept, so that two agents don't
+/// keep replacing each other's.
 pub async fn keep_announced(
     control: ControlHandle,
     record: TargetRecord,
@@ -35,7 +34,7 @@
         if missing && snapshot.caught_up && !*stopping.borrow() {
             let body = Body::TargetUp { target: record.clone() };
             if let Err(error) = control.appender.append(body, APPEND_TIMEOUT).await {
-                tracing::warn!(%error, "target not announced yet");
+                tracing::warn!(%error, "cannot announce the target, retrying");
             }
             continue;
         }
@@ -45,7 +44,7 @@
     }
 }
 
-/// SlotReleases slots in the log as they are given up.
+/// Appends slot releases to the log.
 pub async fn append_releases(control: ControlHandle, mut releases: watch::Receiver<SlotReleases>) {
     loop {
         let due = releases.borrow_and_update().clone();
@@ -70,13 +69,13 @@
         }
         let decided = future::join_all(appends).await;
         if decided.iter().any(Result::is_err) {
-            tracing::warn!("release of slots not decided yet");
+            tracing::warn!("cannot release slots, retrying");
             time::sleep(RELEASE_RETRY_DELAY).await;
         }
     }
 }
 
-/// Says that the target stops, after its slots are released or the limit has passed.
+/// Records that the target is down, after its slots are released or the timeout has passed.
 pub async fn announce_down(control: &ControlHandle, target: &TargetId) {
     let released = async {
         let mut changed = control.current.subscribe();
@@ -87,10 +86,10 @@
         }
     };
     if time::timeout(RELEASE_TIMEOUT, released).await.is_err() {
-        tracing::warn!("planned stop: slots not released in time, they stay with this target");
+        tracing::warn!("graceful shutdown: slots not released in time, they stay with this target");
     }
     let body = Body::TargetDown { target: target.clone() };
     if let Err(error) = control.appender.append(body, APPEND_TIMEOUT).await {
-        tracing::warn!(%error, "goodbye not decided");
+        tracing::warn!(%error, "cannot record in the log that the target is down");
     }
 }
--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a plain service; those that may not be repeated run only under a claim in the log.
+//! Calls to a plain service. Calls with an idempotency key run only under a claim in the log.
 
 use crate::{
     event::Request,
@@ -23,27 +23,25 @@
 use std::{sync::atomic::Ordering, time::Duration};
 use tokio::{sync::oneshot, time};
 
-/// Time the log has to decide a claim before the request is refused: far beyond an append and
-/// its reading back, and short enough to answer within a usual deadline.
+/// Time to wait for the log to decide a claim before the request is refused.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that an answer waits for its own record. A caller who was told "ran" should find the
-/// same on asking again, even if this process dies at once; a log that is slow must not hold up
-/// a good answer for long.
+/// Time that a response waits for its record, so that a retry finds the same outcome even if
+/// this process crashes.
 const RECORD_WAIT_LIMIT: Duration = Duration::from_secs(1);
-/// Time that a record is kept for a log that is down: the longest outage that is ridden out.
+/// Time for which an append is retried while the log is down.
 const RECORD_APPEND_TIMEOUT: Duration = Duration::from_secs(6 * 3600);
-/// When to come back while the log decides nothing.
+/// Retry delay sent to callers while the log is down.
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// When to come back while as many keys are remembered as may be.
+/// Retry delay sent to callers while the table of idempotency keys is full.
 const KEYS_FULL_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 type CallResult = Result<ServiceResponse, Finish>;
 
-/// Runs a call and sends its answer.
+/// Runs a call and sends its response.
 pub async fn run(runner: &JobRunner, request: &Request, trace: TraceContext) -> Finish {
     let Operation::Call { service, method, path, idempotency_key, .. } = &request.open.operation
     else {
-        return ended(failed("the request is no call"));
+        return ended(failed("the request is not a call"));
     };
     let answer = match idempotency_key {
         None => call(runner, request, trace).await.map_err(|error| {
@@ -101,13 +99,13 @@
             service.call(call).await
         }
         _ => {
-            let (system, detail) = ("this target", "it is no plain service".into());
+            let (system, detail) = ("this target", "it is not a plain service".into());
             Err(EdgeError::Malformed { system, detail })
         }
     }
 }
 
-/// A call that may not be repeated.
+/// A call that must run at most once.
 struct IdempotentCall {
     key: CallKey,
     digest: u64,
@@ -116,8 +114,8 @@
 impl IdempotentCall {
     /// Runs the call only if this agent's claim is the first for its key in the log.
     ///
-    /// Without a claim two agents could run the same call for one caller who asked twice, or a
-    /// frozen agent could run it minutes after another did.
+    /// This keeps a retry on another agent, or an agent that resumes after a pause, from running
+    /// the call a second time.
     async fn call(&self, runner: &JobRunner, request: &Request, trace: TraceContext) -> CallResult {
         let snapshot = runner.control.current.load();
         match snapshot.state.calls.status(&self.key, self.digest) {
@@ -127,7 +125,7 @@
         if !is_before_deadline(runner, request) {
             return Err(Finish::Refused(RefusalReason::Deadline, LOG_RETRY_AFTER));
         }
-        // A claim that is queued while the log decides nothing would only be withdrawn later.
+        // A claim queued while the log is stalled would only be withdrawn later.
         let log_stalled = runner.undecided_claims.load(Ordering::Relaxed) > 0;
         if log_stalled || !snapshot.log_up {
             return Err(Finish::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
@@ -151,9 +149,8 @@
         }
     }
 
-    /// Claims the key; `None` if the log has not decided in time. Such a claim may still come
-    /// to stand in the log; whoever waits for it here then withdraws it, so that it never runs
-    /// after its caller was refused, and repeats get a definite answer.
+    /// Claims the key; `None` if the log has not decided in time. If such a claim is applied
+    /// later, the spawned task withdraws it, so that it never runs after its caller was refused.
     async fn claim(&self, runner: &JobRunner, request: &Request) -> Option<Decided> {
         let (key, target) = (self.key.clone(), runner.name.clone());
         let body = Body::Claimed { key, digest: self.digest, target };
@@ -170,7 +167,7 @@
         if let Ok(Ok(decided)) = time::timeout(CLAIM_TIMEOUT.min(left), &mut rx).await {
             return decided.ok();
         }
-        // Counted before the ring is closed, so that the far end never counts down first.
+        // Incremented before the channel is closed, so that the task never decrements first.
         runner.undecided_claims.fetch_add(1, Ordering::Relaxed);
         rx.close();
         match rx.try_recv() {
@@ -202,7 +199,7 @@
                 self.record(runner, claim, Some(stored_answer(&answer))).await;
                 Ok(answer)
             }
-            // The connection was refused: the service cannot have heard of the call.
+            // The connection was refused, so the service cannot have received the call.
             Err(error) if error.never_sent() => {
                 self.record(runner, claim, None).await;
                 Err(not_run(&error.to_string()))
@@ -211,8 +208,7 @@
         }
     }
 
-    /// Records the outcome, and waits for the record for a while; it is written in any case,
-    /// as long as this process lives.
+    /// Records the outcome in the background and waits for the record for a limited time.
     async fn record(&self, runner: &JobRunner, claim: u64, answer: Option<CallAnswer>) {
         let body = Body::CallEnded { key: self.key.clone(), claim, answer };
         let appender = runner.control.appender.clone();
@@ -223,16 +219,15 @@
             }
         });
         if time::timeout(RECORD_WAIT_LIMIT, record).await.is_err() {
-            tracing::warn!(key = %self.key.key, "outcome of a call not decided yet");
+            tracing::warn!(key = %self.key.key, "outcome of a call not yet recorded in the log");
         }
     }
 }
 
-/// Whether the caller still waits, by this process's clock and by the log's.
+/// Returns whether the deadline is ahead by this process's clock and by the log's.
 ///
-/// A process that was frozen with a request in its socket reads it as if it had just come, so
-/// the time since it was read tells nothing. Run then, it would be a booking minutes after its
-/// caller had made another. The log's clock is the one clock that the router shares.
+/// A process that was paused with a request in its socket reads it late and computes a late local
+/// deadline. The log's clock is shared with the router and detects this.
 fn is_before_deadline(runner: &JobRunner, request: &Request) -> bool {
     let now_ms = runner.control.current.load().log_now_ms(runner.clock.wall());
     let expires_ms = request.open.expires_ms;
@@ -252,8 +247,8 @@
     ended(Ending::NotRun { reason: reason.into() })
 }
 
-/// The answer to a repeat. Where no outcome can be sent from here, the router waits for it in
-/// its own copy of the log.
+/// Returns the result of a retry. If the outcome is unknown here, the router waits for it in its
+/// replicated records.
 fn result_of(status: CallStatus) -> CallResult {
     match status {
         CallStatus::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
@@ -263,7 +258,9 @@
         CallStatus::NotRun => Err(not_run("it was given up before it began")),
         CallStatus::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER)),
         CallStatus::Claimed | CallStatus::Unclaimed | CallStatus::Ran(_) => {
-            Err(ended(Ending::Unknown { reason: "it was claimed before".into() }))
+            Err(ended(Ending::Unknown {
+                reason: "an earlier request with the same key claimed the call".into(),
+            }))
         }
     }
 }
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -1,4 +1,4 @@
-//! The `decide` thread: feeds events to the pure logic and hands on what it decides.
+//! The `decide` thread: passes events to the scheduler and executes its actions.
 
 use crate::{
     event::{ConnectionId, Event, Job, Request},
@@ -36,56 +36,43 @@
 };
 use tokio::sync::{mpsc, watch};
 
-/// Longest time between two looks at the snapshot.
+/// Maximum time between two polls of the snapshot.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const MS_PER_SECOND: u64 = 1000;
 
-/// The thread's state.
+/// State of the `decide` thread.
 pub struct Decider {
-    /// The pure logic.
     pub agent: Agent,
-    /// Name of the target.
     pub target: TargetId,
-    /// Snapshots.
     pub current: CurrentSnapshot,
-    /// Time.
     pub clock: SharedClock,
-    /// To the `target` thread.
     pub jobs: mpsc::UnboundedSender<Job>,
-    /// How busy the target is, for the link thread.
+    /// Load of the target, read by the `link` thread.
     pub load: watch::Sender<Load>,
-    /// Whether nothing is held, for a planned stop.
+    /// Whether no request is queued, running or held; a graceful shutdown waits for it.
     pub idle: watch::Sender<bool>,
-    /// Requests held, for who ends the process before they are done.
+    /// Number of requests queued or running.
     pub in_flight: Arc<AtomicUsize>,
-    /// Requests waiting or running.
     pub requests: HashMap<RequestKey, Request>,
-    /// Their keys by stream.
     pub streams: HashMap<(ConnectionId, u64), RequestKey>,
-    /// When each request that waits came.
+    /// Arrival times of the queued requests.
     pub queued_at: HashMap<RequestKey, Instant>,
-    /// Where measures go.
     pub metrics: Metrics,
-    /// Whether the ledger has been taken over from the engine.
+    /// Whether the ledger has been rebuilt from the engine's loaded weights.
     pub rebuilt: bool,
-    /// Models that may be loaded under the slots in force.
+    /// Models that may be loaded under the current slots.
     pub loadable_models: BTreeSet<ModelId>,
-    /// Slots to give back.
     pub releaser: SlotReleaser,
-    /// Those that may be released, for the `link` thread.
+    /// Slots that may be released, read by the `link` thread.
     pub releases: watch::Sender<SlotReleases>,
-    /// Whether a planned stop has begun.
     pub stopping: bool,
-    /// Notices that this process stood still.
     pub freshness: FreshnessGuard,
-    /// When to ask the engine what is loaded.
     pub reconcile_timer: ReconcileTimer,
-    /// Requests that came before the records they were chosen by.
     pub held_requests: HeldRequests<Box<(RequestSpec, Request)>>,
 }
 
 impl Decider {
-    /// Runs until all senders of events are gone.
+    /// Runs until all event senders are dropped.
     pub fn run(mut self, events: &Receiver<Event>) {
         loop {
             let now = self.clock.now();
@@ -127,11 +114,11 @@
         }
     }
 
-    /// Takes over the slots in force, and gives up those that are unwanted and unloaded.
+    /// Applies the current slots and releases those that are unwanted and unloaded.
     ///
-    /// A process that has not read the log to its end knows no slots; it must not take that for
-    /// "no slots are mine" and unload what an earlier start of this agent loaded. Nor does one
-    /// that has not asked its engine know that a slot's model is out of memory.
+    /// Does nothing until the log has been read to its end and the engine queried: before that,
+    /// an empty slot table or ledger doesn't mean that the target owns no slots or holds no
+    /// models.
     fn refresh_slots(&mut self, snapshot: &Snapshot) {
         if !snapshot.caught_up || !self.rebuilt {
             return;
@@ -256,13 +243,12 @@
         let holdings = holdings.collect();
         let version = snapshot.state.documents.version;
         if let Ok(frame) = frame::encode(&ToRouter::Holdings { version, holdings }, b"") {
-            // An operator whose connection takes nothing more asks again.
+            // The query may be repeated, so a full connection just drops the reply.
             drop(outbound.try_send(frame));
         }
     }
 
-    /// A request that runs is ended by the `target` thread, which sees its credit closed; one
-    /// that waits is simply forgotten.
+    /// Removes a queued request. The `target` thread ends a running one when its credit closes.
     fn cancel(&mut self, key: RequestKey, config: &ViewConfig<'_>) -> Vec<Action> {
         if self.agent.is_running(key) {
             return Vec::new();
@@ -296,7 +282,7 @@
                     let refused = self.refused_message(&request, refusal);
                     Job::Refuse(Box::new(request), refused)
                 }
-                // Whatever wanted it, nothing is loaded without a slot, nor by an old picture.
+                // Never load without a slot or based on a stale snapshot.
                 Action::Load(weights, _)
                     if !self.loadable_models.contains(&weights.model)
                         || !self.freshness.is_fresh(snapshot.reads) =>
@@ -315,15 +301,15 @@
                     let fence = self.fencing_token(&weights, snapshot);
                     Job::Unload { weights, memory, fence }
                 }
-                // Asked for only under a coordinator, which no process is yet.
+                // Only requested under a coordinator, which agents do not use.
                 Action::RequestLoadGrant(_) => continue,
             };
-            // The logic bounds runs and orders; refusals are as many as requests come (docs/design/0007).
+            // The scheduler bounds runs and commands; refusals are bounded by incoming requests.
             drop(self.jobs.send(job));
         }
     }
 
-    /// Takes an order back that must not be given now; who waits for it goes elsewhere.
+    /// Reports a load that must not run now as failed, so that its requests go elsewhere.
     fn fail_load(&mut self, weights: &Weights, snapshot: &Snapshot) {
         let config = ViewConfig(&snapshot.view);
         let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &config);
--- a/crates/corianderstand_agent/src/event.rs
+++ b/crates/corianderstand_agent/src/event.rs
@@ -1,4 +1,4 @@
-//! What the threads of an agent tell each other.
+//! Messages between the threads of an agent.
 
 use bytes::Bytes;
 use corianderstand_decide::request::{RequestKey, RequestSpec};
@@ -7,110 +7,85 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-/// Identity of a connection within this process.
+/// Identifies a connection within this process.
 pub type ConnectionId = u64;
 
-/// One stream of one connection, as the other threads hold it.
+/// Sends the response frames of one stream to its router.
 #[derive(Clone, Debug)]
 pub struct ResponseStream {
-    /// The connection.
     pub connection: ConnectionId,
-    /// Its number there.
     pub stream: u64,
-    /// Frames to the router.
     pub frames: mpsc::Sender<Bytes>,
-    /// First position not to be sent yet; closed when the router has cancelled or is gone.
+    /// First position that may not be sent yet; closed on cancellation or disconnection.
     pub credit: watch::Receiver<u64>,
 }
 
 impl ResponseStream {
-    /// Queues a message; false if the connection is gone.
+    /// Queues a message; returns false if the connection is closed.
     pub async fn send(&self, message: &ToRouter, body: &[u8]) -> bool {
         let Ok(frame) = corianderstand_link::frame::encode(message, body) else { return false };
         self.frames.send(frame).await.is_ok()
     }
 }
 
-/// A request as it came.
+/// A request as received from a router.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The header.
     pub open: OpenStream,
-    /// The caller's body.
     pub body: Bytes,
-    /// Where its answer goes.
     pub response: ResponseStream,
-    /// When its caller must have an answer.
     pub deadline: Instant,
 }
 
-/// To the `decide` thread.
+/// Input of the `decide` thread.
 #[derive(Debug)]
 pub enum Event {
-    /// A request has come.
     Submit(Box<(RequestSpec, Request)>),
-    /// A router no longer waits.
     Cancelled {
-        /// The connection.
         connection: ConnectionId,
-        /// The stream on it.
         stream: u64,
     },
-    /// A connection is gone, and all its streams with it.
+    /// A connection closed, which cancels all its streams.
     Disconnected(ConnectionId),
-    /// A request has ended.
     RequestFinished {
-        /// Which.
         key: RequestKey,
     },
-    /// An order to load was answered; `None` if its outcome is unknown.
+    /// A load command finished; `None` if its outcome is unknown.
     LoadFinished(Weights, Option<bool>),
-    /// An order to unload was answered.
+    /// An unload command finished; true if the engine confirmed it.
     UnloadFinished(Weights, bool),
-    /// What the engine says is loaded.
+    /// The engine's loaded weights at startup.
     Rebuilt(Vec<(Weights, Mib, bool)>),
-    /// Tell what the target holds, on this connection.
+    /// Send the contents of the ledger on this connection.
     ListHoldings(mpsc::Sender<Bytes>),
-    /// What the engine says is loaded, asked as of a version of the ledger; `None` if it did
-    /// not say.
+    /// The engine's loaded weights, queried at a version of the ledger; `None` if the query
+    /// failed.
     LoadedReported {
-        /// Version of the ledger.
         ledger_version: u64,
-        /// The answer.
         loaded: Option<Vec<(Weights, Mib, bool)>>,
     },
-    /// Take no new work.
+    /// Accept no new requests.
     Drain,
 }
 
-/// To the `target` thread.
+/// Input of the `target` thread.
 #[derive(Debug)]
 pub enum Job {
-    /// Run a request.
     Run(RequestKey, Box<Request>),
-    /// Refuse a request.
     Refuse(Box<Request>, ToRouter),
-    /// Ask the engine what is loaded.
+    /// Query the engine's loaded weights.
     QueryLoaded {
-        /// Version of the ledger.
         ledger_version: u64,
     },
-    /// Load under a fencing number.
     Load {
-        /// What.
         weights: Weights,
-        /// Memory reserved.
         memory: Mib,
-        /// Offset of the slot's assignment.
+        /// Fencing token: offset of the slot's assignment.
         fence: u64,
     },
-    /// Unload under a fencing number.
     Unload {
-        /// What.
         weights: Weights,
-        /// Memory reserved.
         memory: Mib,
-        /// Offset of the slot's assignment.
         fence: u64,
     },
 }
--- a/crates/corianderstand_agent/src/held_requests.rs
+++ b/crates/corianderstand_agent/src/held_requests.rs
@@ -1,23 +1,20 @@
-//! Requests that came before the records they were chosen by.
+//! Requests that arrive before the log records they were routed by.
 //!
-//! A router may fold a slot's assignment some milliseconds before the slot's owner does and send
-//! a request at once. The owner would refuse it as `not_loaded` although it is the right one,
-//! and the first callers of every new slot would notice a refusal. The router therefore names
-//! the offset that it chose by, and the agent holds the request until it has folded that far.
+//! A router may apply a slot assignment some milliseconds before the slot's owner does. The owner
+//! would then refuse the request as `not_loaded`, so it holds the request until it has applied
+//! the log up to the offset that the router used.
 
 use crate::event::ConnectionId;
 use std::time::{Duration, Instant};
 
-/// Longest time a request is held. An agent that is further behind has lost the log; the request
-/// then goes on as it is, so that it is refused in time to be tried elsewhere.
+/// Maximum time that a request is held. After it the request is submitted, and refused early
+/// enough to be retried elsewhere.
 pub const MAX_HOLD_TIME: Duration = Duration::from_millis(1000);
-/// Requests held at once. Made for the burst after a change of slots; beyond it a request goes
-/// on at once, so that an agent that lags for long does not gather all of a burst.
+/// Maximum number of held requests; further requests are submitted immediately.
 pub const MAX_HELD_REQUESTS: usize = 1024;
-/// Time between two looks while requests are held.
+/// Interval at which held requests are polled.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One request that is held.
 #[derive(Debug)]
 struct HeldRequest<T> {
     as_of: u64,
@@ -26,7 +23,7 @@
     request: T,
 }
 
-/// Requests held, in the order they came.
+/// Held requests, in order of arrival.
 #[derive(Debug)]
 pub struct HeldRequests<T> {
     held: Vec<HeldRequest<T>>,
@@ -39,8 +36,8 @@
 }
 
 impl<T> HeldRequests<T> {
-    /// Holds a request chosen by the record at `as_of`, unless the fold has passed it or too
-    /// many are held; then the request comes back.
+    /// Holds a request routed by the record at `as_of`. Returns the request if that record has
+    /// been applied or too many are held.
     pub fn hold(
         &mut self,
         now: Instant,
@@ -56,23 +53,20 @@
         None
     }
 
-    /// Takes out all requests whose record is folded or whose time is over, in order.
+    /// Removes and returns, in order, all requests whose record is applied or whose hold expired.
     pub fn take_ready(&mut self, now: Instant, next: u64) -> Vec<T> {
         let ready = |held: &mut HeldRequest<T>| held.as_of < next || held.until <= now;
         self.held.extract_if(.., ready).map(|held| held.request).collect()
     }
 
-    /// Forgets a request whose caller has left.
     pub fn cancel(&mut self, stream: (ConnectionId, u64)) {
         self.held.retain(|held| held.stream != stream);
     }
 
-    /// Forgets all requests of a connection that is gone.
     pub fn remove_connection(&mut self, connection: ConnectionId) {
         self.held.retain(|held| held.stream.0 != connection);
     }
 
-    /// Whether nothing is held.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
--- a/crates/corianderstand_agent/src/held_requests/tests.rs
+++ b/crates/corianderstand_agent/src/held_requests/tests.rs
@@ -2,10 +2,9 @@
 use corianderstand_types::clock::{Clock, ManualClock};
 use rstest::rstest;
 
-/// A router folds a new slot before the slot's owner does and sends the first caller's request.
-/// The caller would be refused by the very engine that is to serve it.
+/// Guards against refusing the first requests of a new slot because its owner lags the router.
 #[rstest]
-fn a_request_waits_for_the_record_it_was_chosen_by() {
+fn request_is_held_until_its_record_is_applied() {
     let (mut held, clock) = (HeldRequests::default(), ManualClock::default());
     assert_eq!(held.hold(clock.now(), 7, 7, (1, 1), "first"), None);
     assert_eq!(held.take_ready(clock.now(), 7), Vec::<&str>::new());
@@ -13,10 +12,9 @@
     assert_eq!(held.hold(clock.now(), 8, 7, (1, 2), "second"), Some("second"));
 }
 
-/// The agent has lost the log. Holding its requests until their deadline would leave their
-/// callers without an answer, while another target could have taken them.
+/// Guards against holding requests until their deadline when the agent has lost the log.
 #[rstest]
-fn an_agent_that_stays_behind_holds_a_request_only_so_long() {
+fn held_request_is_submitted_after_the_hold_limit() {
     let (mut held, clock) = (HeldRequests::default(), ManualClock::default());
     held.hold(clock.now(), 7, 9, (1, 1), "first");
     clock.advance(MAX_HOLD_TIME);
@@ -24,9 +22,9 @@
     assert!(held.is_empty());
 }
 
-/// A burst meets an agent that lags. Without a bound it would gather the whole burst.
+/// Guards against an unbounded backlog on an agent that lags during a burst.
 #[rstest]
-fn requests_beyond_the_bound_go_on_at_once() {
+fn requests_beyond_the_limit_are_not_held() {
     let (mut held, clock) = (HeldRequests::default(), ManualClock::default());
     for stream in 0..MAX_HELD_REQUESTS as u64 {
         assert_eq!(held.hold(clock.now(), 1, 1, (1, stream), stream), None);
@@ -35,7 +33,7 @@
 }
 
 #[rstest]
-fn callers_that_left_are_forgotten() {
+fn cancelled_and_disconnected_requests_are_removed() {
     let (mut held, clock) = (HeldRequests::default(), ManualClock::default());
     for stream in [(1, 1), (1, 2), (2, 1)] {
         held.hold(clock.now(), 1, 1, stream, stream);
--- a/crates/corianderstand_agent/src/lib.rs
+++ b/crates/corianderstand_agent/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process beside one target: it alone gives the target orders and calls.
+//! The process beside one target, and the only one that sends it commands and requests.
 //!
 //! All traffic for a target passes through its agent, so memory, concurrency and draining have
-//! one owner each and are exact rather than estimated from lagging reports. Its threads are
-//! `link` (connections from routers), `decide` (the pure logic of `corianderstand_decide`),
-//! `target` (calls and orders to the target) and `control` (the log), joined by bounded rings.
+//! one owner and are tracked exactly. The threads are `link` (connections from routers),
+//! `decide` (scheduling, in `corianderstand_decide`), `target` (requests and commands to the
+//! target) and `control` (the log).
 //!
 //! ```no_run
 //! use corianderstand_schema::process::AgentSettings;
--- a/crates/corianderstand_agent/src/reconcile.rs
+++ b/crates/corianderstand_agent/src/reconcile.rs
@@ -1,22 +1,21 @@
-//! When to ask the engine what is loaded.
+//! Schedules queries of the engine's loaded weights.
 //!
-//! An order whose answer was lost counts as loaded until the engine has been asked; an engine
-//! that has restarted holds nothing of what the ledger counts. So the engine is asked soon and
-//! again, with growing pauses, while an outcome is unknown, and now and then otherwise.
+//! Weights whose command has an unknown outcome count as loaded until the engine is queried, and
+//! an engine that restarted has lost what the ledger counts. The engine is queried with
+//! exponential backoff while an outcome is unknown, and at a fixed interval otherwise.
 
 use std::time::{Duration, Instant};
 
-/// First pause before the engine is asked again.
+/// Delay of the first query after an outcome becomes unknown.
 pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest pause while an outcome is unknown: an engine that is overloaded or down is not
-/// helped by more questions.
+/// Upper bound of the backoff while an outcome is unknown.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// Pause while nothing is unknown.
+/// Query interval while no outcome is unknown.
 pub const RECONCILE_INTERVAL: Duration = Duration::from_secs(10);
-/// Time after which a question that was not answered is given up.
+/// Time after which a query without a response is repeated.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// The state of the questions.
+/// Decides when the next query is due.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconcileTimer {
     next_at: Instant,
@@ -25,12 +24,12 @@
 }
 
 impl ReconcileTimer {
-    /// The first question comes after a calm pause, as the engine is asked at start.
+    /// Schedules the first query one interval from now, as the engine is queried at startup.
     pub fn new(now: Instant) -> Self {
         Self { next_at: now + RECONCILE_INTERVAL, backoff: INITIAL_BACKOFF, in_progress: false }
     }
 
-    /// Whether the engine is to be asked now.
+    /// Returns whether to query the engine now, and if so starts a query.
     pub fn is_due(&mut self, now: Instant, has_unknown: bool) -> bool {
         if !has_unknown {
             self.backoff = INITIAL_BACKOFF;
@@ -45,7 +44,7 @@
         true
     }
 
-    /// The engine has answered, or has failed to.
+    /// Schedules the next query after a response or a failure.
     pub fn on_response(&mut self, now: Instant, has_unknown: bool) {
         self.in_progress = false;
         self.backoff =
--- a/crates/corianderstand_agent/src/reconcile/tests.rs
+++ b/crates/corianderstand_agent/src/reconcile/tests.rs
@@ -3,10 +3,9 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// An engine is down and cannot say what became of an order. Asked without a pause it would be
-/// kept from coming back; asked never again, its memory would stay committed for ever.
+/// Guards against overloading an engine that is down, and against memory that stays reserved.
 #[rstest]
-fn pauses_grow_to_a_bound_while_an_outcome_is_unknown() {
+fn backoff_grows_to_a_limit_while_an_outcome_is_unknown() {
     let clock = ManualClock::default();
     let mut timer = ReconcileTimer::new(clock.now());
     let (mut intervals, mut waited) = (Vec::new(), Duration::ZERO);
@@ -25,12 +24,12 @@
 }
 
 #[rstest]
-fn one_question_at_a_time_and_few_in_the_calm() {
+fn queries_do_not_overlap_and_are_rare_without_unknown_outcomes() {
     let clock = ManualClock::default();
     let mut timer = ReconcileTimer::new(clock.now());
     assert!(!timer.is_due(clock.now(), false));
     clock.advance(RECONCILE_INTERVAL);
     assert!(timer.is_due(clock.now(), false));
     clock.advance(MAX_BACKOFF);
-    assert!(!timer.is_due(clock.now(), true), "the first is not answered yet");
+    assert!(!timer.is_due(clock.now(), true), "the first query has no response yet");
 }
--- a/crates/corianderstand_agent/src/release.rs
+++ b/crates/corianderstand_agent/src/release.rs
@@ -1,10 +1,9 @@
-//! Slots that this target must give back, and when it may.
+//! Release of replica slots that this target should no longer own.
 //!
-//! A slot is unwanted when the settings ask for fewer replicas or no longer know the model,
-//! when the host leaves, or when the agent stops as planned. Its model is unloaded first; only
-//! then is the slot released in the log, so that the next owner never makes one replica too
-//! many. Once the agent has decided to release an assignment it never loads under it again,
-//! even if the settings want it back meanwhile: the release may already be in the log.
+//! A slot is unwanted when the settings lower the replicas or remove the model, when the host
+//! leaves, or when the agent shuts down. It is released in the log only after its model is
+//! unloaded, so that the next owner never creates an extra replica. A released assignment is
+//! never loaded under again, as the release may already be in the log.
 
 use corianderstand_state::{
     fold::State,
@@ -14,20 +13,19 @@
 use corianderstand_types::names::{ModelId, TargetId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Assignments to release, by slot: offset of each.
+/// Offsets of the assignments to release, by slot.
 pub type SlotReleases = BTreeMap<SlotKey, u64>;
 
-/// What the target may hold and what it gives back.
+/// Decides which models may be loaded and which slots to release.
 #[derive(Debug, Default)]
 pub struct SlotReleaser {
     pending: SlotReleases,
 }
 
 impl SlotReleaser {
-    /// Models that may be loaded under the slots in force.
+    /// Returns the models that may be loaded under the current slots.
     ///
-    /// `leaving` tells that the host leaves or the agent stops; then only models in `in_use`
-    /// stay, for the requests already here.
+    /// If `leaving`, the host leaves or the agent shuts down, and only models in `in_use` stay.
     pub fn loadable_models(
         &mut self,
         state: &State,
@@ -48,8 +46,8 @@
         loadable.map(|key| key.model.clone()).collect()
     }
 
-    /// Gives up the slots of models that are neither kept nor `held` by the engine; all that
-    /// are to be released.
+    /// Adds the slots of models that are neither loadable nor held by the engine, and returns all
+    /// assignments to release.
     pub fn update_releases(
         &mut self,
         state: &State,
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -1,4 +1,4 @@
-//! The `target` thread: calls and orders to the target.
+//! The `target` thread: sends requests and commands to the target.
 
 use crate::{
     calls,
@@ -28,47 +28,37 @@
     time,
 };
 
-/// The target, as far as this process speaks to it.
+/// Client of the target.
 #[derive(Clone)]
 pub enum Target {
-    /// A model engine.
     Engine(Arc<dyn Engine>),
-    /// A plain service.
     Service(Arc<dyn PlainService>),
 }
 
-/// What every job needs.
+/// Runs jobs; cloned for each.
 #[derive(Clone)]
 pub struct JobRunner {
-    /// The target.
     pub target: Target,
-    /// Its name.
     pub name: TargetId,
-    /// To the `decide` thread.
     pub events: SyncSender<Event>,
-    /// How busy the target is.
     pub load: watch::Receiver<Load>,
-    /// The log.
     pub control: ControlHandle,
-    /// Time.
     pub clock: SharedClock,
-    /// Where measures go.
     pub metrics: Metrics,
-    /// Claims that were given up while the log had not decided them.
+    /// Claims that timed out and are still undecided in the log.
     pub undecided_claims: Arc<AtomicUsize>,
 }
 
-/// How a request is done with.
+/// Outcome of a request.
 #[derives(data)]
 pub enum Finish {
-    /// It ended, after so many chunks.
+    /// Ended after this many chunks.
     Ended(Ending, u64),
-    /// It is not run; when to come back.
+    /// Not run; the duration is the time to retry after.
     Refused(RefusalReason, Duration),
 }
 
 impl JobRunner {
-    /// Takes jobs for ever.
     pub async fn run(self, mut jobs: mpsc::UnboundedReceiver<Job>) {
         while let Some(job) = jobs.recv().await {
             tokio::spawn(self.clone().run_job(job));
@@ -104,11 +94,11 @@
         let started_at = self.clock.now();
         let response = engine.execute(&command).await;
         if let Err(error) = &response {
-            tracing::warn!(%weights, ?action, %error, "order not confirmed");
+            tracing::warn!(%weights, ?action, %error, "command not confirmed");
         }
         let outcome = match response {
             Ok(()) => Some(true),
-            // An error of the engine's own says nothing of how far the order came.
+            // Only a client error shows that the command was not executed.
             Err(EdgeError::Status { status, .. }) if status < 500 => Some(false),
             Err(error) if error.never_sent() => Some(false),
             Err(_) => None,
@@ -136,7 +126,7 @@
         let Target::Engine(engine) = &self.target else { return };
         let loaded = engine.loaded().await;
         if let Err(error) = &loaded {
-            tracing::warn!(%error, "engine not asked what is loaded");
+            tracing::warn!(%error, "cannot query the engine's loaded weights");
         }
         let loaded = loaded.ok().map(|loaded| {
             loaded.into_iter().map(|l| (l.weights, Mib(l.memory_mib), l.ready)).collect()
@@ -144,7 +134,7 @@
         self.send_event(Event::LoadedReported { ledger_version, loaded });
     }
 
-    /// The ring is bounded and its reader never waits for this thread, so this ends soon.
+    /// Blocks only briefly: the `decide` thread never waits for this one.
     fn send_event(&self, event: Event) {
         drop(self.events.send(event));
     }
@@ -194,7 +184,7 @@
     ) -> (Ending, u64) {
         let mut position = request.open.position;
         let Target::Engine(engine) = &self.target else {
-            return (failed("this target is a plain service: name a model elsewhere"), position);
+            return (failed("this target is a plain service and has no models"), position);
         };
         let Some(generate) = generate_request(request, trace) else {
             return (failed("the request names no model"), position);
@@ -211,11 +201,10 @@
         };
         let ending = match outcome {
             StreamOutcome::Ended(ending) => return (ending, position),
-            StreamOutcome::CallerDisconnected => failed("the caller left"),
-            StreamOutcome::Stalled => failed("the engine made no progress"),
+            StreamOutcome::CallerDisconnected => failed("the caller disconnected"),
+            StreamOutcome::Stalled => failed("the engine stopped sending data"),
         };
-        // Nobody waits for this generation any more: the engine's work and memory are given
-        // back at once.
+        // Frees the engine's compute and memory immediately.
         if let Err(error) = engine.cancel(&id).await {
             tracing::warn!(request = %id, %error, "cancel not confirmed");
         }
@@ -223,7 +212,6 @@
     }
 }
 
-/// An ending that is not whole.
 pub fn failed(reason: &str) -> Ending {
     Ending::Failed { reason: reason.into() }
 }
@@ -256,34 +244,29 @@
     })
 }
 
-/// An identity for the engine, never given twice.
-///
-/// A request that is taken up again can meet its own first generation on the same engine; under
-/// one identity, cancelling the first would cancel the second.
+/// Returns a request id that is unique to this attempt, so that cancelling an earlier attempt on
+/// the same engine doesn't cancel a later one.
 fn unique_engine_request_id(request: &str) -> SmolStr {
     format_smolstr!("{request}-{:016x}", rand::random::<u64>())
 }
 
-/// Longest pause before an engine's first part: a long prompt is read first.
+/// Timeout of the first chunk, which includes the prefill.
 const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest pause between two parts of an engine's answer: hundreds of times the usual one.
+/// Timeout of each further chunk.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How an engine's answer ended.
+/// How an engine's response stream ended.
 enum StreamOutcome {
-    /// As the engine said, or with its connection.
+    /// Ended by the engine or with its connection.
     Ended(Ending),
-    /// The caller has left.
     CallerDisconnected,
-    /// Nothing came for too long, though the connection stands.
+    /// No chunk arrived in time on an open connection.
     Stalled,
 }
 
-/// Passes an engine's answer on as far as credit allows.
+/// Forwards an engine's response as far as the stream's credit allows.
 ///
-/// A device between agent and engine may lose track of their connection. It stays open then and
-/// nothing comes, which a caller would see as a sentence that stops. Slow is not silent: each
-/// part starts the time anew.
+/// Each chunk restarts the timeout, which detects a connection that a middlebox dropped silently.
 async fn forward_stream(
     mut stream: EngineStream,
     response: &ResponseStream,
@@ -315,9 +298,12 @@
                 return StreamOutcome::Ended(whole);
             }
             Ok(Some(Err(error))) => return StreamOutcome::Ended(failed(&error.to_string())),
-            // A connection that just closes is not an end: without the engine's own mark the
-            // answer would look whole to the caller and be cut.
-            Ok(None) => return StreamOutcome::Ended(failed("the engine broke off: ask again")),
+            // Without the engine's end marker, the response is incomplete.
+            Ok(None) => {
+                return StreamOutcome::Ended(failed(
+                    "the engine closed the connection before the end of its response",
+                ));
+            }
         }
     }
 }
--- a/crates/corianderstand_agent/src/shape.rs
+++ b/crates/corianderstand_agent/src/shape.rs
@@ -1,17 +1,16 @@
-//! How long a request is likely to run, as its body tells.
+//! Estimates the length of a request from its body.
 
 use corianderstand_decide::request::Shape;
 use corianderstand_schema::messages::Operation;
 use serde::Deserialize;
 
-/// What a body says about the length of its answer.
 #[derive(Deserialize)]
 struct TokenLimits {
     max_tokens: Option<u64>,
     max_completion_tokens: Option<u64>,
 }
 
-/// The shape of a request; its session matters only to routers.
+/// Returns the shape of a request, without the session prefix, which only routers use.
 pub fn request_shape(operation: &Operation, body: &[u8]) -> Shape {
     let chat = match operation {
         Operation::Chat { .. } => true,
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts an agent's threads and stops them as planned.
+//! Startup and graceful shutdown of an agent.
 
 use crate::{
     accept::{self, ConnectionContext},
@@ -47,25 +47,22 @@
     time,
 };
 
-/// Events that wait for the `decide` thread.
 const EVENT_QUEUE_CAPACITY: usize = 8192;
-/// Time a plain service has to answer one call.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of records an agent keeps for others: nobody follows an agent.
+/// Agents keep no records, as they have no followers.
 const TAIL_CAPACITY_BYTES: usize = 0;
-/// Pause between two questions to the engine at start.
+/// Interval between the queries of the engine at startup.
 const REBUILD_QUERY_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause between two looks at a planned stop.
 const IDLE_SETTLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An agent that cannot start.
+/// An error that prevents an agent from starting.
 #[derive(Debug, displaydoc::Display)]
 pub enum AgentError {
-    /// cannot listen on {0} ({1}): another agent runs beside this target, or the address in `listen` is wrong
+    /// cannot listen on {0} ({1}): another agent is running for this target, or the address in `listen` is wrong
     Listen(String, std::io::Error),
-    /// cannot send metrics ({0}): mend `statsd`, or leave it out
+    /// cannot send metrics ({0}): correct or remove `statsd`
     Statsd(std::io::Error),
-    /// cannot start a thread ({0}): raise the host's limits
+    /// cannot start a thread ({0}): raise the process limits of the host
     Thread(std::io::Error),
 }
 
@@ -83,7 +80,7 @@
     drain_limit: Duration,
 }
 
-/// Starts an agent; it returns as soon as its port is bound.
+/// Starts an agent and returns as soon as its port is bound.
 ///
 /// # Errors
 ///
@@ -165,13 +162,13 @@
     let link_events = events.clone();
     spawn("link", move || {
         link_runtime.block_on(async move {
-            // The engine is asked before any router can reach this process.
+            // Query the engine before accepting connections from routers.
             rebuild_ledger(&link_target, &link_events).await;
             tokio::spawn(announce::append_releases(link_control.clone(), releases_rx));
             tokio::spawn(announce::keep_announced(link_control, record, incarnation, draining_rx));
             match tokio::net::TcpListener::from_std(listener) {
                 Ok(listener) => accept::run(listener, context).await,
-                Err(error) => tracing::error!(%error, "the bound port cannot be used"),
+                Err(error) => tracing::error!(%error, "cannot use the bound port"),
             }
         });
     })?;
@@ -198,11 +195,10 @@
     measured::report(metrics, identity, control.current.clone(), extra_gauges)
 }
 
-/// Binds the port that is also the lock against a second agent beside the same target.
+/// Binds the port, which also locks out a second agent for the same target.
 ///
-/// Two agents would each commit the engine's memory as if it were alone. The kernel gives the
-/// port to one process at a time, a paused one included, so the second fails here and says so.
-/// For that reason the socket must never get `SO_REUSEPORT`.
+/// Two agents would each reserve the engine's whole memory. The socket must never set
+/// `SO_REUSEPORT`, which would disable this lock.
 fn bind_listener(address: &str) -> Result<std::net::TcpListener, AgentError> {
     let bind = || -> std::io::Result<std::net::TcpListener> {
         let listener = std::net::TcpListener::bind(address)?;
@@ -221,7 +217,7 @@
     builder.spawn(run).map(drop).map_err(AgentError::Thread)
 }
 
-/// Where this agent reads the log: from a router, if it was given some and a token.
+/// Returns the source of the log, which includes routers if peers and a token are configured.
 fn source(settings: &AgentSettings, clock: &SharedClock, budget: Arc<Budget>) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
     let tail = Tail::new(clock.clone(), budget, TAIL_CAPACITY_BYTES);
@@ -255,7 +251,7 @@
     control.start().map_err(AgentError::Thread)
 }
 
-/// Routers to take state from; an agent that was given no token has none.
+/// Returns the routers to fetch state from, none without a token.
 fn peers(settings: &AgentSettings) -> Arc<dyn Peers> {
     match &settings.peer_token {
         Some(token) => Arc::new(HttpPeers::new(&settings.peers, token.clone())),
@@ -300,11 +296,10 @@
     }
 }
 
-/// Asks the engine what is loaded, twice.
+/// Rebuilds the ledger from the second of two queries of the engine.
 ///
-/// An order of an agent that died may lie in the engine's socket and be carried out just after
-/// the first answer; the pause lets it show in the second. Ordering by the first answer alone
-/// would commit that memory twice.
+/// A command from a previous agent process may still be in the engine's socket and be executed
+/// just after the first response. Relying on that response could reserve its memory twice.
 async fn rebuild_ledger(target: &Target, events: &std_mpsc::SyncSender<Event>) {
     let Target::Engine(engine) = target else { return };
     let mut responses = 0;
@@ -317,39 +312,42 @@
                 drop(events.send(Event::Rebuilt(loaded)));
                 return;
             }
-            Err(error) => tracing::warn!(%error, "engine not asked what is loaded yet"),
+            Err(error) => {
+                tracing::warn!(%error, "cannot query the engine's loaded weights, retrying");
+            }
         }
         time::sleep(REBUILD_QUERY_INTERVAL).await;
     }
 }
 
 impl AgentHandle {
-    /// Begins a planned stop: no new work, work in flight goes on.
+    /// Begins a graceful shutdown: refuses new requests and finishes those in flight.
     pub fn drain(&self) {
         self.draining.send_replace(true);
         drop(self.events.send(Event::Drain));
     }
 
-    /// Requests waiting or running, for who ends the process before they are done.
+    /// Returns the number of requests queued or running.
     pub fn in_flight(&self) -> Arc<AtomicUsize> {
         self.in_flight.clone()
     }
 
-    /// Waits until nothing is in flight, or the limit has passed, and says goodbye in the log.
+    /// Waits until nothing is in flight or the drain limit has passed, then records in the log
+    /// that the target is down.
     pub fn join(mut self) {
         let Ok(runtime) = runtime() else { return };
         runtime.block_on(async {
-            // One turn of the decide loop, so that what has just come is counted.
+            // Lets the decide loop count requests that have just arrived.
             time::sleep(IDLE_SETTLE_INTERVAL * 2).await;
             let idle = self.idle.wait_for(|idle| *idle);
             if time::timeout(self.drain_limit, idle).await.is_err() {
-                tracing::warn!("planned stop: limit reached with work in flight");
+                tracing::warn!("graceful shutdown: drain limit reached with requests in flight");
             }
             announce::announce_down(&self.control, &self.target).await;
         });
     }
 
-    /// Snapshots, to look at.
+    /// Returns the snapshots of the agreed state.
     pub const fn current(&self) -> &CurrentSnapshot {
         &self.control.current
     }
--- a/crates/corianderstand_agent/src/view_config.rs
+++ b/crates/corianderstand_agent/src/view_config.rs
@@ -1,4 +1,4 @@
-//! Memory and load times from the settings in force.
+//! Scheduling configuration read from a view of the settings.
 
 use corianderstand_decide::request::{CostFactors, DEFAULT_SHARE, SchedulingConfig, StoreLimits};
 use corianderstand_state::view::View;
@@ -9,7 +9,6 @@
 };
 use std::time::Duration;
 
-/// Sizes as one version of the settings gives them.
 pub struct ViewConfig<'a>(pub &'a View);
 
 impl SchedulingConfig for ViewConfig<'_> {
@@ -31,7 +30,7 @@
         self.0.total_shares
     }
 
-    /// The mean of the teams that may hold replicas of the model.
+    /// Averages the factors of the teams that may hold replicas of the model.
     fn cost_factors(&self, model: &ModelId) -> CostFactors {
         let demand = self.0.demand(model);
         if demand.teams == 0 {
