--- a/crates/corianderstand_agent/src/release/tests.rs
+++ b/crates/corianderstand_agent/src/release/tests.rs
@@ -9,13 +9,13 @@
 use std::collections::BTreeSet;
 use world::{lease, settings, target_up};
 
-struct Bench {
+struct Fixture {
     state: State,
     target: TargetId,
     releaser: SlotReleaser,
 }
 
-impl Bench {
+impl Fixture {
     /// A target that owns slots 0 and 1 of two models.
     fn new() -> Self {
         let mut state = State { next: 1, ..State::default() };
@@ -40,47 +40,45 @@
         self.releaser.loadable_models(&self.state, &view, &self.target, leaving, &in_use)
     }
 
-    fn change(&mut self, body: Body) {
+    fn append(&mut self, body: Body) {
         let offset = self.state.next;
         let record = Record { writer: "w".into(), incarnation: 1, sequence: offset, body };
         self.state.apply(offset, 0, &record);
     }
 }
 
-/// An operator lowers the replicas of a model. Until the slot beyond them is given back, the
-/// engine holds a replica that nobody decided for.
+/// Guards against an engine that keeps a replica beyond a lowered replica count.
 #[rstest]
-fn a_slot_beyond_the_replicas_is_given_up_once_its_model_is_unloaded() {
-    let mut bench = Bench::new();
-    let base = bench.state.documents.version_of("teams/t/models/quotes");
-    bench.change(settings("quotes", 1, base));
-    let loadable = bench.loadable_models(false, &[]);
+fn excess_slot_is_released_once_its_model_is_unloaded() {
+    let mut fixture = Fixture::new();
+    let base = fixture.state.documents.version_of("teams/t/models/quotes");
+    fixture.append(settings("quotes", 1, base));
+    let loadable = fixture.loadable_models(false, &[]);
     assert_eq!(loadable, [ModelId::from("rounds")].into());
-    let (state, target) = (&bench.state, &bench.target);
+    let (state, target) = (&fixture.state, &fixture.target);
     assert!(
-        bench.releaser.update_releases(state, target, &loadable, |_| true).is_empty(),
+        fixture.releaser.update_releases(state, target, &loadable, |_| true).is_empty(),
         "still loaded"
     );
-    let releases = bench.releaser.update_releases(state, target, &loadable, |_| false);
+    let releases = fixture.releaser.update_releases(state, target, &loadable, |_| false);
     let key = SlotKey { model: "quotes".into(), index: 1 };
     assert_eq!(releases.get(&key), Some(&5));
 }
 
-/// A host is leaving while a long answer runs on it. Unloading its model at once would cut the
-/// answer.
+/// Guards against cutting off responses in flight when a host leaves.
 #[rstest]
-fn a_leaving_host_keeps_the_models_of_requests_in_flight() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.loadable_models(true, &["quotes"]), [ModelId::from("quotes")].into());
-    assert_eq!(bench.loadable_models(true, &[]), BTreeSet::new());
+fn leaving_host_keeps_models_in_use() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.loadable_models(true, &["quotes"]), [ModelId::from("quotes")].into());
+    assert_eq!(fixture.loadable_models(true, &[]), BTreeSet::new());
 }
 
-/// The host list shows a host as leaving for one reading and then as live. The release may have
-/// reached the log by then; loading under it again would make one replica too many.
+/// Guards against an extra replica when a host is listed as leaving and then as live again, while
+/// the release may already be in the log.
 #[rstest]
-fn a_slot_once_given_up_is_not_used_again() {
-    let mut bench = Bench::new();
-    let loadable = bench.loadable_models(true, &[]);
-    bench.releaser.update_releases(&bench.state, &bench.target, &loadable, |_| false);
-    assert_eq!(bench.loadable_models(false, &[]), BTreeSet::new());
+fn released_slot_is_not_used_again() {
+    let mut fixture = Fixture::new();
+    let loadable = fixture.loadable_models(true, &[]);
+    fixture.releaser.update_releases(&fixture.state, &fixture.target, &loadable, |_| false);
+    assert_eq!(fixture.loadable_models(false, &[]), BTreeSet::new());
 }
--- a/crates/corianderstand_agent/src/release/tests/random.rs
+++ b/crates/corianderstand_agent/src/release/tests/random.rs
@@ -1,4 +1,4 @@
-//! Generated histories of crashes, pauses, lost answers and outages.
+//! Randomized histories of crashes, pauses, lost responses and outages.
 
 use super::world::{
     AgentSim, EngineSim, LEASE_TTL_MS, MODEL_MIB, MODELS, Reader, World, settings, target_up,
@@ -19,21 +19,19 @@
     time::{Duration, Instant},
 };
 
-/// Histories in each of the cases, which the runner runs side by side.
-const HISTORIES: u64 = 500;
+const HISTORIES_PER_CASE: u64 = 500;
 const STEPS: u32 = 300;
 const ENGINE_MIB: u64 = 100;
-/// How far the host list lags.
-const LAG_MS: u64 = 400;
-/// Longest that an order on a broken connection lies in an engine's socket.
-const STRAY_MS: u64 = 480;
-/// How long an agent asks its engine before it orders anything after a start.
+const HOST_LIST_LAG_MS: u64 = 400;
+/// Maximum delay of a command in the socket of a broken connection.
+const MAX_COMMAND_DELAY_MS: u64 = 480;
+/// Time from the start of an agent until its ledger is rebuilt.
 const REBUILD_MS: u64 = 500;
 
-/// Prints the seed of a history that fails.
-struct Seed(u64);
+/// Prints the seed if the history panics.
+struct SeedReporter(u64);
 
-impl Drop for Seed {
+impl Drop for SeedReporter {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("seed {}", self.0);
@@ -41,22 +39,22 @@
     }
 }
 
-/// How often what is to be withstood came about, so that the test is known to bring it about.
+/// Occurrences of each event, to check that the histories cover it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     loads: u64,
-    lost_orders: u64,
+    lost_commands: u64,
     hosts_gone: u64,
     agent_restarts: u64,
-    late_records: u64,
+    delayed_records: u64,
     accepted: u64,
     refused: u64,
     restored: u64,
 }
 
-/// What operators were told, by ticket.
+/// Answers sent to operators, by ticket.
 #[derive(Default)]
-struct Told {
+struct TicketAnswers {
     accepted: BTreeSet<String>,
     refused: BTreeSet<String>,
     waiting: BTreeMap<String, u64>,
@@ -66,20 +64,20 @@
     world: World,
     base: Instant,
     routers: Vec<Reader>,
-    /// Records that a paused router will write when it goes on.
-    late: Vec<(u64, Record)>,
+    /// Records that a paused router appends when it resumes, with their due times.
+    delayed: Vec<(u64, Record)>,
     agents: Vec<AgentSim>,
-    told: Told,
+    answers: TicketAnswers,
     counts: Counts,
 }
 
-fn agent(index: usize) -> AgentSim {
-    let (loaded, inbox) = Default::default();
+fn new_agent(index: usize) -> AgentSim {
+    let (loaded, pending_commands) = Default::default();
     AgentSim {
         reader: Reader::new(&format!("e{index}{}", "x".repeat(index % 2))),
         ledger: Ledger::new(Mib(ENGINE_MIB)),
         releaser: SlotReleaser::default(),
-        engine: EngineSim { memory_mib: ENGINE_MIB, loaded, inbox },
+        engine: EngineSim { memory_mib: ENGINE_MIB, loaded, pending_commands },
         rebuilt_at: Some(0),
         paused_until: 0,
         dead_since: None,
@@ -89,10 +87,10 @@
 impl History {
     fn new(seed: u64) -> Self {
         let routers = (0..3).map(|i| Reader::new(&format!("router-{i}"))).collect();
-        let agents = (0..4).map(agent).collect();
-        let (late, told, base) = (Vec::new(), Told::default(), Instant::now());
+        let agents = (0..4).map(new_agent).collect();
+        let (delayed, answers, base) = (Vec::new(), TicketAnswers::default(), Instant::now());
         let counts = Counts::default();
-        Self { world: World::new(seed), base, routers, late, agents, told, counts }
+        Self { world: World::new(seed), base, routers, delayed, agents, answers, counts }
     }
 
     fn now(&self) -> Instant {
@@ -103,26 +101,25 @@
         self.world.now_ms += self.world.rng.random_range(1..40);
         match self.world.rng.random_range(0..100) {
             0..4 => self.world.down = !self.world.down && self.world.chance(50),
-            4..8 => self.world.drop_old(),
-            8..10 => self.kill_or_revive(),
-            10..16 => self.operate(),
-            16..38 => self.router_turn(),
-            _ => self.agent_turn(),
+            4..8 => self.world.truncate(),
+            8..10 => self.crash_or_restart(),
+            10..16 => self.change_settings(),
+            16..38 => self.step_router(),
+            _ => self.step_agent(),
         }
-        self.write_late();
+        self.append_delayed();
         for agent in &mut self.agents {
             agent.engine.deliver(self.world.now_ms);
         }
         self.check();
     }
 
-    /// A replica is loaded only where its slot is, and no model has more slots than were ever
-    /// decided for it.
+    /// Checks that every slot has a live owner and every loaded replica has a slot.
     fn check(&self) {
         let slots = &self.world.head.slots;
         let targets = &self.world.head.targets.by_name;
         let orphan = slots.by_key.iter().find(|(_, slot)| !targets.contains_key(&slot.target));
-        assert!(orphan.is_none(), "a slot whose owner is gone: {orphan:?}");
+        assert!(orphan.is_none(), "slot without an owner: {orphan:?}");
         for agent in self.agents.iter().filter(|agent| agent.dead_since.is_none()) {
             let target = TargetId::from(agent.reader.name.as_str());
             for weights in agent.engine.loaded.keys() {
@@ -132,7 +129,7 @@
         }
     }
 
-    fn operate(&mut self) {
+    fn change_settings(&mut self) {
         let model = MODELS[self.world.rng.random_range(0..MODELS.len())];
         let router = self.world.rng.random_range(0..self.routers.len());
         let reader = &mut self.routers[router];
@@ -144,27 +141,27 @@
             (*ticket, *not_after_ms) = (name.clone().into(), until);
         }
         let record = reader.record(body);
-        self.told.waiting.insert(name, until);
+        self.answers.waiting.insert(name, until);
         if self.world.chance(30) {
             let due = self.world.now_ms + self.world.rng.random_range(0..600);
-            self.late.push((due, record));
+            self.delayed.push((due, record));
         } else {
             self.world.append(&record);
         }
     }
 
-    fn write_late(&mut self) {
+    fn append_delayed(&mut self) {
         let now = self.world.now_ms;
-        let due: Vec<_> = self.late.extract_if(.., |(due, _)| *due <= now).collect();
+        let due: Vec<_> = self.delayed.extract_if(.., |(due, _)| *due <= now).collect();
         for (_, record) in due {
-            self.counts.late_records += 1;
+            self.counts.delayed_records += 1;
             if !self.world.append(&record) {
-                self.late.push((now + 50, record));
+                self.delayed.push((now + 50, record));
             }
         }
     }
 
-    fn router_turn(&mut self) {
+    fn step_router(&mut self) {
         let index = self.world.rng.random_range(0..self.routers.len());
         if self.world.chance(4) {
             self.routers[index].restart();
@@ -173,16 +170,16 @@
         let own = self.world.read(&mut reader);
         for (_, record, outcome) in own {
             if let (Body::Settings { ticket, .. }, Outcome::Applied) = (&record.body, outcome) {
-                self.told.accepted.insert(ticket.to_string());
+                self.answers.accepted.insert(ticket.to_string());
             }
         }
-        self.answer_tickets(&reader);
-        for body in self.duties(&reader) {
+        self.resolve_tickets(&reader);
+        for body in self.lease_holder_records(&reader) {
             let record = reader.record(body);
-            // A holder that is paused here writes what it decided long after its lease.
+            // A holder paused here appends its records after its lease has expired.
             if self.world.chance(10) {
                 let due = self.world.now_ms + self.world.rng.random_range(0..900);
-                self.late.push((due, record));
+                self.delayed.push((due, record));
             } else {
                 self.world.append(&record);
             }
@@ -190,35 +187,37 @@
         self.routers[index] = reader;
     }
 
-    fn answer_tickets(&mut self, reader: &Reader) {
-        let asked: Vec<(String, u64)> =
-            self.told.waiting.iter().map(|(ticket, until)| (ticket.clone(), *until)).collect();
-        for (ticket, until) in asked {
+    fn resolve_tickets(&mut self, reader: &Reader) {
+        let waiting: Vec<(String, u64)> =
+            self.answers.waiting.iter().map(|(ticket, until)| (ticket.clone(), *until)).collect();
+        for (ticket, until) in waiting {
             match reader.state.history.find(&ticket) {
                 Some(entry) if entry.refused.is_none() => {
-                    self.told.accepted.insert(ticket);
+                    self.answers.accepted.insert(ticket);
                 }
                 Some(_) => {
-                    self.told.refused.insert(ticket);
+                    self.answers.refused.insert(ticket);
                 }
-                None if reader.read_to_ms > until => {
-                    self.told.refused.insert(ticket);
+                None if reader.caught_up_at_ms > until => {
+                    self.answers.refused.insert(ticket);
                 }
                 None => {}
             }
         }
     }
 
-    fn duties(&mut self, reader: &Reader) -> Vec<Body> {
+    fn lease_holder_records(&mut self, reader: &Reader) -> Vec<Body> {
         let (state, lease) = (&reader.state, &reader.state.lease);
         if !lease.held_by(&reader.name, reader.incarnation) {
             let free = lease.holder.is_none() || self.world.now_ms >= lease.until_ms;
-            let take = Body::LeaseTaken { epoch: lease.epoch + 1, ttl_ms: LEASE_TTL_MS };
-            return if free { vec![take] } else { Vec::new() };
+            let acquire = Body::LeaseTaken { epoch: lease.epoch + 1, ttl_ms: LEASE_TTL_MS };
+            return if free { vec![acquire] } else { Vec::new() };
         }
         let epoch = lease.epoch;
         let mut bodies = vec![Body::LeaseRenewed { epoch }];
-        let dead = |a: &&AgentSim| a.dead_since.is_some_and(|at| at + LAG_MS <= self.world.now_ms);
+        let dead = |a: &&AgentSim| {
+            a.dead_since.is_some_and(|at| at + HOST_LIST_LAG_MS <= self.world.now_ms)
+        };
         let gone: BTreeSet<HostId> = self
             .agents
             .iter()
@@ -242,13 +241,13 @@
         bodies
     }
 
-    fn kill_or_revive(&mut self) {
+    fn crash_or_restart(&mut self) {
         let index = self.world.rng.random_range(0..self.agents.len());
-        let (now_ms, hit) = (self.world.now_ms, self.world.rng.random_range(0..4));
+        let (now_ms, fault) = (self.world.now_ms, self.world.rng.random_range(0..4));
         let agent = &mut self.agents[index];
-        match (agent.dead_since, hit) {
-            // A host's successor comes only after the list has lost the host.
-            (Some(since), _) if since + 2 * LAG_MS <= now_ms => {
+        match (agent.dead_since, fault) {
+            // A host is replaced only after it has left the host list.
+            (Some(since), _) if since + 2 * HOST_LIST_LAG_MS <= now_ms => {
                 let known = &self.world.head.targets.by_name;
                 if !known.contains_key(&TargetId::from(agent.reader.name.as_str())) {
                     agent.dead_since = None;
@@ -261,7 +260,7 @@
                 agent.dead_since = Some(now_ms);
                 self.counts.hosts_gone += 1;
                 agent.engine.loaded.clear();
-                agent.engine.inbox.clear();
+                agent.engine.pending_commands.clear();
             }
             (None, 1) => agent.paused_until = now_ms + 700,
             (None, _) => {
@@ -279,7 +278,7 @@
         agent.rebuilt_at = Some(self.world.now_ms + REBUILD_MS);
     }
 
-    fn agent_turn(&mut self) {
+    fn step_agent(&mut self) {
         let index = self.world.rng.random_range(0..self.agents.len());
         let now_ms = self.world.now_ms;
         if self.agents[index].dead_since.is_some() || self.agents[index].paused_until > now_ms {
@@ -308,24 +307,24 @@
         if !caught_up {
             return;
         }
-        self.manage(index, now);
+        self.manage_slots(index, now);
     }
 
-    /// One turn of the rules for slots and memory.
-    fn manage(&mut self, index: usize, now: Instant) {
+    /// Runs one iteration of slot and memory management.
+    fn manage_slots(&mut self, index: usize, now: Instant) {
         let agent = &mut self.agents[index];
         let state = agent.reader.state.clone();
         let target = TargetId::from(agent.reader.name.as_str());
         let (view, leaving) = (View::new(&state.documents), self.world.chance(5));
         let loadable =
             agent.releaser.loadable_models(&state, &view, &target, leaving, &BTreeSet::new());
-        let unowned = agent.ledger.entries().filter(|(weights, entry)| {
+        let unwanted = agent.ledger.entries().filter(|(weights, entry)| {
             entry.stage == Stage::Ready && !loadable.contains(&weights.model)
         });
-        let unowned: Vec<_> = unowned.map(|(w, entry)| (w.clone(), entry.memory)).collect();
-        for (weights, memory) in unowned {
+        let unwanted: Vec<_> = unwanted.map(|(w, entry)| (w.clone(), entry.memory)).collect();
+        for (weights, memory) in unwanted {
             agent.ledger.set_stage(&weights, Stage::Unloading);
-            order(&mut self.world, agent, false, &weights, memory);
+            send_command(&mut self.world, agent, false, &weights, memory);
         }
         let ledger = &agent.ledger;
         let releases =
@@ -336,13 +335,13 @@
             let record = agent.reader.record(body);
             self.world.append(&record);
         }
-        let wanted = self.world.rng.random_range(0..loadable.len().max(1));
-        if let Some(model) = loadable.iter().nth(wanted) {
+        let model_index = self.world.rng.random_range(0..loadable.len().max(1));
+        if let Some(model) = loadable.iter().nth(model_index) {
             let weights = Weights::model(model.clone(), "1".into());
             if agent.ledger.reserve(&weights, Mib(MODEL_MIB)).is_ok() {
-                order(&mut self.world, agent, true, &weights, Mib(MODEL_MIB));
+                send_command(&mut self.world, agent, true, &weights, Mib(MODEL_MIB));
                 self.counts.loads += 1;
-                self.counts.lost_orders += u64::from(agent.ledger.has_unknown());
+                self.counts.lost_commands += u64::from(agent.ledger.has_unknown());
             }
         }
         if agent.ledger.has_unknown() || self.world.chance(10) {
@@ -354,42 +353,48 @@
 
     fn finish(&self, total: &mut Counts) {
         total.loads += self.counts.loads;
-        total.lost_orders += self.counts.lost_orders;
+        total.lost_commands += self.counts.lost_commands;
         total.hosts_gone += self.counts.hosts_gone;
         total.agent_restarts += self.counts.agent_restarts;
-        total.late_records += self.counts.late_records;
-        total.accepted += self.told.accepted.len() as u64;
-        total.refused += self.told.refused.len() as u64;
+        total.delayed_records += self.counts.delayed_records;
+        total.accepted += self.answers.accepted.len() as u64;
+        total.refused += self.answers.refused.len() as u64;
         total.restored += self.world.restored;
         let history = &self.world.head.history;
         let accepted =
             |ticket: &String| history.find(ticket).is_some_and(|entry| entry.refused.is_none());
-        for ticket in &self.told.accepted {
-            assert!(accepted(ticket), "told accepted, but not in force: {ticket}");
+        for ticket in &self.answers.accepted {
+            assert!(accepted(ticket), "reported as accepted, but not applied: {ticket}");
         }
-        for ticket in &self.told.refused {
-            assert!(!accepted(ticket), "told refused, but took force: {ticket}");
+        for ticket in &self.answers.refused {
+            assert!(!accepted(ticket), "reported as refused, but applied: {ticket}");
         }
     }
 }
 
-/// Gives an order whose answer may be lost, and which may be carried out late then.
-fn order(world: &mut World, agent: &mut AgentSim, load: bool, weights: &Weights, memory: Mib) {
-    assert!(ABSENCE_TIMEOUT > Duration::from_millis(STRAY_MS));
+/// Sends a command whose response may be lost and whose execution may be delayed.
+fn send_command(
+    world: &mut World,
+    agent: &mut AgentSim,
+    load: bool,
+    weights: &Weights,
+    memory: Mib,
+) {
+    assert!(ABSENCE_TIMEOUT > Duration::from_millis(MAX_COMMAND_DELAY_MS));
     let confirmed = if load { Some(Stage::Ready) } else { None };
     match world.rng.random_range(0..10) {
         0 => {
-            let due = world.now_ms + world.rng.random_range(0..STRAY_MS);
-            agent.engine.inbox.push((due, load, weights.clone(), memory.0));
+            let due = world.now_ms + world.rng.random_range(0..MAX_COMMAND_DELAY_MS);
+            agent.engine.pending_commands.push((due, load, weights.clone(), memory.0));
             agent.ledger.set_stage(weights, Stage::Unknown);
         }
         1 => agent.ledger.set_stage(weights, Stage::Unknown),
         2 => {
-            agent.engine.carry_out(load, weights, memory.0);
+            agent.engine.execute(load, weights, memory.0);
             agent.ledger.set_stage(weights, Stage::Unknown);
         }
         _ => {
-            agent.engine.carry_out(load, weights, memory.0);
+            agent.engine.execute(load, weights, memory.0);
             match confirmed {
                 Some(stage) => agent.ledger.set_stage(weights, stage),
                 None => agent.ledger.remove(weights),
@@ -398,19 +403,17 @@
     }
 }
 
-/// Processes crash and are paused, orders and appends lose their answers, the log is down and
-/// drops old records, operators change replicas meanwhile. A team would notice a replica too
-/// many as money, an over-committed engine as a crash, a change that took force after it was
-/// called refused as settings that nobody wanted.
+/// Guards against extra replicas, overcommitted engine memory and wrong answers to operators under
+/// crashes, pauses, lost responses, log outages and log truncation.
 #[rstest]
 #[case::first(0)]
 #[case::second(1)]
 #[case::third(2)]
 #[case::fourth(3)]
-fn no_history_makes_a_replica_too_many_or_breaks_a_promise_to_an_operator(#[case] part: u64) {
+fn random_histories_preserve_slot_ownership_memory_and_ticket_answers(#[case] part: u64) {
     let mut total = Counts::default();
-    for seed in part * HISTORIES..(part + 1) * HISTORIES {
-        let _seed = Seed(seed);
+    for seed in part * HISTORIES_PER_CASE..(part + 1) * HISTORIES_PER_CASE {
+        let _seed = SeedReporter(seed);
         let mut history = History::new(seed);
         for _ in 0..STEPS {
             history.step();
@@ -418,9 +421,12 @@
         history.finish(&mut total);
     }
     println!("{total:?}");
-    let Counts { loads, lost_orders, hosts_gone, agent_restarts, late_records, .. } = total;
-    let faults = [loads, lost_orders, hosts_gone, agent_restarts, late_records];
+    let Counts { loads, lost_commands, hosts_gone, agent_restarts, delayed_records, .. } = total;
+    let faults = [loads, lost_commands, hosts_gone, agent_restarts, delayed_records];
     let answers = [total.accepted, total.refused, total.restored];
     let all = faults.iter().chain(&answers);
-    assert!(all.clone().all(|count| *count >= HISTORIES), "too little came about: {total:?}");
+    assert!(
+        all.clone().all(|count| *count >= HISTORIES_PER_CASE),
+        "insufficient coverage: {total:?}"
+    );
 }
--- a/crates/corianderstand_agent/src/release/tests/world.rs
+++ b/crates/corianderstand_agent/src/release/tests/world.rs
@@ -1,4 +1,4 @@
-//! A small world for generated histories: one log, routers, agents, engines.
+//! Simulated log, readers, agents and engines for randomized histories.
 
 use crate::release::SlotReleaser;
 use corianderstand_decide::ledger::Ledger;
@@ -60,13 +60,13 @@
     pub incarnation: u64,
     pub sequence: u64,
     pub state: State,
-    pub read_to_ms: u64,
+    pub caught_up_at_ms: u64,
 }
 
 impl Reader {
     pub fn new(name: &str) -> Self {
         let state = State { next: 1, ..State::default() };
-        Self { name: name.into(), incarnation: 1, sequence: 0, state, read_to_ms: 0 }
+        Self { name: name.into(), incarnation: 1, sequence: 0, state, caught_up_at_ms: 0 }
     }
 
     pub fn record(&mut self, body: Body) -> Record {
@@ -85,12 +85,12 @@
 pub struct EngineSim {
     pub memory_mib: u64,
     pub loaded: BTreeMap<Weights, u64>,
-    /// Orders on their way: due time, whether to load, what, memory.
-    pub inbox: Vec<(u64, bool, Weights, u64)>,
+    /// Commands in transit: due time, whether to load, weights, memory.
+    pub pending_commands: Vec<(u64, bool, Weights, u64)>,
 }
 
 impl EngineSim {
-    pub fn carry_out(&mut self, load: bool, weights: &Weights, memory: u64) {
+    pub fn execute(&mut self, load: bool, weights: &Weights, memory: u64) {
         if load {
             self.loaded.insert(weights.clone(), memory);
         } else {
@@ -101,9 +101,10 @@
     }
 
     pub fn deliver(&mut self, now_ms: u64) {
-        let due: Vec<_> = self.inbox.extract_if(.., |(due, ..)| *due <= now_ms).collect();
+        let due: Vec<_> =
+            self.pending_commands.extract_if(.., |(due, ..)| *due <= now_ms).collect();
         for (_, load, weights, memory) in due {
-            self.carry_out(load, &weights, memory);
+            self.execute(load, &weights, memory);
         }
     }
 }
@@ -114,14 +115,12 @@
     pub ledger: Ledger,
     pub releaser: SlotReleaser,
     pub engine: EngineSim,
-    /// When the ledger may be taken over from the engine.
+    /// When the ledger may be rebuilt from the engine.
     pub rebuilt_at: Option<u64>,
     pub paused_until: u64,
-    /// Since when its host is dead.
     pub dead_since: Option<u64>,
 }
 
-/// A log entry.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub offset: u64,
@@ -133,7 +132,7 @@
     pub rng: ChaCha8Rng,
     pub now_ms: u64,
     pub log: Vec<Entry>,
-    pub oldest: u64,
+    pub oldest_offset: u64,
     pub down: bool,
     pub head: State,
     digests: HashMap<u64, u64>,
@@ -145,14 +144,14 @@
         let head = State { next: 1, ..State::default() };
         let (log, digests) = Default::default();
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        Self { rng, now_ms: 1000, log, oldest: 1, down: false, head, digests, restored: 0 }
+        Self { rng, now_ms: 1000, log, oldest_offset: 1, down: false, head, digests, restored: 0 }
     }
 
     pub fn chance(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
-    /// Appends, sometimes twice, as after a lost answer; false if the log is down.
+    /// Appends, sometimes twice, as after a lost response; returns false if the log is down.
     pub fn append(&mut self, record: &Record) -> bool {
         if self.down {
             return false;
@@ -166,35 +165,35 @@
         true
     }
 
-    /// Folds some of what the reader has not folded yet; the outcomes of its own records.
+    /// Applies some unread entries to the reader and returns the outcomes of its own records.
     pub fn read(&mut self, reader: &mut Reader) -> Vec<(u64, Record, Outcome)> {
         if self.down {
             return Vec::new();
         }
-        if self.oldest > reader.state.next && !self.restore(reader) {
+        if self.oldest_offset > reader.state.next && !self.restore(reader) {
             return Vec::new();
         }
-        let most = self.rng.random_range(1..40);
+        let limit = self.rng.random_range(1..40);
         let mut own = Vec::new();
         let from = reader.state.next;
-        for entry in self.log.iter().filter(|entry| entry.offset >= from).take(most) {
+        for entry in self.log.iter().filter(|entry| entry.offset >= from).take(limit) {
             let outcome = reader.state.apply(entry.offset, entry.at_ms, &entry.record);
-            let ours = (&entry.record.writer, entry.record.incarnation);
-            if ours == (&reader.name, reader.incarnation) {
+            let writer = (&entry.record.writer, entry.record.incarnation);
+            if writer == (&reader.name, reader.incarnation) {
                 own.push((entry.offset, entry.record.clone(), outcome));
             }
         }
         if reader.state.next == self.head.next {
-            reader.read_to_ms = self.now_ms;
+            reader.caught_up_at_ms = self.now_ms;
         }
-        self.compare(reader);
+        self.check_digest(reader);
         own
     }
 
     fn restore(&mut self, reader: &mut Reader) -> bool {
         let mut collector = Collector::default();
         let states = self.log.iter().filter_map(|entry| collector.receive(&entry.record));
-        let found = states.filter(|state| state.next >= self.oldest).last();
+        let found = states.filter(|state| state.next >= self.oldest_offset).last();
         let found = found.filter(|state| state.next > reader.state.next);
         let Some(state) = found else { return false };
         reader.state = state;
@@ -202,17 +201,17 @@
         true
     }
 
-    /// All readers that folded as far hold the same state, however they came to it.
-    fn compare(&mut self, reader: &Reader) {
+    /// Checks that all readers at the same offset hold the same state.
+    fn check_digest(&mut self, reader: &Reader) {
         let digest = checkpoint::digest(&checkpoint::encode(&reader.state));
         let known = *self.digests.entry(reader.state.next).or_insert(digest);
-        assert_eq!(known, digest, "two states as of offset {}", reader.state.next);
+        assert_eq!(known, digest, "states diverge at offset {}", reader.state.next);
     }
 
-    /// Drops records, as limited retention does, but only those that a whole checkpoint covers.
-    pub fn drop_old(&mut self) {
+    /// Drops the records covered by the last complete checkpoint, as limited retention does.
+    pub fn truncate(&mut self) {
         let Some(last) = self.head.checkpoints.last else { return };
-        self.oldest = self.oldest.max(last.as_of.min(last.first));
-        self.log.retain(|entry| entry.offset >= self.oldest);
+        self.oldest_offset = self.oldest_offset.max(last.as_of.min(last.first));
+        self.log.retain(|entry| entry.offset >= self.oldest_offset);
     }
 }
