--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -41,7 +41,7 @@
 pub async fn run(runner: &JobRunner, request: &Request, trace: TraceContext) -> Finish {
     let Operation::Call { service, method, path, idempotency_key, .. } = &request.open.operation
     else {
-        return ended(failed("the request is not a call"));
+        return ended(failed("the request is no call"));
     };
     let answer = match idempotency_key {
         None => call(runner, request, trace).await.map_err(|error| {
@@ -99,7 +99,7 @@
             service.call(call).await
         }
         _ => {
-            let (system, detail) = ("this target", "it is not a plain service".into());
+            let (system, detail) = ("this target", "it is no plain service".into());
             Err(EdgeError::Malformed { system, detail })
         }
     }
@@ -258,9 +258,7 @@
         CallStatus::NotRun => Err(not_run("it was given up before it began")),
         CallStatus::Conflict => Err(Finish::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER)),
         CallStatus::Claimed | CallStatus::Unclaimed | CallStatus::Ran(_) => {
-            Err(ended(Ending::Unknown {
-                reason: "an earlier request with the same key claimed the call".into(),
-            }))
+            Err(ended(Ending::Unknown { reason: "it was claimed before".into() }))
         }
     }
 }
--- a/crates/corianderstand_agent/src/held_requests.rs
+++ b/crates/corianderstand_agent/src/held_requests.rs
@@ -1,8 +1,8 @@
 //! Requests that arrive before the log records they were routed by.
 //!
-//! A router may apply a slot assignment some milliseconds before the slot's owner does. The owner
-//! would then refuse the request as `not_loaded`, so it holds the request until it has applied
-//! the log up to the offset that the router used.
+//! A router may apply a slot assignment some milliseconds before the slot's owner does. Instead
+//! of refusing the router's request as `not_loaded`, the owner holds it until it has applied the
+//! log up to the offset that the router used.
 
 use crate::event::ConnectionId;
 use std::time::{Duration, Instant};
--- a/crates/corianderstand_agent/src/release/tests/random.rs
+++ b/crates/corianderstand_agent/src/release/tests/random.rs
@@ -114,7 +114,7 @@
         self.check();
     }
 
-    /// Checks that every slot has a live owner and every loaded replica has a slot.
+    /// Checks that the owner of every slot is known and every loaded replica has a slot.
     fn check(&self) {
         let slots = &self.world.head.slots;
         let targets = &self.world.head.targets.by_name;
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -98,7 +98,7 @@
         }
         let outcome = match response {
             Ok(()) => Some(true),
-            // Only a client error shows that the command was not executed.
+            // A server error doesn't show whether the command was executed.
             Err(EdgeError::Status { status, .. }) if status < 500 => Some(false),
             Err(error) if error.never_sent() => Some(false),
             Err(_) => None,
@@ -184,7 +184,7 @@
     ) -> (Ending, u64) {
         let mut position = request.open.position;
         let Target::Engine(engine) = &self.target else {
-            return (failed("this target is a plain service and has no models"), position);
+            return (failed("this target is a plain service: name a model elsewhere"), position);
         };
         let Some(generate) = generate_request(request, trace) else {
             return (failed("the request names no model"), position);
@@ -201,8 +201,8 @@
         };
         let ending = match outcome {
             StreamOutcome::Ended(ending) => return (ending, position),
-            StreamOutcome::CallerDisconnected => failed("the caller disconnected"),
-            StreamOutcome::Stalled => failed("the engine stopped sending data"),
+            StreamOutcome::CallerDisconnected => failed("the caller left"),
+            StreamOutcome::Stalled => failed("the engine made no progress"),
         };
         // Frees the engine's compute and memory immediately.
         if let Err(error) = engine.cancel(&id).await {
@@ -299,11 +299,7 @@
             }
             Ok(Some(Err(error))) => return StreamOutcome::Ended(failed(&error.to_string())),
             // Without the engine's end marker, the response is incomplete.
-            Ok(None) => {
-                return StreamOutcome::Ended(failed(
-                    "the engine closed the connection before the end of its response",
-                ));
-            }
+            Ok(None) => return StreamOutcome::Ended(failed("the engine broke off: ask again")),
         }
     }
 }
