--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -1,12 +1,12 @@
-//! The `decide` thread: feeds events to the pure logic and hands on what it decides.
+//! The `decide` thread: passes events to the scheduler and executes its actions.
 
 use crate::{
-    early::{self, Early},
     event::{ConnectionId, Event, Job, Request},
-    pause::PauseWatch,
-    reconcile::Asking,
-    release::{Release, Releases},
-    sizes::ViewSizes,
+    freshness::FreshnessGuard,
+    held_requests::{self, HeldRequests},
+    reconcile::ReconcileTimer,
+    release::{SlotReleaser, SlotReleases},
+    view_config::ViewConfig,
 };
 use bytes::Bytes;
 use corianderstand_control::{
@@ -36,75 +36,66 @@
 };
 use tokio::sync::{mpsc, watch};
 
-/// Longest time between two looks at the snapshot.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+/// Maximum time between two polls of the snapshot.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const MS_PER_SECOND: u64 = 1000;
 
-/// The thread's state.
+/// State of the `decide` thread.
 pub struct Decider {
-    /// The pure logic.
     pub agent: Agent,
-    /// Name of the target.
     pub target: TargetId,
-    /// Snapshots.
     pub current: CurrentSnapshot,
-    /// Time.
     pub clock: SharedClock,
-    /// To the `target` thread.
     pub jobs: mpsc::UnboundedSender<Job>,
-    /// How busy the target is, for the link thread.
+    /// Load of the target, read by the `link` thread.
     pub load: watch::Sender<Load>,
-    /// Whether nothing is held, for a planned stop.
+    /// Whether no request is queued, running or held; a graceful shutdown waits for it.
     pub idle: watch::Sender<bool>,
-    /// Requests held, for who ends the process before they are done.
-    pub held: Arc<AtomicUsize>,
-    /// Requests waiting or running.
+    /// Number of requests queued or running.
+    pub in_flight: Arc<AtomicUsize>,
     pub requests: HashMap<RequestKey, Request>,
-    /// Their keys by stream.
     pub streams: HashMap<(ConnectionId, u64), RequestKey>,
-    /// When each request that waits came.
-    pub since: HashMap<RequestKey, Instant>,
-    /// Where measures go.
+    /// Arrival times of the queued requests.
+    pub queued_at: HashMap<RequestKey, Instant>,
     pub metrics: Metrics,
-    /// Whether the ledger has been taken over from the engine.
+    /// Whether the ledger has been rebuilt from the engine's loaded weights.
     pub rebuilt: bool,
-    /// Models that may be loaded under the slots in force.
-    pub kept: BTreeSet<ModelId>,
-    /// Slots to give back.
-    pub release: Release,
-    /// Those that may be released, for the `link` thread.
-    pub releases: watch::Sender<Releases>,
-    /// Whether a planned stop has begun.
+    /// Models that may be loaded under the current slots.
+    pub loadable_models: BTreeSet<ModelId>,
+    pub releaser: SlotReleaser,
+    /// Slots that may be released, read by the `link` thread.
+    pub releases: watch::Sender<SlotReleases>,
     pub stopping: bool,
-    /// Notices that this process stood still.
-    pub pause: PauseWatch,
-    /// When to ask the engine what is loaded.
-    pub asking: Asking,
-    /// Requests that came before the records they were chosen by.
-    pub early: Early<Box<(RequestSpec, Request)>>,
+    pub freshness: FreshnessGuard,
+    pub reconcile_timer: ReconcileTimer,
+    pub held_requests: HeldRequests<Box<(RequestSpec, Request)>>,
 }
 
 impl Decider {
-    /// Runs until all senders of events are gone.
+    /// Runs until all event senders are dropped.
     pub fn run(mut self, events: &Receiver<Event>) {
         loop {
             let now = self.clock.now();
             let wake = self.agent.next_wake().map(|at| at.saturating_duration_since(now));
-            let longest = if self.early.is_empty() { LONGEST_WAIT } else { early::POLL };
-            let wait = wake.unwrap_or(longest).min(longest);
+            let max_wait = if self.held_requests.is_empty() {
+                MAX_POLL_INTERVAL
+            } else {
+                held_requests::POLL_INTERVAL
+            };
+            let wait = wake.unwrap_or(max_wait).min(max_wait);
             let event = events.recv_timeout(wait);
             let snapshot = self.current.load();
-            self.pause.turn(self.clock.now(), snapshot.reads);
-            self.take_early(&snapshot);
+            self.freshness.on_iteration(self.clock.now(), snapshot.reads);
+            self.submit_held(&snapshot);
             match event {
-                Ok(event) => self.take(event, &snapshot),
+                Ok(event) => self.handle(event, &snapshot),
                 Err(RecvTimeoutError::Timeout) => self.step(&snapshot),
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            self.ask_engine();
+            self.query_loaded_if_due();
             self.load.send_replace(self.agent.load());
-            self.idle.send_replace(self.agent.is_idle() && self.early.is_empty());
-            self.held.store(self.requests.len(), Ordering::Relaxed);
+            self.idle.send_replace(self.agent.is_idle() && self.held_requests.is_empty());
+            self.in_flight.store(self.requests.len(), Ordering::Relaxed);
         }
     }
 
@@ -112,22 +103,22 @@
         self.refresh_slots(snapshot);
         let now = self.clock.now();
         self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
-        let actions = self.agent.step(now, &ViewSizes(&snapshot.view));
-        self.perform(actions, snapshot);
+        let actions = self.agent.step(now, &ViewConfig(&snapshot.view));
+        self.execute(actions, snapshot);
     }
 
-    fn ask_engine(&mut self) {
+    fn query_loaded_if_due(&mut self) {
         let ledger = self.agent.ledger();
-        if self.asking.is_due(self.clock.now(), ledger.has_unknown()) {
-            drop(self.jobs.send(Job::Ask { version: ledger.version() }));
+        if self.reconcile_timer.is_due(self.clock.now(), ledger.has_unknown()) {
+            drop(self.jobs.send(Job::QueryLoaded { ledger_version: ledger.version() }));
         }
     }
 
-    /// Takes over the slots in force, and gives up those that are unwanted and unloaded.
+    /// Applies the current slots and releases those that are unwanted and unloaded.
     ///
-    /// A process that has not read the log to its end knows no slots; it must not take that for
-    /// "no slots are mine" and unload what an earlier start of this agent loaded. Nor does one
-    /// that has not asked its engine know that a slot's model is out of memory.
+    /// Does nothing until the log has been read to its end and the engine queried: before that,
+    /// an empty slot table or ledger doesn't mean that the target owns no slots or holds no
+    /// models.
     fn refresh_slots(&mut self, snapshot: &Snapshot) {
         if !snapshot.caught_up || !self.rebuilt {
             return;
@@ -135,94 +126,97 @@
         let leaving = self.stopping || snapshot.state.targets.is_leaving(&self.target);
         self.agent.set_draining(leaving);
         let (state, in_use) = (&snapshot.state, self.agent.models_in_use());
-        let kept = self.release.kept(state, &snapshot.view, &self.target, leaving, &in_use);
-        if kept != self.kept {
-            self.kept.clone_from(&kept);
-            self.agent.set_slots(kept.clone());
+        let loadable_models =
+            self.releaser.loadable_models(state, &snapshot.view, &self.target, leaving, &in_use);
+        if loadable_models != self.loadable_models {
+            self.loadable_models.clone_from(&loadable_models);
+            self.agent.set_slots(loadable_models.clone());
         }
         let ledger = self.agent.ledger();
-        let given_up =
-            self.release.give_up(state, &self.target, &kept, |model| ledger.holds(model));
+        let releases =
+            self.releaser.update_releases(state, &self.target, &loadable_models, |model| {
+                ledger.holds(model)
+            });
         self.releases.send_if_modified(|current| {
-            let changed = current != given_up;
+            let changed = current != releases;
             if changed {
-                current.clone_from(given_up);
+                current.clone_from(releases);
             }
             changed
         });
     }
 
-    fn take_early(&mut self, snapshot: &Snapshot) {
-        if self.early.is_empty() {
+    fn submit_held(&mut self, snapshot: &Snapshot) {
+        if self.held_requests.is_empty() {
             return;
         }
         self.refresh_slots(snapshot);
-        for submitted in self.early.take(self.clock.now(), snapshot.state.next) {
+        for submitted in self.held_requests.take_ready(self.clock.now(), snapshot.state.next) {
             let actions = self.submit(*submitted, snapshot);
-            self.perform(actions, snapshot);
+            self.execute(actions, snapshot);
         }
     }
 
     fn submit(&mut self, submitted: (RequestSpec, Request), snapshot: &Snapshot) -> Vec<Action> {
-        let (work, request) = submitted;
+        let (spec, request) = submitted;
         let now = self.clock.now();
-        let (key, actions) = self.agent.submit(now, work, &ViewSizes(&snapshot.view));
-        self.since.insert(key, now);
-        self.streams.insert((request.end.connection, request.end.stream), key);
+        let (key, actions) = self.agent.submit(now, spec, &ViewConfig(&snapshot.view));
+        self.queued_at.insert(key, now);
+        self.streams.insert((request.response.connection, request.response.stream), key);
         self.requests.insert(key, request);
         actions
     }
 
-    fn take(&mut self, event: Event, snapshot: &Snapshot) {
+    fn handle(&mut self, event: Event, snapshot: &Snapshot) {
         self.refresh_slots(snapshot);
         let now = self.clock.now();
         self.agent.set_unix_time(now, clock::unix_ms(self.clock.wall()) / MS_PER_SECOND);
-        let sizes = ViewSizes(&snapshot.view);
+        let config = ViewConfig(&snapshot.view);
         let actions = match event {
             Event::Submit(submitted) => {
                 let request = &submitted.1;
-                let stream = (request.end.connection, request.end.stream);
+                let stream = (request.response.connection, request.response.stream);
                 let (next, as_of) = (snapshot.state.next, request.open.as_of);
-                match self.early.hold(now, next, as_of, stream, submitted) {
+                match self.held_requests.hold(now, next, as_of, stream, submitted) {
                     Some(submitted) => self.submit(*submitted, snapshot),
                     None => Vec::new(),
                 }
             }
             Event::Cancelled { connection, stream } => {
-                self.early.cancel((connection, stream));
+                self.held_requests.cancel((connection, stream));
                 let key = self.streams.get(&(connection, stream)).copied();
-                key.map_or_else(Vec::new, |key| self.cancel(key, &sizes))
+                key.map_or_else(Vec::new, |key| self.cancel(key, &config))
             }
-            Event::Gone(connection) => {
-                self.early.forget(connection);
+            Event::Disconnected(connection) => {
+                self.held_requests.remove_connection(connection);
                 let gone = self.streams.iter().filter(|((c, _), _)| *c == connection);
                 let keys: Vec<RequestKey> = gone.map(|(_, key)| *key).collect();
-                keys.into_iter().flat_map(|key| self.cancel(key, &sizes)).collect()
+                keys.into_iter().flat_map(|key| self.cancel(key, &config)).collect()
             }
-            Event::Ended { key } => {
-                self.forget(key);
-                self.agent.on_request_finished(now, key, &sizes)
+            Event::RequestFinished { key } => {
+                self.remove_request(key);
+                self.agent.on_request_finished(now, key, &config)
             }
-            Event::Loaded(weights, outcome) => {
-                self.agent.on_load_finished(now, &weights, outcome, &sizes)
+            Event::LoadFinished(weights, outcome) => {
+                self.agent.on_load_finished(now, &weights, outcome, &config)
             }
-            Event::Unloaded(weights, confirmed) => {
-                self.agent.on_unload_finished(now, &weights, confirmed, &sizes)
+            Event::UnloadFinished(weights, confirmed) => {
+                self.agent.on_unload_finished(now, &weights, confirmed, &config)
             }
             Event::Rebuilt(loaded) => {
                 self.agent.rebuild(loaded);
                 self.rebuilt = true;
                 Vec::new()
             }
-            Event::List(out) => {
-                self.list(&out, snapshot);
+            Event::ListHoldings(outbound) => {
+                self.send_holdings(&outbound, snapshot);
                 Vec::new()
             }
-            Event::Asked { version, loaded } => {
+            Event::LoadedReported { ledger_version, loaded } => {
                 let actions = loaded
-                    .map(|loaded| self.agent.reconcile(now, version, &loaded, &sizes))
+                    .map(|loaded| self.agent.reconcile(now, ledger_version, &loaded, &config))
                     .unwrap_or_default();
-                self.asking.answered(now, self.agent.ledger().has_unknown());
+                self.reconcile_timer.on_response(now, self.agent.ledger().has_unknown());
                 actions
             }
             Event::Drain => {
@@ -231,10 +225,10 @@
                 Vec::new()
             }
         };
-        self.perform(actions, snapshot);
+        self.execute(actions, snapshot);
     }
 
-    fn list(&self, out: &mpsc::Sender<Bytes>, snapshot: &Snapshot) {
+    fn send_holdings(&self, outbound: &mpsc::Sender<Bytes>, snapshot: &Snapshot) {
         let holdings = self.agent.ledger().entries().map(|(weights, entry)| Holding {
             weights: weights.to_string().into(),
             stage: match entry.stage {
@@ -249,90 +243,89 @@
         let holdings = holdings.collect();
         let version = snapshot.state.documents.version;
         if let Ok(frame) = frame::encode(&ToRouter::Holdings { version, holdings }, b"") {
-            // An operator whose connection takes nothing more asks again.
-            drop(out.try_send(frame));
+            // The query may be repeated, so a full connection just drops the reply.
+            drop(outbound.try_send(frame));
         }
     }
 
-    /// A request that runs is ended by the `target` thread, which sees its credit closed; one
-    /// that waits is simply forgotten.
-    fn cancel(&mut self, key: RequestKey, sizes: &ViewSizes<'_>) -> Vec<Action> {
+    /// Removes a queued request. The `target` thread ends a running one when its credit closes.
+    fn cancel(&mut self, key: RequestKey, config: &ViewConfig<'_>) -> Vec<Action> {
         if self.agent.is_running(key) {
             return Vec::new();
         }
-        self.forget(key);
-        self.agent.on_request_finished(self.clock.now(), key, sizes)
+        self.remove_request(key);
+        self.agent.on_request_finished(self.clock.now(), key, config)
     }
 
-    fn forget(&mut self, key: RequestKey) -> Option<Request> {
-        self.since.remove(&key);
+    fn remove_request(&mut self, key: RequestKey) -> Option<Request> {
+        self.queued_at.remove(&key);
         let request = self.requests.remove(&key)?;
-        self.streams.remove(&(request.end.connection, request.end.stream));
+        self.streams.remove(&(request.response.connection, request.response.stream));
         Some(request)
     }
 
-    fn perform(&mut self, actions: Vec<Action>, snapshot: &Snapshot) {
+    fn execute(&mut self, actions: Vec<Action>, snapshot: &Snapshot) {
         for action in actions {
             let job = match action {
                 Action::Run(key) => {
                     let Some(request) = self.requests.get(&key) else { continue };
                     let job = Job::Run(key, Box::new(request.clone()));
-                    if let Some(since) = self.since.remove(&key) {
-                        self.metrics.time(Metric::AgentWait, self.clock.now() - since);
+                    if let Some(queued_at) = self.queued_at.remove(&key) {
+                        self.metrics.time(Metric::AgentWait, self.clock.now() - queued_at);
                     }
                     job
                 }
                 Action::Refuse(key, refusal) => {
-                    let Some(request) = self.forget(key) else { continue };
+                    let Some(request) = self.remove_request(key) else { continue };
                     let reason = refusal.reason.to_string();
                     self.metrics.count_tagged(Metric::AgentRefusals, 1, "reason", &reason);
-                    let refused = self.refused(&request, refusal);
+                    let refused = self.refused_message(&request, refusal);
                     Job::Refuse(Box::new(request), refused)
                 }
-                // Whatever wanted it, nothing is loaded without a slot, nor by an old picture.
+                // Never load without a slot or based on a stale snapshot.
                 Action::Load(weights, _)
-                    if !self.kept.contains(&weights.model)
-                        || !self.pause.is_fresh(snapshot.reads) =>
+                    if !self.loadable_models.contains(&weights.model)
+                        || !self.freshness.is_fresh(snapshot.reads) =>
                 {
-                    self.decline(&weights, snapshot);
+                    self.fail_load(&weights, snapshot);
                     continue;
                 }
                 Action::Load(weights, memory) => {
                     if weights.adapter.is_none() {
                         self.metrics.count(Metric::AgentColdStarts, 1);
                     }
-                    let fence = self.fence(&weights, snapshot);
+                    let fence = self.fencing_token(&weights, snapshot);
                     Job::Load { weights, memory, fence }
                 }
                 Action::Unload(weights, memory) => {
-                    let fence = self.fence(&weights, snapshot);
+                    let fence = self.fencing_token(&weights, snapshot);
                     Job::Unload { weights, memory, fence }
                 }
-                // Asked for only under a coordinator, which no process is yet.
+                // Only requested under a coordinator, which agents do not use.
                 Action::RequestLoadGrant(_) => continue,
             };
-            // The logic bounds runs and orders; refusals are as many as requests come (docs/design/0007).
+            // The scheduler bounds runs and commands; refusals are bounded by incoming requests.
             drop(self.jobs.send(job));
         }
     }
 
-    /// Takes an order back that must not be given now; who waits for it goes elsewhere.
-    fn decline(&mut self, weights: &Weights, snapshot: &Snapshot) {
-        let sizes = ViewSizes(&snapshot.view);
-        let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &sizes);
-        self.perform(actions, snapshot);
+    /// Reports a load that must not run now as failed, so that its requests go elsewhere.
+    fn fail_load(&mut self, weights: &Weights, snapshot: &Snapshot) {
+        let config = ViewConfig(&snapshot.view);
+        let actions = self.agent.on_load_finished(self.clock.now(), weights, Some(false), &config);
+        self.execute(actions, snapshot);
     }
 
-    fn refused(&self, request: &Request, refusal: Refusal) -> ToRouter {
+    fn refused_message(&self, request: &Request, refusal: Refusal) -> ToRouter {
         ToRouter::Refused {
-            stream: request.end.stream,
+            stream: request.response.stream,
             reason: refusal.reason,
             retry_after_ms: refusal.retry_after.as_millis() as u64,
             load: self.agent.load(),
         }
     }
 
-    fn fence(&self, weights: &Weights, snapshot: &Snapshot) -> u64 {
+    fn fencing_token(&self, weights: &Weights, snapshot: &Snapshot) -> u64 {
         let slot = snapshot.state.slots.owned(&weights.model, &self.target);
         slot.map_or(snapshot.state.next, |slot| slot.assigned)
     }
--- a/crates/corianderstand_agent/src/reconcile.rs
+++ b/crates/corianderstand_agent/src/reconcile.rs
@@ -1,55 +1,55 @@
-//! When to ask the engine what is loaded.
+//! Schedules queries of the engine's loaded weights.
 //!
-//! An order whose answer was lost counts as loaded until the engine has been asked; an engine
-//! that has restarted holds nothing of what the ledger counts. So the engine is asked soon and
-//! again, with growing pauses, while an outcome is unknown, and now and then otherwise.
+//! Weights whose command has an unknown outcome count as loaded until the engine is queried, and
+//! an engine that restarted has lost what the ledger counts. The engine is queried with
+//! exponential backoff while an outcome is unknown, and at a fixed interval otherwise.
 
 use std::time::{Duration, Instant};
 
-/// First pause before the engine is asked again.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause while an outcome is unknown: an engine that is overloaded or down is not
-/// helped by more questions.
-pub const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Pause while nothing is unknown.
-pub const CALM_PAUSE: Duration = Duration::from_secs(10);
-/// Time after which a question that was not answered is given up.
-pub const ANSWER_LIMIT: Duration = Duration::from_secs(150);
+/// Delay of the first query after an outcome becomes unknown.
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Upper bound of the backoff while an outcome is unknown.
+pub const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Query interval while no outcome is unknown.
+pub const RECONCILE_INTERVAL: Duration = Duration::from_secs(10);
+/// Time after which a query without a response is repeated.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// The state of the questions.
+/// Decides when the next query is due.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking {
-    next: Instant,
-    pause: Duration,
-    underway: bool,
+pub struct ReconcileTimer {
+    next_at: Instant,
+    backoff: Duration,
+    in_progress: bool,
 }
 
-impl Asking {
-    /// The first question comes after a calm pause, as the engine is asked at start.
+impl ReconcileTimer {
+    /// Schedules the first query one interval from now, as the engine is queried at startup.
     pub fn new(now: Instant) -> Self {
-        Self { next: now + CALM_PAUSE, pause: FIRST_PAUSE, underway: false }
+        Self { next_at: now + RECONCILE_INTERVAL, backoff: INITIAL_BACKOFF, in_progress: false }
     }
 
-    /// Whether the engine is to be asked now.
+    /// Returns whether to query the engine now, and if so starts a query.
     pub fn is_due(&mut self, now: Instant, has_unknown: bool) -> bool {
         if !has_unknown {
-            self.pause = FIRST_PAUSE;
-        } else if !self.underway {
-            self.next = self.next.min(now + self.pause);
+            self.backoff = INITIAL_BACKOFF;
+        } else if !self.in_progress {
+            self.next_at = self.next_at.min(now + self.backoff);
         }
-        if now < self.next {
+        if now < self.next_at {
             return false;
         }
-        self.underway = true;
-        self.next = now + ANSWER_LIMIT;
+        self.in_progress = true;
+        self.next_at = now + RESPONSE_TIMEOUT;
         true
     }
 
-    /// The engine has answered, or has failed to.
-    pub fn answered(&mut self, now: Instant, has_unknown: bool) {
-        self.underway = false;
-        self.pause = if has_unknown { (self.pause * 2).min(LONGEST_PAUSE) } else { FIRST_PAUSE };
-        self.next = now + if has_unknown { self.pause } else { CALM_PAUSE };
+    /// Schedules the next query after a response or a failure.
+    pub fn on_response(&mut self, now: Instant, has_unknown: bool) {
+        self.in_progress = false;
+        self.backoff =
+            if has_unknown { (self.backoff * 2).min(MAX_BACKOFF) } else { INITIAL_BACKOFF };
+        self.next_at = now + if has_unknown { self.backoff } else { RECONCILE_INTERVAL };
     }
 }
 
--- a/crates/corianderstand_agent/src/release/tests.rs
+++ b/crates/corianderstand_agent/src/release/tests.rs
@@ -1,7 +1,7 @@
 mod random;
 mod world;
 
-use super::Release;
+use super::SlotReleaser;
 use corianderstand_schema::records::{Body, Record};
 use corianderstand_state::{fold::State, slots::SlotKey, view::View};
 use corianderstand_types::names::{ModelId, TargetId};
@@ -9,13 +9,13 @@
 use std::collections::BTreeSet;
 use world::{lease, settings, target_up};
 
-struct Bench {
+struct Fixture {
     state: State,
     target: TargetId,
-    release: Release,
+    releaser: SlotReleaser,
 }
 
-impl Bench {
+impl Fixture {
     /// A target that owns slots 0 and 1 of two models.
     fn new() -> Self {
         let mut state = State { next: 1, ..State::default() };
@@ -31,53 +31,54 @@
             let outcome = state.apply(offset, 0, &record);
             assert_eq!(outcome, corianderstand_state::fold::Outcome::Applied);
         }
-        Self { state, target, release: Release::default() }
+        Self { state, target, releaser: SlotReleaser::default() }
     }
 
-    fn kept(&mut self, leaving: bool, in_use: &[&str]) -> BTreeSet<ModelId> {
+    fn loadable_models(&mut self, leaving: bool, in_use: &[&str]) -> BTreeSet<ModelId> {
         let view = View::new(&self.state.documents);
         let in_use = in_use.iter().map(|model| ModelId::from(*model)).collect();
-        self.release.kept(&self.state, &view, &self.target, leaving, &in_use)
+        self.releaser.loadable_models(&self.state, &view, &self.target, leaving, &in_use)
     }
 
-    fn change(&mut self, body: Body) {
+    fn append(&mut self, body: Body) {
         let offset = self.state.next;
         let record = Record { writer: "w".into(), incarnation: 1, sequence: offset, body };
         self.state.apply(offset, 0, &record);
     }
 }
 
-/// An operator lowers the replicas of a model. Until the slot beyond them is given back, the
-/// engine holds a replica that nobody decided for.
+/// Guards against an engine that keeps a replica beyond a lowered replica count.
 #[rstest]
-fn a_slot_beyond_the_replicas_is_given_up_once_its_model_is_unloaded() {
-    let mut bench = Bench::new();
-    let base = bench.state.documents.version_of("teams/t/models/quotes");
-    bench.change(settings("quotes", 1, base));
-    let kept = bench.kept(false, &[]);
-    assert_eq!(kept, [ModelId::from("rounds")].into());
-    let (state, target) = (&bench.state, &bench.target);
-    assert!(bench.release.give_up(state, target, &kept, |_| true).is_empty(), "still loaded");
-    let given_up = bench.release.give_up(state, target, &kept, |_| false);
+fn excess_slot_is_released_once_its_model_is_unloaded() {
+    let mut fixture = Fixture::new();
+    let base = fixture.state.documents.version_of("teams/t/models/quotes");
+    fixture.append(settings("quotes", 1, base));
+    let loadable = fixture.loadable_models(false, &[]);
+    assert_eq!(loadable, [ModelId::from("rounds")].into());
+    let (state, target) = (&fixture.state, &fixture.target);
+    assert!(
+        fixture.releaser.update_releases(state, target, &loadable, |_| true).is_empty(),
+        "still loaded"
+    );
+    let releases = fixture.releaser.update_releases(state, target, &loadable, |_| false);
     let key = SlotKey { model: "quotes".into(), index: 1 };
-    assert_eq!(given_up.get(&key), Some(&5));
+    assert_eq!(releases.get(&key), Some(&5));
 }
 
-/// A host is leaving while a long answer runs on it. Unloading its model at once would cut the
-/// answer.
+/// Guards against cutting off responses in flight when a host leaves.
 #[rstest]
-fn a_leaving_host_keeps_the_models_of_requests_in_flight() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.kept(true, &["quotes"]), [ModelId::from("quotes")].into());
-    assert_eq!(bench.kept(true, &[]), BTreeSet::new());
+fn leaving_host_keeps_models_in_use() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.loadable_models(true, &["quotes"]), [ModelId::from("quotes")].into());
+    assert_eq!(fixture.loadable_models(true, &[]), BTreeSet::new());
 }
 
-/// The host list shows a host as leaving for one reading and then as live. The release may have
-/// reached the log by then; loading under it again would make one replica too many.
+/// Guards against an extra replica when a host is listed as leaving and then as live again, while
+/// the release may already be in the log.
 #[rstest]
-fn a_slot_once_given_up_is_not_used_again() {
-    let mut bench = Bench::new();
-    let kept = bench.kept(true, &[]);
-    bench.release.give_up(&bench.state, &bench.target, &kept, |_| false);
-    assert_eq!(bench.kept(false, &[]), BTreeSet::new());
+fn released_slot_is_not_used_again() {
+    let mut fixture = Fixture::new();
+    let loadable = fixture.loadable_models(true, &[]);
+    fixture.releaser.update_releases(&fixture.state, &fixture.target, &loadable, |_| false);
+    assert_eq!(fixture.loadable_models(false, &[]), BTreeSet::new());
 }
