--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -2,6 +2,8 @@
 //!
 //! Without a sub-command all run in order, the tests last.
 
+mod known_red;
+
 use std::process::{Command, ExitCode};
 
 const STEPS: [(&str, &[&[&str]]); 7] = [
@@ -47,15 +49,11 @@
             &["run", "--quiet", "--locked", "-p", "soak", "--", "--kept"],
         ],
     ),
-    (
-        "test",
-        &[
-            &["build", "--workspace", "--locked", "--quiet"],
-            &["nextest", "run", "--workspace", "--locked", "--no-fail-fast"],
-        ],
-    ),
+    ("test", &[&["build", "--workspace", "--locked", "--quiet"]]),
 ];
 
+const TESTS: [&str; 5] = ["nextest", "run", "--workspace", "--locked", "--no-fail-fast"];
+
 fn main() -> ExitCode {
     let wanted: Vec<String> = std::env::args().skip(1).collect();
     if let Some(unknown) = wanted.iter().find(|name| STEPS.iter().all(|(n, _)| n != name)) {
@@ -68,7 +66,7 @@
             continue;
         }
         println!("== {name}");
-        if !commands.iter().all(|args| cargo(args)) {
+        if !commands.iter().all(|args| cargo(args)) || (name == "test" && !tests()) {
             eprintln!("step `{name}` failed");
             return ExitCode::FAILURE;
         }
@@ -76,6 +74,21 @@
     ExitCode::SUCCESS
 }
 
+/// Runs all tests. Those in `KNOWN-RED.txt` run first and don't change the verdict.
+fn tests() -> bool {
+    let known_red = match known_red::read() {
+        Ok(known_red) => known_red,
+        Err(error) => {
+            eprintln!("cannot read KNOWN-RED.txt ({error}): run this in the repository root");
+            return false;
+        }
+    };
+    let Some((text, filter)) = known_red else { return cargo(&TESTS) };
+    let passed = cargo(&[&TESTS[..], &["-E", &filter]].concat());
+    println!("== known red, {}:\n{text}", if passed { "passed now" } else { "failed now" });
+    cargo(&[&TESTS[..], &["-E", &format!("not ({filter})")]].concat())
+}
+
 fn cargo(args: &[&str]) -> bool {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     Command::new(cargo).args(args).status().is_ok_and(|status| status.success())
