--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -172,7 +172,11 @@
                         let now = self.shared.clock.now();
                         match self.timings.last_at {
                             Some(at) => {
-                                self.shared.record_event_interval(upstream.in_flight.key(), now, at)
+                                self.shared.record_event_interval(
+                                    upstream.in_flight.key(),
+                                    now,
+                                    at,
+                                );
                             }
                             None => self.shared.record_first_event(&self.job, now),
                         }
