--- a/crates/corianderstand_cli/src/replay.rs
+++ b/crates/corianderstand_cli/src/replay.rs
@@ -1,7 +1,7 @@
 //! `corianderstand replay`: a recorded trace through the decisions, and both measures.
 
 use crate::{Exit, directory};
-use corianderstand_replay::{replay, report::Report, trace::Trace, ways::Way};
+use corianderstand_replay::{replay, report::Report, strategies::Strategy, trace::Trace};
 use corianderstand_state::{
     documents::{Document, Documents},
     view::View,
@@ -24,8 +24,9 @@
             Err(exit) => return exit,
         }
     }
-    let ways = if matches.opt_present("compare") { Way::all() } else { vec![Way::ours()] };
-    let outcomes = ways.iter().map(|way| replay::run(&trace, way)).collect();
+    let strategies =
+        if matches.opt_present("compare") { Strategy::all() } else { vec![Strategy::ours()] };
+    let outcomes = strategies.iter().map(|strategy| replay::run(&trace, strategy)).collect();
     let report = Report::new(&trace, outcomes);
     if matches.opt_present("json") {
         println!("{}", report.json());
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -1,8 +1,8 @@
 //! Real agents beside fake engines.
 
 use crate::{
+    strategies::Strategy,
     trace::{EngineLine, Header},
-    ways::Way,
 };
 use corianderstand_decide::{
     agent::{Agent, Limits},
@@ -36,9 +36,9 @@
 
 impl TraceSizes {
     /// Sizes of a trace, seen one way.
-    pub fn new(header: &Header, way: &Way) -> Self {
+    pub fn new(header: &Header, strategy: &Strategy) -> Self {
         let models = header.models.iter().map(|model| {
-            let (tail, idle) = way.weighing.unwrap_or((model.weight_tail, model.weight_idle));
+            let (tail, idle) = strategy.weighing.unwrap_or((model.weight_tail, model.weight_idle));
             let load = Duration::from_millis(model.load_ms);
             (model.name.clone(), (model.memory_mib, load, CostFactors { cold_start: tail, idle }))
         });
@@ -118,11 +118,11 @@
 
 impl Engine {
     /// An empty engine that owns slots of these models.
-    pub fn new(line: &EngineLine, way: &Way, slots: BTreeSet<ModelId>) -> Self {
+    pub fn new(line: &EngineLine, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
         let limits = Limits { concurrency: line.concurrency, queue: QUEUE };
-        let mut agent = Agent::with_policy(limits, Mib(line.memory_mib), way.policy);
+        let mut agent = Agent::with_policy(limits, Mib(line.memory_mib), strategy.policy);
         agent.set_slots(slots);
-        agent.set_coordinated(way.coordinated);
+        agent.set_coordinated(strategy.coordinated);
         Self {
             line: line.clone(),
             agent,
--- a/crates/corianderstand_replay/src/lib.rs
+++ b/crates/corianderstand_replay/src/lib.rs
@@ -7,10 +7,10 @@
 //! log, and processes do not fail but for the faults that a trace names.
 //!
 //! ```
-//! use corianderstand_replay::{generate, replay, ways::Way};
+//! use corianderstand_replay::{generate, replay, strategies::Strategy};
 //!
 //! let trace = generate::crew_morning(1);
-//! let outcome = replay::run(&trace, &Way::ours());
+//! let outcome = replay::run(&trace, &Strategy::ours());
 //! assert_eq!(outcome.late, 0);
 //! ```
 
@@ -19,8 +19,8 @@
 pub mod measures;
 pub mod replay;
 pub mod report;
+pub mod strategies;
 pub mod trace;
-pub mod ways;
 
 mod callers;
 mod engines;
--- a/crates/corianderstand_replay/src/measures.rs
+++ b/crates/corianderstand_replay/src/measures.rs
@@ -12,7 +12,8 @@
 #[derive(Default)]
 pub struct Outcome {
     /// The way to decide.
-    pub way: SmolStr,
+    #[serde(rename = "way")]
+    pub strategy: SmolStr,
     /// Calls in the trace.
     pub calls: u64,
     /// Calls answered whole and in time, at the first try or later.
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -7,8 +7,8 @@
     engines::{Engine, Flight, TraceSizes},
     measures::{Outcome, WAKE_GAP},
     store::Store,
+    strategies::Strategy,
     trace::{Call, Fault, Happening, Trace},
-    ways::Way,
 };
 use corianderstand_decide::{
     agent::Action,
@@ -69,8 +69,8 @@
 }
 
 /// Replays a trace one way.
-pub fn run(trace: &Trace, way: &Way) -> Outcome {
-    let mut replay = Replay::new(trace, way);
+pub fn run(trace: &Trace, strategy: &Strategy) -> Outcome {
+    let mut replay = Replay::new(trace, strategy);
     let last = trace.lines.last().map_or(0, |line| line.at_ms);
     let end = Duration::from_millis(last) + PATIENCE + TAIL;
     while let Some(((at, _), event)) = replay.events.pop_first() {
@@ -84,7 +84,7 @@
 }
 
 impl<'a> Replay<'a> {
-    fn new(trace: &'a Trace, way: &Way) -> Self {
+    fn new(trace: &'a Trace, strategy: &Strategy) -> Self {
         let clock = ManualClock::default();
         let start = clock.now();
         let header = &trace.header;
@@ -95,21 +95,21 @@
             .map(|model| (model.name.clone(), model.slots.iter().filter_map(index).collect()))
             .collect();
         let engines = header.engines.iter().enumerate().map(|(number, line)| {
-            let mut engine = Engine::new(line, way, owned(&slots, number));
+            let mut engine = Engine::new(line, strategy, owned(&slots, number));
             engine.agent.set_unix_time(start, header.begins);
             engine
         });
         let mut keys = Vec::new();
         let mut routers = Vec::new();
         for (seed, place) in header.routers.iter().enumerate() {
-            let mut router = Router::with_policy(place.clone(), seed as u64, way.placement);
+            let mut router = Router::with_policy(place.clone(), seed as u64, strategy.placement);
             let add = |line: &crate::trace::EngineLine| router.add_target(&line.name, &line.place);
             keys = header.engines.iter().map(add).collect();
             keys.iter().for_each(|key| router.set_connected(*key, true));
             routers.push(router);
         }
-        let sizes = TraceSizes::new(header, way);
-        let coordinator = way.coordinated.then(|| Coordinator::new(start, sizes.store()));
+        let sizes = TraceSizes::new(header, strategy);
+        let coordinator = strategy.coordinated.then(|| Coordinator::new(start, sizes.store()));
         let mut replay = Self {
             trace,
             store: Store::new(header.store.per_second, header.store.concurrent),
@@ -127,7 +127,7 @@
             store_at: None,
             coordinate_at: None,
             last_calls: HashMap::new(),
-            outcome: Outcome { way: way.name.clone(), ..Outcome::default() },
+            outcome: Outcome { strategy: strategy.name.clone(), ..Outcome::default() },
         };
         replay.set_owners();
         replay.plan_line(0);
--- a/crates/corianderstand_replay/src/report.rs
+++ b/crates/corianderstand_replay/src/report.rs
@@ -48,7 +48,7 @@
         text.push_str(&row(&heads.map(str::to_owned)));
         for o in &self.outcomes {
             text.push_str(&row(&[
-                o.way.to_string(),
+                o.strategy.to_string(),
                 o.calls.to_string(),
                 o.served.to_string(),
                 o.given_up.to_string(),
--- a/crates/corianderstand_replay/src/ways.rs
+++ b/crates/corianderstand_replay/src/strategies.rs
@@ -14,7 +14,7 @@
 
 /// One way to decide.
 #[derives(data)]
-pub struct Way {
+pub struct Strategy {
     /// Its name in reports.
     pub name: SmolStr,
     /// How agents decide.
@@ -27,7 +27,7 @@
     pub weighing: Option<(u32, u32)>,
 }
 
-impl Way {
+impl Strategy {
     /// What the product does.
     pub fn ours() -> Self {
         Self {
--- a/crates/corianderstand_replay/tests/outcomes.rs
+++ b/crates/corianderstand_replay/tests/outcomes.rs
@@ -4,8 +4,8 @@
     bound, generate,
     measures::Outcome,
     replay,
+    strategies::{FIXED_KEEP, Strategy},
     trace::Trace,
-    ways::{FIXED_KEEP, Way},
 };
 use rstest::rstest;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 }
 
 fn ours(trace: &Trace) -> Outcome {
-    replay::run(trace, &Way::ours())
+    replay::run(trace, &Strategy::ours())
 }
 
 /// The generator and the committed traces must not part ways.
@@ -31,9 +31,9 @@
 #[rstest]
 fn no_deadline_passes_in_silence(#[files("../../traces/*.jsonl")] path: PathBuf) {
     let trace = Trace::read(&path).expect("the trace is committed");
-    for way in [Way::ours(), Way::alone()] {
-        let outcome = replay::run(&trace, &way);
-        assert_eq!(outcome.silent, 0, "{}", way.name);
+    for strategy in [Strategy::ours(), Strategy::alone()] {
+        let outcome = replay::run(&trace, &strategy);
+        assert_eq!(outcome.silent, 0, "{}", strategy.name);
         assert_eq!(
             outcome.served + outcome.given_up + outcome.late + outcome.broken,
             outcome.calls
@@ -44,11 +44,11 @@
 /// First requests for sixteen cold models come through three routers within 90 s. Each model is
 /// loaded once; loaded twice, the last crews would wait for the store twice as long.
 #[rstest]
-#[case::coordinated(Way::ours())]
-#[case::nobody_coordinates(Way::alone())]
-fn a_crews_morning_loads_each_model_once(#[case] way: Way) {
+#[case::coordinated(Strategy::ours())]
+#[case::nobody_coordinates(Strategy::alone())]
+fn a_crews_morning_loads_each_model_once(#[case] strategy: Strategy) {
     let trace = committed("crew-morning");
-    let outcome = replay::run(&trace, &way);
+    let outcome = replay::run(&trace, &strategy);
     assert_eq!(outcome.loads, 16);
     assert_eq!(outcome.served, outcome.calls);
     let bound = bound::store(&trace).as_millis() as u64;
@@ -76,8 +76,8 @@
 #[rstest]
 fn habits_cost_less_than_half_the_idle_hours() {
     let trace = committed("quiet-nights");
-    let ours = replay::run(&trace, &Way::weighed(80, 20));
-    let fixed = replay::run(&trace, &Way::fixed(FIXED_KEEP * 16));
+    let ours = replay::run(&trace, &Strategy::weighed(80, 20));
+    let fixed = replay::run(&trace, &Strategy::fixed(FIXED_KEEP * 16));
     assert!(ours.cold_mean_ms <= fixed.cold_mean_ms);
     assert!(ours.idle_hours * 2.0 <= fixed.idle_hours);
 }
@@ -87,14 +87,14 @@
 #[rstest]
 fn goodput_stays_flat_in_overload() {
     let minute = 3;
-    let good = |times, way: &Way| {
-        let outcome = replay::run(&generate::overload(1, times), way);
+    let good = |times, strategy: &Strategy| {
+        let outcome = replay::run(&generate::overload(1, times), strategy);
         assert_eq!(outcome.silent, 0);
         outcome.served_by_minute.get(&minute).copied().unwrap_or(0)
     };
-    let best = good(2.0, &Way::ours());
-    let at_ten = good(10.0, &Way::ours());
-    let first_come = good(10.0, &Way::first_come());
+    let best = good(2.0, &Strategy::ours());
+    let at_ten = good(10.0, &Strategy::ours());
+    let first_come = good(10.0, &Strategy::first_come());
     println!("served in a minute: {best} at twice, {at_ten} at ten times, fcfs {first_come}");
     assert!(at_ten * 100 >= best * 95, "{at_ten} against {best}");
     assert!(first_come * 2 < at_ten);
@@ -105,8 +105,8 @@
 #[rstest]
 fn a_flood_takes_no_share_for_longer_than_one_run() {
     let trace = generate::flood(1);
-    let longest = |way: &Way| replay::run(&trace, way).share_back_ms["crews"];
-    let (ours, first_come) = (longest(&Way::ours()), longest(&Way::first_come()));
+    let longest = |strategy: &Strategy| replay::run(&trace, strategy).share_back_ms["crews"];
+    let (ours, first_come) = (longest(&Strategy::ours()), longest(&Strategy::first_come()));
     println!("longest below share: {ours} ms, fcfs {first_come} ms");
     assert!(ours <= 2000, "{ours}");
     assert!(first_come > ours * 5, "{first_come}");
--- a/crates/corianderstand_replay/tests/scenarios.rs
+++ b/crates/corianderstand_replay/tests/scenarios.rs
@@ -3,8 +3,8 @@
 
 use corianderstand_replay::{
     bound, generate, replay,
+    strategies::{FIXED_KEEP, Strategy},
     trace::Trace,
-    ways::{FIXED_KEEP, Way},
 };
 use rhai::{Engine, EvalAltResult, Map};
 use rstest::rstest;
@@ -18,21 +18,21 @@
     Ok(all.find(|trace| trace.header.trace == name).ok_or("there is no trace of that name")?)
 }
 
-fn way(name: &str) -> Fallible<Way> {
+fn strategy(name: &str) -> Fallible<Strategy> {
     Ok(match name {
-        "ours" => Way::ours(),
-        "alone" => Way::alone(),
-        "fixed" => Way::fixed(FIXED_KEEP),
-        "lru" => Way::least_recent(),
-        "fcfs" => Way::first_come(),
-        "random" => Way::random(),
+        "ours" => Strategy::ours(),
+        "alone" => Strategy::alone(),
+        "fixed" => Strategy::fixed(FIXED_KEEP),
+        "lru" => Strategy::least_recent(),
+        "fcfs" => Strategy::first_come(),
+        "random" => Strategy::random(),
         _ => return Err("there is no way of that name".into()),
     })
 }
 
 fn outcome(name: &str, by: &str) -> Fallible<Map> {
     let trace = trace(name)?;
-    let outcome = replay::run(&trace, &way(by)?);
+    let outcome = replay::run(&trace, &strategy(by)?);
     let numbers = [
         ("calls", outcome.calls),
         ("served", outcome.served),
--- a/tools/measure/src/curve.rs
+++ b/tools/measure/src/curve.rs
@@ -1,6 +1,6 @@
 //! Cold-start tail against idle hours, as weights and fixed times move them.
 
-use corianderstand_replay::{generate, replay, trace::Trace, ways::Way};
+use corianderstand_replay::{generate, replay, strategies::Strategy, trace::Trace};
 use plotters::prelude::{
     BLACK, BLUE, ChartBuilder, Circle, Color, IntoDrawingArea, LineSeries, RED, SVGBackend, WHITE,
 };
@@ -20,7 +20,7 @@
     cold: u64,
 }
 
-fn points(trace: &Trace, ways: impl Iterator<Item = Way>) -> Vec<Point> {
+fn points(trace: &Trace, ways: impl Iterator<Item = Strategy>) -> Vec<Point> {
     ways.map(|way| {
         let outcome = replay::run(trace, &way);
         Point {
@@ -37,8 +37,10 @@
 /// Prints the points of both traces with habits and without, and draws the one with.
 pub fn draw(path: &Path) {
     for trace in [generate::market_days(1), generate::quiet_nights(1)] {
-        let ours = points(&trace, WEIGHTS.into_iter().map(|(tail, idle)| Way::weighed(tail, idle)));
-        let fixed = FIXED.into_iter().map(|minutes| Way::fixed(Duration::from_secs(minutes * 60)));
+        let ours =
+            points(&trace, WEIGHTS.into_iter().map(|(tail, idle)| Strategy::weighed(tail, idle)));
+        let fixed =
+            FIXED.into_iter().map(|minutes| Strategy::fixed(Duration::from_secs(minutes * 60)));
         let fixed = points(&trace, fixed);
         println!("{}", trace.header.trace);
         for point in ours.iter().chain(&fixed) {
--- a/tools/measure/src/main.rs
+++ b/tools/measure/src/main.rs
@@ -7,7 +7,7 @@
 mod cost;
 mod curve;
 
-use corianderstand_replay::{generate, replay, report::Report, trace::Trace, ways::Way};
+use corianderstand_replay::{generate, replay, report::Report, strategies::Strategy, trace::Trace};
 use std::{env, fs, path::Path, process::ExitCode};
 
 fn main() -> ExitCode {
@@ -45,10 +45,10 @@
     let all: Vec<Trace> = generate::committed().into_iter().chain(others).collect();
     let wanted = |trace: &&Trace| names.is_empty() || names.contains(&trace.header.trace.as_str());
     for trace in all.iter().filter(wanted) {
-        let outcomes: Vec<_> = Way::all().iter().map(|way| replay::run(trace, way)).collect();
+        let outcomes: Vec<_> = Strategy::all().iter().map(|way| replay::run(trace, way)).collect();
         for outcome in &outcomes {
             if !outcome.share_back_ms.is_empty() {
-                println!("{}: longest below share {:?}", outcome.way, outcome.share_back_ms);
+                println!("{}: longest below share {:?}", outcome.strategy, outcome.share_back_ms);
             }
         }
         println!("{}", Report::new(trace, outcomes).table());
