--- a/crates/corianderstand_replay/src/strategies.rs
+++ b/crates/corianderstand_replay/src/strategies.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The fixed time that the baseline keeps models warm.
-pub const FIXED_KEEP: Duration = Duration::from_secs(600);
+pub const FIXED_KEEP_ALIVE: Duration = Duration::from_secs(600);
 
 /// One way to decide.
 #[derives(data)]
@@ -78,7 +78,7 @@
         vec![
             Self::ours(),
             Self::alone(),
-            Self::fixed(FIXED_KEEP),
+            Self::fixed(FIXED_KEEP_ALIVE),
             Self::least_recent(),
             Self::first_come(),
             Self::random(),
--- a/crates/corianderstand_replay/tests/outcomes.rs
+++ b/crates/corianderstand_replay/tests/outcomes.rs
@@ -4,7 +4,7 @@
     bound, generate,
     measures::Outcome,
     replay,
-    strategies::{FIXED_KEEP, Strategy},
+    strategies::{FIXED_KEEP_ALIVE, Strategy},
     trace::Trace,
 };
 use rstest::rstest;
@@ -77,7 +77,7 @@
 fn habits_cost_less_than_half_the_idle_hours() {
     let trace = committed("quiet-nights");
     let ours = replay::run(&trace, &Strategy::weighed(80, 20));
-    let fixed = replay::run(&trace, &Strategy::fixed(FIXED_KEEP * 16));
+    let fixed = replay::run(&trace, &Strategy::fixed(FIXED_KEEP_ALIVE * 16));
     assert!(ours.cold_mean_ms <= fixed.cold_mean_ms);
     assert!(ours.idle_hours * 2.0 <= fixed.idle_hours);
 }
--- a/crates/corianderstand_replay/tests/scenarios.rs
+++ b/crates/corianderstand_replay/tests/scenarios.rs
@@ -3,7 +3,7 @@
 
 use corianderstand_replay::{
     bound, generate, replay,
-    strategies::{FIXED_KEEP, Strategy},
+    strategies::{FIXED_KEEP_ALIVE, Strategy},
     trace::Trace,
 };
 use rhai::{Engine, EvalAltResult, Map};
@@ -22,7 +22,7 @@
     Ok(match name {
         "ours" => Strategy::ours(),
         "alone" => Strategy::alone(),
-        "fixed" => Strategy::fixed(FIXED_KEEP),
+        "fixed" => Strategy::fixed(FIXED_KEEP_ALIVE),
         "lru" => Strategy::least_recent(),
         "fcfs" => Strategy::first_come(),
         "random" => Strategy::random(),
