--- a/crates/corianderstand_cli/src/replay.rs
+++ b/crates/corianderstand_cli/src/replay.rs
@@ -25,7 +25,7 @@
         }
     }
     let strategies =
-        if matches.opt_present("compare") { Strategy::all() } else { vec![Strategy::ours()] };
+        if matches.opt_present("compare") { Strategy::all() } else { vec![Strategy::standard()] };
     let outcomes = strategies.iter().map(|strategy| replay::run(&trace, strategy)).collect();
     let report = Report::new(&trace, outcomes);
     if matches.opt_present("json") {
--- a/crates/corianderstand_replay/src/lib.rs
+++ b/crates/corianderstand_replay/src/lib.rs
@@ -10,7 +10,7 @@
 //! use corianderstand_replay::{generate, replay, strategies::Strategy};
 //!
 //! let trace = generate::crew_morning(1);
-//! let outcome = replay::run(&trace, &Strategy::ours());
+//! let outcome = replay::run(&trace, &Strategy::standard());
 //! assert_eq!(outcome.late, 0);
 //! ```
 
--- a/crates/corianderstand_replay/src/strategies.rs
+++ b/crates/corianderstand_replay/src/strategies.rs
@@ -29,7 +29,7 @@
 
 impl Strategy {
     /// What the product does.
-    pub fn ours() -> Self {
+    pub fn standard() -> Self {
         Self {
             name: "ours".into(),
             policy: Policy::default(),
@@ -40,48 +40,48 @@
     }
 
     /// Ours while nobody coordinates the loads.
-    pub fn alone() -> Self {
-        Self { name: "alone".into(), coordinated: false, ..Self::ours() }
+    pub fn uncoordinated() -> Self {
+        Self { name: "alone".into(), coordinated: false, ..Self::standard() }
     }
 
     /// Ours, but each model is kept for a fixed time.
-    pub fn fixed(keep: Duration) -> Self {
+    pub fn fixed_keep_alive(keep: Duration) -> Self {
         let policy = Policy { keep_alive: KeepAlive::Fixed(keep), ..Policy::default() };
-        Self { name: format!("fixed {} s", keep.as_secs()).into(), policy, ..Self::ours() }
+        Self { name: format!("fixed {} s", keep.as_secs()).into(), policy, ..Self::standard() }
     }
 
     /// Ours, but the least recently used makes room.
-    pub fn least_recent() -> Self {
+    pub fn lru_eviction() -> Self {
         let policy = Policy { eviction: Eviction::LeastRecentlyUsed, ..Policy::default() };
-        Self { name: "lru".into(), policy, ..Self::ours() }
+        Self { name: "lru".into(), policy, ..Self::standard() }
     }
 
     /// Ours, but requests run as they came and nothing is refused for its deadline.
-    pub fn first_come() -> Self {
+    pub fn fifo() -> Self {
         let policy = Policy { order: QueueDiscipline::Fifo, ..Policy::default() };
-        Self { name: "fcfs".into(), policy, ..Self::ours() }
+        Self { name: "fcfs".into(), policy, ..Self::standard() }
     }
 
     /// Ours, but any target is taken.
-    pub fn random() -> Self {
-        Self { name: "random".into(), placement: BalancingPolicy::Random, ..Self::ours() }
+    pub fn random_placement() -> Self {
+        Self { name: "random".into(), placement: BalancingPolicy::Random, ..Self::standard() }
     }
 
     /// Ours with these weights in place of the trace's.
-    pub fn weighed(tail: u32, idle: u32) -> Self {
+    pub fn with_cost_factors(tail: u32, idle: u32) -> Self {
         let name = format!("ours {tail}:{idle}").into();
-        Self { name, weighing: Some((tail, idle)), ..Self::ours() }
+        Self { name, weighing: Some((tail, idle)), ..Self::standard() }
     }
 
     /// Ours and all baselines.
     pub fn all() -> Vec<Self> {
         vec![
-            Self::ours(),
-            Self::alone(),
-            Self::fixed(FIXED_KEEP_ALIVE),
-            Self::least_recent(),
-            Self::first_come(),
-            Self::random(),
+            Self::standard(),
+            Self::uncoordinated(),
+            Self::fixed_keep_alive(FIXED_KEEP_ALIVE),
+            Self::lru_eviction(),
+            Self::fifo(),
+            Self::random_placement(),
         ]
     }
 }
--- a/crates/corianderstand_replay/tests/outcomes.rs
+++ b/crates/corianderstand_replay/tests/outcomes.rs
@@ -16,7 +16,7 @@
 }
 
 fn ours(trace: &Trace) -> Outcome {
-    replay::run(trace, &Strategy::ours())
+    replay::run(trace, &Strategy::standard())
 }
 
 /// The generator and the committed traces must not part ways.
@@ -31,7 +31,7 @@
 #[rstest]
 fn no_deadline_passes_in_silence(#[files("../../traces/*.jsonl")] path: PathBuf) {
     let trace = Trace::read(&path).expect("the trace is committed");
-    for strategy in [Strategy::ours(), Strategy::alone()] {
+    for strategy in [Strategy::standard(), Strategy::uncoordinated()] {
         let outcome = replay::run(&trace, &strategy);
         assert_eq!(outcome.silent, 0, "{}", strategy.name);
         assert_eq!(
@@ -44,8 +44,8 @@
 /// First requests for sixteen cold models come through three routers within 90 s. Each model is
 /// loaded once; loaded twice, the last crews would wait for the store twice as long.
 #[rstest]
-#[case::coordinated(Strategy::ours())]
-#[case::nobody_coordinates(Strategy::alone())]
+#[case::coordinated(Strategy::standard())]
+#[case::nobody_coordinates(Strategy::uncoordinated())]
 fn a_crews_morning_loads_each_model_once(#[case] strategy: Strategy) {
     let trace = committed("crew-morning");
     let outcome = replay::run(&trace, &strategy);
@@ -76,8 +76,8 @@
 #[rstest]
 fn habits_cost_less_than_half_the_idle_hours() {
     let trace = committed("quiet-nights");
-    let ours = replay::run(&trace, &Strategy::weighed(80, 20));
-    let fixed = replay::run(&trace, &Strategy::fixed(FIXED_KEEP_ALIVE * 16));
+    let ours = replay::run(&trace, &Strategy::with_cost_factors(80, 20));
+    let fixed = replay::run(&trace, &Strategy::fixed_keep_alive(FIXED_KEEP_ALIVE * 16));
     assert!(ours.cold_mean_ms <= fixed.cold_mean_ms);
     assert!(ours.idle_hours * 2.0 <= fixed.idle_hours);
 }
@@ -92,9 +92,9 @@
         assert_eq!(outcome.silent, 0);
         outcome.served_by_minute.get(&minute).copied().unwrap_or(0)
     };
-    let best = good(2.0, &Strategy::ours());
-    let at_ten = good(10.0, &Strategy::ours());
-    let first_come = good(10.0, &Strategy::first_come());
+    let best = good(2.0, &Strategy::standard());
+    let at_ten = good(10.0, &Strategy::standard());
+    let first_come = good(10.0, &Strategy::fifo());
     println!("served in a minute: {best} at twice, {at_ten} at ten times, fcfs {first_come}");
     assert!(at_ten * 100 >= best * 95, "{at_ten} against {best}");
     assert!(first_come * 2 < at_ten);
@@ -106,7 +106,7 @@
 fn a_flood_takes_no_share_for_longer_than_one_run() {
     let trace = generate::flood(1);
     let longest = |strategy: &Strategy| replay::run(&trace, strategy).share_back_ms["crews"];
-    let (ours, first_come) = (longest(&Strategy::ours()), longest(&Strategy::first_come()));
+    let (ours, first_come) = (longest(&Strategy::standard()), longest(&Strategy::fifo()));
     println!("longest below share: {ours} ms, fcfs {first_come} ms");
     assert!(ours <= 2000, "{ours}");
     assert!(first_come > ours * 5, "{first_come}");
--- a/crates/corianderstand_replay/tests/scenarios.rs
+++ b/crates/corianderstand_replay/tests/scenarios.rs
@@ -20,12 +20,12 @@
 
 fn strategy(name: &str) -> Fallible<Strategy> {
     Ok(match name {
-        "ours" => Strategy::ours(),
-        "alone" => Strategy::alone(),
-        "fixed" => Strategy::fixed(FIXED_KEEP_ALIVE),
-        "lru" => Strategy::least_recent(),
-        "fcfs" => Strategy::first_come(),
-        "random" => Strategy::random(),
+        "ours" => Strategy::standard(),
+        "alone" => Strategy::uncoordinated(),
+        "fixed" => Strategy::fixed_keep_alive(FIXED_KEEP_ALIVE),
+        "lru" => Strategy::lru_eviction(),
+        "fcfs" => Strategy::fifo(),
+        "random" => Strategy::random_placement(),
         _ => return Err("there is no way of that name".into()),
     })
 }
--- a/tools/measure/src/curve.rs
+++ b/tools/measure/src/curve.rs
@@ -37,10 +37,13 @@
 /// Prints the points of both traces with habits and without, and draws the one with.
 pub fn draw(path: &Path) {
     for trace in [generate::market_days(1), generate::quiet_nights(1)] {
-        let ours =
-            points(&trace, WEIGHTS.into_iter().map(|(tail, idle)| Strategy::weighed(tail, idle)));
-        let fixed =
-            FIXED.into_iter().map(|minutes| Strategy::fixed(Duration::from_secs(minutes * 60)));
+        let ours = points(
+            &trace,
+            WEIGHTS.into_iter().map(|(tail, idle)| Strategy::with_cost_factors(tail, idle)),
+        );
+        let fixed = FIXED
+            .into_iter()
+            .map(|minutes| Strategy::fixed_keep_alive(Duration::from_secs(minutes * 60)));
         let fixed = points(&trace, fixed);
         println!("{}", trace.header.trace);
         for point in ours.iter().chain(&fixed) {
