--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -38,7 +38,8 @@
     /// Sizes of a trace, seen one way.
     pub fn new(header: &Header, strategy: &Strategy) -> Self {
         let models = header.models.iter().map(|model| {
-            let (tail, idle) = strategy.weighing.unwrap_or((model.weight_tail, model.weight_idle));
+            let (tail, idle) =
+                strategy.cost_factors.unwrap_or((model.weight_tail, model.weight_idle));
             let load = Duration::from_millis(model.load_ms);
             (model.name.clone(), (model.memory_mib, load, CostFactors { cold_start: tail, idle }))
         });
@@ -74,7 +75,7 @@
     }
 
     fn cost_factors(&self, model: &ModelId) -> CostFactors {
-        self.models.get(model).map_or_else(CostFactors::default, |(.., weighing)| *weighing)
+        self.models.get(model).map_or_else(CostFactors::default, |(.., cost_factors)| *cost_factors)
     }
 
     fn store(&self) -> StoreLimits {
--- a/crates/corianderstand_replay/src/strategies.rs
+++ b/crates/corianderstand_replay/src/strategies.rs
@@ -24,7 +24,7 @@
     /// Whether one process paces loads for all.
     pub coordinated: bool,
     /// Weights of the two measures, in place of those of the trace.
-    pub weighing: Option<(u32, u32)>,
+    pub cost_factors: Option<(u32, u32)>,
 }
 
 impl Strategy {
@@ -35,7 +35,7 @@
             policy: Policy::default(),
             placement: BalancingPolicy::LeastCost,
             coordinated: true,
-            weighing: None,
+            cost_factors: None,
         }
     }
 
@@ -70,7 +70,7 @@
     /// Ours with these weights in place of the trace's.
     pub fn with_cost_factors(tail: u32, idle: u32) -> Self {
         let name = format!("ours {tail}:{idle}").into();
-        Self { name, weighing: Some((tail, idle)), ..Self::standard() }
+        Self { name, cost_factors: Some((tail, idle)), ..Self::standard() }
     }
 
     /// Ours and all baselines.
