--- a/crates/corianderstand_replay/src/bound.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -12,7 +12,7 @@
 ///
 /// The loads that become wanted between two moments cannot all have ended before the store has
 /// passed them; whoever is last waits since its own moment, which is no later than the second.
-pub fn store(trace: &Trace) -> Duration {
+pub fn store_wait(trace: &Trace) -> Duration {
     let firsts = first_calls(trace);
     let store = trace.header.store;
     let mut bound = Duration::ZERO;
@@ -49,7 +49,7 @@
 ///
 /// One replica of each model, kept through the shortest gaps between calls and loaded just in
 /// time after none: with so many cold wakes allowed, the longest gaps are not kept.
-pub fn clairvoyant_hours(trace: &Trace, cold: usize) -> f64 {
+pub fn clairvoyant_idle_hours(trace: &Trace, cold: usize) -> f64 {
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
     let mut ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
     for line in &trace.lines {
--- a/crates/corianderstand_replay/src/lib.rs
+++ b/crates/corianderstand_replay/src/lib.rs
@@ -14,7 +14,7 @@
 //! assert_eq!(outcome.late, 0);
 //! ```
 
-pub mod bound;
+pub mod bounds;
 pub mod generate;
 pub mod measures;
 pub mod replay;
--- a/crates/corianderstand_replay/src/report.rs
+++ b/crates/corianderstand_replay/src/report.rs
@@ -1,6 +1,6 @@
 //! Prints outcomes side by side.
 
-use crate::{bound, measures::Outcome, trace::Trace};
+use crate::{bounds, measures::Outcome, trace::Trace};
 use corianderstand_derives::derives;
 use std::fmt::Write;
 
@@ -23,8 +23,8 @@
         let cold = outcomes.first().map_or(0, |outcome| outcome.cold as usize);
         Self {
             trace: trace.header.trace.to_string(),
-            store_bound_ms: bound::store(trace).as_millis() as u64,
-            clairvoyant_idle_hours: bound::clairvoyant_hours(trace, cold),
+            store_bound_ms: bounds::store_wait(trace).as_millis() as u64,
+            clairvoyant_idle_hours: bounds::clairvoyant_idle_hours(trace, cold),
             outcomes,
         }
     }
--- a/crates/corianderstand_replay/tests/outcomes.rs
+++ b/crates/corianderstand_replay/tests/outcomes.rs
@@ -1,7 +1,7 @@
 //! Stated outcomes of the committed and generated traces, for callers and for both measures.
 
 use corianderstand_replay::{
-    bound, generate,
+    bounds, generate,
     measures::Outcome,
     replay,
     strategies::{FIXED_KEEP_ALIVE, Strategy},
@@ -51,7 +51,7 @@
     let outcome = replay::run(&trace, &strategy);
     assert_eq!(outcome.loads, 16);
     assert_eq!(outcome.served, outcome.calls);
-    let bound = bound::store(&trace).as_millis() as u64;
+    let bound = bounds::store_wait(&trace).as_millis() as u64;
     assert!(outcome.cold_p99_ms * 100 <= bound * 140, "{} of {bound}", outcome.cold_p99_ms);
 }
 
--- a/crates/corianderstand_replay/tests/scenarios.rs
+++ b/crates/corianderstand_replay/tests/scenarios.rs
@@ -2,7 +2,7 @@
 //! `scenarios/decide/`. A script replays a generated trace in named ways and states outcomes.
 
 use corianderstand_replay::{
-    bound, generate, replay,
+    bounds, generate, replay,
     strategies::{FIXED_KEEP_ALIVE, Strategy},
     trace::Trace,
 };
@@ -43,7 +43,7 @@
         ("cold", outcome.cold),
         ("cold_p99_ms", outcome.cold_p99_ms),
         ("start_p99_ms", outcome.start_p99_ms),
-        ("bound_ms", bound::store(&trace).as_millis() as u64),
+        ("bound_ms", bounds::store_wait(&trace).as_millis() as u64),
     ];
     let mut map: Map = numbers.into_iter().map(|(k, v)| (k.into(), (v as i64).into())).collect();
     map.insert("idle_hours".into(), outcome.idle_hours.into());
