--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -1,7 +1,7 @@
 //! What no way to decide can beat.
 
 use crate::{
-    measures::WAKE_GAP,
+    outcome::IDLE_GAP,
     trace::{Happening, Trace},
 };
 use corianderstand_types::names::ModelId;
@@ -65,7 +65,7 @@
     }
     let allowed = cold.saturating_sub(ends.len());
     gaps.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let (wakes, within): (Vec<_>, Vec<_>) = gaps.into_iter().partition(|(_, gap)| *gap >= WAKE_GAP);
+    let (wakes, within): (Vec<_>, Vec<_>) = gaps.into_iter().partition(|(_, gap)| *gap >= IDLE_GAP);
     let kept = wakes.iter().skip(allowed).chain(&within);
     kept.map(|(hours, _)| hours).sum()
 }
--- a/crates/corianderstand_replay/src/lib.rs
+++ b/crates/corianderstand_replay/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub mod bounds;
 pub mod generate;
-pub mod measures;
+pub mod outcome;
 pub mod replay;
 pub mod report;
 pub mod strategies;
--- a/crates/corianderstand_replay/src/measures.rs
+++ b/crates/corianderstand_replay/src/outcome.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// A call to a model that was not called for this long is a wake.
-pub const WAKE_GAP: Duration = Duration::from_secs(60);
+pub const IDLE_GAP: Duration = Duration::from_secs(60);
 
 /// The outcome of one replay.
 #[derives(wire)]
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -5,7 +5,7 @@
 use crate::{
     callers::{Caller, PATIENCE},
     engines::{Engine, Flight, TraceSizes},
-    measures::{Outcome, WAKE_GAP},
+    outcome::{IDLE_GAP, Outcome},
     store::Store,
     strategies::Strategy,
     trace::{Call, Fault, Happening, Trace},
@@ -225,7 +225,7 @@
     fn first_asked(&mut self, call: &Call) {
         let now = self.clock.elapsed();
         let last = self.last_calls.insert(call.model.clone(), now);
-        let wakes = last.is_none_or(|last| now - last >= WAKE_GAP);
+        let wakes = last.is_none_or(|last| now - last >= IDLE_GAP);
         self.outcome.calls += 1;
         self.callers.push(Caller::new(call, now, wakes));
         self.ask(self.callers.len() - 1);
--- a/crates/corianderstand_replay/src/report.rs
+++ b/crates/corianderstand_replay/src/report.rs
@@ -1,6 +1,6 @@
 //! Prints outcomes side by side.
 
-use crate::{bounds, measures::Outcome, trace::Trace};
+use crate::{bounds, outcome::Outcome, trace::Trace};
 use corianderstand_derives::derives;
 use std::fmt::Write;
 
--- a/crates/corianderstand_replay/tests/outcomes.rs
+++ b/crates/corianderstand_replay/tests/outcomes.rs
@@ -2,7 +2,7 @@
 
 use corianderstand_replay::{
     bounds, generate,
-    measures::Outcome,
+    outcome::Outcome,
     replay,
     strategies::{FIXED_KEEP_ALIVE, Strategy},
     trace::Trace,
