--- a/crates/corianderstand_replay/src/callers.rs
+++ b/crates/corianderstand_replay/src/callers.rs
@@ -16,7 +16,7 @@
     /// When the present try must be answered.
     pub deadline: Duration,
     /// Whether its model had not been called for a while.
-    pub wakes: bool,
+    pub is_wake: bool,
     /// Whether the present try still waits for an answer.
     pub waits: bool,
     /// Whether the first token of some try has come.
@@ -25,9 +25,9 @@
 
 impl Caller {
     /// A caller that asks now.
-    pub fn new(call: &Call, now: Duration, wakes: bool) -> Self {
+    pub fn new(call: &Call, now: Duration, is_wake: bool) -> Self {
         let deadline = now + Duration::from_millis(call.deadline_ms);
-        Self { call: call.clone(), first: now, deadline, wakes, waits: true, started: false }
+        Self { call: call.clone(), first: now, deadline, is_wake, waits: true, started: false }
     }
 
     /// Whether it comes back after a refusal.
--- a/crates/corianderstand_replay/src/outcome.rs
+++ b/crates/corianderstand_replay/src/outcome.rs
@@ -25,17 +25,18 @@
     /// Tries that ran over their deadline and were cut off there.
     pub late: u64,
     /// Tries whose deadline passed without any answer: must be none.
-    pub silent: u64,
+    #[serde(rename = "silent")]
+    pub unanswered: u64,
     /// Calls whose host was lost under way, and which were told.
     pub broken: u64,
     /// Loads ordered.
     pub loads: u64,
     /// Time from the first asking to the first token of each wake, sorted.
     #[serde(skip)]
-    pub wakes: Vec<Duration>,
+    pub wake_latencies: Vec<Duration>,
     /// The same for all calls, sorted.
     #[serde(skip)]
-    pub starts: Vec<Duration>,
+    pub first_token_latencies: Vec<Duration>,
     /// Wakes.
     pub wake_count: u64,
     /// Wakes that waited for a load.
@@ -53,7 +54,8 @@
     /// Calls served in time, in each minute.
     pub served_by_minute: BTreeMap<u64, u64>,
     /// Longest time that a team with waiting work was below its share, by team.
-    pub share_back_ms: BTreeMap<SmolStr, u64>,
+    #[serde(rename = "share_back_ms")]
+    pub longest_share_deficit_ms: BTreeMap<SmolStr, u64>,
 }
 
 /// The value below which this part, in hundredths, of sorted values lies.
@@ -63,27 +65,28 @@
 }
 
 /// A wake that took at least this long waited for a load.
-const COLD_FROM: Duration = Duration::from_millis(500);
+const COLD_THRESHOLD: Duration = Duration::from_millis(500);
 
 impl Outcome {
     /// Notes that a call's first token came.
-    pub fn note_start(&mut self, wake: bool, took: Duration) {
-        self.starts.push(took);
-        if wake {
-            self.wakes.push(took);
+    pub fn record_first_token(&mut self, is_wake: bool, took: Duration) {
+        self.first_token_latencies.push(took);
+        if is_wake {
+            self.wake_latencies.push(took);
         }
     }
 
     /// Works out the sums once all is over.
     pub fn finish(&mut self) {
-        self.wakes.sort_unstable();
-        self.starts.sort_unstable();
-        self.wake_count = self.wakes.len() as u64;
-        self.cold = self.wakes.iter().filter(|took| **took >= COLD_FROM).count() as u64;
-        self.cold_p50_ms = percentile(&self.wakes, 50).as_millis() as u64;
-        self.cold_p99_ms = percentile(&self.wakes, 99).as_millis() as u64;
-        let sum: Duration = self.wakes.iter().sum();
-        self.cold_mean_ms = (sum.as_millis() / (self.wakes.len().max(1) as u128)) as u64;
-        self.start_p99_ms = percentile(&self.starts, 99).as_millis() as u64;
+        self.wake_latencies.sort_unstable();
+        self.first_token_latencies.sort_unstable();
+        self.wake_count = self.wake_latencies.len() as u64;
+        self.cold =
+            self.wake_latencies.iter().filter(|took| **took >= COLD_THRESHOLD).count() as u64;
+        self.cold_p50_ms = percentile(&self.wake_latencies, 50).as_millis() as u64;
+        self.cold_p99_ms = percentile(&self.wake_latencies, 99).as_millis() as u64;
+        let sum: Duration = self.wake_latencies.iter().sum();
+        self.cold_mean_ms = (sum.as_millis() / (self.wake_latencies.len().max(1) as u128)) as u64;
+        self.start_p99_ms = percentile(&self.first_token_latencies, 99).as_millis() as u64;
     }
 }
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -225,9 +225,9 @@
     fn first_asked(&mut self, call: &Call) {
         let now = self.clock.elapsed();
         let last = self.last_calls.insert(call.model.clone(), now);
-        let wakes = last.is_none_or(|last| now - last >= IDLE_GAP);
+        let is_wake = last.is_none_or(|last| now - last >= IDLE_GAP);
         self.outcome.calls += 1;
-        self.callers.push(Caller::new(call, now, wakes));
+        self.callers.push(Caller::new(call, now, is_wake));
         self.ask(self.callers.len() - 1);
     }
 
@@ -332,7 +332,7 @@
         flight.began = Some(now);
         let caller = &mut self.callers[flight.caller];
         if !std::mem::replace(&mut caller.started, true) {
-            self.outcome.note_start(caller.wakes, now - caller.first);
+            self.outcome.record_first_token(caller.is_wake, now - caller.first);
         }
         let token_ms = self.trace.token_ms(&caller.call.model);
         let took = Duration::from_millis(caller.call.tokens * token_ms).mul_f64(slower);
@@ -376,7 +376,7 @@
         caller_state.waits = false;
         self.outcome.refusals += 1;
         if now > caller_state.deadline {
-            self.outcome.silent += 1;
+            self.outcome.unanswered += 1;
         }
         if caller_state.comes_back(at) {
             self.plan(at, Event::Ask(caller));
@@ -459,7 +459,7 @@
             engine.count_idle(end);
             self.outcome.idle_hours += engine.idle_hours;
         }
-        self.outcome.silent += self.callers.iter().filter(|caller| caller.waits).count() as u64;
+        self.outcome.unanswered += self.callers.iter().filter(|caller| caller.waits).count() as u64;
         self.outcome.finish();
         self.outcome
     }
@@ -475,7 +475,7 @@
     if below {
         since.entry(team.clone()).or_insert(now);
     } else if let Some(since) = since.remove(team) {
-        let longest = outcome.share_back_ms.entry(team.0.clone()).or_default();
+        let longest = outcome.longest_share_deficit_ms.entry(team.0.clone()).or_default();
         *longest = (*longest).max((now - since).as_millis() as u64);
     }
 }
--- a/crates/corianderstand_replay/src/report.rs
+++ b/crates/corianderstand_replay/src/report.rs
@@ -53,7 +53,7 @@
                 o.served.to_string(),
                 o.given_up.to_string(),
                 o.late.to_string(),
-                o.silent.to_string(),
+                o.unanswered.to_string(),
                 o.refusals.to_string(),
                 o.loads.to_string(),
                 o.wake_count.to_string(),
--- a/crates/corianderstand_replay/tests/outcomes.rs
+++ b/crates/corianderstand_replay/tests/outcomes.rs
@@ -33,7 +33,7 @@
     let trace = Trace::read(&path).expect("the trace is committed");
     for strategy in [Strategy::standard(), Strategy::uncoordinated()] {
         let outcome = replay::run(&trace, &strategy);
-        assert_eq!(outcome.silent, 0, "{}", strategy.name);
+        assert_eq!(outcome.unanswered, 0, "{}", strategy.name);
         assert_eq!(
             outcome.served + outcome.given_up + outcome.late + outcome.broken,
             outcome.calls
@@ -89,7 +89,7 @@
     let minute = 3;
     let good = |times, strategy: &Strategy| {
         let outcome = replay::run(&generate::overload(1, times), strategy);
-        assert_eq!(outcome.silent, 0);
+        assert_eq!(outcome.unanswered, 0);
         outcome.served_by_minute.get(&minute).copied().unwrap_or(0)
     };
     let best = good(2.0, &Strategy::standard());
@@ -105,7 +105,8 @@
 #[rstest]
 fn a_flood_takes_no_share_for_longer_than_one_run() {
     let trace = generate::flood(1);
-    let longest = |strategy: &Strategy| replay::run(&trace, strategy).share_back_ms["crews"];
+    let longest =
+        |strategy: &Strategy| replay::run(&trace, strategy).longest_share_deficit_ms["crews"];
     let (ours, first_come) = (longest(&Strategy::standard()), longest(&Strategy::fifo()));
     println!("longest below share: {ours} ms, fcfs {first_come} ms");
     assert!(ours <= 2000, "{ours}");
--- a/crates/corianderstand_replay/tests/scenarios.rs
+++ b/crates/corianderstand_replay/tests/scenarios.rs
@@ -38,7 +38,7 @@
         ("served", outcome.served),
         ("given_up", outcome.given_up),
         ("late", outcome.late),
-        ("silent", outcome.silent),
+        ("silent", outcome.unanswered),
         ("loads", outcome.loads),
         ("cold", outcome.cold),
         ("cold_p99_ms", outcome.cold_p99_ms),
--- a/tools/measure/src/main.rs
+++ b/tools/measure/src/main.rs
@@ -47,8 +47,11 @@
     for trace in all.iter().filter(wanted) {
         let outcomes: Vec<_> = Strategy::all().iter().map(|way| replay::run(trace, way)).collect();
         for outcome in &outcomes {
-            if !outcome.share_back_ms.is_empty() {
-                println!("{}: longest below share {:?}", outcome.strategy, outcome.share_back_ms);
+            if !outcome.longest_share_deficit_ms.is_empty() {
+                println!(
+                    "{}: longest below share {:?}",
+                    outcome.strategy, outcome.longest_share_deficit_ms
+                );
             }
         }
         println!("{}", Report::new(trace, outcomes).table());
