--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     outcome::IDLE_GAP,
-    trace::{Happening, Trace},
+    trace::{Trace, TraceEvent},
 };
 use corianderstand_types::names::ModelId;
 use std::{collections::BTreeMap, time::Duration};
@@ -32,7 +32,7 @@
 fn first_calls(trace: &Trace) -> Vec<(Duration, Duration)> {
     let mut firsts: BTreeMap<&ModelId, Duration> = BTreeMap::new();
     for line in &trace.lines {
-        if let Happening::Call(call) = &line.what {
+        if let TraceEvent::Call(call) = &line.event {
             firsts.entry(&call.model).or_insert(Duration::from_millis(line.at_ms));
         }
     }
@@ -53,7 +53,7 @@
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
     let mut ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
     for line in &trace.lines {
-        let Happening::Call(call) = &line.what else { continue };
+        let TraceEvent::Call(call) = &line.event else { continue };
         let at = Duration::from_millis(line.at_ms);
         let end = at + Duration::from_millis(call.tokens * token_ms(trace, &call.model));
         let before = ends.get(&call.model).copied();
--- a/crates/corianderstand_replay/src/generate.rs
+++ b/crates/corianderstand_replay/src/generate.rs
@@ -5,7 +5,7 @@
 //! format replaces them.
 
 use crate::trace::{
-    Call, EngineLine, Fault, Happening, Header, Line, ModelLine, StoreLine, TeamLine, Trace,
+    Call, EngineLine, Fault, Header, Line, ModelLine, StoreLine, TeamLine, Trace, TraceEvent,
 };
 use corianderstand_types::names::{ModelId, TargetId};
 use rand::{Rng, RngExt, SeedableRng};
@@ -115,11 +115,11 @@
             deadline_ms,
             session: None,
         };
-        self.lines.push(Line { at_ms, what: Happening::Call(call) });
+        self.lines.push(Line { at_ms, event: TraceEvent::Call(call) });
     }
 
     fn fault(&mut self, at_ms: u64, fault: Fault) {
-        self.lines.push(Line { at_ms, what: Happening::Fault(fault) });
+        self.lines.push(Line { at_ms, event: TraceEvent::Fault(fault) });
     }
 
     /// Calls of one model within a time, at random moments.
@@ -162,7 +162,7 @@
         for _ in 0..4 {
             let tokens = maker.rng.random_range(400..1200);
             maker.call(at, number, tokens, 10 * MINUTE);
-            if let Some(Line { what: Happening::Call(call), .. }) = maker.lines.last_mut() {
+            if let Some(Line { event: TraceEvent::Call(call), .. }) = maker.lines.last_mut() {
                 call.session = Some(session);
                 call.adapter = Some(format!("club-{}", session % 14).into());
                 call.team = "design".into();
@@ -266,7 +266,7 @@
         maker.call(index * 200, 0, 100, 20 * SECOND);
     }
     for line in &mut maker.lines {
-        if let Happening::Call(call) = &mut line.what {
+        if let TraceEvent::Call(call) = &mut line.event {
             call.team = "crews".into();
         }
     }
@@ -276,7 +276,7 @@
         maker.call(at, 0, 100, 20 * SECOND);
     }
     for line in &mut maker.lines[steady..] {
-        if let Happening::Call(call) = &mut line.what {
+        if let TraceEvent::Call(call) = &mut line.event {
             call.team = "office".into();
             call.urgency = 2;
         }
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -8,7 +8,7 @@
     outcome::{IDLE_GAP, Outcome},
     store::Store,
     strategies::Strategy,
-    trace::{Call, Fault, Happening, Trace},
+    trace::{Call, Fault, Trace, TraceEvent},
 };
 use corianderstand_decide::{
     agent::Action,
@@ -203,17 +203,17 @@
     fn line(&mut self, index: usize) {
         self.plan_line(index + 1);
         let trace = self.trace;
-        match &trace.lines[index].what {
-            Happening::Call(call) => self.first_asked(call),
-            Happening::Fault(Fault::StoreSlower(times)) => {
+        match &trace.lines[index].event {
+            TraceEvent::Call(call) => self.first_asked(call),
+            TraceEvent::Fault(Fault::StoreSlower(times)) => {
                 self.store.set_slower(self.clock.elapsed(), *times);
                 self.plan_store();
             }
-            Happening::Fault(Fault::EngineSlower { engine, times }) => {
+            TraceEvent::Fault(Fault::EngineSlower { engine, times }) => {
                 let engine = self.engine(engine);
                 self.engines[engine].slower = *times;
             }
-            Happening::Fault(Fault::HostGone(engine)) => self.host_gone(self.engine(engine)),
+            TraceEvent::Fault(Fault::HostGone(engine)) => self.host_gone(self.engine(engine)),
         }
     }
 
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -126,7 +126,7 @@
 /// What a line says.
 #[derives(wire)]
 #[serde(rename_all = "snake_case")]
-pub enum Happening {
+pub enum TraceEvent {
     /// A call comes.
     Call(Call),
     /// Something goes wrong.
@@ -140,7 +140,7 @@
     pub at_ms: u64,
     /// What happens.
     #[serde(flatten)]
-    pub what: Happening,
+    pub event: TraceEvent,
 }
 
 /// A trace.
@@ -204,14 +204,14 @@
             return Err(TraceError::Order(number));
         }
         let unknown = |what| Err(TraceError::Unknown(number, what));
-        match &line.what {
-            Happening::Call(call) if call.router >= self.header.routers.len() => {
+        match &line.event {
+            TraceEvent::Call(call) if call.router >= self.header.routers.len() => {
                 unknown("a router")
             }
-            Happening::Call(call) if !self.header.models.iter().any(|m| m.name == call.model) => {
+            TraceEvent::Call(call) if !self.header.models.iter().any(|m| m.name == call.model) => {
                 unknown("a model")
             }
-            Happening::Fault(Fault::HostGone(engine) | Fault::EngineSlower { engine, .. })
+            TraceEvent::Fault(Fault::HostGone(engine) | Fault::EngineSlower { engine, .. })
                 if !self.header.engines.iter().any(|e| e.name == *engine) =>
             {
                 unknown("an engine")
