--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     strategies::Strategy,
-    trace::{EngineLine, Header},
+    trace::{EngineSpec, Header},
 };
 use corianderstand_decide::{
     agent::{Agent, Limits},
@@ -99,7 +99,7 @@
 /// An agent and its fake engine.
 pub struct Engine {
     /// What the trace says of it.
-    pub line: EngineLine,
+    pub line: EngineSpec,
     /// The agent.
     pub agent: Agent,
     /// Times that its answers take longer.
@@ -119,7 +119,7 @@
 
 impl Engine {
     /// An empty engine that owns slots of these models.
-    pub fn new(line: &EngineLine, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
+    pub fn new(line: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
         let limits = Limits { concurrency: line.concurrency, queue: QUEUE };
         let mut agent = Agent::with_policy(limits, Mib(line.memory_mib), strategy.policy);
         agent.set_slots(slots);
--- a/crates/corianderstand_replay/src/generate.rs
+++ b/crates/corianderstand_replay/src/generate.rs
@@ -5,7 +5,7 @@
 //! format replaces them.
 
 use crate::trace::{
-    Call, EngineLine, Fault, Header, Line, ModelLine, StoreLine, TeamLine, Trace, TraceEvent,
+    Call, EngineSpec, Fault, Header, Line, ModelSpec, StoreSpec, Trace, TraceEvent, WorkspaceSpec,
 };
 use corianderstand_types::names::{ModelId, TargetId};
 use rand::{Rng, RngExt, SeedableRng};
@@ -27,7 +27,7 @@
     engine: &'static str,
     models: usize,
     teams: &'static [(&'static str, u32)],
-    store: StoreLine,
+    store: StoreSpec,
     weights: (u32, u32),
 }
 
@@ -36,7 +36,7 @@
     engine: "redactor",
     models: 30,
     teams: &[("crews", 600), ("office", 400)],
-    store: StoreLine { per_second: 2, concurrent: 4 },
+    store: StoreSpec { per_second: 2, concurrent: 4 },
     weights: (80, 20),
 };
 
@@ -45,7 +45,7 @@
     engine: "kit-assistant",
     models: 20,
     teams: &[("design", 500), ("managers", 300), ("parents", 200)],
-    store: StoreLine { per_second: 3, concurrent: 4 },
+    store: StoreSpec { per_second: 3, concurrent: 4 },
     weights: (20, 80),
 };
 
@@ -56,14 +56,14 @@
 
 fn header(of: &Deployment, trace: &str, about: &str, begins: u64) -> Header {
     let engine = |number: usize| -> TargetId { format!("{}-{number}", of.engine).as_str().into() };
-    let engines = (0..ENGINES).map(|number| EngineLine {
+    let engines = (0..ENGINES).map(|number| EngineSpec {
         name: engine(number),
         place: of.places[number % of.places.len()].into(),
         memory_mib: ENGINE_MIB,
         concurrency: 16,
         accelerators: 1,
     });
-    let models = (0..of.models).map(|number| ModelLine {
+    let models = (0..of.models).map(|number| ModelSpec {
         name: model(number),
         memory_mib: (12 + number as u64 * 7 % 20) * GIB,
         load_ms: (12 + number as u64 * 7 % 20) * SECOND,
@@ -82,7 +82,7 @@
         teams: of
             .teams
             .iter()
-            .map(|(name, share)| TeamLine { name: (*name).into(), share: *share })
+            .map(|(name, share)| WorkspaceSpec { name: (*name).into(), share: *share })
             .collect(),
         store: of.store,
     }
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -11,7 +11,7 @@
 
 /// An engine.
 #[derives(wire)]
-pub struct EngineLine {
+pub struct EngineSpec {
     /// Its name.
     pub name: TargetId,
     /// Its availability zone.
@@ -26,7 +26,7 @@
 
 /// A model.
 #[derives(wire)]
-pub struct ModelLine {
+pub struct ModelSpec {
     /// Its name.
     pub name: ModelId,
     /// Memory of a replica.
@@ -45,7 +45,7 @@
 
 /// A team.
 #[derives(wire)]
-pub struct TeamLine {
+pub struct WorkspaceSpec {
     /// Its name.
     pub name: WorkspaceId,
     /// Its guaranteed share in thousandths.
@@ -55,7 +55,7 @@
 /// The weight store.
 #[derives(wire)]
 #[derive(Copy)]
-pub struct StoreLine {
+pub struct StoreSpec {
     /// Loads that may start in a second.
     pub per_second: u32,
     /// Loads that run side by side at full speed.
@@ -74,13 +74,13 @@
     /// Availability zone of each router.
     pub routers: Vec<AvailabilityZoneId>,
     /// Engines.
-    pub engines: Vec<EngineLine>,
+    pub engines: Vec<EngineSpec>,
     /// Models.
-    pub models: Vec<ModelLine>,
+    pub models: Vec<ModelSpec>,
     /// Teams.
-    pub teams: Vec<TeamLine>,
+    pub teams: Vec<WorkspaceSpec>,
     /// The weight store.
-    pub store: StoreLine,
+    pub store: StoreSpec,
 }
 
 /// A call.
