--- a/crates/corianderstand_replay/src/generate.rs
+++ b/crates/corianderstand_replay/src/generate.rs
@@ -23,7 +23,7 @@
 
 /// What differs between the two deployments.
 struct Deployment {
-    places: [&'static str; 3],
+    zones: [&'static str; 3],
     engine: &'static str,
     models: usize,
     teams: &'static [(&'static str, u32)],
@@ -32,7 +32,7 @@
 }
 
 const VIDRIO: Deployment = Deployment {
-    places: ["conce", "talca-hall", "losangeles"],
+    zones: ["conce", "talca-hall", "losangeles"],
     engine: "redactor",
     models: 30,
     teams: &[("crews", 600), ("office", 400)],
@@ -41,7 +41,7 @@
 };
 
 const HINOKUNI: Deployment = Deployment {
-    places: ["kumamoto-a", "kumamoto-b", "fukuoka-c"],
+    zones: ["kumamoto-a", "kumamoto-b", "fukuoka-c"],
     engine: "kit-assistant",
     models: 20,
     teams: &[("design", 500), ("managers", 300), ("parents", 200)],
@@ -58,7 +58,7 @@
     let engine = |number: usize| -> TargetId { format!("{}-{number}", of.engine).as_str().into() };
     let engines = (0..ENGINES).map(|number| EngineSpec {
         name: engine(number),
-        place: of.places[number % of.places.len()].into(),
+        zone: of.zones[number % of.zones.len()].into(),
         memory_mib: ENGINE_MIB,
         concurrency: 16,
         accelerators: 1,
@@ -76,7 +76,7 @@
         trace: trace.into(),
         about: about.into(),
         begins: begins / SECOND,
-        routers: of.places.iter().map(|place| (*place).into()).collect(),
+        routers: of.zones.iter().map(|zone| (*zone).into()).collect(),
         engines: engines.collect(),
         models: models.collect(),
         teams: of
@@ -92,13 +92,13 @@
     format!("model-{number}").as_str().into()
 }
 
-struct Maker {
+struct TraceBuilder {
     rng: ChaCha8Rng,
     header: Header,
     lines: Vec<Line>,
 }
 
-impl Maker {
+impl TraceBuilder {
     fn new(seed: u64, header: Header) -> Self {
         Self { rng: ChaCha8Rng::seed_from_u64(seed), header, lines: Vec::new() }
     }
@@ -123,15 +123,15 @@
     }
 
     /// Calls of one model within a time, at random moments.
-    fn burst(&mut self, at_ms: u64, within: u64, number: usize, calls: usize) {
+    fn burst(&mut self, at_ms: u64, window_ms: u64, number: usize, calls: usize) {
         for _ in 0..calls {
-            let at = at_ms + self.rng.random_range(0..within);
+            let at = at_ms + self.rng.random_range(0..window_ms);
             let tokens = self.rng.random_range(40..160);
             self.call(at, number, tokens, 120 * SECOND);
         }
     }
 
-    fn trace(mut self) -> Trace {
+    fn build(mut self) -> Trace {
         self.lines.sort_by_key(|line| line.at_ms);
         Trace { header: self.header, lines: self.lines }
     }
@@ -140,70 +140,71 @@
 /// First requests for sixteen models within a minute and a half, all cold.
 pub fn crew_morning(seed: u64) -> Trace {
     let about = "a crew's morning at Vidrio Sur: sixteen cold models within 90 s";
-    let mut maker = Maker::new(seed, header(&VIDRIO, "crew-morning", about, 7 * HOUR));
-    crew_burst(&mut maker);
-    maker.trace()
+    let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "crew-morning", about, 7 * HOUR));
+    crew_burst(&mut builder);
+    builder.build()
 }
 
-fn crew_burst(maker: &mut Maker) {
+fn crew_burst(builder: &mut TraceBuilder) {
     for number in 0..16 {
-        let first = maker.rng.random_range(0..20 * SECOND);
-        maker.burst(first, 70 * SECOND, number, 15);
+        let first = builder.rng.random_range(0..20 * SECOND);
+        builder.burst(first, 70 * SECOND, number, 15);
     }
 }
 
 /// A team's evening meeting: long design chats and short summaries, with adapters.
 pub fn evening_meeting(seed: u64) -> Trace {
     let about = "an evening meeting at Hinokuni: long chats with adapters, short summaries";
-    let mut maker = Maker::new(seed, header(&HINOKUNI, "evening-meeting", about, 18 * HOUR));
+    let mut builder =
+        TraceBuilder::new(seed, header(&HINOKUNI, "evening-meeting", about, 18 * HOUR));
     for session in 0..60 {
         let number = (session % 8) as usize;
-        let mut at = maker.rng.random_range(0..2 * MINUTE);
+        let mut at = builder.rng.random_range(0..2 * MINUTE);
         for _ in 0..4 {
-            let tokens = maker.rng.random_range(400..1200);
-            maker.call(at, number, tokens, 10 * MINUTE);
-            if let Some(Line { event: TraceEvent::Call(call), .. }) = maker.lines.last_mut() {
+            let tokens = builder.rng.random_range(400..1200);
+            builder.call(at, number, tokens, 10 * MINUTE);
+            if let Some(Line { event: TraceEvent::Call(call), .. }) = builder.lines.last_mut() {
                 call.session = Some(session);
                 call.adapter = Some(format!("club-{}", session % 14).into());
                 call.team = "design".into();
             }
-            at += tokens * 20 + maker.rng.random_range(10 * SECOND..60 * SECOND);
+            at += tokens * 20 + builder.rng.random_range(10 * SECOND..60 * SECOND);
         }
     }
-    (0..8).for_each(|number| maker.burst(10 * SECOND, 8 * MINUTE, number, 30));
-    maker.trace()
+    (0..8).for_each(|number| builder.burst(10 * SECOND, 8 * MINUTE, number, 30));
+    builder.build()
 }
 
 /// Ten days with a morning and an evening, and quiet nights between.
 pub fn quiet_nights(seed: u64) -> Trace {
     let about = "ten days at Hinokuni: mornings and evenings by habit, quiet nights";
-    let mut maker = Maker::new(seed, header(&HINOKUNI, "quiet-nights", about, 0));
+    let mut builder = TraceBuilder::new(seed, header(&HINOKUNI, "quiet-nights", about, 0));
     for day in 0..DAYS {
         for number in 0..10 {
-            let scatter = maker.rng.random_range(0..10 * MINUTE);
+            let scatter = builder.rng.random_range(0..10 * MINUTE);
             let morning = 8 * HOUR + 30 * MINUTE + number as u64 * 2 * MINUTE;
-            maker.burst(day * DAY + morning + scatter, 15 * MINUTE, number, 6);
-            let scatter = maker.rng.random_range(0..12 * MINUTE);
+            builder.burst(day * DAY + morning + scatter, 15 * MINUTE, number, 6);
+            let scatter = builder.rng.random_range(0..12 * MINUTE);
             let evening = 18 * HOUR + number as u64 * 2 * MINUTE;
-            maker.burst(day * DAY + evening + scatter, 40 * MINUTE, number, 6);
+            builder.burst(day * DAY + evening + scatter, 40 * MINUTE, number, 6);
         }
     }
-    maker.trace()
+    builder.build()
 }
 
 /// Ten days of calls without pattern, in sessions of a few calls.
 pub fn market_days(seed: u64) -> Trace {
     let about = "ten market days at Vidrio Sur: sessions at any time, without pattern";
-    let mut maker = Maker::new(seed, header(&VIDRIO, "market-days", about, 0));
+    let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "market-days", about, 0));
     for number in 0..12 {
         let mean = (2 + number as u64) * HOUR;
-        let mut at = maker.rng.random_range(0..mean);
+        let mut at = builder.rng.random_range(0..mean);
         while at < DAYS * DAY {
-            maker.burst(at, 8 * MINUTE, number, 4);
-            at += exponential(&mut maker.rng, mean);
+            builder.burst(at, 8 * MINUTE, number, 4);
+            at += exponential(&mut builder.rng, mean);
         }
     }
-    maker.trace()
+    builder.build()
 }
 
 fn exponential(rng: &mut impl Rng, mean: u64) -> u64 {
@@ -214,74 +215,74 @@
 /// The crew's morning, and a host is reclaimed in the middle of it.
 pub fn reclaimed_host(seed: u64) -> Trace {
     let about = "a crew's morning at Vidrio Sur, in which a host is reclaimed";
-    let mut maker = Maker::new(seed, header(&VIDRIO, "reclaimed-host", about, 7 * HOUR));
-    crew_burst(&mut maker);
-    maker.fault(30 * SECOND, Fault::HostGone("redactor-5".into()));
-    maker.trace()
+    let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "reclaimed-host", about, 7 * HOUR));
+    crew_burst(&mut builder);
+    builder.fault(30 * SECOND, Fault::HostGone("redactor-5".into()));
+    builder.build()
 }
 
 /// The crew's morning with a weight store four times slower than stated.
 pub fn slow_store(seed: u64) -> Trace {
     let about = "a crew's morning at Vidrio Sur, with a weight store four times slower than stated";
-    let mut maker = Maker::new(seed, header(&VIDRIO, "slow-store", about, 7 * HOUR));
-    maker.fault(0, Fault::StoreSlower(4.0));
-    crew_burst(&mut maker);
-    maker.trace()
+    let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "slow-store", about, 7 * HOUR));
+    builder.fault(0, Fault::StoreSlower(4.0));
+    crew_burst(&mut builder);
+    builder.build()
 }
 
 /// Calls at so many times what all engines together can serve, for a few minutes.
 pub fn overload(seed: u64, times: f64) -> Trace {
     let about = "all engines of Vidrio Sur warm, and calls at a multiple of what they can serve";
-    let mut maker = Maker::new(seed, header(&VIDRIO, "overload", about, 12 * HOUR));
+    let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "overload", about, 12 * HOUR));
     // 9 engines, 16 at once, 100 tokens of 20 ms each: 72 a second.
     let per_second = 72.0 * times;
     let first = 2 * MINUTE;
-    (0..ENGINES).for_each(|number| maker.call(0, number, 100, 300 * SECOND));
+    (0..ENGINES).for_each(|number| builder.call(0, number, 100, 300 * SECOND));
     for index in 0..(per_second * 180.0) as u64 {
         let at = first + (index as f64 * 1000.0 / per_second) as u64;
-        let number = maker.rng.random_range(0..ENGINES);
-        maker.call(at, number, 100, 10 * SECOND);
+        let number = builder.rng.random_range(0..ENGINES);
+        builder.call(at, number, 100, 10 * SECOND);
     }
-    maker.trace()
+    builder.build()
 }
 
 /// One engine becomes eight times slower under steady calls.
 pub fn slow_engine(seed: u64) -> Trace {
     let about = "steady calls at Vidrio Sur; after a while one engine is eight times slower";
-    let mut maker = Maker::new(seed, header(&VIDRIO, "slow-engine", about, 12 * HOUR));
+    let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "slow-engine", about, 12 * HOUR));
     for index in 0..6000 {
-        let number = maker.rng.random_range(0..ENGINES);
-        maker.call(index * 100, number, 100, 30 * SECOND);
+        let number = builder.rng.random_range(0..ENGINES);
+        builder.call(index * 100, number, 100, 30 * SECOND);
     }
     let engine = "redactor-3".into();
-    maker.fault(3 * MINUTE, Fault::EngineSlower { engine, times: 8.0 });
-    maker.trace()
+    builder.fault(3 * MINUTE, Fault::EngineSlower { engine, times: 8.0 });
+    builder.build()
 }
 
 /// Skewed demand: one team's flood on one model, while the other has its steady work.
 pub fn flood(seed: u64) -> Trace {
     let about = "the office floods a model of Vidrio Sur that the crews use too";
-    let mut maker = Maker::new(seed, header(&VIDRIO, "flood", about, 12 * HOUR));
+    let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "flood", about, 12 * HOUR));
     for index in 0..1200 {
-        maker.call(index * 200, 0, 100, 20 * SECOND);
+        builder.call(index * 200, 0, 100, 20 * SECOND);
     }
-    for line in &mut maker.lines {
+    for line in &mut builder.lines {
         if let TraceEvent::Call(call) = &mut line.event {
             call.team = "crews".into();
         }
     }
-    let steady = maker.lines.len();
+    let steady = builder.lines.len();
     for _ in 0..12_000 {
-        let at = maker.rng.random_range(60 * SECOND..180 * SECOND);
-        maker.call(at, 0, 100, 20 * SECOND);
+        let at = builder.rng.random_range(60 * SECOND..180 * SECOND);
+        builder.call(at, 0, 100, 20 * SECOND);
     }
-    for line in &mut maker.lines[steady..] {
+    for line in &mut builder.lines[steady..] {
         if let TraceEvent::Call(call) = &mut line.event {
             call.team = "office".into();
             call.urgency = 2;
         }
     }
-    maker.trace()
+    builder.build()
 }
 
 /// The traces that are committed.
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -101,9 +101,9 @@
         });
         let mut keys = Vec::new();
         let mut routers = Vec::new();
-        for (seed, place) in header.routers.iter().enumerate() {
-            let mut router = Router::with_policy(place.clone(), seed as u64, strategy.placement);
-            let add = |line: &crate::trace::EngineSpec| router.add_target(&line.name, &line.place);
+        for (seed, zone) in header.routers.iter().enumerate() {
+            let mut router = Router::with_policy(zone.clone(), seed as u64, strategy.placement);
+            let add = |line: &crate::trace::EngineSpec| router.add_target(&line.name, &line.zone);
             keys = header.engines.iter().map(add).collect();
             keys.iter().for_each(|key| router.set_connected(*key, true));
             routers.push(router);
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -15,7 +15,8 @@
     /// Its name.
     pub name: TargetId,
     /// Its availability zone.
-    pub place: AvailabilityZoneId,
+    #[serde(rename = "place")]
+    pub zone: AvailabilityZoneId,
     /// Its memory.
     pub memory_mib: u64,
     /// Requests that it runs at once.
