--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -20,21 +20,21 @@
 };
 
 /// Requests that wait at one agent.
-const QUEUE: u32 = 256;
+const QUEUE_LIMIT: u32 = 256;
 /// Memory of an adapter.
 const ADAPTER_MIB: u64 = 200;
 /// Time of an adapter's load.
-const ADAPTER_LOAD: Duration = Duration::from_secs(1);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_secs(1);
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
 /// What a trace says of models and teams.
-pub struct TraceSizes {
+pub struct TraceConfig {
     models: BTreeMap<ModelId, (u64, Duration, CostFactors)>,
     shares: BTreeMap<WorkspaceId, u32>,
     store: StoreLimits,
 }
 
-impl TraceSizes {
+impl TraceConfig {
     /// Sizes of a trace, seen one way.
     pub fn new(header: &Header, strategy: &Strategy) -> Self {
         let models = header.models.iter().map(|model| {
@@ -53,7 +53,7 @@
     }
 }
 
-impl SchedulingConfig for TraceSizes {
+impl SchedulingConfig for TraceConfig {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         let (memory, ..) = self.models.get(&weights.model)?;
         Some(Mib(if weights.adapter.is_some() { ADAPTER_MIB } else { *memory }))
@@ -61,7 +61,7 @@
 
     fn load_time(&self, weights: &Weights) -> Duration {
         if weights.adapter.is_some() {
-            return ADAPTER_LOAD;
+            return ADAPTER_LOAD_TIME;
         }
         self.models.get(&weights.model).map_or(Duration::ZERO, |(_, load, _)| *load)
     }
@@ -85,7 +85,7 @@
 
 /// Where the answer to a request goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Flight {
+pub struct InFlightRequest {
     /// Number of the caller.
     pub caller: usize,
     /// Number of the router.
@@ -93,7 +93,7 @@
     /// The router's key.
     pub key: RequestKey,
     /// When it began to run.
-    pub began: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 /// An agent and its fake engine.
@@ -103,11 +103,11 @@
     /// The agent.
     pub agent: Agent,
     /// Times that its answers take longer.
-    pub slower: f64,
+    pub slowdown: f64,
     /// Whether its host is still there.
     pub alive: bool,
     /// Requests that it holds.
-    pub flights: HashMap<RequestKey, Flight>,
+    pub in_flight: HashMap<RequestKey, InFlightRequest>,
     /// The earliest wake that is already planned.
     pub wake: Option<Duration>,
     /// Accelerator hours that loaded models stood unused.
@@ -120,16 +120,16 @@
 impl Engine {
     /// An empty engine that owns slots of these models.
     pub fn new(line: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
-        let limits = Limits { concurrency: line.concurrency, queue: QUEUE };
+        let limits = Limits { concurrency: line.concurrency, queue: QUEUE_LIMIT };
         let mut agent = Agent::with_policy(limits, Mib(line.memory_mib), strategy.policy);
         agent.set_slots(slots);
         agent.set_coordinated(strategy.coordinated);
         Self {
             line: line.clone(),
             agent,
-            slower: 1.0,
+            slowdown: 1.0,
             alive: true,
-            flights: HashMap::new(),
+            in_flight: HashMap::new(),
             below: BTreeMap::new(),
             wake: None,
             idle_hours: 0.0,
@@ -138,7 +138,7 @@
     }
 
     /// Counts the time since the last call as idle for all that was loaded and not used.
-    pub fn count_idle(&mut self, now: Duration) {
+    pub fn accumulate_idle(&mut self, now: Duration) {
         let hours = (now - self.at).as_secs_f64() / SECONDS_PER_HOUR;
         self.at = now;
         if !self.alive || hours <= 0.0 {
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -3,8 +3,8 @@
 mod faults;
 
 use crate::{
-    callers::{Caller, PATIENCE},
-    engines::{Engine, Flight, TraceSizes},
+    callers::{Caller, RETRY_WINDOW},
+    engines::{Engine, InFlightRequest, TraceConfig},
     outcome::{IDLE_GAP, Outcome},
     store::Store,
     strategies::Strategy,
@@ -50,7 +50,7 @@
 
 struct Replay<'a> {
     trace: &'a Trace,
-    sizes: TraceSizes,
+    sizes: TraceConfig,
     clock: ManualClock,
     start: Instant,
     routers: Vec<Router>,
@@ -72,7 +72,7 @@
 pub fn run(trace: &Trace, strategy: &Strategy) -> Outcome {
     let mut replay = Replay::new(trace, strategy);
     let last = trace.lines.last().map_or(0, |line| line.at_ms);
-    let end = Duration::from_millis(last) + PATIENCE + TAIL;
+    let end = Duration::from_millis(last) + RETRY_WINDOW + TAIL;
     while let Some(((at, _), event)) = replay.events.pop_first() {
         if at > end {
             break;
@@ -108,7 +108,7 @@
             keys.iter().for_each(|key| router.set_connected(*key, true));
             routers.push(router);
         }
-        let sizes = TraceSizes::new(header, strategy);
+        let sizes = TraceConfig::new(header, strategy);
         let coordinator = strategy.coordinated.then(|| Coordinator::new(start, sizes.store()));
         let mut replay = Self {
             trace,
@@ -176,7 +176,7 @@
             Event::Line(index) => self.line(index),
             Event::Ask(caller) => {
                 let now = self.clock.elapsed();
-                self.callers[caller].ask_again(now);
+                self.callers[caller].retry(now);
                 self.ask(caller);
             }
             Event::Ended { engine, key } => self.ended(engine, key),
@@ -211,7 +211,7 @@
             }
             TraceEvent::Fault(Fault::EngineSlower { engine, times }) => {
                 let engine = self.engine(engine);
-                self.engines[engine].slower = *times;
+                self.engines[engine].slowdown = *times;
             }
             TraceEvent::Fault(Fault::HostGone(engine)) => self.host_gone(self.engine(engine)),
         }
@@ -267,8 +267,8 @@
                 let work = self.work(&self.callers[caller]);
                 self.drive(engine, |engine, now, sizes| {
                     let (agent_key, actions) = engine.agent.submit(now, work, sizes);
-                    let flight = Flight { caller, router, key, began: None };
-                    engine.flights.insert(agent_key, flight);
+                    let request = InFlightRequest { caller, router, key, started_at: None };
+                    engine.in_flight.insert(agent_key, request);
                     actions
                 });
             }
@@ -286,7 +286,7 @@
         if !state.alive {
             return;
         }
-        state.count_idle(elapsed);
+        state.accumulate_idle(elapsed);
         let actions = decide(state, now, &self.sizes);
         for action in actions {
             self.perform(engine, action);
@@ -301,10 +301,11 @@
             Action::Run(key) => self.run(engine, key),
             Action::Refuse(key, refusal) => {
                 let load = self.engines[engine].agent.load();
-                let Some(flight) = self.engines[engine].flights.remove(&key) else { return };
+                let Some(request) = self.engines[engine].in_flight.remove(&key) else { return };
                 let now = self.now();
-                let decision = self.routers[flight.router].refused(now, flight.key, refusal, load);
-                self.decided(flight.caller, flight.router, flight.key, decision);
+                let decision =
+                    self.routers[request.router].refused(now, request.key, refusal, load);
+                self.decided(request.caller, request.router, request.key, decision);
             }
             Action::Load(weights, _) => {
                 self.outcome.loads += 1;
@@ -327,15 +328,15 @@
 
     fn run(&mut self, engine: usize, key: RequestKey) {
         let now = self.clock.elapsed();
-        let slower = self.engines[engine].slower;
-        let Some(flight) = self.engines[engine].flights.get_mut(&key) else { return };
-        flight.began = Some(now);
-        let caller = &mut self.callers[flight.caller];
-        if !std::mem::replace(&mut caller.started, true) {
-            self.outcome.record_first_token(caller.is_wake, now - caller.first);
+        let slowdown = self.engines[engine].slowdown;
+        let Some(request) = self.engines[engine].in_flight.get_mut(&key) else { return };
+        request.started_at = Some(now);
+        let caller = &mut self.callers[request.caller];
+        if !std::mem::replace(&mut caller.has_started, true) {
+            self.outcome.record_first_token(caller.is_wake, now - caller.first_attempt_at);
         }
         let token_ms = self.trace.token_ms(&caller.call.model);
-        let took = Duration::from_millis(caller.call.tokens * token_ms).mul_f64(slower);
+        let took = Duration::from_millis(caller.call.tokens * token_ms).mul_f64(slowdown);
         let deadline = caller.deadline;
         if now + took <= deadline {
             self.plan(now + took, Event::Ended { engine, key });
@@ -346,26 +347,26 @@
 
     fn ended(&mut self, engine: usize, key: RequestKey) {
         let (elapsed, now) = (self.clock.elapsed(), self.now());
-        let Some(flight) = self.engines[engine].flights.remove(&key) else { return };
-        let caller = &mut self.callers[flight.caller];
-        caller.waits = false;
+        let Some(request) = self.engines[engine].in_flight.remove(&key) else { return };
+        let caller = &mut self.callers[request.caller];
+        caller.is_pending = false;
         let tokens = caller.call.tokens;
         self.outcome.served += 1;
         *self.outcome.served_by_minute.entry(elapsed.as_secs() / 60).or_default() += 1;
-        let took = elapsed - flight.began.unwrap_or(elapsed);
-        self.routers[flight.router].progressed(now, flight.key, tokens, took);
+        let took = elapsed - request.started_at.unwrap_or(elapsed);
+        self.routers[request.router].progressed(now, request.key, tokens, took);
         self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
         let load = self.engines[engine].agent.load();
-        self.routers[flight.router].finished(now, flight.key, Some(load));
+        self.routers[request.router].finished(now, request.key, Some(load));
     }
 
     /// The router gives a running request up at its deadline, and says so.
     fn cut(&mut self, engine: usize, key: RequestKey) {
-        let Some(flight) = self.engines[engine].flights.remove(&key) else { return };
-        self.callers[flight.caller].waits = false;
+        let Some(request) = self.engines[engine].in_flight.remove(&key) else { return };
+        self.callers[request.caller].is_pending = false;
         self.outcome.late += 1;
         let now = self.now();
-        self.routers[flight.router].finished(now, flight.key, None);
+        self.routers[request.router].finished(now, request.key, None);
         self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
     }
 
@@ -373,12 +374,12 @@
         let now = self.clock.elapsed();
         let at = now + refusal.retry_after;
         let caller_state = &mut self.callers[caller];
-        caller_state.waits = false;
+        caller_state.is_pending = false;
         self.outcome.refusals += 1;
         if now > caller_state.deadline {
             self.outcome.unanswered += 1;
         }
-        if caller_state.comes_back(at) {
+        if caller_state.will_retry(at) {
             self.plan(at, Event::Ask(caller));
         } else {
             self.outcome.given_up += 1;
@@ -456,10 +457,11 @@
 
     fn finish(mut self, end: Duration) -> Outcome {
         for engine in &mut self.engines {
-            engine.count_idle(end);
+            engine.accumulate_idle(end);
             self.outcome.idle_hours += engine.idle_hours;
         }
-        self.outcome.unanswered += self.callers.iter().filter(|caller| caller.waits).count() as u64;
+        self.outcome.unanswered +=
+            self.callers.iter().filter(|caller| caller.is_pending).count() as u64;
         self.outcome.finish();
         self.outcome
     }
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -1,7 +1,7 @@
 //! A host is reclaimed: its requests go elsewhere, and its slots are planned anew.
 
 use super::{Event, Replay, owned};
-use crate::engines::Flight;
+use crate::engines::InFlightRequest;
 use corianderstand_decide::request::Refusal;
 use corianderstand_schema::messages::RefusalReason;
 use corianderstand_types::names::ModelId;
@@ -15,7 +15,7 @@
 impl Replay<'_> {
     pub(super) fn host_gone(&mut self, engine: usize) {
         let elapsed = self.clock.elapsed();
-        self.engines[engine].count_idle(elapsed);
+        self.engines[engine].accumulate_idle(elapsed);
         self.engines[engine].alive = false;
         self.store.forget(elapsed, engine);
         let (name, key) = (self.engines[engine].line.name.clone(), self.keys[engine]);
@@ -23,23 +23,23 @@
             coordinator.remove_target(&name);
         }
         self.routers.iter_mut().for_each(|router| router.set_connected(key, false));
-        let flights = std::mem::take(&mut self.engines[engine].flights);
-        let mut flights: Vec<Flight> = flights.into_values().collect();
-        flights.sort_by_key(|flight| flight.caller);
-        for flight in flights {
-            self.lost(flight);
+        let in_flight = std::mem::take(&mut self.engines[engine].in_flight);
+        let mut in_flight: Vec<InFlightRequest> = in_flight.into_values().collect();
+        in_flight.sort_by_key(|request| request.caller);
+        for request in in_flight {
+            self.lost(request);
         }
         self.plan(elapsed + REPLAN, Event::SlotsMoved(engine));
         self.plan_coordinate(elapsed);
     }
 
-    fn lost(&mut self, flight: Flight) {
+    fn lost(&mut self, request: InFlightRequest) {
         let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_LOST };
         let now = self.now();
-        match self.routers[flight.router].connection_lost(now, flight.key, refusal) {
-            Some(decision) => self.decided(flight.caller, flight.router, flight.key, decision),
+        match self.routers[request.router].connection_lost(now, request.key, refusal) {
+            Some(decision) => self.decided(request.caller, request.router, request.key, decision),
             None => {
-                self.callers[flight.caller].waits = false;
+                self.callers[request.caller].is_pending = false;
                 self.outcome.broken += 1;
             }
         }
