--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -99,7 +99,7 @@
 /// An agent and its fake engine.
 pub struct Engine {
     /// What the trace says of it.
-    pub line: EngineSpec,
+    pub spec: EngineSpec,
     /// The agent.
     pub agent: Agent,
     /// Times that its answers take longer.
@@ -109,38 +109,38 @@
     /// Requests that it holds.
     pub in_flight: HashMap<RequestKey, InFlightRequest>,
     /// The earliest wake that is already planned.
-    pub wake: Option<Duration>,
+    pub scheduled_wake: Option<Duration>,
     /// Accelerator hours that loaded models stood unused.
     pub idle_hours: f64,
     /// Since when a team with ready work has been below its share.
-    pub below: BTreeMap<WorkspaceId, Duration>,
-    at: Duration,
+    pub below_share_since: BTreeMap<WorkspaceId, Duration>,
+    idle_counted_until: Duration,
 }
 
 impl Engine {
     /// An empty engine that owns slots of these models.
-    pub fn new(line: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
-        let limits = Limits { concurrency: line.concurrency, queue: QUEUE_LIMIT };
-        let mut agent = Agent::with_policy(limits, Mib(line.memory_mib), strategy.policy);
+    pub fn new(spec: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
+        let limits = Limits { concurrency: spec.concurrency, queue: QUEUE_LIMIT };
+        let mut agent = Agent::with_policy(limits, Mib(spec.memory_mib), strategy.policy);
         agent.set_slots(slots);
         agent.set_coordinated(strategy.coordinated);
         Self {
-            line: line.clone(),
+            spec: spec.clone(),
             agent,
             slowdown: 1.0,
             alive: true,
             in_flight: HashMap::new(),
-            below: BTreeMap::new(),
-            wake: None,
+            below_share_since: BTreeMap::new(),
+            scheduled_wake: None,
             idle_hours: 0.0,
-            at: Duration::ZERO,
+            idle_counted_until: Duration::ZERO,
         }
     }
 
     /// Counts the time since the last call as idle for all that was loaded and not used.
     pub fn accumulate_idle(&mut self, now: Duration) {
-        let hours = (now - self.at).as_secs_f64() / SECONDS_PER_HOUR;
-        self.at = now;
+        let hours = (now - self.idle_counted_until).as_secs_f64() / SECONDS_PER_HOUR;
+        self.idle_counted_until = now;
         if !self.alive || hours <= 0.0 {
             return;
         }
@@ -150,8 +150,8 @@
             .entries()
             .filter(|(_, entry)| entry.users == 0 && entry.stage != Stage::Loading);
         let memory: u64 = idle.map(|(_, entry)| entry.memory.0).sum();
-        let part = memory as f64 / self.line.memory_mib as f64;
-        self.idle_hours += hours * part * f64::from(self.line.accelerators);
+        let fraction = memory as f64 / self.spec.memory_mib as f64;
+        self.idle_hours += hours * fraction * f64::from(self.spec.accelerators);
     }
 
     /// When its agent wants to be called next.
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -94,8 +94,8 @@
             .iter()
             .map(|model| (model.name.clone(), model.slots.iter().filter_map(index).collect()))
             .collect();
-        let engines = header.engines.iter().enumerate().map(|(number, line)| {
-            let mut engine = Engine::new(line, strategy, owned(&slots, number));
+        let engines = header.engines.iter().enumerate().map(|(number, spec)| {
+            let mut engine = Engine::new(spec, strategy, owned(&slots, number));
             engine.agent.set_unix_time(start, header.begins);
             engine
         });
@@ -103,7 +103,7 @@
         let mut routers = Vec::new();
         for (seed, zone) in header.routers.iter().enumerate() {
             let mut router = Router::with_policy(zone.clone(), seed as u64, strategy.placement);
-            let add = |line: &crate::trace::EngineSpec| router.add_target(&line.name, &line.zone);
+            let add = |spec: &crate::trace::EngineSpec| router.add_target(&spec.name, &spec.zone);
             keys = header.engines.iter().map(add).collect();
             keys.iter().for_each(|key| router.set_connected(*key, true));
             routers.push(router);
@@ -154,8 +154,8 @@
         let state = &mut self.engines[engine];
         let Some(at) = state.next_wake(self.start) else { return };
         let at = at.max(self.clock.elapsed());
-        if state.wake.is_none_or(|planned| at < planned) {
-            state.wake = Some(at);
+        if state.scheduled_wake.is_none_or(|planned| at < planned) {
+            state.scheduled_wake = Some(at);
             self.plan(at, Event::Wake(engine));
         }
     }
@@ -185,10 +185,10 @@
             Event::Coordinate => self.coordinate(),
             Event::Wake(engine) => {
                 // An earlier one was planned since; if this one planned too, they would multiply.
-                if self.engines[engine].wake != Some(self.clock.elapsed()) {
+                if self.engines[engine].scheduled_wake != Some(self.clock.elapsed()) {
                     return;
                 }
-                self.engines[engine].wake = None;
+                self.engines[engine].scheduled_wake = None;
                 self.drive(engine, |engine, now, sizes| engine.agent.step(now, sizes));
             }
             Event::Unloaded { engine, weights } => {
@@ -206,7 +206,7 @@
         match &trace.lines[index].event {
             TraceEvent::Call(call) => self.first_asked(call),
             TraceEvent::Fault(Fault::StoreSlower(times)) => {
-                self.store.set_slower(self.clock.elapsed(), *times);
+                self.store.set_slowdown(self.clock.elapsed(), *times);
                 self.plan_store();
             }
             TraceEvent::Fault(Fault::EngineSlower { engine, times }) => {
@@ -218,7 +218,7 @@
     }
 
     fn engine(&self, name: &TargetId) -> usize {
-        let found = self.engines.iter().position(|engine| engine.line.name == *name);
+        let found = self.engines.iter().position(|engine| engine.spec.name == *name);
         found.expect("the trace was checked to name its engines")
     }
 
@@ -317,7 +317,7 @@
                 self.plan(now + UNLOAD, Event::Unloaded { engine, weights });
             }
             Action::RequestLoadGrant(mut ask) => {
-                ask.target = self.engines[engine].line.name.clone();
+                ask.target = self.engines[engine].spec.name.clone();
                 if let Some(coordinator) = &mut self.coordinator {
                     coordinator.request(ask);
                 }
@@ -387,7 +387,7 @@
     }
 
     fn plan_store(&mut self) {
-        let next = self.store.next().map(|at| at.max(self.clock.elapsed()));
+        let next = self.store.next_event().map(|at| at.max(self.clock.elapsed()));
         if let Some(at) = next
             && self.store_at.is_none_or(|planned| at < planned)
         {
@@ -401,10 +401,10 @@
             return;
         }
         self.store_at = None;
-        let ended = self.store.ended(self.clock.elapsed());
+        let ended = self.store.take_finished(self.clock.elapsed());
         for (engine, weights) in ended {
             if let Some(coordinator) = &mut self.coordinator {
-                coordinator.done(&self.engines[engine].line.name, &weights);
+                coordinator.done(&self.engines[engine].spec.name, &weights);
             }
             self.drive(engine, |engine, now, sizes| {
                 engine.agent.on_load_finished(now, &weights, Some(true), sizes)
@@ -448,10 +448,10 @@
         let total = self.sizes.total_shares().max(request::DEFAULT_SHARE);
         let state = &mut self.engines[engine];
         for team in &self.trace.header.teams {
-            let owed = state.line.concurrency * team.share / total.max(1000);
+            let owed = state.spec.concurrency * team.share / total.max(1000);
             let running = state.agent.running_of(&team.name);
             let below = state.agent.ready_of(&team.name) > 0 && running < owed;
-            note_below(&mut state.below, &mut self.outcome, &team.name, now, below);
+            note_below(&mut state.below_share_since, &mut self.outcome, &team.name, now, below);
         }
     }
 
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -17,8 +17,8 @@
         let elapsed = self.clock.elapsed();
         self.engines[engine].accumulate_idle(elapsed);
         self.engines[engine].alive = false;
-        self.store.forget(elapsed, engine);
-        let (name, key) = (self.engines[engine].line.name.clone(), self.keys[engine]);
+        self.store.cancel_loads(elapsed, engine);
+        let (name, key) = (self.engines[engine].spec.name.clone(), self.keys[engine]);
         if let Some(coordinator) = &mut self.coordinator {
             coordinator.remove_target(&name);
         }
--- a/crates/corianderstand_replay/src/store.rs
+++ b/crates/corianderstand_replay/src/store.rs
@@ -11,10 +11,10 @@
 pub struct Store {
     per_second: u32,
     concurrent: u32,
-    slower: f64,
+    slowdown: f64,
     remaining: BTreeMap<Load, f64>,
     queued: Vec<(Load, f64)>,
-    at: Duration,
+    advanced_to: Duration,
     next_start: Duration,
 }
 
@@ -24,18 +24,18 @@
         Self {
             per_second,
             concurrent,
-            slower: 1.0,
+            slowdown: 1.0,
             remaining: BTreeMap::new(),
             queued: Vec::new(),
-            at: Duration::ZERO,
+            advanced_to: Duration::ZERO,
             next_start: Duration::ZERO,
         }
     }
 
     /// From now on loads take this many times as long.
-    pub fn set_slower(&mut self, now: Duration, times: f64) {
+    pub fn set_slowdown(&mut self, now: Duration, factor: f64) {
         self.advance(now);
-        self.slower = times;
+        self.slowdown = factor;
     }
 
     /// Starts a load that takes so many seconds at full speed.
@@ -46,10 +46,10 @@
     }
 
     /// An engine is gone, and its loads with it.
-    pub fn forget(&mut self, now: Duration, engine: usize) {
+    pub fn cancel_loads(&mut self, now: Duration, engine: usize) {
         self.advance(now);
-        self.remaining.retain(|(of, _), _| *of != engine);
-        self.queued.retain(|((of, _), _)| *of != engine);
+        self.remaining.retain(|(loading_engine, _), _| *loading_engine != engine);
+        self.queued.retain(|((loading_engine, _), _)| *loading_engine != engine);
     }
 
     fn admit(&mut self, now: Duration) {
@@ -62,32 +62,33 @@
 
     fn speed(&self) -> f64 {
         let active = self.remaining.len().max(1) as f64;
-        (f64::from(self.concurrent) / active).min(1.0) / self.slower
+        (f64::from(self.concurrent) / active).min(1.0) / self.slowdown
     }
 
     fn advance(&mut self, now: Duration) {
-        let done = (now - self.at).as_secs_f64() * self.speed();
+        let done = (now - self.advanced_to).as_secs_f64() * self.speed();
         self.remaining.values_mut().for_each(|left| *left -= done);
-        self.at = now;
+        self.advanced_to = now;
     }
 
     /// Loads that have ended by now.
-    pub fn ended(&mut self, now: Duration) -> Vec<Load> {
+    pub fn take_finished(&mut self, now: Duration) -> Vec<Load> {
         self.advance(now);
         self.admit(now);
-        let ended = self.remaining.iter().filter(|(_, left)| **left <= 1e-6);
-        let ended: Vec<Load> = ended.map(|(load, _)| load.clone()).collect();
-        for load in &ended {
+        let finished = self.remaining.iter().filter(|(_, left)| **left <= 1e-6);
+        let finished: Vec<Load> = finished.map(|(load, _)| load.clone()).collect();
+        for load in &finished {
             self.remaining.remove(load);
         }
-        ended
+        finished
     }
 
     /// When the next load ends or may start, if nothing changes.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_event(&self) -> Option<Duration> {
         let left = self.remaining.values().copied().min_by(f64::total_cmp);
-        let end = left
-            .map(|left| self.at + Duration::from_secs_f64((left / self.speed()).max(0.0) + 1e-6));
+        let end = left.map(|left| {
+            self.advanced_to + Duration::from_secs_f64((left / self.speed()).max(0.0) + 1e-6)
+        });
         let start = (!self.queued.is_empty()).then_some(self.next_start);
         end.into_iter().chain(start).min()
     }
