--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -31,39 +31,39 @@
 };
 
 /// Time of an unload.
-const UNLOAD: Duration = Duration::from_millis(100);
+const UNLOAD_TIME: Duration = Duration::from_millis(100);
 /// After the last line of a trace, until the replay ends.
-const TAIL: Duration = Duration::from_secs(600);
+const DRAIN_TIME: Duration = Duration::from_secs(600);
 
 /// What is going to happen.
 enum Event {
     Line(usize),
-    Ask(usize),
-    Ended { engine: usize, key: RequestKey },
-    Cut { engine: usize, key: RequestKey },
-    Store,
-    Coordinate,
-    Wake(usize),
+    Retry(usize),
+    Finished { engine: usize, key: RequestKey },
+    DeadlinePassed { engine: usize, key: RequestKey },
+    StoreProgress,
+    GrantLoads,
+    AgentWake(usize),
     Unloaded { engine: usize, weights: Weights },
-    SlotsMoved(usize),
+    SlotsReassigned(usize),
 }
 
 struct Replay<'a> {
     trace: &'a Trace,
-    sizes: TraceConfig,
+    config: TraceConfig,
     clock: ManualClock,
     start: Instant,
     routers: Vec<Router>,
-    keys: Vec<TargetKey>,
+    target_keys: Vec<TargetKey>,
     engines: Vec<Engine>,
     slots: BTreeMap<ModelId, Vec<usize>>,
     store: Store,
     coordinator: Option<Coordinator>,
     callers: Vec<Caller>,
     events: BTreeMap<(Duration, u64), Event>,
-    number: u64,
+    last_sequence: u64,
     store_at: Option<Duration>,
-    coordinate_at: Option<Duration>,
+    load_grants_at: Option<Duration>,
     last_calls: HashMap<ModelId, Duration>,
     outcome: Outcome,
 }
@@ -72,13 +72,13 @@
 pub fn run(trace: &Trace, strategy: &Strategy) -> Outcome {
     let mut replay = Replay::new(trace, strategy);
     let last = trace.lines.last().map_or(0, |line| line.at_ms);
-    let end = Duration::from_millis(last) + RETRY_WINDOW + TAIL;
+    let end = Duration::from_millis(last) + RETRY_WINDOW + DRAIN_TIME;
     while let Some(((at, _), event)) = replay.events.pop_first() {
         if at > end {
             break;
         }
         replay.clock.advance(at - replay.clock.elapsed());
-        replay.take(event);
+        replay.handle(event);
     }
     replay.finish(end)
 }
@@ -95,43 +95,43 @@
             .map(|model| (model.name.clone(), model.slots.iter().filter_map(index).collect()))
             .collect();
         let engines = header.engines.iter().enumerate().map(|(number, spec)| {
-            let mut engine = Engine::new(spec, strategy, owned(&slots, number));
+            let mut engine = Engine::new(spec, strategy, owned_models(&slots, number));
             engine.agent.set_unix_time(start, header.begins);
             engine
         });
-        let mut keys = Vec::new();
+        let mut target_keys = Vec::new();
         let mut routers = Vec::new();
         for (seed, zone) in header.routers.iter().enumerate() {
             let mut router = Router::with_policy(zone.clone(), seed as u64, strategy.placement);
             let add = |spec: &crate::trace::EngineSpec| router.add_target(&spec.name, &spec.zone);
-            keys = header.engines.iter().map(add).collect();
-            keys.iter().for_each(|key| router.set_connected(*key, true));
+            target_keys = header.engines.iter().map(add).collect();
+            target_keys.iter().for_each(|key| router.set_connected(*key, true));
             routers.push(router);
         }
-        let sizes = TraceConfig::new(header, strategy);
-        let coordinator = strategy.coordinated.then(|| Coordinator::new(start, sizes.store()));
+        let config = TraceConfig::new(header, strategy);
+        let coordinator = strategy.coordinated.then(|| Coordinator::new(start, config.store()));
         let mut replay = Self {
             trace,
             store: Store::new(header.store.per_second, header.store.concurrent),
-            sizes,
+            config,
             clock,
             start,
             routers,
-            keys,
+            target_keys,
             engines: engines.collect(),
             slots,
             coordinator,
             callers: Vec::new(),
             events: BTreeMap::new(),
-            number: 0,
+            last_sequence: 0,
             store_at: None,
-            coordinate_at: None,
+            load_grants_at: None,
             last_calls: HashMap::new(),
             outcome: Outcome { strategy: strategy.name.clone(), ..Outcome::default() },
         };
-        replay.set_owners();
-        replay.plan_line(0);
-        (0..replay.engines.len()).for_each(|engine| replay.plan_wake(engine));
+        replay.publish_owners();
+        replay.schedule_line(0);
+        (0..replay.engines.len()).for_each(|engine| replay.schedule_wake(engine));
         replay
     }
 
@@ -139,99 +139,101 @@
         self.clock.now()
     }
 
-    fn plan(&mut self, at: Duration, event: Event) {
-        self.number += 1;
-        self.events.insert((at.max(self.clock.elapsed()), self.number), event);
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.last_sequence += 1;
+        self.events.insert((at.max(self.clock.elapsed()), self.last_sequence), event);
     }
 
-    fn plan_line(&mut self, index: usize) {
+    fn schedule_line(&mut self, index: usize) {
         if let Some(line) = self.trace.lines.get(index) {
-            self.plan(Duration::from_millis(line.at_ms), Event::Line(index));
+            self.schedule(Duration::from_millis(line.at_ms), Event::Line(index));
         }
     }
 
-    fn plan_wake(&mut self, engine: usize) {
+    fn schedule_wake(&mut self, engine: usize) {
         let state = &mut self.engines[engine];
         let Some(at) = state.next_wake(self.start) else { return };
         let at = at.max(self.clock.elapsed());
         if state.scheduled_wake.is_none_or(|planned| at < planned) {
             state.scheduled_wake = Some(at);
-            self.plan(at, Event::Wake(engine));
+            self.schedule(at, Event::AgentWake(engine));
         }
     }
 
-    fn set_owners(&mut self) {
+    fn publish_owners(&mut self) {
         let owners: BTreeMap<ModelId, Vec<TargetKey>> = self
             .slots
             .iter()
             .map(|(model, engines)| {
-                (model.clone(), engines.iter().map(|e| self.keys[*e]).collect())
+                (model.clone(), engines.iter().map(|e| self.target_keys[*e]).collect())
             })
             .collect();
         self.routers.iter_mut().for_each(|router| router.set_owners(owners.clone()));
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Line(index) => self.line(index),
-            Event::Ask(caller) => {
+            Event::Line(index) => self.process_line(index),
+            Event::Retry(caller) => {
                 let now = self.clock.elapsed();
                 self.callers[caller].retry(now);
-                self.ask(caller);
+                self.submit(caller);
             }
-            Event::Ended { engine, key } => self.ended(engine, key),
-            Event::Cut { engine, key } => self.cut(engine, key),
-            Event::Store => self.store_moved(),
-            Event::Coordinate => self.coordinate(),
-            Event::Wake(engine) => {
+            Event::Finished { engine, key } => self.finish_request(engine, key),
+            Event::DeadlinePassed { engine, key } => self.abort_at_deadline(engine, key),
+            Event::StoreProgress => self.advance_store(),
+            Event::GrantLoads => self.grant_loads(),
+            Event::AgentWake(engine) => {
                 // An earlier one was planned since; if this one planned too, they would multiply.
                 if self.engines[engine].scheduled_wake != Some(self.clock.elapsed()) {
                     return;
                 }
                 self.engines[engine].scheduled_wake = None;
-                self.drive(engine, |engine, now, sizes| engine.agent.step(now, sizes));
+                self.run_agent(engine, |engine, now, config| engine.agent.step(now, config));
             }
             Event::Unloaded { engine, weights } => {
-                self.drive(engine, |engine, now, sizes| {
-                    engine.agent.on_unload_finished(now, &weights, true, sizes)
+                self.run_agent(engine, |engine, now, config| {
+                    engine.agent.on_unload_finished(now, &weights, true, config)
                 });
             }
-            Event::SlotsMoved(engine) => self.move_slots(engine),
+            Event::SlotsReassigned(engine) => self.reassign_slots(engine),
         }
     }
 
-    fn line(&mut self, index: usize) {
-        self.plan_line(index + 1);
+    fn process_line(&mut self, index: usize) {
+        self.schedule_line(index + 1);
         let trace = self.trace;
         match &trace.lines[index].event {
-            TraceEvent::Call(call) => self.first_asked(call),
+            TraceEvent::Call(call) => self.start_call(call),
             TraceEvent::Fault(Fault::StoreSlower(times)) => {
                 self.store.set_slowdown(self.clock.elapsed(), *times);
-                self.plan_store();
+                self.schedule_store();
             }
             TraceEvent::Fault(Fault::EngineSlower { engine, times }) => {
-                let engine = self.engine(engine);
+                let engine = self.engine_index(engine);
                 self.engines[engine].slowdown = *times;
             }
-            TraceEvent::Fault(Fault::HostGone(engine)) => self.host_gone(self.engine(engine)),
+            TraceEvent::Fault(Fault::HostGone(engine)) => {
+                self.handle_host_loss(self.engine_index(engine))
+            }
         }
     }
 
-    fn engine(&self, name: &TargetId) -> usize {
+    fn engine_index(&self, name: &TargetId) -> usize {
         let found = self.engines.iter().position(|engine| engine.spec.name == *name);
         found.expect("the trace was checked to name its engines")
     }
 
-    fn first_asked(&mut self, call: &Call) {
+    fn start_call(&mut self, call: &Call) {
         let now = self.clock.elapsed();
         let last = self.last_calls.insert(call.model.clone(), now);
         let is_wake = last.is_none_or(|last| now - last >= IDLE_GAP);
         self.outcome.calls += 1;
         self.callers.push(Caller::new(call, now, is_wake));
-        self.ask(self.callers.len() - 1);
+        self.submit(self.callers.len() - 1);
     }
 
-    fn work(&self, caller: &Caller) -> RequestSpec {
+    fn request_spec(&self, caller: &Caller) -> RequestSpec {
         let call = &caller.call;
         let base = Weights::model(call.model.clone(), "1".into());
         let adapter = call
@@ -250,23 +252,29 @@
         }
     }
 
-    fn ask(&mut self, caller: usize) {
-        let work = self.work(&self.callers[caller]);
+    fn submit(&mut self, caller: usize) {
+        let spec = self.request_spec(&self.callers[caller]);
         let router = self.callers[caller].call.router;
         let now = self.now();
-        let (key, decision) = self.routers[router].submit(now, work);
-        self.decided(caller, router, key, decision);
+        let (key, decision) = self.routers[router].submit(now, spec);
+        self.apply_decision(caller, router, key, decision);
     }
 
-    fn decided(&mut self, caller: usize, router: usize, key: RequestKey, decision: Decision) {
+    fn apply_decision(
+        &mut self,
+        caller: usize,
+        router: usize,
+        key: RequestKey,
+        decision: Decision,
+    ) {
         match decision {
-            Decision::Refuse(refusal) => self.refused(caller, refusal),
+            Decision::Refuse(refusal) => self.handle_refusal(caller, refusal),
             Decision::Send(target) => {
-                let engine = self.keys.iter().position(|known| *known == target);
+                let engine = self.target_keys.iter().position(|known| *known == target);
                 let engine = engine.expect("routers know the engines of the trace only");
-                let work = self.work(&self.callers[caller]);
-                self.drive(engine, |engine, now, sizes| {
-                    let (agent_key, actions) = engine.agent.submit(now, work, sizes);
+                let spec = self.request_spec(&self.callers[caller]);
+                self.run_agent(engine, |engine, now, config| {
+                    let (agent_key, actions) = engine.agent.submit(now, spec, config);
                     let request = InFlightRequest { caller, router, key, started_at: None };
                     engine.in_flight.insert(agent_key, request);
                     actions
@@ -276,7 +284,7 @@
     }
 
     /// Lets an agent decide, and does what it decided.
-    fn drive(
+    fn run_agent(
         &mut self,
         engine: usize,
         decide: impl FnOnce(&mut Engine, Instant, &dyn SchedulingConfig) -> Vec<Action>,
@@ -287,46 +295,46 @@
             return;
         }
         state.accumulate_idle(elapsed);
-        let actions = decide(state, now, &self.sizes);
+        let actions = decide(state, now, &self.config);
         for action in actions {
-            self.perform(engine, action);
+            self.execute(engine, action);
         }
-        self.watch_shares(engine);
-        self.plan_wake(engine);
+        self.update_share_deficits(engine);
+        self.schedule_wake(engine);
     }
 
-    fn perform(&mut self, engine: usize, action: Action) {
+    fn execute(&mut self, engine: usize, action: Action) {
         let now = self.clock.elapsed();
         match action {
-            Action::Run(key) => self.run(engine, key),
+            Action::Run(key) => self.start_request(engine, key),
             Action::Refuse(key, refusal) => {
                 let load = self.engines[engine].agent.load();
                 let Some(request) = self.engines[engine].in_flight.remove(&key) else { return };
                 let now = self.now();
                 let decision =
                     self.routers[request.router].refused(now, request.key, refusal, load);
-                self.decided(request.caller, request.router, request.key, decision);
+                self.apply_decision(request.caller, request.router, request.key, decision);
             }
             Action::Load(weights, _) => {
                 self.outcome.loads += 1;
-                let seconds = self.sizes.load_time(&weights).as_secs_f64();
+                let seconds = self.config.load_time(&weights).as_secs_f64();
                 self.store.start(now, (engine, weights), seconds);
-                self.plan_store();
+                self.schedule_store();
             }
             Action::Unload(weights, _) => {
-                self.plan(now + UNLOAD, Event::Unloaded { engine, weights });
+                self.schedule(now + UNLOAD_TIME, Event::Unloaded { engine, weights });
             }
-            Action::RequestLoadGrant(mut ask) => {
-                ask.target = self.engines[engine].spec.name.clone();
+            Action::RequestLoadGrant(mut load_request) => {
+                load_request.target = self.engines[engine].spec.name.clone();
                 if let Some(coordinator) = &mut self.coordinator {
-                    coordinator.request(ask);
+                    coordinator.request(load_request);
                 }
-                self.plan_coordinate(now);
+                self.schedule_load_grants(now);
             }
         }
     }
 
-    fn run(&mut self, engine: usize, key: RequestKey) {
+    fn start_request(&mut self, engine: usize, key: RequestKey) {
         let now = self.clock.elapsed();
         let slowdown = self.engines[engine].slowdown;
         let Some(request) = self.engines[engine].in_flight.get_mut(&key) else { return };
@@ -336,16 +344,16 @@
             self.outcome.record_first_token(caller.is_wake, now - caller.first_attempt_at);
         }
         let token_ms = self.trace.token_ms(&caller.call.model);
-        let took = Duration::from_millis(caller.call.tokens * token_ms).mul_f64(slowdown);
+        let duration = Duration::from_millis(caller.call.tokens * token_ms).mul_f64(slowdown);
         let deadline = caller.deadline;
-        if now + took <= deadline {
-            self.plan(now + took, Event::Ended { engine, key });
+        if now + duration <= deadline {
+            self.schedule(now + duration, Event::Finished { engine, key });
         } else {
-            self.plan(deadline, Event::Cut { engine, key });
+            self.schedule(deadline, Event::DeadlinePassed { engine, key });
         }
     }
 
-    fn ended(&mut self, engine: usize, key: RequestKey) {
+    fn finish_request(&mut self, engine: usize, key: RequestKey) {
         let (elapsed, now) = (self.clock.elapsed(), self.now());
         let Some(request) = self.engines[engine].in_flight.remove(&key) else { return };
         let caller = &mut self.callers[request.caller];
@@ -353,24 +361,28 @@
         let tokens = caller.call.tokens;
         self.outcome.served += 1;
         *self.outcome.served_by_minute.entry(elapsed.as_secs() / 60).or_default() += 1;
-        let took = elapsed - request.started_at.unwrap_or(elapsed);
-        self.routers[request.router].progressed(now, request.key, tokens, took);
-        self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
+        let duration = elapsed - request.started_at.unwrap_or(elapsed);
+        self.routers[request.router].progressed(now, request.key, tokens, duration);
+        self.run_agent(engine, |engine, now, config| {
+            engine.agent.on_request_finished(now, key, config)
+        });
         let load = self.engines[engine].agent.load();
         self.routers[request.router].finished(now, request.key, Some(load));
     }
 
     /// The router gives a running request up at its deadline, and says so.
-    fn cut(&mut self, engine: usize, key: RequestKey) {
+    fn abort_at_deadline(&mut self, engine: usize, key: RequestKey) {
         let Some(request) = self.engines[engine].in_flight.remove(&key) else { return };
         self.callers[request.caller].is_pending = false;
         self.outcome.late += 1;
         let now = self.now();
         self.routers[request.router].finished(now, request.key, None);
-        self.drive(engine, |engine, now, sizes| engine.agent.on_request_finished(now, key, sizes));
+        self.run_agent(engine, |engine, now, config| {
+            engine.agent.on_request_finished(now, key, config)
+        });
     }
 
-    fn refused(&mut self, caller: usize, refusal: Refusal) {
+    fn handle_refusal(&mut self, caller: usize, refusal: Refusal) {
         let now = self.clock.elapsed();
         let at = now + refusal.retry_after;
         let caller_state = &mut self.callers[caller];
@@ -380,78 +392,84 @@
             self.outcome.unanswered += 1;
         }
         if caller_state.will_retry(at) {
-            self.plan(at, Event::Ask(caller));
+            self.schedule(at, Event::Retry(caller));
         } else {
             self.outcome.given_up += 1;
         }
     }
 
-    fn plan_store(&mut self) {
+    fn schedule_store(&mut self) {
         let next = self.store.next_event().map(|at| at.max(self.clock.elapsed()));
         if let Some(at) = next
             && self.store_at.is_none_or(|planned| at < planned)
         {
             self.store_at = Some(at);
-            self.plan(at, Event::Store);
+            self.schedule(at, Event::StoreProgress);
         }
     }
 
-    fn store_moved(&mut self) {
+    fn advance_store(&mut self) {
         if self.store_at != Some(self.clock.elapsed()) {
             return;
         }
         self.store_at = None;
-        let ended = self.store.take_finished(self.clock.elapsed());
-        for (engine, weights) in ended {
+        let finished = self.store.take_finished(self.clock.elapsed());
+        for (engine, weights) in finished {
             if let Some(coordinator) = &mut self.coordinator {
                 coordinator.done(&self.engines[engine].spec.name, &weights);
             }
-            self.drive(engine, |engine, now, sizes| {
-                engine.agent.on_load_finished(now, &weights, Some(true), sizes)
+            self.run_agent(engine, |engine, now, config| {
+                engine.agent.on_load_finished(now, &weights, Some(true), config)
             });
-            self.plan_coordinate(self.clock.elapsed());
+            self.schedule_load_grants(self.clock.elapsed());
         }
-        self.plan_store();
+        self.schedule_store();
     }
 
     /// One event at a time is planned; each planning its own next one would let them multiply.
-    fn plan_coordinate(&mut self, at: Duration) {
-        if self.coordinate_at.is_none_or(|planned| at < planned) {
-            self.coordinate_at = Some(at);
-            self.plan(at, Event::Coordinate);
+    fn schedule_load_grants(&mut self, at: Duration) {
+        if self.load_grants_at.is_none_or(|planned| at < planned) {
+            self.load_grants_at = Some(at);
+            self.schedule(at, Event::GrantLoads);
         }
     }
 
-    fn coordinate(&mut self) {
-        if self.coordinate_at != Some(self.clock.elapsed()) {
+    fn grant_loads(&mut self) {
+        if self.load_grants_at != Some(self.clock.elapsed()) {
             return;
         }
-        self.coordinate_at = None;
+        self.load_grants_at = None;
         let now = self.now();
         let Some(coordinator) = &mut self.coordinator else { return };
         let granted = coordinator.grant_due_loads(now);
         let next = coordinator.next_wake();
-        for ask in granted {
-            let engine = self.engine(&ask.target);
-            self.drive(engine, |engine, now, sizes| {
-                engine.agent.on_load_granted(now, &ask.weights, sizes)
+        for load_request in granted {
+            let engine = self.engine_index(&load_request.target);
+            self.run_agent(engine, |engine, now, config| {
+                engine.agent.on_load_granted(now, &load_request.weights, config)
             });
         }
         if let Some(at) = next.filter(|at| *at > now) {
-            self.plan_coordinate(at - self.start);
+            self.schedule_load_grants(at - self.start);
         }
     }
 
     /// How long a team with ready work is below what it is owed.
-    fn watch_shares(&mut self, engine: usize) {
+    fn update_share_deficits(&mut self, engine: usize) {
         let now = self.clock.elapsed();
-        let total = self.sizes.total_shares().max(request::DEFAULT_SHARE);
+        let total = self.config.total_shares().max(request::DEFAULT_SHARE);
         let state = &mut self.engines[engine];
         for team in &self.trace.header.teams {
-            let owed = state.spec.concurrency * team.share / total.max(1000);
+            let guaranteed = state.spec.concurrency * team.share / total.max(1000);
             let running = state.agent.running_of(&team.name);
-            let below = state.agent.ready_of(&team.name) > 0 && running < owed;
-            note_below(&mut state.below_share_since, &mut self.outcome, &team.name, now, below);
+            let below = state.agent.ready_of(&team.name) > 0 && running < guaranteed;
+            update_share_deficit(
+                &mut state.below_share_since,
+                &mut self.outcome,
+                &team.name,
+                now,
+                below,
+            );
         }
     }
 
@@ -467,7 +485,7 @@
     }
 }
 
-fn note_below(
+fn update_share_deficit(
     since: &mut BTreeMap<WorkspaceId, Duration>,
     outcome: &mut Outcome,
     team: &WorkspaceId,
@@ -482,7 +500,7 @@
     }
 }
 
-fn owned(slots: &BTreeMap<ModelId, Vec<usize>>, engine: usize) -> BTreeSet<ModelId> {
+fn owned_models(slots: &BTreeMap<ModelId, Vec<usize>>, engine: usize) -> BTreeSet<ModelId> {
     let owned = slots.iter().filter(|(_, engines)| engines.contains(&engine));
     owned.map(|(model, _)| model.clone()).collect()
 }
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -1,6 +1,6 @@
 //! A host is reclaimed: its requests go elsewhere, and its slots are planned anew.
 
-use super::{Event, Replay, owned};
+use super::{Event, Replay, owned_models};
 use crate::engines::InFlightRequest;
 use corianderstand_decide::request::Refusal;
 use corianderstand_schema::messages::RefusalReason;
@@ -8,17 +8,17 @@
 use std::time::Duration;
 
 /// Time until the host list shows a lost host and its slots are planned anew.
-const REPLAN: Duration = Duration::from_secs(12);
+const REASSIGN_DELAY: Duration = Duration::from_secs(12);
 /// When to come back after the connection to the only target broke.
-const RETRY_LOST: Duration = Duration::from_millis(500);
+const RETRY_AFTER_LOSS: Duration = Duration::from_millis(500);
 
 impl Replay<'_> {
-    pub(super) fn host_gone(&mut self, engine: usize) {
+    pub(super) fn handle_host_loss(&mut self, engine: usize) {
         let elapsed = self.clock.elapsed();
         self.engines[engine].accumulate_idle(elapsed);
         self.engines[engine].alive = false;
         self.store.cancel_loads(elapsed, engine);
-        let (name, key) = (self.engines[engine].spec.name.clone(), self.keys[engine]);
+        let (name, key) = (self.engines[engine].spec.name.clone(), self.target_keys[engine]);
         if let Some(coordinator) = &mut self.coordinator {
             coordinator.remove_target(&name);
         }
@@ -27,17 +27,19 @@
         let mut in_flight: Vec<InFlightRequest> = in_flight.into_values().collect();
         in_flight.sort_by_key(|request| request.caller);
         for request in in_flight {
-            self.lost(request);
+            self.fail_over(request);
         }
-        self.plan(elapsed + REPLAN, Event::SlotsMoved(engine));
-        self.plan_coordinate(elapsed);
+        self.schedule(elapsed + REASSIGN_DELAY, Event::SlotsReassigned(engine));
+        self.schedule_load_grants(elapsed);
     }
 
-    fn lost(&mut self, request: InFlightRequest) {
-        let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_LOST };
+    fn fail_over(&mut self, request: InFlightRequest) {
+        let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_AFTER_LOSS };
         let now = self.now();
         match self.routers[request.router].connection_lost(now, request.key, refusal) {
-            Some(decision) => self.decided(request.caller, request.router, request.key, decision),
+            Some(decision) => {
+                self.apply_decision(request.caller, request.router, request.key, decision)
+            }
             None => {
                 self.callers[request.caller].is_pending = false;
                 self.outcome.broken += 1;
@@ -45,11 +47,11 @@
         }
     }
 
-    pub(super) fn move_slots(&mut self, gone: usize) {
+    pub(super) fn reassign_slots(&mut self, lost_engine: usize) {
         let models: Vec<ModelId> = self.slots.keys().cloned().collect();
         for model in models {
             let owners = &self.slots[&model];
-            if !owners.contains(&gone) {
+            if !owners.contains(&lost_engine) {
                 continue;
             }
             let count =
@@ -58,13 +60,13 @@
                 (0..self.engines.len()).filter(|e| self.engines[*e].alive && !owners.contains(e));
             let chosen = free.min_by_key(|engine| (count(*engine), *engine));
             let owners = self.slots.get_mut(&model).expect("it was just there");
-            owners.retain(|engine| *engine != gone);
+            owners.retain(|engine| *engine != lost_engine);
             owners.extend(chosen);
         }
         for engine in 0..self.engines.len() {
-            let slots = owned(&self.slots, engine);
+            let slots = owned_models(&self.slots, engine);
             self.engines[engine].agent.set_slots(slots);
         }
-        self.set_owners();
+        self.publish_owners();
     }
 }
