--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -13,36 +13,38 @@
 /// The loads that become wanted between two moments cannot all have ended before the store has
 /// passed them; whoever is last waits since its own moment, which is no later than the second.
 pub fn store_wait(trace: &Trace) -> Duration {
-    let firsts = first_calls(trace);
+    let first_calls = first_calls_by_model(trace);
     let store = trace.header.store;
     let mut bound = Duration::ZERO;
-    for (index, (from, _)) in firsts.iter().enumerate() {
-        let mut work = Duration::ZERO;
-        for (count, (until, load)) in firsts[index..].iter().enumerate() {
-            work += *load;
-            let passed = *from + work / store.concurrent;
-            let started = *from + Duration::from_secs(1) / store.per_second * count as u32 + *load;
-            bound = bound.max(passed.max(started).saturating_sub(*until)).max(*load);
+    for (index, (from, _)) in first_calls.iter().enumerate() {
+        let mut load_work = Duration::ZERO;
+        for (count, (until, load)) in first_calls[index..].iter().enumerate() {
+            load_work += *load;
+            let store_done = *from + load_work / store.concurrent;
+            let rate_limited_done =
+                *from + Duration::from_secs(1) / store.per_second * count as u32 + *load;
+            bound = bound.max(store_done.max(rate_limited_done).saturating_sub(*until)).max(*load);
         }
     }
     bound
 }
 
 /// The first call of each model, and the time of its load, in order of time.
-fn first_calls(trace: &Trace) -> Vec<(Duration, Duration)> {
-    let mut firsts: BTreeMap<&ModelId, Duration> = BTreeMap::new();
+fn first_calls_by_model(trace: &Trace) -> Vec<(Duration, Duration)> {
+    let mut first_calls: BTreeMap<&ModelId, Duration> = BTreeMap::new();
     for line in &trace.lines {
         if let TraceEvent::Call(call) = &line.event {
-            firsts.entry(&call.model).or_insert(Duration::from_millis(line.at_ms));
+            first_calls.entry(&call.model).or_insert(Duration::from_millis(line.at_ms));
         }
     }
     let load = |model: &ModelId| {
         let line = trace.header.models.iter().find(|line| line.name == *model);
         line.map_or(Duration::ZERO, |line| Duration::from_millis(line.load_ms))
     };
-    let mut firsts: Vec<_> = firsts.into_iter().map(|(model, at)| (at, load(model))).collect();
-    firsts.sort_unstable();
-    firsts
+    let mut first_calls: Vec<_> =
+        first_calls.into_iter().map(|(model, at)| (at, load(model))).collect();
+    first_calls.sort_unstable();
+    first_calls
 }
 
 /// Fewest idle accelerator hours for this number of cold wakes, if all calls were known ahead.
@@ -51,22 +53,25 @@
 /// time after none: with so many cold wakes allowed, the longest gaps are not kept.
 pub fn clairvoyant_idle_hours(trace: &Trace, cold: usize) -> f64 {
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
-    let mut ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
+    let mut last_ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
     for line in &trace.lines {
         let TraceEvent::Call(call) = &line.event else { continue };
         let at = Duration::from_millis(line.at_ms);
         let end = at + Duration::from_millis(call.tokens * token_ms(trace, &call.model));
-        let before = ends.get(&call.model).copied();
-        ends.insert(&call.model, before.map_or(end, |before| before.max(end)));
-        if let Some(before) = before {
-            let gap = at.saturating_sub(before);
-            gaps.push((gap.as_secs_f64() / 3600.0 * part(trace, &call.model), gap));
+        let last_end = last_ends.get(&call.model).copied();
+        last_ends.insert(&call.model, last_end.map_or(end, |last_end| last_end.max(end)));
+        if let Some(last_end) = last_end {
+            let gap = at.saturating_sub(last_end);
+            gaps.push((
+                gap.as_secs_f64() / 3600.0 * accelerators_per_replica(trace, &call.model),
+                gap,
+            ));
         }
     }
-    let allowed = cold.saturating_sub(ends.len());
+    let allowed = cold.saturating_sub(last_ends.len());
     gaps.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let (wakes, within): (Vec<_>, Vec<_>) = gaps.into_iter().partition(|(_, gap)| *gap >= IDLE_GAP);
-    let kept = wakes.iter().skip(allowed).chain(&within);
+    let (wakes, short): (Vec<_>, Vec<_>) = gaps.into_iter().partition(|(_, gap)| *gap >= IDLE_GAP);
+    let kept = wakes.iter().skip(allowed).chain(&short);
     kept.map(|(hours, _)| hours).sum()
 }
 
@@ -76,7 +81,7 @@
 }
 
 /// Accelerators that a replica of a model takes.
-fn part(trace: &Trace, model: &ModelId) -> f64 {
+fn accelerators_per_replica(trace: &Trace, model: &ModelId) -> f64 {
     let line = trace.header.models.iter().find(|line| line.name == *model);
     let engine = &trace.header.engines[0];
     let memory = line.map_or(0, |line| line.memory_mib) as f64;
--- a/crates/corianderstand_replay/src/generate.rs
+++ b/crates/corianderstand_replay/src/generate.rs
@@ -16,10 +16,10 @@
 const HOUR: u64 = 60 * MINUTE;
 const DAY: u64 = 24 * HOUR;
 /// Memory of one accelerator.
-const ENGINE_MIB: u64 = 81_920;
+const ENGINE_MEMORY_MIB: u64 = 81_920;
 const GIB: u64 = 1024;
 /// Days of the traces that show habits.
-const DAYS: u64 = 10;
+const TRACE_DAYS: u64 = 10;
 
 /// What differs between the two deployments.
 struct Deployment {
@@ -52,39 +52,40 @@
 /// Engines of either deployment.
 const ENGINES: usize = 9;
 /// Engines that own a slot of each model.
-const SLOTS: usize = 2;
+const SLOTS_PER_MODEL: usize = 2;
 
-fn header(of: &Deployment, trace: &str, about: &str, begins: u64) -> Header {
-    let engine = |number: usize| -> TargetId { format!("{}-{number}", of.engine).as_str().into() };
+fn header(deployment: &Deployment, trace: &str, about: &str, begins_ms: u64) -> Header {
+    let engine =
+        |number: usize| -> TargetId { format!("{}-{number}", deployment.engine).as_str().into() };
     let engines = (0..ENGINES).map(|number| EngineSpec {
         name: engine(number),
-        zone: of.zones[number % of.zones.len()].into(),
-        memory_mib: ENGINE_MIB,
+        zone: deployment.zones[number % deployment.zones.len()].into(),
+        memory_mib: ENGINE_MEMORY_MIB,
         concurrency: 16,
         accelerators: 1,
     });
-    let models = (0..of.models).map(|number| ModelSpec {
+    let models = (0..deployment.models).map(|number| ModelSpec {
         name: model(number),
         memory_mib: (12 + number as u64 * 7 % 20) * GIB,
         load_ms: (12 + number as u64 * 7 % 20) * SECOND,
         token_ms: 20,
-        slots: (0..SLOTS).map(|slot| engine((number + slot * 4) % ENGINES)).collect(),
-        weight_tail: of.weights.0,
-        weight_idle: of.weights.1,
+        slots: (0..SLOTS_PER_MODEL).map(|slot| engine((number + slot * 4) % ENGINES)).collect(),
+        weight_tail: deployment.weights.0,
+        weight_idle: deployment.weights.1,
     });
     Header {
         trace: trace.into(),
         about: about.into(),
-        begins: begins / SECOND,
-        routers: of.zones.iter().map(|zone| (*zone).into()).collect(),
+        begins: begins_ms / SECOND,
+        routers: deployment.zones.iter().map(|zone| (*zone).into()).collect(),
         engines: engines.collect(),
         models: models.collect(),
-        teams: of
+        teams: deployment
             .teams
             .iter()
             .map(|(name, share)| WorkspaceSpec { name: (*name).into(), share: *share })
             .collect(),
-        store: of.store,
+        store: deployment.store,
     }
 }
 
@@ -179,7 +180,7 @@
 pub fn quiet_nights(seed: u64) -> Trace {
     let about = "ten days at Hinokuni: mornings and evenings by habit, quiet nights";
     let mut builder = TraceBuilder::new(seed, header(&HINOKUNI, "quiet-nights", about, 0));
-    for day in 0..DAYS {
+    for day in 0..TRACE_DAYS {
         for number in 0..10 {
             let scatter = builder.rng.random_range(0..10 * MINUTE);
             let morning = 8 * HOUR + 30 * MINUTE + number as u64 * 2 * MINUTE;
@@ -199,7 +200,7 @@
     for number in 0..12 {
         let mean = (2 + number as u64) * HOUR;
         let mut at = builder.rng.random_range(0..mean);
-        while at < DAYS * DAY {
+        while at < TRACE_DAYS * DAY {
             builder.burst(at, 8 * MINUTE, number, 4);
             at += exponential(&mut builder.rng, mean);
         }
@@ -231,11 +232,11 @@
 }
 
 /// Calls at so many times what all engines together can serve, for a few minutes.
-pub fn overload(seed: u64, times: f64) -> Trace {
+pub fn overload(seed: u64, load_factor: f64) -> Trace {
     let about = "all engines of Vidrio Sur warm, and calls at a multiple of what they can serve";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "overload", about, 12 * HOUR));
     // 9 engines, 16 at once, 100 tokens of 20 ms each: 72 a second.
-    let per_second = 72.0 * times;
+    let per_second = 72.0 * load_factor;
     let first = 2 * MINUTE;
     (0..ENGINES).for_each(|number| builder.call(0, number, 100, 300 * SECOND));
     for index in 0..(per_second * 180.0) as u64 {
--- a/crates/corianderstand_replay/src/outcome.rs
+++ b/crates/corianderstand_replay/src/outcome.rs
@@ -69,10 +69,10 @@
 
 impl Outcome {
     /// Notes that a call's first token came.
-    pub fn record_first_token(&mut self, is_wake: bool, took: Duration) {
-        self.first_token_latencies.push(took);
+    pub fn record_first_token(&mut self, is_wake: bool, latency: Duration) {
+        self.first_token_latencies.push(latency);
         if is_wake {
-            self.wake_latencies.push(took);
+            self.wake_latencies.push(latency);
         }
     }
 
@@ -82,7 +82,7 @@
         self.first_token_latencies.sort_unstable();
         self.wake_count = self.wake_latencies.len() as u64;
         self.cold =
-            self.wake_latencies.iter().filter(|took| **took >= COLD_THRESHOLD).count() as u64;
+            self.wake_latencies.iter().filter(|latency| **latency >= COLD_THRESHOLD).count() as u64;
         self.cold_p50_ms = percentile(&self.wake_latencies, 50).as_millis() as u64;
         self.cold_p99_ms = percentile(&self.wake_latencies, 99).as_millis() as u64;
         let sum: Duration = self.wake_latencies.iter().sum();
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -221,7 +221,7 @@
 
     fn engine_index(&self, name: &TargetId) -> usize {
         let found = self.engines.iter().position(|engine| engine.spec.name == *name);
-        found.expect("the trace was checked to name its engines")
+        found.expect("Trace::parse rejects unknown engines")
     }
 
     fn start_call(&mut self, call: &Call) {
@@ -271,7 +271,7 @@
             Decision::Refuse(refusal) => self.handle_refusal(caller, refusal),
             Decision::Send(target) => {
                 let engine = self.target_keys.iter().position(|known| *known == target);
-                let engine = engine.expect("routers know the engines of the trace only");
+                let engine = engine.expect("every target is an engine of the trace");
                 let spec = self.request_spec(&self.callers[caller]);
                 self.run_agent(engine, |engine, now, config| {
                     let (agent_key, actions) = engine.agent.submit(now, spec, config);
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -59,7 +59,7 @@
             let free =
                 (0..self.engines.len()).filter(|e| self.engines[*e].alive && !owners.contains(e));
             let chosen = free.min_by_key(|engine| (count(*engine), *engine));
-            let owners = self.slots.get_mut(&model).expect("it was just there");
+            let owners = self.slots.get_mut(&model).expect("models come from the same map");
             owners.retain(|engine| *engine != lost_engine);
             owners.extend(chosen);
         }
--- a/crates/corianderstand_replay/src/strategies.rs
+++ b/crates/corianderstand_replay/src/strategies.rs
@@ -45,9 +45,13 @@
     }
 
     /// Ours, but each model is kept for a fixed time.
-    pub fn fixed_keep_alive(keep: Duration) -> Self {
-        let policy = Policy { keep_alive: KeepAlive::Fixed(keep), ..Policy::default() };
-        Self { name: format!("fixed {} s", keep.as_secs()).into(), policy, ..Self::standard() }
+    pub fn fixed_keep_alive(keep_alive: Duration) -> Self {
+        let policy = Policy { keep_alive: KeepAlive::Fixed(keep_alive), ..Policy::default() };
+        Self {
+            name: format!("fixed {} s", keep_alive.as_secs()).into(),
+            policy,
+            ..Self::standard()
+        }
     }
 
     /// Ours, but the least recently used makes room.
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -204,7 +204,7 @@
         if self.lines.last().is_some_and(|last| last.at_ms > line.at_ms) {
             return Err(TraceError::Order(number));
         }
-        let unknown = |what| Err(TraceError::Unknown(number, what));
+        let unknown = |kind| Err(TraceError::Unknown(number, kind));
         match &line.event {
             TraceEvent::Call(call) if call.router >= self.header.routers.len() => {
                 unknown("a router")
@@ -235,9 +235,9 @@
     /// Puts settings in the place of what the trace says of models, teams and the store.
     pub fn apply(&mut self, view: &View) {
         for model in &mut self.header.models {
-            let Some(facts) = view.models.get(&model.name) else { continue };
-            model.memory_mib = facts.memory_mib.0;
-            model.load_ms = facts.load_ms.as_millis();
+            let Some(settings) = view.models.get(&model.name) else { continue };
+            model.memory_mib = settings.memory_mib.0;
+            model.load_ms = settings.load_ms.as_millis();
             let teams: Vec<_> =
                 view.teams.values().filter(|team| team.models.contains_key(&model.name)).collect();
             let count = teams.len().max(1) as u32;
@@ -247,8 +247,8 @@
             }
         }
         for team in &mut self.header.teams {
-            if let Some(known) = view.teams.get(&team.name) {
-                team.share = known.team.share;
+            if let Some(settings) = view.teams.get(&team.name) {
+                team.share = settings.team.share;
             }
         }
         if !view.models.is_empty() {
--- a/crates/corianderstand_replay/tests/scenarios.rs
+++ b/crates/corianderstand_replay/tests/scenarios.rs
@@ -10,15 +10,15 @@
 use rstest::rstest;
 use std::path::PathBuf;
 
-type Fallible<T> = Result<T, Box<EvalAltResult>>;
+type ScriptResult<T> = Result<T, Box<EvalAltResult>>;
 
-fn trace(name: &str) -> Fallible<Trace> {
+fn trace(name: &str) -> ScriptResult<Trace> {
     let others = [generate::slow_engine(1), generate::flood(1), generate::overload(1, 10.0)];
     let mut all = generate::committed().into_iter().chain(others);
-    Ok(all.find(|trace| trace.header.trace == name).ok_or("there is no trace of that name")?)
+    Ok(all.find(|trace| trace.header.trace == name).ok_or("unknown trace")?)
 }
 
-fn strategy(name: &str) -> Fallible<Strategy> {
+fn strategy(name: &str) -> ScriptResult<Strategy> {
     Ok(match name {
         "ours" => Strategy::standard(),
         "alone" => Strategy::uncoordinated(),
@@ -26,13 +26,13 @@
         "lru" => Strategy::lru_eviction(),
         "fcfs" => Strategy::fifo(),
         "random" => Strategy::random_placement(),
-        _ => return Err("there is no way of that name".into()),
+        _ => return Err("unknown strategy".into()),
     })
 }
 
-fn outcome(name: &str, by: &str) -> Fallible<Map> {
+fn outcome(name: &str, strategy_name: &str) -> ScriptResult<Map> {
     let trace = trace(name)?;
-    let outcome = replay::run(&trace, &strategy(by)?);
+    let outcome = replay::run(&trace, &strategy(strategy_name)?);
     let numbers = [
         ("calls", outcome.calls),
         ("served", outcome.served),
@@ -50,8 +50,8 @@
     Ok(map)
 }
 
-fn check(holds: bool, what: &str) -> Fallible<()> {
-    if holds { Ok(()) } else { Err(format!("does not hold: {what}").into()) }
+fn check(holds: bool, description: &str) -> ScriptResult<()> {
+    if holds { Ok(()) } else { Err(format!("check failed: {description}").into()) }
 }
 
 #[rstest]
