--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -1,4 +1,4 @@
-//! What no way to decide can beat.
+//! Theoretical bounds that no scheduling strategy can beat.
 
 use crate::{
     outcome::IDLE_GAP,
@@ -7,11 +7,11 @@
 use corianderstand_types::names::ModelId;
 use std::{collections::BTreeMap, time::Duration};
 
-/// The longest wait for a load that the weight store forces, if all is cold at the beginning and
-/// nothing is loaded ahead or twice.
+/// Lower bound on the worst load wait that the weight store's rate and concurrency limits impose,
+/// if all models start cold and each is loaded once, on demand.
 ///
-/// The loads that become wanted between two moments cannot all have ended before the store has
-/// passed them; whoever is last waits since its own moment, which is no later than the second.
+/// For every interval between two first calls, the store must have finished all loads requested
+/// in it; the last of them waits at least until then.
 pub fn store_wait(trace: &Trace) -> Duration {
     let first_calls = first_calls_by_model(trace);
     let store = trace.header.store;
@@ -29,7 +29,7 @@
     bound
 }
 
-/// The first call of each model, and the time of its load, in order of time.
+/// First call time and load time of each model, by time.
 fn first_calls_by_model(trace: &Trace) -> Vec<(Duration, Duration)> {
     let mut first_calls: BTreeMap<&ModelId, Duration> = BTreeMap::new();
     for line in &trace.lines {
@@ -47,10 +47,9 @@
     first_calls
 }
 
-/// Fewest idle accelerator hours for this number of cold wakes, if all calls were known ahead.
+/// Minimum idle accelerator hours for a number of cold wakes, with all calls known ahead.
 ///
-/// One replica of each model, kept through the shortest gaps between calls and loaded just in
-/// time after none: with so many cold wakes allowed, the longest gaps are not kept.
+/// Keeps one replica of each model loaded over the shortest gaps between its calls.
 pub fn clairvoyant_idle_hours(trace: &Trace, cold: usize) -> f64 {
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
     let mut last_ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
@@ -80,7 +79,6 @@
     line.map_or(0, |line| line.token_ms)
 }
 
-/// Accelerators that a replica of a model takes.
 fn accelerators_per_replica(trace: &Trace, model: &ModelId) -> f64 {
     let line = trace.header.models.iter().find(|line| line.name == *model);
     let engine = &trace.header.engines[0];
--- a/crates/corianderstand_replay/src/callers.rs
+++ b/crates/corianderstand_replay/src/callers.rs
@@ -1,30 +1,26 @@
-//! Fake callers, who follow the time to come back that a refusal names.
+//! Simulated callers that retry after the delay given in a refusal.
 
 use crate::trace::Call;
 use std::time::Duration;
 
-/// Longest time that a caller keeps coming back.
+/// How long after its first attempt a caller still retries.
 pub const RETRY_WINDOW: Duration = Duration::from_secs(600);
 
-/// A caller with one call.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The call.
     pub call: Call,
-    /// When it first asked.
     pub first_attempt_at: Duration,
-    /// When the present try must be answered.
+    /// Deadline of the current attempt.
     pub deadline: Duration,
-    /// Whether its model had not been called for a while.
+    /// Whether the call follows an idle gap of its model.
     pub is_wake: bool,
-    /// Whether the present try still waits for an answer.
+    /// Whether the current attempt is unanswered.
     pub is_pending: bool,
-    /// Whether the first token of some try has come.
+    /// Whether any attempt has produced a first token.
     pub has_started: bool,
 }
 
 impl Caller {
-    /// A caller that asks now.
     pub fn new(call: &Call, now: Duration, is_wake: bool) -> Self {
         let deadline = now + Duration::from_millis(call.deadline_ms);
         Self {
@@ -37,12 +33,10 @@
         }
     }
 
-    /// Whether it comes back after a refusal.
     pub fn will_retry(&self, at: Duration) -> bool {
         at <= self.first_attempt_at + RETRY_WINDOW
     }
 
-    /// Asks again.
     pub fn retry(&mut self, now: Duration) {
         self.deadline = now + Duration::from_millis(self.call.deadline_ms);
         self.is_pending = true;
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -1,4 +1,4 @@
-//! Real agents beside fake engines.
+//! Real agents with simulated engines.
 
 use crate::{
     strategies::Strategy,
@@ -19,15 +19,13 @@
     time::{Duration, Instant},
 };
 
-/// Requests that wait at one agent.
+/// Queue limit of an agent.
 const QUEUE_LIMIT: u32 = 256;
-/// Memory of an adapter.
 const ADAPTER_MIB: u64 = 200;
-/// Time of an adapter's load.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_secs(1);
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// What a trace says of models and teams.
+/// Scheduling configuration derived from a trace header.
 pub struct TraceConfig {
     models: BTreeMap<ModelId, (u64, Duration, CostFactors)>,
     shares: BTreeMap<WorkspaceId, u32>,
@@ -35,7 +33,6 @@
 }
 
 impl TraceConfig {
-    /// Sizes of a trace, seen one way.
     pub fn new(header: &Header, strategy: &Strategy) -> Self {
         let models = header.models.iter().map(|model| {
             let (tail, idle) =
@@ -83,42 +80,37 @@
     }
 }
 
-/// Where the answer to a request goes.
+/// A request at an engine, and where its response goes.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightRequest {
-    /// Number of the caller.
+    /// Index into the replay's callers.
     pub caller: usize,
-    /// Number of the router.
+    /// Index into the replay's routers.
     pub router: usize,
-    /// The router's key.
+    /// The router's key for the request.
     pub key: RequestKey,
-    /// When it began to run.
     pub started_at: Option<Duration>,
 }
 
-/// An agent and its fake engine.
+/// An agent and its simulated engine.
 pub struct Engine {
-    /// What the trace says of it.
     pub spec: EngineSpec,
-    /// The agent.
     pub agent: Agent,
-    /// Times that its answers take longer.
+    /// Factor on the duration of its responses.
     pub slowdown: f64,
-    /// Whether its host is still there.
+    /// Whether its host is still running.
     pub alive: bool,
-    /// Requests that it holds.
     pub in_flight: HashMap<RequestKey, InFlightRequest>,
-    /// The earliest wake that is already planned.
+    /// Time of the earliest scheduled wake event.
     pub scheduled_wake: Option<Duration>,
-    /// Accelerator hours that loaded models stood unused.
     pub idle_hours: f64,
-    /// Since when a team with ready work has been below its share.
+    /// Since when a team with ready requests has run below its share.
     pub below_share_since: BTreeMap<WorkspaceId, Duration>,
     idle_counted_until: Duration,
 }
 
 impl Engine {
-    /// An empty engine that owns slots of these models.
+    /// Creates an empty engine that owns slots of these models.
     pub fn new(spec: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
         let limits = Limits { concurrency: spec.concurrency, queue: QUEUE_LIMIT };
         let mut agent = Agent::with_policy(limits, Mib(spec.memory_mib), strategy.policy);
@@ -137,7 +129,7 @@
         }
     }
 
-    /// Counts the time since the last call as idle for all that was loaded and not used.
+    /// Adds the time since the last call to the idle hours of loaded but unused weights.
     pub fn accumulate_idle(&mut self, now: Duration) {
         let hours = (now - self.idle_counted_until).as_secs_f64() / SECONDS_PER_HOUR;
         self.idle_counted_until = now;
@@ -154,7 +146,7 @@
         self.idle_hours += hours * fraction * f64::from(self.spec.accelerators);
     }
 
-    /// When its agent wants to be called next.
+    /// Time at which the agent next needs to run.
     pub fn next_wake(&self, start: Instant) -> Option<Duration> {
         self.agent.next_wake().map(|at| at.saturating_duration_since(start))
     }
--- a/crates/corianderstand_replay/src/generate.rs
+++ b/crates/corianderstand_replay/src/generate.rs
@@ -1,8 +1,6 @@
-//! Makes the committed traces from the sizes of the two deployments.
+//! Generates the committed traces from assumed sizes and call patterns of two deployments.
 //!
-//! The same seed gives the same trace. Load times, lengths and habits are assumptions, as no
-//! recording of the users' own is at hand; they are named here, and a recorded trace in the same
-//! format replaces them.
+//! The same seed gives the same trace. Recorded traces in the same format can replace them.
 
 use crate::trace::{
     Call, EngineSpec, Fault, Header, Line, ModelSpec, StoreSpec, Trace, TraceEvent, WorkspaceSpec,
@@ -15,13 +13,12 @@
 const MINUTE: u64 = 60 * SECOND;
 const HOUR: u64 = 60 * MINUTE;
 const DAY: u64 = 24 * HOUR;
-/// Memory of one accelerator.
 const ENGINE_MEMORY_MIB: u64 = 81_920;
 const GIB: u64 = 1024;
-/// Days of the traces that show habits.
+/// Length of the multi-day traces.
 const TRACE_DAYS: u64 = 10;
 
-/// What differs between the two deployments.
+/// Parameters that differ between the two deployments.
 struct Deployment {
     zones: [&'static str; 3],
     engine: &'static str,
@@ -49,9 +46,8 @@
     weights: (20, 80),
 };
 
-/// Engines of either deployment.
+/// Engines of each deployment.
 const ENGINES: usize = 9;
-/// Engines that own a slot of each model.
 const SLOTS_PER_MODEL: usize = 2;
 
 fn header(deployment: &Deployment, trace: &str, about: &str, begins_ms: u64) -> Header {
@@ -123,7 +119,7 @@
         self.lines.push(Line { at_ms, event: TraceEvent::Fault(fault) });
     }
 
-    /// Calls of one model within a time, at random moments.
+    /// Adds calls of one model at random times within a window.
     fn burst(&mut self, at_ms: u64, window_ms: u64, number: usize, calls: usize) {
         for _ in 0..calls {
             let at = at_ms + self.rng.random_range(0..window_ms);
@@ -138,7 +134,7 @@
     }
 }
 
-/// First requests for sixteen models within a minute and a half, all cold.
+/// Cold burst: first requests for sixteen cold models within 90 s.
 pub fn crew_morning(seed: u64) -> Trace {
     let about = "a crew's morning at Vidrio Sur: sixteen cold models within 90 s";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "crew-morning", about, 7 * HOUR));
@@ -153,7 +149,7 @@
     }
 }
 
-/// A team's evening meeting: long design chats and short summaries, with adapters.
+/// Long chats with adapters, mixed with short summaries.
 pub fn evening_meeting(seed: u64) -> Trace {
     let about = "an evening meeting at Hinokuni: long chats with adapters, short summaries";
     let mut builder =
@@ -176,7 +172,7 @@
     builder.build()
 }
 
-/// Ten days with a morning and an evening, and quiet nights between.
+/// Ten days with daily morning and evening peaks.
 pub fn quiet_nights(seed: u64) -> Trace {
     let about = "ten days at Hinokuni: mornings and evenings by habit, quiet nights";
     let mut builder = TraceBuilder::new(seed, header(&HINOKUNI, "quiet-nights", about, 0));
@@ -193,7 +189,7 @@
     builder.build()
 }
 
-/// Ten days of calls without pattern, in sessions of a few calls.
+/// Ten days of short sessions at random times.
 pub fn market_days(seed: u64) -> Trace {
     let about = "ten market days at Vidrio Sur: sessions at any time, without pattern";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "market-days", about, 0));
@@ -213,7 +209,7 @@
     (-uniform.ln() * mean as f64) as u64
 }
 
-/// The crew's morning, and a host is reclaimed in the middle of it.
+/// The cold burst, with a host reclaimed in the middle of it.
 pub fn reclaimed_host(seed: u64) -> Trace {
     let about = "a crew's morning at Vidrio Sur, in which a host is reclaimed";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "reclaimed-host", about, 7 * HOUR));
@@ -222,7 +218,7 @@
     builder.build()
 }
 
-/// The crew's morning with a weight store four times slower than stated.
+/// The cold burst with a weight store four times slower than configured.
 pub fn slow_store(seed: u64) -> Trace {
     let about = "a crew's morning at Vidrio Sur, with a weight store four times slower than stated";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "slow-store", about, 7 * HOUR));
@@ -231,11 +227,11 @@
     builder.build()
 }
 
-/// Calls at so many times what all engines together can serve, for a few minutes.
+/// Calls at a multiple of the total capacity of all engines.
 pub fn overload(seed: u64, load_factor: f64) -> Trace {
     let about = "all engines of Vidrio Sur warm, and calls at a multiple of what they can serve";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "overload", about, 12 * HOUR));
-    // 9 engines, 16 at once, 100 tokens of 20 ms each: 72 a second.
+    // 9 engines * 16 concurrent requests / (100 tokens * 20 ms) = 72 requests per second.
     let per_second = 72.0 * load_factor;
     let first = 2 * MINUTE;
     (0..ENGINES).for_each(|number| builder.call(0, number, 100, 300 * SECOND));
@@ -247,7 +243,7 @@
     builder.build()
 }
 
-/// One engine becomes eight times slower under steady calls.
+/// Steady load while one engine becomes eight times slower.
 pub fn slow_engine(seed: u64) -> Trace {
     let about = "steady calls at Vidrio Sur; after a while one engine is eight times slower";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "slow-engine", about, 12 * HOUR));
@@ -260,7 +256,7 @@
     builder.build()
 }
 
-/// Skewed demand: one team's flood on one model, while the other has its steady work.
+/// Skewed demand: one team floods a model that another team calls at a steady rate.
 pub fn flood(seed: u64) -> Trace {
     let about = "the office floods a model of Vidrio Sur that the crews use too";
     let mut builder = TraceBuilder::new(seed, header(&VIDRIO, "flood", about, 12 * HOUR));
@@ -286,7 +282,7 @@
     builder.build()
 }
 
-/// The traces that are committed.
+/// All traces stored in `traces/`.
 pub fn committed() -> Vec<Trace> {
     vec![
         crew_morning(1),
--- a/crates/corianderstand_replay/src/lib.rs
+++ b/crates/corianderstand_replay/src/lib.rs
@@ -1,10 +1,8 @@
-//! Replays recorded traces through the very decisions that routers and agents run.
+//! Discrete-event replay of traces through the scheduling code of routers and agents.
 //!
-//! A trace tells what was called when, on which engines, and what went wrong. [`replay::run`]
-//! moves a manual clock from event to event and hands them to real routers and agents of
-//! `corianderstand_decide`; engines, the weight store and callers are small fakes. It measures
-//! what callers met and what it cost. It is no model of a cluster: there is no network and no
-//! log, and processes do not fail but for the faults that a trace names.
+//! [`replay::run`] advances a manual clock from event to event and runs the routers and agents of
+//! `corianderstand_decide` against simulated engines, callers and a simulated weight store. The
+//! network and the log are not simulated, and the only faults are those in the trace.
 //!
 //! ```
 //! use corianderstand_replay::{generate, replay, strategies::Strategy};
--- a/crates/corianderstand_replay/src/outcome.rs
+++ b/crates/corianderstand_replay/src/outcome.rs
@@ -1,74 +1,74 @@
-//! What callers met, and what it cost.
+//! Measurements of a replay: results for callers and resource cost.
 
 use corianderstand_derives::derives;
 use smol_str::SmolStr;
 use std::{collections::BTreeMap, time::Duration};
 
-/// A call to a model that was not called for this long is a wake.
+/// A call to a model that was idle for at least this long is a wake.
 pub const IDLE_GAP: Duration = Duration::from_secs(60);
 
-/// The outcome of one replay.
+/// Measurements of one replay.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Outcome {
-    /// The way to decide.
+    /// Name of the strategy.
     #[serde(rename = "way")]
     pub strategy: SmolStr,
     /// Calls in the trace.
     pub calls: u64,
-    /// Calls answered whole and in time, at the first try or later.
+    /// Calls completed within their deadline, on any attempt.
     pub served: u64,
-    /// Calls given up after refusals, each told at once.
+    /// Calls abandoned after repeated refusals.
     pub given_up: u64,
-    /// Refusals, also of calls that were served later.
+    /// Refusals, including those of calls that were served later.
     pub refusals: u64,
-    /// Tries that ran over their deadline and were cut off there.
+    /// Attempts aborted at their deadline while running.
     pub late: u64,
-    /// Tries whose deadline passed without any answer: must be none.
+    /// Attempts whose deadline passed without a response; expected to be zero.
     #[serde(rename = "silent")]
     pub unanswered: u64,
-    /// Calls whose host was lost under way, and which were told.
+    /// Calls that failed because their host was lost.
     pub broken: u64,
-    /// Loads ordered.
+    /// Loads started.
     pub loads: u64,
-    /// Time from the first asking to the first token of each wake, sorted.
+    /// Time from the first attempt to the first token of each wake, sorted.
     #[serde(skip)]
     pub wake_latencies: Vec<Duration>,
-    /// The same for all calls, sorted.
+    /// Time from the first attempt to the first token of each call, sorted.
     #[serde(skip)]
     pub first_token_latencies: Vec<Duration>,
-    /// Wakes.
+    /// Number of wakes.
     pub wake_count: u64,
     /// Wakes that waited for a load.
     pub cold: u64,
-    /// Median of cold-start latency, over all wakes.
+    /// Median first-token latency of all wakes.
     pub cold_p50_ms: u64,
-    /// 99th percentile of cold-start latency, over all wakes.
+    /// 99th percentile of the first-token latency of all wakes.
     pub cold_p99_ms: u64,
-    /// Mean of cold-start latency, over all wakes.
+    /// Mean first-token latency of all wakes.
     pub cold_mean_ms: u64,
-    /// 99th percentile of the time to the first token, over all calls.
+    /// 99th percentile of the first-token latency of all calls.
     pub start_p99_ms: u64,
-    /// Accelerator hours that loaded models stood unused.
+    /// Accelerator hours of loaded but unused models.
     pub idle_hours: f64,
-    /// Calls served in time, in each minute.
+    /// Calls served in each minute.
     pub served_by_minute: BTreeMap<u64, u64>,
-    /// Longest time that a team with waiting work was below its share, by team.
+    /// Longest time that each team with ready requests ran below its share.
     #[serde(rename = "share_back_ms")]
     pub longest_share_deficit_ms: BTreeMap<SmolStr, u64>,
 }
 
-/// The value below which this part, in hundredths, of sorted values lies.
+/// Nearest-rank percentile of sorted values.
 pub fn percentile(sorted: &[Duration], percent: usize) -> Duration {
     let index = (sorted.len() * percent).div_ceil(100).max(1) - 1;
     sorted.get(index).copied().unwrap_or_default()
 }
 
-/// A wake that took at least this long waited for a load.
+/// Wakes with at least this latency count as cold.
 const COLD_THRESHOLD: Duration = Duration::from_millis(500);
 
 impl Outcome {
-    /// Notes that a call's first token came.
+    /// Records the first token of a call.
     pub fn record_first_token(&mut self, is_wake: bool, latency: Duration) {
         self.first_token_latencies.push(latency);
         if is_wake {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Works out the sums once all is over.
+    /// Computes the aggregates after the replay.
     pub fn finish(&mut self) {
         self.wake_latencies.sort_unstable();
         self.first_token_latencies.sort_unstable();
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -1,4 +1,4 @@
-//! Moves the clock from event to event and hands them to routers and agents.
+//! The event loop of a replay.
 
 mod faults;
 
@@ -30,12 +30,10 @@
     time::{Duration, Instant},
 };
 
-/// Time of an unload.
 const UNLOAD_TIME: Duration = Duration::from_millis(100);
-/// After the last line of a trace, until the replay ends.
+/// How long the replay runs after the last retry.
 const DRAIN_TIME: Duration = Duration::from_secs(600);
 
-/// What is going to happen.
 enum Event {
     Line(usize),
     Retry(usize),
@@ -68,7 +66,7 @@
     outcome: Outcome,
 }
 
-/// Replays a trace one way.
+/// Replays a trace with a strategy.
 pub fn run(trace: &Trace, strategy: &Strategy) -> Outcome {
     let mut replay = Replay::new(trace, strategy);
     let last = trace.lines.last().map_or(0, |line| line.at_ms);
@@ -184,7 +182,7 @@
             Event::StoreProgress => self.advance_store(),
             Event::GrantLoads => self.grant_loads(),
             Event::AgentWake(engine) => {
-                // An earlier one was planned since; if this one planned too, they would multiply.
+                // Ignore a superseded wake, or each of them would schedule further ones.
                 if self.engines[engine].scheduled_wake != Some(self.clock.elapsed()) {
                     return;
                 }
@@ -283,7 +281,7 @@
         }
     }
 
-    /// Lets an agent decide, and does what it decided.
+    /// Runs an agent's decision and executes the resulting actions.
     fn run_agent(
         &mut self,
         engine: usize,
@@ -370,7 +368,6 @@
         self.routers[request.router].finished(now, request.key, Some(load));
     }
 
-    /// The router gives a running request up at its deadline, and says so.
     fn abort_at_deadline(&mut self, engine: usize, key: RequestKey) {
         let Some(request) = self.engines[engine].in_flight.remove(&key) else { return };
         self.callers[request.caller].is_pending = false;
@@ -426,7 +423,7 @@
         self.schedule_store();
     }
 
-    /// One event at a time is planned; each planning its own next one would let them multiply.
+    /// Keeps a single event scheduled, as each one schedules its successor.
     fn schedule_load_grants(&mut self, at: Duration) {
         if self.load_grants_at.is_none_or(|planned| at < planned) {
             self.load_grants_at = Some(at);
@@ -454,7 +451,6 @@
         }
     }
 
-    /// How long a team with ready work is below what it is owed.
     fn update_share_deficits(&mut self, engine: usize) {
         let now = self.clock.elapsed();
         let total = self.config.total_shares().max(request::DEFAULT_SHARE);
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -1,4 +1,4 @@
-//! A host is reclaimed: its requests go elsewhere, and its slots are planned anew.
+//! Host loss: fails over its requests and reassigns its slots.
 
 use super::{Event, Replay, owned_models};
 use crate::engines::InFlightRequest;
@@ -7,9 +7,9 @@
 use corianderstand_types::names::ModelId;
 use std::time::Duration;
 
-/// Time until the host list shows a lost host and its slots are planned anew.
+/// Delay until the loss is detected and the slots are reassigned.
 const REASSIGN_DELAY: Duration = Duration::from_secs(12);
-/// When to come back after the connection to the only target broke.
+/// `retry_after` for a request that lost its only target.
 const RETRY_AFTER_LOSS: Duration = Duration::from_millis(500);
 
 impl Replay<'_> {
--- a/crates/corianderstand_replay/src/report.rs
+++ b/crates/corianderstand_replay/src/report.rs
@@ -1,24 +1,24 @@
-//! Prints outcomes side by side.
+//! Formats outcomes for comparison.
 
 use crate::{bounds, outcome::Outcome, trace::Trace};
 use corianderstand_derives::derives;
 use std::fmt::Write;
 
-/// Outcomes of one trace, and what none can beat.
+/// Outcomes of one trace with its theoretical bounds.
 #[derives(wire)]
 pub struct Report {
     /// Name of the trace.
     pub trace: String,
-    /// Longest wait for a load that the weight store forces.
+    /// Lower bound on the worst load wait; see [`bounds::store_wait`].
     pub store_bound_ms: u64,
-    /// Fewest idle hours at the cold wakes of the first outcome.
+    /// Minimum idle hours at the number of cold wakes of the first outcome.
     pub clairvoyant_idle_hours: f64,
-    /// One for each way to decide.
+    /// One outcome for each strategy.
     pub outcomes: Vec<Outcome>,
 }
 
 impl Report {
-    /// Puts outcomes beside their bounds.
+    /// Computes the bounds for the outcomes of a trace.
     pub fn new(trace: &Trace, outcomes: Vec<Outcome>) -> Self {
         let cold = outcomes.first().map_or(0, |outcome| outcome.cold as usize);
         Self {
@@ -29,12 +29,12 @@
         }
     }
 
-    /// One JSON object.
+    /// Formats the report as JSON.
     pub fn json(&self) -> String {
         serde_json::to_string(self).expect("a report is JSON")
     }
 
-    /// A table for people.
+    /// Formats the report as a text table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{}: the store's bound for a burst {} ms; clairvoyant {:.2} idle hours at as many \
--- a/crates/corianderstand_replay/src/store.rs
+++ b/crates/corianderstand_replay/src/store.rs
@@ -1,13 +1,13 @@
-//! A fake weight store: so many starts a second, and so many loads side by side at full speed;
-//! beyond them all share its speed.
+//! Simulated weight store with a limit on load starts per second. Loads above the concurrency limit
+//! share the store's bandwidth.
 
 use corianderstand_types::weights::Weights;
 use std::{collections::BTreeMap, time::Duration};
 
-/// An engine's number, and what it loads.
+/// An engine's index and the weights that it loads.
 pub type Load = (usize, Weights);
 
-/// The store; times are since the beginning of the replay.
+/// Times are relative to the start of the replay.
 pub struct Store {
     per_second: u32,
     concurrent: u32,
@@ -19,7 +19,6 @@
 }
 
 impl Store {
-    /// An idle store.
     pub const fn new(per_second: u32, concurrent: u32) -> Self {
         Self {
             per_second,
@@ -32,20 +31,19 @@
         }
     }
 
-    /// From now on loads take this many times as long.
+    /// Multiplies the duration of all loads by a factor.
     pub fn set_slowdown(&mut self, now: Duration, factor: f64) {
         self.advance(now);
         self.slowdown = factor;
     }
 
-    /// Starts a load that takes so many seconds at full speed.
+    /// Queues a load that takes `seconds` at full speed.
     pub fn start(&mut self, now: Duration, load: Load, seconds: f64) {
         self.advance(now);
         self.queued.push((load, seconds));
         self.admit(now);
     }
 
-    /// An engine is gone, and its loads with it.
     pub fn cancel_loads(&mut self, now: Duration, engine: usize) {
         self.advance(now);
         self.remaining.retain(|(loading_engine, _), _| *loading_engine != engine);
@@ -71,7 +69,7 @@
         self.advanced_to = now;
     }
 
-    /// Loads that have ended by now.
+    /// Removes and returns the loads finished by `now`.
     pub fn take_finished(&mut self, now: Duration) -> Vec<Load> {
         self.advance(now);
         self.admit(now);
@@ -83,7 +81,7 @@
         finished
     }
 
-    /// When the next load ends or may start, if nothing changes.
+    /// Time at which the next load finishes or may start.
     pub fn next_event(&self) -> Option<Duration> {
         let left = self.remaining.values().copied().min_by(f64::total_cmp);
         let end = left.map(|left| {
--- a/crates/corianderstand_replay/src/strategies.rs
+++ b/crates/corianderstand_replay/src/strategies.rs
@@ -1,4 +1,4 @@
-//! The ways to decide that are compared: ours, and one baseline for each decision.
+//! Scheduling strategies under comparison: the standard one, and a baseline for each decision.
 
 use corianderstand_decide::{
     agent::{Eviction, KeepAlive, Policy},
@@ -9,26 +9,26 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// The fixed time that the baseline keeps models warm.
+/// Keep-alive time of the fixed baseline.
 pub const FIXED_KEEP_ALIVE: Duration = Duration::from_secs(600);
 
-/// One way to decide.
+/// A combination of scheduling policies.
 #[derives(data)]
 pub struct Strategy {
-    /// Its name in reports.
+    /// Name in reports.
     pub name: SmolStr,
-    /// How agents decide.
+    /// Policy of agents.
     pub policy: Policy,
-    /// How routers choose.
+    /// Policy of routers.
     pub placement: BalancingPolicy,
-    /// Whether one process paces loads for all.
+    /// Whether a coordinator limits the rate of loads.
     pub coordinated: bool,
-    /// Weights of the two measures, in place of those of the trace.
+    /// Cold-start and idle cost factors, in place of those of the trace.
     pub cost_factors: Option<(u32, u32)>,
 }
 
 impl Strategy {
-    /// What the product does.
+    /// The policies used in production.
     pub fn standard() -> Self {
         Self {
             name: "ours".into(),
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Ours while nobody coordinates the loads.
+    /// No load coordinator.
     pub fn uncoordinated() -> Self {
         Self { name: "alone".into(), coordinated: false, ..Self::standard() }
     }
 
-    /// Ours, but each model is kept for a fixed time.
+    /// A fixed keep-alive time for all models.
     pub fn fixed_keep_alive(keep_alive: Duration) -> Self {
         let policy = Policy { keep_alive: KeepAlive::Fixed(keep_alive), ..Policy::default() };
         Self {
@@ -54,30 +54,30 @@
         }
     }
 
-    /// Ours, but the least recently used makes room.
+    /// Least-recently-used eviction.
     pub fn lru_eviction() -> Self {
         let policy = Policy { eviction: Eviction::LeastRecentlyUsed, ..Policy::default() };
         Self { name: "lru".into(), policy, ..Self::standard() }
     }
 
-    /// Ours, but requests run as they came and nothing is refused for its deadline.
+    /// First in, first out, without rejection of requests that would miss their deadline.
     pub fn fifo() -> Self {
         let policy = Policy { order: QueueDiscipline::Fifo, ..Policy::default() };
         Self { name: "fcfs".into(), policy, ..Self::standard() }
     }
 
-    /// Ours, but any target is taken.
+    /// Random choice of targets.
     pub fn random_placement() -> Self {
         Self { name: "random".into(), placement: BalancingPolicy::Random, ..Self::standard() }
     }
 
-    /// Ours with these weights in place of the trace's.
+    /// The standard strategy with other cold-start and idle cost factors.
     pub fn with_cost_factors(tail: u32, idle: u32) -> Self {
         let name = format!("ours {tail}:{idle}").into();
         Self { name, cost_factors: Some((tail, idle)), ..Self::standard() }
     }
 
-    /// Ours and all baselines.
+    /// The standard strategy and all baselines.
     pub fn all() -> Vec<Self> {
         vec![
             Self::standard(),
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -1,7 +1,6 @@
-//! The format of traces: JSON lines, the first of which describes the deployment.
+//! Trace format: JSON lines, with a header that describes the deployment.
 //!
-//! Each further line is a call or a fault at a time in milliseconds since the beginning; lines
-//! are in order of time. `docs/operators/measures.md` shows the fields.
+//! Each further line is a call or a fault with its time in milliseconds, in order of time.
 
 use corianderstand_derives::derives;
 use corianderstand_state::view::View;
@@ -9,7 +8,7 @@
 use smol_str::SmolStr;
 use std::{fs, io, path::Path};
 
-/// An engine.
+/// An engine of the deployment.
 #[derives(wire)]
 pub struct EngineSpec {
     /// Its name.
@@ -17,60 +16,60 @@
     /// Its availability zone.
     #[serde(rename = "place")]
     pub zone: AvailabilityZoneId,
-    /// Its memory.
+    /// Engine memory.
     pub memory_mib: u64,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub concurrency: u32,
-    /// Accelerators it has.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
-/// A model.
+/// A model and its costs.
 #[derives(wire)]
 pub struct ModelSpec {
     /// Its name.
     pub name: ModelId,
-    /// Memory of a replica.
+    /// Memory of one replica.
     pub memory_mib: u64,
-    /// Time of a load at full speed.
+    /// Load time at full store speed.
     pub load_ms: u64,
-    /// Time for one token.
+    /// Time per generated token.
     pub token_ms: u64,
-    /// Engines that own a slot of it.
+    /// Engines that own a replica slot.
     pub slots: Vec<TargetId>,
-    /// How much its teams mind a slow cold start.
+    /// Cost factor of cold starts.
     pub weight_tail: u32,
-    /// How much its teams mind idle accelerator hours.
+    /// Cost factor of idle accelerator hours.
     pub weight_idle: u32,
 }
 
-/// A team.
+/// A team and its share.
 #[derives(wire)]
 pub struct WorkspaceSpec {
     /// Its name.
     pub name: WorkspaceId,
-    /// Its guaranteed share in thousandths.
+    /// Guaranteed share in thousandths.
     pub share: u32,
 }
 
-/// The weight store.
+/// Limits of the weight store.
 #[derives(wire)]
 #[derive(Copy)]
 pub struct StoreSpec {
-    /// Loads that may start in a second.
+    /// Maximum load starts per second.
     pub per_second: u32,
-    /// Loads that run side by side at full speed.
+    /// Maximum concurrent loads at full speed.
     pub concurrent: u32,
 }
 
-/// The first line: the deployment.
+/// First line of a trace: the deployment.
 #[derives(wire)]
 pub struct Header {
     /// Name of the trace.
     pub trace: SmolStr,
-    /// What it shows.
+    /// What the trace shows.
     pub about: SmolStr,
-    /// Time of day at which it begins, in seconds since midnight.
+    /// Start time in seconds since midnight.
     pub begins: u64,
     /// Availability zone of each router.
     pub routers: Vec<AvailabilityZoneId>,
@@ -84,85 +83,85 @@
     pub store: StoreSpec,
 }
 
-/// A call.
+/// A call to a model.
 #[derives(wire)]
 pub struct Call {
-    /// Number of the router that it comes through.
+    /// Index of the router that receives it.
     pub router: usize,
-    /// Who asks.
+    /// Calling team.
     pub team: WorkspaceId,
-    /// Which model.
+    /// Requested model.
     pub model: ModelId,
-    /// Which of its adapters.
+    /// Requested adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<SmolStr>,
-    /// Tokens of the answer.
+    /// Number of tokens to generate.
     pub tokens: u64,
-    /// 0 low, 1 normal, 2 urgent.
+    /// 0 is low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// Time until it must be answered.
+    /// Time allowed for each attempt.
     pub deadline_ms: u64,
-    /// Session that it continues.
+    /// Session that the call continues.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
 }
 
-/// Something goes wrong.
+/// An injected fault.
 #[derives(wire)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
     /// The host of an engine is reclaimed.
     HostGone(TargetId),
-    /// Loads take this many times as long from now on.
+    /// Loads take this many times as long from here on.
     StoreSlower(f64),
-    /// Answers of an engine take this many times as long from now on.
+    /// Responses of an engine take this many times as long from here on.
     EngineSlower {
-        /// Which engine.
+        /// Affected engine.
         engine: TargetId,
-        /// How many times.
+        /// Slowdown factor.
         times: f64,
     },
 }
 
-/// What a line says.
+/// Content of a trace line.
 #[derives(wire)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceEvent {
-    /// A call comes.
+    /// A caller sends a request.
     Call(Call),
-    /// Something goes wrong.
+    /// A fault occurs.
     Fault(Fault),
 }
 
-/// One line.
+/// One line after the header.
 #[derives(wire)]
 pub struct Line {
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the start of the trace.
     pub at_ms: u64,
-    /// What happens.
+    /// Call or fault.
     #[serde(flatten)]
     pub event: TraceEvent,
 }
 
-/// A trace.
+/// A parsed trace.
 #[derives(data)]
 pub struct Trace {
-    /// The deployment.
+    /// Deployment.
     pub header: Header,
-    /// What happens, in order of time.
+    /// Calls and faults in order of time.
     pub lines: Vec<Line>,
 }
 
-/// A trace that cannot be read.
+/// Error from reading a trace.
 #[derive(Debug, displaydoc::Display)]
 pub enum TraceError {
     /// cannot read the trace ({0}): check the path and its permissions
     Io(io::Error),
-    /// line {0} of the trace is not as the format says ({1}): mend it
+    /// line {0} of the trace is invalid ({1}): correct it
     Line(usize, serde_json::Error),
     /// the trace is empty: its first line must describe the deployment
     Empty,
-    /// line {0} names {1} that the first line does not: add it there
+    /// line {0} refers to {1} missing from the first line: add it there
     Unknown(usize, &'static str),
     /// line {0} is earlier than the one before: sort the lines by `at_ms`
     Order(usize),
@@ -171,7 +170,7 @@
 impl std::error::Error for TraceError {}
 
 impl Trace {
-    /// Reads a file.
+    /// Reads a trace file.
     ///
     /// # Errors
     ///
@@ -180,7 +179,7 @@
         Self::parse(&fs::read_to_string(path).map_err(TraceError::Io)?)
     }
 
-    /// Reads text and checks that all it names is there.
+    /// Parses a trace and checks its references and order.
     ///
     /// # Errors
     ///
@@ -221,7 +220,7 @@
         }
     }
 
-    /// The text of the trace.
+    /// Serializes the trace.
     pub fn text(&self) -> String {
         let mut text = serde_json::to_string(&self.header).expect("a header is JSON");
         for line in &self.lines {
@@ -232,7 +231,7 @@
         text
     }
 
-    /// Puts settings in the place of what the trace says of models, teams and the store.
+    /// Overrides models, teams and store limits with values from the settings.
     pub fn apply(&mut self, view: &View) {
         for model in &mut self.header.models {
             let Some(settings) = view.models.get(&model.name) else { continue };
@@ -259,7 +258,7 @@
 }
 
 impl Trace {
-    /// Time for one token of a model.
+    /// Time per generated token of a model.
     pub fn token_ms(&self, model: &ModelId) -> u64 {
         let line = self.header.models.iter().find(|line| line.name == *model);
         line.map_or(0, |line| line.token_ms)
--- a/crates/corianderstand_replay/tests/outcomes.rs
+++ b/crates/corianderstand_replay/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Stated outcomes of the committed and generated traces, for callers and for both measures.
+//! Expected outcomes of committed and generated traces.
 
 use corianderstand_replay::{
     bounds, generate,
@@ -19,7 +19,6 @@
     replay::run(trace, &Strategy::standard())
 }
 
-/// The generator and the committed traces must not part ways.
 #[rstest]
 fn committed_traces_match_the_generator() {
     for trace in generate::committed() {
@@ -27,7 +26,7 @@
     }
 }
 
-/// Whatever happens in a trace, nobody's deadline passes without an answer.
+/// Guards against a call that never receives a response.
 #[rstest]
 fn every_call_is_answered_by_its_deadline(#[files("../../traces/*.jsonl")] path: PathBuf) {
     let trace = Trace::read(&path).expect("the trace is committed");
@@ -41,8 +40,7 @@
     }
 }
 
-/// First requests for sixteen cold models come through three routers within 90 s. Each model is
-/// loaded once; loaded twice, the last crews would wait for the store twice as long.
+/// Duplicate loads would double the store wait of the last callers.
 #[rstest]
 #[case::coordinated(Strategy::standard())]
 #[case::uncoordinated(Strategy::uncoordinated())]
@@ -55,15 +53,13 @@
     assert!(outcome.cold_p99_ms * 100 <= bound * 140, "{} of {bound}", outcome.cold_p99_ms);
 }
 
-/// A host is reclaimed while its engine loads. Its callers are served elsewhere.
 #[rstest]
 fn no_call_fails_after_a_host_loss() {
     let outcome = run_standard(&committed("reclaimed-host"));
     assert_eq!((outcome.served, outcome.late), (outcome.calls, 0));
 }
 
-/// The weight store is four times slower than stated. Callers come back when told and nearly all
-/// are served; loading each model at a second owner too would leave a third without.
+/// Loading each model on a second owner as well would leave a third of the calls unserved.
 #[rstest]
 fn a_slow_store_gets_no_duplicate_loads() {
     let outcome = run_standard(&committed("slow-store"));
@@ -71,8 +67,7 @@
     assert!(outcome.served * 100 >= outcome.calls * 98, "{}", outcome.served);
 }
 
-/// Quiet nights with habits: fewer cold wakes than a fixed time of 160 minutes, for less than
-/// half of its idle hours, if the team minds cold starts.
+/// Compares with a fixed keep-alive of 160 minutes.
 #[rstest]
 fn learned_keep_alive_halves_idle_hours() {
     let trace = committed("quiet-nights");
@@ -82,8 +77,7 @@
     assert!(standard.idle_hours * 2.0 <= fixed.idle_hours);
 }
 
-/// Ten times more calls come than can be served. As many are answered in time as at the limit;
-/// first come first served, nearly all run too late.
+/// Under overload, FIFO scheduling would spend nearly all capacity on requests that are too late.
 #[rstest]
 fn goodput_stays_flat_in_overload() {
     let minute = 3;
@@ -100,8 +94,7 @@
     assert!(fifo * 2 < at_ten);
 }
 
-/// One team floods a model with urgent calls. The other, owed 60 in 100, is never below its
-/// share for longer than one run takes; first come first served it was for ten times as long.
+/// Without shares, urgent calls of one team would delay another for several request durations.
 #[rstest]
 fn a_flood_does_not_starve_another_team() {
     let trace = generate::flood(1);
@@ -113,7 +106,6 @@
     assert!(fifo > standard * 5, "{fifo}");
 }
 
-/// A trace that is not as the format says is refused with the line and what to do.
 #[rstest]
 #[case::empty("", "first line")]
 #[case::not_json("{", "line 1")]
--- a/crates/corianderstand_replay/tests/scenarios.rs
+++ b/crates/corianderstand_replay/tests/scenarios.rs
@@ -1,5 +1,4 @@
-//! Scripted scenarios of decisions under load, in rhai: one test for each file in
-//! `scenarios/decide/`. A script replays a generated trace in named ways and states outcomes.
+//! Runs the rhai scenarios in `scenarios/decide/`, which compare strategies on generated traces.
 
 use corianderstand_replay::{
     bounds, generate, replay,
