--- a/crates/corianderstand_cli/src/account.rs
+++ b/crates/corianderstand_cli/src/account.rs
@@ -15,14 +15,14 @@
 /// Length of a window of the account, in seconds.
 const WINDOW_S: u64 = 2;
 /// Length of a time to the second in a line, as in `2026-01-01T00:00:02`.
-const SECOND_LEN: usize = 19;
+const SECONDS_PREFIX_LEN: usize = 19;
 
 /// What is remembered of a request until it ends.
 #[derive(Default)]
-struct Open {
-    waited_for: Option<String>,
+struct OpenRequest {
+    wait_reason: Option<String>,
     waited_ms: u64,
-    given_up: Option<String>,
+    failed_attempt: Option<String>,
 }
 
 /// What was read.
@@ -32,17 +32,17 @@
     causes: BTreeMap<(String, String), u64>,
     /// The same by window and cause; what was answered in time is one cause.
     windows: BTreeMap<String, BTreeMap<String, u64>>,
-    open: BTreeMap<String, Open>,
-    left_out: u64,
-    unreadable: usize,
+    open: BTreeMap<String, OpenRequest>,
+    dropped_lines: u64,
+    unreadable_lines: usize,
 }
 
 /// Shows what became of requests.
 pub fn run(matches: &Matches) -> Exit {
     let mut account = Account::default();
     for file in &matches.free {
-        match log_lines::read(Path::new(file), |line| account.take(&line)) {
-            Ok(unreadable) => account.unreadable += unreadable,
+        match log_lines::read(Path::new(file), |line| account.add_line(&line)) {
+            Ok(unreadable_lines) => account.unreadable_lines += unreadable_lines,
             Err(error) => {
                 eprintln!("{file} cannot be read ({error}): check the path");
                 return Exit::Unreachable;
@@ -58,32 +58,32 @@
 }
 
 impl Account {
-    fn take(&mut self, line: &LogLine) {
-        self.left_out += line.number("left_out").unwrap_or(0);
+    fn add_line(&mut self, line: &LogLine) {
+        self.dropped_lines += line.number("left_out").unwrap_or(0);
         let (Some(message), Some(id)) = (line.text("message"), line.text("id")) else { return };
         match message {
-            "waits" | "placed" | "attempt failed" => self.note(message, id, line),
+            "waits" | "placed" | "attempt failed" => self.record(message, id, line),
             "answered" | "streamed" | "refused" | "caller left" => {
                 let open = self.open.remove(id).unwrap_or_default();
-                self.end(line, cause(message, line, &open));
+                self.close(line, classify(message, line, &open));
             }
             _ => {}
         }
     }
 
-    fn note(&mut self, message: &str, id: &str, line: &LogLine) {
+    fn record(&mut self, message: &str, id: &str, line: &LogLine) {
         let open = self.open.entry(id.to_owned()).or_default();
         let why = line.text("why").unwrap_or_default();
         match message {
-            "waits" => open.waited_for = Some(why.to_owned()),
+            "waits" => open.wait_reason = Some(why.to_owned()),
             "placed" => open.waited_ms = line.number("waited_ms").unwrap_or(0),
-            _ => open.given_up = Some(why.to_owned()),
+            _ => open.failed_attempt = Some(why.to_owned()),
         }
     }
 
-    fn end(&mut self, line: &LogLine, cause: String) {
+    fn close(&mut self, line: &LogLine, cause: String) {
         let route = line.text("route").unwrap_or("(none)").to_owned();
-        let window = window(line.text("timestamp").unwrap_or_default());
+        let window = window_start(line.text("timestamp").unwrap_or_default());
         *self.windows.entry(window).or_default().entry(cause.clone()).or_default() += 1;
         *self.causes.entry((route, cause)).or_default() += 1;
     }
@@ -100,9 +100,10 @@
             let ended: u64 = causes.values().sum();
             let in_time = causes.get(IN_TIME).copied().unwrap_or(0);
             let rest = causes.iter().filter(|(cause, _)| *cause != IN_TIME);
-            let most = rest.max_by_key(|(_, count)| **count);
-            let most = most.map_or(String::new(), |(cause, count)| format!("{count} {cause}"));
-            text.push_str(&format!("{window:<20}  {ended:>5}  {in_time:>7}  {most}\n"));
+            let most_common_rest = rest.max_by_key(|(_, count)| **count);
+            let most_common_rest =
+                most_common_rest.map_or(String::new(), |(cause, count)| format!("{count} {cause}"));
+            text.push_str(&format!("{window:<20}  {ended:>5}  {in_time:>7}  {most_common_rest}\n"));
         }
         for note in self.notes() {
             text.push_str(&format!("note: {note}\n"));
@@ -121,14 +122,14 @@
 
     fn notes(&self) -> Vec<String> {
         let mut notes = Vec::new();
-        if self.left_out > 0 {
-            let left_out = self.left_out;
+        if self.dropped_lines > 0 {
+            let dropped_lines = self.dropped_lines;
             notes.push(format!(
-                "processes left out {left_out} lines in floods: the metrics have all"
+                "processes left out {dropped_lines} lines in floods: the metrics have all"
             ));
         }
-        if self.unreadable > 0 {
-            notes.push(format!("{} lines cannot be read and were left out", self.unreadable));
+        if self.unreadable_lines > 0 {
+            notes.push(format!("{} lines cannot be read and were left out", self.unreadable_lines));
         }
         if !self.open.is_empty() {
             let open = self.open.len();
@@ -144,16 +145,16 @@
 const IN_TIME: &str = "in time";
 
 /// Start of the window of a time such as `2026-01-01T00:00:03.5Z`.
-fn window(timestamp: &str) -> String {
-    let Some(second) = timestamp.get(..SECOND_LEN) else { return timestamp.to_owned() };
-    let (minute, seconds) = second.split_at(SECOND_LEN - 2);
+fn window_start(timestamp: &str) -> String {
+    let Some(second) = timestamp.get(..SECONDS_PREFIX_LEN) else { return timestamp.to_owned() };
+    let (minute, seconds) = second.split_at(SECONDS_PREFIX_LEN - 2);
     match seconds.parse::<u64>() {
         Ok(seconds) => format!("{minute}{:02}", seconds / WINDOW_S * WINDOW_S),
         Err(_) => second.to_owned(),
     }
 }
 
-fn cause(message: &str, line: &LogLine, open: &Open) -> String {
+fn classify(message: &str, line: &LogLine, open: &OpenRequest) -> String {
     let why = |name| line.text(name).unwrap_or("no reason was logged").to_owned();
     match message {
         "refused" => format!("refused: {}", why("why")),
@@ -167,38 +168,40 @@
     }
 }
 
-fn answered(line: &LogLine, open: &Open) -> String {
+fn answered(line: &LogLine, open: &OpenRequest) -> String {
     let status = line.number("status").unwrap_or(0);
     let how = line.text("how").unwrap_or_default();
     match (status, how) {
         (500.., "whole") => format!("the target answered {status}"),
         (500.., how) => format!("failed with {status}: {how}"),
-        _ => late(line.number("ms"), line.number("aim_ms"), open),
+        _ => classify_latency(line.number("ms"), line.number("aim_ms"), open),
     }
 }
 
-fn streamed(line: &LogLine, open: &Open) -> String {
-    let late = late(line.number("first_ms"), line.number("aim_ms"), open);
+fn streamed(line: &LogLine, open: &OpenRequest) -> String {
+    let cause = classify_latency(line.number("first_ms"), line.number("aim_ms"), open);
     let pause = line.number("longest_pause_ms").zip(line.number("pause_aim_ms"));
     match pause {
-        Some((pause, aim)) if late == IN_TIME && aim > 0 && pause > aim => "paused too long".into(),
-        _ => late,
+        Some((pause, objective)) if cause == IN_TIME && objective > 0 && pause > objective => {
+            "paused too long".into()
+        }
+        _ => cause,
     }
 }
 
 /// Whether an answer came late, and where its time went.
-fn late(took_ms: Option<u64>, aim_ms: Option<u64>, open: &Open) -> String {
-    let (Some(took), Some(aim)) = (took_ms, aim_ms) else { return IN_TIME.to_owned() };
-    if took <= aim {
+fn classify_latency(took_ms: Option<u64>, objective_ms: Option<u64>, open: &OpenRequest) -> String {
+    let (Some(took), Some(objective)) = (took_ms, objective_ms) else { return IN_TIME.to_owned() };
+    if took <= objective {
         return IN_TIME.to_owned();
     }
-    if let Some(why) = &open.given_up {
+    if let Some(why) = &open.failed_attempt {
         return format!("late: a first attempt failed, {why}");
     }
     if open.waited_ms * 2 < took {
         return "late: at the target".to_owned();
     }
-    match &open.waited_for {
+    match &open.wait_reason {
         Some(why) => format!("late: waited, {why}"),
         None => "late: waited for its turn at the target".to_owned(),
     }
--- a/crates/corianderstand_cli/src/client.rs
+++ b/crates/corianderstand_cli/src/client.rs
@@ -43,7 +43,7 @@
 
 /// A router that can be asked.
 pub struct Client {
-    base: String,
+    base_url: String,
     key: String,
     http: reqwest::Client,
     runtime: tokio::runtime::Runtime,
@@ -64,10 +64,10 @@
         let http = reqwest::Client::builder().no_proxy().timeout(TIMEOUT).build();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         Ok(Self {
-            base: format!("http://{router}"),
+            base_url: format!("http://{router}"),
             key,
             http: http.map_err(ClientError::Unreachable)?,
-            runtime: runtime.expect("the system gives a runtime"),
+            runtime: runtime.expect("the runtime starts"),
         })
     }
 
@@ -76,13 +76,13 @@
     /// # Errors
     ///
     /// [`ClientError::Unreachable`] or [`ClientError::Refused`].
-    pub fn ask(
+    pub fn request(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
     ) -> Result<Value, ClientError> {
-        let mut req = self.http.request(method, format!("{}{path}", self.base));
+        let mut req = self.http.request(method, format!("{}{path}", self.base_url));
         req = req.bearer_auth(&self.key);
         if let Some(body) = body {
             req = req.json(body);
--- a/crates/corianderstand_cli/src/explain.rs
+++ b/crates/corianderstand_cli/src/explain.rs
@@ -20,50 +20,50 @@
 
 /// What was read.
 #[derive(Default)]
-struct Read {
+struct RequestLog {
     lines: Vec<Line>,
-    unreadable: usize,
-    left_out: u64,
+    unreadable_lines: usize,
+    dropped_lines: u64,
 }
 
 /// Shows what became of a request.
 pub fn run(matches: &Matches) -> Exit {
     let (id, files) = (&matches.free[0], &matches.free[1..]);
-    let mut read = Read::default();
+    let mut log = RequestLog::default();
     for file in files {
-        if let Err(error) = read_file(Path::new(file), id, &mut read) {
+        if let Err(error) = read_file(Path::new(file), id, &mut log) {
             eprintln!("{file} cannot be read ({error}): check the path");
             return Exit::Unreachable;
         }
     }
-    read.lines.sort_by(|a, b| a.time.cmp(&b.time));
+    log.lines.sort_by(|a, b| a.time.cmp(&b.time));
     if matches.opt_present("json") {
-        println!("{}", json(id, &read));
+        println!("{}", json(id, &log));
     } else {
-        print!("{}", table(id, &read));
+        print!("{}", table(id, &log));
     }
-    if read.lines.is_empty() { Exit::Fault } else { Exit::Success }
+    if log.lines.is_empty() { Exit::Fault } else { Exit::Success }
 }
 
-fn read_file(path: &Path, id: &str, read: &mut Read) -> std::io::Result<()> {
-    let unreadable = log_lines::read(path, |line| {
-        read.left_out += line.number("left_out").unwrap_or(0);
+fn read_file(path: &Path, id: &str, log: &mut RequestLog) -> std::io::Result<()> {
+    let unreadable_lines = log_lines::read(path, |line| {
+        log.dropped_lines += line.number("left_out").unwrap_or(0);
         if line.text("id") == Some(id) {
-            read.lines.push(about_request(line));
+            log.lines.push(parse_line(line));
         }
     })?;
-    read.unreadable += unreadable;
+    log.unreadable_lines += unreadable_lines;
     Ok(())
 }
 
-fn about_request(LogLine { source, mut fields }: LogLine) -> Line {
-    let mut take = |name: &str| {
+fn parse_line(LogLine { source, mut fields }: LogLine) -> Line {
+    let mut remove_text = |name: &str| {
         let value = fields.remove(name);
         value.and_then(|value| value.as_str().map(str::to_owned)).unwrap_or_default()
     };
-    let (time, message) = (take("timestamp"), take("message"));
-    for known in ["id", "level", "target"] {
-        fields.remove(known);
+    let (time, message) = (remove_text("timestamp"), remove_text("message"));
+    for name in ["id", "level", "target"] {
+        fields.remove(name);
     }
     Line { time, source, message, fields }
 }
@@ -75,15 +75,15 @@
 
 /// Why a request was refused. One without a route may have met an older configuration than the one that
 /// was in force elsewhere, which only its router's age of knowledge tells.
-fn refusal(end: &Line) -> String {
+fn describe_refusal(end: &Line) -> String {
     let why = text(end, "why").unwrap_or_default();
     let Some(version) = text(end, "config") else { return format!("refused as not run: {why}") };
     let age = text(end, "age_ms").map_or("never".to_owned(), |ms| format!("{ms} ms before"));
-    let behind = match end.fields.get("behind").and_then(Value::as_bool) {
+    let stale_note = match end.fields.get("behind").and_then(Value::as_bool) {
         Some(true) => "; another router had read more, so an older version may have answered",
         _ => "",
     };
-    format!("{why} in configuration {version}; store read {age}{behind}")
+    format!("{why} in configuration {version}; store read {age}{stale_note}")
 }
 
 /// The cause in one line, from the last line that ends the request.
@@ -106,8 +106,8 @@
         true => String::new(),
         false => format!("; before: {}", failed.join(", ")),
     };
-    let what = match end.message.as_str() {
-        "refused" => refusal(end),
+    let outcome = match end.message.as_str() {
+        "refused" => describe_refusal(end),
         "caller left" => "the caller left".to_owned(),
         "streamed" => match text(end, "how").as_deref() {
             Some("whole") => {
@@ -122,33 +122,33 @@
             (status, how) => format!("{} {}", status.unwrap_or_default(), how.unwrap_or_default()),
         },
     };
-    format!("{what} (after {ms} ms){waited}{failed}")
+    format!("{outcome} (after {ms} ms){waited}{failed}")
 }
 
-fn gaps(read: &Read) -> Vec<String> {
-    let mut gaps = Vec::new();
-    if read.unreadable > 0 {
-        gaps.push(format!("{} lines cannot be read and were left out", read.unreadable));
+fn notes(log: &RequestLog) -> Vec<String> {
+    let mut notes = Vec::new();
+    if log.unreadable_lines > 0 {
+        notes.push(format!("{} lines cannot be read and were left out", log.unreadable_lines));
     }
-    if read.left_out > 0 {
-        gaps.push(format!(
+    if log.dropped_lines > 0 {
+        notes.push(format!(
             "processes left out {} lines in floods: some may be this request's",
-            read.left_out
+            log.dropped_lines
         ));
     }
-    gaps
+    notes
 }
 
-fn table(id: &str, read: &Read) -> String {
+fn table(id: &str, log: &RequestLog) -> String {
     let mut text = String::new();
-    if read.lines.is_empty() {
+    if log.lines.is_empty() {
         text.push_str(&format!(
             "no line is about {id}: check the id and that all files are named\n"
         ));
     }
-    let sources: BTreeSet<&str> = read.lines.iter().map(|line| line.source.as_str()).collect();
+    let sources: BTreeSet<&str> = log.lines.iter().map(|line| line.source.as_str()).collect();
     let width = sources.iter().map(|source| source.len()).max().unwrap_or(0);
-    for line in &read.lines {
+    for line in &log.lines {
         let fields = line.fields.iter().map(|(name, value)| match value {
             Value::String(value) => format!("{name}={value}"),
             value => format!("{name}={value}"),
@@ -162,23 +162,23 @@
             fields.join(" ")
         ));
     }
-    if !read.lines.is_empty() {
-        text.push_str(&format!("cause: {}\n", cause(&read.lines)));
+    if !log.lines.is_empty() {
+        text.push_str(&format!("cause: {}\n", cause(&log.lines)));
     }
-    for gap in gaps(read) {
-        text.push_str(&format!("note: {gap}\n"));
+    for note in notes(log) {
+        text.push_str(&format!("note: {note}\n"));
     }
     text
 }
 
-fn json(id: &str, read: &Read) -> Value {
-    let lines = read.lines.iter().map(|line| {
+fn json(id: &str, log: &RequestLog) -> Value {
+    let lines = log.lines.iter().map(|line| {
         serde_json::json!({
             "time": line.time, "source": line.source, "message": line.message, "fields": line.fields,
         })
     });
-    let cause = (!read.lines.is_empty()).then(|| cause(&read.lines));
+    let cause = (!log.lines.is_empty()).then(|| cause(&log.lines));
     serde_json::json!({
-        "id": id, "lines": lines.collect::<Vec<_>>(), "cause": cause, "notes": gaps(read),
+        "id": id, "lines": lines.collect::<Vec<_>>(), "cause": cause, "notes": notes(log),
     })
 }
--- a/crates/corianderstand_cli/src/logging.rs
+++ b/crates/corianderstand_cli/src/logging.rs
@@ -15,9 +15,9 @@
 /// Variable that selects what is logged, in the form of `tracing`'s filters.
 pub const LOG_VARIABLE: &str = "CORIANDERSTAND_LOG";
 /// Bytes that wait to be written; some seconds of lines under load. Beyond it lines are left out.
-const MOST_WAITING: usize = 512 << 10;
+const MAX_BUFFERED_BYTES: usize = 512 << 10;
 /// Pause between two writes. Each costs a wake-up and a system call, so lines go out together.
-const PAUSE: Duration = Duration::from_millis(250);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Starts logging to standard error.
 pub fn start() {
@@ -27,16 +27,16 @@
 }
 
 /// Starts logging to standard output; lines that wait are written when the result is dropped.
-pub fn start_buffered() -> Writer {
+pub fn start_buffered() -> LogGuard {
     let buffer = Buffer::default();
     let builder = tracing_subscriber::fmt().json().flatten_event(true).with_env_filter(filter());
     let builder = builder.with_current_span(false).with_span_list(false);
     // A second start, in a test, keeps the first.
     drop(builder.with_writer(buffer.clone()).try_init());
-    let reader = buffer.clone();
+    let flusher = buffer.clone();
     let thread = std::thread::Builder::new().name("log".into());
-    let thread = thread.spawn(move || reader.write_out()).expect("the system gives a thread");
-    Writer { buffer, thread: Some(thread) }
+    let thread = thread.spawn(move || flusher.flush_loop()).expect("the log thread starts");
+    LogGuard { buffer, thread: Some(thread) }
 }
 
 fn filter() -> EnvFilter {
@@ -44,40 +44,40 @@
 }
 
 #[derive(Default)]
-struct Waiting {
+struct BufferState {
     bytes: Vec<u8>,
-    left_out: u64,
-    over: bool,
+    dropped_lines: u64,
+    closed: bool,
 }
 
 /// Lines that wait to be written.
 #[derive(Clone, Default)]
-struct Buffer(Arc<Mutex<Waiting>>);
+struct Buffer(Arc<Mutex<BufferState>>);
 
 impl Buffer {
-    fn lock(&self) -> std::sync::MutexGuard<'_, Waiting> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, BufferState> {
         self.0.lock().expect("no holder of this lock panics")
     }
 
-    fn write_out(&self) {
+    fn flush_loop(&self) {
         loop {
-            std::thread::park_timeout(PAUSE);
-            let mut waiting = self.lock();
-            let bytes = std::mem::take(&mut waiting.bytes);
-            let left_out = std::mem::take(&mut waiting.left_out);
-            let over = waiting.over;
-            drop(waiting);
+            std::thread::park_timeout(FLUSH_INTERVAL);
+            let mut state = self.lock();
+            let bytes = std::mem::take(&mut state.bytes);
+            let dropped_lines = std::mem::take(&mut state.dropped_lines);
+            let closed = state.closed;
+            drop(state);
             let mut out = std::io::stdout().lock();
             // Nothing can be told of an output that is gone.
             drop(out.write_all(&bytes));
-            if left_out > 0 {
+            if dropped_lines > 0 {
                 drop(writeln!(
                     out,
-                    r#"{{"level":"WARN","message":"log lines left out","left_out":{left_out}}}"#
+                    r#"{{"level":"WARN","message":"log lines left out","left_out":{dropped_lines}}}"#
                 ));
             }
             drop(out.flush());
-            if over {
+            if closed {
                 return;
             }
         }
@@ -86,11 +86,11 @@
 
 impl Write for Buffer {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
-        let mut waiting = self.lock();
-        if waiting.bytes.len() + line.len() > MOST_WAITING {
-            waiting.left_out += 1;
+        let mut state = self.lock();
+        if state.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            state.dropped_lines += 1;
         } else {
-            waiting.bytes.extend_from_slice(line);
+            state.bytes.extend_from_slice(line);
         }
         Ok(line.len())
     }
@@ -109,14 +109,14 @@
 }
 
 /// Writes the lines; what waits is written when it is dropped.
-pub struct Writer {
+pub struct LogGuard {
     buffer: Buffer,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Drop for Writer {
+impl Drop for LogGuard {
     fn drop(&mut self) {
-        self.buffer.lock().over = true;
+        self.buffer.lock().closed = true;
         if let Some(thread) = self.thread.take() {
             thread.thread().unpark();
             drop(thread.join());
--- a/crates/corianderstand_cli/src/operate.rs
+++ b/crates/corianderstand_cli/src/operate.rs
@@ -16,7 +16,7 @@
 };
 
 /// The exit code of an answered question; an unanswered one is told.
-pub fn report(result: Result<Exit, ClientError>) -> Exit {
+pub fn exit_code(result: Result<Exit, ClientError>) -> Exit {
     result.unwrap_or_else(|error| {
         eprintln!("{error}");
         error.exit()
@@ -24,9 +24,12 @@
 }
 
 /// What is in force: version and document by path.
-fn in_force(client: &Client, prefix: &str) -> Result<BTreeMap<String, (u64, Value)>, ClientError> {
-    let answer = client.ask(Method::GET, &query("/operator/get", "prefix", prefix), None)?;
-    let documents = answer["documents"].as_array().cloned().unwrap_or_default();
+fn documents_in_force(
+    client: &Client,
+    prefix: &str,
+) -> Result<BTreeMap<String, (u64, Value)>, ClientError> {
+    let response = client.request(Method::GET, &query("/operator/get", "prefix", prefix), None)?;
+    let documents = response["documents"].as_array().cloned().unwrap_or_default();
     let read = |doc: Value| {
         let path = doc["path"].as_str().unwrap_or_default().to_owned();
         (path, (doc["version"].as_u64().unwrap_or_default(), doc["value"].clone()))
@@ -36,19 +39,19 @@
 
 /// Changes that make what is in force like the directory.
 fn changes(
-    wanted: &Documents,
+    desired: &Documents,
     current: &BTreeMap<String, (u64, Value)>,
     prune: bool,
 ) -> Vec<Value> {
     let mut changes = Vec::new();
-    for (path, value) in wanted {
+    for (path, value) in desired {
         let (base, old) = current.get(path).cloned().unwrap_or_default();
         if old != *value {
             changes.push(json!({ "path": path, "base": base, "value": value }));
         }
     }
     if prune {
-        for (path, (base, _)) in current.iter().filter(|(path, _)| !wanted.contains_key(*path)) {
+        for (path, (base, _)) in current.iter().filter(|(path, _)| !desired.contains_key(*path)) {
             changes.push(json!({ "path": path, "base": base, "value": null }));
         }
     }
@@ -59,12 +62,12 @@
     for change in changes {
         let path = change["path"].as_str().unwrap_or_default();
         let old = current.get(path).map_or(&Value::Null, |(_, value)| value);
-        let mark = match (old, &change["value"]) {
+        let marker = match (old, &change["value"]) {
             (_, Value::Null) => '-',
             (Value::Null, _) => '+',
             _ => '~',
         };
-        println!("{mark} {path}");
+        println!("{marker} {path}");
         for field in fields::changed(old, &change["value"]) {
             println!("    {field}");
         }
@@ -97,8 +100,8 @@
         Ok(documents) => documents,
         Err(exit) => return exit,
     };
-    report(Client::new(matches).and_then(|client| {
-        let current = in_force(&client, "")?;
+    exit_code(Client::new(matches).and_then(|client| {
+        let current = documents_in_force(&client, "")?;
         let changes = changes(&documents, &current, true);
         if matches.opt_present("json") {
             println!("{}", changes_json(&changes, &current));
@@ -114,20 +117,20 @@
 /// Time that `--wait` waits at the longest; a change is to be in force within 7 s.
 const WAIT_LIMIT: Duration = Duration::from_secs(15);
 /// Pause between two questions.
-const WAIT_PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Asks until all routers that answer have a version, or the limit has passed.
-fn wait_in_force(client: &Client, version: &Value) -> Result<Value, ClientError> {
-    let began = Instant::now();
+fn wait_until_in_force(client: &Client, version: &Value) -> Result<Value, ClientError> {
+    let started_at = Instant::now();
     loop {
         let path = format!("/operator/spread?version={version}");
-        let spread = client.ask(Method::GET, &path, None)?;
+        let spread = client.request(Method::GET, &path, None)?;
         let count = |name: &str| spread[name].as_u64().unwrap_or_default();
         let all = count("in_force") + count("silent") >= count("routers");
-        if all || began.elapsed() >= WAIT_LIMIT {
+        if all || started_at.elapsed() >= WAIT_LIMIT {
             return Ok(spread);
         }
-        std::thread::sleep(WAIT_PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -144,8 +147,8 @@
         Ok(documents) => documents,
         Err(exit) => return exit,
     };
-    report(Client::new(matches).and_then(|client| {
-        let current = in_force(&client, "")?;
+    exit_code(Client::new(matches).and_then(|client| {
+        let current = documents_in_force(&client, "")?;
         let changes = changes(&documents, &current, matches.opt_present("prune"));
         let as_json = matches.opt_present("json");
         if changes.is_empty() {
@@ -158,21 +161,21 @@
         }
         let author = matches.opt_str("author").unwrap_or_else(|| "operator".into());
         let body = json!({ "changes": changes, "author": author });
-        let mut answer = client.ask(Method::POST, "/operator/apply", Some(&body))?;
+        let mut response = client.request(Method::POST, "/operator/apply", Some(&body))?;
         if matches.opt_present("wait") {
-            answer["spread"] = wait_in_force(&client, &answer["version"])?;
+            response["spread"] = wait_until_in_force(&client, &response["version"])?;
         }
         if as_json {
             let changes = changes_json(&changes, &current);
             println!(
                 "{}",
-                json!({ "version": answer["version"], "changes": changes,
-                "spread": answer["spread"] })
+                json!({ "version": response["version"], "changes": changes,
+                "spread": response["spread"] })
             );
         } else {
             print_changes(&changes, &current);
-            println!("accepted as version {}", answer["version"]);
-            print_spread(&answer["spread"]);
+            println!("accepted as version {}", response["version"]);
+            print_spread(&response["spread"]);
         }
         Ok(Exit::Success)
     }))
@@ -181,8 +184,8 @@
 /// Shows documents in force.
 pub fn get(matches: &Matches) -> Exit {
     let prefix = matches.free.first().cloned().unwrap_or_default();
-    report(Client::new(matches).and_then(|client| {
-        let documents = in_force(&client, &prefix)?;
+    exit_code(Client::new(matches).and_then(|client| {
+        let documents = documents_in_force(&client, &prefix)?;
         if documents.is_empty() {
             eprintln!("no document is in force at or below `{prefix}`: see `corianderstand get`");
             return Ok(Exit::Fault);
@@ -201,19 +204,20 @@
 /// Shows the last changes at or below a path, newest first.
 pub fn history(matches: &Matches) -> Exit {
     let path = &matches.free[0];
-    report(Client::new(matches).and_then(|client| {
-        let answer = client.ask(Method::GET, &query("/operator/history", "prefix", path), None)?;
+    exit_code(Client::new(matches).and_then(|client| {
+        let response =
+            client.request(Method::GET, &query("/operator/history", "prefix", path), None)?;
         if matches.opt_present("json") {
-            println!("{answer}");
+            println!("{response}");
             return Ok(Exit::Success);
         }
-        for entry in answer["entries"].as_array().into_iter().flatten() {
+        for entry in response["entries"].as_array().into_iter().flatten() {
             let author = entry["author"].as_str().unwrap_or_default();
-            let became = match entry["refused"].as_str() {
+            let result = match entry["refused"].as_str() {
                 Some(reason) => format!("refused: {reason}"),
                 None => format!("accepted as version {}", entry["offset"]),
             };
-            println!("{} ms after 1970, {author}: {became}", entry["at_ms"]);
+            println!("{} ms after 1970, {author}: {result}", entry["at_ms"]);
             for path in entry["paths"].as_array().into_iter().flatten() {
                 println!("    {}", path.as_str().unwrap_or_default());
             }
--- a/crates/corianderstand_cli/src/platform.rs
+++ b/crates/corianderstand_cli/src/platform.rs
@@ -25,7 +25,7 @@
         let holder = settings.name.clone();
         let engine = move |client| engine::Engine::new(client, addr, holder);
         let clock = Arc::new(SystemClock);
-        agent::run(settings, clock, engine, stop_and_note_reloads()).map_err(Into::into)
+        agent::run(settings, clock, engine, stop_and_log_reloads()).map_err(Into::into)
     })
 }
 
@@ -51,28 +51,28 @@
 
 /// Pause between two looks at the settings file, which may change without a signal. A look takes some
 /// tens of microseconds.
-const LOOK: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A router's settings file, read again after a signal and now and then.
 struct SettingsFile {
-    last: router::Settings,
+    active: router::Settings,
     /// The fault that was last said, so that it is said once.
     fault: Option<settings::SettingsError>,
-    hangups: Option<Signal>,
+    hangup_signal: Option<Signal>,
 }
 
 impl SettingsFile {
-    const fn new(last: router::Settings) -> Self {
-        Self { last, fault: None, hangups: None }
+    const fn new(active: router::Settings) -> Self {
+        Self { active, fault: None, hangup_signal: None }
     }
 
     /// Settings that differ from the last; a file with a fault changes nothing.
-    fn look(&mut self) -> Option<router::Settings> {
+    fn poll(&mut self) -> Option<router::Settings> {
         match settings::Fields::load().and_then(|fields| fields.router()) {
             Ok(settings) => {
                 self.fault = None;
-                let differs = settings != self.last;
-                differs.then(|| self.last.clone_from(&settings))?;
+                let differs = settings != self.active;
+                differs.then(|| self.active.clone_from(&settings))?;
                 Some(settings)
             }
             Err(fault) => {
@@ -88,17 +88,17 @@
 
 impl router::Reload for SettingsFile {
     async fn next(&mut self) -> router::Settings {
-        if self.hangups.is_none() {
-            self.hangups = hangups();
+        if self.hangup_signal.is_none() {
+            self.hangup_signal = watch_hangup();
         }
         loop {
             tokio::select! {
-                () = told(self.hangups.as_mut()) => {
+                () = wait_for_hangup(self.hangup_signal.as_mut()) => {
                     tracing::info!("told that the settings have changed");
                 }
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
-            if let Some(settings) = self.look() {
+            if let Some(settings) = self.poll() {
                 return settings;
             }
         }
@@ -106,17 +106,17 @@
 }
 
 /// The signal that says that settings have changed; without a handler it would end the process.
-fn hangups() -> Option<Signal> {
-    let hangups = signal(SignalKind::hangup());
-    hangups
+fn watch_hangup() -> Option<Signal> {
+    let hangup_signal = signal(SignalKind::hangup());
+    hangup_signal
         .inspect_err(|error| tracing::warn!(%error, "the signal to reload cannot be watched"))
         .ok()
 }
 
-async fn told(hangups: Option<&mut Signal>) {
-    match hangups {
-        Some(hangups) => {
-            hangups.recv().await;
+async fn wait_for_hangup(hangup_signal: Option<&mut Signal>) {
+    match hangup_signal {
+        Some(hangup_signal) => {
+            hangup_signal.recv().await;
         }
         None => std::future::pending().await,
     }
@@ -137,17 +137,17 @@
 
 /// Waits for the signal to stop. An agent's settings are its name and addresses, which hold until its
 /// next start.
-async fn stop_and_note_reloads() {
-    let mut hangups = hangups();
-    let note = async {
+async fn stop_and_log_reloads() {
+    let mut hangup_signal = watch_hangup();
+    let log_reloads = async {
         loop {
-            told(hangups.as_mut()).await;
+            wait_for_hangup(hangup_signal.as_mut()).await;
             tracing::info!("told that the settings have changed: they hold from the next start on");
         }
     };
     tokio::select! {
         () = stop() => {}
-        () = note => {}
+        () = log_reloads => {}
     }
 }
 
--- a/crates/corianderstand_cli/src/process.rs
+++ b/crates/corianderstand_cli/src/process.rs
@@ -47,7 +47,7 @@
 /// requests that cuts.
 fn wait_for_stop(in_flight: Arc<AtomicUsize>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("the system gives a runtime");
+    let runtime = runtime.expect("the runtime starts");
     let signals = runtime.block_on(async {
         let mut term = signal(SignalKind::terminate()).expect("signals can be watched");
         let mut interrupt = signal(SignalKind::interrupt()).expect("signals can be watched");
--- a/crates/corianderstand_cli/src/status.rs
+++ b/crates/corianderstand_cli/src/status.rs
@@ -20,9 +20,9 @@
             return Exit::Usage;
         }
     };
-    operate::report(Client::new(matches).and_then(|client| {
+    operate::exit_code(Client::new(matches).and_then(|client| {
         loop {
-            let status = client.ask(Method::GET, "/operator/status", None);
+            let status = client.request(Method::GET, "/operator/status", None);
             let watch = matches.opt_present("watch");
             match status {
                 // While it is watched, a router that is away for a moment may come back.
@@ -52,16 +52,16 @@
 }
 
 /// Rows of a list, each cell as wide as the widest of its column.
-fn rows(title: &str, columns: &[&str], list: &Value) -> String {
+fn format_list(title: &str, columns: &[&str], list: &Value) -> String {
     let head: Vec<String> = columns.iter().map(|column| (*column).to_owned()).collect();
     let list = list.as_array().into_iter().flatten();
     let cells = |item: &Value| columns.iter().map(|column| cell(&item[*column])).collect();
-    let all: Vec<Vec<String>> = std::iter::once(head).chain(list.map(cells)).collect();
+    let rows: Vec<Vec<String>> = std::iter::once(head).chain(list.map(cells)).collect();
     let widths: Vec<usize> = (0..columns.len())
-        .map(|i| all.iter().map(|row| row[i].chars().count()).max().unwrap_or_default())
+        .map(|i| rows.iter().map(|row| row[i].chars().count()).max().unwrap_or_default())
         .collect();
     let mut text = format!("\n{title}\n");
-    for row in all {
+    for row in rows {
         let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}"));
         let line = cells.collect::<Vec<_>>().join("  ");
         text.push_str(&format!("  {}\n", line.trim_end()));
@@ -78,11 +78,11 @@
         lease["epoch"],
         cell(&lease["holder"][0])
     ));
-    text.push_str(&rows("routers", &["router", "reached", "version"], &status["routers"]));
+    text.push_str(&format_list("routers", &["router", "reached", "version"], &status["routers"]));
     let columns = ["target", "host", "place", "address", "service", "reached", "version"];
-    text.push_str(&rows("targets", &columns, &status["targets"]));
-    text.push_str(&rows("slots", &["model", "slot", "target", "stage"], &status["slots"]));
+    text.push_str(&format_list("targets", &columns, &status["targets"]));
+    text.push_str(&format_list("slots", &["model", "slot", "target", "stage"], &status["slots"]));
     let columns = ["target", "weights", "stage", "memory_mib", "users"];
-    text.push_str(&rows("loaded", &columns, &status["holdings"]));
+    text.push_str(&format_list("loaded", &columns, &status["holdings"]));
     text
 }
--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -49,7 +49,8 @@
 
 /// Minimum idle accelerator hours for a number of cold wakes, with all calls known ahead.
 ///
-/// Keeps one replica of each model loaded over the shortest gaps between its calls.
+/// Keeps one replica of each model, unloaded over the longest gaps between calls as often as `cold`
+/// allows.
 pub fn clairvoyant_idle_hours(trace: &Trace, cold: usize) -> f64 {
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
     let mut last_ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
