--- a/crates/corianderstand_cli/src/check.rs
+++ b/crates/corianderstand_cli/src/check.rs
@@ -1,6 +1,6 @@
 //! `corianderstand check`: all faults of settings directories and process files at once.
 
-use crate::{Exit, directory, together};
+use crate::{Exit, cross_document, directory};
 use corianderstand_schema::check::{self, Document, Violation};
 use corianderstand_state::view;
 use getopts::Matches;
@@ -14,9 +14,9 @@
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub enum FileFault {
     /// {0}
-    Unread(String),
+    Unreadable(String),
     /// {file} {fault}
-    Faulty {
+    Invalid {
         /// The file, as shown.
         file: String,
         /// Its fault.
@@ -26,13 +26,13 @@
 
 impl FileFault {
     fn new(file: &Path, fault: Violation) -> Self {
-        Self::Faulty { file: file.display().to_string(), fault }
+        Self::Invalid { file: file.display().to_string(), fault }
     }
 
     fn json(&self) -> Value {
         match self {
-            Self::Unread(message) => json!({ "problem": message }),
-            Self::Faulty { file, fault } => json!({ "file": file, "path": fault.path,
+            Self::Unreadable(message) => json!({ "problem": message }),
+            Self::Invalid { file, fault } => json!({ "file": file, "path": fault.path,
                 "problem": fault.problem, "remedy": fault.remedy }),
         }
     }
@@ -62,21 +62,21 @@
 pub fn check_directory(root: &Path) -> Vec<FileFault> {
     let (documents, errors) = directory::read(root);
     let file = |document: &str| -> PathBuf { root.join(format!("{document}.json")) };
-    let unread = errors.into_iter().map(|error| FileFault::Unread(error.to_string()));
-    let alone = documents.iter().flat_map(|(path, value)| {
+    let unreadable = errors.into_iter().map(|error| FileFault::Unreadable(error.to_string()));
+    let within = documents.iter().flat_map(|(path, value)| {
         let faults = view::check_document(path, value).into_iter();
         faults.map(move |fault| FileFault::new(&file(path), fault))
     });
-    let together = together::check(&documents).into_iter();
-    let together = together.map(|(document, fault)| FileFault::new(&file(&document), fault));
-    unread.chain(alone).chain(together).collect()
+    let across = cross_document::check(&documents).into_iter();
+    let across = across.map(|(document, fault)| FileFault::new(&file(&document), fault));
+    unreadable.chain(within).chain(across).collect()
 }
 
 /// All faults of one process settings file; what kind it is shows by its content.
 fn check_process(path: &Path) -> Vec<FileFault> {
     let value = match directory::read_file(path) {
         Ok(value) => value,
-        Err(error) => return vec![FileFault::Unread(error.to_string())],
+        Err(error) => return vec![FileFault::Unreadable(error.to_string())],
     };
     let agent = value.get("target").is_some();
     let router = value.get("auth_key").is_some() || value.get("operator_key_hash").is_some();
@@ -99,13 +99,13 @@
 /// Faults of a process settings file of a known kind.
 pub fn process_faults(kind: Document, path: &Path, value: &Value) -> Vec<FileFault> {
     let mut faults = check::check(kind, value);
-    faults.extend(contradictions(value));
-    faults.extend(addresses(value));
+    faults.extend(timing_conflicts(value));
+    faults.extend(invalid_addresses(value));
     faults.into_iter().map(|fault| FileFault::new(path, fault)).collect()
 }
 
 /// Limits that cannot hold together.
-fn contradictions(value: &Value) -> Vec<Violation> {
+fn timing_conflicts(value: &Value) -> Vec<Violation> {
     let ms = |name: &str, default: u64| value["timing"][name].as_u64().unwrap_or(default);
     let mut faults = Vec::new();
     if ms("silence_ms", 2000) < 2 * ms("heartbeat_ms", 500) {
@@ -120,16 +120,16 @@
 }
 
 /// Addresses are IP numbers with a port; nothing is looked up by name.
-fn addresses(value: &Value) -> Vec<Violation> {
-    let one = |name: &str| Some((format!("/{name}"), value[name].as_str()?.to_owned()));
+fn invalid_addresses(value: &Value) -> Vec<Violation> {
+    let field = |name: &str| Some((format!("/{name}"), value[name].as_str()?.to_owned()));
     let peers = value["peers"].as_array().into_iter().flatten().enumerate();
     let peers = peers.filter_map(|(i, peer)| Some((format!("/peers/{i}"), peer.as_str()?.into())));
-    let all = ["listen", "advertise", "statsd"].into_iter().filter_map(one).chain(peers);
-    let wrong = all.filter(|(_, address)| address.parse::<SocketAddr>().is_err());
+    let all = ["listen", "advertise", "statsd"].into_iter().filter_map(field).chain(peers);
+    let invalid = all.filter(|(_, address)| address.parse::<SocketAddr>().is_err());
     let describe = |(path, address)| Violation {
         path,
         problem: format!("{address:?} is no IP number with a port"),
         remedy: "give one, like 192.0.2.1:8080".into(),
     };
-    wrong.map(describe).collect()
+    invalid.map(describe).collect()
 }
--- a/crates/corianderstand_cli/src/together.rs
+++ b/crates/corianderstand_cli/src/cross_document.rs
@@ -7,131 +7,145 @@
 use std::collections::BTreeMap;
 
 /// All of a target, in thousandths.
-const WHOLE_SHARE: u64 = 1000;
+const TOTAL_SHARE: u64 = 1000;
 
 /// A fault and the path of the document that has it.
-pub type Found = (String, Violation);
+pub type DocumentViolation = (String, Violation);
 
-fn fault(document: &str, path: &str, problem: String, remedy: &str) -> Found {
+fn violation(document: &str, path: &str, problem: String, remedy: &str) -> DocumentViolation {
     let (path, remedy) = (path.to_owned(), remedy.to_owned());
     (document.to_owned(), Violation { path, problem, remedy })
 }
 
 /// All such faults.
-pub fn check(documents: &Documents) -> Vec<Found> {
-    let mut found = Vec::new();
+pub fn check(documents: &Documents) -> Vec<DocumentViolation> {
+    let mut violations = Vec::new();
     for (path, value) in documents {
         match PathKind::parse(path) {
-            Some(PathKind::Model(model)) => check_model(path, model.as_str(), value, &mut found),
-            Some(PathKind::Team(_)) => check_team(path, value, &mut found),
+            Some(PathKind::Model(model)) => {
+                check_model(path, model.as_str(), value, &mut violations)
+            }
+            Some(PathKind::Team(_)) => check_team(path, value, &mut violations),
             Some(PathKind::TeamModel(team, model)) => {
-                check_team_of(path, team.as_str(), documents, &mut found);
+                check_team_exists(path, team.as_str(), documents, &mut violations);
                 let shared = format!("shared/models/{model}");
                 match documents.get(&shared) {
-                    Some(facts) => check_team_model(path, value, facts, &mut found),
-                    None => found.push(missing(path, &shared)),
+                    Some(shared_model) => {
+                        check_team_model(path, value, shared_model, &mut violations)
+                    }
+                    None => violations.push(missing_document(path, &shared)),
                 }
             }
             Some(PathKind::TeamService(team, service)) => {
-                check_team_of(path, team.as_str(), documents, &mut found);
+                check_team_exists(path, team.as_str(), documents, &mut violations);
                 let shared = format!("shared/services/{service}");
                 if !documents.contains_key(&shared) {
-                    found.push(missing(path, &shared));
+                    violations.push(missing_document(path, &shared));
                 }
             }
             _ => {}
         }
     }
-    check_keys(documents, &mut found);
-    check_shares(documents, &mut found);
-    check_replicas(documents, &mut found);
-    found
+    check_keys(documents, &mut violations);
+    check_shares(documents, &mut violations);
+    check_replicas(documents, &mut violations);
+    violations
 }
 
-fn missing(path: &str, needed: &str) -> Found {
-    fault(path, "/", format!("there is no document `{needed}`"), "add it, or remove this one")
+fn missing_document(path: &str, required: &str) -> DocumentViolation {
+    violation(path, "/", format!("there is no document `{required}`"), "add it, or remove this one")
 }
 
-fn check_team_of(path: &str, team: &str, documents: &Documents, found: &mut Vec<Found>) {
-    let needed = format!("teams/{team}/team");
-    if !documents.contains_key(&needed) {
-        found.push(missing(path, &needed));
+fn check_team_exists(
+    path: &str,
+    team: &str,
+    documents: &Documents,
+    violations: &mut Vec<DocumentViolation>,
+) {
+    let required = format!("teams/{team}/team");
+    if !documents.contains_key(&required) {
+        violations.push(missing_document(path, &required));
     }
 }
 
-fn strings<'a>(value: &'a Value, name: &str) -> Vec<&'a str> {
+fn string_items<'a>(value: &'a Value, name: &str) -> Vec<&'a str> {
     value[name].as_array().into_iter().flatten().filter_map(Value::as_str).collect()
 }
 
-fn check_model(path: &str, model: &str, value: &Value, found: &mut Vec<Found>) {
-    let versions = strings(value, "versions");
+fn check_model(path: &str, model: &str, value: &Value, violations: &mut Vec<DocumentViolation>) {
+    let versions = string_items(value, "versions");
     for (i, version) in versions.iter().enumerate() {
         if versions[..i].contains(version) {
             let problem = format!("`{model}` has version `{version}` twice");
-            found.push(fault(path, &format!("/versions/{i}"), problem, "remove one"));
+            violations.push(violation(path, &format!("/versions/{i}"), problem, "remove one"));
         }
     }
 }
 
-fn check_team(path: &str, value: &Value, found: &mut Vec<Found>) {
+fn check_team(path: &str, value: &Value, violations: &mut Vec<DocumentViolation>) {
     let ms = |name: &str, default| value[name].as_u64().unwrap_or(default);
     let (default, limit) = (ms("default_deadline_ms", 60_000), ms("max_deadline_ms", 1_800_000));
     if default > limit {
         let problem = format!("{default} is more than max_deadline_ms, {limit}");
         let remedy = "lower it, or raise max_deadline_ms: no request could have this deadline";
-        found.push(fault(path, "/default_deadline_ms", problem, remedy));
+        violations.push(violation(path, "/default_deadline_ms", problem, remedy));
     }
 }
 
-fn check_team_model(path: &str, value: &Value, facts: &Value, found: &mut Vec<Found>) {
-    let known = strings(facts, "versions");
-    for (i, version) in strings(value, "versions").iter().enumerate() {
-        if !known.contains(version) {
+fn check_team_model(
+    path: &str,
+    value: &Value,
+    shared_model: &Value,
+    violations: &mut Vec<DocumentViolation>,
+) {
+    let versions = string_items(shared_model, "versions");
+    for (i, version) in string_items(value, "versions").iter().enumerate() {
+        if !versions.contains(version) {
             let problem = format!("the model has no version `{version}`");
-            let remedy = format!("use one of {}, or add it to the model", known.join(", "));
-            found.push(fault(path, &format!("/versions/{i}"), problem, &remedy));
+            let remedy = format!("use one of {}, or add it to the model", versions.join(", "));
+            violations.push(violation(path, &format!("/versions/{i}"), problem, &remedy));
         }
     }
     let adapters = value["adapters"].as_array().cloned().unwrap_or_default();
     for (i, adapter) in adapters.iter().enumerate() {
         if adapters[..i].contains(adapter) {
             let problem = format!("adapter {} stands here twice", adapter["name"]);
-            found.push(fault(path, &format!("/adapters/{i}"), problem, "remove one"));
+            violations.push(violation(path, &format!("/adapters/{i}"), problem, "remove one"));
         }
     }
 }
 
 /// A key that proves two teams would let one call in the other's name.
-fn check_keys(documents: &Documents, found: &mut Vec<Found>) {
+fn check_keys(documents: &Documents, violations: &mut Vec<DocumentViolation>) {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for (path, value) in documents.iter().filter(|(path, _)| path.ends_with("/team")) {
-        for (i, hash) in strings(value, "key_hashes").into_iter().enumerate() {
+        for (i, hash) in string_items(value, "key_hashes").into_iter().enumerate() {
             if let Some(owner) = owners.insert(hash, path) {
                 let problem = format!("the key of this hash stands in `{owner}` already");
                 let remedy = "give each team keys of its own, each once";
-                found.push(fault(path, &format!("/key_hashes/{i}"), problem, remedy));
+                violations.push(violation(path, &format!("/key_hashes/{i}"), problem, remedy));
             }
         }
     }
 }
 
-fn check_shares(documents: &Documents, found: &mut Vec<Found>) {
+fn check_shares(documents: &Documents, violations: &mut Vec<DocumentViolation>) {
     let teams = documents.iter().filter(|(path, _)| path.ends_with("/team"));
     let shares: Vec<(&String, u64)> =
         teams.map(|(path, value)| (path, value["share"].as_u64().unwrap_or(100))).collect();
     let sum: u64 = shares.iter().map(|(_, share)| share).sum();
-    if sum <= WHOLE_SHARE {
+    if sum <= TOTAL_SHARE {
         return;
     }
     for (path, share) in shares {
         let problem = format!("all teams' shares add up to {sum} thousandths, this one is {share}");
         let remedy = "lower shares until they add up to 1000 at most, or none is guaranteed";
-        found.push(fault(path, "/share", problem, remedy));
+        violations.push(violation(path, "/share", problem, remedy));
     }
 }
 
 /// A model that a team may call, and for which nobody holds a replica, never answers.
-fn check_replicas(documents: &Documents, found: &mut Vec<Found>) {
+fn check_replicas(documents: &Documents, violations: &mut Vec<DocumentViolation>) {
     let mut replicas: BTreeMap<String, u64> = BTreeMap::new();
     let of_model = |path: &String| match PathKind::parse(path) {
         Some(PathKind::TeamModel(_, model)) => Some(model.to_string()),
@@ -147,7 +161,7 @@
         if none && value["replicas"] == 0 {
             let problem = "no team holds a replica of this model, so no call is answered".into();
             let remedy = "raise replicas here or in another team's document, or remove this one";
-            found.push(fault(path, "/replicas", problem, remedy));
+            violations.push(violation(path, "/replicas", problem, remedy));
         }
     }
 }
--- a/crates/corianderstand_cli/src/lib.rs
+++ b/crates/corianderstand_cli/src/lib.rs
@@ -9,6 +9,7 @@
 mod args;
 pub mod check;
 mod client;
+mod cross_document;
 mod directory;
 mod explain;
 mod fields;
@@ -19,7 +20,6 @@
 mod process;
 mod replay;
 mod status;
-mod together;
 
 use args::Command;
 pub use args::reference;
