--- a/crates/corianderstand_cli/src/args.rs
+++ b/crates/corianderstand_cli/src/args.rs
@@ -32,7 +32,7 @@
     Account,
 }
 
-const ALL: [Command; 12] = [
+const ALL_COMMANDS: [Command; 12] = [
     Command::Router,
     Command::Agent,
     Command::Check,
@@ -65,7 +65,7 @@
         }
     }
 
-    const fn about(self) -> (&'static str, &'static str) {
+    const fn help_text(self) -> (&'static str, &'static str) {
         match self {
             Self::Router => ("FILE", "run a router with the process settings in FILE"),
             Self::Agent => ("FILE", "run an agent with the process settings in FILE"),
@@ -101,15 +101,15 @@
     }
 
     /// The sub-command of that name.
-    pub fn find(name: &str) -> Option<Self> {
-        ALL.into_iter().find(|command| command.name() == name)
+    pub fn from_name(name: &str) -> Option<Self> {
+        ALL_COMMANDS.into_iter().find(|command| command.name() == name)
     }
 
     const fn runs_process(self) -> bool {
         matches!(self, Self::Router | Self::Agent)
     }
 
-    const fn asks_router(self) -> bool {
+    const fn queries_router(self) -> bool {
         matches!(self, Self::Diff | Self::Apply | Self::Get | Self::History | Self::Status)
     }
 }
@@ -117,10 +117,10 @@
 /// What the binary can do.
 pub fn overview() -> String {
     let mut text = String::from("corianderstand COMMAND [options]\n\nCommands:\n");
-    for command in ALL {
-        let (operand, about) = command.about();
+    for command in ALL_COMMANDS {
+        let (operand, help_text) = command.help_text();
         let head = format!("{} {operand}", command.name());
-        text.push_str(&format!("  {head:<18} {about}\n"));
+        text.push_str(&format!("  {head:<18} {help_text}\n"));
     }
     text.push_str("\nEach command has --help. Exit codes: 0 done, 1 fault found, 2 usage, ");
     text.push_str("3 conflict, 4 undecided, 5 unreachable.");
@@ -136,12 +136,12 @@
     if command == Command::Check {
         options.optflag("p", "platform", "the files are settings of the users' platform");
     }
-    if command.asks_router()
+    if command.queries_router()
         || matches!(command, Command::Check | Command::Explain | Command::Account)
     {
         options.optflag("j", "json", "print JSON");
     }
-    if command.asks_router() {
+    if command.queries_router() {
         options.optopt("r", "router", "address and port of any router", "ADDRESS");
         options.optopt("k", "key-file", "file with the operators' bearer key", "FILE");
     }
@@ -163,15 +163,15 @@
 }
 
 fn usage(command: Command) -> String {
-    let (operand, about) = command.about();
-    let brief = format!("corianderstand {} {operand} [options]\n\n{about}", command.name());
+    let (operand, help_text) = command.help_text();
+    let brief = format!("corianderstand {} {operand} [options]\n\n{help_text}", command.name());
     options(command).usage(&brief)
 }
 
 /// The overview and every command's help, as a page.
 pub fn reference() -> String {
     let mut text = format!("```text\n{}\n```\n", overview());
-    for command in ALL {
+    for command in ALL_COMMANDS {
         let usage = usage(command);
         text.push_str(&format!("\n## {}\n\n```text\n{}\n```\n", command.name(), usage.trim()));
     }
--- a/crates/corianderstand_cli/src/lib.rs
+++ b/crates/corianderstand_cli/src/lib.rs
@@ -62,7 +62,7 @@
         println!("corianderstand {}", env!("CARGO_PKG_VERSION"));
         return Exit::Success;
     }
-    let Some(command) = Command::find(&name) else {
+    let Some(command) = Command::from_name(&name) else {
         eprintln!("there is no command `{name}`\n\n{}", args::overview());
         return Exit::Usage;
     };
--- a/crates/corianderstand_cli/src/log_lines.rs
+++ b/crates/corianderstand_cli/src/log_lines.rs
@@ -29,21 +29,21 @@
 /// # Errors
 ///
 /// The file cannot be read.
-pub fn read(path: &Path, mut take: impl FnMut(LogLine)) -> io::Result<usize> {
+pub fn read(path: &Path, mut on_line: impl FnMut(LogLine)) -> io::Result<usize> {
     let name = path.file_stem().map(|name| name.to_string_lossy().into_owned());
     let text = String::from_utf8_lossy(&std::fs::read(path)?).into_owned();
-    let mut unreadable = 0;
+    let mut unreadable_lines = 0;
     for line in text.lines().filter(|line| line.contains('{')) {
-        let (before, body) = line.split_at(line.find('{').unwrap_or(0));
+        let (prefix, body) = line.split_at(line.find('{').unwrap_or(0));
         let Ok(fields) = serde_json::from_str::<Map<String, Value>>(body) else {
-            unreadable += 1;
+            unreadable_lines += 1;
             continue;
         };
-        let source = match before.trim() {
+        let source = match prefix.trim() {
             "" => name.clone().unwrap_or_default(),
-            before => before.to_owned(),
+            prefix => prefix.to_owned(),
         };
-        take(LogLine { source, fields });
+        on_line(LogLine { source, fields });
     }
-    Ok(unreadable)
+    Ok(unreadable_lines)
 }
--- a/crates/corianderstand_cli/src/process.rs
+++ b/crates/corianderstand_cli/src/process.rs
@@ -65,8 +65,8 @@
                 _ = interrupt.recv() => {}
             }
         });
-        let cut = in_flight.load(Ordering::Relaxed);
-        tracing::warn!(cut, "second signal: ending at once, requests in flight are cut");
+        let aborted = in_flight.load(Ordering::Relaxed);
+        tracing::warn!(cut = aborted, "second signal: ending at once, requests in flight are cut");
         std::process::exit(Exit::Fault as i32);
     });
 }
--- a/crates/corianderstand_cli/tests/check.rs
+++ b/crates/corianderstand_cli/tests/check.rs
@@ -13,9 +13,9 @@
 }
 
 /// A folder of its own, removed at the end.
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new(name: &str, files: &[(&str, Value)]) -> Self {
         let root = std::env::temp_dir().join(format!("check-{name}-{}", std::process::id()));
         for (path, value) in files {
@@ -27,7 +27,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         drop(fs::remove_dir_all(&self.0));
     }
@@ -38,7 +38,7 @@
 #[case("process/router.json")]
 #[case("process/agent-engine.json")]
 #[case("process/agent-service.json")]
-fn the_examples_have_no_faults(#[case] path: &str) {
+fn examples_are_valid(#[case] path: &str) {
     assert_eq!(check::check_path(&examples().join(path)), []);
 }
 
@@ -49,13 +49,13 @@
 /// An operator changes many files at once and makes several mistakes. If each run showed one,
 /// the settings would be mended one try after the other while a crew waits.
 #[rstest]
-fn all_faults_of_a_directory_are_shown_at_once() {
+fn all_violations_of_a_directory_are_reported() {
     let hash = "a".repeat(64);
     let team = json!({ "key_hashes": [hash], "default_urgency": "normal", "share": 600 });
-    let mut late = team.clone();
-    late["default_deadline_ms"] = json!(5000);
-    late["max_deadline_ms"] = json!(1000);
-    let folder = Folder::new(
+    let mut long_default = team.clone();
+    long_default["default_deadline_ms"] = json!(5000);
+    long_default["max_deadline_ms"] = json!(1000);
+    let dir = TempDir::new(
         "directory",
         &[
             ("system/deployment", json!({ "lease_ttl_ms": 5, "lease_tll_ms": 9000 })),
@@ -64,7 +64,7 @@
             ("shared/models/c", model(json!(["1"]))),
             ("shared/modles/c", json!({})),
             ("teams/x/team", team),
-            ("teams/y/team", late),
+            ("teams/y/team", long_default),
             (
                 "teams/x/models/a",
                 json!({ "replicas": 1, "versions": ["2"],
@@ -75,8 +75,8 @@
             ("teams/z/services/s", json!({ "path_prefixes": [] })),
         ],
     );
-    fs::write(folder.0.join("system/broken.json"), "{").expect("writable");
-    let faults = check::check_path(&folder.0);
+    fs::write(dir.0.join("system/broken.json"), "{").expect("writable");
+    let faults = check::check_path(&dir.0);
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     let expected = [
         ("system/broken.json", "", "not JSON"),
@@ -98,10 +98,11 @@
         ("teams/z/services/s.json", "/path_prefixes", "fewer than 1 items"),
         ("teams/z/services/s.json", "/", "no document `teams/z/team`"),
     ];
-    for (file, path, words) in expected {
+    for (file, path, expected_text) in expected {
         let at = if path.is_empty() { String::new() } else { format!("{file} at {path}: ") };
-        let found = lines.iter().any(|l| l.contains(file) && l.contains(&at) && l.contains(words));
-        assert!(found, "{file} {path}: {words}\nin\n{}", lines.join("\n"));
+        let found =
+            lines.iter().any(|l| l.contains(file) && l.contains(&at) && l.contains(expected_text));
+        assert!(found, "{file} {path}: {expected_text}\nin\n{}", lines.join("\n"));
     }
 }
 
@@ -116,24 +117,24 @@
 #[case("agent-engine", json!({ "target": { "url": "http://192.0.2.1", "kind": { "engine":
     { "memory_mib": -5, "checks_fencing": true } } } }), "/target/kind/engine/memory_mib")]
 #[case("agent-engine", json!({ "target": { "url": "ftp://192.0.2.1" } }), "/target/url")]
-fn a_faulty_process_file_names_the_field(
+fn an_invalid_process_file_names_the_field(
     #[case] kind: &str,
-    #[case] change: Value,
-    #[case] words: &str,
+    #[case] changes: Value,
+    #[case] expected_text: &str,
 ) {
     let text = fs::read_to_string(examples().join(format!("process/{kind}.json")));
     let mut value: Value = serde_json::from_str(&text.expect("an example")).expect("JSON");
-    for (field, changed) in change.as_object().into_iter().flatten() {
+    for (field, changed) in changes.as_object().into_iter().flatten() {
         value[field] = changed.clone();
     }
-    let folder = Folder::new(&format!("process-{}", words.len()), &[("p", value)]);
-    let faults = check::check_path(&folder.0.join("p.json"));
-    assert!(faults.iter().any(|fault| fault.to_string().contains(words)), "{faults:#?}");
+    let dir = TempDir::new(&format!("process-{}", expected_text.len()), &[("p", value)]);
+    let faults = check::check_path(&dir.0.join("p.json"));
+    assert!(faults.iter().any(|fault| fault.to_string().contains(expected_text)), "{faults:#?}");
 }
 
 #[rstest]
-fn a_file_of_neither_kind_says_so() {
-    let folder = Folder::new("neither", &[("p", json!({ "name": "x" }))]);
-    let faults = check::check_path(&folder.0.join("p.json"));
+fn an_unknown_kind_of_file_is_rejected() {
+    let dir = TempDir::new("neither", &[("p", json!({ "name": "x" }))]);
+    let faults = check::check_path(&dir.0.join("p.json"));
     assert!(faults[0].to_string().contains("neither"), "{faults:#?}");
 }
