--- a/crates/corianderstand_cli/src/account.rs
+++ b/crates/corianderstand_cli/src/account.rs
@@ -1,8 +1,7 @@
-//! `account`: what became of all requests, by kind, cause and time, from the log files of routers.
+//! `account`: outcomes of all requests by route, cause and time, from the log files of routers.
 //!
-//! A request counts by the line that ends it, so a caller who was refused and came back counts twice. Why one came late is told by its earlier lines: what it waited
-//! for in its router, or a target that was given up. Routers leave out lines in floods and say how many,
-//! so counts are shares of what was written, and the number left out stands beside them.
+//! Each attempt of a caller counts by the line that ends it; earlier lines with its id explain a
+//! late response. Routers drop log lines under load, so the counts cover the written lines only.
 
 use crate::{
     Exit,
@@ -12,12 +11,12 @@
 use serde_json::json;
 use std::{collections::BTreeMap, path::Path};
 
-/// Length of a window of the account, in seconds.
+/// Length of an aggregation window.
 const WINDOW_S: u64 = 2;
-/// Length of a time to the second in a line, as in `2026-01-01T00:00:02`.
+/// Length of a timestamp up to its seconds, as in `2026-01-01T00:00:02`.
 const SECONDS_PREFIX_LEN: usize = 19;
 
-/// What is remembered of a request until it ends.
+/// State of a request whose last line has not been read.
 #[derive(Default)]
 struct OpenRequest {
     wait_reason: Option<String>,
@@ -25,19 +24,17 @@
     failed_attempt: Option<String>,
 }
 
-/// What was read.
 #[derive(Default)]
 struct Account {
-    /// Ended requests by route and cause.
+    /// Finished requests by route and cause.
     causes: BTreeMap<(String, String), u64>,
-    /// The same by window and cause; what was answered in time is one cause.
+    /// Finished requests by window and cause.
     windows: BTreeMap<String, BTreeMap<String, u64>>,
     open: BTreeMap<String, OpenRequest>,
     dropped_lines: u64,
     unreadable_lines: usize,
 }
 
-/// Shows what became of requests.
 pub fn run(matches: &Matches) -> Exit {
     let mut account = Account::default();
     for file in &matches.free {
@@ -141,10 +138,10 @@
     }
 }
 
-/// The cause of those that were answered as they should be.
+/// Cause of requests that met their latency objective.
 const IN_TIME: &str = "in time";
 
-/// Start of the window of a time such as `2026-01-01T00:00:03.5Z`.
+/// Start of the window that contains a timestamp.
 fn window_start(timestamp: &str) -> String {
     let Some(second) = timestamp.get(..SECONDS_PREFIX_LEN) else { return timestamp.to_owned() };
     let (minute, seconds) = second.split_at(SECONDS_PREFIX_LEN - 2);
@@ -189,7 +186,7 @@
     }
 }
 
-/// Whether an answer came late, and where its time went.
+/// Compares a latency with its objective and attributes the excess.
 fn classify_latency(took_ms: Option<u64>, objective_ms: Option<u64>, open: &OpenRequest) -> String {
     let (Some(took), Some(objective)) = (took_ms, objective_ms) else { return IN_TIME.to_owned() };
     if took <= objective {
--- a/crates/corianderstand_cli/src/args.rs
+++ b/crates/corianderstand_cli/src/args.rs
@@ -1,34 +1,22 @@
-//! Sub-commands and their options.
+//! Subcommands and their options.
 
 use corianderstand_derives::derives;
 use getopts::{Matches, Options};
 
-/// A sub-command.
+/// A subcommand.
 #[derives(key)]
 pub enum Command {
-    /// Runs a router.
     Router,
-    /// Runs an agent.
     Agent,
-    /// Checks files.
     Check,
-    /// Compares a directory with what is in force.
     Diff,
-    /// Puts a directory in force.
     Apply,
-    /// Shows documents in force.
     Get,
-    /// Shows the changes of one document.
     History,
-    /// Shows the deployment.
     Status,
-    /// Hashes a bearer key.
     HashKey,
-    /// Replays a trace.
     Replay,
-    /// Tells what became of a request.
     Explain,
-    /// Tells what became of all requests.
     Account,
 }
 
@@ -81,16 +69,14 @@
                 "show what is in force where, which models are warm, loading or cold, and who \
                 holds the lease",
             ),
-            Self::Replay => {
-                ("FILE", "replay a trace through the decisions and print both measures")
-            }
-            Self::Explain => {
-                ("ID FILE…", "tell what became of request ID, from the log files of processes")
-            }
+            Self::Replay => ("FILE", "replay a trace through the scheduler and print its outcome"),
+            Self::Explain => (
+                "ID FILE…",
+                "show the log lines and the outcome of request ID, from the log files of processes",
+            ),
             Self::Account => (
                 "FILE…",
-                "count what became of requests, by route, cause and time, from the log files of \
-                routers",
+                "count requests by route, outcome and time, from the log files of routers",
             ),
             Self::HashKey => (
                 "FILE",
@@ -100,7 +86,6 @@
         }
     }
 
-    /// The sub-command of that name.
     pub fn from_name(name: &str) -> Option<Self> {
         ALL_COMMANDS.into_iter().find(|command| command.name() == name)
     }
@@ -114,7 +99,7 @@
     }
 }
 
-/// What the binary can do.
+/// Help text of the binary.
 pub fn overview() -> String {
     let mut text = String::from("corianderstand COMMAND [options]\n\nCommands:\n");
     for command in ALL_COMMANDS {
@@ -146,18 +131,23 @@
         options.optopt("k", "key-file", "file with the operators' bearer key", "FILE");
     }
     if command == Command::Replay {
-        options.optopt("s", "settings", "settings in place of those of the trace", "DIR");
+        options.optopt("s", "settings", "settings that override those of the trace", "DIR");
         options.optflag("c", "compare", "also replay all baselines");
         options.optflag("j", "json", "print JSON");
     }
     if command == Command::Apply {
-        options.optopt("a", "author", "who asks, for the history", "NAME");
-        options.optflag("", "prune", "also remove documents that DIR does not have");
-        options.optflag("", "wait", "wait until it is in force on all routers that answer");
+        options.optopt("a", "author", "author recorded in the history", "NAME");
+        options.optflag("", "prune", "also remove documents missing from DIR");
+        options.optflag("", "wait", "wait until the change is in force on all responsive routers");
     }
     if command == Command::Status {
-        options.optflag("w", "watch", "show it again and again until interrupted");
-        options.optopt("i", "interval-ms", "pause of --watch, 2000 if not given", "MILLISECONDS");
+        options.optflag("w", "watch", "refresh until interrupted");
+        options.optopt(
+            "i",
+            "interval-ms",
+            "refresh interval of --watch, default 2000",
+            "MILLISECONDS",
+        );
     }
     options
 }
@@ -168,7 +158,7 @@
     options(command).usage(&brief)
 }
 
-/// The overview and every command's help, as a page.
+/// Help of all commands as Markdown.
 pub fn reference() -> String {
     let mut text = format!("```text\n{}\n```\n", overview());
     for command in ALL_COMMANDS {
@@ -178,11 +168,11 @@
     text
 }
 
-/// Parses a sub-command's arguments; `None` if help was asked for and printed.
+/// Parses the arguments of a subcommand. Returns `None` after printing its help.
 ///
 /// # Errors
 ///
-/// A message that names the fault and shows the usage.
+/// The problem, followed by the usage.
 pub fn parse(
     command: Command,
     args: impl Iterator<Item = String>,
@@ -202,7 +192,7 @@
         _ => 1..=1,
     };
     if !operands.contains(&matches.free.len()) {
-        return Err(format!("the number of operands is wrong\n\n{usage}"));
+        return Err(format!("wrong number of operands\n\n{usage}"));
     }
     Ok(Some(matches))
 }
--- a/crates/corianderstand_cli/src/check.rs
+++ b/crates/corianderstand_cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `corianderstand check`: all faults of settings directories and process files at once.
+//! `check`: reports all violations in settings directories and process settings files.
 
 use crate::{Exit, cross_document, directory};
 use corianderstand_schema::check::{self, Document, Violation};
@@ -10,16 +10,16 @@
     path::{Path, PathBuf},
 };
 
-/// A fault, and the file that has it.
+/// A violation with the file that contains it.
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub enum FileFault {
     /// {0}
     Unreadable(String),
     /// {file} {fault}
     Invalid {
-        /// The file, as shown.
+        /// File path as displayed.
         file: String,
-        /// Its fault.
+        /// Violation in that file.
         fault: Violation,
     },
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Checks every path named on the command line.
+/// Checks all paths given on the command line.
 pub fn run(matches: &Matches) -> Exit {
     let faults: Vec<FileFault> =
         matches.free.iter().flat_map(|path| check_path(Path::new(path))).collect();
@@ -53,12 +53,12 @@
     if faults.is_empty() { Exit::Success } else { Exit::Fault }
 }
 
-/// All faults of a settings directory or a process settings file.
+/// Checks a settings directory or a process settings file.
 pub fn check_path(path: &Path) -> Vec<FileFault> {
     if path.is_dir() { check_directory(path) } else { check_process(path) }
 }
 
-/// All faults of a settings directory, each with its file.
+/// Checks a settings directory.
 pub fn check_directory(root: &Path) -> Vec<FileFault> {
     let (documents, errors) = directory::read(root);
     let file = |document: &str| -> PathBuf { root.join(format!("{document}.json")) };
@@ -72,7 +72,7 @@
     unreadable.chain(within).chain(across).collect()
 }
 
-/// All faults of one process settings file; what kind it is shows by its content.
+/// Checks a process settings file, whose kind follows from its fields.
 fn check_process(path: &Path) -> Vec<FileFault> {
     let value = match directory::read_file(path) {
         Ok(value) => value,
@@ -87,16 +87,16 @@
             path,
             Violation {
                 path: "/".into(),
-                problem: "this is neither an agent's nor a router's settings".into(),
-                remedy: "give `target` for an agent, `auth_key` and `operator_key_hash` for a \
-                    router; check a settings directory by its folder"
+                problem: "these are neither settings of an agent nor of a router".into(),
+                remedy: "set `target` for an agent, `auth_key` and `operator_key_hash` for a \
+                    router; pass a settings directory by its path"
                     .into(),
             },
         )],
     }
 }
 
-/// Faults of a process settings file of a known kind.
+/// Checks a process settings file of a known kind.
 pub fn process_faults(kind: Document, path: &Path, value: &Value) -> Vec<FileFault> {
     let mut faults = check::check(kind, value);
     faults.extend(timing_conflicts(value));
@@ -104,7 +104,6 @@
     faults.into_iter().map(|fault| FileFault::new(path, fault)).collect()
 }
 
-/// Limits that cannot hold together.
 fn timing_conflicts(value: &Value) -> Vec<Violation> {
     let ms = |name: &str, default: u64| value["timing"][name].as_u64().unwrap_or(default);
     let mut faults = Vec::new();
@@ -112,14 +111,14 @@
         faults.push(Violation {
             path: "/timing/silence_ms".into(),
             problem: "it is less than two heartbeats".into(),
-            remedy: "raise silence_ms or lower heartbeat_ms, or every pause cuts a connection"
+            remedy: "raise silence_ms or lower heartbeat_ms, or short pauses close connections"
                 .into(),
         });
     }
     faults
 }
 
-/// Addresses are IP numbers with a port; nothing is looked up by name.
+/// Addresses must be literal IP addresses with a port, as names are never resolved.
 fn invalid_addresses(value: &Value) -> Vec<Violation> {
     let field = |name: &str| Some((format!("/{name}"), value[name].as_str()?.to_owned()));
     let peers = value["peers"].as_array().into_iter().flatten().enumerate();
@@ -128,8 +127,8 @@
     let invalid = all.filter(|(_, address)| address.parse::<SocketAddr>().is_err());
     let describe = |(path, address)| Violation {
         path,
-        problem: format!("{address:?} is no IP number with a port"),
-        remedy: "give one, like 192.0.2.1:8080".into(),
+        problem: format!("{address:?} is not an IP address with a port"),
+        remedy: "use the form 192.0.2.1:8080".into(),
     };
     invalid.map(describe).collect()
 }
--- a/crates/corianderstand_cli/src/client.rs
+++ b/crates/corianderstand_cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks a router what operators ask.
+//! HTTP client for the operator API of a router.
 
 use crate::Exit;
 use getopts::Matches;
@@ -6,30 +6,27 @@
 use serde_json::Value;
 use std::{fs, time::Duration};
 
-/// Variable with the operators' key, if no file is named.
+/// Variable with the operator key, used without `--key-file`.
 pub const KEY_VARIABLE: &str = "CORIANDERSTAND_OPERATOR_KEY";
-/// Variable with a router's address, if none is named.
+/// Variable with a router's address, used without `--router`.
 pub const ROUTER_VARIABLE: &str = "CORIANDERSTAND_ROUTER";
-/// Time a router has to answer.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A question that got no good answer.
 #[derive(Debug, displaydoc::Display)]
 pub enum ClientError {
     /// no router is named: give --router or set `CORIANDERSTAND_ROUTER`
     NoRouter,
     /// no key is named: give --key-file or set `CORIANDERSTAND_OPERATOR_KEY`
     NoKey,
-    /// cannot reach the router ({0}): check its address, or ask another
+    /// cannot reach the router ({0}): check its address, or use another router
     Unreachable(reqwest::Error),
-    /// the router refused ({0}): {1}
+    /// the router rejected the request ({0}): {1}
     Refused(u16, String),
 }
 
 impl std::error::Error for ClientError {}
 
 impl ClientError {
-    /// The exit code for it.
     pub const fn exit(&self) -> Exit {
         match self {
             Self::NoRouter | Self::NoKey => Exit::Usage,
@@ -41,7 +38,6 @@
     }
 }
 
-/// A router that can be asked.
 pub struct Client {
     base_url: String,
     key: String,
@@ -50,7 +46,7 @@
 }
 
 impl Client {
-    /// A client for the router that the options or variables name.
+    /// Creates a client from the options or environment variables.
     ///
     /// # Errors
     ///
@@ -71,7 +67,7 @@
         })
     }
 
-    /// Asks and reads a JSON answer.
+    /// Sends a request and parses the JSON response.
     ///
     /// # Errors
     ///
--- a/crates/corianderstand_cli/src/cross_document.rs
+++ b/crates/corianderstand_cli/src/cross_document.rs
@@ -1,4 +1,4 @@
-//! Faults that only show between the documents of a directory.
+//! Checks across the documents of a settings directory.
 
 use crate::directory::Documents;
 use corianderstand_schema::check::Violation;
@@ -6,10 +6,10 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// All of a target, in thousandths.
+/// Upper limit of the sum of all teams' shares, in thousandths.
 const TOTAL_SHARE: u64 = 1000;
 
-/// A fault and the path of the document that has it.
+/// The path of a document and its violation.
 pub type DocumentViolation = (String, Violation);
 
 fn violation(document: &str, path: &str, problem: String, remedy: &str) -> DocumentViolation {
@@ -17,7 +17,6 @@
     (document.to_owned(), Violation { path, problem, remedy })
 }
 
-/// All such faults.
 pub fn check(documents: &Documents) -> Vec<DocumentViolation> {
     let mut violations = Vec::new();
     for (path, value) in documents {
@@ -109,20 +108,20 @@
     let adapters = value["adapters"].as_array().cloned().unwrap_or_default();
     for (i, adapter) in adapters.iter().enumerate() {
         if adapters[..i].contains(adapter) {
-            let problem = format!("adapter {} stands here twice", adapter["name"]);
+            let problem = format!("adapter {} is listed twice", adapter["name"]);
             violations.push(violation(path, &format!("/adapters/{i}"), problem, "remove one"));
         }
     }
 }
 
-/// A key that proves two teams would let one call in the other's name.
+/// A key shared by two teams would let either call on behalf of the other.
 fn check_keys(documents: &Documents, violations: &mut Vec<DocumentViolation>) {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for (path, value) in documents.iter().filter(|(path, _)| path.ends_with("/team")) {
         for (i, hash) in string_items(value, "key_hashes").into_iter().enumerate() {
             if let Some(owner) = owners.insert(hash, path) {
-                let problem = format!("the key of this hash stands in `{owner}` already");
-                let remedy = "give each team keys of its own, each once";
+                let problem = format!("the key of this hash is already used by `{owner}`");
+                let remedy = "use each key for one team only, and once";
                 violations.push(violation(path, &format!("/key_hashes/{i}"), problem, remedy));
             }
         }
@@ -144,7 +143,7 @@
     }
 }
 
-/// A model that a team may call, and for which nobody holds a replica, never answers.
+/// A callable model without replicas could never be served.
 fn check_replicas(documents: &Documents, violations: &mut Vec<DocumentViolation>) {
     let mut replicas: BTreeMap<String, u64> = BTreeMap::new();
     let of_model = |path: &String| match PathKind::parse(path) {
--- a/crates/corianderstand_cli/src/directory.rs
+++ b/crates/corianderstand_cli/src/directory.rs
@@ -1,4 +1,4 @@
-//! Settings as a directory of JSON files: a file's path without `.json` is the document's.
+//! Settings as a directory of JSON files; a document's path is its file path without `.json`.
 
 use serde_json::Value;
 use std::{
@@ -7,32 +7,25 @@
     path::{Path, PathBuf},
 };
 
-/// A file that cannot be read.
 #[derive(Debug, displaydoc::Display)]
 pub enum DirectoryError {
     /// cannot read {0} ({1}): check the path and its permissions
     Read(PathBuf, io::Error),
-    /// {0} is not JSON ({1}): mend it
+    /// {0} is not JSON ({1}): correct it
     Json(PathBuf, serde_json::Error),
 }
 
 impl std::error::Error for DirectoryError {}
 
-/// Documents by settings path.
 pub type Documents = BTreeMap<String, Value>;
 
-/// Reads one JSON file.
-///
-/// # Errors
-///
-/// See [`DirectoryError`].
 pub fn read_file(path: &Path) -> Result<Value, DirectoryError> {
     let text = fs::read_to_string(path);
     let text = text.map_err(|error| DirectoryError::Read(path.to_owned(), error))?;
     serde_json::from_str(&text).map_err(|error| DirectoryError::Json(path.to_owned(), error))
 }
 
-/// Reads a directory; files that cannot be read are reported together.
+/// Reads all documents and collects the errors.
 pub fn read(root: &Path) -> (Documents, Vec<DirectoryError>) {
     let mut documents = Documents::new();
     let mut errors = Vec::new();
--- a/crates/corianderstand_cli/src/explain.rs
+++ b/crates/corianderstand_cli/src/explain.rs
@@ -1,6 +1,4 @@
-//! `explain`: the life of one request, from the log files of all processes.
-//!
-//! Lines that cannot be read are counted and said.
+//! `explain`: all log lines about one request, from the log files of all processes.
 
 use crate::{
     Exit,
@@ -10,7 +8,6 @@
 use serde_json::{Map, Value};
 use std::{collections::BTreeSet, path::Path};
 
-/// A line about the request.
 struct Line {
     time: String,
     source: String,
@@ -18,7 +15,7 @@
     fields: Map<String, Value>,
 }
 
-/// What was read.
+/// Lines about the request, and how many lines may be missing.
 #[derive(Default)]
 struct RequestLog {
     lines: Vec<Line>,
@@ -26,7 +23,6 @@
     dropped_lines: u64,
 }
 
-/// Shows what became of a request.
 pub fn run(matches: &Matches) -> Exit {
     let (id, files) = (&matches.free[0], &matches.free[1..]);
     let mut log = RequestLog::default();
@@ -68,13 +64,12 @@
     Line { time, source, message, fields }
 }
 
-/// A field of a line as text.
 fn text(line: &Line, name: &str) -> Option<String> {
     line.fields.get(name).map(|value| value.as_str().map_or(value.to_string(), str::to_owned))
 }
 
-/// Why a request was refused. One without a route may have met an older configuration than the one that
-/// was in force elsewhere, which only its router's age of knowledge tells.
+/// Describes a refusal. A request that matched no route may have been checked against an outdated
+/// configuration, so the age of the router's configuration is shown.
 fn describe_refusal(end: &Line) -> String {
     let why = text(end, "why").unwrap_or_default();
     let Some(version) = text(end, "config") else { return format!("refused as not run: {why}") };
@@ -86,7 +81,7 @@
     format!("{why} in configuration {version}; store read {age}{stale_note}")
 }
 
-/// The cause in one line, from the last line that ends the request.
+/// Summarizes the request by the last line that ends it.
 fn cause(lines: &[Line]) -> String {
     let ends = ["answered", "streamed", "refused", "caller left"];
     let Some(end) = lines.iter().rev().find(|line| ends.contains(&line.message.as_str())) else {
--- a/crates/corianderstand_cli/src/fields.rs
+++ b/crates/corianderstand_cli/src/fields.rs
@@ -1,8 +1,8 @@
-//! What changes in a document, field by field.
+//! Field-by-field comparison of documents.
 
 use serde_json::Value;
 
-/// One line for each field that differs, with its JSON path, what it was and what it will be.
+/// One line for each changed field, with its JSON path and both values.
 pub fn changed(old: &Value, new: &Value) -> Vec<String> {
     let mut lines = Vec::new();
     compare("", old, new, &mut lines);
--- a/crates/corianderstand_cli/src/lib.rs
+++ b/crates/corianderstand_cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line: one binary, a sub-command for each kind of process and each question.
+//! Command line of the `corianderstand` binary: subcommands for processes and operator tasks.
 //!
 //! ```
 //! let help = corianderstand_cli::run(["--help".to_owned()]);
@@ -24,20 +24,20 @@
 use args::Command;
 pub use args::reference;
 
-/// How a command ended; the number is the process's exit code.
+/// Exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Success = 0,
-    /// A document or the deployment is not as it should be.
+    /// A check, a document or the deployment has a fault.
     Fault = 1,
-    /// The command line cannot be used.
+    /// Invalid command line.
     Usage = 2,
-    /// Another operator's change is in the way.
+    /// Conflict with a concurrent change.
     Conflict = 3,
-    /// Whether a change is accepted is not known yet.
+    /// The outcome of a change is unknown.
     Undecided = 4,
-    /// A router or a file cannot be reached.
+    /// A router is unreachable or a file unreadable.
     Unreachable = 5,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs one command to its end.
+/// Runs a command.
 pub fn run(args: impl IntoIterator<Item = String>) -> Exit {
     let mut args = args.into_iter();
     let Some(name) = args.next() else {
@@ -63,7 +63,7 @@
         return Exit::Success;
     }
     let Some(command) = Command::from_name(&name) else {
-        eprintln!("there is no command `{name}`\n\n{}", args::overview());
+        eprintln!("unknown command `{name}`\n\n{}", args::overview());
         return Exit::Usage;
     };
     match args::parse(command, args) {
--- a/crates/corianderstand_cli/src/log_lines.rs
+++ b/crates/corianderstand_cli/src/log_lines.rs
@@ -1,34 +1,26 @@
-//! Lines of log files: JSON, one each. What stands before the first brace, a time or a host that a
-//! collector put there, is the line's source; without it the file's name is.
+//! Log files with one JSON object per line. Text before the object, as added by a log collector,
+//! names the source; otherwise the file name does.
 
 use serde_json::{Map, Value};
 use std::{io, path::Path};
 
-/// One line.
 pub struct LogLine {
-    /// Which process wrote it.
+    /// Process that wrote the line.
     pub source: String,
-    /// What it says.
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// A field as text; none if it is not there or not text.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name).and_then(Value::as_str)
     }
 
-    /// A field as a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 }
 
-/// Gives each line of a file to `take`; returns how many could not be read.
-///
-/// # Errors
-///
-/// The file cannot be read.
+/// Calls `on_line` for each line and returns the number of unreadable ones.
 pub fn read(path: &Path, mut on_line: impl FnMut(LogLine)) -> io::Result<usize> {
     let name = path.file_stem().map(|name| name.to_string_lossy().into_owned());
     let text = String::from_utf8_lossy(&std::fs::read(path)?).into_owned();
--- a/crates/corianderstand_cli/src/logging.rs
+++ b/crates/corianderstand_cli/src/logging.rs
@@ -1,8 +1,7 @@
-//! Logs as JSON lines.
+//! Logging as JSON lines.
 //!
-//! Processes of an own deployment log to standard error. On the users' platform lines go to standard
-//! output through a bounded buffer that a thread of its own empties: whoever reads the output
-//! slowly, or not at all, must not hold up requests.
+//! Processes log to standard error. On the users' platform they log to standard output through a
+//! bounded buffer with its own thread, so that a slow reader cannot block requests.
 
 use std::{
     io::Write,
@@ -12,26 +11,26 @@
 };
 use tracing_subscriber::{EnvFilter, fmt::MakeWriter};
 
-/// Variable that selects what is logged, in the form of `tracing`'s filters.
+/// Variable with a `tracing` filter.
 pub const LOG_VARIABLE: &str = "CORIANDERSTAND_LOG";
-/// Bytes that wait to be written; some seconds of lines under load. Beyond it lines are left out.
+/// Limit of the buffer; lines beyond it are dropped.
 const MAX_BUFFERED_BYTES: usize = 512 << 10;
-/// Pause between two writes. Each costs a wake-up and a system call, so lines go out together.
+/// Batches lines to save wake-ups and system calls.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Starts logging to standard error.
+/// Initializes logging to standard error.
 pub fn start() {
     let builder = tracing_subscriber::fmt().json().flatten_event(true).with_env_filter(filter());
-    // A second start, in a test, keeps the first.
+    // Tests may initialize more than once; the first call wins.
     drop(builder.with_writer(std::io::stderr).try_init());
 }
 
-/// Starts logging to standard output; lines that wait are written when the result is dropped.
+/// Initializes buffered logging to standard output, flushed when the guard is dropped.
 pub fn start_buffered() -> LogGuard {
     let buffer = Buffer::default();
     let builder = tracing_subscriber::fmt().json().flatten_event(true).with_env_filter(filter());
     let builder = builder.with_current_span(false).with_span_list(false);
-    // A second start, in a test, keeps the first.
+    // Tests may initialize more than once; the first call wins.
     drop(builder.with_writer(buffer.clone()).try_init());
     let flusher = buffer.clone();
     let thread = std::thread::Builder::new().name("log".into());
@@ -50,7 +49,6 @@
     closed: bool,
 }
 
-/// Lines that wait to be written.
 #[derive(Clone, Default)]
 struct Buffer(Arc<Mutex<BufferState>>);
 
@@ -68,7 +66,7 @@
             let closed = state.closed;
             drop(state);
             let mut out = std::io::stdout().lock();
-            // Nothing can be told of an output that is gone.
+            // A closed output cannot be reported anywhere.
             drop(out.write_all(&bytes));
             if dropped_lines > 0 {
                 drop(writeln!(
@@ -108,7 +106,7 @@
     }
 }
 
-/// Writes the lines; what waits is written when it is dropped.
+/// Stops the log thread and flushes the buffer when dropped.
 pub struct LogGuard {
     buffer: Buffer,
     thread: Option<JoinHandle<()>>,
--- a/crates/corianderstand_cli/src/operate.rs
+++ b/crates/corianderstand_cli/src/operate.rs
@@ -15,7 +15,7 @@
     time::{Duration, Instant},
 };
 
-/// The exit code of an answered question; an unanswered one is told.
+/// Prints the error, if any, and returns the exit code.
 pub fn exit_code(result: Result<Exit, ClientError>) -> Exit {
     result.unwrap_or_else(|error| {
         eprintln!("{error}");
@@ -23,7 +23,7 @@
     })
 }
 
-/// What is in force: version and document by path.
+/// Versions and values of the documents in force, by path.
 fn documents_in_force(
     client: &Client,
     prefix: &str,
@@ -37,7 +37,7 @@
     Ok(documents.into_iter().map(read).collect())
 }
 
-/// Changes that make what is in force like the directory.
+/// Changes that turn the documents in force into those of the directory.
 fn changes(
     desired: &Documents,
     current: &BTreeMap<String, (u64, Value)>,
@@ -74,7 +74,6 @@
     }
 }
 
-/// Changes as programs read them.
 fn changes_json(changes: &[Value], current: &BTreeMap<String, (u64, Value)>) -> Value {
     let with_old = |change: &Value| {
         let path = change["path"].as_str().unwrap_or_default();
@@ -84,7 +83,7 @@
     changes.iter().map(with_old).collect()
 }
 
-/// The directory's documents, or all its faults.
+/// Reads the directory, or prints all its violations.
 fn read_checked(matches: &Matches) -> Result<Documents, Exit> {
     let root = Path::new(&matches.free[0]);
     let faults = check::check_directory(root);
@@ -94,7 +93,6 @@
     if faults.is_empty() { Ok(directory::read(root).0) } else { Err(Exit::Fault) }
 }
 
-/// Shows what applying a directory would change.
 pub fn diff(matches: &Matches) -> Exit {
     let documents = match read_checked(matches) {
         Ok(documents) => documents,
@@ -114,12 +112,11 @@
     }))
 }
 
-/// Time that `--wait` waits at the longest; a change is to be in force within 7 s.
+/// Longest wait of `apply --wait`.
 const WAIT_LIMIT: Duration = Duration::from_secs(15);
-/// Pause between two questions.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks until all routers that answer have a version, or the limit has passed.
+/// Polls until all responsive routers have the version in force, or the wait limit has passed.
 fn wait_until_in_force(client: &Client, version: &Value) -> Result<Value, ClientError> {
     let started_at = Instant::now();
     loop {
@@ -141,7 +138,6 @@
     }
 }
 
-/// Puts a directory in force.
 pub fn apply(matches: &Matches) -> Exit {
     let documents = match read_checked(matches) {
         Ok(documents) => documents,
@@ -181,7 +177,6 @@
     }))
 }
 
-/// Shows documents in force.
 pub fn get(matches: &Matches) -> Exit {
     let prefix = matches.free.first().cloned().unwrap_or_default();
     exit_code(Client::new(matches).and_then(|client| {
@@ -201,7 +196,6 @@
     }))
 }
 
-/// Shows the last changes at or below a path, newest first.
 pub fn history(matches: &Matches) -> Exit {
     let path = &matches.free[0];
     exit_code(Client::new(matches).and_then(|client| {
@@ -226,7 +220,6 @@
     }))
 }
 
-/// A path with one query parameter.
 fn query(path: &str, name: &str, value: &str) -> String {
     let query = reqwest::Url::parse_with_params("http://router/", [(name, value)]);
     let query = query.ok().and_then(|url| url.query().map(str::to_owned)).unwrap_or_default();
--- a/crates/corianderstand_cli/src/platform.rs
+++ b/crates/corianderstand_cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `router --platform`, `agent --platform` and `check --platform`: the users' platform.
+//! `router`, `agent` and `check` with `--platform`.
 
 use crate::{Exit, logging};
 use corianderstand_forward::{agent, router};
@@ -8,7 +8,6 @@
 use std::{fmt::Display, sync::Arc, time::Duration};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Runs a router until it is told to stop.
 pub fn router() -> Exit {
     run(|fields| {
         let (settings, store) = (fields.router()?, fields.store()?);
@@ -18,7 +17,6 @@
     })
 }
 
-/// Runs an agent until it is told to stop.
 pub fn agent() -> Exit {
     run(|fields| {
         let (settings, addr) = (fields.agent()?, fields.engine()?);
@@ -29,7 +27,7 @@
     })
 }
 
-/// Checks settings files of the platform; a file that names an engine is an agent's.
+/// Checks settings files of the platform; those with an engine address belong to agents.
 pub fn check(matches: &Matches) -> Exit {
     let mut exit = Exit::Success;
     for path in &matches.free {
@@ -49,14 +47,13 @@
     exit
 }
 
-/// Pause between two looks at the settings file, which may change without a signal. A look takes some
-/// tens of microseconds.
+/// Interval of checking the settings file for changes without a signal.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A router's settings file, read again after a signal and now and then.
+/// A router's settings file, reloaded on SIGHUP and periodically.
 struct SettingsFile {
     active: router::Settings,
-    /// The fault that was last said, so that it is said once.
+    /// Last reported error, to log each error once.
     fault: Option<settings::SettingsError>,
     hangup_signal: Option<Signal>,
 }
@@ -66,7 +63,7 @@
         Self { active, fault: None, hangup_signal: None }
     }
 
-    /// Settings that differ from the last; a file with a fault changes nothing.
+    /// Returns the settings if they have changed. An invalid file keeps the active settings.
     fn poll(&mut self) -> Option<router::Settings> {
         match settings::Fields::load().and_then(|fields| fields.router()) {
             Ok(settings) => {
@@ -94,7 +91,7 @@
         loop {
             tokio::select! {
                 () = wait_for_hangup(self.hangup_signal.as_mut()) => {
-                    tracing::info!("told that the settings have changed");
+                    tracing::info!("SIGHUP received: reloading the settings");
                 }
                 () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
@@ -105,11 +102,11 @@
     }
 }
 
-/// The signal that says that settings have changed; without a handler it would end the process.
+/// Installs the SIGHUP handler, without which the signal would end the process.
 fn watch_hangup() -> Option<Signal> {
     let hangup_signal = signal(SignalKind::hangup());
     hangup_signal
-        .inspect_err(|error| tracing::warn!(%error, "the signal to reload cannot be watched"))
+        .inspect_err(|error| tracing::warn!(%error, "cannot install the SIGHUP handler"))
         .ok()
 }
 
@@ -122,27 +119,25 @@
     }
 }
 
-/// Waits for the signal to stop.
 async fn stop() {
     match signal(SignalKind::terminate()) {
         Ok(mut term) => {
             term.recv().await;
         }
         Err(error) => {
-            tracing::warn!(%error, "the signal to stop cannot be watched");
+            tracing::warn!(%error, "cannot install the SIGTERM handler");
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Waits for the signal to stop. An agent's settings are its name and addresses, which hold until its
-/// next start.
+/// Waits for SIGTERM. Agents apply changed settings at their next start only.
 async fn stop_and_log_reloads() {
     let mut hangup_signal = watch_hangup();
     let log_reloads = async {
         loop {
             wait_for_hangup(hangup_signal.as_mut()).await;
-            tracing::info!("told that the settings have changed: they hold from the next start on");
+            tracing::info!("SIGHUP received: changed settings apply at the next start");
         }
     };
     tokio::select! {
--- a/crates/corianderstand_cli/src/process.rs
+++ b/crates/corianderstand_cli/src/process.rs
@@ -19,7 +19,7 @@
 };
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Reads and checks a process settings file; faults are printed.
+/// Reads a process settings file, or prints all its violations.
 fn settings<T: DeserializeOwned>(kind: Document, matches: &Matches) -> Result<T, Exit> {
     let path = Path::new(&matches.free[0]);
     let value = directory::read_file(path).map_err(|error| {
@@ -43,14 +43,14 @@
     Arc::new(SystemClock)
 }
 
-/// Waits for the first signal to stop; a second one ends the process at once and says how many
-/// requests that cuts.
+/// Waits for the first SIGTERM or SIGINT. A second one exits at once.
 fn wait_for_stop(in_flight: Arc<AtomicUsize>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("the runtime starts");
     let signals = runtime.block_on(async {
-        let mut term = signal(SignalKind::terminate()).expect("signals can be watched");
-        let mut interrupt = signal(SignalKind::interrupt()).expect("signals can be watched");
+        let mut term = signal(SignalKind::terminate()).expect("signal handlers can be installed");
+        let mut interrupt =
+            signal(SignalKind::interrupt()).expect("signal handlers can be installed");
         tokio::select! {
             _ = term.recv() => {}
             _ = interrupt.recv() => {}
@@ -66,12 +66,14 @@
             }
         });
         let aborted = in_flight.load(Ordering::Relaxed);
-        tracing::warn!(cut = aborted, "second signal: ending at once, requests in flight are cut");
+        tracing::warn!(
+            cut = aborted,
+            "second signal: exiting at once and aborting requests in flight"
+        );
         std::process::exit(Exit::Fault as i32);
     });
 }
 
-/// Runs a router until it is told to stop.
 pub fn router(matches: &Matches) -> Exit {
     run(Document::Router, matches, |settings: RouterSettings| {
         let handle = corianderstand_router::start(settings, clock())?;
@@ -82,7 +84,6 @@
     })
 }
 
-/// Runs an agent until it is told to stop.
 pub fn agent(matches: &Matches) -> Exit {
     run(Document::Agent, matches, |settings: AgentSettings| {
         let handle = corianderstand_agent::start(settings, clock())?;
@@ -93,7 +94,7 @@
     })
 }
 
-/// Runs a process with the settings that the command line names; faults are printed.
+/// Runs a process with the settings file from the command line.
 fn run<S: DeserializeOwned, E: std::fmt::Display>(
     kind: Document,
     matches: &Matches,
@@ -113,7 +114,6 @@
     }
 }
 
-/// Hashes a bearer key from standard input.
 pub fn hash_key(matches: &Matches) -> Exit {
     let settings: RouterSettings = match settings(Document::Router, matches) {
         Ok(settings) => settings,
--- a/crates/corianderstand_cli/src/replay.rs
+++ b/crates/corianderstand_cli/src/replay.rs
@@ -1,4 +1,4 @@
-//! `corianderstand replay`: a recorded trace through the decisions, and both measures.
+//! `replay`: runs a trace through the scheduler and prints the outcome.
 
 use crate::{Exit, directory};
 use corianderstand_replay::{replay, report::Report, strategies::Strategy, trace::Trace};
@@ -9,7 +9,6 @@
 use getopts::Matches;
 use std::path::Path;
 
-/// Replays the trace named on the command line.
 pub fn run(matches: &Matches) -> Exit {
     let mut trace = match Trace::read(Path::new(&matches.free[0])) {
         Ok(trace) => trace,
@@ -36,7 +35,6 @@
     Exit::Success
 }
 
-/// The settings in a directory, as they would be in force.
 fn view(dir: &Path) -> Result<View, Exit> {
     let (read, errors) = directory::read(dir);
     for error in &errors {
--- a/crates/corianderstand_cli/src/status.rs
+++ b/crates/corianderstand_cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `corianderstand status`: the deployment as a router sees it.
+//! `status`: state of the deployment as seen by a router.
 
 use crate::{Exit, client::Client, operate};
 use getopts::Matches;
@@ -6,12 +6,11 @@
 use serde_json::Value;
 use std::{thread, time::Duration};
 
-/// Pause between two pictures of `--watch`.
+/// Default refresh interval of `--watch`.
 const INTERVAL_MS: u64 = 2000;
-/// Clears a terminal and goes to its upper left corner.
+/// Clears the terminal and moves the cursor to its top left corner.
 const CLEAR: &str = "\x1b[2J\x1b[H";
 
-/// Shows the deployment, once or again and again.
 pub fn run(matches: &Matches) -> Exit {
     let interval = match matches.opt_get_default("interval-ms", INTERVAL_MS) {
         Ok(ms) => Duration::from_millis(ms),
@@ -25,7 +24,7 @@
             let status = client.request(Method::GET, "/operator/status", None);
             let watch = matches.opt_present("watch");
             match status {
-                // While it is watched, a router that is away for a moment may come back.
+                // Keep watching, as the router may become reachable again.
                 Err(error) if watch => println!("{error}"),
                 Err(error) => return Err(error),
                 Ok(status) if matches.opt_present("json") => println!("{status}"),
@@ -42,7 +41,6 @@
     }))
 }
 
-/// One cell: text as it is, anything else as JSON, nothing as a dash.
 fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
@@ -51,7 +49,7 @@
     }
 }
 
-/// Rows of a list, each cell as wide as the widest of its column.
+/// Formats a titled table with aligned columns.
 fn format_list(title: &str, columns: &[&str], list: &Value) -> String {
     let head: Vec<String> = columns.iter().map(|column| (*column).to_owned()).collect();
     let list = list.as_array().into_iter().flatten();
--- a/crates/corianderstand_cli/tests/check.rs
+++ b/crates/corianderstand_cli/tests/check.rs
@@ -1,4 +1,4 @@
-//! `corianderstand check`: all faults at once, each with file, path and remedy.
+//! `check` reports all violations at once, each with its file, path and remedy.
 
 use corianderstand_cli::check;
 use rstest::rstest;
@@ -12,7 +12,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples")
 }
 
-/// A folder of its own, removed at the end.
+/// A temporary directory, removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
@@ -46,8 +46,7 @@
     json!({ "memory_mib": 1, "versions": versions, "adapter_memory_mib": 1 })
 }
 
-/// An operator changes many files at once and makes several mistakes. If each run showed one,
-/// the settings would be mended one try after the other while a crew waits.
+/// Reporting one violation at a time would take operators a run for each.
 #[rstest]
 fn all_violations_of_a_directory_are_reported() {
     let hash = "a".repeat(64);
@@ -106,7 +105,7 @@
     }
 }
 
-/// A process would start with a limit that was never applied, or cut every connection.
+/// An unknown field or a bad value would otherwise be ignored at start.
 #[rstest]
 #[case("router", json!({ "limits": { "max_conections": 5 } }), "/limits/max_conections")]
 #[case("router", json!({ "limits": { "read_timeout_ms": "10s" } }), "whole number of milliseconds")]
