--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -17,10 +17,10 @@
     let store = trace.header.store;
     let mut bound = Duration::ZERO;
     for (index, (from, _)) in first_calls.iter().enumerate() {
-        let mut load_work = Duration::ZERO;
+        let mut total_load_time = Duration::ZERO;
         for (count, (until, load)) in first_calls[index..].iter().enumerate() {
-            load_work += *load;
-            let store_done = *from + load_work / store.concurrent;
+            total_load_time += *load;
+            let store_done = *from + total_load_time / store.concurrent;
             let rate_limited_done =
                 *from + Duration::from_secs(1) / store.per_second * count as u32 + *load;
             bound = bound.max(store_done.max(rate_limited_done).saturating_sub(*until)).max(*load);
@@ -49,8 +49,8 @@
 
 /// Minimum idle accelerator hours for a number of cold wakes, with all calls known ahead.
 ///
-/// Keeps one replica of each model, unloaded over the longest gaps between calls as often as `cold`
-/// allows.
+/// Keeps one replica of each model, and unloads it over the longest gaps between calls as often as
+/// `cold` allows.
 pub fn clairvoyant_idle_hours(trace: &Trace, cold: usize) -> f64 {
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
     let mut last_ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -212,7 +212,7 @@
                 self.engines[engine].slowdown = *times;
             }
             TraceEvent::Fault(Fault::HostGone(engine)) => {
-                self.handle_host_loss(self.engine_index(engine))
+                self.on_host_lost(self.engine_index(engine))
             }
         }
     }
@@ -255,18 +255,12 @@
         let router = self.callers[caller].call.router;
         let now = self.now();
         let (key, decision) = self.routers[router].submit(now, spec);
-        self.apply_decision(caller, router, key, decision);
+        self.on_decision(caller, router, key, decision);
     }
 
-    fn apply_decision(
-        &mut self,
-        caller: usize,
-        router: usize,
-        key: RequestKey,
-        decision: Decision,
-    ) {
+    fn on_decision(&mut self, caller: usize, router: usize, key: RequestKey, decision: Decision) {
         match decision {
-            Decision::Refuse(refusal) => self.handle_refusal(caller, refusal),
+            Decision::Refuse(refusal) => self.on_refusal(caller, refusal),
             Decision::Send(target) => {
                 let engine = self.target_keys.iter().position(|known| *known == target);
                 let engine = engine.expect("every target is an engine of the trace");
@@ -311,7 +305,7 @@
                 let now = self.now();
                 let decision =
                     self.routers[request.router].refused(now, request.key, refusal, load);
-                self.apply_decision(request.caller, request.router, request.key, decision);
+                self.on_decision(request.caller, request.router, request.key, decision);
             }
             Action::Load(weights, _) => {
                 self.outcome.loads += 1;
@@ -379,7 +373,7 @@
         });
     }
 
-    fn handle_refusal(&mut self, caller: usize, refusal: Refusal) {
+    fn on_refusal(&mut self, caller: usize, refusal: Refusal) {
         let now = self.clock.elapsed();
         let at = now + refusal.retry_after;
         let caller_state = &mut self.callers[caller];
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -13,7 +13,7 @@
 const RETRY_AFTER_LOSS: Duration = Duration::from_millis(500);
 
 impl Replay<'_> {
-    pub(super) fn handle_host_loss(&mut self, engine: usize) {
+    pub(super) fn on_host_lost(&mut self, engine: usize) {
         let elapsed = self.clock.elapsed();
         self.engines[engine].accumulate_idle(elapsed);
         self.engines[engine].alive = false;
@@ -38,7 +38,7 @@
         let now = self.now();
         match self.routers[request.router].connection_lost(now, request.key, refusal) {
             Some(decision) => {
-                self.apply_decision(request.caller, request.router, request.key, decision)
+                self.on_decision(request.caller, request.router, request.key, decision)
             }
             None => {
                 self.callers[request.caller].is_pending = false;
