--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -208,16 +208,14 @@
                 self.schedule_store();
             }
             TraceEvent::Fault(Fault::EngineSlower { engine, times }) => {
-                let engine = self.engine_index(engine);
+                let engine = self.index_of(engine);
                 self.engines[engine].slowdown = *times;
             }
-            TraceEvent::Fault(Fault::HostGone(engine)) => {
-                self.on_host_lost(self.engine_index(engine))
-            }
+            TraceEvent::Fault(Fault::HostGone(engine)) => self.on_host_lost(self.index_of(engine)),
         }
     }
 
-    fn engine_index(&self, name: &TargetId) -> usize {
+    fn index_of(&self, name: &TargetId) -> usize {
         let found = self.engines.iter().position(|engine| engine.spec.name == *name);
         found.expect("Trace::parse rejects unknown engines")
     }
@@ -255,10 +253,10 @@
         let router = self.callers[caller].call.router;
         let now = self.now();
         let (key, decision) = self.routers[router].submit(now, spec);
-        self.on_decision(caller, router, key, decision);
+        self.dispatch(caller, router, key, decision);
     }
 
-    fn on_decision(&mut self, caller: usize, router: usize, key: RequestKey, decision: Decision) {
+    fn dispatch(&mut self, caller: usize, router: usize, key: RequestKey, decision: Decision) {
         match decision {
             Decision::Refuse(refusal) => self.on_refusal(caller, refusal),
             Decision::Send(target) => {
@@ -305,7 +303,7 @@
                 let now = self.now();
                 let decision =
                     self.routers[request.router].refused(now, request.key, refusal, load);
-                self.on_decision(request.caller, request.router, request.key, decision);
+                self.dispatch(request.caller, request.router, request.key, decision);
             }
             Action::Load(weights, _) => {
                 self.outcome.loads += 1;
@@ -435,7 +433,7 @@
         let granted = coordinator.grant_due_loads(now);
         let next = coordinator.next_wake();
         for load_request in granted {
-            let engine = self.engine_index(&load_request.target);
+            let engine = self.index_of(&load_request.target);
             self.run_agent(engine, |engine, now, config| {
                 engine.agent.on_load_granted(now, &load_request.weights, config)
             });
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -37,9 +37,7 @@
         let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_AFTER_LOSS };
         let now = self.now();
         match self.routers[request.router].connection_lost(now, request.key, refusal) {
-            Some(decision) => {
-                self.on_decision(request.caller, request.router, request.key, decision)
-            }
+            Some(decision) => self.dispatch(request.caller, request.router, request.key, decision),
             None => {
                 self.callers[request.caller].is_pending = false;
                 self.outcome.broken += 1;
