--- a/crates/corianderstand_cli/src/operate.rs
+++ b/crates/corianderstand_cli/src/operate.rs
@@ -134,7 +134,7 @@
 fn print_spread(spread: &Value) {
     if spread.is_object() {
         let (in_force, routers) = (&spread["in_force"], &spread["routers"]);
-        println!("in force on {in_force} of {routers} routers, {} silent", spread["silent"]);
+        println!("in force on {in_force} of {routers} routers, {} unresponsive", spread["silent"]);
     }
 }
 
