--- a/crates/corianderstand_cli/src/account.rs
+++ b/crates/corianderstand_cli/src/account.rs
@@ -11,7 +11,6 @@
 use serde_json::json;
 use std::{collections::BTreeMap, path::Path};
 
-/// Length of an aggregation window.
 const WINDOW_S: u64 = 2;
 /// Length of a timestamp up to its seconds, as in `2026-01-01T00:00:02`.
 const SECONDS_PREFIX_LEN: usize = 19;
@@ -138,10 +137,8 @@
     }
 }
 
-/// Cause of requests that met their latency objective.
 const IN_TIME: &str = "in time";
 
-/// Start of the window that contains a timestamp.
 fn window_start(timestamp: &str) -> String {
     let Some(second) = timestamp.get(..SECONDS_PREFIX_LEN) else { return timestamp.to_owned() };
     let (minute, seconds) = second.split_at(SECONDS_PREFIX_LEN - 2);
--- a/crates/corianderstand_cli/src/args.rs
+++ b/crates/corianderstand_cli/src/args.rs
@@ -3,7 +3,6 @@
 use corianderstand_derives::derives;
 use getopts::{Matches, Options};
 
-/// A subcommand.
 #[derives(key)]
 pub enum Command {
     Router,
@@ -99,7 +98,6 @@
     }
 }
 
-/// Help text of the binary.
 pub fn overview() -> String {
     let mut text = String::from("corianderstand COMMAND [options]\n\nCommands:\n");
     for command in ALL_COMMANDS {
@@ -168,11 +166,7 @@
     text
 }
 
-/// Parses the arguments of a subcommand. Returns `None` after printing its help.
-///
-/// # Errors
-///
-/// The problem, followed by the usage.
+/// Returns `None` after printing the help of the subcommand.
 pub fn parse(
     command: Command,
     args: impl Iterator<Item = String>,
--- a/crates/corianderstand_cli/src/client.rs
+++ b/crates/corianderstand_cli/src/client.rs
@@ -46,11 +46,6 @@
 }
 
 impl Client {
-    /// Creates a client from the options or environment variables.
-    ///
-    /// # Errors
-    ///
-    /// [`ClientError::NoRouter`] or [`ClientError::NoKey`].
     pub fn new(matches: &Matches) -> Result<Self, ClientError> {
         let router = matches.opt_str("router").or_else(|| std::env::var(ROUTER_VARIABLE).ok());
         let router = router.ok_or(ClientError::NoRouter)?;
@@ -67,11 +62,6 @@
         })
     }
 
-    /// Sends a request and parses the JSON response.
-    ///
-    /// # Errors
-    ///
-    /// [`ClientError::Unreachable`] or [`ClientError::Refused`].
     pub fn request(
         &self,
         method: Method,
--- a/crates/corianderstand_cli/src/cross_document.rs
+++ b/crates/corianderstand_cli/src/cross_document.rs
@@ -9,7 +9,6 @@
 /// Upper limit of the sum of all teams' shares, in thousandths.
 const TOTAL_SHARE: u64 = 1000;
 
-/// The path of a document and its violation.
 pub type DocumentViolation = (String, Violation);
 
 fn violation(document: &str, path: &str, problem: String, remedy: &str) -> DocumentViolation {
--- a/crates/corianderstand_cli/src/logging.rs
+++ b/crates/corianderstand_cli/src/logging.rs
@@ -18,7 +18,6 @@
 /// Batches lines to save wake-ups and system calls.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Initializes logging to standard error.
 pub fn start() {
     let builder = tracing_subscriber::fmt().json().flatten_event(true).with_env_filter(filter());
     // Tests may initialize more than once; the first call wins.
--- a/crates/corianderstand_cli/src/operate.rs
+++ b/crates/corianderstand_cli/src/operate.rs
@@ -83,7 +83,6 @@
     changes.iter().map(with_old).collect()
 }
 
-/// Reads the directory, or prints all its violations.
 fn read_checked(matches: &Matches) -> Result<Documents, Exit> {
     let root = Path::new(&matches.free[0]);
     let faults = check::check_directory(root);
@@ -112,7 +111,6 @@
     }))
 }
 
-/// Longest wait of `apply --wait`.
 const WAIT_LIMIT: Duration = Duration::from_secs(15);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
--- a/crates/corianderstand_cli/src/platform.rs
+++ b/crates/corianderstand_cli/src/platform.rs
@@ -47,7 +47,6 @@
     exit
 }
 
-/// Interval of checking the settings file for changes without a signal.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A router's settings file, reloaded on SIGHUP and periodically.
--- a/crates/corianderstand_cli/src/process.rs
+++ b/crates/corianderstand_cli/src/process.rs
@@ -19,7 +19,6 @@
 };
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Reads a process settings file, or prints all its violations.
 fn settings<T: DeserializeOwned>(kind: Document, matches: &Matches) -> Result<T, Exit> {
     let path = Path::new(&matches.free[0]);
     let value = directory::read_file(path).map_err(|error| {
@@ -94,7 +93,6 @@
     })
 }
 
-/// Runs a process with the settings file from the command line.
 fn run<S: DeserializeOwned, E: std::fmt::Display>(
     kind: Document,
     matches: &Matches,
--- a/crates/corianderstand_cli/src/status.rs
+++ b/crates/corianderstand_cli/src/status.rs
@@ -6,7 +6,6 @@
 use serde_json::Value;
 use std::{thread, time::Duration};
 
-/// Default refresh interval of `--watch`.
 const INTERVAL_MS: u64 = 2000;
 /// Clears the terminal and moves the cursor to its top left corner.
 const CLEAR: &str = "\x1b[2J\x1b[H";
--- a/crates/corianderstand_replay/src/callers.rs
+++ b/crates/corianderstand_replay/src/callers.rs
@@ -10,13 +10,11 @@
 pub struct Caller {
     pub call: Call,
     pub first_attempt_at: Duration,
-    /// Deadline of the current attempt.
     pub deadline: Duration,
     /// Whether the call follows an idle gap of its model.
     pub is_wake: bool,
     /// Whether the current attempt is unanswered.
     pub is_pending: bool,
-    /// Whether any attempt has produced a first token.
     pub has_started: bool,
 }
 
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -19,7 +19,6 @@
     time::{Duration, Instant},
 };
 
-/// Queue limit of an agent.
 const QUEUE_LIMIT: u32 = 256;
 const ADAPTER_MIB: u64 = 200;
 const ADAPTER_LOAD_TIME: Duration = Duration::from_secs(1);
@@ -83,25 +82,19 @@
 /// A request at an engine, and where its response goes.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightRequest {
-    /// Index into the replay's callers.
     pub caller: usize,
-    /// Index into the replay's routers.
     pub router: usize,
-    /// The router's key for the request.
     pub key: RequestKey,
     pub started_at: Option<Duration>,
 }
 
-/// An agent and its simulated engine.
 pub struct Engine {
     pub spec: EngineSpec,
     pub agent: Agent,
     /// Factor on the duration of its responses.
     pub slowdown: f64,
-    /// Whether its host is still running.
     pub alive: bool,
     pub in_flight: HashMap<RequestKey, InFlightRequest>,
-    /// Time of the earliest scheduled wake event.
     pub scheduled_wake: Option<Duration>,
     pub idle_hours: f64,
     /// Since when a team with ready requests has run below its share.
@@ -110,7 +103,6 @@
 }
 
 impl Engine {
-    /// Creates an empty engine that owns slots of these models.
     pub fn new(spec: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
         let limits = Limits { concurrency: spec.concurrency, queue: QUEUE_LIMIT };
         let mut agent = Agent::with_policy(limits, Mib(spec.memory_mib), strategy.policy);
@@ -146,7 +138,6 @@
         self.idle_hours += hours * fraction * f64::from(self.spec.accelerators);
     }
 
-    /// Time at which the agent next needs to run.
     pub fn next_wake(&self, start: Instant) -> Option<Duration> {
         self.agent.next_wake().map(|at| at.saturating_duration_since(start))
     }
--- a/crates/corianderstand_replay/src/store.rs
+++ b/crates/corianderstand_replay/src/store.rs
@@ -31,7 +31,6 @@
         }
     }
 
-    /// Multiplies the duration of all loads by a factor.
     pub fn set_slowdown(&mut self, now: Duration, factor: f64) {
         self.advance(now);
         self.slowdown = factor;
@@ -69,7 +68,6 @@
         self.advanced_to = now;
     }
 
-    /// Removes and returns the loads finished by `now`.
     pub fn take_finished(&mut self, now: Duration) -> Vec<Load> {
         self.advance(now);
         self.admit(now);
