--- a/crates/corianderstand_cli/src/replay.rs
+++ b/crates/corianderstand_cli/src/replay.rs
@@ -1,7 +1,7 @@
-//! `corianderstand replay`: a recorded trace through the decisions, and both measures.
+//! `replay`: runs a trace through the scheduler and prints the outcome.
 
 use crate::{Exit, directory};
-use corianderstand_replay::{replay, report::Report, trace::Trace, ways::Way};
+use corianderstand_replay::{replay, report::Report, strategies::Strategy, trace::Trace};
 use corianderstand_state::{
     documents::{Document, Documents},
     view::View,
@@ -9,7 +9,6 @@
 use getopts::Matches;
 use std::path::Path;
 
-/// Replays the trace named on the command line.
 pub fn run(matches: &Matches) -> Exit {
     let mut trace = match Trace::read(Path::new(&matches.free[0])) {
         Ok(trace) => trace,
@@ -24,8 +23,9 @@
             Err(exit) => return exit,
         }
     }
-    let ways = if matches.opt_present("compare") { Way::all() } else { vec![Way::ours()] };
-    let outcomes = ways.iter().map(|way| replay::run(&trace, way)).collect();
+    let strategies =
+        if matches.opt_present("compare") { Strategy::all() } else { vec![Strategy::standard()] };
+    let outcomes = strategies.iter().map(|strategy| replay::run(&trace, strategy)).collect();
     let report = Report::new(&trace, outcomes);
     if matches.opt_present("json") {
         println!("{}", report.json());
@@ -35,7 +35,6 @@
     Exit::Success
 }
 
-/// The settings in a directory, as they would be in force.
 fn view(dir: &Path) -> Result<View, Exit> {
     let (read, errors) = directory::read(dir);
     for error in &errors {
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -1,8 +1,8 @@
-//! Real agents beside fake engines.
+//! Real agents with simulated engines.
 
 use crate::{
-    trace::{EngineLine, Header},
-    ways::Way,
+    strategies::Strategy,
+    trace::{EngineSpec, Header},
 };
 use corianderstand_decide::{
     agent::{Agent, Limits},
@@ -19,26 +19,23 @@
     time::{Duration, Instant},
 };
 
-/// Requests that wait at one agent.
-const QUEUE: u32 = 256;
-/// Memory of an adapter.
+const QUEUE_LIMIT: u32 = 256;
 const ADAPTER_MIB: u64 = 200;
-/// Time of an adapter's load.
-const ADAPTER_LOAD: Duration = Duration::from_secs(1);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_secs(1);
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// What a trace says of models and teams.
-pub struct TraceSizes {
+/// Scheduling configuration derived from a trace header.
+pub struct TraceConfig {
     models: BTreeMap<ModelId, (u64, Duration, CostFactors)>,
     shares: BTreeMap<WorkspaceId, u32>,
     store: StoreLimits,
 }
 
-impl TraceSizes {
-    /// Sizes of a trace, seen one way.
-    pub fn new(header: &Header, way: &Way) -> Self {
+impl TraceConfig {
+    pub fn new(header: &Header, strategy: &Strategy) -> Self {
         let models = header.models.iter().map(|model| {
-            let (tail, idle) = way.weighing.unwrap_or((model.weight_tail, model.weight_idle));
+            let (tail, idle) =
+                strategy.cost_factors.unwrap_or((model.weight_tail, model.weight_idle));
             let load = Duration::from_millis(model.load_ms);
             (model.name.clone(), (model.memory_mib, load, CostFactors { cold_start: tail, idle }))
         });
@@ -52,7 +49,7 @@
     }
 }
 
-impl SchedulingConfig for TraceSizes {
+impl SchedulingConfig for TraceConfig {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         let (memory, ..) = self.models.get(&weights.model)?;
         Some(Mib(if weights.adapter.is_some() { ADAPTER_MIB } else { *memory }))
@@ -60,7 +57,7 @@
 
     fn load_time(&self, weights: &Weights) -> Duration {
         if weights.adapter.is_some() {
-            return ADAPTER_LOAD;
+            return ADAPTER_LOAD_TIME;
         }
         self.models.get(&weights.model).map_or(Duration::ZERO, |(_, load, _)| *load)
     }
@@ -74,7 +71,7 @@
     }
 
     fn cost_factors(&self, model: &ModelId) -> CostFactors {
-        self.models.get(model).map_or_else(CostFactors::default, |(.., weighing)| *weighing)
+        self.models.get(model).map_or_else(CostFactors::default, |(.., cost_factors)| *cost_factors)
     }
 
     fn store(&self) -> StoreLimits {
@@ -82,64 +79,52 @@
     }
 }
 
-/// Where the answer to a request goes.
+/// A request at an engine, and where its response goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Flight {
-    /// Number of the caller.
+pub struct InFlightRequest {
     pub caller: usize,
-    /// Number of the router.
     pub router: usize,
-    /// The router's key.
     pub key: RequestKey,
-    /// When it began to run.
-    pub began: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
-/// An agent and its fake engine.
 pub struct Engine {
-    /// What the trace says of it.
-    pub line: EngineLine,
-    /// The agent.
+    pub spec: EngineSpec,
     pub agent: Agent,
-    /// Times that its answers take longer.
-    pub slower: f64,
-    /// Whether its host is still there.
+    /// Factor on the duration of its responses.
+    pub slowdown: f64,
     pub alive: bool,
-    /// Requests that it holds.
-    pub flights: HashMap<RequestKey, Flight>,
-    /// The earliest wake that is already planned.
-    pub wake: Option<Duration>,
-    /// Accelerator hours that loaded models stood unused.
+    pub in_flight: HashMap<RequestKey, InFlightRequest>,
+    pub scheduled_wake: Option<Duration>,
     pub idle_hours: f64,
-    /// Since when a team with ready work has been below its share.
-    pub below: BTreeMap<WorkspaceId, Duration>,
-    at: Duration,
+    /// Since when a team with ready requests has run below its share.
+    pub below_share_since: BTreeMap<WorkspaceId, Duration>,
+    idle_counted_until: Duration,
 }
 
 impl Engine {
-    /// An empty engine that owns slots of these models.
-    pub fn new(line: &EngineLine, way: &Way, slots: BTreeSet<ModelId>) -> Self {
-        let limits = Limits { concurrency: line.concurrency, queue: QUEUE };
-        let mut agent = Agent::with_policy(limits, Mib(line.memory_mib), way.policy);
+    pub fn new(spec: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
+        let limits = Limits { concurrency: spec.concurrency, queue: QUEUE_LIMIT };
+        let mut agent = Agent::with_policy(limits, Mib(spec.memory_mib), strategy.policy);
         agent.set_slots(slots);
-        agent.set_coordinated(way.coordinated);
+        agent.set_coordinated(strategy.coordinated);
         Self {
-            line: line.clone(),
+            spec: spec.clone(),
             agent,
-            slower: 1.0,
+            slowdown: 1.0,
             alive: true,
-            flights: HashMap::new(),
-            below: BTreeMap::new(),
-            wake: None,
+            in_flight: HashMap::new(),
+            below_share_since: BTreeMap::new(),
+            scheduled_wake: None,
             idle_hours: 0.0,
-            at: Duration::ZERO,
+            idle_counted_until: Duration::ZERO,
         }
     }
 
-    /// Counts the time since the last call as idle for all that was loaded and not used.
-    pub fn count_idle(&mut self, now: Duration) {
-        let hours = (now - self.at).as_secs_f64() / SECONDS_PER_HOUR;
-        self.at = now;
+    /// Adds the time since the last call to the idle hours of loaded but unused weights.
+    pub fn accumulate_idle(&mut self, now: Duration) {
+        let hours = (now - self.idle_counted_until).as_secs_f64() / SECONDS_PER_HOUR;
+        self.idle_counted_until = now;
         if !self.alive || hours <= 0.0 {
             return;
         }
@@ -149,11 +134,10 @@
             .entries()
             .filter(|(_, entry)| entry.users == 0 && entry.stage != Stage::Loading);
         let memory: u64 = idle.map(|(_, entry)| entry.memory.0).sum();
-        let part = memory as f64 / self.line.memory_mib as f64;
-        self.idle_hours += hours * part * f64::from(self.line.accelerators);
+        let fraction = memory as f64 / self.spec.memory_mib as f64;
+        self.idle_hours += hours * fraction * f64::from(self.spec.accelerators);
     }
 
-    /// When its agent wants to be called next.
     pub fn next_wake(&self, start: Instant) -> Option<Duration> {
         self.agent.next_wake().map(|at| at.saturating_duration_since(start))
     }
