--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -62,7 +62,7 @@
     let forwarded = dialect::ForwardedRequest {
         target: &id,
         time_left,
-        priority: job.call.requested_model.is_some().then_some(job.route.priority),
+        priority: job.request.requested_model.is_some().then_some(job.route.priority),
         last_event,
     };
     let req = build_request(shared, job, &forwarded);
@@ -123,7 +123,7 @@
     let key = in_flight.key();
     let (head, body) = response.into_parts();
     let info = shared.platform.parse_response(head.status, &head.headers);
-    if info.request.as_ref().is_some_and(|id| *id != job.call.id) {
+    if info.request.as_ref().is_some_and(|id| *id != job.request.id) {
         shared.target_failed(key, "answer to another request");
         return AttemptOutcome::Unknown("the answer was to another request");
     }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -68,7 +68,7 @@
         let agent_age_ms = target.agent_last_received_at.map(|at| millis_between(now, at));
         let version = view.table.as_ref().map(|table| table.config().version);
         tracing::info!(
-            id = %job.call.id,
+            id = %job.request.id,
             route = %job.route.name,
             at = %target.entry.id,
             model = job.model().map(names::ModelId::as_str),
@@ -91,7 +91,7 @@
                 wait_limit::Readiness::AtCapacity | wait_limit::Readiness::Unknown => None,
             };
             let model = job.model().map(names::ModelId::as_str);
-            tracing::info!(id = %job.call.id, model, why, ready_in_ms, waited_ms, "waits");
+            tracing::info!(id = %job.request.id, model, why, ready_in_ms, waited_ms, "waits");
         }
     }
 
@@ -100,7 +100,7 @@
         self.metrics.attempt_failed(why);
         if self.may_log(LineKind::Attempt, now) {
             let (at, ms) = (job.last_target.as_str(), millis_between(now, job.arrived));
-            tracing::info!(id = %job.call.id, at, why, status, ms, "attempt failed");
+            tracing::info!(id = %job.request.id, at, why, status, ms, "attempt failed");
         }
     }
 
@@ -117,7 +117,7 @@
                 (millis_between(now, job.arrived), job.tried.len(), status.as_u16());
             let failure_score = job.last_failure;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
-            tracing::info!(id = %job.call.id, route = %job.route.name, status, how, trouble = failure_score, tried, ms, aim_ms = latency_objective_ms, "answered");
+            tracing::info!(id = %job.request.id, route = %job.route.name, status, how, trouble = failure_score, tried, ms, aim_ms = latency_objective_ms, "answered");
         }
     }
 
@@ -136,7 +136,7 @@
             let gap_objective_ms = job.route.gap_objective.map(|gap| gap.as_millis() as u64);
             let target = job.last_target.as_str();
             let model = job.model().map(names::ModelId::as_str);
-            tracing::info!(id = %job.call.id, route = %job.route.name, at = target, model, prompt = job.call.prompt_tokens, how, events, resumes, tried, first_ms, longest_pause_ms, ms = total_ms, aim_ms = latency_objective_ms, pause_aim_ms = gap_objective_ms, "streamed");
+            tracing::info!(id = %job.request.id, route = %job.route.name, at = target, model, prompt = job.request.prompt_tokens, how, events, resumes, tried, first_ms, longest_pause_ms, ms = total_ms, aim_ms = latency_objective_ms, pause_aim_ms = gap_objective_ms, "streamed");
         }
     }
 
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -24,7 +24,7 @@
 /// The parsed headers of a request.
 #[derives(data)]
 #[derive(Default)]
-pub struct Call {
+pub struct RequestHead {
     /// The caller's request id.
     pub id: SmolStr,
     /// The caller's timeout.
@@ -79,7 +79,7 @@
 /// Translates headers.
 pub trait Dialect {
     /// Parses the headers of a request.
-    fn parse_request(&self, headers: &HeaderMap) -> Call;
+    fn parse_request(&self, headers: &HeaderMap) -> RequestHead;
     /// Removes hop-by-hop headers and those that callers may not set, and adds the router's.
     fn rewrite_request(&self, headers: &mut HeaderMap, forwarded: &ForwardedRequest);
     /// Parses the head of a response.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -53,25 +53,25 @@
 ) -> Result<Response<ResponseBody>, Aborted> {
     let arrived = shared.clock.now();
     let (parts, body) = req.into_parts();
-    let call = shared.platform.parse_request(&parts.headers);
+    let request = shared.platform.parse_request(&parts.headers);
     let startup_wait =
-        STARTUP_WAIT.min(call.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTUP_WAIT_DIVISOR);
+        STARTUP_WAIT.min(request.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTUP_WAIT_DIVISOR);
     drop(tokio::time::timeout(startup_wait, wait_until_started(&shared)).await);
     let (route, limit) = match find_route(&shared, &parts) {
         Ok(found) => found,
         Err(Unrouted::Unavailable(why)) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            shared.log.refused(&call.id, "", status, why, arrived, shared.clock.now());
+            shared.log.refused(&request.id, "", status, why, arrived, shared.clock.now());
             return Ok(local_response(status, why, Some(STARTING_RETRY_AFTER)));
         }
         Err(Unrouted::NoRoute { version }) => {
             let now = shared.clock.now();
             let age = shared.age(now, dialect::Subject::Config);
-            shared.log.no_route(&call.id, version, age, arrived, now);
+            shared.log.no_route(&request.id, version, age, arrived, now);
             return Ok(local_response(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
         }
     };
-    let wait_limit = call.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let wait_limit = request.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let deadline = arrived + wait_limit;
     let read = Limited::new(body, limit).collect();
     let body = match tokio::time::timeout_at(deadline.into(), read).await {
@@ -88,19 +88,19 @@
         // and retried elsewhere. A caller that still waits retries.
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        shared.log.refused(&call.id, &route.name, status, why, arrived, now);
+        shared.log.refused(&request.id, &route.name, status, why, arrived, now);
         return Ok(local_response(status, why, Some(REFUSED_RETRY_AFTER)));
     }
-    let hash = xxh3::xxh3_64(call.id.as_bytes());
+    let hash = xxh3::xxh3_64(request.id.as_bytes());
     let Some(service) = route.service(hash).cloned() else {
         return Ok(local_response(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
     };
-    let model = call.requested_model.as_ref().map_or("", |requested| requested.model.as_str());
+    let model = request.requested_model.as_ref().map_or("", |requested| requested.model.as_str());
     let chain =
-        prefixes::Chain::new(model, call.prompt_parts.iter().map(|part| (part.id, part.tokens)));
+        prefixes::Chain::new(model, request.prompt_parts.iter().map(|part| (part.id, part.tokens)));
     let uri = parts.uri.path_and_query().cloned().map_or_else(|| parts.uri.clone(), Uri::from);
     let job = job::Job {
-        call,
+        request,
         route,
         service,
         method: parts.method,
@@ -122,7 +122,7 @@
     };
     shared.record_arrival(&job);
     let mut pending =
-        PendingRequest { shared: shared.clone(), id: job.call.id.clone(), answered: false };
+        PendingRequest { shared: shared.clone(), id: job.request.id.clone(), answered: false };
     let response = dispatch(shared, job).await;
     pending.answered = true;
     Ok(response)
@@ -307,7 +307,14 @@
         return fail(shared, job, StatusCode::BAD_GATEWAY, why);
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    shared.log.refused(&job.call.id, &job.route.name, status, why, job.arrived, shared.clock.now());
+    shared.log.refused(
+        &job.request.id,
+        &job.route.name,
+        status,
+        why,
+        job.arrived,
+        shared.clock.now(),
+    );
     local_response(status, why, Some(wait_limit::retry_after(retry_after, job.jitter())))
 }
 
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -22,7 +22,7 @@
 /// A request that was read and awaits its response.
 pub struct Job {
     /// The parsed headers.
-    pub call: dialect::Call,
+    pub request: dialect::RequestHead,
     /// The matched route.
     pub route: Arc<config::Route>,
     /// The service of the route.
@@ -64,20 +64,21 @@
 impl Job {
     /// Expected prompt and output tokens.
     pub fn tokens(&self) -> u64 {
-        if self.call.requested_model.is_none() {
+        if self.request.requested_model.is_none() {
             return 0;
         }
-        let max = match self.call.max_output_tokens {
+        let max = match self.request.max_output_tokens {
             0 => u64::MAX,
             max => max,
         };
-        self.call.prompt_tokens + self.call.output_hint.unwrap_or(DEFAULT_OUTPUT_TOKENS).min(max)
+        self.request.prompt_tokens
+            + self.request.output_hint.unwrap_or(DEFAULT_OUTPUT_TOKENS).min(max)
     }
 
     /// Prompt tokens that are not known to be cached at a target.
     pub fn uncached_tokens(&self, view: &view::View, key: targets::TargetKey) -> u64 {
         let cached = view.prefixes.find(&self.chain).filter(|(holder, _)| *holder == key);
-        self.call.prompt_tokens.saturating_sub(cached.map_or(0, |(_, tokens)| tokens))
+        self.request.prompt_tokens.saturating_sub(cached.map_or(0, |(_, tokens)| tokens))
     }
 
     /// Expected prefill time of the uncached tokens, if there are any.
@@ -113,7 +114,7 @@
 
     /// The requested model.
     pub fn model(&self) -> Option<&names::ModelId> {
-        self.call.requested_model.as_ref().map(|requested| &requested.model)
+        self.request.requested_model.as_ref().map(|requested| &requested.model)
     }
 }
 
@@ -128,7 +129,7 @@
 impl<P: router::Platform> InFlight<P> {
     /// Adds a request to a target's counts.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
-        let requested = job.call.requested_model.clone();
+        let requested = job.request.requested_model.clone();
         let in_flight = Self { shared: shared.clone(), key, requested, tokens: job.tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -170,6 +170,6 @@
         }
         unanswered = 0;
     }
-    tracing::debug!(id = %job.call.id, "sent without a prefill permit: the agent does not respond");
+    tracing::debug!(id = %job.request.id, "sent without a prefill permit: the agent does not respond");
     claim.granted()
 }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -157,9 +157,9 @@
     pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
-        if let Some(requested) = &job.call.requested_model {
+        if let Some(requested) = &job.request.requested_model {
             let profile = demand::RequestProfile {
-                prompt_tokens: job.call.prompt_tokens,
+                prompt_tokens: job.request.prompt_tokens,
                 uses_adapter: requested.adapter.is_some(),
                 latency_objective: job.route.latency_objective,
             };
@@ -212,7 +212,7 @@
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
         let query = choose::Query {
             service: &job.service,
-            requested: job.call.requested_model.as_ref(),
+            requested: job.request.requested_model.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
@@ -245,7 +245,7 @@
             _ => self.view.borrow().model_readiness(
                 now,
                 &job.service,
-                job.call.requested_model.as_ref(),
+                job.request.requested_model.as_ref(),
             ),
         }
     }
@@ -344,7 +344,7 @@
             self.targets_outdated.notify_one();
             return;
         }
-        match &job.call.requested_model {
+        match &job.request.requested_model {
             Some(requested) => target.record_absent_model(now, &requested.model),
             None => target.health.record_failure(now),
         }
@@ -352,7 +352,7 @@
 
     /// Requests that a target load the adapter of a request.
     pub fn request_adapter(&self, key: targets::TargetKey, job: &job::Job) {
-        let adapter = job.call.requested_model.as_ref().and_then(control::adapter_request);
+        let adapter = job.request.requested_model.as_ref().and_then(control::adapter_request);
         control::request_adapters(self, key, adapter.into_iter().collect());
     }
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -70,7 +70,7 @@
     fn drop(&mut self) {
         if !self.0.ended {
             let now = self.0.shared.clock.now();
-            self.0.shared.log.caller_left(&self.0.job.call.id, self.0.splitter.events(), now);
+            self.0.shared.log.caller_left(&self.0.job.request.id, self.0.splitter.events(), now);
         }
     }
 }
@@ -186,7 +186,7 @@
                 }
                 Ok(None) => return Step::Complete,
                 Ok(Some(Err(error))) => {
-                    tracing::debug!(id = %self.job.call.id, %error, "stream interrupted");
+                    tracing::debug!(id = %self.job.request.id, %error, "stream interrupted");
                     return Step::Interrupted;
                 }
                 Err(_) => {
@@ -251,7 +251,7 @@
         }
         self.splitter.resume();
         self.job.idle_since = self.timings.last_at.unwrap_or(self.job.arrived);
-        let last = self.splitter.last_event().or(self.job.call.last_event);
+        let last = self.splitter.last_event().or(self.job.request.last_event);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
             Ok(answered) => {
@@ -261,7 +261,7 @@
                 true
             }
             Err(why) => {
-                tracing::debug!(id = %self.job.call.id, why, "could not resume the stream");
+                tracing::debug!(id = %self.job.request.id, why, "could not resume the stream");
                 false
             }
         }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -135,14 +135,14 @@
 pub struct PlainPlatform(pub MemoryStore);
 
 impl dialect::Dialect for PlainPlatform {
-    fn parse_request(&self, headers: &HeaderMap) -> dialect::Call {
+    fn parse_request(&self, headers: &HeaderMap) -> dialect::RequestHead {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let millis = |name: &str| text(name)?.parse().ok().map(Duration::from_millis);
         let wanted = text("x-model").map(|model| choose::RequestedModel {
             model: model.into(),
             adapter: text("x-adapter").map(Into::into),
         });
-        dialect::Call {
+        dialect::RequestHead {
             id: text("x-id").unwrap_or_default().into(),
             deadline: millis("x-deadline-ms"),
             requested_model: wanted,
