--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -26,7 +26,7 @@
     /// Number of times another target resumed the stream.
     pub resumes: u32,
     /// Intervals between the events.
-    pub pace: stream::EventTimings,
+    pub timings: stream::EventTimings,
 }
 
 /// Each kind has its own rate limit, so that a flood of one does not suppress the others.
@@ -126,12 +126,12 @@
         let kind = if end.how == "whole" { LineKind::Answered } else { LineKind::Failed };
         let outcome = if kind == LineKind::Failed { end.how } else { "answered" };
         self.metrics.request_ended(job, outcome, now);
-        self.metrics.stream_ended(job, &end.pace);
+        self.metrics.stream_ended(job, &end.timings);
         if self.may_log(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
             let (total_ms, tried) = (millis_between(now, job.arrived), job.tried.len());
-            let first_ms = end.pace.first_at.map(|first| millis_between(first, job.arrived));
-            let longest_pause_ms = end.pace.longest_gap.as_millis() as u64;
+            let first_ms = end.timings.first_at.map(|first| millis_between(first, job.arrived));
+            let longest_pause_ms = end.timings.longest_gap.as_millis() as u64;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
             let gap_objective_ms = job.route.gap_objective.map(|gap| gap.as_millis() as u64);
             let target = job.last_target.as_str();
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -177,12 +177,12 @@
     }
 
     /// Records the end of a stream.
-    pub fn stream_ended(&self, job: &job::Job, pace: &stream::EventTimings) {
+    pub fn stream_ended(&self, job: &job::Job, timings: &stream::EventTimings) {
         let kind = KindLabel { kind: route_kind(&job.route) };
-        if let Some(first) = pace.first_at {
+        if let Some(first) = timings.first_at {
             let elapsed = first.saturating_duration_since(job.arrived);
             self.first_event_seconds.get_or_create(&kind).observe(elapsed.as_secs_f64());
-            self.longest_pause_seconds.get_or_create(&kind).observe(pace.longest_gap.as_secs_f64());
+            self.longest_pause_seconds.get_or_create(&kind).observe(timings.longest_gap.as_secs_f64());
         }
     }
 
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -206,7 +206,7 @@
             how,
             events: self.splitter.events(),
             resumes: self.resumes,
-            pace: self.timings,
+            timings: self.timings,
         };
         self.shared.log.streamed(&self.job, &ended, self.shared.clock.now());
     }
