--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -351,7 +351,7 @@
 }
 
 /// Converts a requested model to its adapter on the wire, if it has one.
-pub fn adapter_request(requested: &choose::RequestedModel) -> Option<wire::RequestedAdapter> {
+pub fn to_requested_adapter(requested: &choose::RequestedModel) -> Option<wire::RequestedAdapter> {
     let adapter = requested.adapter.clone()?;
     Some(wire::RequestedAdapter { model: requested.model.clone(), adapter })
 }
@@ -367,7 +367,7 @@
     let used: Vec<_> = {
         let view = shared.view.borrow();
         let used = view.targets.iter().map(|(key, target)| {
-            let adapters = target.in_flight.keys().filter_map(adapter_request);
+            let adapters = target.in_flight.keys().filter_map(to_requested_adapter);
             (key, adapters.collect::<Vec<_>>())
         });
         used.filter(|(_, adapters)| !adapters.is_empty()).collect()
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -352,7 +352,7 @@
 
     /// Requests that a target load the adapter of a request.
     pub fn request_adapter(&self, key: targets::TargetKey, job: &job::Job) {
-        let adapter = job.request.requested_model.as_ref().and_then(control::adapter_request);
+        let adapter = job.request.requested_model.as_ref().and_then(control::to_requested_adapter);
         control::request_adapters(self, key, adapter.into_iter().collect());
     }
 }
