--- a/crates/corianderstand_forward/src/agent/permits.rs
+++ b/crates/corianderstand_forward/src/agent/permits.rs
@@ -35,22 +35,22 @@
         let backlog = permits.backlog(now);
         drop(permits);
         match response {
-            prefill::PermitResponse::Granted => self.send_answer(from, request.id, None, backlog),
+            prefill::PermitResponse::Granted => self.send_response(from, request.id, None, backlog),
             prefill::PermitResponse::Wait(wait) => {
-                self.send_answer(from, request.id, Some(wait), backlog);
+                self.send_response(from, request.id, Some(wait), backlog);
                 self.permits_changed.notify_one();
             }
         }
     }
 
-    fn send_answer(&self, to: SocketAddr, id: u64, wait: Option<Duration>, backlog: Duration) {
-        let answer = peers::PrefillResponse {
+    fn send_response(&self, to: SocketAddr, id: u64, wait: Option<Duration>, backlog: Duration) {
+        let response = peers::PrefillResponse {
             id,
             given: wait.is_none(),
             wait_ms: wait.unwrap_or_default().as_millis() as u32,
             reading_us: backlog.as_micros() as u32,
         };
-        self.outbox.send(to, &PeerMessage::PrefillAnswer(answer));
+        self.outbox.send(to, &PeerMessage::PrefillAnswer(response));
     }
 
     /// Grants queued permits as they fall due.
@@ -60,7 +60,7 @@
             let due = self.permits.borrow_mut().grant_due(now);
             let backlog = self.permits.borrow().backlog(now);
             for (requester, id) in due {
-                self.send_answer(requester, id, None, backlog);
+                self.send_response(requester, id, None, backlog);
             }
             let next_grant = self.permits.borrow().next_grant_in(now);
             let changed = self.permits_changed.notified();
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -128,7 +128,7 @@
                 request_plan(shared, now);
             }
         }
-        PeerMessage::PrefillAnswer(answer) => shared.prefill_permits.on_answer(&answer),
+        PeerMessage::PrefillAnswer(response) => shared.prefill_permits.on_response(&response),
         PeerMessage::EnginePlan(_)
         | PeerMessage::AdaptersAsked(_)
         | PeerMessage::PrefillAsked(_)
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -182,7 +182,9 @@
         if let Some(first) = timings.first_at {
             let elapsed = first.saturating_duration_since(job.arrived);
             self.first_event_seconds.get_or_create(&kind).observe(elapsed.as_secs_f64());
-            self.longest_pause_seconds.get_or_create(&kind).observe(timings.longest_gap.as_secs_f64());
+            self.longest_pause_seconds
+                .get_or_create(&kind)
+                .observe(timings.longest_gap.as_secs_f64());
         }
     }
 
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -39,32 +39,32 @@
 /// Requests of this router that wait for a permit.
 #[derive(Debug, Default)]
 pub struct PendingPermits {
-    pending: RefCell<HashMap<u64, Rc<PendingAnswer>>>,
+    pending: RefCell<HashMap<u64, Rc<PendingResponse>>>,
     last_number: Cell<u64>,
 }
 
 #[derive(Debug, Default)]
-struct PendingAnswer {
-    answer: Cell<Option<PermitAnswer>>,
+struct PendingResponse {
+    response: Cell<Option<PermitStatus>>,
     changed: Notify,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PermitAnswer {
+struct PermitStatus {
     granted: bool,
     wait: Duration,
     prefill_backlog: Duration,
 }
 
 impl PendingPermits {
-    /// Forwards an agent's answer to the request that waits for it.
-    pub fn on_answer(&self, answer: &wire::PrefillResponse) {
+    /// Forwards an agent's response to the request that waits for it.
+    pub fn on_response(&self, response: &wire::PrefillResponse) {
         // The request may have been withdrawn in the meantime.
-        let Some(pending) = self.pending.borrow().get(&answer.id).cloned() else { return };
-        pending.answer.set(Some(PermitAnswer {
-            granted: answer.given,
-            wait: Duration::from_millis(u64::from(answer.wait_ms)),
-            prefill_backlog: Duration::from_micros(u64::from(answer.reading_us)),
+        let Some(pending) = self.pending.borrow().get(&response.id).cloned() else { return };
+        pending.response.set(Some(PermitStatus {
+            granted: response.given,
+            wait: Duration::from_millis(u64::from(response.wait_ms)),
+            prefill_backlog: Duration::from_micros(u64::from(response.reading_us)),
         }));
         pending.changed.notify_one();
     }
@@ -80,7 +80,7 @@
     shared: &'a router::Shared<P>,
     agent: std::net::SocketAddr,
     request: wire::PrefillRequest,
-    pending: Rc<PendingAnswer>,
+    pending: Rc<PendingResponse>,
     granted: bool,
 }
 
@@ -102,7 +102,7 @@
         let prefill_time = job.prefill_time(&view, key, now)?;
         let agent = std::net::SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
         let id = shared.prefill_permits.next_id(shared.incarnation);
-        let pending = Rc::<PendingAnswer>::default();
+        let pending = Rc::<PendingResponse>::default();
         shared.prefill_permits.pending.borrow_mut().insert(id, pending.clone());
         let request = wire::PrefillRequest {
             id,
@@ -126,9 +126,9 @@
         job.abandoned_at().min(self.shared.response_deadline(job))
     }
 
-    async fn answer(&self, within: Duration) -> Option<PermitAnswer> {
+    async fn response(&self, within: Duration) -> Option<PermitStatus> {
         tokio::time::timeout(within, self.pending.changed.notified()).await.ok()?;
-        self.pending.answer.take()
+        self.pending.response.take()
     }
 
     fn granted(&mut self) -> PermitOutcome {
@@ -148,24 +148,25 @@
     let mut unanswered = 0;
     while unanswered < MAX_UNANSWERED_REQUESTS {
         claim.send(job);
-        let Some(answer) = claim.answer(RESPONSE_TIMEOUT).await else {
+        let Some(response) = claim.response(RESPONSE_TIMEOUT).await else {
             unanswered += 1;
             continue;
         };
         let now = shared.clock.now();
-        shared.record_prefill_backlog(key, now, answer.prefill_backlog);
-        if answer.granted {
+        shared.record_prefill_backlog(key, now, response.prefill_backlog);
+        if response.granted {
             return claim.granted();
         }
-        if now + answer.wait >= claim.expires_at(job) {
+        if now + response.wait >= claim.expires_at(job) {
             return PermitOutcome::TooLate {
-                retry_after: wait_limit::retry_after(answer.wait, job.jitter()),
+                retry_after: wait_limit::retry_after(response.wait, job.jitter()),
             };
         }
-        if !shared.may_serve(key, job, now) || (!final_choice && answer.wait >= CHOOSE_AGAIN_WAIT) {
+        if !shared.may_serve(key, job, now) || (!final_choice && response.wait >= CHOOSE_AGAIN_WAIT)
+        {
             return PermitOutcome::ChooseAgain;
         }
-        if claim.answer(RESEND_INTERVAL).await.is_some_and(|answer| answer.granted) {
+        if claim.response(RESEND_INTERVAL).await.is_some_and(|response| response.granted) {
             return claim.granted();
         }
         unanswered = 0;
