--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -83,7 +83,7 @@
     ongoing: Option<OngoingCommand>,
     last_update: Option<(Instant, peers::EngineUpdate)>,
     /// Target that the engine denied to be; plans for it are not executed.
-    ended_target: Option<names::TargetId>,
+    mismatched_target: Option<names::TargetId>,
     identity: Option<EngineIdentity>,
     recent_requesters: BTreeMap<SocketAddr, Instant>,
 }
@@ -127,9 +127,9 @@
             clock,
         });
         tracing::info!(name = %agent.settings.name, "agent started");
-        let listening = agent.clone();
+        let receiver = agent.clone();
         tokio::task::spawn_local(async move {
-            control::receive(&socket, |from, message| listening.on_message(from, message)).await;
+            control::receive(&socket, |from, message| receiver.on_message(from, message)).await;
         });
         tokio::select! {
             () = agent.poll_engine() => {}
@@ -232,7 +232,7 @@
                     state.identity = None;
                     drop(state);
                     if matches!(error, dialect::ReportError::Exited(_)) {
-                        self.send_engine_gone();
+                        self.send_engine_exited();
                     }
                     IDLE_POLL_INTERVAL
                 }
@@ -265,12 +265,12 @@
     }
 
     /// Reports to all routers that the engine's process has exited; repeated on each poll.
-    fn send_engine_gone(&self) {
+    fn send_engine_exited(&self) {
         let state = self.state.borrow();
         let (Some(plan), Some((_, last))) = (&state.plan, &state.last_update) else { return };
-        let gone = peers::EngineGone { target: last.target.clone(), born: last.born };
+        let exited = peers::EngineGone { target: last.target.clone(), born: last.born };
         for addr in router_addresses(&plan.plan) {
-            self.outbox.send(addr, &PeerMessage::EngineGone(gone.clone()));
+            self.outbox.send(addr, &PeerMessage::EngineGone(exited.clone()));
         }
     }
 
@@ -333,8 +333,8 @@
         let observed = report.holdings.commands_accepted > ongoing.commands_before;
         let timed_out =
             now.saturating_duration_since(ongoing.started_at) > COMMAND_RESPONSE_TIMEOUT;
-        let ended = !report.busy && (observed || timed_out);
-        if ended {
+        let finished = !report.busy && (observed || timed_out);
+        if finished {
             let ms = now.saturating_duration_since(ongoing.started_at).as_millis() as u64;
             tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.accepted, "command ended");
             state.ongoing = None;
@@ -348,7 +348,7 @@
         report: &dialect::EngineReport,
     ) -> Option<reconcile::Command> {
         let state = self.state.borrow();
-        if state.ongoing.is_some() || state.ended_target.as_ref() == Some(&plan.target) {
+        if state.ongoing.is_some() || state.mismatched_target.as_ref() == Some(&plan.target) {
             return None;
         }
         let capacity = reconcile::Capacity {
@@ -418,7 +418,7 @@
             }
             dialect::CommandOutcome::OtherEngine => {
                 state.ongoing = None;
-                state.ended_target = Some(target.clone());
+                state.mismatched_target = Some(target.clone());
                 state.identity = None;
             }
             _ => state.ongoing = None,
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -79,8 +79,8 @@
         let Some(req) = unsent.take() else { return AttemptOutcome::NotSent };
         let sending = lease.sender.try_send_request(req);
         let response = match wait_for_head(shared, job, key, sending).await {
-            Head::Received(response) => response,
-            Head::NotSent(req) if lease.reused => {
+            HeadOutcome::Received(response) => response,
+            HeadOutcome::NotSent(req) if lease.reused => {
                 // The target closed the idle connection before anything was written.
                 match shared.pool.open(addr).await {
                     Ok(new) => lease = new,
@@ -92,19 +92,19 @@
                 unsent = Some(*req);
                 continue;
             }
-            Head::NotSent(_) => {
+            HeadOutcome::NotSent(_) => {
                 shared.target_failed(key, "connection closed at once");
                 return AttemptOutcome::NotSent;
             }
-            Head::ConnectionLost => {
+            HeadOutcome::ConnectionLost => {
                 shared.target_failed(key, "connection lost");
                 return AttemptOutcome::Unknown("the target's connection was lost");
             }
-            Head::TimedOut => {
+            HeadOutcome::TimedOut => {
                 shared.target_failed(key, "silent");
                 return AttemptOutcome::Unknown("the target was silent");
             }
-            Head::DeadlineExceeded => {
+            HeadOutcome::DeadlineExceeded => {
                 shared.target_failed(key, "time over");
                 return AttemptOutcome::DeadlineExceeded;
             }
@@ -142,7 +142,7 @@
     AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, in_flight }))
 }
 
-enum Head {
+enum HeadOutcome {
     Received(Response<Incoming>),
     NotSent(Box<Request<pool::Body>>),
     ConnectionLost,
@@ -157,7 +157,7 @@
     sending: impl Future<
         Output = Result<Response<Incoming>, hyper::client::conn::TrySendError<Request<pool::Body>>>,
     >,
-) -> Head {
+) -> HeadOutcome {
     tokio::pin!(sending);
     let response_timeout =
         (job.route.latency_objective * RESPONSE_TIMEOUT_OBJECTIVES).max(MIN_RESPONSE_TIMEOUT);
@@ -166,10 +166,10 @@
         tokio::select! {
             sent = &mut sending => {
                 return match sent {
-                    Ok(response) => Head::Received(response),
+                    Ok(response) => HeadOutcome::Received(response),
                     Err(mut error) => match error.take_message() {
-                        Some(req) => Head::NotSent(Box::new(req)),
-                        None => Head::ConnectionLost,
+                        Some(req) => HeadOutcome::NotSent(Box::new(req)),
+                        None => HeadOutcome::ConnectionLost,
                     },
                 };
             }
@@ -177,10 +177,10 @@
         }
         let now = shared.clock.now();
         if now >= shared.response_deadline(job) {
-            return Head::DeadlineExceeded;
+            return HeadOutcome::DeadlineExceeded;
         }
         if job.route.may_retry() && shared.has_alternative(now, job, key) {
-            return Head::TimedOut;
+            return HeadOutcome::TimedOut;
         }
         poll_at = (now + response_timeout).min(shared.response_deadline(job));
     }
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -162,8 +162,8 @@
 
 async fn with_timeout<T>(
     limit: Duration,
-    work: impl Future<Output = Result<T, CallError>>,
+    call: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
     let timed_out = || CallError::TimedOut(limit.as_millis() as u64);
-    tokio::time::timeout(limit, work).await.map_err(|_| timed_out())?
+    tokio::time::timeout(limit, call).await.map_err(|_| timed_out())?
 }
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -111,11 +111,11 @@
             }
         }
         PeerMessage::EngineNews(update) => on_engine_update(shared, now, from, update),
-        PeerMessage::EngineGone(gone) => {
+        PeerMessage::EngineGone(exit) => {
             let is_known =
-                shared.view.borrow_mut().targets.record_exit(now, &gone.target, gone.born);
+                shared.view.borrow_mut().targets.record_exit(now, &exit.target, exit.born);
             if is_known {
-                tracing::info!(target = %gone.target, "target exited, as its agent reports");
+                tracing::info!(target = %exit.target, "target exited, as its agent reports");
                 request_plan(shared, now);
             }
         }
@@ -147,11 +147,11 @@
     let report = to_report(now, update);
     let mut view = shared.view.borrow_mut();
     let table = view.table.clone();
-    let is_engines = |name: &names::ServiceId| {
+    let has_engine = |name: &names::ServiceId| {
         let service = table.as_ref().and_then(|table| table.config().service(name));
         service.is_some_and(|service| service.engine.is_some())
     };
-    if view.targets.infer_successor(now, &report.id, report.started_at_ms, from.ip(), is_engines) {
+    if view.targets.infer_successor(now, &report.id, report.started_at_ms, from.ip(), has_engine) {
         tracing::info!(target = %report.id, "target discovered from its agent");
     }
     let Some(key) = view.targets.key(&report.id) else { return };
@@ -364,15 +364,15 @@
         return;
     }
     sent.adapters_at = Some(now);
-    let used: Vec<_> = {
+    let in_use: Vec<_> = {
         let view = shared.view.borrow();
-        let used = view.targets.iter().map(|(key, target)| {
+        let in_use = view.targets.iter().map(|(key, target)| {
             let adapters = target.in_flight.keys().filter_map(to_requested_adapter);
             (key, adapters.collect::<Vec<_>>())
         });
-        used.filter(|(_, adapters)| !adapters.is_empty()).collect()
+        in_use.filter(|(_, adapters)| !adapters.is_empty()).collect()
     };
-    for (key, adapters) in used {
+    for (key, adapters) in in_use {
         request_adapters(shared, key, adapters);
     }
 }
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -121,8 +121,8 @@
 }
 
 /// Long-poll duration that leaves time to apply a change within `within`.
-pub fn long_poll_wait(within: Duration) -> Duration {
-    within.saturating_sub(CONFIG_READ_MARGIN).max(MIN_LONG_POLL_WAIT)
+pub fn long_poll_wait(config_within: Duration) -> Duration {
+    config_within.saturating_sub(CONFIG_READ_MARGIN).max(MIN_LONG_POLL_WAIT)
 }
 
 /// No delay follows a response timeout: the dead connection may have hidden a change.
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -102,9 +102,9 @@
             return self.deadline;
         }
         let gaps = self.route.gap_objective.unwrap_or_default() * ABANDON_GAPS;
-        let idle_limit =
+        let idle_timeout =
             ABANDON_TIMEOUT.max(self.route.latency_objective * ABANDON_OBJECTIVES).max(gaps);
-        self.deadline.min(self.idle_since + idle_limit)
+        self.deadline.min(self.idle_since + idle_timeout)
     }
 
     /// A number in [0, 1) derived from the request id.
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -159,9 +159,9 @@
     /// Removes routers that have been unresponsive for long.
     pub fn expire(&mut self, now: Instant) {
         self.by_name.retain(|_, peer| {
-            let last_seen_at =
+            let last_active_at =
                 peer.last_received_at.unwrap_or(peer.announced_at).max(peer.announced_at);
-            now.saturating_duration_since(last_seen_at) < PEER_EXPIRY
+            now.saturating_duration_since(last_active_at) < PEER_EXPIRY
         });
     }
 
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -110,14 +110,14 @@
     spec: &config::Engine,
 ) -> BTreeMap<names::ModelId, snapshot::ModelView> {
     let view = shared.view.borrow();
-    let others = shared.peers.borrow().demand(now);
+    let peer_demand = shared.peers.borrow().demand(now);
     let models = spec.models.iter().map(|model| {
-        let (demand, waiting) = others.get(&model.name).copied().unwrap_or_default();
-        let waiting_here = view.waiting.get(&model.name).copied().unwrap_or(0);
+        let (demand, waiting) = peer_demand.get(&model.name).copied().unwrap_or_default();
+        let local_waiting = view.waiting.get(&model.name).copied().unwrap_or(0);
         let demand = demand.combine(view.demand.model_demand(now, &model.name));
         (
             model.name.clone(),
-            snapshot::ModelView { spec: model.clone(), demand, waiting: waiting + waiting_here },
+            snapshot::ModelView { spec: model.clone(), demand, waiting: waiting + local_waiting },
         )
     });
     models.collect()
@@ -129,10 +129,10 @@
     planned: &[names::ModelId],
     models: &BTreeMap<names::ModelId, snapshot::ModelView>,
 ) -> Vec<wire::PlanPart> {
-    let only_resident = engine.holdings.resident.iter().map(|resident| &resident.model);
-    let only_resident = only_resident.filter(|name| !planned.contains(name));
+    let unplanned = engine.holdings.resident.iter().map(|resident| &resident.model);
+    let unplanned = unplanned.filter(|name| !planned.contains(name));
     let millis = |time: Duration| time.as_millis() as u32;
-    let parts = planned.iter().chain(only_resident).filter_map(|name| {
+    let parts = planned.iter().chain(unplanned).filter_map(|name| {
         let spec = &models.get(name)?.spec;
         Some(wire::PlanPart {
             model: name.clone(),
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 pub struct PendingPermits {
     pending: RefCell<HashMap<u64, Rc<PendingResponse>>>,
-    last_number: Cell<u64>,
+    last_sequence_number: Cell<u64>,
 }
 
 #[derive(Debug, Default)]
@@ -70,8 +70,11 @@
     }
 
     fn next_id(&self, incarnation: u64) -> u64 {
-        self.last_number.set(self.last_number.get() + 1);
-        xxhash_rust::xxh3::xxh3_64_with_seed(&self.last_number.get().to_le_bytes(), incarnation)
+        self.last_sequence_number.set(self.last_sequence_number.get() + 1);
+        xxhash_rust::xxh3::xxh3_64_with_seed(
+            &self.last_sequence_number.get().to_le_bytes(),
+            incarnation,
+        )
     }
 }
 
@@ -126,8 +129,8 @@
         job.abandoned_at().min(self.shared.response_deadline(job))
     }
 
-    async fn response(&self, within: Duration) -> Option<PermitStatus> {
-        tokio::time::timeout(within, self.pending.changed.notified()).await.ok()?;
+    async fn response(&self, timeout: Duration) -> Option<PermitStatus> {
+        tokio::time::timeout(timeout, self.pending.changed.notified()).await.ok()?;
         self.pending.response.take()
     }
 
--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -34,9 +34,9 @@
         }
         self.partial.extend_from_slice(&chunk);
         let Some(end) = find_last(&self.partial, EVENT_END) else { return Ok(None) };
-        let whole = self.partial.split_to(end + EVENT_END.len()).freeze();
-        self.record(&whole)?;
-        Ok(Some(whole))
+        let complete = self.partial.split_to(end + EVENT_END.len()).freeze();
+        self.record(&complete)?;
+        Ok(Some(complete))
     }
 
     /// Whether an incomplete event is buffered.
@@ -60,8 +60,8 @@
         self.events
     }
 
-    fn record(&mut self, whole: &[u8]) -> Result<(), EventGap> {
-        for event in whole.split(|&b| b == b'\n').filter_map(parse_event_id) {
+    fn record(&mut self, complete: &[u8]) -> Result<(), EventGap> {
+        for event in complete.split(|&b| b == b'\n').filter_map(parse_event_id) {
             let resumed = std::mem::take(&mut self.resumed);
             if resumed && self.last_event.is_some_and(|last| event != last + 1) {
                 return Err(EventGap);
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -155,9 +155,9 @@
     /// Inserts a record that is newer than the known one of its key.
     pub fn insert(&mut self, subject: Subject, record: dialect::Record, content_hash: u64) {
         let entry = self.by_subject.entry(subject).or_default();
-        let same =
+        let unchanged =
             entry.records.get(&record.key).filter(|known| known.content_hash == content_hash);
-        let changed_at_offset = same.map_or(record.offset, |known| known.changed_at_offset);
+        let changed_at_offset = unchanged.map_or(record.offset, |known| known.changed_at_offset);
         entry
             .records
             .insert(record.key.clone(), StoredRecord { record, content_hash, changed_at_offset });
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -56,7 +56,7 @@
 ) {
     serve_local(shared, listener, move |shared, path| match text(shared, path) {
         Some(text) => Response::new(Full::from(text)),
-        None => status(StatusCode::NOT_FOUND),
+        None => empty_response(StatusCode::NOT_FOUND),
     });
 }
 
@@ -85,7 +85,7 @@
     });
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
@@ -93,11 +93,11 @@
 
 fn readiness<P: router::Platform>(shared: &router::Shared<P>, path: &str) -> Response<Full<Bytes>> {
     if path != shared.settings.ready_path {
-        status(StatusCode::NOT_FOUND)
+        empty_response(StatusCode::NOT_FOUND)
     } else if is_ready(shared) {
-        status(StatusCode::OK)
+        empty_response(StatusCode::OK)
     } else {
-        status(StatusCode::SERVICE_UNAVAILABLE)
+        empty_response(StatusCode::SERVICE_UNAVAILABLE)
     }
 }
 
@@ -231,9 +231,9 @@
     builder
 }
 
-struct OpenCount<P>(Rc<router::Shared<P>>);
+struct OpenRequestGuard<P>(Rc<router::Shared<P>>);
 
-impl<P> Drop for OpenCount<P> {
+impl<P> Drop for OpenRequestGuard<P> {
     fn drop(&mut self) {
         self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
@@ -245,10 +245,10 @@
     req: Request<Incoming>,
 ) -> Result<Response<body::ResponseBody>, exchange::Aborted> {
     shared.open_requests.set(shared.open_requests.get() + 1);
-    let count = OpenCount(shared.clone());
+    let guard = OpenRequestGuard(shared.clone());
     let mut response = exchange::handle_request(shared.clone(), &connection, req).await?;
     if shared.stopping.get().is_some() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(response.map(|body| body.with_guard(count)))
+    Ok(response.map(|body| body.with_guard(guard)))
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -147,9 +147,9 @@
     }
 
     fn forward(&mut self, chunk: Bytes) -> Result<Option<Bytes>, relay::EventGap> {
-        let whole = self.splitter.push(chunk.clone())?;
+        let complete = self.splitter.push(chunk.clone())?;
         // A stream that can't be resumed needn't be cut at events.
-        Ok(if self.job.route.resumable { whole } else { Some(chunk) })
+        Ok(if self.job.route.resumable { complete } else { Some(chunk) })
     }
 
     async fn step(&mut self) -> Step {
@@ -202,13 +202,13 @@
     }
 
     fn log_end(&self, how: &str) {
-        let ended = decisions::StreamEnd {
+        let stream_end = decisions::StreamEnd {
             how,
             events: self.splitter.events(),
             resumes: self.resumes,
             timings: self.timings,
         };
-        self.shared.log.streamed(&self.job, &ended, self.shared.clock.now());
+        self.shared.log.streamed(&self.job, &stream_end, self.shared.clock.now());
     }
 
     fn complete(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -85,12 +85,12 @@
     let request = postcard::from_bytes(&request).map_err(TransferError::Malformed)?;
     let response =
         postcard::to_stdvec(&records(shared, request)).map_err(TransferError::Malformed)?;
-    let page = Bytes::from(response);
-    let mut at = 0;
-    while at < page.len() {
-        let end = page.len().min(at + CHUNK_BYTES);
-        send_chunk(&mut chunks, page.slice(at..end)).await?;
-        at = end;
+    let bytes = Bytes::from(response);
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let end = bytes.len().min(offset + CHUNK_BYTES);
+        send_chunk(&mut chunks, bytes.slice(offset..end)).await?;
+        offset = end;
     }
     // An empty chunk marks the end: an interrupted transfer must not look complete.
     send_chunk(&mut chunks, Bytes::new()).await
@@ -124,11 +124,11 @@
     shared: &router::Shared<P>,
     request: RecordsRequest,
 ) -> RecordsResponse {
-    let copies = shared.records.borrow();
-    let age = copies.since_read(shared.clock.now(), request.subject);
+    let replicated = shared.records.borrow();
+    let age = replicated.since_read(shared.clock.now(), request.subject);
     let page = match request.from {
-        None => copies.full_page(request.subject),
-        Some(from) => copies.changes(request.subject, from),
+        None => replicated.full_page(request.subject),
+        Some(from) => replicated.changes(request.subject, from),
     };
     RecordsResponse { age, page }
 }
@@ -194,19 +194,19 @@
     let mut chunks = framed(stream);
     let request = postcard::to_stdvec(&request).map_err(TransferError::Malformed)?;
     send_chunk(&mut chunks, Bytes::from(request)).await?;
-    let mut page = BytesMut::new();
+    let mut bytes = BytesMut::new();
     loop {
         let chunk = next_chunk(&mut chunks).await?;
         if chunk.is_empty() {
-            return postcard::from_bytes(&page).map_err(TransferError::Malformed);
+            return postcard::from_bytes(&bytes).map_err(TransferError::Malformed);
         }
-        if page.len() + chunk.len() > MAX_TRANSFER_BYTES {
+        if bytes.len() + chunk.len() > MAX_TRANSFER_BYTES {
             return Err(TransferError::TooLarge(MAX_TRANSFER_BYTES));
         }
         if is_superseded() {
             return Err(TransferError::Superseded);
         }
-        page.extend_from_slice(&chunk);
+        bytes.extend_from_slice(&chunk);
     }
 }
 
@@ -220,8 +220,8 @@
     with_timeout(chunks.send(chunk)).await?.map_err(TransferError::Disconnected)
 }
 
-async fn with_timeout<T>(work: impl Future<Output = T>) -> Result<T, TransferError> {
-    tokio::time::timeout(follow::RESPONSE_TIMEOUT, work)
+async fn with_timeout<T>(operation: impl Future<Output = T>) -> Result<T, TransferError> {
+    tokio::time::timeout(follow::RESPONSE_TIMEOUT, operation)
         .await
         .map_err(|_| TransferError::TimedOut(follow::RESPONSE_TIMEOUT.as_millis()))
 }
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -11,7 +11,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Choices that may be abandoned because of a long wait for a prefill permit.
-const MAX_UNSETTLED_CHOICES: u32 = 2;
+const MAX_ABANDONED_CHOICES: u32 = 2;
 
 /// A request for which no target is available in time.
 pub struct PlacementError {
@@ -26,7 +26,7 @@
     shared: &Rc<router::Shared<P>>,
     job: &mut job::Job,
 ) -> Result<targets::TargetKey, PlacementError> {
-    let mut waiting = None;
+    let mut waiting_guard = None;
     let mut choices = 0;
     loop {
         let now = shared.clock.now();
@@ -39,7 +39,7 @@
         let (until, interval) = match choice {
             choose::Choice::Send(key) => {
                 choices += 1;
-                match prefill::acquire_permit(shared, job, key, choices > MAX_UNSETTLED_CHOICES)
+                match prefill::acquire_permit(shared, job, key, choices > MAX_ABANDONED_CHOICES)
                     .await
                 {
                     prefill::PermitOutcome::Granted => {
@@ -65,7 +65,7 @@
                 }
                 let expected = shared.expected_readiness(now, job, choice);
                 let until = job.abandoned_at().min(shared.response_deadline(job));
-                if waiting.is_none() {
+                if waiting_guard.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
                 match wait_limit::decide(now, until, expected, job.jitter()) {
@@ -84,8 +84,8 @@
                 retry_after: exchange::REFUSED_RETRY_AFTER,
             });
         }
-        if let (None, Some(model)) = (&waiting, job.model()) {
-            waiting = Some(WaitingGuard::begin(shared, model));
+        if let (None, Some(model)) = (&waiting_guard, job.model()) {
+            waiting_guard = Some(WaitingGuard::begin(shared, model));
         }
         let next_poll = (now + interval).min(until);
         tokio::select! {
