--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -22,8 +22,8 @@
 struct EngineState {
     holdings: targets::Holdings,
     commands: Vec<(Instant, reconcile::Command, u64)>,
-    commands_to_drop: usize,
-    has_ended: bool,
+    unanswered_commands: usize,
+    has_exited: bool,
     name: Option<TargetId>,
 }
 
@@ -40,7 +40,7 @@
 impl dialect::EngineApi for Engine {
     async fn report(&self) -> Result<dialect::EngineReport, dialect::ReportError> {
         let state = self.0.lock().unwrap();
-        if state.has_ended {
+        if state.has_exited {
             let refused =
                 client::CallError::ConnectionRefused(SocketAddr::from(([127, 0, 0, 1], 1)));
             return Err(dialect::ReportError::Exited(refused));
@@ -59,21 +59,21 @@
         Ok(self.0.lock().unwrap().name.clone())
     }
 
-    async fn execute(&self, order: dialect::GuardedCommand<'_>) -> dialect::CommandOutcome {
+    async fn execute(&self, command: dialect::GuardedCommand<'_>) -> dialect::CommandOutcome {
         let mut state = self.0.lock().unwrap();
-        state.commands.push((Instant::now(), order.command.clone(), order.commands_accepted));
-        if state.commands_to_drop > 0 {
-            state.commands_to_drop -= 1;
+        state.commands.push((Instant::now(), command.command.clone(), command.commands_accepted));
+        if state.unanswered_commands > 0 {
+            state.unanswered_commands -= 1;
             return dialect::CommandOutcome::Unknown;
         }
-        if let Some(name) = state.name.as_ref().filter(|name| *name != order.target) {
-            panic!("{name} received a command for {}", order.target);
+        if let Some(name) = state.name.as_ref().filter(|name| *name != command.target) {
+            panic!("{name} received a command for {}", command.target);
         }
-        if order.commands_accepted != state.holdings.commands_accepted {
+        if command.commands_accepted != state.holdings.commands_accepted {
             return dialect::CommandOutcome::Conflict;
         }
         state.holdings.commands_accepted += 1;
-        match order.command {
+        match command.command {
             reconcile::Command::Load(model) => {
                 let resident = targets::Resident { model: model.clone(), adapters: Vec::new() };
                 state.holdings.resident.push(resident);
@@ -99,12 +99,12 @@
     async fn start() -> Self {
         let engine = Engine::default();
         let listen = common::free_port();
-        let (stop, stopped) = oneshot::channel::<()>();
-        let engine_calls = engine.clone();
+        let (stop, stop_requested) = oneshot::channel::<()>();
+        let engine_api = engine.clone();
         std::thread::spawn(move || {
             let settings = agent::Settings { name: "agent".into(), listen };
-            let wait = async move { drop(stopped.await) };
-            agent::run(settings, Arc::new(SystemClock), |_| engine_calls, wait).unwrap();
+            let stopping = async move { drop(stop_requested.await) };
+            agent::run(settings, Arc::new(SystemClock), |_| engine_api, stopping).unwrap();
         });
         let router = UdpSocket::bind(common::free_port()).await.unwrap();
         Self { engine, router, agent: listen, _stop: stop }
@@ -119,8 +119,8 @@
         let holdings = self.engine.0.lock().unwrap().holdings.clone();
         let resident: Vec<_> =
             holdings.resident.iter().map(|resident| resident.model.as_str()).collect();
-        let unwanted = resident.iter().filter(|model| !models.contains(model));
-        let parts = models.iter().chain(unwanted).map(|model| PlanPart {
+        let unplanned = resident.iter().filter(|model| !models.contains(model));
+        let parts = models.iter().chain(unplanned).map(|model| PlanPart {
             model: (*model).into(),
             weights_mb: 70,
             adapter_mb: 1,
@@ -159,7 +159,7 @@
     }
 
     /// Sends a plan until the engine holds all of its models.
-    async fn wait_for(&self, serial: u64, models: &[&str]) {
+    async fn wait_until_executed(&self, serial: u64, models: &[&str]) {
         let wait = async {
             loop {
                 self.plan("router", serial, models).await;
@@ -177,22 +177,22 @@
 #[tokio::test]
 async fn unwanted_models_are_unloaded_before_the_next_load() {
     let agent = AgentThread::start().await;
-    agent.wait_for(1, &["a", "b"]).await;
-    agent.wait_for(2, &["b", "c"]).await;
+    agent.wait_until_executed(1, &["a", "b"]).await;
+    agent.wait_until_executed(2, &["b", "c"]).await;
     let state = agent.engine.0.lock().unwrap();
     let commands: Vec<_> = state.commands.iter().map(|(_, command, _)| command.clone()).collect();
     let load = |model: &str| reconcile::Command::Load(model.into());
     assert_eq!(commands, [load("a"), load("b"), reconcile::Command::Unload("a".into()), load("c")]);
-    let after_orders: Vec<_> = state.commands.iter().map(|(_, _, after)| *after).collect();
-    assert_eq!(after_orders, [0, 1, 2, 3], "each command carries the count it is based on");
+    let commands_before: Vec<_> = state.commands.iter().map(|(_, _, before)| *before).collect();
+    assert_eq!(commands_before, [0, 1, 2, 3], "each command carries the count it is based on");
 }
 
 /// Guards against a lost command delaying a model that callers wait for.
 #[tokio::test]
 async fn an_unanswered_command_is_soon_sent_again() {
     let agent = AgentThread::start().await;
-    agent.engine.0.lock().unwrap().commands_to_drop = 1;
-    agent.wait_for(1, &["a"]).await;
+    agent.engine.0.lock().unwrap().unanswered_commands = 1;
+    agent.wait_until_executed(1, &["a"]).await;
     let state = agent.engine.0.lock().unwrap();
     let [(first, _, before), (second, _, after)] = &state.commands[..] else {
         panic!("commands: {:?}", state.commands);
@@ -206,22 +206,22 @@
 #[tokio::test]
 async fn an_engine_exit_is_reported_to_routers() {
     let agent = AgentThread::start().await;
-    agent.wait_for(1, &["a"]).await;
+    agent.wait_until_executed(1, &["a"]).await;
     while agent.receive_update().await.resident.is_empty() {}
-    agent.engine.0.lock().unwrap().has_ended = true;
-    let gone = loop {
-        if let PeerMessage::EngineGone(gone) = agent.receive().await {
-            break gone;
+    agent.engine.0.lock().unwrap().has_exited = true;
+    let exited = loop {
+        if let PeerMessage::EngineGone(exited) = agent.receive().await {
+            break exited;
         }
     };
-    assert_eq!(gone, EngineGone { target: "engine".into(), born: STARTED_AT_MS });
+    assert_eq!(exited, EngineGone { target: "engine".into(), born: STARTED_AT_MS });
 }
 
 /// Guards against loading and unloading models in alternation when two routers plan at once.
 #[tokio::test]
 async fn one_of_two_planners_is_followed() {
     let agent = AgentThread::start().await;
-    agent.wait_for(1, &["a"]).await;
+    agent.wait_until_executed(1, &["a"]).await;
     for serial in 2..12 {
         agent.plan("router", serial, &["a"]).await;
         agent.plan("zzz-router", serial, &["b"]).await;
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -18,9 +18,9 @@
 async fn start_with_two_targets(route: Route) -> (RouterThread, Target, Target) {
     let store = MemoryStore::default();
     let (one, two) = (Target::start().await, Target::start().await);
-    store.config(common::config(1, vec![route]));
-    store.target(one.entry("target-1", "desk"));
-    store.target(two.entry("target-2", "desk"));
+    store.put_config(common::config(1, vec![route]));
+    store.put_target(one.entry("target-1", "desk"));
+    store.put_target(two.entry("target-2", "desk"));
     let router = RouterThread::start(&store);
     router.wait_ready().await;
     (router, one, two)
@@ -29,8 +29,8 @@
 /// Returns the request from the target that received it, and the other target.
 async fn receive<'a>(one: &'a Target, two: &'a Target) -> (ReceivedRequest, &'a Target) {
     tokio::select! {
-        got = one.next() => (got, two),
-        got = two.next() => (got, one),
+        request = one.next() => (request, two),
+        request = two.next() => (request, one),
     }
 }
 
@@ -52,15 +52,15 @@
     let headers = [("x-id", ID), ("x-deadline-ms", "5000"), ("x-own", "kept")];
     let mut caller =
         common::send(router.front, "POST", "/pay/1?n=2", &headers, "body").await.unwrap();
-    let (got, _) = receive(&one, &two).await;
-    assert!(got.head.starts_with("post /pay/1?n=2 http/1.1"), "{}", got.head);
-    assert_eq!(got.header("x-own"), Some("kept"));
-    let remaining: u64 = got.header("x-left-ms").unwrap().parse().unwrap();
+    let (request, _) = receive(&one, &two).await;
+    assert!(request.head.starts_with("post /pay/1?n=2 http/1.1"), "{}", request.head);
+    assert_eq!(request.header("x-own"), Some("kept"));
+    let time_left_ms: u64 = request.header("x-left-ms").unwrap().parse().unwrap();
     assert!(
-        (4_000..5_000).contains(&remaining),
-        "the target receives the remaining time: {remaining}"
+        (4_000..5_000).contains(&time_left_ms),
+        "the target receives the remaining time: {time_left_ms}"
     );
-    got.answer_whole(ID, "paid").await;
+    request.answer_whole(ID, "paid").await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("paid"), "{answer}");
 }
@@ -72,12 +72,12 @@
     let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = receive(&one, &two).await;
-    drop(got);
+    let (request, other) = receive(&one, &two).await;
+    drop(request);
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 502"), "{answer}");
-    let none = tokio::time::timeout(Duration::from_millis(300), other.next()).await;
-    assert!(none.is_err(), "it is not retried");
+    let retry = tokio::time::timeout(Duration::from_millis(300), other.next()).await;
+    assert!(retry.is_err(), "it is not retried");
 }
 
 #[tokio::test]
@@ -85,9 +85,9 @@
     let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = receive(&one, &two).await;
+    let (request, other) = receive(&one, &two).await;
     let full = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\nx-id: request-1\r\nContent-Length: 0\r\n\r\n";
-    got.answer(full).await;
+    request.answer(full).await;
     other.next().await.answer_whole(ID, "paid").await;
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("paid"));
 }
@@ -97,8 +97,8 @@
     let (router, one, two) = start_with_two_targets(retryable()).await;
     let mut caller =
         common::send(router.front, "GET", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = receive(&one, &two).await;
-    drop(got);
+    let (request, other) = receive(&one, &two).await;
+    drop(request);
     other.next().await.answer_whole(ID, "found").await;
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("found"));
 }
@@ -109,8 +109,8 @@
     let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, _) = receive(&one, &two).await;
-    got.answer_whole("request-0", "of somebody else").await;
+    let (request, _) = receive(&one, &two).await;
+    request.answer_whole("request-0", "of somebody else").await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 502") && !answer.contains("somebody"), "{answer}");
 }
@@ -121,11 +121,11 @@
     let (router, one, two) = start_with_two_targets(resumable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, other) = receive(&one, &two).await;
-    got.begin_stream(ID).await;
-    got.send_chunk("id: 0\ndata: a\n\n").await;
-    got.send_chunk("id: 1\ndata: b\n\nid: 2\nda").await;
-    drop(got);
+    let (mut request, other) = receive(&one, &two).await;
+    request.begin_stream(ID).await;
+    request.send_chunk("id: 0\ndata: a\n\n").await;
+    request.send_chunk("id: 1\ndata: b\n\nid: 2\nda").await;
+    drop(request);
     let mut next = other.next().await;
     assert_eq!(next.header("x-last-event"), Some("1"));
     next.begin_stream(ID).await;
@@ -143,10 +143,10 @@
     let (router, one, two) = start_with_two_targets(resumable()).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, other) = receive(&one, &two).await;
-    got.begin_stream(ID).await;
-    got.send_chunk("id: 0\ndata: a\n\n").await;
-    drop(got);
+    let (mut request, other) = receive(&one, &two).await;
+    request.begin_stream(ID).await;
+    request.send_chunk("id: 0\ndata: a\n\n").await;
+    drop(request);
     let mut next = other.next().await;
     next.begin_stream(ID).await;
     next.send_chunk("id: 5\ndata: f\n\n").await;
@@ -163,10 +163,10 @@
     let (router, one, two) = start_with_two_targets(route).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, _) = receive(&one, &two).await;
-    got.begin_stream(ID).await;
-    got.send_chunk("id: 0\ndata: a\n\n").await;
-    drop(got);
+    let (mut request, _) = receive(&one, &two).await;
+    request.begin_stream(ID).await;
+    request.send_chunk("id: 0\ndata: a\n\n").await;
+    drop(request);
     let answer = common::read_all(&mut caller).await.unwrap_or_default();
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
 }
@@ -177,9 +177,9 @@
 async fn a_request_is_cancelled_when_its_caller_leaves() {
     let (router, one, two) = start_with_two_targets(non_retryable()).await;
     let caller = common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (mut got, _) = receive(&one, &two).await;
+    let (mut request, _) = receive(&one, &two).await;
     drop(caller);
-    let read = tokio::time::timeout(common::WAIT_LIMIT, got.stream.read(&mut [0; 16])).await;
+    let read = tokio::time::timeout(common::WAIT_LIMIT, request.stream.read(&mut [0; 16])).await;
     let error =
         read.expect("the target's connection ends").expect_err("a reset, not an end of file");
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
@@ -191,33 +191,33 @@
 async fn a_target_whose_address_was_reused_gets_no_more_requests() {
     let store = MemoryStore::default();
     let (one, two) = (Target::start().await, Target::start().await);
-    store.config(common::config(1, vec![non_retryable()]));
+    store.put_config(common::config(1, vec![non_retryable()]));
     for (target, id) in [(&one, "target-1"), (&two, "target-2")] {
         let resident = targets::Resident { model: "m".into(), adapters: Vec::new() };
         let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
-        store.target(targets::Entry { holdings, ..target.entry(id, "desk") });
+        store.put_target(targets::Entry { holdings, ..target.entry(id, "desk") });
     }
     let router = RouterThread::start(&store);
     router.wait_ready().await;
-    let mut left = None;
+    let mut remaining = None;
     for round in 0..12 {
         let id = format!("request-{round}");
         let headers = [("x-id", id.as_str()), ("x-model", "m")];
         let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
-        match left {
+        match remaining {
             None => {
-                let (got, other) = receive(&one, &two).await;
+                let (request, other) = receive(&one, &two).await;
                 let refusal = format!(
                     "HTTP/1.1 421 Another\r\nx-not-run: 1\r\nx-id: {id}\r\nx-target: target-9\r\nContent-Length: 0\r\n\r\n"
                 );
-                got.answer(&refusal).await;
+                request.answer(&refusal).await;
                 other.next().await.answer_whole(&id, "paid").await;
-                left = Some(other);
+                remaining = Some(other);
             }
             Some(other) => {
                 let replaced = if std::ptr::eq(other, &one) { &two } else { &one };
                 tokio::select! {
-                    got = other.next() => got.answer_whole(&id, "paid").await,
+                    request = other.next() => request.answer_whole(&id, "paid").await,
                     _ = replaced.next() => panic!("{id} was sent to the replaced target"),
                 }
             }
@@ -241,8 +241,9 @@
     common::read_all(&mut caller).await.unwrap();
     let text = common::get(router.metrics, "/metrics", &[]).await.unwrap();
     assert!(text.contains(r#"requests_total{kind="once",outcome="answered"} 1"#), "{text}");
-    let lost = r#"requests_total{kind="once",outcome="the target's connection was lost"} 1"#;
-    assert!(text.contains(lost), "{text}");
+    let connection_lost =
+        r#"requests_total{kind="once",outcome="the target's connection was lost"} 1"#;
+    assert!(text.contains(connection_lost), "{text}");
     assert!(text.contains("request_seconds_bucket"), "{text}");
 }
 
@@ -261,7 +262,7 @@
         engine: Some(engine),
         ..Default::default()
     }];
-    store.config(config);
+    store.put_config(config);
     let holds = |target: &Target, id: &str, renewals: u64, models: &[&str]| {
         let resident = models
             .iter()
@@ -269,21 +270,21 @@
         let holdings = targets::Holdings { resident: resident.collect(), ..Default::default() };
         targets::Entry { renewals, holdings, ..target.entry(id, "desk") }
     };
-    store.target(holds(&one, "target-1", 1, &["m"]));
-    store.target(holds(&two, "target-2", 1, &[]));
+    store.put_target(holds(&one, "target-1", 1, &["m"]));
+    store.put_target(holds(&two, "target-2", 1, &[]));
     let router = RouterThread::start(&store);
     router.wait_ready().await;
     let headers = [("x-id", ID), ("x-model", "m")];
     let mut caller = common::send(router.front, "POST", "/pay/1", &headers, "").await.unwrap();
-    let mut got = one.next().await;
-    got.begin_stream(ID).await;
+    let mut request = one.next().await;
+    request.begin_stream(ID).await;
     for event in 0..5 {
-        got.send_chunk(&format!("id: {event}\ndata: x\n\n")).await;
+        request.send_chunk(&format!("id: {event}\ndata: x\n\n")).await;
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    drop(got);
+    drop(request);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    store.target(holds(&two, "target-2", 2, &["m"]));
+    store.put_target(holds(&two, "target-2", 2, &["m"]));
     let mut next = two.next().await;
     assert_eq!(next.header("x-last-event"), Some("4"));
     next.begin_stream(ID).await;
@@ -309,10 +310,10 @@
         engine: Some(engine),
         ..Default::default()
     }];
-    store.config(config);
+    store.put_config(config);
     let resident = targets::Resident { model: "m".into(), adapters: Vec::new() };
     let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
-    store.target(targets::Entry { holdings, ..target.entry("target-1", "desk") });
+    store.put_target(targets::Entry { holdings, ..target.entry("target-1", "desk") });
     let router = RouterThread::start(&store);
     router.wait_ready().await;
     let update = peers::EngineUpdate {
@@ -341,10 +342,13 @@
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
-    let after = answer.to_lowercase().lines().find_map(|line| {
+    let retry_after = answer.to_lowercase().lines().find_map(|line| {
         line.strip_prefix("retry-after: ").map(|after| after.parse::<f64>().unwrap())
     });
-    assert!(after.is_some_and(|after| after > 4.0), "retry when the engine is available: {answer}");
+    assert!(
+        retry_after.is_some_and(|after| after > 4.0),
+        "retry when the engine is available: {answer}"
+    );
 }
 
 /// Operators remove the retry budget to relieve overloaded targets, and restore it later. A router that
@@ -358,12 +362,12 @@
     let answer = loop {
         let mut caller =
             common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-        let (got, other) = receive(&one, &two).await;
-        drop(got);
+        let (request, other) = receive(&one, &two).await;
+        drop(request);
         // The request is retried until the change is applied.
         let retried = tokio::time::timeout(Duration::from_millis(300), other.next()).await;
         match retried {
-            Ok(got) => got.answer_whole(ID, "paid").await,
+            Ok(request) => request.answer_whole(ID, "paid").await,
             Err(_) => break common::read_all(&mut caller).await.unwrap(),
         }
     };
@@ -372,8 +376,8 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut caller =
         common::send(router.front, "POST", "/pay/1", &[("x-id", ID)], "").await.unwrap();
-    let (got, other) = receive(&one, &two).await;
-    drop(got);
+    let (request, other) = receive(&one, &two).await;
+    drop(request);
     other.next().await.answer_whole(ID, "paid").await;
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("paid"));
 }
--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-const WITHIN: Duration = Duration::from_secs(2);
+const CONFIG_WITHIN: Duration = Duration::from_secs(2);
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 fn peer(number: u8) -> SocketAddr {
@@ -26,13 +26,13 @@
         last_read_failed,
         is_starting: false,
         is_follower: false,
-        config_within: WITHIN,
+        config_within: CONFIG_WITHIN,
     }
 }
 
 /// Time after `start` at which a peer is queried; `last_received_at` returns when the store last
 /// delivered data.
-fn queried_after(
+fn time_until_query(
     start: Instant,
     last_received_at: impl Fn(Instant) -> Option<Instant>,
 ) -> Option<Duration> {
@@ -49,20 +49,20 @@
 #[test]
 fn no_peer_is_queried_while_the_store_delivers() {
     let start = Instant::now();
-    let after = queried_after(start, Some);
+    let after = time_until_query(start, Some);
     // A trickling connection is tolerated for half of the limit only.
-    assert_eq!(after, Some(WITHIN / 2));
+    assert_eq!(after, Some(CONFIG_WITHIN / 2));
 }
 
 /// Waiting for a dead connection to time out would exhaust the time limit.
 #[test]
 fn a_peer_is_queried_when_the_store_is_unresponsive() {
     let start = Instant::now();
-    let after = queried_after(start, |_| None);
-    assert!(after.is_some_and(|after| after < WITHIN / 4), "{after:?}");
+    let after = time_until_query(start, |_| None);
+    assert!(after.is_some_and(|after| after < CONFIG_WITHIN / 4), "{after:?}");
     // Earlier data does not count.
-    let after = queried_after(start, |_| start.checked_sub(WITHIN));
-    assert!(after.is_some_and(|after| after < WITHIN / 4), "{after:?}");
+    let after = time_until_query(start, |_| start.checked_sub(CONFIG_WITHIN));
+    assert!(after.is_some_and(|after| after < CONFIG_WITHIN / 4), "{after:?}");
 }
 
 /// A peer is the only source while the store refuses this router.
@@ -91,8 +91,8 @@
     let start = Instant::now();
     let (mut lag, ahead) = (Lag::default(), [(9, peer(1))]);
     assert!(lag.peer_to_query(start, &progress(&ahead, None, false)).is_none());
-    assert!(lag.peer_to_query(start + WITHIN / 2, &progress(&[], None, false)).is_none());
-    assert!(lag.peer_to_query(start + WITHIN, &progress(&ahead, None, false)).is_none());
+    assert!(lag.peer_to_query(start + CONFIG_WITHIN / 2, &progress(&[], None, false)).is_none());
+    assert!(lag.peer_to_query(start + CONFIG_WITHIN, &progress(&ahead, None, false)).is_none());
 }
 
 /// A single peer queried by all routers would saturate its link, or may be dead.
@@ -100,14 +100,14 @@
 fn routers_query_different_peers() {
     let (now, ahead) =
         (Instant::now(), (1..=8).map(|number| (9, peer(number))).collect::<Vec<_>>());
-    let mut asked: BTreeMap<SocketAddr, u32> = BTreeMap::new();
+    let mut queried: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     for number in 0..80 {
         let router = format!("router-{number}");
         let progress = ReadProgress { router: &router, ..progress(&ahead, None, true) };
         let (_, addr) = Lag::default().peer_to_query(now, &progress).unwrap();
-        *asked.entry(addr).or_default() += 1;
+        *queried.entry(addr).or_default() += 1;
     }
-    assert!(asked.len() == 8 && asked.values().all(|&count| count <= 20), "{asked:?}");
+    assert!(queried.len() == 8 && queried.values().all(|&count| count <= 20), "{queried:?}");
 
     let mut lag = Lag::default();
     let mut tried: Vec<_> =
@@ -121,6 +121,6 @@
 #[test]
 fn the_peer_with_the_highest_offset_is_queried() {
     let ahead = [(7, peer(1)), (9, peer(2)), (8, peer(3))];
-    let asked = Lag::default().peer_to_query(Instant::now(), &progress(&ahead, None, true));
-    assert_eq!(asked, Some((9, peer(2))));
+    let queried = Lag::default().peer_to_query(Instant::now(), &progress(&ahead, None, true));
+    assert_eq!(queried, Some((9, peer(2))));
 }
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -76,10 +76,10 @@
     }
 
     fn put(&self, subject: Subject, key: &str, update: Option<Update>) {
-        self.put_large(subject, key, update, 1);
+        self.put_value(subject, key, update, 1);
     }
 
-    fn put_large(&self, subject: Subject, key: &str, update: Option<Update>, len: usize) {
+    fn put_value(&self, subject: Subject, key: &str, update: Option<Update>, len: usize) {
         let mut state = self.state.lock().unwrap();
         let offset = state.next;
         let value = Some(Bytes::from(vec![b'x'; len]));
@@ -88,26 +88,26 @@
         state.next += 1;
     }
 
-    pub fn config(&self, config: config::Config) {
+    pub fn put_config(&self, config: config::Config) {
         self.put(Subject::Config, "config", Some(Update::Config(Arc::new(config))));
     }
 
     /// Writes a configuration with a document of `len` bytes.
-    pub fn large_config(&self, config: config::Config, len: usize) {
+    pub fn put_large_config(&self, config: config::Config, len: usize) {
         let update = Update::Config(Arc::new(config));
-        self.put_large(Subject::Config, "config", Some(update), len);
+        self.put_value(Subject::Config, "config", Some(update), len);
     }
 
-    pub fn target(&self, entry: targets::Entry) {
+    pub fn put_target(&self, entry: targets::Entry) {
         let key = entry.id.to_string();
         self.put(Subject::Targets, &key, Some(Update::Target(entry)));
     }
 
-    pub fn target_gone(&self, id: &str) {
+    pub fn remove_target(&self, id: &str) {
         self.put(Subject::Targets, id, Some(Update::TargetRemoved(id.into())));
     }
 
-    pub fn unreadable_record(&self, subject: Subject, key: &str) {
+    pub fn put_unreadable_record(&self, subject: Subject, key: &str) {
         self.put(subject, key, None);
     }
 
@@ -125,7 +125,10 @@
         if state.down || self.unavailable.load(Ordering::Relaxed) {
             return Err(StoreError::Refused(503));
         }
-        let records = state.entries.range(from..).filter(|(_, (own, ..))| *own == subject);
+        let records = state
+            .entries
+            .range(from..)
+            .filter(|(_, (entry_subject, ..))| *entry_subject == subject);
         let records = records.map(|(_, (_, record, _))| record.clone()).collect();
         Ok(Page { records, next: state.next, whole: false })
     }
@@ -138,25 +141,25 @@
     fn parse_request(&self, headers: &HeaderMap) -> dialect::RequestHead {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let millis = |name: &str| text(name)?.parse().ok().map(Duration::from_millis);
-        let wanted = text("x-model").map(|model| choose::RequestedModel {
+        let requested_model = text("x-model").map(|model| choose::RequestedModel {
             model: model.into(),
             adapter: text("x-adapter").map(Into::into),
         });
         dialect::RequestHead {
             id: text("x-id").unwrap_or_default().into(),
             deadline: millis("x-deadline-ms"),
-            requested_model: wanted,
+            requested_model,
             prompt_tokens: text("x-prompt").and_then(|text| text.parse().ok()).unwrap_or(0),
             ..Default::default()
         }
     }
 
-    fn rewrite_request(&self, headers: &mut HeaderMap, passing: &dialect::ForwardedRequest) {
+    fn rewrite_request(&self, headers: &mut HeaderMap, forwarded: &dialect::ForwardedRequest) {
         headers.remove(http::header::CONNECTION);
         headers.remove(http::header::CONTENT_LENGTH);
-        headers.insert("x-target", HeaderValue::from_str(passing.target.as_str()).unwrap());
-        headers.insert("x-left-ms", HeaderValue::from(passing.time_left.as_millis() as u64));
-        if let Some(last) = passing.last_event {
+        headers.insert("x-target", HeaderValue::from_str(forwarded.target.as_str()).unwrap());
+        headers.insert("x-left-ms", HeaderValue::from(forwarded.time_left.as_millis() as u64));
+        if let Some(last) = forwarded.last_event {
             headers.insert("x-last-event", HeaderValue::from(last));
         }
     }
@@ -189,14 +192,14 @@
         &self,
         subject: Subject,
         from: u64,
-        waiting: &ReadOptions,
+        options: &ReadOptions,
     ) -> Result<Page, StoreError> {
         tokio::time::sleep(Duration::from_millis(20)).await;
         let page = self.0.page(subject, from)?;
         if let Some(link) = &self.0.link {
-            let lens = page.records.iter().filter_map(|record| record.value.as_ref());
-            let len = lens.map(Bytes::len).sum();
-            link.transfer(len, || waiting.last_received.record(Instant::now())).await;
+            let values = page.records.iter().filter_map(|record| record.value.as_ref());
+            let len = values.map(Bytes::len).sum();
+            link.transfer(len, || options.last_received.record(Instant::now())).await;
         }
         Ok(page)
     }
@@ -302,17 +305,17 @@
         let (front, ready) = (settings.front, settings.ready);
         let (peers, metrics) = (settings.peers, settings.metrics.unwrap_or(settings.ready));
         let store = store.clone();
-        let (stop, stopped) = oneshot::channel::<()>();
-        let (reload, changed) = mpsc::unbounded_channel();
-        let at_start = settings.clone();
+        let (stop, stop_requested) = oneshot::channel::<()>();
+        let (reload, reloaded) = mpsc::unbounded_channel();
+        let initial_settings = settings.clone();
         let thread = std::thread::spawn(move || {
-            let wait = async move { drop(stopped.await) };
+            let stopping = async move { drop(stop_requested.await) };
             let platform = |_| PlainPlatform(store);
             let clock = Arc::new(SystemClock);
-            router::run(settings, clock, platform, wait, ReloadChannel(changed)).unwrap();
+            router::run(settings, clock, platform, stopping, ReloadChannel(reloaded)).unwrap();
         });
         let (stop, thread) = (Some(stop), Some(thread));
-        Self { front, ready, peers, metrics, settings: at_start, reload, stop, thread }
+        Self { front, ready, peers, metrics, settings: initial_settings, reload, stop, thread }
     }
 
     pub async fn wait_ready(&self) {
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -15,13 +15,13 @@
 }
 
 /// Waits until a path is answered with this status.
-async fn wait_for(router: &RouterThread, path: &str, expected: &str) {
-    let ask = async {
+async fn wait_for_status(router: &RouterThread, path: &str, expected: &str) {
+    let poll = async {
         while status(router, path).await != expected {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the answer changes");
+    tokio::time::timeout(common::WAIT_LIMIT, poll).await.expect("the answer changes");
 }
 
 /// Requests must not be rejected while the first read is still in progress.
@@ -29,12 +29,12 @@
 async fn a_request_during_the_first_read_is_served() {
     let store = MemoryStore::default();
     let target = Target::start().await;
-    store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.target(target.entry("target-1", "desk"));
+    store.put_config(common::config(1, vec![common::route("/pay/", "desk")]));
+    store.put_target(target.entry("target-1", "desk"));
     store.set_read_delay(Duration::from_millis(300));
     let router = RouterThread::start(&store);
     let headers = [("x-id", "r"), ("x-deadline-ms", "4000")];
-    let ask = async {
+    let poll = async {
         loop {
             match common::get(router.front, "/pay/1", &headers).await {
                 Ok(answer) => return answer,
@@ -43,7 +43,7 @@
         }
     };
     let serve = async { target.next().await.answer_whole("r", "paid").await };
-    let (answer, ()) = tokio::join!(ask, serve);
+    let (answer, ()) = tokio::join!(poll, serve);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
@@ -65,12 +65,12 @@
 async fn an_older_configuration_is_ignored() {
     let store = MemoryStore::default();
     let target = Target::start().await;
-    store.target(target.entry("target-1", "desk"));
-    store.config(common::config(7, vec![common::route("/new/", "desk")]));
+    store.put_target(target.entry("target-1", "desk"));
+    store.put_config(common::config(7, vec![common::route("/new/", "desk")]));
     let router = RouterThread::start(&store);
     router.wait_ready().await;
-    store.config(common::config(5, vec![common::route("/old/", "desk")]));
-    store.unreadable_record(Subject::Config, "config");
+    store.put_config(common::config(5, vec![common::route("/old/", "desk")]));
+    store.put_unreadable_record(Subject::Config, "config");
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(status(&router, "/old/").await, "404");
     assert_ne!(status(&router, "/new/").await, "404");
@@ -81,9 +81,9 @@
 async fn an_undecodable_entry_does_not_affect_others() {
     let store = MemoryStore::default();
     let target = Target::start().await;
-    store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.unreadable_record(Subject::Targets, "somebody");
-    store.target(target.entry("target-1", "desk"));
+    store.put_config(common::config(1, vec![common::route("/pay/", "desk")]));
+    store.put_unreadable_record(Subject::Targets, "somebody");
+    store.put_target(target.entry("target-1", "desk"));
     let router = RouterThread::start(&store);
     router.wait_ready().await;
     let mut caller =
@@ -97,14 +97,14 @@
 async fn a_router_without_the_store_fetches_from_its_peer() {
     let store = MemoryStore::default();
     let target = Target::start().await;
-    store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.target(target.entry("target-1", "desk"));
+    store.put_config(common::config(1, vec![common::route("/pay/", "desk")]));
+    store.put_target(target.entry("target-1", "desk"));
     let reader = RouterThread::start(&store);
     reader.wait_ready().await;
     let (unavailable, seeds) = (store.unavailable(), vec![reader.peers]);
     let router = RouterThread::start_with(&unavailable, "router-b", seeds, Duration::from_secs(8));
     router.wait_ready().await;
-    wait_for(&router, "/other/", "404").await;
+    wait_for_status(&router, "/other/", "404").await;
 }
 
 /// A connection that dies before a change must be abandoned early enough to read again within the
@@ -114,9 +114,10 @@
 #[case::three_seconds(3)]
 #[case::seven_seconds(7)]
 fn an_unresponsive_read_is_repeated_within_the_limit(#[case] seconds: u64) {
-    let within = Duration::from_secs(seconds);
+    let config_within = Duration::from_secs(seconds);
     let timed_out = StoreError::TimedOut(follow::RESPONSE_TIMEOUT.as_millis() as u64);
-    let next =
-        follow::long_poll_wait(within) + follow::RESPONSE_TIMEOUT + follow::retry_delay(&timed_out);
-    assert!(next < within, "the next read begins after {next:?}");
+    let next_read_after = follow::long_poll_wait(config_within)
+        + follow::RESPONSE_TIMEOUT
+        + follow::retry_delay(&timed_out);
+    assert!(next_read_after < config_within, "the next read begins after {next_read_after:?}");
 }
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -40,12 +40,12 @@
 /// Waits until only this router has sent plans for a second.
 async fn wait_for_planner(agent: &UdpSocket, name: &str) -> EnginePlan {
     let started_at = Instant::now();
-    let mut alone_since = started_at;
+    let mut sole_planner_since = started_at;
     loop {
         let plan = plan(agent).await;
         if plan.planner.as_str() != name {
-            alone_since = Instant::now();
-        } else if alone_since.elapsed() > Duration::from_secs(1) {
+            sole_planner_since = Instant::now();
+        } else if sole_planner_since.elapsed() > Duration::from_secs(1) {
             return plan;
         }
         assert!(started_at.elapsed() < TAKEOVER_LIMIT, "{} still plans", plan.planner);
@@ -59,8 +59,8 @@
     let target = Target::start().await;
     let mut config = common::config(1, vec![common::route("/ask/", "models")]);
     config.services = vec![service()];
-    store.config(config);
-    store.target(target.entry("engine", "models"));
+    store.put_config(config);
+    store.put_target(target.entry("engine", "models"));
     let agent = UdpSocket::bind(common::free_port()).await.unwrap();
     let agent_port = agent.local_addr().unwrap().port();
     let mut settings = RouterThread::settings("router-a", Vec::new(), CONFIG_WITHIN);
--- a/crates/corianderstand_forward/tests/prefill_permits.rs
+++ b/crates/corianderstand_forward/tests/prefill_permits.rs
@@ -16,7 +16,7 @@
 
 const ID: &str = "request-1";
 /// Much less than a caller's timeout, much more than a permit request takes.
-const SOON: Duration = Duration::from_millis(500);
+const MAX_PROMPT_DELAY: Duration = Duration::from_millis(500);
 
 struct Setup {
     router: RouterThread,
@@ -34,10 +34,10 @@
     let spec = config::Engine { slots: 8, models: vec![model], ..Default::default() };
     config.services =
         vec![config::Service { name: "models".into(), engine: Some(spec), ..Default::default() }];
-    store.config(config);
+    store.put_config(config);
     let resident = targets::Resident { model: "m".into(), adapters: Vec::new() };
     let holdings = targets::Holdings { resident: vec![resident], ..Default::default() };
-    store.target(targets::Entry { holdings, ..engine.entry("engine", "models") });
+    store.put_target(targets::Entry { holdings, ..engine.entry("engine", "models") });
     let agent = UdpSocket::bind(common::free_port()).await.unwrap();
     let mut settings = RouterThread::settings("router-a", Vec::new(), Duration::from_secs(8));
     settings.agent_port = agent.local_addr().unwrap().port();
@@ -78,10 +78,10 @@
         }
     }
 
-    async fn send_answer(&self, to: SocketAddr, id: u64, given: bool, wait_ms: u32) {
-        let answer = PrefillResponse { id, given, wait_ms, reading_us: 0 };
-        let answer = postcard::to_stdvec(&PeerMessage::PrefillAnswer(answer)).unwrap();
-        self.agent.send_to(&answer, to).await.unwrap();
+    async fn send_response(&self, to: SocketAddr, id: u64, granted: bool, wait_ms: u32) {
+        let response = PrefillResponse { id, given: granted, wait_ms, reading_us: 0 };
+        let response = postcard::to_stdvec(&PeerMessage::PrefillAnswer(response)).unwrap();
+        self.agent.send_to(&response, to).await.unwrap();
     }
 }
 
@@ -92,7 +92,7 @@
     let started_at = Instant::now();
     let _caller = setup.send_request().await;
     setup.engine.next().await.answer_whole(ID, "x").await;
-    assert!(started_at.elapsed() < SOON, "{:?}", started_at.elapsed());
+    assert!(started_at.elapsed() < MAX_PROMPT_DELAY, "{:?}", started_at.elapsed());
 }
 
 /// A request sent before its permit would pause other streams of the engine.
@@ -101,10 +101,10 @@
     let setup = setup().await;
     let _caller = setup.send_request().await;
     let (router, request) = setup.next_request().await;
-    setup.send_answer(router, request.id, false, 20).await;
-    let early = tokio::time::timeout(Duration::from_millis(60), setup.engine.next()).await;
-    assert!(early.is_err(), "sent before its permit");
-    setup.send_answer(router, request.id, true, 0).await;
+    setup.send_response(router, request.id, false, 20).await;
+    let sent = tokio::time::timeout(Duration::from_millis(60), setup.engine.next()).await;
+    assert!(sent.is_err(), "sent before its permit");
+    setup.send_response(router, request.id, true, 0).await;
     setup.engine.next().await.answer_whole(ID, "x").await;
 }
 
@@ -114,10 +114,10 @@
     let setup = setup().await;
     let _caller = setup.send_request().await;
     let (router, first) = setup.next_request().await;
-    setup.send_answer(router, first.id, false, 20).await;
-    let (router, again) = setup.next_request().await;
-    assert_eq!(again.id, first.id);
-    setup.send_answer(router, again.id, true, 0).await;
+    setup.send_response(router, first.id, false, 20).await;
+    let (router, second) = setup.next_request().await;
+    assert_eq!(second.id, first.id);
+    setup.send_response(router, second.id, true, 0).await;
     setup.engine.next().await.answer_whole(ID, "x").await;
 }
 
@@ -125,12 +125,12 @@
 #[tokio::test]
 async fn a_caller_whose_permit_would_be_late_is_rejected_at_once() {
     let setup = setup().await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut caller = setup.send_request().await;
     let (router, request) = setup.next_request().await;
-    setup.send_answer(router, request.id, false, 60_000).await;
+    setup.send_response(router, request.id, false, 60_000).await;
     let answer = common::read_all(&mut caller).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.to_lowercase().contains("retry-after: "), "{answer}");
-    assert!(began.elapsed() < SOON, "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < MAX_PROMPT_DELAY, "{:?}", started_at.elapsed());
 }
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -104,7 +104,7 @@
     loop {
         for index in 0..SIMULATED_ROUTERS {
             let strength = if index == 0 { u32::MAX } else { 1 };
-            let message = router_update(format!("said-{index}"), strength, *store.borrow());
+            let message = router_update(format!("simulated-{index}"), strength, *store.borrow());
             let message = postcard::to_stdvec(&message).unwrap();
             socket.send_to(&message, router).await.unwrap();
         }
@@ -137,12 +137,12 @@
     async fn start() -> Self {
         let store = MemoryStore::default();
         let target = Target::start().await;
-        store.config(common::config(1, vec![common::route("/one/", "desk")]));
-        store.target(target.entry("target-1", "desk"));
+        store.put_config(common::config(1, vec![common::route("/one/", "desk")]));
+        store.put_target(target.entry("target-1", "desk"));
         let (readers_store, followers_store) = (store.isolated(), store.isolated());
         let reader = RouterThread::start_on(&readers_store, settings("reader", 2_000, Vec::new()));
-        let weak = settings("follower", 1_000, vec![reader.peers]);
-        let follower = RouterThread::start_on(&followers_store, weak);
+        let follower_settings = settings("follower", 1_000, vec![reader.peers]);
+        let follower = RouterThread::start_on(&followers_store, follower_settings);
         let (simulated_store_use, receiver) = watch::channel(StoreUse::Reads);
         tokio::spawn(simulate_neighbours(follower.peers, receiver));
         reader.wait_ready().await;
@@ -176,15 +176,15 @@
 
     /// Time until the follower no longer answers 404 on a path.
     async fn time_until_known(&self, path: &str) -> Duration {
-        let began = tokio::time::Instant::now();
-        let ask = async {
+        let started_at = tokio::time::Instant::now();
+        let poll = async {
             let headers = [("x-id", "r"), ("x-deadline-ms", "200")];
             while common::get(self.follower.front, path, &headers).await.unwrap()[9..12] == *"404" {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(common::WAIT_LIMIT, ask).await.expect("the configuration is known");
-        began.elapsed()
+        tokio::time::timeout(common::WAIT_LIMIT, poll).await.expect("the configuration is known");
+        started_at.elapsed()
     }
 }
 
@@ -193,9 +193,9 @@
 async fn a_follower_receives_a_change_with_few_store_calls() {
     let zone = Zone::start().await;
     let before = (zone.followers_store.read_count(), zone.readers_store.read_count());
-    zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
-    let took = zone.time_until_known("/two/").await;
-    assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
+    zone.store.put_config(common::config(2, vec![common::route("/two/", "desk")]));
+    let elapsed = zone.time_until_known("/two/").await;
+    assert!(elapsed < zone.follower.settings.bounds.config_within, "in force after {elapsed:?}");
     tokio::time::sleep(COUNTING_TIME).await;
     let calls = zone.followers_store.read_count() - before.0;
     assert!(calls <= 2 * MAX_FOLLOWER_CALLS, "{calls} calls of the follower");
@@ -207,9 +207,9 @@
 async fn a_follower_receives_a_change_although_its_reader_has_lost_the_store() {
     let zone = Zone::start().await;
     zone.readers_store.set_unavailable(true);
-    zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
-    let took = zone.time_until_known("/two/").await;
-    assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
+    zone.store.put_config(common::config(2, vec![common::route("/two/", "desk")]));
+    let elapsed = zone.time_until_known("/two/").await;
+    assert!(elapsed < zone.follower.settings.bounds.config_within, "in force after {elapsed:?}");
 }
 
 /// Followers must notice a reader that ends without notice.
@@ -218,9 +218,9 @@
     let mut zone = Zone::start().await;
     zone.reader.stop();
     let other = Target::start().await;
-    zone.store.target(other.entry("target-2", "desk"));
-    zone.store.target_gone("target-1");
-    let ask = async {
+    zone.store.put_target(other.entry("target-2", "desk"));
+    zone.store.remove_target("target-1");
+    let poll = async {
         loop {
             let headers = [("x-id", "r"), ("x-deadline-ms", "300")];
             drop(common::get(zone.follower.front, "/one/1", &headers).await);
@@ -228,7 +228,7 @@
     };
     let served = async { other.next().await.answer_whole("r", "paid").await };
     tokio::select! {
-        () = ask => {}
+        () = poll => {}
         () = served => {}
     }
 }
@@ -243,8 +243,8 @@
     records.insert(subject, record("other", 2), 8);
     records.insert(subject, record("same", 3), 7);
     records.insert(subject, record("other", 4), 9);
-    let gone = Record { value: None, ..record("gone", 5) };
-    records.insert(subject, gone.clone(), 0);
+    let removed = Record { value: None, ..record("gone", 5) };
+    records.insert(subject, removed.clone(), 0);
     records.advance(subject, 6);
     let page = records.changes(subject, 3);
     let mut keys: Vec<_> = page.records.iter().map(|record| record.key.as_str()).collect();
@@ -272,7 +272,7 @@
     assert!(calls * 3 < readers_calls, "{calls} calls beside the reader's {readers_calls}");
     zone.store.set_down(false);
     zone.simulated_store_use.send(StoreUse::Reads).unwrap();
-    zone.store.config(common::config(2, vec![common::route("/two/", "desk")]));
-    let took = zone.time_until_known("/two/").await;
-    assert!(took < zone.follower.settings.bounds.config_within, "in force after {took:?}");
+    zone.store.put_config(common::config(2, vec![common::route("/two/", "desk")]));
+    let elapsed = zone.time_until_known("/two/").await;
+    assert!(elapsed < zone.follower.settings.bounds.config_within, "in force after {elapsed:?}");
 }
--- a/crates/corianderstand_forward/tests/stops.rs
+++ b/crates/corianderstand_forward/tests/stops.rs
@@ -26,8 +26,8 @@
         engine: Some(engine),
         ..Default::default()
     }];
-    store.config(config);
-    store.target(target.entry("target-1", "models"));
+    store.put_config(config);
+    store.put_target(target.entry("target-1", "models"));
 }
 
 /// Guards against closing the connection of a waiting request without a response.
@@ -51,8 +51,8 @@
 async fn a_late_request_is_refused_at_once() {
     let store = MemoryStore::default();
     let target = Target::start().await;
-    store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.target(target.entry("target-1", "desk"));
+    store.put_config(common::config(1, vec![common::route("/pay/", "desk")]));
+    store.put_target(target.entry("target-1", "desk"));
     let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
     // Keeps the router from exiting early.
@@ -72,8 +72,8 @@
 async fn a_response_during_shutdown_is_delivered() {
     let store = MemoryStore::default();
     let target = Target::start().await;
-    store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.target(target.entry("target-1", "desk"));
+    store.put_config(common::config(1, vec![common::route("/pay/", "desk")]));
+    store.put_target(target.entry("target-1", "desk"));
     let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
     let headers = [("x-id", "request-1")];
@@ -91,8 +91,8 @@
 async fn a_connection_opened_during_shutdown_is_answered() {
     let store = MemoryStore::default();
     let target = Target::start().await;
-    store.config(common::config(1, vec![common::route("/pay/", "desk")]));
-    store.target(target.entry("target-1", "desk"));
+    store.put_config(common::config(1, vec![common::route("/pay/", "desk")]));
+    store.put_target(target.entry("target-1", "desk"));
     let mut router = RouterThread::start_with(&store, "router-a", Vec::new(), STOP_WITHIN);
     router.wait_ready().await;
     router.stop();
--- a/crates/corianderstand_forward/tests/transfers.rs
+++ b/crates/corianderstand_forward/tests/transfers.rs
@@ -34,8 +34,8 @@
 async fn concurrent_transfers_are_limited() {
     let store = MemoryStore::default();
     let target = common::Target::start().await;
-    store.target(target.entry("target-1", "desk"));
-    store.large_config(common::config(1, vec![common::route("/pay/", "desk")]), 6_000_000);
+    store.put_target(target.entry("target-1", "desk"));
+    store.put_large_config(common::config(1, vec![common::route("/pay/", "desk")]), 6_000_000);
     let router = RouterThread::start(&store);
     router.wait_ready().await;
 
@@ -107,7 +107,7 @@
     tokio::spawn(announce_planner(router.peers));
     let started_at = Instant::now();
     for version in 1..=CHANGES {
-        store.config(common::config(version, vec![common::route("/pay/", "desk")]));
+        store.put_config(common::config(version, vec![common::route("/pay/", "desk")]));
         let announced = async {
             let mut buf = vec![0; 60_000];
             loop {
