--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -23,10 +23,9 @@
 use tokio::sync::Notify;
 
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Short while a command is executed, as requests wait until the agent sees it complete.
+/// Short, as requests wait until the agent sees the command complete.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(30);
-/// Interval between updates to routers while nothing changes; it grows with the number of routers to
-/// limit the load on small hosts.
+/// Interval between updates while nothing changes; grows with the number of routers.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 const UPDATE_INTERVAL_PER_ROUTER: Duration = Duration::from_millis(25);
 /// Routers consider an agent unresponsive after three of these.
@@ -36,8 +35,7 @@
 /// A planner that sends nothing for this long may be superseded by one of lower rank.
 const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_300);
 const ADAPTER_REQUEST_RETENTION: Duration = Duration::from_secs(8);
-/// A command whose effect is not observed within this time is considered lost and sent again. Both
-/// carry the same `after_orders`, so the engine executes at most one of them.
+/// A command without effect is sent again, with the same `after_orders` so that it executes once.
 const COMMAND_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Settings of an agent.
@@ -65,9 +63,8 @@
     received_at: Instant,
 }
 
-/// The engine's name, cached until it may have restarted. Not all engines report their start time, so
-/// a lower command count or a plan for another target also invalidates it; a stale name would make
-/// routers mistake the new engine for the old one.
+/// The engine's name, cached until the engine may have restarted: a lower command count or a plan for
+/// another target invalidates it too, as not all engines report their start time.
 #[derive(Clone, Debug)]
 struct EngineIdentity {
     name: Option<names::TargetId>,
@@ -100,10 +97,6 @@
 }
 
 /// Runs an agent until `stop` is done.
-///
-/// # Errors
-///
-/// See [`router::StartError`].
 pub fn run<E: dialect::EngineApi + 'static>(
     settings: Settings,
     clock: clock::SharedClock,
@@ -264,7 +257,7 @@
         BUSY_POLL_INTERVAL
     }
 
-    /// Reports to all routers that the engine's process has exited; repeated on each poll.
+    /// Repeated on each poll, as datagrams may be lost.
     fn send_engine_exited(&self) {
         let state = self.state.borrow();
         let (Some(plan), Some((_, last))) = (&state.plan, &state.last_update) else { return };
@@ -310,8 +303,7 @@
         }
     }
 
-    /// Reports to routers that this engine replaced the plan's target, so that they can plan for it
-    /// before it registers.
+    /// Reports that this engine replaced the plan's target, so that it is planned for before it registers.
     fn send_engine_replaced(
         &self,
         plan: &peers::EnginePlan,
@@ -326,7 +318,6 @@
         router_addresses(plan).for_each(|addr| self.outbox.send(addr, &replaced));
     }
 
-    /// Clears the ongoing command once it is complete or considered lost.
     fn finish_ongoing(&self, now: Instant, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let Some(ongoing) = &state.ongoing else { return };
@@ -425,8 +416,7 @@
         }
     }
 
-    /// Sends the engine's state: to all routers when its models change or an update is due, to recent
-    /// requesters when its adapters change.
+    /// Sends changes of models and periodic updates to all routers, changes of adapters to requesters.
     fn send_update(&self, now: Instant, plan: &peers::EnginePlan, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let update = report::engine_update(now, plan, report, state.ongoing.as_ref());
--- a/crates/corianderstand_forward/src/agent/permits.rs
+++ b/crates/corianderstand_forward/src/agent/permits.rs
@@ -53,7 +53,6 @@
         self.outbox.send(to, &PeerMessage::PrefillAnswer(response));
     }
 
-    /// Grants queued permits as they fall due.
     pub(super) async fn grant_permits(&self) {
         loop {
             let now = self.clock.now();
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -7,11 +7,11 @@
 use hyper::body::Incoming;
 use std::{rc::Rc, time::Duration};
 
-/// Subtracted from the target's deadline, so that its own timeout response arrives before ours is due.
+/// Lets the target's timeout response arrive before the router's own is due.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
-/// Multiple of the route's latency objective after which a request that may be retried is tried elsewhere.
+/// Latency objectives after which a request that may be retried is tried elsewhere.
 const RESPONSE_TIMEOUT_OBJECTIVES: u32 = 2;
-/// Keeps slow work, usually 0.3 s, from being taken for lost.
+/// Longer than slow requests usually take, 0.3 s.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How one attempt ended.
--- a/crates/corianderstand_forward/src/body.rs
+++ b/crates/corianderstand_forward/src/body.rs
@@ -13,7 +13,6 @@
 /// A buffered or streamed body.
 pub struct ResponseBody {
     source: Source,
-    /// Dropped with the body, when it was sent or the caller left.
     _guard: Option<Box<dyn Any>>,
 }
 
--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -1,7 +1,6 @@
 //! Fetching records from a peer when the store does not deliver them.
 //!
-//! As a transfer competes with reads of the store for the same link, there is one of a subject at a
-//! time, and the routers spread over their peers.
+//! Transfers compete with reads of the store for the link, so each subject has one at a time.
 
 use crate::{dialect::Subject, readers, router, transfer};
 use std::{
@@ -13,9 +12,9 @@
 use tokio::task::JoinHandle;
 use xxhash_rust::xxh3;
 
-/// A peer is queried after this fraction of `config_within` without data from the store.
+/// Fraction of `config_within` without data from the store after which a peer is queried.
 const STALLED_DIVISOR: u32 = 8;
-/// A peer is queried after this fraction of `config_within` even if the store still delivers data.
+/// The same while the store still delivers data.
 const SLOW_DIVISOR: u32 = 2;
 
 /// Progress of a router's reads and of its peers.
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -1,8 +1,7 @@
-//! HTTP client for calls whose whole response is buffered: to the store, or to the engine beside an
-//! agent.
+//! HTTP client that buffers whole responses, for calls to the store and to an agent's engine.
 //!
-//! Short responses have a timeout for the whole call. Long ones, such as a large configuration over a
-//! slow link, have an idle timeout only, so that a slow transfer isn't restarted from the beginning.
+//! Short responses have a timeout for the whole call, long ones an idle timeout only, so that a slow
+//! transfer isn't restarted from the beginning.
 
 use crate::pool;
 use bytes::{Bytes, BytesMut};
@@ -77,12 +76,7 @@
         Self { pool, clock }
     }
 
-    /// Sends a request and buffers its response within `limit`. `keep_alive` is the server's keep-alive
-    /// time, if known.
-    ///
-    /// # Errors
-    ///
-    /// See [`CallError`]; after [`CallError::NotSent`] nothing was sent.
+    /// Sends a request and buffers its response within `limit`; `keep_alive` is the server's, if known.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -102,10 +96,6 @@
     }
 
     /// Sends a request and buffers its response, limited only by the timeouts between frames.
-    ///
-    /// # Errors
-    ///
-    /// See [`CallError`]; after [`CallError::NotSent`] nothing was sent.
     pub async fn call_with_idle_timeout(
         &self,
         addr: SocketAddr,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -1,7 +1,6 @@
 //! The control protocol between routers and agents, over UDP.
 //!
-//! Each datagram is self-contained and sent again periodically, so a lost one only causes a short
-//! delay and nothing is acknowledged.
+//! Each datagram is self-contained and sent periodically, so nothing is acknowledged.
 
 use crate::{catch_up, dialect, follow, peers, planning, readers, router};
 use corianderstand_fleet::{choose, demand, targets};
@@ -18,7 +17,7 @@
 
 /// Interval between updates to the planner, and between hellos of the planner itself.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval between hellos of a router that does not plan.
+/// Interval between hellos of a router that is not the planner.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Batches a burst of first requests into one update and one plan.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
@@ -55,10 +54,6 @@
 }
 
 /// Binds the UDP socket.
-///
-/// # Errors
-///
-/// The address cannot be bound.
 pub async fn bind(addr: SocketAddr) -> Result<Rc<UdpSocket>, router::StartError> {
     let socket = UdpSocket::bind(addr).await;
     socket.map(Rc::new).map_err(|error| router::StartError::Listen { addr, error })
@@ -172,14 +167,13 @@
     }
 }
 
-/// Wakes the control loop for a new plan if this router is the planner.
 fn request_plan<P>(shared: &router::Shared<P>, now: Instant) {
     if planner(shared, now).is_none() {
         shared.control_wake.notify_one();
     }
 }
 
-/// Returns the planner's address, or none if this router is the planner.
+/// None if this router is the planner.
 fn planner<P>(shared: &router::Shared<P>, now: Instant) -> Option<SocketAddr> {
     let own = peers::Rank::new(shared.settings.strength, &shared.settings.name);
     shared.peers.borrow().planner(now, &own)
@@ -255,7 +249,6 @@
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
-/// Sends the demand at this router to the planner, and a hello to all routers when it is due.
 fn send_updates<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
@@ -356,7 +349,7 @@
     Some(wire::RequestedAdapter { model: requested.model.clone(), adapter })
 }
 
-/// Sends to each agent the adapters of requests in flight, so that these are not evicted.
+/// Keeps the adapters of requests in flight from being evicted.
 fn send_adapters_in_use<P>(shared: &router::Shared<P>, now: Instant, sent: &mut SendState) {
     let due =
         sent.adapters_at.is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -46,7 +46,7 @@
 /// What the router adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedRequest<'a> {
-    /// The intended target; any other refuses the request.
+    /// The intended target; any other rejects the request.
     pub target: &'a names::TargetId,
     /// Time until the deadline.
     pub time_left: Duration,
@@ -60,9 +60,9 @@
 #[derives(data)]
 #[derive(Default)]
 pub struct ResponseHead {
-    /// The target did not run the request and never will.
+    /// Whether the target did not run the request and never will.
     pub not_run: bool,
-    /// The target signed the response.
+    /// Whether the target signed the response.
     pub signed: bool,
     /// Id of the answered request.
     pub request: Option<SmolStr>,
@@ -72,7 +72,7 @@
     pub load: Option<targets::Load>,
     /// The target's keep-alive time.
     pub keep_alive: Option<Duration>,
-    /// The target closes the connection after this response.
+    /// Whether the target closes the connection after this response.
     pub closes_connection: bool,
 }
 
@@ -120,7 +120,7 @@
     pub records: Vec<Record>,
     /// Offset to continue from.
     pub next: u64,
-    /// Contains all keys: missing ones were deleted.
+    /// Whether all keys are present, so that missing ones were deleted.
     pub whole: bool,
 }
 
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -1,8 +1,7 @@
 //! Handles one request from its arrival to its response.
 //!
-//! A request is sent to one target at a time, and to another one only if the first did not run it
-//! (reported by the target, or nothing was written) or its route allows retries, within the limits of
-//! the route and the retry budget. An unanswered request is never reported as "not run".
+//! A request is sent to another target only if the first did not run it, or if its route allows
+//! retries, within the retry budget. A request with an unknown outcome is never reported as not run.
 
 use crate::{attempt, body::ResponseBody, decisions, dialect, job, router, stream, waiting};
 use bytes::Bytes;
@@ -28,24 +27,19 @@
 
 impl std::error::Error for Aborted {}
 
-/// Used where the caller sets no deadline.
+/// Applies if the caller sets no deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
-/// `Retry-After` of a router that is starting or stopping: a start reads the configuration within 0.5 s,
-/// and a new connection leads to another router.
+/// `Retry-After` of a router that is starting, which takes 0.5 s, or stopping.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(700);
-/// Longest wait for the configuration and targets at startup, at most this part of the caller's deadline.
+/// Longest wait for the configuration and targets, at most this fraction of the caller's timeout.
 const STARTUP_WAIT: Duration = Duration::from_millis(600);
 const STARTUP_WAIT_DIVISOR: u32 = 4;
 /// `Retry-After` when a target refused and no other may be tried.
 pub const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
 const MAX_UNEXECUTED_ATTEMPTS: u32 = 4;
 
-/// Handles one request.
-///
-/// # Errors
-///
-/// [`Aborted`] closes the caller's connection without a response.
+/// Handles one request; [`Aborted`] closes the caller's connection without a response.
 pub async fn handle_request<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     connection: &pause::Connection,
@@ -84,8 +78,7 @@
     if route.runs_at_most_once()
         && shared.pauses.may_predate_pause(shared.clock.since_boot(), connection)
     {
-        // It may have been in the socket while this process was paused, and its caller may have left
-        // and retried elsewhere. A caller that still waits retries.
+        // The request may have waited in the socket, and its caller may have retried elsewhere.
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
         let status = StatusCode::SERVICE_UNAVAILABLE;
         shared.log.refused(&request.id, &route.name, status, why, arrived, now);
@@ -143,7 +136,6 @@
     }
 }
 
-/// Waits until a starting router has the configuration and the targets, or a read of them failed.
 async fn wait_until_started<P: router::Platform>(shared: &router::Shared<P>) {
     loop {
         let update = shared.view.borrow_mut().waker(None);
@@ -183,7 +175,6 @@
     Ok((route.clone(), config.limits.body_bytes))
 }
 
-/// Tries targets until one responds or the request is refused.
 async fn dispatch<P: router::Platform>(
     shared: Rc<router::Shared<P>>,
     mut job: job::Job,
@@ -202,7 +193,7 @@
                 }
             }
             attempt::AttemptOutcome::NotSent => {
-                // Nothing was written, so it does not count against the route's targets.
+                // Does not count against the route's targets, as nothing was written.
                 job.tried.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "no connection to the target";
@@ -212,8 +203,7 @@
                 }
             }
             attempt::AttemptOutcome::NotRun => {
-                // It did not run, so it does not count against the route's targets. The target itself is
-                // excluded for a while, as it does not hold the model.
+                // Does not count against the route's targets; the target is excluded for a while anyway.
                 job.tried.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "the target did not run it";
@@ -243,7 +233,7 @@
         && shared.spend_retry(&job.service)
 }
 
-/// Forwards the response, or returns the job if it failed and another target is to be tried.
+/// Forwards the response, or returns the job if another target is to be tried.
 async fn forward_response<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
@@ -279,7 +269,7 @@
     Ok(Response::from_parts(head, ResponseBody::buffered(body)))
 }
 
-/// After an interrupted response, returns the job if another target may be tried, else the failure.
+/// Returns the job if another target may be tried after an interrupted response.
 fn retry_or_fail<P: router::Platform>(
     shared: &router::Shared<P>,
     mut job: job::Job,
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -1,8 +1,7 @@
 //! Replication of the store's configuration, targets and routers.
 //!
-//! Reads continue at the last known offset. If the store has discarded the records from there on,
-//! the newest record of each key is read instead. While the store does not respond, the known
-//! records stay in force and peers may provide newer ones ([`crate::catch_up`]).
+//! Reads continue at the last known offset, or with the newest record of each key if the store
+//! has discarded records. Known records stay in force while the store does not respond.
 
 pub mod via_readers;
 
@@ -23,15 +22,14 @@
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Share of `drain_within` between reads of the targets, which batches their renewals.
 const TARGETS_INTERVAL_RATIO: f64 = 0.4;
-/// The same for a router that others follow; their own intervals add to it.
+/// The same for a reader, whose followers add an interval of their own.
 const READER_INTERVAL_RATIO: f64 = 0.2;
 /// Minimum interval between reads of the targets when they are known to be outdated.
 const MIN_TARGETS_INTERVAL: Duration = Duration::from_millis(250);
 /// Routers learn of each other directly; reading them finds those that could not.
 const ROUTERS_INTERVAL: Duration = Duration::from_secs(8);
-/// Limits the number of calls to the store.
 const MIN_LONG_POLL_WAIT: Duration = Duration::from_millis(300);
-/// Delay after a failed call, so that a recovering store is not flooded.
+/// Keeps routers from flooding a recovering store.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Starts following all subjects.
@@ -102,7 +100,7 @@
     }
 }
 
-/// Waits until the next read of the targets is due, or sooner if one proves to be outdated.
+/// Returns early if a target proves to be outdated.
 async fn wait_before_targets_read<P>(shared: &router::Shared<P>, delay: Duration) {
     let outdated = async {
         tokio::time::sleep(MIN_TARGETS_INTERVAL).await;
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -11,13 +11,12 @@
 
 /// Share of `drain_within` between requests to a reader.
 const FOLLOWER_INTERVAL_RATIO: f64 = 0.1;
-/// How often a follower checks whether it still has readers.
 const ROLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Polls after which a router without readers tries the store itself.
 const FALLBACK_POLLS: u32 = 5;
 
-/// Lets readers read the subject for one interval. Returns false if this router should read the
-/// store now, because it has no readers or their records are too old.
+/// Waits for one interval. Returns false if this router should read the store now, because it has no
+/// readers or their records are too old.
 pub(super) async fn follow<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     subject: Subject,
@@ -59,8 +58,7 @@
     false
 }
 
-/// Handles an update of another router. If that router reads the store for this one and has no
-/// newer configuration, the own configuration counts as just read.
+/// Counts the configuration as just read if a reader of this router has no newer one.
 pub fn on_router_update<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
@@ -80,8 +78,7 @@
     }
 }
 
-/// Delays the next read after a failed one, and longer if other routers should be the readers, so
-/// that hundreds of routers don't overload a recovering store.
+/// Waits longer if other routers should read, so that many don't overload a recovering store.
 pub(super) async fn delay_retry<P: router::Platform>(shared: &router::Shared<P>, delay: Duration) {
     tokio::time::sleep(delay).await;
     for _ in 0..FALLBACK_POLLS {
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -11,12 +11,11 @@
     time::{Duration, Instant},
 };
 
-/// Callers leave an idle stream after this time, or this many of the route's latency or gap objectives,
-/// whichever is longest.
+/// Callers abandon a stream after the longest of this time and the objectives below.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
 const ABANDON_OBJECTIVES: u32 = 4;
 const ABANDON_GAPS: u32 = 8;
-/// Used where the caller gives no estimate.
+/// Applies if the caller sends no estimate.
 const DEFAULT_OUTPUT_TOKENS: u64 = 300;
 
 /// A request that was read and awaits its response.
@@ -96,7 +95,7 @@
         Some(Duration::from_secs_f64(uncached as f64 * s_per_token))
     }
 
-    /// When the caller is expected to leave if it receives nothing.
+    /// When the caller is expected to leave if it receives nothing more.
     pub fn abandoned_at(&self) -> Instant {
         if !self.route.streams {
             return self.deadline;
--- a/crates/corianderstand_forward/src/lib.rs
+++ b/crates/corianderstand_forward/src/lib.rs
@@ -7,8 +7,7 @@
 //! processes ([`peers`]). Wire names are specific to a platform and supplied by the traits of
 //! [`dialect`].
 //!
-//! Each process is single-threaded, so that relaying an event of a stream needs no cross-thread
-//! wake-up.
+//! Each process is single-threaded, so that relaying an event needs no cross-thread wake-up.
 
 pub mod agent;
 pub mod attempt;
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -1,9 +1,8 @@
 //! Membership of the other routers, and selection of the planner.
 //!
-//! The planner is the strongest responsive router that is fit to plan; ties go to the least name. No
-//! election is needed, as two planners at once cost at most a needless load: each agent follows the
-//! one of higher rank. Only the planner receives the demand of each router, which would saturate slow
-//! links if it were broadcast.
+//! The strongest responsive router that is fit to plan is the planner. No election is needed: if there
+//! are two, each agent follows the one of higher rank. Only the planner receives the demand of each
+//! router, as broadcasts would saturate slow links.
 
 use crate::{dialect, readers};
 use corianderstand_derives::derives;
@@ -17,12 +16,10 @@
     time::{Duration, Instant},
 };
 
-/// The next router plans when the planner is unresponsive for this long; spans four of its updates,
-/// so that packet loss alone does not cause a change.
+/// Spans four updates of the planner, so that packet loss alone does not cause a change.
 const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_100);
-/// Routers that send nothing for this long count as unresponsive; each sends a hello every second.
+/// Each router sends a hello every second.
 const PEER_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Routers that send nothing for this long are removed.
 const PEER_EXPIRY: Duration = Duration::from_secs(30);
 
 /// Order of routers for selecting the planner: by strength, then by least name.
@@ -77,8 +74,8 @@
         self.by_name.remove(name);
     }
 
-    /// Records an update, ignoring late datagrams of an earlier incarnation. After a response timeout
-    /// any incarnation is accepted, as a clock set back makes a restarted router look older.
+    /// Records an update, unless it is of an earlier incarnation. After a timeout any incarnation is
+    /// accepted, as a clock set back makes a restarted router look older.
     pub fn on_update(&mut self, now: Instant, addr: SocketAddr, update: peers::RouterUpdate) {
         let name = update.router.0.clone();
         self.add(now, name.clone(), addr);
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-/// Unchanged plans are resent: datagrams get lost, and agents expect signs of a live planner.
+/// Replaces lost datagrams and keeps agents from considering the planner unresponsive.
 const PLAN_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the planner and remembers which plan each engine was last sent.
@@ -49,7 +49,7 @@
         let engines = engine_views(shared, now, &service.name, spec);
         let models = model_views(shared, now, spec);
         let planned = self.planner.plan(now, &engines, &models);
-        // Agents without a report are included: their first plan tells them the routers' addresses.
+        // Agents without a report are included, as their first plan contains the routers' addresses.
         for engine in &engines {
             let Some(planned) = planned.get(&engine.key) else { continue };
             let parts = plan_parts(engine, planned, &models);
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -1,8 +1,7 @@
 //! Connection pool to targets and the store.
 //!
-//! A connection carries one request at a time. It is reused only well before the server's keep-alive
-//! time ends: whether a request that crosses a close was read is unknown, so one that must not be
-//! retried would fail. Unresponsive connections are found by request timeouts and `TCP_USER_TIMEOUT`.
+//! A connection carries one request at a time and is reused only well before the server's keep-alive
+//! time ends: it is unknown whether a request that crosses a close was read.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -26,9 +25,9 @@
 
 /// Servers are at most a few ms away.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Used where the server states no keep-alive time; common server defaults start at 5 s.
+/// Applies if the server states no keep-alive time; common defaults start at 5 s.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// The rest of the server's keep-alive time covers a slow host and a request in transit.
+/// Leaves time for a slow host and a request in transit.
 const KEEP_ALIVE_DIVISOR: u32 = 2;
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
@@ -113,8 +112,7 @@
         stream.set_nodelay(true)?;
         let socket = socket2::SockRef::from(&stream);
         socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
-        // Closing discards unsent data. Otherwise a request that is delayed by a link failure arrives
-        // when the link is back, long after its caller left.
+        // Closing discards unsent data, which must not arrive after its caller has left.
         socket.set_linger(Some(Duration::ZERO))?;
         let handshake = http1::handshake(ResetOnClose(TokioIo::new(stream))).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
@@ -126,8 +124,7 @@
         Ok(Lease { sender, addr, reused: false })
     }
 
-    /// Returns a connection whose response was read to its end. `keep_alive` is the time that the
-    /// server stated.
+    /// Returns a connection whose response was read; `keep_alive` is the time that the server stated.
     pub fn release(&self, now: Instant, lease: Lease, keep_alive: Option<Duration>) {
         let keep_alive =
             keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE * KEEP_ALIVE_DIVISOR) / KEEP_ALIVE_DIVISOR;
@@ -152,7 +149,7 @@
         self.idle.borrow_mut().remove(&addr);
     }
 
-    /// Prefers the most recently used connection: it is the least likely to be closing.
+    /// The most recently used connection is the least likely to be closing.
     fn pop_idle(&self, now: Instant, addr: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&addr)?;
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -1,7 +1,6 @@
-//! Client side of the prefill permits that an engine's agent grants.
+//! Client side of the prefill permits of an engine's agent ([`corianderstand_fleet::prefill`]).
 //!
-//! See [`corianderstand_fleet::prefill`] for their purpose. If the agent does not respond, the
-//! request is sent without a permit.
+//! If the agent does not respond, the request is sent without a permit.
 
 use crate::{job, router};
 use corianderstand_fleet::{targets, wait_limit};
@@ -17,7 +16,7 @@
 /// Covers a round trip between availability zones and the scheduling delays of a busy host.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
-/// Resends a request for a permit, in case it was granted and the datagram was lost.
+/// Covers the loss of the datagram that grants a permit.
 const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 /// Other engines are considered if the permit takes longer than this.
 const CHOOSE_AGAIN_WAIT: Duration = Duration::from_millis(40);
--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -1,8 +1,6 @@
 //! Selects the routers of a zone that read the store on behalf of the others.
 //!
-//! Each router derives its role from the others' updates, without an election, and reads the store
-//! itself when in doubt. Records carry the age of their read, so that a follower notices that its
-//! reader has lost the store.
+//! Each router derives its role from the others' updates and reads the store itself when in doubt.
 
 use crate::peers;
 use corianderstand_derives::derives;
@@ -10,9 +8,9 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3;
 
-/// More than one, so that followers don't all turn to the store when a reader is lost.
+/// Two, so that the loss of one does not send all followers to the store.
 const READER_COUNT: usize = 2;
-/// In smaller zones every router reads the store: the calls saved don't justify the added delay.
+/// In smaller zones the calls saved don't justify the added delay.
 const MIN_ROUTERS_WITH_READERS: usize = 9;
 
 /// Another router of the same zone with a recent update.
@@ -54,7 +52,7 @@
     if stronger.len() < READER_COUNT {
         return Role::ReadsAsFallback;
     }
-    // Sorts by a hash that differs by follower, which spreads followers over the readers.
+    // Spreads followers over the readers.
     let order = |addr: &SocketAddr| xxh3::xxh3_64(format!("{name} {addr}").as_bytes());
     let mut readers: Vec<_> = stronger.into_iter().map(|reader| reader.addr).collect();
     readers.sort_by_key(order);
--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -1,7 +1,6 @@
 //! Splits a server-sent event stream into whole events, so that it can be resumed at another target.
 //!
-//! A target may stop in the middle of an event, so only whole events of a resumable stream are
-//! forwarded. The next target is asked to continue after the id of the last one.
+//! A target may stop in the middle of an event; the next one continues after the last whole event.
 
 use bytes::{Bytes, BytesMut};
 
@@ -22,11 +21,7 @@
 }
 
 impl EventSplitter {
-    /// Appends bytes and returns the events that are complete.
-    ///
-    /// # Errors
-    ///
-    /// [`EventGap`] if the stream was resumed and its first event is not the next one.
+    /// Appends bytes and returns the events that are complete, or [`EventGap`].
     pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, EventGap> {
         if self.partial.is_empty() && chunk.ends_with(EVENT_END) {
             self.record(&chunk)?;
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -40,9 +40,8 @@
 #[derive(Debug)]
 struct StoredRecord {
     record: dialect::Record,
-    /// Hash of the content that ignores mere renewals.
     content_hash: u64,
-    /// Offset of the first record with this content.
+    /// Offset of the first record with this content; renewals don't advance it.
     changed_at_offset: u64,
 }
 
@@ -75,7 +74,7 @@
         Some(now.saturating_duration_since(at))
     }
 
-    /// Age of the last read of the store that preceded the arrival of records from this source.
+    /// Age of the last read before records of this source arrived.
     pub fn previous_read_age(
         &self,
         now: Instant,
@@ -171,7 +170,7 @@
         advanced
     }
 
-    /// Deletions implied by a page of all keys that lacks known ones.
+    /// Deletions of the known keys that a page of all keys lacks.
     pub fn removals(&self, subject: Subject, page: &dialect::Page) -> Vec<dialect::Record> {
         let Some(entry) = self.by_subject.get(&subject).filter(|_| page.whole) else {
             return Vec::new();
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -84,9 +84,9 @@
 /// Deadlines of a shutdown.
 #[derives(key)]
 pub struct StopDeadlines {
-    /// New requests are rejected from then on, as they might not complete before the process exits.
+    /// New requests are rejected from then on.
     pub reject_from: Instant,
-    /// Requests without a response head by then get an error response from the router.
+    /// Requests without a response head by then get an error response.
     pub respond_by: Instant,
 }
 
@@ -148,7 +148,7 @@
                 && !failed(dialect::Subject::Targets))
     }
 
-    /// Returns when a request without a response fails; a shutdown may bring this forward.
+    /// Deadline of the response, which a shutdown may bring forward.
     pub fn response_deadline(&self, job: &job::Job) -> Instant {
         self.stopping.get().map_or(job.deadline, |stop| job.deadline.min(stop.respond_by))
     }
@@ -231,7 +231,7 @@
             && matches!(self.choose(now, job), choose::Choice::Send(_))
     }
 
-    /// Returns when the model or capacity that a request waits for is expected.
+    /// Estimates when the model or capacity that a request waits for is available.
     pub fn expected_readiness(
         &self,
         now: Instant,
@@ -337,8 +337,7 @@
         let Some(target) = view.targets.get_mut(key) else { return };
         self.log.attempt_failed(job, "the target did not run it", Some(status.as_u16()), now);
         if answered_by.is_some_and(|other| *other != target.entry.id) {
-            // Another target has its address now. The outdated entry may remain in the store for
-            // long, and each request sent to it would fail.
+            // The address was reused, but the outdated entry may remain in the store for long.
             tracing::info!(target = %target.entry.id, by = ?answered_by, "target replaced");
             target.entry.draining = true;
             self.targets_outdated.notify_one();
@@ -374,10 +373,6 @@
 impl std::error::Error for StartError {}
 
 /// Runs a router until `stop` is done and the requests in progress are answered.
-///
-/// # Errors
-///
-/// See [`StartError`].
 pub fn run<P: Platform>(
     settings: Settings,
     clock: clock::SharedClock,
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -17,16 +17,13 @@
     sync::watch,
 };
 
-/// Holds a burst of reconnects after a host fails; a SYN that is dropped is resent only after 1 s.
+/// Holds a burst of reconnects: a dropped SYN is resent only after 1 s.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// A stopping router accepts connections for this long: load balancers check readiness each second and
-/// act on the second failure.
+/// Load balancers check readiness each second and act on the second failure.
 const READINESS_GRACE: Duration = Duration::from_millis(2_600);
-/// Pending requests are answered this long before the stop timeout, rather than closed without a
-/// response.
+/// Subtracted from the stop timeout: requests are answered before their connections are closed.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
-/// Open connections are closed this long before the stop timeout, so that callers see a close rather
-/// than a dead host.
+/// Subtracted from the stop timeout: callers see a closed connection rather than a dead host.
 const CLOSE_MARGIN: Duration = Duration::from_millis(400);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Smallest buffer that hyper accepts.
@@ -107,7 +104,7 @@
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
-/// Accepts a connection and records in the pause detector when none is pending.
+/// Records in the pause detector when no connection is pending.
 async fn accept_caller(pauses: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
     let mut accept = pin!(accept(listener));
     future::poll_fn(|cx| pauses.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
@@ -155,8 +152,7 @@
         respond_by: stopping_since + stop_timeout.saturating_sub(RESPONSE_MARGIN),
     }));
     tracing::info!(open = shared.open_requests.get(), "stopping: readiness withdrawn");
-    // Active connections close after their response, idle ones now. A request that arrives on a
-    // closing connection is not read, so its caller may retry it.
+    // Idle connections close now, active ones after their response; later requests are not read.
     closing.send_replace(true);
     loop {
         let now = shared.clock.now();
@@ -209,8 +205,7 @@
                 }
                 _ = closing.wait_for(|closing| *closing), if !notified => {
                     notified = true;
-                    // On a new connection the first request may be on its way: its response will
-                    // carry `Connection: close`.
+                    // A new connection's first request may be on its way; it is answered `Connection: close`.
                     if served.get() {
                         connection.as_mut().graceful_shutdown();
                     }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -11,9 +11,9 @@
     time::{Duration, Instant},
 };
 
-/// Multiple of the route's gap objective after which a stream is resumed elsewhere.
+/// Gap objectives after which a stream is resumed elsewhere.
 const IDLE_TIMEOUT_GAPS: u32 = 5;
-/// Used where the route has no gap objective.
+/// Applies if the route has no gap objective.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Lets the target end the stream itself at the deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
@@ -75,11 +75,8 @@
     }
 }
 
-/// Waits for the first event and returns the response with the stream.
-///
-/// # Errors
-///
-/// The job and why there was no event; nothing was sent to the caller yet.
+/// Waits for the first event and returns the response with the stream, or the job and why there was no
+/// event.
 pub async fn start<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
@@ -237,7 +234,7 @@
         Some(Err(aborted))
     }
 
-    /// Continues at another target after the last event that was sent.
+    /// Continues at another target after the last whole event.
     async fn resume(&mut self, why: &'static str) -> bool {
         let now = self.shared.clock.now();
         self.shared.log.attempt_failed(&self.job, why, None, now);
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -1,9 +1,7 @@
-//! Transfer of replicated store records from router to router.
+//! Transfer of replicated store records from router to router ([`crate::catch_up`]).
 //!
-//! A router that the store refuses, or that starts during a store outage, requests the records of a peer
-//! ([`crate::catch_up`]). They keep the store's offsets, so older records never replace newer ones.
-//!
-//! A transfer has an idle timeout only: a large configuration may take seconds on a slow link.
+//! Records keep the store's offsets, so older ones never replace newer ones. A transfer has an idle
+//! timeout only, as a large configuration may take seconds on a slow link.
 
 use crate::{dialect, follow, replicated_records, router};
 use bytes::{Bytes, BytesMut};
@@ -18,12 +16,11 @@
 };
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// 13 ms of a 10 Mbit/s link, so that each of many transfers makes progress within the idle timeout.
+/// Small, so that each of many transfers makes progress within the idle timeout.
 const CHUNK_BYTES: usize = 16 << 10;
 /// A configuration has 4 MB at most, the entries of 730 engines under 1 MB.
 const MAX_TRANSFER_BYTES: usize = 8 << 20;
-/// When many routers start during a store outage, the first ones served can serve the others; all at
-/// once would share the link and none would finish in time.
+/// If many routers start at once, those served first serve the others.
 const MAX_CONCURRENT_TRANSFERS: usize = 2;
 const ACCEPT_BACKOFF: Duration = Duration::from_secs(1);
 
@@ -99,7 +96,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct RecordsRequest {
     subject: dialect::Subject,
-    /// Requests only changes from this offset on.
+    /// Offset from which changes are requested; none for all records.
     from: Option<u64>,
 }
 
@@ -112,7 +109,7 @@
 /// Outcome of a transfer.
 #[derives(key)]
 pub enum TransferOutcome {
-    /// The records were applied; the peer, or the one it follows, read the store this long ago, if ever.
+    /// Records were applied that were read from the store this long ago, if known.
     Applied(Option<Duration>),
     /// The peer is at its transfer limit, or has stopped.
     Refused,
@@ -145,8 +142,7 @@
     apply(shared, reader, subject, response)
 }
 
-/// Fetches and applies a peer's records of a subject, which reach up to `next`. Stops early once the
-/// store has returned as much.
+/// Fetches and applies a peer's records, unless the store returns those before `next` first.
 pub async fn fetch<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     peer: SocketAddr,
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -57,8 +57,7 @@
         self.table.as_ref()?.config().service(name)
     }
 
-    /// Estimates when an engine that holds the model can load an adapter. An engine executes one
-    /// command at a time, and a load from the weight store takes seconds.
+    /// Estimates when an engine can load an adapter; it executes one command at a time.
     pub fn adapter_readiness(&self, key: targets::TargetKey) -> wait_limit::Readiness {
         match self.targets.get(key).and_then(|target| target.ongoing.as_ref()) {
             Some(targets::Ongoing::Loading { ready_at, .. }) => {
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -5,12 +5,12 @@
 use corianderstand_types::names;
 use std::{rc::Rc, time::Duration};
 
-/// Resends an adapter request whose datagram or response may have been lost.
+/// Covers the loss of an adapter request or its response.
 const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(60);
-/// Polls for a target even if no notification arrives.
+/// Covers a missed notification.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Choices that may be abandoned because of a long wait for a prefill permit.
+/// Targets that may be given up because of a long wait for a prefill permit.
 const MAX_ABANDONED_CHOICES: u32 = 2;
 
 /// A request for which no target is available in time.
@@ -112,7 +112,6 @@
     }
 }
 
-/// Counts a request as waiting for a model until it is dropped.
 struct WaitingGuard<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     model: names::ModelId,
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -17,7 +17,6 @@
 
 const STARTED_AT_MS: u64 = 10;
 
-/// State of an in-memory engine, and the commands that it received.
 #[derive(Default)]
 struct EngineState {
     holdings: targets::Holdings,
@@ -110,7 +109,6 @@
         Self { engine, router, agent: listen, _stop: stop }
     }
 
-    /// Sends a plan for exactly these models.
     async fn plan(&self, planner: &str, serial: u64, models: &[&str]) {
         self.plan_for("engine", planner, serial, models).await;
     }
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -26,7 +26,7 @@
     (router, one, two)
 }
 
-/// Returns the request from the target that received it, and the other target.
+/// Returns the received request and the target that did not receive it.
 async fn receive<'a>(one: &'a Target, two: &'a Target) -> (ReceivedRequest, &'a Target) {
     tokio::select! {
         request = one.next() => (request, two),
@@ -65,8 +65,7 @@
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("paid"), "{answer}");
 }
 
-/// A payment is lost with its connection before the response. A caller that receives "not run" would pay
-/// twice.
+/// Guards against double payments: a caller retries a request that is reported as not run.
 #[tokio::test]
 async fn a_payment_with_an_unknown_outcome_is_not_reported_as_not_run() {
     let (router, one, two) = start_with_two_targets(non_retryable()).await;
@@ -103,7 +102,7 @@
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("found"));
 }
 
-/// A target sends the response to an earlier request. The caller would receive another caller's data.
+/// Guards against sending one caller's data to another.
 #[tokio::test]
 async fn an_answer_to_another_request_reaches_nobody() {
     let (router, one, two) = start_with_two_targets(non_retryable()).await;
@@ -115,7 +114,7 @@
     assert!(answer.starts_with("HTTP/1.1 502") && !answer.contains("somebody"), "{answer}");
 }
 
-/// A target crashes in the middle of an event. The caller must receive each event once, and the end.
+/// Each event must arrive once, even if a target crashes in the middle of one.
 #[tokio::test]
 async fn a_stream_resumes_at_another_target_after_its_last_whole_event() {
     let (router, one, two) = start_with_two_targets(resumable()).await;
@@ -137,7 +136,7 @@
     assert!(answer.ends_with("0\r\n\r\n"), "the last chunk is sent");
 }
 
-/// The target that resumes a stream skips events. The caller would miss them without notice.
+/// Guards against a resumed stream that skips events without notice.
 #[tokio::test]
 async fn a_stream_with_missing_events_is_aborted() {
     let (router, one, two) = start_with_two_targets(resumable()).await;
@@ -171,8 +170,7 @@
     assert!(!answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-/// A caller leaves while its request is at a target. The connection must be reset rather than closed, so
-/// that undelivered data is discarded.
+/// The connection must be reset rather than closed, so that undelivered data is discarded.
 #[tokio::test]
 async fn a_request_is_cancelled_when_its_caller_leaves() {
     let (router, one, two) = start_with_two_targets(non_retryable()).await;
@@ -185,8 +183,7 @@
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
 }
 
-/// An engine's address is reused by another one while its entry stays because of a store outage. Requests
-/// sent there are refused although the other engine is free.
+/// An outdated entry may remain in the store for the whole of an outage.
 #[tokio::test]
 async fn a_target_whose_address_was_reused_gets_no_more_requests() {
     let store = MemoryStore::default();
@@ -247,8 +244,7 @@
     assert!(text.contains("request_seconds_bucket"), "{text}");
 }
 
-/// An engine crashes in the middle of a stream and another one loads the model a second later. The wait
-/// must start at the last event: counted from the request's arrival, it would already be over.
+/// The wait limit must count from the last event, not from the request's arrival.
 #[tokio::test]
 async fn a_long_stream_waits_for_its_model_at_another_target() {
     let store = MemoryStore::default();
@@ -294,8 +290,7 @@
     assert!(answer.contains("data: y") && answer.ends_with("0\r\n\r\n"), "{answer}");
 }
 
-/// An engine that executes a command for 5 s can load no adapter meanwhile. Requests for an adapter must
-/// be refused with the time to retry, instead of held until their callers leave.
+/// Guards against holding requests while their engine executes a long command.
 #[tokio::test]
 async fn a_request_for_an_adapter_that_cannot_come_in_time_is_refused_at_once() {
     let store = MemoryStore::default();
@@ -351,8 +346,7 @@
     );
 }
 
-/// Operators remove the retry budget to relieve overloaded targets, and restore it later. A router that
-/// reads its settings at startup only would keep retrying.
+/// Operators remove the retry budget to relieve overloaded targets.
 #[tokio::test]
 async fn changed_settings_apply_without_a_restart() {
     let (router, one, two) = start_with_two_targets(retryable()).await;
--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -30,8 +30,7 @@
     }
 }
 
-/// Time after `start` at which a peer is queried; `last_received_at` returns when the store last
-/// delivered data.
+/// Time until a peer is queried, by when the store last delivered data.
 fn time_until_query(
     start: Instant,
     last_received_at: impl Fn(Instant) -> Option<Instant>,
@@ -44,8 +43,7 @@
     queries.next().map(|now| now - start)
 }
 
-/// A transfer of a configuration that the store is delivering would cross the link twice and delay
-/// both.
+/// The configuration would cross the link twice.
 #[test]
 fn no_peer_is_queried_while_the_store_delivers() {
     let start = Instant::now();
@@ -60,7 +58,6 @@
     let start = Instant::now();
     let after = time_until_query(start, |_| None);
     assert!(after.is_some_and(|after| after < CONFIG_WITHIN / 4), "{after:?}");
-    // Earlier data does not count.
     let after = time_until_query(start, |_| start.checked_sub(CONFIG_WITHIN));
     assert!(after.is_some_and(|after| after < CONFIG_WITHIN / 4), "{after:?}");
 }
@@ -72,8 +69,7 @@
     assert!(Lag::default().peer_to_query(now, &progress(&ahead, None, true)).is_some());
 }
 
-/// A router without a configuration rejects all requests, so it doesn't wait for an unresponsive
-/// store.
+/// A router without a configuration rejects all requests.
 #[test]
 fn a_starting_router_queries_a_peer_at_once() {
     let (now, ahead) = (Instant::now(), [(9, peer(1))]);
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -221,8 +221,7 @@
     }
 }
 
-/// Test ports lie below the ephemeral range, so that the system assigns none of them between the check
-/// and the bind.
+/// Below the ephemeral range, so that the system assigns no port between the check and the bind.
 const FIRST_PORT: u32 = 20_000;
 const PORTS_PER_PROCESS: u32 = 12;
 const PROCESS_SLOTS: u32 = 1_000;
@@ -342,7 +341,6 @@
     }
 }
 
-/// Sends a GET request and returns the whole response as text.
 pub async fn get(
     addr: SocketAddr,
     path: &str,
--- a/crates/corianderstand_forward/tests/following.rs
+++ b/crates/corianderstand_forward/tests/following.rs
@@ -14,7 +14,6 @@
     answer.unwrap()[9..12].to_owned()
 }
 
-/// Waits until a path is answered with this status.
 async fn wait_for_status(router: &RouterThread, path: &str, expected: &str) {
     let poll = async {
         while status(router, path).await != expected {
@@ -76,7 +75,6 @@
     assert_ne!(status(&router, "/new/").await, "404");
 }
 
-/// An undecodable target entry must not affect the others.
 #[tokio::test]
 async fn an_undecodable_entry_does_not_affect_others() {
     let store = MemoryStore::default();
@@ -92,7 +90,6 @@
     assert!(common::read_all(&mut caller).await.unwrap().ends_with("paid"));
 }
 
-/// A router without access to the store fetches the configuration from its peer.
 #[tokio::test]
 async fn a_router_without_the_store_fetches_from_its_peer() {
     let store = MemoryStore::default();
@@ -107,8 +104,7 @@
     wait_for_status(&router, "/other/", "404").await;
 }
 
-/// A connection that dies before a change must be abandoned early enough to read again within the
-/// limit.
+/// A dead connection must be abandoned early enough to read again within the limit.
 #[rstest::rstest]
 #[case::two_seconds(2)]
 #[case::three_seconds(3)]
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -1,7 +1,4 @@
-//! Large configurations over slow links.
-//!
-//! Guards against concurrent transfers of the same document, which delay each other until all time
-//! out.
+//! Large configurations over slow links, where concurrent transfers would delay each other.
 
 mod common;
 
@@ -11,7 +8,7 @@
 };
 use std::time::Duration;
 
-/// A transfer of the document takes 0.9 s over the link.
+/// Takes 0.9 s over the link.
 const DOCUMENT_BYTES: usize = 900_000;
 const LINK_BYTES_PER_S: usize = 1_000_000;
 
@@ -80,8 +77,7 @@
     assert!(connections <= 2, "{connections} transfers for one document");
 }
 
-/// Guards against a transfer from a peer while the store is delivering the document. The time limit
-/// is long, so that the store does not seem stalled on a slow machine.
+/// The time limit is long, so that the store does not seem stalled on a slow machine.
 #[tokio::test]
 async fn no_transfer_competes_with_a_read_in_progress() {
     let pair = Pair::start(Duration::from_secs(20), MemoryStore::over_link).await;
--- a/crates/corianderstand_forward/tests/planning.rs
+++ b/crates/corianderstand_forward/tests/planning.rs
@@ -37,7 +37,6 @@
     }
 }
 
-/// Waits until only this router has sent plans for a second.
 async fn wait_for_planner(agent: &UdpSocket, name: &str) -> EnginePlan {
     let started_at = Instant::now();
     let mut sole_planner_since = started_at;
--- a/crates/corianderstand_forward/tests/prefill_permits.rs
+++ b/crates/corianderstand_forward/tests/prefill_permits.rs
@@ -24,7 +24,6 @@
     agent: UdpSocket,
 }
 
-/// A router, an engine that holds the model `m`, and the socket of its responsive agent.
 async fn setup() -> Setup {
     let store = MemoryStore::default();
     let engine = Target::start().await;
@@ -66,7 +65,6 @@
         common::send(self.router.front, "POST", "/ask/1", &headers, "").await.unwrap()
     }
 
-    /// Receives the router's next permit request.
     async fn next_request(&self) -> (SocketAddr, PrefillRequest) {
         let mut buf = vec![0; 65_536];
         loop {
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -17,9 +17,7 @@
 
 /// Simulated routers in the zone, in addition to the running ones.
 const SIMULATED_ROUTERS: usize = 8;
-/// Interval between updates of the simulated routers.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
-/// How long calls are counted.
 const COUNTING_TIME: Duration = Duration::from_secs(2);
 /// Maximum calls of a follower in that time: one whenever both readers are busy.
 const MAX_FOLLOWER_CALLS: usize = 3;
@@ -97,8 +95,7 @@
     })
 }
 
-/// Sends updates of simulated routers. The strongest of them acts as the second reader and refuses
-/// all transfers.
+/// The strongest simulated router acts as the second reader and refuses all transfers.
 async fn simulate_neighbours(router: SocketAddr, store: watch::Receiver<StoreUse>) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     loop {
@@ -112,7 +109,6 @@
     }
 }
 
-/// Settings with the time limits of a small deployment.
 fn settings(name: &str, strength: u32, seeds: Vec<SocketAddr>) -> router::Settings {
     let mut settings = RouterThread::settings(name, seeds, Duration::from_secs(8));
     settings.strength = strength;
--- a/crates/corianderstand_forward/tests/stops.rs
+++ b/crates/corianderstand_forward/tests/stops.rs
@@ -9,7 +9,7 @@
 
 const STOP_WITHIN: Duration = Duration::from_secs(3);
 
-/// Configures a service whose only model is not loaded, so that its requests wait.
+/// Its only model is not loaded, so that requests wait.
 fn cold_service(store: &MemoryStore, target: &Target) {
     let mut config = common::config(1, vec![common::route("/ask/", "models")]);
     let model = Model {
--- a/crates/corianderstand_forward/tests/transfers.rs
+++ b/crates/corianderstand_forward/tests/transfers.rs
@@ -15,7 +15,6 @@
 
 /// Requests the whole configuration, in a frame of two bytes.
 const REQUEST: [u8; 6] = [0, 0, 0, 2, 0, 0];
-/// How much a slow peer reads at a time, and how often.
 const READ_BYTES: usize = 16 << 10;
 const READ_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -28,8 +27,7 @@
     stream
 }
 
-/// Many routers restart during a store outage and request a large configuration from the same peer. All
-/// at once, no transfer would finish in time.
+/// Concurrent transfers would share the link, and none would finish in time.
 #[tokio::test]
 async fn concurrent_transfers_are_limited() {
     let store = MemoryStore::default();
@@ -72,7 +70,7 @@
     tokio::time::timeout(common::WAIT_LIMIT, retry).await.expect("the next transfer is served");
 }
 
-/// Keeps announcing a stronger router, so that `router` doesn't become the planner.
+/// Keeps `router` from becoming the planner.
 async fn announce_planner(router: SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let update = RouterUpdate {
@@ -94,8 +92,7 @@
     }
 }
 
-/// A router without access to the store learns of changes from its peers. Announced only with the next
-/// periodic message, each change would be up to a second late.
+/// Announced with the next periodic message only, each change would be up to a second late.
 #[tokio::test]
 async fn a_change_is_announced_at_once() {
     const CHANGES: u64 = 10;
