--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -1,7 +1,6 @@
 //! The control protocol between routers and agents, over UDP.
 //!
-//! Each datagram is self-contained and sent again periodically, so a lost one only causes a short
-//! delay and nothing is acknowledged.
+//! Each datagram is self-contained and sent periodically, so nothing is acknowledged.
 
 use crate::{catch_up, dialect, follow, peers, planning, readers, router};
 use corianderstand_fleet::{choose, demand, targets};
@@ -18,7 +17,7 @@
 
 /// Interval between updates to the planner, and between hellos of the planner itself.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval between hellos of a router that does not plan.
+/// Interval between hellos of a router that is not the planner.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Batches a burst of first requests into one update and one plan.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
@@ -55,10 +54,6 @@
 }
 
 /// Binds the UDP socket.
-///
-/// # Errors
-///
-/// The address cannot be bound.
 pub async fn bind(addr: SocketAddr) -> Result<Rc<UdpSocket>, router::StartError> {
     let socket = UdpSocket::bind(addr).await;
     socket.map(Rc::new).map_err(|error| router::StartError::Listen { addr, error })
@@ -111,11 +106,11 @@
             }
         }
         PeerMessage::EngineNews(update) => on_engine_update(shared, now, from, update),
-        PeerMessage::EngineGone(gone) => {
+        PeerMessage::EngineGone(exit) => {
             let is_known =
-                shared.view.borrow_mut().targets.record_exit(now, &gone.target, gone.born);
+                shared.view.borrow_mut().targets.record_exit(now, &exit.target, exit.born);
             if is_known {
-                tracing::info!(target = %gone.target, "target exited, as its agent reports");
+                tracing::info!(target = %exit.target, "target exited, as its agent reports");
                 request_plan(shared, now);
             }
         }
@@ -128,7 +123,7 @@
                 request_plan(shared, now);
             }
         }
-        PeerMessage::PrefillAnswer(answer) => shared.prefill_permits.on_answer(&answer),
+        PeerMessage::PrefillAnswer(response) => shared.prefill_permits.on_response(&response),
         PeerMessage::EnginePlan(_)
         | PeerMessage::AdaptersAsked(_)
         | PeerMessage::PrefillAsked(_)
@@ -147,11 +142,11 @@
     let report = to_report(now, update);
     let mut view = shared.view.borrow_mut();
     let table = view.table.clone();
-    let is_engines = |name: &names::ServiceId| {
+    let has_engine = |name: &names::ServiceId| {
         let service = table.as_ref().and_then(|table| table.config().service(name));
         service.is_some_and(|service| service.engine.is_some())
     };
-    if view.targets.infer_successor(now, &report.id, report.started_at_ms, from.ip(), is_engines) {
+    if view.targets.infer_successor(now, &report.id, report.started_at_ms, from.ip(), has_engine) {
         tracing::info!(target = %report.id, "target discovered from its agent");
     }
     let Some(key) = view.targets.key(&report.id) else { return };
@@ -172,14 +167,13 @@
     }
 }
 
-/// Wakes the control loop for a new plan if this router is the planner.
 fn request_plan<P>(shared: &router::Shared<P>, now: Instant) {
     if planner(shared, now).is_none() {
         shared.control_wake.notify_one();
     }
 }
 
-/// Returns the planner's address, or none if this router is the planner.
+/// None if this router is the planner.
 fn planner<P>(shared: &router::Shared<P>, now: Instant) -> Option<SocketAddr> {
     let own = peers::Rank::new(shared.settings.strength, &shared.settings.name);
     shared.peers.borrow().planner(now, &own)
@@ -255,7 +249,6 @@
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
-/// Sends the demand at this router to the planner, and a hello to all routers when it is due.
 fn send_updates<P: router::Platform>(
     shared: &router::Shared<P>,
     now: Instant,
@@ -351,12 +344,12 @@
 }
 
 /// Converts a requested model to its adapter on the wire, if it has one.
-pub fn adapter_request(requested: &choose::RequestedModel) -> Option<wire::RequestedAdapter> {
+pub fn to_requested_adapter(requested: &choose::RequestedModel) -> Option<wire::RequestedAdapter> {
     let adapter = requested.adapter.clone()?;
     Some(wire::RequestedAdapter { model: requested.model.clone(), adapter })
 }
 
-/// Sends to each agent the adapters of requests in flight, so that these are not evicted.
+/// Keeps the adapters of requests in flight from being evicted.
 fn send_adapters_in_use<P>(shared: &router::Shared<P>, now: Instant, sent: &mut SendState) {
     let due =
         sent.adapters_at.is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
@@ -364,15 +357,15 @@
         return;
     }
     sent.adapters_at = Some(now);
-    let used: Vec<_> = {
+    let in_use: Vec<_> = {
         let view = shared.view.borrow();
-        let used = view.targets.iter().map(|(key, target)| {
-            let adapters = target.in_flight.keys().filter_map(adapter_request);
+        let in_use = view.targets.iter().map(|(key, target)| {
+            let adapters = target.in_flight.keys().filter_map(to_requested_adapter);
             (key, adapters.collect::<Vec<_>>())
         });
-        used.filter(|(_, adapters)| !adapters.is_empty()).collect()
+        in_use.filter(|(_, adapters)| !adapters.is_empty()).collect()
     };
-    for (key, adapters) in used {
+    for (key, adapters) in in_use {
         request_adapters(shared, key, adapters);
     }
 }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -26,7 +26,7 @@
     /// Number of times another target resumed the stream.
     pub resumes: u32,
     /// Intervals between the events.
-    pub pace: stream::EventTimings,
+    pub timings: stream::EventTimings,
 }
 
 /// Each kind has its own rate limit, so that a flood of one does not suppress the others.
@@ -68,7 +68,7 @@
         let agent_age_ms = target.agent_last_received_at.map(|at| millis_between(now, at));
         let version = view.table.as_ref().map(|table| table.config().version);
         tracing::info!(
-            id = %job.call.id,
+            id = %job.request.id,
             route = %job.route.name,
             at = %target.entry.id,
             model = job.model().map(names::ModelId::as_str),
@@ -91,7 +91,7 @@
                 wait_limit::Readiness::AtCapacity | wait_limit::Readiness::Unknown => None,
             };
             let model = job.model().map(names::ModelId::as_str);
-            tracing::info!(id = %job.call.id, model, why, ready_in_ms, waited_ms, "waits");
+            tracing::info!(id = %job.request.id, model, why, ready_in_ms, waited_ms, "waits");
         }
     }
 
@@ -100,7 +100,7 @@
         self.metrics.attempt_failed(why);
         if self.may_log(LineKind::Attempt, now) {
             let (at, ms) = (job.last_target.as_str(), millis_between(now, job.arrived));
-            tracing::info!(id = %job.call.id, at, why, status, ms, "attempt failed");
+            tracing::info!(id = %job.request.id, at, why, status, ms, "attempt failed");
         }
     }
 
@@ -117,7 +117,7 @@
                 (millis_between(now, job.arrived), job.tried.len(), status.as_u16());
             let failure_score = job.last_failure;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
-            tracing::info!(id = %job.call.id, route = %job.route.name, status, how, trouble = failure_score, tried, ms, aim_ms = latency_objective_ms, "answered");
+            tracing::info!(id = %job.request.id, route = %job.route.name, status, how, trouble = failure_score, tried, ms, aim_ms = latency_objective_ms, "answered");
         }
     }
 
@@ -126,17 +126,17 @@
         let kind = if end.how == "whole" { LineKind::Answered } else { LineKind::Failed };
         let outcome = if kind == LineKind::Failed { end.how } else { "answered" };
         self.metrics.request_ended(job, outcome, now);
-        self.metrics.stream_ended(job, &end.pace);
+        self.metrics.stream_ended(job, &end.timings);
         if self.may_log(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
             let (total_ms, tried) = (millis_between(now, job.arrived), job.tried.len());
-            let first_ms = end.pace.first_at.map(|first| millis_between(first, job.arrived));
-            let longest_pause_ms = end.pace.longest_gap.as_millis() as u64;
+            let first_ms = end.timings.first_at.map(|first| millis_between(first, job.arrived));
+            let longest_pause_ms = end.timings.longest_gap.as_millis() as u64;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
             let gap_objective_ms = job.route.gap_objective.map(|gap| gap.as_millis() as u64);
             let target = job.last_target.as_str();
             let model = job.model().map(names::ModelId::as_str);
-            tracing::info!(id = %job.call.id, route = %job.route.name, at = target, model, prompt = job.call.prompt_tokens, how, events, resumes, tried, first_ms, longest_pause_ms, ms = total_ms, aim_ms = latency_objective_ms, pause_aim_ms = gap_objective_ms, "streamed");
+            tracing::info!(id = %job.request.id, route = %job.route.name, at = target, model, prompt = job.request.prompt_tokens, how, events, resumes, tried, first_ms, longest_pause_ms, ms = total_ms, aim_ms = latency_objective_ms, pause_aim_ms = gap_objective_ms, "streamed");
         }
     }
 
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -24,7 +24,7 @@
 /// The parsed headers of a request.
 #[derives(data)]
 #[derive(Default)]
-pub struct Call {
+pub struct RequestHead {
     /// The caller's request id.
     pub id: SmolStr,
     /// The caller's timeout.
@@ -46,7 +46,7 @@
 /// What the router adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedRequest<'a> {
-    /// The intended target; any other refuses the request.
+    /// The intended target; any other rejects the request.
     pub target: &'a names::TargetId,
     /// Time until the deadline.
     pub time_left: Duration,
@@ -60,9 +60,9 @@
 #[derives(data)]
 #[derive(Default)]
 pub struct ResponseHead {
-    /// The target did not run the request and never will.
+    /// Whether the target did not run the request and never will.
     pub not_run: bool,
-    /// The target signed the response.
+    /// Whether the target signed the response.
     pub signed: bool,
     /// Id of the answered request.
     pub request: Option<SmolStr>,
@@ -72,14 +72,14 @@
     pub load: Option<targets::Load>,
     /// The target's keep-alive time.
     pub keep_alive: Option<Duration>,
-    /// The target closes the connection after this response.
+    /// Whether the target closes the connection after this response.
     pub closes_connection: bool,
 }
 
 /// Translates headers.
 pub trait Dialect {
     /// Parses the headers of a request.
-    fn parse_request(&self, headers: &HeaderMap) -> Call;
+    fn parse_request(&self, headers: &HeaderMap) -> RequestHead;
     /// Removes hop-by-hop headers and those that callers may not set, and adds the router's.
     fn rewrite_request(&self, headers: &mut HeaderMap, forwarded: &ForwardedRequest);
     /// Parses the head of a response.
@@ -120,7 +120,7 @@
     pub records: Vec<Record>,
     /// Offset to continue from.
     pub next: u64,
-    /// Contains all keys: missing ones were deleted.
+    /// Whether all keys are present, so that missing ones were deleted.
     pub whole: bool,
 }
 
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-/// Unchanged plans are resent: datagrams get lost, and agents expect signs of a live planner.
+/// Replaces lost datagrams and keeps agents from considering the planner unresponsive.
 const PLAN_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the planner and remembers which plan each engine was last sent.
@@ -49,7 +49,7 @@
         let engines = engine_views(shared, now, &service.name, spec);
         let models = model_views(shared, now, spec);
         let planned = self.planner.plan(now, &engines, &models);
-        // Agents without a report are included: their first plan tells them the routers' addresses.
+        // Agents without a report are included, as their first plan contains the routers' addresses.
         for engine in &engines {
             let Some(planned) = planned.get(&engine.key) else { continue };
             let parts = plan_parts(engine, planned, &models);
@@ -110,14 +110,14 @@
     spec: &config::Engine,
 ) -> BTreeMap<names::ModelId, snapshot::ModelView> {
     let view = shared.view.borrow();
-    let others = shared.peers.borrow().demand(now);
+    let peer_demand = shared.peers.borrow().demand(now);
     let models = spec.models.iter().map(|model| {
-        let (demand, waiting) = others.get(&model.name).copied().unwrap_or_default();
-        let waiting_here = view.waiting.get(&model.name).copied().unwrap_or(0);
+        let (demand, waiting) = peer_demand.get(&model.name).copied().unwrap_or_default();
+        let local_waiting = view.waiting.get(&model.name).copied().unwrap_or(0);
         let demand = demand.combine(view.demand.model_demand(now, &model.name));
         (
             model.name.clone(),
-            snapshot::ModelView { spec: model.clone(), demand, waiting: waiting + waiting_here },
+            snapshot::ModelView { spec: model.clone(), demand, waiting: waiting + local_waiting },
         )
     });
     models.collect()
@@ -129,10 +129,10 @@
     planned: &[names::ModelId],
     models: &BTreeMap<names::ModelId, snapshot::ModelView>,
 ) -> Vec<wire::PlanPart> {
-    let only_resident = engine.holdings.resident.iter().map(|resident| &resident.model);
-    let only_resident = only_resident.filter(|name| !planned.contains(name));
+    let unplanned = engine.holdings.resident.iter().map(|resident| &resident.model);
+    let unplanned = unplanned.filter(|name| !planned.contains(name));
     let millis = |time: Duration| time.as_millis() as u32;
-    let parts = planned.iter().chain(only_resident).filter_map(|name| {
+    let parts = planned.iter().chain(unplanned).filter_map(|name| {
         let spec = &models.get(name)?.spec;
         Some(wire::PlanPart {
             model: name.clone(),
--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -1,7 +1,6 @@
 //! Splits a server-sent event stream into whole events, so that it can be resumed at another target.
 //!
-//! A target may stop in the middle of an event, so only whole events of a resumable stream are
-//! forwarded. The next target is asked to continue after the id of the last one.
+//! A target may stop in the middle of an event; the next one continues after the last whole event.
 
 use bytes::{Bytes, BytesMut};
 
@@ -22,11 +21,7 @@
 }
 
 impl EventSplitter {
-    /// Appends bytes and returns the events that are complete.
-    ///
-    /// # Errors
-    ///
-    /// [`EventGap`] if the stream was resumed and its first event is not the next one.
+    /// Appends bytes and returns the events that are complete, or [`EventGap`].
     pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, EventGap> {
         if self.partial.is_empty() && chunk.ends_with(EVENT_END) {
             self.record(&chunk)?;
@@ -34,9 +29,9 @@
         }
         self.partial.extend_from_slice(&chunk);
         let Some(end) = find_last(&self.partial, EVENT_END) else { return Ok(None) };
-        let whole = self.partial.split_to(end + EVENT_END.len()).freeze();
-        self.record(&whole)?;
-        Ok(Some(whole))
+        let complete = self.partial.split_to(end + EVENT_END.len()).freeze();
+        self.record(&complete)?;
+        Ok(Some(complete))
     }
 
     /// Whether an incomplete event is buffered.
@@ -60,8 +55,8 @@
         self.events
     }
 
-    fn record(&mut self, whole: &[u8]) -> Result<(), EventGap> {
-        for event in whole.split(|&b| b == b'\n').filter_map(parse_event_id) {
+    fn record(&mut self, complete: &[u8]) -> Result<(), EventGap> {
+        for event in complete.split(|&b| b == b'\n').filter_map(parse_event_id) {
             let resumed = std::mem::take(&mut self.resumed);
             if resumed && self.last_event.is_some_and(|last| event != last + 1) {
                 return Err(EventGap);
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -84,9 +84,9 @@
 /// Deadlines of a shutdown.
 #[derives(key)]
 pub struct StopDeadlines {
-    /// New requests are rejected from then on, as they might not complete before the process exits.
+    /// New requests are rejected from then on.
     pub reject_from: Instant,
-    /// Requests without a response head by then get an error response from the router.
+    /// Requests without a response head by then get an error response.
     pub respond_by: Instant,
 }
 
@@ -148,7 +148,7 @@
                 && !failed(dialect::Subject::Targets))
     }
 
-    /// Returns when a request without a response fails; a shutdown may bring this forward.
+    /// Deadline of the response, which a shutdown may bring forward.
     pub fn response_deadline(&self, job: &job::Job) -> Instant {
         self.stopping.get().map_or(job.deadline, |stop| job.deadline.min(stop.respond_by))
     }
@@ -157,9 +157,9 @@
     pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
-        if let Some(requested) = &job.call.requested_model {
+        if let Some(requested) = &job.request.requested_model {
             let profile = demand::RequestProfile {
-                prompt_tokens: job.call.prompt_tokens,
+                prompt_tokens: job.request.prompt_tokens,
                 uses_adapter: requested.adapter.is_some(),
                 latency_objective: job.route.latency_objective,
             };
@@ -212,7 +212,7 @@
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
         let query = choose::Query {
             service: &job.service,
-            requested: job.call.requested_model.as_ref(),
+            requested: job.request.requested_model.as_ref(),
             tokens: job.tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
@@ -231,7 +231,7 @@
             && matches!(self.choose(now, job), choose::Choice::Send(_))
     }
 
-    /// Returns when the model or capacity that a request waits for is expected.
+    /// Estimates when the model or capacity that a request waits for is available.
     pub fn expected_readiness(
         &self,
         now: Instant,
@@ -245,7 +245,7 @@
             _ => self.view.borrow().model_readiness(
                 now,
                 &job.service,
-                job.call.requested_model.as_ref(),
+                job.request.requested_model.as_ref(),
             ),
         }
     }
@@ -337,14 +337,13 @@
         let Some(target) = view.targets.get_mut(key) else { return };
         self.log.attempt_failed(job, "the target did not run it", Some(status.as_u16()), now);
         if answered_by.is_some_and(|other| *other != target.entry.id) {
-            // Another target has its address now. The outdated entry may remain in the store for
-            // long, and each request sent to it would fail.
+            // The address was reused, but the outdated entry may remain in the store for long.
             tracing::info!(target = %target.entry.id, by = ?answered_by, "target replaced");
             target.entry.draining = true;
             self.targets_outdated.notify_one();
             return;
         }
-        match &job.call.requested_model {
+        match &job.request.requested_model {
             Some(requested) => target.record_absent_model(now, &requested.model),
             None => target.health.record_failure(now),
         }
@@ -352,7 +351,7 @@
 
     /// Requests that a target load the adapter of a request.
     pub fn request_adapter(&self, key: targets::TargetKey, job: &job::Job) {
-        let adapter = job.call.requested_model.as_ref().and_then(control::adapter_request);
+        let adapter = job.request.requested_model.as_ref().and_then(control::to_requested_adapter);
         control::request_adapters(self, key, adapter.into_iter().collect());
     }
 }
@@ -374,10 +373,6 @@
 impl std::error::Error for StartError {}
 
 /// Runs a router until `stop` is done and the requests in progress are answered.
-///
-/// # Errors
-///
-/// See [`StartError`].
 pub fn run<P: Platform>(
     settings: Settings,
     clock: clock::SharedClock,
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -17,16 +17,13 @@
     sync::watch,
 };
 
-/// Holds a burst of reconnects after a host fails; a SYN that is dropped is resent only after 1 s.
+/// Holds a burst of reconnects: a dropped SYN is resent only after 1 s.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// A stopping router accepts connections for this long: load balancers check readiness each second and
-/// act on the second failure.
+/// Load balancers check readiness each second and act on the second failure.
 const READINESS_GRACE: Duration = Duration::from_millis(2_600);
-/// Pending requests are answered this long before the stop timeout, rather than closed without a
-/// response.
+/// Subtracted from the stop timeout: requests are answered before their connections are closed.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
-/// Open connections are closed this long before the stop timeout, so that callers see a close rather
-/// than a dead host.
+/// Subtracted from the stop timeout: callers see a closed connection rather than a dead host.
 const CLOSE_MARGIN: Duration = Duration::from_millis(400);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Smallest buffer that hyper accepts.
@@ -56,7 +53,7 @@
 ) {
     serve_local(shared, listener, move |shared, path| match text(shared, path) {
         Some(text) => Response::new(Full::from(text)),
-        None => status(StatusCode::NOT_FOUND),
+        None => empty_response(StatusCode::NOT_FOUND),
     });
 }
 
@@ -85,7 +82,7 @@
     });
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
@@ -93,11 +90,11 @@
 
 fn readiness<P: router::Platform>(shared: &router::Shared<P>, path: &str) -> Response<Full<Bytes>> {
     if path != shared.settings.ready_path {
-        status(StatusCode::NOT_FOUND)
+        empty_response(StatusCode::NOT_FOUND)
     } else if is_ready(shared) {
-        status(StatusCode::OK)
+        empty_response(StatusCode::OK)
     } else {
-        status(StatusCode::SERVICE_UNAVAILABLE)
+        empty_response(StatusCode::SERVICE_UNAVAILABLE)
     }
 }
 
@@ -107,7 +104,7 @@
     view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
-/// Accepts a connection and records in the pause detector when none is pending.
+/// Records in the pause detector when no connection is pending.
 async fn accept_caller(pauses: &PauseDetector, listener: &TcpListener) -> Option<TcpStream> {
     let mut accept = pin!(accept(listener));
     future::poll_fn(|cx| pauses.poll_accept(cx, |cx| accept.as_mut().poll(cx))).await
@@ -155,8 +152,7 @@
         respond_by: stopping_since + stop_timeout.saturating_sub(RESPONSE_MARGIN),
     }));
     tracing::info!(open = shared.open_requests.get(), "stopping: readiness withdrawn");
-    // Active connections close after their response, idle ones now. A request that arrives on a
-    // closing connection is not read, so its caller may retry it.
+    // Idle connections close now, active ones after their response; later requests are not read.
     closing.send_replace(true);
     loop {
         let now = shared.clock.now();
@@ -209,8 +205,7 @@
                 }
                 _ = closing.wait_for(|closing| *closing), if !notified => {
                     notified = true;
-                    // On a new connection the first request may be on its way: its response will
-                    // carry `Connection: close`.
+                    // A new connection's first request may be on its way; it is answered `Connection: close`.
                     if served.get() {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -231,9 +226,9 @@
     builder
 }
 
-struct OpenCount<P>(Rc<router::Shared<P>>);
+struct OpenRequestGuard<P>(Rc<router::Shared<P>>);
 
-impl<P> Drop for OpenCount<P> {
+impl<P> Drop for OpenRequestGuard<P> {
     fn drop(&mut self) {
         self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
@@ -245,10 +240,10 @@
     req: Request<Incoming>,
 ) -> Result<Response<body::ResponseBody>, exchange::Aborted> {
     shared.open_requests.set(shared.open_requests.get() + 1);
-    let count = OpenCount(shared.clone());
+    let guard = OpenRequestGuard(shared.clone());
     let mut response = exchange::handle_request(shared.clone(), &connection, req).await?;
     if shared.stopping.get().is_some() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(response.map(|body| body.with_guard(count)))
+    Ok(response.map(|body| body.with_guard(guard)))
 }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -11,9 +11,9 @@
     time::{Duration, Instant},
 };
 
-/// Multiple of the route's gap objective after which a stream is resumed elsewhere.
+/// Gap objectives after which a stream is resumed elsewhere.
 const IDLE_TIMEOUT_GAPS: u32 = 5;
-/// Used where the route has no gap objective.
+/// Applies if the route has no gap objective.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Lets the target end the stream itself at the deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
@@ -70,16 +70,13 @@
     fn drop(&mut self) {
         if !self.0.ended {
             let now = self.0.shared.clock.now();
-            self.0.shared.log.caller_left(&self.0.job.call.id, self.0.splitter.events(), now);
+            self.0.shared.log.caller_left(&self.0.job.request.id, self.0.splitter.events(), now);
         }
     }
 }
 
-/// Waits for the first event and returns the response with the stream.
-///
-/// # Errors
-///
-/// The job and why there was no event; nothing was sent to the caller yet.
+/// Waits for the first event and returns the response with the stream, or the job and why there was no
+/// event.
 pub async fn start<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: job::Job,
@@ -147,9 +144,9 @@
     }
 
     fn forward(&mut self, chunk: Bytes) -> Result<Option<Bytes>, relay::EventGap> {
-        let whole = self.splitter.push(chunk.clone())?;
+        let complete = self.splitter.push(chunk.clone())?;
         // A stream that can't be resumed needn't be cut at events.
-        Ok(if self.job.route.resumable { whole } else { Some(chunk) })
+        Ok(if self.job.route.resumable { complete } else { Some(chunk) })
     }
 
     async fn step(&mut self) -> Step {
@@ -190,7 +187,7 @@
                 }
                 Ok(None) => return Step::Complete,
                 Ok(Some(Err(error))) => {
-                    tracing::debug!(id = %self.job.call.id, %error, "stream interrupted");
+                    tracing::debug!(id = %self.job.request.id, %error, "stream interrupted");
                     return Step::Interrupted;
                 }
                 Err(_) => {
@@ -206,13 +203,13 @@
     }
 
     fn log_end(&self, how: &str) {
-        let ended = decisions::StreamEnd {
+        let stream_end = decisions::StreamEnd {
             how,
             events: self.splitter.events(),
             resumes: self.resumes,
-            pace: self.timings,
+            timings: self.timings,
         };
-        self.shared.log.streamed(&self.job, &ended, self.shared.clock.now());
+        self.shared.log.streamed(&self.job, &stream_end, self.shared.clock.now());
     }
 
     fn complete(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
@@ -241,7 +238,7 @@
         Some(Err(aborted))
     }
 
-    /// Continues at another target after the last event that was sent.
+    /// Continues at another target after the last whole event.
     async fn resume(&mut self, why: &'static str) -> bool {
         let now = self.shared.clock.now();
         self.shared.log.attempt_failed(&self.job, why, None, now);
@@ -255,7 +252,7 @@
         }
         self.splitter.resume();
         self.job.idle_since = self.timings.last_at.unwrap_or(self.job.arrived);
-        let last = self.splitter.last_event().or(self.job.call.last_event);
+        let last = self.splitter.last_event().or(self.job.request.last_event);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
             Ok(answered) => {
@@ -265,7 +262,7 @@
                 true
             }
             Err(why) => {
-                tracing::debug!(id = %self.job.call.id, why, "could not resume the stream");
+                tracing::debug!(id = %self.job.request.id, why, "could not resume the stream");
                 false
             }
         }
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -1,9 +1,7 @@
-//! Transfer of replicated store records from router to router.
+//! Transfer of replicated store records from router to router ([`crate::catch_up`]).
 //!
-//! A router that the store refuses, or that starts during a store outage, requests the records of a peer
-//! ([`crate::catch_up`]). They keep the store's offsets, so older records never replace newer ones.
-//!
-//! A transfer has an idle timeout only: a large configuration may take seconds on a slow link.
+//! Records keep the store's offsets, so older ones never replace newer ones. A transfer has an idle
+//! timeout only, as a large configuration may take seconds on a slow link.
 
 use crate::{dialect, follow, replicated_records, router};
 use bytes::{Bytes, BytesMut};
@@ -18,12 +16,11 @@
 };
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// 13 ms of a 10 Mbit/s link, so that each of many transfers makes progress within the idle timeout.
+/// Small, so that each of many transfers makes progress within the idle timeout.
 const CHUNK_BYTES: usize = 16 << 10;
 /// A configuration has 4 MB at most, the entries of 730 engines under 1 MB.
 const MAX_TRANSFER_BYTES: usize = 8 << 20;
-/// When many routers start during a store outage, the first ones served can serve the others; all at
-/// once would share the link and none would finish in time.
+/// If many routers start at once, those served first serve the others.
 const MAX_CONCURRENT_TRANSFERS: usize = 2;
 const ACCEPT_BACKOFF: Duration = Duration::from_secs(1);
 
@@ -85,12 +82,12 @@
     let request = postcard::from_bytes(&request).map_err(TransferError::Malformed)?;
     let response =
         postcard::to_stdvec(&records(shared, request)).map_err(TransferError::Malformed)?;
-    let page = Bytes::from(response);
-    let mut at = 0;
-    while at < page.len() {
-        let end = page.len().min(at + CHUNK_BYTES);
-        send_chunk(&mut chunks, page.slice(at..end)).await?;
-        at = end;
+    let bytes = Bytes::from(response);
+    let mut offset = 0;
+    while offset < bytes.len() {
+        let end = bytes.len().min(offset + CHUNK_BYTES);
+        send_chunk(&mut chunks, bytes.slice(offset..end)).await?;
+        offset = end;
     }
     // An empty chunk marks the end: an interrupted transfer must not look complete.
     send_chunk(&mut chunks, Bytes::new()).await
@@ -99,7 +96,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct RecordsRequest {
     subject: dialect::Subject,
-    /// Requests only changes from this offset on.
+    /// Offset from which changes are requested; none for all records.
     from: Option<u64>,
 }
 
@@ -112,7 +109,7 @@
 /// Outcome of a transfer.
 #[derives(key)]
 pub enum TransferOutcome {
-    /// The records were applied; the peer, or the one it follows, read the store this long ago, if ever.
+    /// Records were applied that were read from the store this long ago, if known.
     Applied(Option<Duration>),
     /// The peer is at its transfer limit, or has stopped.
     Refused,
@@ -124,11 +121,11 @@
     shared: &router::Shared<P>,
     request: RecordsRequest,
 ) -> RecordsResponse {
-    let copies = shared.records.borrow();
-    let age = copies.since_read(shared.clock.now(), request.subject);
+    let replicated = shared.records.borrow();
+    let age = replicated.since_read(shared.clock.now(), request.subject);
     let page = match request.from {
-        None => copies.full_page(request.subject),
-        Some(from) => copies.changes(request.subject, from),
+        None => replicated.full_page(request.subject),
+        Some(from) => replicated.changes(request.subject, from),
     };
     RecordsResponse { age, page }
 }
@@ -145,8 +142,7 @@
     apply(shared, reader, subject, response)
 }
 
-/// Fetches and applies a peer's records of a subject, which reach up to `next`. Stops early once the
-/// store has returned as much.
+/// Fetches and applies a peer's records, unless the store returns those before `next` first.
 pub async fn fetch<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     peer: SocketAddr,
@@ -194,19 +190,19 @@
     let mut chunks = framed(stream);
     let request = postcard::to_stdvec(&request).map_err(TransferError::Malformed)?;
     send_chunk(&mut chunks, Bytes::from(request)).await?;
-    let mut page = BytesMut::new();
+    let mut bytes = BytesMut::new();
     loop {
         let chunk = next_chunk(&mut chunks).await?;
         if chunk.is_empty() {
-            return postcard::from_bytes(&page).map_err(TransferError::Malformed);
+            return postcard::from_bytes(&bytes).map_err(TransferError::Malformed);
         }
-        if page.len() + chunk.len() > MAX_TRANSFER_BYTES {
+        if bytes.len() + chunk.len() > MAX_TRANSFER_BYTES {
             return Err(TransferError::TooLarge(MAX_TRANSFER_BYTES));
         }
         if is_superseded() {
             return Err(TransferError::Superseded);
         }
-        page.extend_from_slice(&chunk);
+        bytes.extend_from_slice(&chunk);
     }
 }
 
@@ -220,8 +216,8 @@
     with_timeout(chunks.send(chunk)).await?.map_err(TransferError::Disconnected)
 }
 
-async fn with_timeout<T>(work: impl Future<Output = T>) -> Result<T, TransferError> {
-    tokio::time::timeout(follow::RESPONSE_TIMEOUT, work)
+async fn with_timeout<T>(operation: impl Future<Output = T>) -> Result<T, TransferError> {
+    tokio::time::timeout(follow::RESPONSE_TIMEOUT, operation)
         .await
         .map_err(|_| TransferError::TimedOut(follow::RESPONSE_TIMEOUT.as_millis()))
 }
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -5,13 +5,13 @@
 use corianderstand_types::names;
 use std::{rc::Rc, time::Duration};
 
-/// Resends an adapter request whose datagram or response may have been lost.
+/// Covers the loss of an adapter request or its response.
 const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(60);
-/// Polls for a target even if no notification arrives.
+/// Covers a missed notification.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Choices that may be abandoned because of a long wait for a prefill permit.
-const MAX_UNSETTLED_CHOICES: u32 = 2;
+/// Targets that may be given up because of a long wait for a prefill permit.
+const MAX_ABANDONED_CHOICES: u32 = 2;
 
 /// A request for which no target is available in time.
 pub struct PlacementError {
@@ -26,7 +26,7 @@
     shared: &Rc<router::Shared<P>>,
     job: &mut job::Job,
 ) -> Result<targets::TargetKey, PlacementError> {
-    let mut waiting = None;
+    let mut waiting_guard = None;
     let mut choices = 0;
     loop {
         let now = shared.clock.now();
@@ -39,7 +39,7 @@
         let (until, interval) = match choice {
             choose::Choice::Send(key) => {
                 choices += 1;
-                match prefill::acquire_permit(shared, job, key, choices > MAX_UNSETTLED_CHOICES)
+                match prefill::acquire_permit(shared, job, key, choices > MAX_ABANDONED_CHOICES)
                     .await
                 {
                     prefill::PermitOutcome::Granted => {
@@ -65,7 +65,7 @@
                 }
                 let expected = shared.expected_readiness(now, job, choice);
                 let until = job.abandoned_at().min(shared.response_deadline(job));
-                if waiting.is_none() {
+                if waiting_guard.is_none() {
                     shared.log.waits(job, reason(choice), expected, now);
                 }
                 match wait_limit::decide(now, until, expected, job.jitter()) {
@@ -84,8 +84,8 @@
                 retry_after: exchange::REFUSED_RETRY_AFTER,
             });
         }
-        if let (None, Some(model)) = (&waiting, job.model()) {
-            waiting = Some(WaitingGuard::begin(shared, model));
+        if let (None, Some(model)) = (&waiting_guard, job.model()) {
+            waiting_guard = Some(WaitingGuard::begin(shared, model));
         }
         let next_poll = (now + interval).min(until);
         tokio::select! {
@@ -112,7 +112,6 @@
     }
 }
 
-/// Counts a request as waiting for a model until it is dropped.
 struct WaitingGuard<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     model: names::ModelId,
