--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -36,7 +36,7 @@
 struct Engine {
     key: targets::TargetKey,
     holdings: targets::Holdings,
-    order: Option<(reconcile::Command, f64)>,
+    command: Option<(reconcile::Command, f64)>,
     runs: Vec<(ModelId, Instant)>,
     up: bool,
 }
@@ -107,7 +107,7 @@
             let resident = resident.collect();
             let holdings = targets::Holdings { resident, on_disk: disk, ..Default::default() };
             let key = keys.insert(());
-            Engine { key, holdings, order: None, runs: Vec::new(), up: true }
+            Engine { key, holdings, command: None, runs: Vec::new(), up: true }
         });
         Self {
             now: Instant::now(),
@@ -131,7 +131,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            self.arrive();
+            self.generate_requests();
             self.finish_runs();
             self.advance_commands();
             self.serve();
@@ -149,7 +149,7 @@
     pub fn crash(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         engine.up = false;
-        engine.order = None;
+        engine.command = None;
         engine.runs.clear();
         engine.holdings.resident.clear();
         engine.holdings.in_memory.clear();
@@ -160,10 +160,10 @@
         self.engines[index].up = true;
     }
 
-    /// Combined outcome of the selected models' requests.
+    /// Sums the tallies of the selected models.
     pub fn tally(&self, models: impl Fn(&str) -> bool) -> Tally {
-        let own = self.tallies.iter().filter(|(name, _)| models(name.as_str()));
-        own.fold(Tally::default(), |sum, (_, tally)| Tally {
+        let selected = self.tallies.iter().filter(|(name, _)| models(name.as_str()));
+        selected.fold(Tally::default(), |sum, (_, tally)| Tally {
             requests: sum.requests + tally.requests,
             on_time: sum.on_time + tally.on_time,
             abandoned: sum.abandoned + tally.abandoned,
@@ -175,18 +175,18 @@
         self.engines.iter().filter(|engine| engine.holdings.resident(&model).is_some()).count()
     }
 
-    fn arrive(&mut self) {
+    fn generate_requests(&mut self) {
         let step = STEP.as_secs_f64();
         for (name, workload) in &self.models {
             if self.rng.random::<f64>() >= workload.per_s * step {
                 continue;
             }
-            let weight = demand::RequestProfile {
+            let profile = demand::RequestProfile {
                 prompt_tokens: 600,
                 uses_adapter: false,
                 latency_objective: workload.latency_objective,
             };
-            self.demand.record_request(self.now, name, weight);
+            self.demand.record_request(self.now, name, profile);
             self.tallies.entry(name.clone()).or_default().requests += 1;
             let request = Request {
                 model: name.clone(),
@@ -210,8 +210,8 @@
         for request in std::mem::take(&mut self.waiting) {
             let waited = now.saturating_duration_since(request.arrived_at);
             let holder = self.engines.iter_mut().filter(|engine| {
-                let gone = matches!(&engine.order, Some((reconcile::Command::Unload(gone), _)) if *gone == request.model);
-                engine.up && !gone && engine.holdings.resident(&request.model).is_some()
+                let unloading = matches!(&engine.command, Some((reconcile::Command::Unload(model), _)) if model == &request.model);
+                engine.up && !unloading && engine.holdings.resident(&request.model).is_some()
             });
             let tally = self.tallies.entry(request.model.clone()).or_default();
             match holder.min_by_key(|engine| engine.runs.len()) {
@@ -230,37 +230,40 @@
     fn plan(&mut self) {
         let models = self.model_views();
         let views = self.engine_views();
-        let wants = self.planner.plan(self.now, &views, &models).clone();
-        let room = reconcile::Capacity { weights_mb: ENGINE_MB, adapter_slots: 8 };
-        for engine in self.engines.iter_mut().filter(|engine| engine.up && engine.order.is_none()) {
-            let wanted = wants.get(&engine.key).cloned().unwrap_or_default();
-            let held = engine.holdings.resident.iter().map(|resident| resident.model.clone());
-            let extra = held.filter(|model| !wanted.contains(model));
-            let parts: Vec<reconcile::EngineModel> = wanted
+        let plan = self.planner.plan(self.now, &views, &models).clone();
+        let capacity = reconcile::Capacity { weights_mb: ENGINE_MB, adapter_slots: 8 };
+        for engine in self.engines.iter_mut().filter(|engine| engine.up && engine.command.is_none())
+        {
+            let desired = plan.get(&engine.key).cloned().unwrap_or_default();
+            let resident = engine.holdings.resident.iter().map(|resident| resident.model.clone());
+            let extra = resident.filter(|model| !desired.contains(model));
+            let models: Vec<reconcile::EngineModel> = desired
                 .iter()
                 .cloned()
                 .chain(extra)
                 .map(|model| reconcile::EngineModel {
-                    desired: wanted.contains(&model),
+                    desired: desired.contains(&model),
                     model,
                     weights_mb: MODEL_MB,
                     adapter_mb: 0,
                 })
                 .collect();
-            if let Some(order) = reconcile::next_model_command(room, &parts, &engine.holdings) {
-                let takes = match &order {
+            if let Some(command) =
+                reconcile::next_model_command(capacity, &models, &engine.holdings)
+            {
+                let duration_s = match &command {
                     reconcile::Command::Load(model) => load_time_s(&engine.holdings, model),
                     _ => UNLOAD_TIME.as_secs_f64(),
                 };
-                if takes > 1.0 {
+                if duration_s > 1.0 {
                     self.store_loads += 1;
                 }
-                if matches!(order, reconcile::Command::Load(_)) {
+                if matches!(command, reconcile::Command::Load(_)) {
                     let used = (engine.holdings.resident.len() as u64 + 1) * MODEL_MB;
                     self.most_mb = self.most_mb.max(used);
                 }
                 self.commands += 1;
-                engine.order = Some((order, takes));
+                engine.command = Some((command, duration_s));
                 engine.holdings.commands_accepted += 1;
             }
         }
@@ -269,10 +272,10 @@
     fn model_views(&self) -> BTreeMap<ModelId, snapshot::ModelView> {
         let views = self.models.keys().map(|name| {
             let waiting = self.waiting.iter().filter(|request| request.model == *name).count();
-            let asked = self.demand.model_demand(self.now, name);
+            let demand = self.demand.model_demand(self.now, name);
             (
                 name.clone(),
-                snapshot::ModelView { spec: spec(name), demand: asked, waiting: waiting as u32 },
+                snapshot::ModelView { spec: spec(name), demand, waiting: waiting as u32 },
             )
         });
         views.collect()
@@ -285,7 +288,7 @@
             for (model, _) in &engine.runs {
                 *running.entry(model.clone()).or_default() += 1;
             }
-            let ongoing = engine.order.as_ref().map(|(order, left)| match order {
+            let ongoing = engine.command.as_ref().map(|(command, left)| match command {
                 reconcile::Command::Load(model) => targets::Ongoing::Loading {
                     model: model.clone(),
                     ready_at: self.now + Duration::from_secs_f64(left.max(0.0)),
@@ -312,7 +315,7 @@
     }
 
     fn advance_commands(&mut self) {
-        let loading = |engine: &Engine| match &engine.order {
+        let loading = |engine: &Engine| match &engine.command {
             Some((reconcile::Command::Load(model), _)) => {
                 load_time_s(&engine.holdings, model) > 1.0
             }
@@ -322,21 +325,21 @@
         let share = (STORE_CONCURRENT_LOADS / store.max(1.0)).min(1.0);
         for engine in &mut self.engines {
             let from_store = loading(engine);
-            let Some((order, left)) = &mut engine.order else { continue };
-            let waits = match order {
+            let Some((command, left)) = &mut engine.command else { continue };
+            let is_blocked = match command {
                 reconcile::Command::Unload(model) => {
-                    engine.runs.iter().any(|(own, _)| own == model)
+                    engine.runs.iter().any(|(running, _)| running == model)
                 }
                 _ => false,
             };
-            if waits {
+            if is_blocked {
                 continue;
             }
             *left -= STEP.as_secs_f64() * if from_store { share } else { 1.0 };
             if *left <= 0.0 {
-                let order = order.clone();
-                engine.order = None;
-                execute(&mut engine.holdings, order);
+                let command = command.clone();
+                engine.command = None;
+                execute(&mut engine.holdings, command);
             }
         }
     }
@@ -353,13 +356,13 @@
     }
 }
 
-fn execute(holdings: &mut targets::Holdings, order: reconcile::Command) {
-    match order {
+fn execute(holdings: &mut targets::Holdings, command: reconcile::Command) {
+    match command {
         reconcile::Command::Load(model) => {
             if !holdings.on_disk.contains(&model) {
                 holdings.on_disk.push(model.clone());
             }
-            holdings.in_memory.retain(|own| *own != model);
+            holdings.in_memory.retain(|cached| *cached != model);
             holdings.in_memory.insert(0, model.clone());
             holdings.in_memory.truncate(2);
             holdings.resident.push(targets::Resident { model, adapters: Vec::new() });
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -36,11 +36,11 @@
 fn the_longest_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] path: &str,
-    #[case] wanted: Option<&str>,
+    #[case] expected: Option<&str>,
 ) {
     let table = table(&["/a/", "/a/b/"]);
     let found = table.find(host, path).map(|route| route.prefix.as_str());
-    assert_eq!(found, wanted);
+    assert_eq!(found, expected);
 }
 
 #[test]
@@ -415,93 +415,94 @@
 #[case(wait_limit::Readiness::Unknown, false)]
 fn a_request_is_held_only_if_its_model_can_be_ready_in_time(
     #[case] expected: wait_limit::Readiness,
-    #[case] held: bool,
+    #[case] holdings: bool,
 ) {
     let now = Instant::now();
     let decision = wait_limit::decide(now, now + Duration::from_secs(2), expected, 0.5);
-    assert_eq!(matches!(decision, wait_limit::Decision::Hold { .. }), held, "{decision:?}");
+    assert_eq!(matches!(decision, wait_limit::Decision::Hold { .. }), holdings, "{decision:?}");
     if let wait_limit::Decision::Refuse { after } = decision {
         assert!(after >= Duration::from_secs(1), "retry time: {after:?}");
     }
 }
 
-fn parts(models: &[(&str, bool)]) -> Vec<reconcile::EngineModel> {
-    let parts = models.iter().map(|(model, wanted)| reconcile::EngineModel {
+fn engine_models(models: &[(&str, bool)]) -> Vec<reconcile::EngineModel> {
+    let models = models.iter().map(|(model, desired)| reconcile::EngineModel {
         model: (*model).into(),
         weights_mb: 70,
         adapter_mb: 5,
-        desired: *wanted,
+        desired: *desired,
     });
-    parts.collect()
+    models.collect()
 }
 
 const CAPACITY: reconcile::Capacity = reconcile::Capacity { weights_mb: 150, adapter_slots: 2 };
 
 #[test]
 fn unplanned_models_are_unloaded_before_planned_ones_are_loaded() {
-    let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
-    let order = reconcile::next_model_command(CAPACITY, &parts, &holdings(&["keep", "old"]));
-    assert_eq!(order, Some(reconcile::Command::Unload("old".into())));
-    let order = reconcile::next_model_command(CAPACITY, &parts, &holdings(&["keep"]));
-    assert_eq!(order, Some(reconcile::Command::Load("new".into())));
-    assert_eq!(reconcile::next_model_command(CAPACITY, &parts, &holdings(&["keep", "new"])), None);
+    let models = engine_models(&[("new", true), ("keep", true), ("old", false)]);
+    let command = reconcile::next_model_command(CAPACITY, &models, &holdings(&["keep", "old"]));
+    assert_eq!(command, Some(reconcile::Command::Unload("old".into())));
+    let command = reconcile::next_model_command(CAPACITY, &models, &holdings(&["keep"]));
+    assert_eq!(command, Some(reconcile::Command::Load("new".into())));
+    assert_eq!(reconcile::next_model_command(CAPACITY, &models, &holdings(&["keep", "new"])), None);
 }
 
 /// Guards against exceeding an engine's memory when the plan lacks the size of a resident model.
 #[test]
 fn nothing_is_loaded_beside_a_model_of_unknown_size() {
-    let parts = parts(&[("new", true)]);
-    assert_eq!(reconcile::next_model_command(CAPACITY, &parts, &holdings(&["stranger"])), None);
+    let models = engine_models(&[("new", true)]);
+    assert_eq!(reconcile::next_model_command(CAPACITY, &models, &holdings(&["stranger"])), None);
 }
 
 #[test]
 fn the_least_recently_requested_adapter_is_evicted() {
     let now = Instant::now();
-    let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
+    let models = engine_models(&[("m", true)]);
+    let request = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
         requested_at: now - Duration::from_millis(ago),
     };
-    let held = Holdings {
+    let holdings = Holdings {
         resident: vec![Resident { model: "m".into(), adapters: vec!["a".into(), "b".into()] }],
         ..Default::default()
     };
-    let next = |asked: &[reconcile::AdapterRequest]| {
-        reconcile::next_adapter_command(now, CAPACITY, &parts, &held, 0, asked)
+    let next = |requests: &[reconcile::AdapterRequest]| {
+        reconcile::next_adapter_command(now, CAPACITY, &models, &holdings, 0, requests)
     };
-    let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
-    assert_eq!(order, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
-    let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
-    assert_eq!(order, None, "both were requested recently");
+    let command = next(&[request("c", 0), request("a", 5_000), request("b", 10)]);
+    assert_eq!(command, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
+    let command = next(&[request("c", 0), request("a", 100), request("b", 10)]);
+    assert_eq!(command, None, "both were requested recently");
 }
 
 /// Guards against two adapters that evict each other repeatedly.
 #[test]
 fn an_adapter_requested_earlier_does_not_evict_a_later_one() {
     let now = Instant::now();
-    let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| reconcile::AdapterRequest {
+    let models = engine_models(&[("m", true)]);
+    let request = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
         requested_at: now - Duration::from_millis(ago),
     };
-    let asked = [asked("b", 900), asked("a", 1_000), asked("c", 2_000)];
-    let mut held = Holdings {
+    let requests = [request("b", 900), request("a", 1_000), request("c", 2_000)];
+    let mut holdings = Holdings {
         resident: vec![Resident { model: "m".into(), adapters: vec!["a".into(), "b".into()] }],
         ..Default::default()
     };
-    let mut orders = 0;
-    while let Some(order) = reconcile::next_adapter_command(now, CAPACITY, &parts, &held, 0, &asked)
+    let mut commands = 0;
+    while let Some(command) =
+        reconcile::next_adapter_command(now, CAPACITY, &models, &holdings, 0, &requests)
     {
-        let adapters = &mut held.resident[0].adapters;
-        match order {
+        let adapters = &mut holdings.resident[0].adapters;
+        match command {
             reconcile::Command::LoadAdapter(_, adapter) => adapters.push(adapter),
             reconcile::Command::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
             other => panic!("unexpected command {other:?}"),
         }
-        orders += 1;
-        assert!(orders < 10, "adapters evict each other");
+        commands += 1;
+        assert!(commands < 10, "adapters evict each other");
     }
-    assert_eq!(held.resident[0].adapters, ["a".into(), "b".into()]);
+    assert_eq!(holdings.resident[0].adapters, ["a".into(), "b".into()]);
 }
--- a/crates/corianderstand_fleet/tests/plan.rs
+++ b/crates/corianderstand_fleet/tests/plan.rs
@@ -11,10 +11,15 @@
     time::{Duration, Instant},
 };
 
-fn world(engines: usize, models: Vec<(String, Workload)>, copies: usize, seed: u64) -> Simulation {
+fn simulation(
+    engines: usize,
+    models: Vec<(String, Workload)>,
+    cached: usize,
+    seed: u64,
+) -> Simulation {
     let models: Vec<(&str, Workload)> =
-        models.iter().map(|(name, asked)| (name.as_str(), asked.clone())).collect();
-    Simulation::new(engines, &models, copies, seed)
+        models.iter().map(|(name, workload)| (name.as_str(), workload.clone())).collect();
+    Simulation::new(engines, &models, cached, seed)
 }
 
 fn is_rare(name: &str) -> bool {
@@ -29,15 +34,19 @@
 fn steady_load_serves_rare_and_busy_models(#[case] seed: u64) {
     let mut models = rare(25, 0.5);
     models.extend([busy("busy-0", 25.0), busy("busy-1", 12.0)]);
-    let mut world = world(9, models, 12, seed);
-    world.run(Duration::from_secs(15));
-    world.reset_counters();
-    world.run(Duration::from_secs(40));
-    let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
-    println!("rare {rare:?}, busy {busy:?}, {} commands", world.commands);
+    let mut simulation = simulation(9, models, 12, seed);
+    simulation.run(Duration::from_secs(15));
+    simulation.reset_counters();
+    simulation.run(Duration::from_secs(40));
+    let (rare, busy) = (simulation.tally(is_rare), simulation.tally(|name| !is_rare(name)));
+    println!("rare {rare:?}, busy {busy:?}, {} commands", simulation.commands);
     assert!(rare.on_time_ratio() > 0.85, "rare models within objective: {}", rare.on_time_ratio());
     assert!(busy.on_time_ratio() > 0.97, "busy models within objective: {}", busy.on_time_ratio());
-    assert!(world.most_mb <= 220_000, "an engine was commanded to hold {} MB", world.most_mb);
+    assert!(
+        simulation.most_mb <= 220_000,
+        "an engine was commanded to hold {} MB",
+        simulation.most_mb
+    );
 }
 
 /// A model that becomes busy while on no engine is served in time after its first loads.
@@ -45,16 +54,16 @@
 fn demand_shift_is_followed_within_seconds() {
     let mut models = rare(20, 0.5);
     models.extend([busy("old", 25.0), busy("new", 0.0)]);
-    let mut world = world(9, models, 12, 4);
-    world.run(Duration::from_secs(20));
-    world.models.get_mut(&"old".into()).unwrap().per_s = 0.0;
-    world.models.get_mut(&"new".into()).unwrap().per_s = 25.0;
-    world.run(Duration::from_secs(4));
-    world.reset_counters();
-    world.run(Duration::from_secs(15));
-    let new = world.tally(|name| name == "new");
+    let mut simulation = simulation(9, models, 12, 4);
+    simulation.run(Duration::from_secs(20));
+    simulation.models.get_mut(&"old".into()).unwrap().per_s = 0.0;
+    simulation.models.get_mut(&"new".into()).unwrap().per_s = 25.0;
+    simulation.run(Duration::from_secs(4));
+    simulation.reset_counters();
+    simulation.run(Duration::from_secs(15));
+    let new = simulation.tally(|name| name == "new");
     assert!(new.on_time_ratio() > 0.97, "after four seconds: {new:?}");
-    assert!(world.holders("new") >= 2, "a single replica is overloaded");
+    assert!(simulation.holders("new") >= 2, "a single replica is overloaded");
 }
 
 /// A burst of requests for rare models must not evict the busy model.
@@ -62,14 +71,14 @@
 fn burst_on_rare_models_does_not_evict_busy_models() {
     let mut models = rare(25, 0.5);
     models.push(busy("busy-0", 25.0));
-    let mut world = world(9, models, 12, 5);
-    world.run(Duration::from_secs(15));
+    let mut simulation = simulation(9, models, 12, 5);
+    simulation.run(Duration::from_secs(15));
     for index in 0..25 {
-        world.models.get_mut(&format!("rare-{index:02}").as_str().into()).unwrap().per_s = 1.2;
+        simulation.models.get_mut(&format!("rare-{index:02}").as_str().into()).unwrap().per_s = 1.2;
     }
-    world.reset_counters();
-    world.run(Duration::from_secs(10));
-    let (rare, busy) = (world.tally(is_rare), world.tally(|name| !is_rare(name)));
+    simulation.reset_counters();
+    simulation.run(Duration::from_secs(10));
+    let (rare, busy) = (simulation.tally(is_rare), simulation.tally(|name| !is_rare(name)));
     println!("rare {rare:?}, busy {busy:?}");
     assert!(busy.on_time_ratio() > 0.97, "{busy:?}");
     assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
@@ -80,14 +89,14 @@
 fn models_of_a_crashed_engine_are_reloaded_from_disk() {
     let mut models = rare(24, 0.5);
     models.push(busy("busy-0", 20.0));
-    let mut world = world(9, models, 12, 6);
-    world.run(Duration::from_secs(15));
-    world.reset_counters();
-    world.crash(4);
-    world.run(Duration::from_secs(8));
-    let rare = world.tally(is_rare);
+    let mut simulation = simulation(9, models, 12, 6);
+    simulation.run(Duration::from_secs(15));
+    simulation.reset_counters();
+    simulation.crash(4);
+    simulation.run(Duration::from_secs(8));
+    let rare = simulation.tally(is_rare);
     assert!(rare.abandoned_ratio() < 0.05, "{rare:?}");
-    assert_eq!(world.store_loads, 0, "all models are cached on other disks");
+    assert_eq!(simulation.store_loads, 0, "all models are cached on other disks");
 }
 
 /// Guards against eviction cycles, which occur if placement and eviction value a model differently.
@@ -95,34 +104,34 @@
 fn evictions_do_not_trigger_further_evictions() {
     let mut models = rare(30, 0.3);
     models.push(busy("busy-0", 20.0));
-    let mut world = world(9, models, 12, 7);
-    world.run(Duration::from_secs(15));
-    world.reset_counters();
-    world.run(Duration::from_secs(30));
+    let mut simulation = simulation(9, models, 12, 7);
+    simulation.run(Duration::from_secs(15));
+    simulation.reset_counters();
+    simulation.run(Duration::from_secs(30));
     // 31 models compete for 27 slots, so some swaps of two commands each are needed.
-    assert!(world.commands < 240, "{} commands in 30 s", world.commands);
+    assert!(simulation.commands < 240, "{} commands in 30 s", simulation.commands);
 }
 
 /// Without requests, absent models replace redundant replicas.
 #[test]
 fn every_model_is_placed_before_the_first_request() {
     let models = rare(26, 0.0);
-    let mut world = world(9, models, 12, 8);
-    world.run(Duration::from_secs(10));
+    let mut simulation = simulation(9, models, 12, 8);
+    simulation.run(Duration::from_secs(10));
     let missing: Vec<_> = (0..26)
         .map(|index| format!("rare-{index:02}"))
-        .filter(|name| world.holders(name) == 0)
+        .filter(|name| simulation.holders(name) == 0)
         .collect();
     assert!(missing.is_empty(), "not placed: {missing:?}");
 }
 
 #[test]
 fn one_engine_serves_more_models_than_it_holds() {
-    let mut world = world(1, rare(5, 0.1), 5, 9);
-    world.run(Duration::from_secs(10));
-    world.reset_counters();
-    world.run(Duration::from_secs(60));
-    let rare = world.tally(is_rare);
+    let mut simulation = simulation(1, rare(5, 0.1), 5, 9);
+    simulation.run(Duration::from_secs(10));
+    simulation.reset_counters();
+    simulation.run(Duration::from_secs(60));
+    let rare = simulation.tally(is_rare);
     assert!(rare.abandoned_ratio() < 0.1, "{rare:?}");
 }
 
@@ -189,21 +198,21 @@
     let run_with_seed = |seed: u64| {
         let mut models = rare(26, 0.3);
         models.extend([busy("steady", 14.0), busy("next", 0.3)]);
-        let mut world = world(8, models, 4, seed);
-        world.run(Duration::from_secs(15));
-        world.reset_counters();
-        world.models.get_mut(&"next".into()).unwrap().per_s = 25.0;
-        world.run(Duration::from_secs(12));
-        let next = world.tally(|name| name == "next");
+        let mut simulation = simulation(8, models, 4, seed);
+        simulation.run(Duration::from_secs(15));
+        simulation.reset_counters();
+        simulation.models.get_mut(&"next".into()).unwrap().per_s = 25.0;
+        simulation.run(Duration::from_secs(12));
+        let next = simulation.tally(|name| name == "next");
         assert!(next.on_time_ratio() > 0.8, "busy model within objective: {next:?}");
-        world.tally(is_rare)
+        simulation.tally(is_rare)
     };
     let tallies: Vec<_> = (1..6).map(run_with_seed).collect();
-    let asked: u32 = tallies.iter().map(|tally| tally.requests).sum();
-    let in_aim: u32 = tallies.iter().map(|tally| tally.on_time).sum();
-    let share = f64::from(in_aim) / f64::from(asked);
-    println!("rare models within objective {share:.3}");
-    assert!(share > 0.93, "rare models within objective: {share:.3}");
+    let requests: u32 = tallies.iter().map(|tally| tally.requests).sum();
+    let on_time: u32 = tallies.iter().map(|tally| tally.on_time).sum();
+    let on_time_ratio = f64::from(on_time) / f64::from(requests);
+    println!("rare models within objective {on_time_ratio:.3}");
+    assert!(on_time_ratio > 0.93, "rare models within objective: {on_time_ratio:.3}");
 }
 
 /// Guards against evicting a model right after its load, before it serves the waiting requests.
--- a/crates/corianderstand_fleet/tests/plan_size.rs
+++ b/crates/corianderstand_fleet/tests/plan_size.rs
@@ -96,10 +96,10 @@
         fleet.execute(&desired);
         now += Duration::from_millis(1_300);
     }
-    let held: BTreeSet<_> = fleet.engines.iter().flat_map(resident).cloned().collect();
+    let resident_models: BTreeSet<_> = fleet.engines.iter().flat_map(resident).cloned().collect();
     for (name, model) in &mut fleet.models {
         model.demand = demand::ModelDemand::default();
-        model.waiting = u32::from(!held.contains(name));
+        model.waiting = u32::from(!resident_models.contains(name));
     }
     let keeps_all = |desired: &HashMap<targets::TargetKey, Vec<ModelId>>| {
         let mut engines = fleet.engines.iter();
@@ -136,10 +136,11 @@
         now += Duration::from_millis(1_300);
     }
     println!("seed {seed}: {fastest:?} per plan");
-    let held: BTreeSet<_> = fleet.engines.iter().flat_map(resident).collect();
+    let resident_models: BTreeSet<_> = fleet.engines.iter().flat_map(resident).collect();
     for engine in fleet.engines.iter().filter(|engine| resident(engine).count() < MODELS_PER_ENGINE)
     {
-        let unplaced = engine.holdings.on_disk.iter().find(|model| !held.contains(model));
+        let unplaced =
+            engine.holdings.on_disk.iter().find(|model| !resident_models.contains(model));
         assert_eq!(unplaced, None, "an unplaced model is cached on an engine with free capacity");
     }
     assert!(fastest < MAX_PLAN_TIME, "planning takes {fastest:?}");
