--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -9,8 +9,7 @@
 };
 
 const BUCKETS: u32 = 10;
-/// Usable part of the allowance. The rest covers attempts that this process cannot count, such as
-/// requests lost by other processes or reset after they were written.
+/// Usable part of the allowance. The rest covers attempts that this process cannot count.
 const USABLE_RATIO: f64 = 0.9;
 
 /// Retry allowance of the deployment.
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -29,7 +29,7 @@
 /// prompt alike.
 const FULL_PREFILL_BACKLOG: Duration = Duration::from_millis(250);
 
-/// A model, with an optional adapter, that a request asks for.
+/// Model and optional adapter that a request names.
 #[derives(name)]
 pub struct RequestedModel {
     /// Base model.
@@ -41,7 +41,7 @@
 /// Input for the choice of a target for one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// Service that the route leads to.
+    /// Service selected by the route.
     pub service: &'a names::ServiceId,
     /// Requested model, if any.
     pub requested: Option<&'a RequestedModel>,
@@ -49,7 +49,7 @@
     pub tokens: u64,
     /// Cache capacity of one engine in tokens; 0 if it is not limited.
     pub cache_tokens: u64,
-    /// Adapters that one engine can hold.
+    /// Number of adapters that can be resident on one engine.
     pub adapter_slots: usize,
     /// Availability zone of this process.
     pub zone: &'a names::AvailabilityZoneId,
@@ -171,7 +171,7 @@
         let batch = f64::from(target.estimated_requests()) / slots;
         let memory = match query.cache_tokens {
             0 => 0.0,
-            all => (target.estimated_tokens() + query.tokens) as f64 / all as f64,
+            capacity => (target.estimated_tokens() + query.tokens) as f64 / capacity as f64,
         };
         let zone = if target.entry.zone == *query.zone { 0.0 } else { CROSS_ZONE_COST };
         let failure_score =
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -36,7 +36,7 @@
         self.updated_at = Some(now);
     }
 
-    /// Records a failed or unanswered request or a broken connection.
+    /// Records a failed request, a missing response or a broken connection.
     pub fn record_failure(&mut self, now: Instant) {
         let failure_score = self.failure_score(now);
         self.failure_score = failure_score + (1.0 - failure_score) * FAILURE_WEIGHT;
@@ -71,7 +71,7 @@
         self.updated_at = Some(now);
     }
 
-    /// The average, or none if it has expired.
+    /// The average; `None` if it has expired.
     pub fn mean(&self, now: Instant) -> Option<Duration> {
         let updated_at = self.updated_at?;
         (now.saturating_duration_since(updated_at) < EVENT_INTERVAL_TTL).then_some(self.mean)
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -24,7 +24,7 @@
 const RUNNING_REQUEST_COST: f64 = 0.9;
 const SWAP_WINDOW: Duration = Duration::from_secs(4);
 const MIN_REPLICA_UTILITY: f64 = 0.5;
-/// Prevents two models of similar utility from evicting each other in turn.
+/// Prevents two models of similar utility from evicting each other repeatedly.
 const UTILITY_MARGIN: f64 = 0.3;
 const MIN_RESIDENCY: Duration = Duration::from_millis(1_200);
 /// Expected duration of a running request that an unload waits for.
@@ -117,7 +117,7 @@
         &self.desired
     }
 
-    /// Adds the resident and loading models to the plan, so that a new planner keeps them in place.
+    /// Adds the resident and loading models to the plan, so that a new planner keeps them.
     fn adopt_holdings(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -15,14 +15,13 @@
 const PREFILL_TIME_RATIO: f64 = 0.85;
 /// One permit in this many goes to a late prompt, if any waits, so that late prompts do not starve.
 const LATE_PERMIT_INTERVAL: u32 = 4;
-/// Expected delay between the end of a prompt's prefill and its first event, relative to the
-/// window.
+/// Expected delay from the end of a prefill to the first event, relative to the window.
 const FIRST_EVENT_DELAY_RATIO: f64 = 0.5;
 /// Window if no route specifies a maximum pause.
 const DEFAULT_MAX_PAUSE: Duration = Duration::from_millis(250);
 /// Time for which the shortest requested maximum pause stays in effect.
 const MAX_PAUSE_TTL: Duration = Duration::from_secs(5);
-/// Time for which a granted permit is remembered, for routers that lost the response and ask again.
+/// Time for which a granted permit is kept, so that a repeated request is granted again.
 const GRANT_TTL: Duration = Duration::from_secs(2);
 
 /// Request for a prefill permit.
@@ -30,15 +29,15 @@
 pub struct PermitRequest<T> {
     /// Identifies the prompt; a repeated request has the same id.
     pub id: u64,
-    /// Who is notified of the permit.
+    /// Recipient of the permit.
     pub requester: T,
     /// Time that the engine needs for the prompt's prefill alone.
     pub prefill_time: Duration,
-    /// When its first event is due.
+    /// When the first event is due.
     pub latency_objective_at: Instant,
     /// When its caller gives up.
     pub expires_at: Instant,
-    /// Maximum pause between events of its stream, if the route specifies one.
+    /// Maximum pause between events of the stream, if the route specifies one.
     pub max_pause: Option<Duration>,
 }
 
@@ -47,7 +46,7 @@
 pub enum PermitResponse {
     /// The prompt may be sent.
     Granted,
-    /// The prompt has to wait; the expected time.
+    /// The prompt has to wait, for this expected time.
     Wait(Duration),
 }
 
@@ -83,7 +82,7 @@
 }
 
 impl<T: Copy> PermitQueue<T> {
-    /// Adds or renews a permit request and grants it if it is due.
+    /// Adds or replaces a permit request and grants it if it is due.
     pub fn request(&mut self, now: Instant, request: PermitRequest<T>) -> PermitResponse {
         self.granted.retain(|granted| now.saturating_duration_since(granted.at) < GRANT_TTL);
         if self.granted.iter().any(|granted| granted.id == request.id) {
@@ -132,10 +131,10 @@
 
     fn record_max_pause(&mut self, now: Instant, max_pause: Option<Duration>) {
         let Some(max_pause) = max_pause else { return };
-        let known = self.max_pause.filter(|(at, known)| {
-            *known < max_pause && now.saturating_duration_since(*at) < MAX_PAUSE_TTL
+        let current = self.max_pause.filter(|(at, current)| {
+            *current < max_pause && now.saturating_duration_since(*at) < MAX_PAUSE_TTL
         });
-        self.max_pause = known.or(Some((now, max_pause)));
+        self.max_pause = current.or(Some((now, max_pause)));
     }
 
     /// Period over which the prefill time is limited: the maximum pause of the streams.
--- a/crates/corianderstand_fleet/src/prefixes.rs
+++ b/crates/corianderstand_fleet/src/prefixes.rs
@@ -1,7 +1,6 @@
 //! Tracks which target has which prompt prefixes in its cache.
 //!
-//! Requests of one session share prompt prefixes, and an engine need not prefill a cached prefix
-//! again. Only prompts sent by this process are tracked, which needs no messages between routers.
+//! Only prompts sent by this process are tracked, so routers exchange no messages about prefixes.
 //! Old entries are evicted in two generations.
 
 use crate::targets;
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -79,11 +79,10 @@
     Some(Command::Unload(victim.model.clone()))
 }
 
-/// Returns the next adapter command. Loads the most recently requested missing adapter, in place of
-/// the least recently requested resident one.
+/// Returns the next adapter command: to load the most recently requested missing adapter, or to
+/// evict the least recently requested one for it.
 ///
-/// An adapter never displaces one that was requested later; otherwise two adapters would evict
-/// each other in turn.
+/// An adapter never displaces one that was requested later, so that two don't evict each other.
 pub fn next_adapter_command(
     now: Instant,
     capacity: Capacity,
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -48,13 +48,13 @@
     pub ongoing: Option<Ongoing>,
     /// When its agent's last report was received.
     pub agent_last_received_at: Option<Instant>,
-    /// Outcome of recent requests.
+    /// Failure score of recent requests.
     pub health: health::Health,
     /// In-flight requests of this process, by requested model.
     pub in_flight: BTreeMap<choose::RequestedModel, u32>,
-    /// Number of in-flight requests of this process.
+    /// Total of [`Self::in_flight`].
     pub local_requests: u32,
-    /// Expected tokens of these requests.
+    /// Expected tokens of the in-flight requests of this process.
     pub local_tokens: u64,
     /// Mean time between events of its streams.
     pub event_interval: health::EventInterval,
@@ -133,7 +133,7 @@
             .max(self.local_requests)
     }
 
-    /// Estimated tokens in its cache, computed in the same way.
+    /// Estimated tokens in its cache, as for [`Self::estimated_requests`].
     pub fn estimated_tokens(&self) -> u64 {
         let reported = self.load.cache_used.unwrap_or(0);
         (reported + self.local_tokens)
@@ -141,7 +141,7 @@
             .max(self.local_tokens)
     }
 
-    /// Records its reported load.
+    /// Records the reported load.
     pub fn record_load(&mut self, load: Load) {
         let cache_used = load.cache_used.or(self.load.cache_used);
         self.load = Load { cache_used, ..load };
@@ -149,12 +149,12 @@
         self.local_tokens_at_load = self.local_tokens;
     }
 
-    /// Records the prefill backlog that its agent reported.
+    /// Records the reported prefill backlog.
     pub fn record_prefill_backlog(&mut self, now: Instant, backlog: Duration) {
         self.prefill_until = Some(now + backlog);
     }
 
-    /// Estimated remaining time of its prefill backlog.
+    /// Estimated time until its prefill backlog is processed.
     pub fn prefill_backlog(&self, now: Instant) -> Duration {
         self.prefill_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
@@ -231,14 +231,14 @@
     /// Applies an agent's report that its engine restarted under another name. Until the new target
     /// registers, it inherits the previous entry, of whose holdings only the weights on disk
     /// persist. Returns false if the report changes nothing.
-    pub fn replace(&mut self, now: Instant, replaced: &Replacement) -> bool {
-        let Replacement { id, started_at_ms, previous_id } = replaced;
+    pub fn replace(&mut self, now: Instant, replacement: &Replacement) -> bool {
+        let Replacement { id, started_at_ms, previous_id } = replacement;
         if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
-        let known = self.key(previous_id).map(|key| self.arena[key].entry.clone());
+        let current = self.key(previous_id).map(|key| self.arena[key].entry.clone());
         let Some(previous) =
-            known.or_else(|| self.removed.get(previous_id).map(|(_, entry)| entry.clone()))
+            current.or_else(|| self.removed.get(previous_id).map(|(_, entry)| entry.clone()))
         else {
             return false;
         };
@@ -251,29 +251,27 @@
         true
     }
 
-    /// Infers that an unknown engine replaced the only known one on its host. Returns false if that
-    /// does not apply.
+    /// Infers that an unknown engine replaced the only known one on its host; returns false if not.
     ///
-    /// A router that starts after a restart of all engines reads outdated entries and has missed
-    /// the agents' reports of the replacements. `is_engines` returns whether a service runs on
-    /// engines; others are never replaced. If the previous engine is alive, its next entry removes
-    /// the inferred one.
+    /// Needed by a router that starts after all engines restarted: the stored entries are outdated
+    /// and it missed the agents' reports. Only services for which `runs_on_engines` holds are
+    /// considered. If the previous engine is alive, its next entry removes the inferred one.
     pub fn infer_successor(
         &mut self,
         now: Instant,
         id: &names::TargetId,
         started_at_ms: u64,
         host: IpAddr,
-        is_engines: impl Fn(&names::ServiceId) -> bool,
+        runs_on_engines: impl Fn(&names::ServiceId) -> bool,
     ) -> bool {
-        // A late report of an engine that has already been replaced.
+        // The report may be late, from an engine that has already been replaced.
         let ended = self.removed.contains_key(id) || self.drained.contains_key(id);
         if ended || self.by_id.contains_key(id) {
             return false;
         }
         let Some(&[key]) = self.by_host.get(&host).map(Vec::as_slice) else { return false };
         let previous = self.arena[key].entry.clone();
-        if !is_engines(&previous.service) {
+        if !runs_on_engines(&previous.service) {
             return false;
         }
         self.remove_target(now, key);
@@ -392,16 +390,15 @@
         target.record_load(report.load);
         let mut holdings = report.holdings;
         if !report.cached_weights_reported {
-            let known = &mut target.entry.holdings;
-            holdings.in_memory = std::mem::take(&mut known.in_memory);
-            holdings.on_disk = std::mem::take(&mut known.on_disk);
+            let previous = &mut target.entry.holdings;
+            holdings.in_memory = std::mem::take(&mut previous.in_memory);
+            holdings.on_disk = std::mem::take(&mut previous.on_disk);
         }
         target.set_holdings(holdings);
         true
     }
 
-    /// Ejects an incarnation that ended according to its agent; returns false if it is not the
-    /// current one.
+    /// Ejects an incarnation that its agent reported as ended; returns false if it is not current.
     pub fn record_exit(&mut self, now: Instant, id: &names::TargetId, started_at_ms: u64) -> bool {
         let Some(key) = self.key(id) else { return false };
         let target = &mut self.arena[key];
@@ -412,8 +409,8 @@
         same
     }
 
-    /// Handles the removal of its entry: the target is removed at once or, with `grace`, unless it
-    /// registers again within the grace period.
+    /// Removes a target whose entry was removed; with `grace`, only if [`Self::expire`] finds it
+    /// still missing.
     pub fn remove(&mut self, now: Instant, id: &names::TargetId, grace: bool) {
         let Some(key) = self.key(id) else { return };
         if grace {
@@ -435,8 +432,7 @@
         ids
     }
 
-    /// Removes the targets at an address that a new target has registered. Their entries may remain
-    /// in the store after their end.
+    /// Removes ended targets at the address of a new one; the store may still list their entries.
     fn remove_at_addr(&mut self, now: Instant, addr: SocketAddr) {
         let at_host = self.by_host.get(&addr.ip()).into_iter().flatten().copied();
         let ended: Vec<_> = at_host.filter(|key| self.arena[*key].entry.addr == addr).collect();
@@ -445,7 +441,7 @@
 
     fn insert(&mut self, now: Instant, entry: Entry) -> TargetKey {
         let (id, host) = (entry.id.clone(), entry.addr.ip());
-        let shutdown_at = entry.shutdown_in.map(|left| now + left);
+        let shutdown_at = entry.shutdown_in.map(|shutdown_in| now + shutdown_in);
         let key = self.arena.insert(Target { shutdown_at, ..Target::new(entry) });
         self.by_id.insert(id, key);
         self.by_host.entry(host).or_default().push(key);
@@ -456,9 +452,9 @@
         let Some(target) = self.arena.remove(key) else { return };
         self.by_id.remove(&target.entry.id);
         let host = target.entry.addr.ip();
-        if let Some(there) = self.by_host.get_mut(&host) {
-            there.retain(|other| *other != key);
-            if there.is_empty() {
+        if let Some(keys) = self.by_host.get_mut(&host) {
+            keys.retain(|other| *other != key);
+            if keys.is_empty() {
                 self.by_host.remove(&host);
             }
         }
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -21,7 +21,7 @@
 #[derives(wire)]
 #[derive(Default, Eq)]
 pub struct Holdings {
-    /// Number of commands accepted since its start.
+    /// Number of commands accepted since the engine started.
     #[serde(rename = "orders")]
     pub commands_accepted: u64,
     /// Models that are ready for requests.
@@ -42,28 +42,27 @@
 /// Registered entry of a target.
 #[derives(wire)]
 pub struct Entry {
-    /// Its name, usually a new one after each start.
+    /// Target name, usually a new one after each start.
     pub id: names::TargetId,
-    /// Start time in Unix milliseconds, which distinguishes incarnations with the same name; 0 if
-    /// targets take a new name at each start and do not report it.
+    /// Start time in Unix milliseconds, to tell incarnations of a name apart; 0 if not reported.
     #[serde(rename = "born")]
     pub started_at_ms: u64,
     /// Number of renewals of the entry.
     pub renewals: u64,
-    /// The service it belongs to.
+    /// Service of the target.
     pub service: names::ServiceId,
     /// Address for requests.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: names::AvailabilityZoneId,
     /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is shutting down and accepts no new requests.
+    /// Whether the target accepts no new requests because it is shutting down.
     pub draining: bool,
-    /// Remaining time until its shutdown, if reported.
+    /// Time until the shutdown, if reported.
     #[serde(rename = "leaves_in")]
     pub shutdown_in: Option<Duration>,
-    /// Its models.
+    /// Models that the target holds.
     pub holdings: Holdings,
 }
 
@@ -93,9 +92,9 @@
     pub id: names::TargetId,
     /// Start time as in [`Entry::started_at_ms`].
     pub started_at_ms: u64,
-    /// Its models.
+    /// Models that the engine holds.
     pub holdings: Holdings,
-    /// Whether the report includes the cached weights; if not, the last reported ones stay valid.
+    /// Whether the report includes cached weights; if not, the previous ones stay valid.
     pub cached_weights_reported: bool,
     /// Command that it is executing.
     pub ongoing: Option<Ongoing>,
--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -1,19 +1,18 @@
 //! Limits how long a request waits for a model or for capacity.
 //!
 //! A request is held only while its model can be ready before the caller's deadline. Otherwise it
-//! is refused at once with a retry time, so that callers do not wait for an answer that cannot
-//! come.
+//! is refused at once with a retry time.
 
 use corianderstand_derives::derives;
 use std::time::{Duration, Instant};
 
 /// Time between the end of the load and the first event of the answer.
 const FIRST_EVENT_TIME: Duration = Duration::from_millis(150);
-/// Allowance for the planner to order a load, and for another model to be unloaded first.
+/// Time for the planner to decide on a load, and for the engine to unload another model first.
 const LOAD_DECISION_TIME: Duration = Duration::from_millis(500);
-/// Random addition to a retry time, which keeps refused callers from returning at once.
+/// Random addition to a retry time, so that refused callers do not all retry at once.
 const RETRY_SPREAD_RATIO: f64 = 0.3;
-/// Lower bound of a retry time; below it a new connection costs more than the pause.
+/// Lower bound of a retry time; a new connection costs more than a shorter one.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// Retry time while a service has no target; covers the restart of a crashed target.
@@ -35,7 +34,7 @@
 /// What to do with a request that cannot be sent now.
 #[derives(key)]
 pub enum Decision {
-    /// Hold it until then at the latest and decide again on each change.
+    /// Hold it until this time at the latest; decide again on each change.
     Hold {
         /// End of the wait.
         until: Instant,
