--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -115,7 +115,7 @@
             let retry_after = self.schedule_retry(now, wait, length);
             return Some(Refusal { reason: RefusalReason::QueueFull, retry_after });
         }
-        if self.policy.order == QueueDiscipline::Fifo {
+        if self.policy.discipline == QueueDiscipline::Fifo {
             return None;
         }
         let load = self.expected_load_wait(now, spec, config);
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -72,7 +72,7 @@
     /// Which weights are evicted.
     pub eviction: Eviction,
     /// Dequeue order.
-    pub order: QueueDiscipline,
+    pub discipline: QueueDiscipline,
 }
 
 /// An effect that the code driving [`Agent`] must carry out.
@@ -133,7 +133,7 @@
             limits,
             policy,
             ledger: Ledger::new(memory),
-            queue: Queue::new(limits.concurrency, policy.order),
+            queue: Queue::new(limits.concurrency, policy.discipline),
             requests: SlotMap::with_key(),
             model_users: BTreeMap::new(),
             slots: BTreeSet::new(),
@@ -397,7 +397,7 @@
     fn cannot_finish(&self, now: Instant, key: RequestKey) -> bool {
         let spec = &self.requests[key].spec;
         let lower_bound = self.run_times[spec.shape.length as usize].lower_bound();
-        self.policy.order == QueueDiscipline::Fair && now + lower_bound > spec.deadline
+        self.policy.discipline == QueueDiscipline::Fair && now + lower_bound > spec.deadline
     }
 
     fn refuse_dequeued(
--- a/crates/corianderstand_replay/src/ways.rs
+++ b/crates/corianderstand_replay/src/ways.rs
@@ -58,7 +58,7 @@
 
     /// Ours, but requests run as they came and nothing is refused for its deadline.
     pub fn first_come() -> Self {
-        let policy = Policy { order: QueueDiscipline::Fifo, ..Policy::default() };
+        let policy = Policy { discipline: QueueDiscipline::Fifo, ..Policy::default() };
         Self { name: "fcfs".into(), policy, ..Self::ours() }
     }
 
