--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -28,7 +28,7 @@
 /// A load with reserved memory whose command has not been sent.
 #[derives(data)]
 struct PendingLoad {
-    less_urgent: u8,
+    urgency_rank: u8,
     deadline: Instant,
     load_time: Duration,
     memory: Mib,
@@ -47,12 +47,12 @@
 struct StartedLoad {
     at: Instant,
     expected: Duration,
-    by_gate: bool,
+    by_limiter: bool,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
-    gate: LoadLimiter,
+    limiter: LoadLimiter,
     coordinated: bool,
     unreserved: BTreeSet<Weights>,
     demands: BTreeMap<Weights, LoadDemand>,
@@ -69,7 +69,7 @@
 impl Default for Loads {
     fn default() -> Self {
         Self {
-            gate: LoadLimiter::new(StoreLimits::default()),
+            limiter: LoadLimiter::new(StoreLimits::default()),
             coordinated: false,
             unreserved: BTreeSet::new(),
             demands: BTreeMap::new(),
@@ -85,7 +85,7 @@
 
 impl Loads {
     pub fn set_store(&mut self, store: StoreLimits) {
-        self.gate.set_store(store);
+        self.limiter.set_store(store);
     }
 
     pub const fn set_coordinated(&mut self, coordinated: bool) {
@@ -132,15 +132,15 @@
     }
 
     fn next_start_of(&self, pending: &PendingLoad) -> Option<Instant> {
-        let gate = self.gate.next_start();
+        let limiter_start = self.limiter.next_start();
         if !self.coordinated {
-            return gate;
+            return limiter_start;
         }
         let grant_deadline = pending.requested_at + GRANT_TIMEOUT;
-        if self.gate.is_full() {
+        if self.limiter.is_full() {
             None
         } else {
-            Some(gate.map_or(grant_deadline, |gate| gate.max(grant_deadline)))
+            Some(limiter_start.map_or(grant_deadline, |at| at.max(grant_deadline)))
         }
     }
 
@@ -218,21 +218,21 @@
             let waiting = first_waiting.get(weights).copied();
             let demand = self.loads.demands.get(weights).filter(|demand| now < demand.until);
             let demand = demand.map(|demand| (u8::MAX - demand.urgency, demand.until));
-            if let Some((less_urgent, deadline)) = waiting.into_iter().chain(demand).min() {
+            if let Some((urgency_rank, deadline)) = waiting.into_iter().chain(demand).min() {
                 let load_time = config.load_time(weights);
-                ranked.push((less_urgent, deadline, load_time, weights.clone()));
+                ranked.push((urgency_rank, deadline, load_time, weights.clone()));
             }
         }
         self.loads.unreserved.retain(|weights| ranked.iter().any(|(.., kept)| kept == weights));
         self.loads.without_capacity.retain(|weights, _| self.loads.unreserved.contains(weights));
         ranked.sort();
-        for (less_urgent, deadline, load_time, weights) in ranked {
+        for (urgency_rank, deadline, load_time, weights) in ranked {
             let Some(memory) = config.memory(&weights) else {
                 self.loads.unreserved.remove(&weights);
                 continue;
             };
             let pending = PendingLoad {
-                less_urgent,
+                urgency_rank,
                 deadline,
                 load_time,
                 memory,
@@ -278,7 +278,7 @@
             // The sender fills in its own target.
             target: corianderstand_types::names::TargetId::default(),
             weights: weights.clone(),
-            urgency: u8::MAX - pending.less_urgent,
+            urgency: u8::MAX - pending.urgency_rank,
             deadline: pending.deadline,
             load_time: pending.load_time,
         }
@@ -313,24 +313,25 @@
         if self.loads.pending.is_empty() {
             return;
         }
-        let mut order: Vec<(u8, Instant, Duration, Weights)> = self
+        let mut ranked: Vec<(u8, Instant, Duration, Weights)> = self
             .loads
             .pending
             .iter()
-            .map(|(w, p)| (p.less_urgent, p.deadline, p.load_time, w.clone()))
+            .map(|(w, p)| (p.urgency_rank, p.deadline, p.load_time, w.clone()))
             .collect();
-        order.sort();
-        for (.., weights) in order {
+        ranked.sort();
+        for (.., weights) in ranked {
             let pending = &self.loads.pending[&weights];
             let awaiting_grant =
                 self.loads.coordinated && now < pending.requested_at + GRANT_TIMEOUT;
-            let by_gate = !pending.granted && !awaiting_grant && self.loads.gate.try_start(now);
-            if pending.granted || by_gate {
+            let by_limiter =
+                !pending.granted && !awaiting_grant && self.loads.limiter.try_start(now);
+            if pending.granted || by_limiter {
                 let (memory, expected) = (pending.memory, pending.load_time);
                 self.loads.pending.remove(&weights);
                 self.loads
                     .started
-                    .insert(weights.clone(), StartedLoad { at: now, expected, by_gate });
+                    .insert(weights.clone(), StartedLoad { at: now, expected, by_limiter });
                 actions.push(Action::Load(weights, memory));
             }
         }
@@ -368,7 +369,7 @@
             self.ledger.set_stage(&weights, stage);
             if load {
                 let expected = config.load_time(&weights);
-                let started = StartedLoad { at: now, expected, by_gate: false };
+                let started = StartedLoad { at: now, expected, by_limiter: false };
                 self.loads.started.insert(weights.clone(), started);
                 actions.push(Action::Load(weights, memory));
             } else {
@@ -388,8 +389,8 @@
         if let Some(started) = self.loads.started.remove(weights) {
             let took = now.saturating_duration_since(started.at);
             self.loads.observe(took, started.expected);
-            if started.by_gate {
-                self.loads.gate.ended(took, started.expected, outcome == Some(true));
+            if started.by_limiter {
+                self.loads.limiter.ended(took, started.expected, outcome == Some(true));
             }
         }
         let mut actions = Vec::new();
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -65,7 +65,7 @@
             Refusal { reason: RefusalReason::NotLoaded, retry_after: NO_TARGET_RETRY_AFTER };
         let refusal = last.unwrap_or(no_target);
         let request = &self.requests[key];
-        let exhausted = request.attempted.len() >= MAX_ATTEMPTS || now >= request.work.deadline;
+        let exhausted = request.attempted.len() >= MAX_ATTEMPTS || now >= request.spec.deadline;
         let chosen = if exhausted { None } else { self.select_target(now, key) };
         let chosen = chosen.filter(|chosen| !self.is_futile_cold_start(now, key, *chosen, last));
         let Some(chosen) = chosen else {
@@ -90,13 +90,13 @@
     ) -> bool {
         let request = &self.requests[key];
         let too_late = last.is_some_and(|refusal| refusal.reason == RefusalReason::Deadline);
-        let Some(owners) = self.owners(&request.work) else { return false };
+        let Some(owners) = self.owners(&request.spec) else { return false };
         let loading = || {
             let refused_by = request.attempted.last();
             refused_by.is_none_or(|target| !owners.is_serving(now, *target))
         };
         too_late
-            && matches!(request.work.requirement, Requirement::Weights { .. })
+            && matches!(request.spec.requirement, Requirement::Weights { .. })
             && !owners.is_warm(now, chosen)
             && loading()
     }
@@ -112,7 +112,7 @@
         let request = &mut self.requests[key];
         request.target = Some(chosen);
         request.attempted.push(chosen);
-        if let Some(prefix) = request.work.shape.prefix {
+        if let Some(prefix) = request.spec.shape.prefix {
             self.prefixes.record(now, prefix, chosen);
         }
     }
@@ -120,7 +120,7 @@
     fn select_target(&mut self, now: Instant, key: RequestKey) -> Option<TargetKey> {
         let seed = self.rng.random();
         let request = &self.requests[key];
-        let owners = self.owners(&request.work)?;
+        let owners = self.owners(&request.spec)?;
         if owners.len() == 0 {
             return None;
         }
@@ -133,13 +133,13 @@
             let open: Vec<TargetKey> = owners.iter().filter(|key| usable(*key)).collect();
             return (!open.is_empty()).then(|| open[seed as usize % open.len()]);
         }
-        if let Some(probed) = self.probe_targets(owners, &request.work).find(|key| usable(*key)) {
+        if let Some(probed) = self.probe_targets(owners, &request.spec).find(|key| usable(*key)) {
             return Some(probed);
         }
-        let candidates = self.candidates(now, owners, &request.work, seed, &usable);
+        let candidates = self.candidates(now, owners, &request.spec, seed, &usable);
         let keys = candidates.keys[..candidates.count].iter().enumerate();
         let cost = |(rank, key): &(usize, &TargetKey)| {
-            self.cost(now, **key, owners, &request.work, *rank as u32)
+            self.cost(now, **key, owners, &request.spec, *rank as u32)
         };
         let best = keys.min_by_key(cost).map(|(_, key)| *key);
         // No candidate is usable, as after the loss of a zone: fall back to any usable target.
@@ -151,15 +151,15 @@
     fn probe_targets(
         &self,
         owners: &Owners,
-        work: &RequestSpec,
+        spec: &RequestSpec,
     ) -> impl Iterator<Item = TargetKey> {
-        let may_probe = work.repeatable && work.urgency < MIN_UNPROBED_URGENCY;
+        let may_probe = spec.repeatable && spec.urgency < MIN_UNPROBED_URGENCY;
         let ejected = self.ejected.iter().take(if may_probe { MAX_PROBE_CANDIDATES } else { 0 });
         ejected.copied().filter(|key| owners.contains(*key))
     }
 
-    fn owners(&self, work: &RequestSpec) -> Option<&Owners> {
-        match &work.requirement {
+    fn owners(&self, spec: &RequestSpec) -> Option<&Owners> {
+        match &spec.requirement {
             Requirement::Weights { base, .. } => self.by_model.get(&base.model),
             Requirement::Service(service) => self.by_service.get(service),
         }
@@ -169,12 +169,12 @@
         &self,
         now: Instant,
         owners: &Owners,
-        work: &RequestSpec,
+        spec: &RequestSpec,
         seed: u64,
         usable: &impl Fn(TargetKey) -> bool,
     ) -> Candidates {
         let mut found = Candidates { keys: [TargetKey::default(); MAX_CANDIDATES], count: 0 };
-        let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
+        let cached = spec.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
         let mut add = |key: TargetKey| {
             if usable(key) {
                 found.push(key);
@@ -182,7 +182,7 @@
         };
         cached.into_iter().filter(|key| owners.contains(*key)).for_each(&mut add);
         owners.last_warm(now).into_iter().for_each(&mut add);
-        let start = owners.index_of(ring_hash(work, seed, owners.last_warm(now).is_some()));
+        let start = owners.index_of(ring_hash(spec, seed, owners.last_warm(now).is_some()));
         let steps = MAX_RING_STEPS.min(owners.len());
         let ring = (start..start + steps).map(|index| owners.target_at(index));
         ring.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut add);
@@ -196,7 +196,7 @@
         now: Instant,
         key: TargetKey,
         owners: &Owners,
-        work: &RequestSpec,
+        spec: &RequestSpec,
         rank: u32,
     ) -> Duration {
         let target = &self.targets[key];
@@ -204,14 +204,14 @@
         let mut cost = run + RING_STEP_COST * rank;
         // Ignores the zone of a cold target: routers of all zones have to load a model at the same
         // target, and a round trip is negligible against a load.
-        if matches!(work.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
+        if matches!(spec.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
         if target.zone != self.zone {
             cost += CROSS_ZONE_COST;
         }
-        let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
-        if work.shape.prefix.is_some() && cached != Some(key) {
+        let cached = spec.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
+        if spec.shape.prefix.is_some() && cached != Some(key) {
             cost += PREFIX_MISS_COST;
         }
         cost
@@ -229,8 +229,8 @@
 
 /// Hashes a request to its start on the ring: by prefix for a warm model, by model for a cold one,
 /// at random for a service.
-fn ring_hash(work: &RequestSpec, seed: u64, warm: bool) -> u64 {
-    match (&work.requirement, work.shape.prefix) {
+fn ring_hash(spec: &RequestSpec, seed: u64, warm: bool) -> u64 {
+    match (&spec.requirement, spec.shape.prefix) {
         (Requirement::Service(_), _) => seed,
         (Requirement::Weights { .. }, Some(prefix)) if warm => prefix,
         (Requirement::Weights { base, .. }, _) => {
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -90,7 +90,7 @@
 
 #[derives(data)]
 struct PendingRequest {
-    work: RequestSpec,
+    spec: RequestSpec,
     target: Option<TargetKey>,
     attempted: Vec<TargetKey>,
 }
@@ -184,7 +184,7 @@
     fn build_rings<K: Ord + Hash>(
         &self,
         mut known: HashMap<K, Owners>,
-        wanted: BTreeMap<K, Vec<TargetKey>>,
+        targets_by_key: BTreeMap<K, Vec<TargetKey>>,
     ) -> HashMap<K, Owners> {
         let hash = |key: TargetKey| {
             let name = self.targets.get(key).map_or("", |target| target.name.as_str());
@@ -195,7 +195,7 @@
             owners.set_targets(keys.into_iter().map(hash).collect());
             (name, owners)
         };
-        wanted.into_iter().map(ring).collect()
+        targets_by_key.into_iter().map(ring).collect()
     }
 
     /// Returns the key of a target.
@@ -229,7 +229,7 @@
 
     /// Returns whether a request may be sent again after a target may have begun it.
     pub fn is_repeatable(&self, key: RequestKey) -> bool {
-        self.requests.get(key).is_some_and(|request| request.work.repeatable)
+        self.requests.get(key).is_some_and(|request| request.spec.repeatable)
     }
 
     /// Returns the number of requests that haven't ended.
@@ -238,10 +238,10 @@
     }
 
     /// Accepts a request and sends it to a target, or refuses it.
-    pub fn submit(&mut self, now: Instant, work: RequestSpec) -> (RequestKey, Decision) {
+    pub fn submit(&mut self, now: Instant, spec: RequestSpec) -> (RequestKey, Decision) {
         self.retry_budget.deposit();
         let key =
-            self.requests.insert(PendingRequest { work, target: None, attempted: Vec::new() });
+            self.requests.insert(PendingRequest { spec, target: None, attempted: Vec::new() });
         (key, self.choose(now, key, None))
     }
 
@@ -336,7 +336,7 @@
     }
 
     fn owners_of(&mut self, key: RequestKey) -> Option<&mut Owners> {
-        match &self.requests.get(key)?.work.requirement {
+        match &self.requests.get(key)?.spec.requirement {
             Requirement::Weights { base, .. } => self.by_model.get_mut(&base.model),
             Requirement::Service(service) => self.by_service.get_mut(service),
         }
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -36,7 +36,7 @@
         Self { router, clock: ManualClock::default(), keys }
     }
 
-    fn work(&self, prefix: Option<u64>) -> RequestSpec {
+    fn spec(&self, prefix: Option<u64>) -> RequestSpec {
         RequestSpec {
             team: "crew".into(),
             requirement: Requirement::Weights {
@@ -51,8 +51,8 @@
     }
 
     fn send(&mut self, prefix: Option<u64>) -> (RequestKey, TargetKey) {
-        let work = self.work(prefix);
-        let (key, decision) = self.router.submit(self.clock.now(), work);
+        let spec = self.spec(prefix);
+        let (key, decision) = self.router.submit(self.clock.now(), spec);
         let Decision::Send(target) = decision else { panic!("not sent: {decision:?}") };
         (key, target)
     }
@@ -239,8 +239,8 @@
     let refusal = Refusal { reason: RefusalReason::QueueFull, retry_after: Duration::from_secs(2) };
     let mut messages = 0;
     for _ in 0..1000 {
-        let work = bench.work(None);
-        let (key, mut decision) = bench.router.submit(bench.clock.now(), work);
+        let spec = bench.spec(None);
+        let (key, mut decision) = bench.router.submit(bench.clock.now(), spec);
         while let Decision::Send(_) = decision {
             messages += 1;
             decision = bench.router.refused(bench.clock.now(), key, refusal, IDLE);
@@ -256,8 +256,8 @@
 #[case::not_repeatable(false)]
 fn only_repeatable_requests_are_retried_after_a_lost_connection(#[case] repeatable: bool) {
     let mut bench = Bench::new(3, 13);
-    let work = RequestSpec { repeatable, ..bench.work(None) };
-    let (key, _) = bench.router.submit(bench.clock.now(), work);
+    let spec = RequestSpec { repeatable, ..bench.spec(None) };
+    let (key, _) = bench.router.submit(bench.clock.now(), spec);
     let refusal = Refusal { reason: RefusalReason::NotLoaded, retry_after: Duration::from_secs(1) };
     let decision = bench.router.connection_lost(bench.clock.now(), key, refusal);
     assert_eq!(matches!(decision, Some(Decision::Send(_))), repeatable);
