--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -13,7 +13,7 @@
 const INITIAL_SHORT_RUN_TIME: Duration = Duration::from_millis(100);
 const INITIAL_LONG_RUN_TIME: Duration = Duration::from_secs(2);
 const RUN_TIME_SMOOTHING_DIVISOR: u32 = 8;
-/// Maximum `retry_after` of a refusal, so that callers return soon after a burst.
+/// Maximum `retry_after` of a refusal.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Retries after a cold start are spread over the load time divided by this.
 const COLD_START_JITTER_DIVISOR: u32 = 8;
@@ -79,7 +79,7 @@
         MAX_RETRY_AFTER / 2 + self.jitter(MAX_RETRY_AFTER / 2)
     }
 
-    /// Returns a delay below `width`, far from the previous ones.
+    /// Returns the next delay of a low-discrepancy sequence below `width`.
     pub fn jitter(&mut self, width: Duration) -> Duration {
         self.jitter_state = self.jitter_state.wrapping_add(JITTER_INCREMENT);
         width.mul_f64(self.jitter_state as f64 / u64::MAX as f64)
@@ -87,8 +87,7 @@
 }
 
 impl Agent {
-    /// Refuses a request on arrival if its target is draining, holds no slot for its model, has a
-    /// full queue, or can't meet its deadline.
+    /// Returns why a request must be refused on arrival, if it must.
     pub(super) fn refusal(
         &mut self,
         now: Instant,
@@ -132,8 +131,8 @@
         Some(Refusal { reason: RefusalReason::Deadline, retry_after })
     }
 
-    /// Whether the queue is full for a team. A team below its share of the queue is still admitted,
-    /// so the queue holds at most twice its limit.
+    /// Whether the queue is full for a team. A team below its share is still admitted, so the queue
+    /// holds at most twice its limit.
     fn is_queue_full_for(&self, team: &WorkspaceId, share: u32, total_shares: u32) -> bool {
         if self.queue.len() < self.limits.queue as usize {
             return false;
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -11,10 +11,7 @@
 const UTILITY_HORIZON: Duration = Duration::from_secs(30 * 60);
 
 impl Agent {
-    /// Unloads idle weights in eviction order until `missing` will be free; returns whether it will
-    /// be.
-    ///
-    /// Weights that a request uses or waits for are never evicted.
+    /// Unloads idle weights until `missing` will be free, if possible; returns whether it will be.
     pub(super) fn evict(
         &mut self,
         now: Instant,
@@ -39,8 +36,7 @@
         reclaimable_mib >= missing.0
     }
 
-    /// Evictable models and adapters in eviction order, each with its utility and the memory in MiB
-    /// that it frees.
+    /// Evictable weights in eviction order, each with its utility and the MiB that it frees.
     fn victims(
         &self,
         now: Instant,
@@ -71,7 +67,7 @@
                 (utility, weights.clone(), memory)
             })
             .collect();
-        // At equal utility the larger is evicted first, so that fewer are.
+        // At equal utility the largest is evicted first, so that fewer are evicted.
         victims.sort_by_key(|(utility, weights, memory)| {
             (*utility, Reverse(*memory), weights.clone())
         });
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -28,7 +28,7 @@
     windows: BTreeMap<Weights, CachedWindow>,
 }
 
-/// A computed prewarm window, valid until `until` or the model's next call.
+/// A prewarm window, valid until `until` (in Unix seconds) or the model's next call.
 #[derive(Clone, Copy, Debug)]
 struct CachedWindow {
     window: Option<PrewarmWindow>,
@@ -100,7 +100,7 @@
         self.pending_unloads.contains(weights)
     }
 
-    /// Memory of models that are unloaded once their adapters are.
+    /// Memory of models whose unload waits for their adapters, in MiB.
     pub fn pending_unload_mib(&self, ledger: &Ledger) -> u64 {
         let ready = |weights: &&Weights| {
             ledger.find(weights).is_some_and(|entry| entry.stage == Stage::Ready)
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -14,13 +14,12 @@
     time::{Duration, Instant},
 };
 
-/// Time to wait for a coordinator's grant before the agent starts a load at its own pace; long
-/// enough for a change of the coordinator's lease.
+/// Time to wait for a coordinator's grant before the agent's own limiter applies; long enough for
+/// the lease to move to another coordinator.
 pub const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that requests wait for memory before they are refused, so that they can be retried on
-/// another replica before their deadline.
+/// Time that requests wait for memory before they are refused, early enough for a retry elsewhere.
 const CAPACITY_WAIT_LIMIT: Duration = Duration::from_secs(2);
-/// Time beyond the expected load that a load demand of refused callers stays valid.
+/// Validity of a [`LoadDemand`] of refused callers, beyond the expected load time.
 const DEMAND_TTL: Duration = Duration::from_secs(60);
 /// Delay before a command of unknown outcome is retried; engines treat retries as idempotent.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_secs(2);
@@ -104,7 +103,6 @@
         }
     }
 
-    /// Whether queued requests wait for the weights.
     pub fn is_awaited(&self, weights: &Weights) -> bool {
         self.waiting.contains_key(weights)
     }
@@ -112,7 +110,7 @@
     /// Expected time until the weights are loaded.
     pub fn remaining(&self, now: Instant, weights: &Weights, load_time: Duration) -> Duration {
         match self.started.get(weights) {
-            // An overdue load is expected to take as long again as it already took.
+            // An overdue load is expected to take as long again.
             Some(started) => {
                 let took = now.saturating_duration_since(started.at);
                 let expected = started.expected.mul_f64(self.slowdown);
@@ -122,8 +120,8 @@
         }
     }
 
-    /// When a command may be due without any other event. Must not return a time at which nothing
-    /// is due, or the event loop spins.
+    /// When the next command may be due. Must not return a time at which nothing is due, or the
+    /// event loop spins.
     pub fn next_wake(&self) -> Option<Instant> {
         let pending = self.pending.values().filter_map(|pending| self.next_start_of(pending));
         let retries = self.retries.values().map(|(at, _)| *at);
@@ -144,7 +142,7 @@
         }
     }
 
-    /// Updates the slowdown of loads against their configured time, which scales retry hints.
+    /// Updates the slowdown of loads relative to their configured time.
     fn observe(&mut self, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
         self.slowdown += (ratio.max(1.0) - self.slowdown) * SLOWDOWN_SMOOTHING_RATIO;
@@ -171,7 +169,7 @@
         }
     }
 
-    /// Loads the weights of a refused request, so that its retry succeeds. Without it a model whose
+    /// Requests a load for a refused request, so that its retry succeeds; otherwise a model whose
     /// callers have deadlines shorter than its load time would never be loaded.
     pub(super) fn record_demand(
         &mut self,
@@ -284,8 +282,7 @@
         }
     }
 
-    /// Refuses the requests that wait for weights once these didn't fit in memory for
-    /// [`CAPACITY_WAIT_LIMIT`].
+    /// Refuses the requests for weights that haven't fit in memory for [`CAPACITY_WAIT_LIMIT`].
     fn check_capacity_wait(
         &mut self,
         now: Instant,
@@ -350,7 +347,7 @@
         self.step(now, config)
     }
 
-    /// Retries commands of unknown outcome, whose memory counts as used until it is known.
+    /// Retries commands of unknown outcome.
     fn retry_commands(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -71,11 +71,11 @@
     pub keep_alive: KeepAlive,
     /// Which weights are evicted.
     pub eviction: Eviction,
-    /// Dequeue order.
+    /// The order in which requests are dequeued.
     pub discipline: QueueDiscipline,
 }
 
-/// An effect that the code driving [`Agent`] must carry out.
+/// An effect that the caller of [`Agent`] must execute.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Action {
@@ -182,7 +182,7 @@
         self.keep_alive.set_unix_time(now, unix_s);
     }
 
-    /// Sets whether a coordinator paces loads; without one this agent paces its own.
+    /// Sets whether a coordinator limits loads; otherwise this agent limits its own.
     pub fn set_coordinated(&mut self, coordinated: bool) {
         self.loads.set_coordinated(coordinated);
     }
@@ -216,7 +216,7 @@
         self.step(now, config)
     }
 
-    /// Models that queued or running requests need.
+    /// Models of queued or running requests.
     pub fn models_in_use(&self) -> BTreeSet<ModelId> {
         self.model_users.keys().cloned().collect()
     }
@@ -392,8 +392,7 @@
         actions
     }
 
-    /// Whether even a fast run would miss the request's deadline, so that its capacity is better
-    /// used for another request.
+    /// Whether even a fast run would miss the request's deadline.
     fn cannot_finish(&self, now: Instant, key: RequestKey) -> bool {
         let spec = &self.requests[key].spec;
         let lower_bound = self.run_times[spec.shape.length as usize].lower_bound();
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -86,8 +86,8 @@
     /// The keep-alive time after a call that minimises the expected cost, where a cold start costs
     /// `cold_start_cost` idle seconds.
     ///
-    /// The cost of each candidate is the expected idle time until the next call or the unload, plus
-    /// a cold start if the next call comes later, both estimated from the gap histogram.
+    /// A candidate's cost is the expected idle time until the next call or the unload, plus a cold
+    /// start if the call comes later.
     pub fn keep_alive_time(&self, cold_start_cost: f64) -> Duration {
         let total: f64 = self.smoothed_counts().sum();
         let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_start_cost, 0.0));
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Change counter, against which a query of the engine is reconciled.
+    /// Change counter; see [`Ledger::reconcile`].
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether any entry has an unknown outcome, so that the engine must be queried.
+    /// Whether the engine must be queried for the outcome of a command.
     pub fn has_unknown(&self) -> bool {
         self.entries.values().any(|entry| entry.stage == Stage::Unknown)
     }
@@ -177,8 +177,7 @@
 
     /// Replaces all entries with those that the engine reports, before any command is sent.
     ///
-    /// After an agent restart the engine may hold models or still be loading one. Entries beyond
-    /// the engine's capacity are counted too.
+    /// Entries beyond the engine's capacity are counted too.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.entries.clear();
         for (weights, memory, ready) in loaded {
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -14,19 +14,17 @@
     time::{Duration, Instant},
 };
 
-/// A load slower than this percentage of its expected time indicates a congested store; lower
-/// values would react to ordinary variance.
+/// A load slower than this percentage of its expected time indicates a congested store.
 const CONGESTED_PERCENT: u32 = 150;
-/// Deadlines in the same bucket are equal, so that the shortest load among them is granted first.
+/// Among deadlines in the same bucket the shortest load is granted first.
 const DEADLINE_BUCKET: Duration = Duration::from_secs(10);
-/// A grant expires after this many times the expected load time, as its agent may have died;
-/// earlier expiry would overload a slow store.
+/// A grant expires after this many times the expected load time, as its agent may have died.
 const GRANT_EXPIRY_FACTOR: u32 = 6;
 
 /// Limits the loads of one agent while there is no coordinator.
 ///
 /// Adapts its limit by additive increase and multiplicative decrease, starting at half of the
-/// store's concurrency. A fixed fraction would leave the store idle when few engines load.
+/// store's concurrency.
 #[derives(data)]
 pub struct LoadLimiter {
     store: StoreLimits,
@@ -84,7 +82,7 @@
     }
 }
 
-/// An agent's request for permission to load weights.
+/// An agent's request for a load grant.
 #[derives(data)]
 #[derive(Eq)]
 pub struct LoadRequest {
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -2,8 +2,7 @@
 //!
 //! A request whose weights are loaded is *ready* and waits for a free slot only; the others wait
 //! for a load. Ready requests are dequeued by their team's use of its share, then by urgency and
-//! deadline. Operations on one request take logarithmic time; [`Queue::pop`] is linear in the
-//! teams that have requests.
+//! deadline.
 
 mod backlog;
 #[cfg(test)]
@@ -63,7 +62,7 @@
     }
 }
 
-/// A request as the queue sees it.
+/// Properties of a request that determine its dequeue order.
 #[derives(data)]
 pub struct QueuedRequest {
     /// The team that sent it.
@@ -102,10 +101,10 @@
 
 /// One slot in this many is reserved for each [`Length`].
 ///
-/// Keeps long requests from holding every slot for minutes, and a flood of short ones from
-/// starving the long. Short requests may still borrow the slots reserved for long ones.
+/// Keeps neither length from starving the other. Short requests may borrow slots reserved for long
+/// ones.
 pub const RESERVED_SLOTS_DIVISOR: u32 = 4;
-/// The whole capacity of a target, in thousandths, as divided into guaranteed shares.
+/// Capacity of a target, in thousandths, that guaranteed shares divide.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
 /// A queue of requests, with counts of those running.
@@ -233,7 +232,7 @@
         self.missing.get(weights).into_iter().flatten().map(|position| position.key).collect()
     }
 
-    /// Iterates over missing weights, each with the first position that waits for them.
+    /// Iterates over missing weights, each with the position of the first request that needs them.
     pub fn missing(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
         self.missing.iter().filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
     }
@@ -263,7 +262,7 @@
         self.teams.get(team).map_or(0, |team| team.ready.iter().map(BTreeSet::len).sum())
     }
 
-    /// Returns the number of a team's waiting requests, ready or not.
+    /// Returns the number of a team's waiting requests, including those that are not ready.
     pub fn waiting_of(&self, team: &WorkspaceId) -> u32 {
         self.teams.get(team).map_or(0, |team| team.waiting)
     }
@@ -273,17 +272,16 @@
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Returns the requests whose deadline has passed, without removing them.
+    /// Returns the waiting requests whose deadline has passed.
     pub fn expired(&self, now: Instant) -> Vec<RequestKey> {
         self.deadlines.iter().take_while(|(at, _)| *at <= now).map(|(_, key)| *key).collect()
     }
 
     /// Dequeues the next request if a slot is free, and counts it as running.
     ///
-    /// A team below its guaranteed share precedes any team above, whatever their urgency, so that
-    /// one team's urgent requests can't take another's guarantee. Ties go to a length below its
-    /// reserved slots, then to the more urgent request, then to the team that uses least of its
-    /// share. Running requests are not preempted.
+    /// A team below its guaranteed share precedes any team above, regardless of urgency. Ties go to
+    /// a length below its reserved slots, then to the more urgent request, then to the team that
+    /// uses least of its share. Running requests are not preempted.
     pub fn pop(&mut self) -> Option<RequestKey> {
         if self.running() >= self.concurrency {
             return None;
@@ -396,10 +394,8 @@
         global_wait.min(slot_wait + share_wait + mean_run * own_ahead / guaranteed)
     }
 
-    /// Returns the ready requests that would miss their deadline at the current mean run times.
-    ///
-    /// Lets callers be refused early when a target has slowed down since admission. Scans all
-    /// ready requests, so it is called at intervals.
+    /// Returns the ready requests that would miss their deadline at the current mean run times, as
+    /// when the target has slowed down since their admission. Linear in the ready requests.
     pub fn infeasible(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
         if self.discipline == QueueDiscipline::Fifo {
             return Vec::new();
--- a/crates/corianderstand_decide/src/queue/backlog.rs
+++ b/crates/corianderstand_decide/src/queue/backlog.rs
@@ -27,7 +27,6 @@
         *self.counts.entry(bucket).or_default() += 1;
     }
 
-    /// Removes a request, given the values it was added with.
     pub fn remove(&mut self, urgency_rank: u8, deadline: Instant) {
         let bucket = (urgency_rank, self.bucket(deadline));
         let Some(count) = self.counts.get_mut(&bucket) else { return };
--- a/crates/corianderstand_decide/src/request.rs
+++ b/crates/corianderstand_decide/src/request.rs
@@ -31,22 +31,21 @@
     Service(ServiceId),
 }
 
-/// The properties of a request that scheduling decisions use.
+/// A request as scheduling decisions see it.
 #[derives(data)]
 #[derive(Eq)]
 pub struct RequestSpec {
     /// The team that sent the request.
     pub team: WorkspaceId,
-    /// The model or service that serves it.
+    /// What a target needs to serve it.
     pub requirement: Requirement,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// Time by which it must be answered.
+    /// When its response is due.
     pub deadline: Instant,
-    /// Whether it is idempotent, so that it may be retried on a second target after the first may
-    /// have started it.
+    /// Whether it may be retried on another target after one may have started it.
     pub repeatable: bool,
-    /// Expected length and prefix of the request.
+    /// Expected length and prompt prefix.
     pub shape: Shape,
 }
 
@@ -71,9 +70,7 @@
 pub const PREFIX_BYTES: usize = 1024;
 
 impl Shape {
-    /// Classifies a request by its token limit and the start of its prompt.
-    ///
-    /// A chat without a token limit is classified as long.
+    /// Classifies a request; a chat without a token limit is long.
     pub fn of(max_tokens: Option<u64>, chat: bool, prompt: &[u8]) -> Self {
         let long = max_tokens.map_or(chat, |tokens| tokens > LONG_ANSWER_TOKENS);
         let length = if long { Length::Long } else { Length::Short };
@@ -83,13 +80,13 @@
     }
 }
 
-/// The reason for refusing a request, with a retry hint.
+/// The refusal of a request.
 #[derives(data)]
 #[derive(Copy, Eq)]
 pub struct Refusal {
     /// Reason reported to the caller.
     pub reason: RefusalReason,
-    /// Delay after which the caller should retry.
+    /// Recommended delay before a retry.
     pub retry_after: Duration,
 }
 
@@ -111,7 +108,7 @@
     fn cost_factors(&self, _model: &ModelId) -> CostFactors {
         CostFactors::default()
     }
-    /// Limits of the weight store, and the number of engines that share it.
+    /// Limits of the weight store.
     fn store(&self) -> StoreLimits {
         StoreLimits::default()
     }
--- a/crates/corianderstand_decide/src/router/budget.rs
+++ b/crates/corianderstand_decide/src/router/budget.rs
@@ -1,7 +1,6 @@
 //! A retry budget proportional to the rate of requests.
 
-/// Retries granted by each request, in hundredths. Bounds the load that retries add when all
-/// targets refuse.
+/// Retries granted by each request, in hundredths.
 const RETRY_PERCENT: u32 = 10;
 /// Limit of accumulated retries; enough to retry the requests of a lost host.
 const MAX_RETRIES: u32 = 100;
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -12,27 +12,24 @@
 const RING_CANDIDATES: usize = 3;
 const RANDOM_CANDIDATES: usize = 2;
 const MAX_RING_STEPS: usize = 8;
-/// Limit of candidates; the last two are the prefix's target and the last warm target.
+/// Includes the target with the cached prefix and the last warm target.
 const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES + 2;
 
 /// Wait added by each request sent since a target's last load report, as reports lag.
 const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
 const TYPICAL_RUN: Duration = Duration::from_millis(300);
 const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
-/// Cost of a prefix that isn't cached, about the time to compute it again. Bounds the load that
-/// a popular prefix draws to one target.
+/// Cost of a prefix that isn't cached: about the time to compute it.
 const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
-/// Cost of a target that has to load the model; warm replicas are preferred until their wait
-/// exceeds it.
+/// Cost of a target that has to load the model.
 const COLD_START_COST: Duration = Duration::from_secs(5);
 /// Requests of this urgency or higher don't probe ejected targets.
 const MIN_UNPROBED_URGENCY: u8 = 2;
-/// Bounds the time of one decision.
 const MAX_PROBE_CANDIDATES: usize = 4;
 /// Cost of each step along the ring for a target that has to load the model: the next target loads
 /// it only if the one before is busier by this.
 const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
-/// Cost of each step along the ring: a tie-breaker that is the same on all routers.
+/// Cost of each step along the ring, which breaks ties alike on all routers.
 const RING_STEP_COST: Duration = Duration::from_micros(100);
 
 struct Candidates {
@@ -146,8 +143,7 @@
         best.or_else(|| owners.iter().find(|key| usable(*key)))
     }
 
-    /// Returns ejected targets that this request may probe for recovery. Only requests that are
-    /// repeatable and not urgent are used as probes.
+    /// Returns ejected targets that this request may probe: none if it is urgent or not repeatable.
     fn probe_targets(
         &self,
         owners: &Owners,
@@ -202,8 +198,8 @@
         let target = &self.targets[key];
         let run = (TYPICAL_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
         let mut cost = run + RING_STEP_COST * rank;
-        // Ignores the zone of a cold target: routers of all zones have to load a model at the same
-        // target, and a round trip is negligible against a load.
+        // The zone of a cold target is ignored, so that routers of all zones load a model at the same
+        // target.
         if matches!(spec.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 const RATIO_SMOOTHING: f64 = 0.3;
-/// Smoothing factor of a model's baseline; small, so that one slow target hardly shifts it.
+/// Small, so that one slow target hardly shifts a model's baseline.
 const BASELINE_SMOOTHING: f64 = 0.05;
 /// Samples are clipped to this multiple of the baseline, for the same reason.
 const MAX_BASELINE_SAMPLE_RATIO: f64 = 2.0;
@@ -15,14 +15,12 @@
 const EJECT_RATIO: f64 = 3.0;
 /// An ejected target is readmitted at this ratio or below; the hysteresis prevents flapping.
 const READMIT_RATIO: f64 = 1.5;
-/// Half-life of a target's slowness without new samples. A slow target is sent fewer requests, so
-/// its recovery would be noticed late otherwise.
+/// Half-life of a target's slowness without new samples, as a slow target is sent few requests.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(20);
 const MIN_SAMPLES: u32 = 4;
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 const LOST_CONNECTION_RATIO: f64 = 6.0;
-/// At most one target in this many is ejected, so that the remaining ones aren't overloaded and
-/// ejected in turn.
+/// At most one target in this many is ejected, so that the remaining ones aren't overloaded.
 pub const MAX_EJECTED_DIVISOR: usize = 3;
 
 /// Smoothed time for each part of a model's responses.
@@ -56,8 +54,7 @@
 }
 
 impl Health {
-    /// Adds a response that took `ratio` times the baseline. `may_eject` is false while the limit of
-    /// ejected targets is reached.
+    /// Adds a response that took `ratio` times the baseline; ejects only if `may_eject`.
     pub fn observe(&mut self, now: Instant, ratio: f64, may_eject: bool) {
         self.samples = self.samples.saturating_add(1);
         self.ratio += (ratio - self.ratio) * RATIO_SMOOTHING;
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -95,9 +95,9 @@
     attempted: Vec<TargetKey>,
 }
 
-/// Targets that a request is sent to before it is refused. More attempts would amplify an overload.
+/// Targets that a request is sent to before it is refused; bounds the load of retries.
 pub const MAX_ATTEMPTS: usize = 3;
-/// Retry delay returned if no target serves the model or service.
+/// Retry delay while no target serves the model or service.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Selects targets for requests, and tracks what the selection depends on.
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Returns whether a request may be sent again after a target may have begun it.
+    /// Returns whether a request may be retried after a target may have started it.
     pub fn is_repeatable(&self, key: RequestKey) -> bool {
         self.requests.get(key).is_some_and(|request| request.spec.repeatable)
     }
@@ -272,8 +272,8 @@
         self.choose(now, key, Some(refusal))
     }
 
-    /// Handles the loss of the connection to a request's target. Returns `None` if the request may
-    /// have run and isn't repeatable, which the caller has to be told.
+    /// Handles the loss of the connection to a request's target. Returns `None` if the request isn't
+    /// repeatable and may have run.
     pub fn connection_lost(
         &mut self,
         now: Instant,
@@ -295,9 +295,7 @@
         Some(self.choose(now, key, Some(refusal)))
     }
 
-    /// Records that `parts` of a response took `took`, for the target's health.
-    ///
-    /// Uses the time for each part, so that long responses don't make a target look slow.
+    /// Records for the target's health that `parts` of a response took `took`.
     pub fn progressed(&mut self, now: Instant, key: RequestKey, parts: u64, took: Duration) {
         let time_per_part = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
         let Some(ratio) = self.owners_of(key).map(|owners| owners.baseline.observe(time_per_part))
@@ -342,7 +340,7 @@
         }
     }
 
-    /// Removes a request that has ended; `load` is present if its target completed the response.
+    /// Removes a request that has ended; `load` is given if its target completed the response.
     pub fn finished(&mut self, now: Instant, key: RequestKey, load: Option<Load>) {
         let answered = load.is_some();
         let target = self.release_target(now, key, load);
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/owners.rs
@@ -8,8 +8,7 @@
 
 /// Time after the last request sent for which a target is assumed to have the model loaded.
 const WARM_TIMEOUT: Duration = Duration::from_secs(300);
-/// Time after a response for which a target certainly has the model loaded: the least time that
-/// an idle model is kept.
+/// Time after a response for which a target certainly has the model loaded.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A hash ring of targets, ordered by the hash of their names so that all routers agree.
@@ -70,7 +69,7 @@
         self.last_served_at.insert(target, now);
     }
 
-    /// Returns whether a target has responded lately, and so isn't still loading the model.
+    /// Returns whether a target has responded recently, so that it isn't still loading the model.
     pub fn is_serving(&self, now: Instant, target: TargetKey) -> bool {
         self.last_served_at
             .get(&target)
--- a/crates/corianderstand_decide/src/router/prefixes.rs
+++ b/crates/corianderstand_decide/src/router/prefixes.rs
@@ -7,8 +7,8 @@
 };
 
 const MAX_PREFIXES: usize = 65_536;
-/// Longest delay of a cache event. A removal received this soon after a prefix was recorded may
-/// precede the record, and is ignored.
+/// Longest delay of a cache event. A removal this soon after a prefix was recorded is ignored, as
+/// it may precede the record.
 const MAX_EVENT_LAG: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
@@ -67,8 +67,7 @@
 
     /// Applies a cache event of a target.
     ///
-    /// A gap in the sequence may hide removals, so it invalidates all entries of the target; entries
-    /// are recorded again by events and requests.
+    /// A gap in the sequence may hide removals, so it invalidates all entries of the target.
     pub fn apply_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
         let cursor = self.cursors.entry(target).or_default();
         if event.sequence < cursor.next_sequence {
