--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -25,9 +25,9 @@
 
 /// Smoothed time for each part of a model's responses.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct BaselinePace(Option<f64>);
+pub struct BaselinePartTime(Option<f64>);
 
-impl BaselinePace {
+impl BaselinePartTime {
     /// Adds a sample and returns its ratio to the baseline.
     pub fn observe(&mut self, time_per_part: Duration) -> f64 {
         let time_per_part_s = time_per_part.as_secs_f64().max(1e-6);
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/owners.rs
@@ -1,6 +1,6 @@
 //! The targets that can serve one model or service.
 
-use super::{TargetKey, health::BaselinePace};
+use super::{TargetKey, health::BaselinePartTime};
 use std::{
     collections::{HashMap, HashSet},
     time::{Duration, Instant},
@@ -19,7 +19,7 @@
     last_sent_at: HashMap<TargetKey, Instant>,
     last_warm: Option<TargetKey>,
     last_served_at: HashMap<TargetKey, Instant>,
-    pub baseline: BaselinePace,
+    pub baseline: BaselinePartTime,
 }
 
 impl Owners {
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -202,7 +202,9 @@
             }
             Some(Update::Chunk { position, body }) => self.on_chunk(position, body),
             Some(Update::End { position, ending }) => self.on_end(position, ending).map(Some),
-            Some(Update::Refused { refusal, moving }) => Err(self.on_refused(refusal, moving)),
+            Some(Update::Refused { refusal, transient }) => {
+                Err(self.on_refused(refusal, transient))
+            }
             Some(Update::Lost { failed: false }) => {
                 Err(self.on_lost("connection to the target lost", 1))
             }
@@ -226,14 +228,14 @@
     }
 
     /// Returns a refusal to the caller, unless the answer has begun or the replica is out of
-    /// service only briefly (`moving`). A refused request has not run, so any call may be retried
-    /// while `moving`.
-    fn on_refused(&mut self, refusal: Refusal, moving: bool) -> AttemptEnd {
+    /// service only briefly (`transient`). A refused request has not run, so any call may be retried
+    /// while `transient`.
+    fn on_refused(&mut self, refusal: Refusal, transient: bool) -> AttemptEnd {
         self.finished = true;
         if self.position > self.submission.open.position || self.attempts > 0 && self.position > 0 {
             return self.retry_if_repeatable(Problem::Failed("no replica can resume it".into()), 1);
         }
-        if moving {
+        if transient {
             AttemptEnd::Retry(refusal.into(), 1)
         } else {
             AttemptEnd::Final(refusal.into())
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -174,7 +174,8 @@
         let mut test_call = TestCall::new(true);
         let reason = RefusalReason::QueueFull;
         let retry_after = Duration::from_secs(1);
-        test_call.send(Update::Refused { refusal: Refusal { reason, retry_after }, moving: false });
+        test_call
+            .send(Update::Refused { refusal: Refusal { reason, retry_after }, transient: false });
         assert_eq!(test_call.read().await, Err(Problem::Refused(reason, retry_after)));
         assert!(test_call.events.try_recv().is_err());
     });
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -196,8 +196,8 @@
             Decision::Send(target) => self.send(key, target),
             Decision::Refuse(refusal) => {
                 if let Some(call) = self.calls.remove(&key) {
-                    let moving = self.is_moving(&call.open.operation, refusal.reason);
-                    drop(call.reply.try_send(Update::Refused { refusal, moving }));
+                    let transient = self.is_transient_refusal(&call.open.operation, refusal.reason);
+                    drop(call.reply.try_send(Update::Refused { refusal, transient }));
                 }
             }
         }
@@ -205,7 +205,7 @@
 
     /// Whether a refusal is due to a replica that is briefly out of service: planned, but stopping,
     /// restarting or moving. Its callers wait rather than see an error.
-    fn is_moving(&self, operation: &Operation, reason: RefusalReason) -> bool {
+    fn is_transient_refusal(&self, operation: &Operation, reason: RefusalReason) -> bool {
         if !matches!(reason, RefusalReason::Draining | RefusalReason::NotLoaded) {
             return false;
         }
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -47,7 +47,7 @@
     Refused {
         refusal: Refusal,
         /// Whether an assigned replica is temporarily unavailable, so that a retry may succeed.
-        moving: bool,
+        transient: bool,
     },
     /// The target was lost and no other target accepted the request.
     Lost {
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -60,7 +60,7 @@
         submit: impl FnOnce() -> Result<CallInProgress, Problem>,
     ) -> Result<Answer, Problem> {
         if is_past_retention(&self.key.key, SystemTime::now()) {
-            return Err(Problem::KeyForgotten);
+            return Err(Problem::KeyExpired);
         }
         let snapshot = self.control.current.load();
         match snapshot.state.calls.status(&self.key, self.digest) {
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -46,7 +46,7 @@
     /// the call did not run and never will under this key ({0}): send it with a new key
     NotRun(SmolStr),
     /// the key has expired, so it is not known whether its call ran: check at the service
-    KeyForgotten,
+    KeyExpired,
     /// no response before the deadline: retry, or set a later deadline
     Deadline,
     /// this process is not ready ({0}): use another router, or retry later
@@ -90,7 +90,7 @@
             Self::Failed(_) => "answer_broke_off",
             Self::Unknown(_) => "outcome_unknown",
             Self::NotRun(_) => "call_not_run",
-            Self::KeyForgotten => "key_forgotten",
+            Self::KeyExpired => "key_forgotten",
             Self::Deadline => "deadline_passed",
             Self::NotReady(_) => "not_ready",
             Self::Conflict(_) => "conflict",
@@ -109,7 +109,7 @@
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::Forbidden => StatusCode::FORBIDDEN,
             Self::NotFound | Self::NoSuchPath => StatusCode::NOT_FOUND,
-            Self::NotRun(_) | Self::KeyForgotten => StatusCode::GONE,
+            Self::NotRun(_) | Self::KeyExpired => StatusCode::GONE,
             Self::Conflict(_) | Self::Refused(RefusalReason::KeyConflict, _) => {
                 StatusCode::CONFLICT
             }
@@ -125,7 +125,7 @@
     pub const fn outcome(&self) -> &'static str {
         match self {
             Self::Failed(_) | Self::Unknown(_) | Self::Deadline | Self::Undecided(_) => "unknown",
-            Self::KeyForgotten => "unknown",
+            Self::KeyExpired => "unknown",
             _ => "not-run",
         }
     }
