--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -15,7 +15,7 @@
 /// Format and metadata of an answer.
 #[derive(Clone, Debug)]
 pub struct AnswerFormat {
-    /// Whether it answers a chat completion.
+    /// Whether the request is a chat completion.
     pub chat: bool,
     /// The request id.
     pub request: SmolStr,
@@ -27,7 +27,7 @@
     pub created_s: u64,
 }
 
-/// Bounds a target that makes no progress; lost connections are detected by heartbeats.
+/// Timeout of a target that makes no progress; heartbeats detect lost connections.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 const MAX_WRITE_BYTES: usize = 16 * 1024;
 
--- a/crates/corianderstand_router/src/auth.rs
+++ b/crates/corianderstand_router/src/auth.rs
@@ -10,7 +10,7 @@
     key: [u8; 32],
 }
 
-/// An invalid hashing key.
+/// Why a hashing key is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum AuthError {
     /// `auth_key` is not 64 hexadecimal digits: make one with a random generator
@@ -35,9 +35,8 @@
         blake3::keyed_hash(&self.key, bearer.as_bytes()).to_hex().as_str().into()
     }
 
-    /// Returns the workspace of a bearer key.
-    ///
-    /// The look-up is by hash, so its timing reveals nothing about existing keys.
+    /// Returns the workspace of a bearer key. Looks it up by hash, so that the timing reveals nothing
+    /// about existing keys.
     pub fn team(&self, view: &View, bearer: &str) -> Option<WorkspaceId> {
         view.keys.get(&self.hash(bearer)).cloned()
     }
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -1,7 +1,5 @@
-//! A call in progress, as its HTTP handler sees it.
-//!
-//! Parts are returned in order, each once. If the target is lost, a repeatable call is submitted
-//! again from the position reached.
+//! A call in progress. Its parts are returned in order, each once; if the target is lost, a
+//! repeatable call is submitted again from the position reached.
 
 use crate::{
     event::{Attachment, CHUNK_WINDOW, Call, Command, Event, REPLY_QUEUE_CAPACITY, Update},
@@ -18,12 +16,11 @@
 const CREDIT_STEP: u64 = CHUNK_WINDOW / 2;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Attempts without progress before a call fails; their backoff outlasts a planned restart.
+/// Attempts without progress before a call fails; enough for a planned restart of its target.
 const MAX_ATTEMPTS: u32 = 12;
-/// Attempts that an engine failure counts as, so that a request that crashes engines reaches only
-/// a few of them.
+/// Attempts that an engine failure counts as; bounds the engines that one request can crash.
 const ATTEMPTS_PER_FAILURE: u32 = 4;
-/// Minimum time to resume an answer that has begun: its first part met the deadline already.
+/// Minimum time to resume an answer whose first part met the deadline.
 const MIN_RESUME_TIME: Duration = Duration::from_secs(10);
 const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -50,7 +47,7 @@
     },
 }
 
-/// Everything needed to submit a call, kept for retries.
+/// Arguments of a call, kept for retries.
 struct Submission {
     events: SyncSender<Event>,
     spec: RequestSpec,
@@ -186,8 +183,7 @@
 
     fn apply(&mut self, update: Option<Update>) -> Result<Option<Part>, AttemptEnd> {
         match update {
-            // The sender was dropped without an ending. The request may have run, so this is not
-            // a refusal.
+            // The sender was dropped. The request may have run, so this is not a refusal.
             None => Err(self.on_lost("the router lost its state", 1)),
             Some(Update::Attached(attachment)) => {
                 self.attachment = Some(attachment);
@@ -227,9 +223,8 @@
         }
     }
 
-    /// Returns a refusal to the caller, unless the answer has begun or the replica is out of
-    /// service only briefly (`transient`). A refused request has not run, so any call may be retried
-    /// while `transient`.
+    /// Handles a refusal: final unless the answer has begun or the refusal is transient. A refused
+    /// request has not run, so any call may be retried.
     fn on_refused(&mut self, refusal: Refusal, transient: bool) -> AttemptEnd {
         self.finished = true;
         if self.position > self.submission.open.position || self.attempts > 0 && self.position > 0 {
@@ -287,8 +282,8 @@
 
     fn send_command(&self, command: impl FnOnce(u64, u64) -> Command) {
         if let Some(Attachment { stream, commands, .. }) = &self.attachment {
-            // With a full channel, credit is sent with the next chunk, and the connection cancels
-            // once it finds `updates` closed.
+            // If the channel is full, credit is sent with the next chunk, and the connection cancels
+            // once `updates` is closed.
             drop(commands.try_send(command(*stream, self.credit_limit)));
         }
     }
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -15,13 +15,13 @@
     },
 };
 
-/// Connections over the limit whose requests get a refusal; any further ones are closed at once.
+/// Connections over the limit whose requests are refused; further ones are closed at once.
 const MAX_EXCESS_CONNECTIONS: usize = 256;
 
 /// Counts open connections.
 ///
-/// Some connections over the limit are accepted and their requests refused with `Retry-After`, so
-/// that callers do not wait in the listen backlog without an answer.
+/// Some connections over the limit are accepted and their requests refused, so that callers do not
+/// wait in the listen backlog.
 #[derive(Debug)]
 pub struct Connections {
     limit: usize,
@@ -31,7 +31,7 @@
 }
 
 impl Connections {
-    /// Creates the counter, with the limits of the settings.
+    /// Creates the counter with the configured limits.
     pub fn new(limits: &Limits) -> Arc<Self> {
         // The header timeout also closes idle connections. The write timeout frees the resources of
         // callers that stop reading.
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -32,7 +32,7 @@
 
 /// State of the `decide` thread.
 pub struct Decider {
-    /// The routing logic, without I/O.
+    /// The routing logic.
     pub router: Router,
     /// The current snapshot of the agreed state.
     pub current: CurrentSnapshot,
@@ -99,7 +99,7 @@
         for (name, target) in targets {
             let key = self.router.add_target(name, &target.record.place);
             self.router.set_connected(key, self.connections.contains_key(name));
-            // The host list may report this before the agent does, or when the agent cannot.
+            // The host list may report a leaving host before its agent does.
             let leaving = target.leaving || self.hosts.leaving.contains(&target.record.host);
             self.router.set_draining(key, leaving || self.reported_draining.contains(name));
             if let Some(service) = &target.record.service {
@@ -165,12 +165,11 @@
         }
     }
 
-    /// Resumes a repeatable request at another target after its target was lost. Otherwise reports
-    /// the loss to the handler, which may retry later.
+    /// Resumes a repeatable request at another target, or reports the loss to the handler.
     fn on_target_lost(&mut self, key: RequestKey, position: u64, failed: bool) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.open.position = call.open.position.max(position);
-        // Updates that the handler has not read yet occupy its channel; it grants credit for more.
+        // Updates that the handler has not read yet occupy its channel.
         call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
         let reason = RefusalReason::NotLoaded;
         let refusal = Refusal { reason, retry_after: LOST_RETRY_AFTER };
@@ -203,8 +202,8 @@
         }
     }
 
-    /// Whether a refusal is due to a replica that is briefly out of service: planned, but stopping,
-    /// restarting or moving. Its callers wait rather than see an error.
+    /// Whether a refusal is due to a planned replica that is stopping, restarting or moving, so that
+    /// its callers should wait.
     fn is_transient_refusal(&self, operation: &Operation, reason: RefusalReason) -> bool {
         if !matches!(reason, RefusalReason::Draining | RefusalReason::NotLoaded) {
             return false;
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -22,7 +22,7 @@
 use tokio::{net::TcpStream, sync::mpsc, task::JoinHandle, time};
 
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
-// Short, so that a request to a lost host can still reach another target in time.
+/// Short, so that a request to a lost host can still reach another target in time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Heartbeat intervals without a stream after which a connection is closed.
 pub const IDLE_HEARTBEATS: u32 = 10;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns whether a target is still announced at the same address; aborts its task otherwise.
+/// Returns whether a target is still announced at the same address; otherwise aborts its task.
 fn retain_connection(
     context: &LinkContext,
     name: &TargetId,
@@ -73,8 +73,8 @@
     unchanged
 }
 
-/// Starts the connection task of a new target, and marks a target as available when it is
-/// announced again: without a connection, nothing else reports that a drained agent restarted.
+/// Starts the connection task of a new target, and reports a target as available when it is
+/// announced again, as after a restart of a drained agent.
 fn register_target(
     context: &LinkContext,
     connections: &mut BTreeMap<TargetId, TargetConnection>,
@@ -149,8 +149,7 @@
 
 /// Requests that wait for a connection.
 ///
-/// Rejects them on drop: the task is aborted when its target is withdrawn, and a request lost
-/// with it would leave its caller waiting until the deadline.
+/// Rejects them on drop, as the task is aborted when its target is withdrawn.
 struct PendingRequests {
     context: LinkContext,
     first: Option<Command>,
@@ -177,8 +176,8 @@
     None
 }
 
-/// Reports a request that was never sent as refused, so that it may go to another target even if
-/// it is not repeatable.
+/// Reports an unsent request as refused, so that it may go to another target even if it is not
+/// repeatable.
 fn reject_unsent(context: &LinkContext, command: Option<Command>) {
     let Some(Command::Open(call)) = command else { return };
     let refusal =
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -9,9 +9,9 @@
 
 /// Flow-control window of a stream, in chunks.
 pub const CHUNK_WINDOW: u64 = 64;
-/// Queue capacity for updates other than chunks, of which each attempt causes only a few.
+/// Queue capacity for updates other than chunks.
 pub const REPLY_EXTRA_CAPACITY: usize = 16;
-/// Capacity of the update queue of one caller's handler.
+/// Capacity of a handler's update queue.
 pub const REPLY_QUEUE_CAPACITY: usize = CHUNK_WINDOW as usize + REPLY_EXTRA_CAPACITY;
 
 /// A request submitted by a handler.
@@ -46,10 +46,10 @@
     /// The request was not run.
     Refused {
         refusal: Refusal,
-        /// Whether an assigned replica is temporarily unavailable, so that a retry may succeed.
+        /// Whether a replica is temporarily unavailable, so that a retry may succeed.
         transient: bool,
     },
-    /// The target was lost and no other target accepted the request.
+    /// The target was lost and the request was not sent to another.
     Lost {
         /// Whether the target failed, rather than the connection to it.
         failed: bool,
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -1,7 +1,6 @@
 //! Decides when a connection needs a heartbeat and when it is idle or unresponsive.
 //!
-//! Stream traffic in both directions proves that the connection works, so a heartbeat is sent
-//! only after an interval in which one side sent nothing.
+//! A heartbeat is sent only after an interval in which one side sent nothing.
 
 #[cfg(test)]
 mod tests;
@@ -13,13 +12,13 @@
 /// Action to take at a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// No heartbeat is needed: both sides have sent something.
+    /// Both sides have sent something.
     Skip,
     /// Send a heartbeat with this nonce.
     Ping(u64),
     /// Close the idle connection.
     CloseIdle,
-    /// Close the connection: nothing was received for this long.
+    /// Close the connection: nothing was received for this time.
     Unresponsive(Duration),
 }
 
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -92,7 +92,7 @@
     pub id: SmolStr,
     /// The caller's workspace.
     pub team: WorkspaceId,
-    /// The snapshot that it is decided on.
+    /// The snapshot at its arrival.
     pub snapshot: Arc<Snapshot>,
     /// The trace context of this hop.
     pub trace: TraceContext,
@@ -136,7 +136,7 @@
     ("readyz", GET, Kind::Ready),
 ];
 
-/// Builds the routes; unknown paths and methods also get a [`Problem`] as their answer.
+/// Builds the routes; unknown paths and methods are answered with a [`Problem`].
 pub fn routes(context: &Arc<HandlerContext>) -> Router {
     let endpoint = |kind| Endpoint(context.clone(), kind);
     let services = Router::with_path("services/{service}/{**rest}").goal(endpoint(Kind::Service));
@@ -164,7 +164,7 @@
         let request = format_smolstr!("r-{:032x}", rand::random::<u128>());
         problem::set_header(res, problem::REQUEST_ID_HEADER, &request);
         if context.draining.load(Ordering::Relaxed) {
-            // Makes the caller reconnect to another router before this one closes its connections.
+            // Makes the caller reconnect to another router.
             problem::set_header(res, "connection", "close");
         }
         if let Err(problem) = context.answer(*kind, request.clone(), req, res).await {
@@ -175,10 +175,8 @@
     }
 }
 
-/// The caller's own request id, used only in the log.
-///
-/// Engines cancel by request id, so the id is generated here: a caller that chose it could cancel
-/// another's request.
+/// Returns the caller's own request id, used only in the log: engines cancel by request id, so a
+/// caller that chose it could cancel another's request.
 fn caller_id(req: &Request) -> Result<Option<&str>, Problem> {
     let Some(id) = header(req, problem::REQUEST_ID_HEADER) else { return Ok(None) };
     names::check(id).map_err(|error| {
@@ -301,7 +299,7 @@
         Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
     }
 
-    /// Readiness for load balancers; requests that arrive during a shutdown are still served.
+    /// Readiness for load balancers; requests are still served during a shutdown.
     fn ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
         if self.draining.load(Ordering::Relaxed) {
             return Err(Problem::NotReady("it is shutting down"));
@@ -379,7 +377,7 @@
         Ok(Duration::from_millis(ms).min(limit))
     }
 
-    /// Builds the request's description for the `decide` thread and its header for the agent.
+    /// Builds the request's spec for the `decide` thread and its header for the agent.
     pub fn open_stream(
         &self,
         requirement: Requirement,
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -69,7 +69,7 @@
     streams: HashMap<u64, Stream>,
 }
 
-/// Serves a connection until it is idle or fails; `first` does not wait for the `Welcome`.
+/// Serves a connection until it is idle or fails; `first` is sent without waiting for `Welcome`.
 pub async fn serve(
     stream: TcpStream,
     context: &LinkContext,
@@ -251,9 +251,8 @@
     /// Forwards an update to the caller's handler; ignores streams that were cancelled.
     fn forward_update(&mut self, stream: u64, update: Update) {
         let Some(entry) = self.streams.get_mut(&stream) else { return };
-        // The agent respects the window, so sending fails only if the caller is gone. The stream is
-        // not removed here: `Cancel` removes it and notifies the agent and the `decide` thread,
-        // which would otherwise count it as in flight forever.
+        // The agent respects the window, so sending fails only if the caller is gone. `Cancel` removes
+        // the stream and notifies the agent and the `decide` thread.
         if entry.reply.try_send(update).is_err() {
             drop(self.commands.try_send(Command::Cancel { stream }));
         }
@@ -261,8 +260,7 @@
 }
 
 impl Drop for Connection<'_> {
-    /// Reports the remaining streams as lost, also when the task was aborted, so that their
-    /// requests are resumed on another target or fail before the deadline.
+    /// Reports the remaining streams as lost, also when the task was aborted.
     fn drop(&mut self) {
         for (stream, entry) in std::mem::take(&mut self.streams) {
             self.report_lost(stream, entry.position, false);
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -1,7 +1,7 @@
 //! Calls that run at most once, identified by an idempotency key.
 //!
 //! The outcome is "ran" with the service's answer, "not run" if the call was refused before it was
-//! claimed or the log records so, and "unknown" otherwise. A router that times out appends a
+//! claimed or the log records that it did not run, and "unknown" otherwise. A router that times out appends a
 //! `CallVoided` record: if it precedes any claim in the log, the call can never run.
 
 use crate::{
@@ -47,7 +47,7 @@
     pub control: &'a ControlHandle,
     /// The idempotency key with its workspace and service.
     pub key: CallKey,
-    /// Digest of the call, to detect a key that is reused for another one.
+    /// Digest of the call, which detects a key reused for another one.
     pub digest: u64,
     /// Deadline of the answer.
     pub deadline: Instant,
@@ -122,7 +122,7 @@
                 CallStatus::Conflict => {
                     return Err(Problem::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER));
                 }
-                // The key's retention ended during the wait.
+                // The key expired during the wait.
                 CallStatus::Unclaimed => return Err(unknown("its key has expired")),
                 CallStatus::Claimed => {}
             }
@@ -167,8 +167,8 @@
     }
 }
 
-/// Whether a key's own timestamp is older than the retention of keys, so that its call may have run
-/// before. Only UUIDs of version 7 contain a timestamp.
+/// Whether a key's own timestamp is older than the retention of keys. Only UUIDs of version 7
+/// contain a timestamp.
 fn is_past_retention(key: &str, now: SystemTime) -> bool {
     let digits: String = key.chars().filter(|c| *c != '-').collect();
     if key.len() != 36 || digits.len() != 32 || !digits[12..].starts_with('7') {
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -63,12 +63,10 @@
 
 /// Label whose keyed hash authenticates a process to its peers.
 pub const PEER_TOKEN_LABEL: &str = "peer";
-/// Log time after a request within which its change may take effect.
-///
-/// Bounds how long the outcome of a change can be unknown, and has to tolerate a slow log.
+/// Log time after a request within which its change may take effect; must tolerate a slow log.
 pub const EXPIRY_WINDOW: Duration = Duration::from_secs(8);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-// `EXPIRY_WINDOW` and time to read the change back.
+/// Includes [`EXPIRY_WINDOW`] and the time to read the change back.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Handles a request to the operator API.
@@ -150,10 +148,8 @@
     ticket.split_once('-')?.0.parse().ok()
 }
 
-/// Returns the outcome of a change.
-///
-/// A change that is not in the log is reported as refused only after the log has been read past
-/// its expiry time; until then its outcome is unknown.
+/// Returns the outcome of a change. One that is not in the log is refused once the log has been
+/// read past its expiry time, and unknown until then.
 fn ticket(context: &HandlerContext, ticket: &str) -> Result<Value, Problem> {
     let malformed = || Problem::Invalid("`ticket` was not issued by a router".into());
     let not_after_ms = not_after_ms(ticket).ok_or_else(malformed)?;
@@ -215,7 +211,7 @@
     Ok(checkpoint::encode(&snapshot.state))
 }
 
-/// Rejects a document that does not follow its schema before it reaches the log.
+/// Rejects a document that does not match its schema.
 fn validate_change(change: ApplyChange) -> Result<Change, Problem> {
     let ApplyChange { path, base, value } = change;
     if let Some(value) = &value {
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -1,8 +1,7 @@
 //! Parses and validates the body of a model request.
 //!
-//! Engines receive the body unchanged. Fields that would change the format of the answer (several
-//! choices, log probabilities, tool calls) are rejected rather than ignored. A null field counts as
-//! absent.
+//! Engines receive the body unchanged. Fields that would change the format of the answer are
+//! rejected. A null field counts as absent.
 
 use crate::problem::Problem;
 use corianderstand_decide::request;
@@ -113,8 +112,8 @@
         options.and_then(|options| options.include_usage).unwrap_or(false)
     }
 
-    /// Returns the features used for routing. A session keeps its first messages, so they identify
-    /// its cached prompt.
+    /// Returns the length and the prefix for routing. The first messages identify a session's cached
+    /// prompt.
     pub fn shape(&self, chat: bool) -> request::Shape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -65,7 +65,7 @@
     let answer = match idempotency_key {
         None => once::read(&mut submit()?, deadline).await?,
         Some(_) if context.watched.may_predate_pause(context.clock.since_boot(), caller) => {
-            // The state may be outdated by the pause, so "not run" would not be certain.
+            // The state may be out of date, so "not run" would not be certain.
             return Err(Problem::Unknown("this router was paused".into()));
         }
         Some(key) => {
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-/// Marks a repeated answer whose body was too long to be stored.
+/// Header of a repeated answer whose body was too long to be stored.
 const BODY_HEADER: &str = "x-corianderstand-body";
 
 fn write_answer(answer: Answer, res: &mut Response) {
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -239,7 +239,7 @@
     Ok((handle, http))
 }
 
-/// Polls the pause detector on the thread that reads requests.
+/// Ticks the pause detector on the thread that reads requests.
 async fn detect_pauses(context: Arc<HandlerContext>) {
     loop {
         context.watched.tick(context.clock.since_boot());
@@ -258,11 +258,10 @@
         self.in_flight.clone()
     }
 
-    /// Stops gracefully: keeps serving until balancers have noticed that this router is not ready,
-    /// then accepts no connections and waits until all are closed or the drain limit is reached.
+    /// Stops gracefully: serves for a grace period in which balancers notice that this router is not
+    /// ready, then accepts no connections and waits until all are closed, at most the drain limit.
     ///
-    /// Waits for connections rather than requests in flight, as slow callers may still be reading
-    /// when their targets have finished.
+    /// Waits for connections rather than requests in flight, as callers may still be reading.
     pub fn join(self) {
         if let Ok(runtime) = runtime() {
             runtime.block_on(self.control.resign());
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -1,8 +1,7 @@
 //! `GET /operator/status`: settings versions, cached weights, replica slots and the lease.
 //!
-//! Agents and other routers are queried on demand, each over a short-lived connection: periodic
-//! reports from every agent to every router would exceed the budget for control traffic, and a
-//! new connection shows whether the target is reachable now.
+//! Agents and other routers are queried on demand, each over a short-lived connection, as periodic
+//! reports from every agent to every router would exceed the budget for control traffic.
 
 use crate::http::HandlerContext;
 use corianderstand_link::{
@@ -21,9 +20,9 @@
 use std::time::Duration;
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-// Bounded, so that a status request does not compete with callers.
+/// Bounds the load of a status request on the `http` thread.
 const MAX_CONCURRENT_QUERIES: usize = 32;
-/// Timeout of one query; a lost target or router must not delay the status of the others.
+/// Timeout of one query to an agent or a router.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct TargetStatus {
@@ -31,7 +30,7 @@
     holdings: Vec<Holding>,
 }
 
-/// Returns the status known to this router alone: `GET /operator/status?own=true`.
+/// Returns the state of this router without queries: `GET /operator/status?own=true`.
 pub fn local(context: &HandlerContext) -> Value {
     let snapshot = context.control.current.load();
     let state = &snapshot.state;
@@ -57,7 +56,7 @@
         "address": record.address, "service": record.service })
 }
 
-/// Returns the status of the fleet, including all targets and routers.
+/// Returns the status of all targets and routers.
 pub async fn fleet(context: &HandlerContext, authorization: &str) -> Value {
     let mut fleet = local(context);
     let snapshot = context.control.current.load();
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -1,6 +1,4 @@
 //! Tracks when each caller's socket was last found empty, to detect requests that predate a pause.
-//!
-//! Handlers know a connection only by the caller's address.
 
 use corianderstand_types::pause::{Connection, PauseDetector, WatchedStream};
 use salvo::{
@@ -20,7 +18,7 @@
 };
 use tokio::net::TcpStream;
 
-/// Open connections by their callers' addresses.
+/// Open connections by caller address, by which handlers find them.
 #[derive(Debug)]
 pub struct WatchedConnections {
     pause_detector: Arc<PauseDetector>,
@@ -28,7 +26,7 @@
 }
 
 impl WatchedConnections {
-    /// Creates an empty set at `now`, the time since boot.
+    /// Creates an empty set; `now` is the time since boot.
     pub fn new(now: Duration) -> Arc<Self> {
         Arc::new(Self {
             pause_detector: Arc::new(PauseDetector::new(now)),
