--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -107,9 +107,9 @@
             })
             .collect();
         bodies.extend(leaving_marks(snapshot));
-        let avoid: BTreeSet<_> =
+        let excluded_hosts: BTreeSet<_> =
             snapshot.hosts.leaving.union(&snapshot.hosts.gone).cloned().collect();
-        bodies.extend(plan::plan(state, &snapshot.view, &avoid));
+        bodies.extend(plan::plan(state, &snapshot.view, &excluded_hosts));
         self.append_all(bodies, Duration::from_millis(state.lease.ttl_ms)).await;
     }
 
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -185,7 +185,7 @@
     ) -> Result<(), Rejection> {
         let entry = self.by_key.get_mut(&Key::from(key)).ok_or(Rejection::CallConflict)?;
         let digest = match &entry.call {
-            Call::Claimed { claim: held, digest, .. } if *held == claim => *digest,
+            Call::Claimed { claim: current, digest, .. } if *current == claim => *digest,
             _ => return Err(Rejection::CallConflict),
         };
         entry.call = match answer {
--- a/crates/corianderstand_state/src/plan.rs
+++ b/crates/corianderstand_state/src/plan.rs
@@ -37,7 +37,7 @@
 pub fn plan(state: &State, view: &View, excluded_hosts: &BTreeSet<HostId>) -> Vec<Body> {
     let mut engines = collect_engines(state, view, excluded_hosts);
     let mut bodies = Vec::new();
-    for (model, facts) in &view.models {
+    for (model, settings) in &view.models {
         let assigned: BTreeSet<u32> = state.slots.of_model(model).map(|(index, _)| index).collect();
         let empty = (0..view.replicas(model)).filter(|index| !assigned.contains(index));
         let mut spread = None;
@@ -47,11 +47,12 @@
             }
             let spread = spread.get_or_insert_with(|| spread_of(state, model));
             let former = state.slots.former.get(&SlotKey { model: model.clone(), index });
-            let Some(chosen) = choose_engine(&engines, spread, former, facts.memory_mib.0) else {
+            let Some(chosen) = choose_engine(&engines, spread, former, settings.memory_mib.0)
+            else {
                 break;
             };
             let engine = &mut engines[chosen];
-            engine.planned_mib += facts.memory_mib.0;
+            engine.planned_mib += settings.memory_mib.0;
             bodies.push(assignment(state, model, index, engine));
             spread.owners.insert(engine.name);
             *spread.per_zone.entry(engine.zone).or_default() += 1;
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -65,7 +65,7 @@
     decided: BTreeMap<u64, (u64, Outcome)>,
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     log: Vec<Record>,
     processes: Vec<Process>,
@@ -79,7 +79,7 @@
     CallKey { team, service, key: format!("b-{key}").into() }
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let processes = (0..PROCESSES).map(|_| Process { incarnation: 1, ..Process::default() });
         Self {
@@ -353,14 +353,14 @@
     }
 }
 
-fn run(seed: u64) -> World {
-    let mut world = World::new(seed);
+fn run(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed);
     for _ in 0..STEPS {
-        world.step();
+        simulation.step();
     }
-    world.run_to_completion();
-    world.check(seed);
-    world
+    simulation.run_to_completion();
+    simulation.check(seed);
+    simulation
 }
 
 /// Under pauses, crashes and lost answers no key runs twice, no call that ran is reported as not
--- a/crates/corianderstand_state/tests/plan.rs
+++ b/crates/corianderstand_state/tests/plan.rs
@@ -32,10 +32,10 @@
         let team = json!({ "key_hashes": ["0".repeat(64)], "default_urgency": "normal" });
         let mut changes = vec![change("teams/t/team".into(), team)];
         for model in 0..models {
-            let facts = json!({ "memory_mib": 100, "versions": ["1"], "adapter_memory_mib": 1 });
-            changes.push(change(format!("shared/models/m{model}"), facts));
-            let wanted = json!({ "replicas": replicas });
-            changes.push(change(format!("teams/t/models/m{model}"), wanted));
+            let settings = json!({ "memory_mib": 100, "versions": ["1"], "adapter_memory_mib": 1 });
+            changes.push(change(format!("shared/models/m{model}"), settings));
+            let team_model = json!({ "replicas": replicas });
+            changes.push(change(format!("teams/t/models/m{model}"), team_model));
         }
         let (author, ticket) = ("ana".into(), "t".into());
         bench.append(Body::Settings { changes, author, ticket, not_after_ms: u64::MAX });
@@ -61,11 +61,13 @@
         self.append(Body::TargetUp { target });
     }
 
-    fn settle(&mut self, avoid: &[&str]) -> usize {
-        let avoid: BTreeSet<HostId> = avoid.iter().map(|host| HostId::from(*host)).collect();
+    fn settle(&mut self, excluded_hosts: &[&str]) -> usize {
+        let excluded_hosts: BTreeSet<HostId> =
+            excluded_hosts.iter().map(|host| HostId::from(*host)).collect();
         let mut moves = 0;
         loop {
-            let bodies = plan::plan(&self.state, &View::new(&self.state.documents), &avoid);
+            let bodies =
+                plan::plan(&self.state, &View::new(&self.state.documents), &excluded_hosts);
             if bodies.is_empty() {
                 return moves;
             }
