--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -14,11 +14,11 @@
     time,
 };
 
-/// Capacity of the append queue; further records are rejected.
+/// Capacity of the append queue.
 pub const MAX_QUEUED_RECORDS: usize = 4096;
 /// Most records in one append.
 pub const MAX_APPEND_RECORDS: usize = 256;
-/// Pause between two appends of one process, so that records are batched.
+/// Pause between two appends, so that records are batched.
 pub const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -154,7 +154,7 @@
 /// Retries an append until the log responds.
 ///
 /// A response may be lost after the write took effect; the fold ignores the duplicate by its
-/// sequence number. Skipping the append instead would reorder the records of this writer.
+/// sequence number.
 async fn append_until_answered(log: &dyn LogService, records: Vec<Vec<u8>>) {
     while let Err(error) = log.append(records.clone()).await {
         tracing::warn!(%error, "append failed, retrying");
--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -30,12 +30,11 @@
 pub const SERVE_RATE: Rate = Rate { bytes: 11_000, messages: 64 };
 /// Burst size of the limits, in seconds of their rate.
 pub const BURST_SECONDS: u64 = 4;
-/// Longest delay of a read, so that a change of settings reaches every process within seconds.
+/// Maximum delay of a read.
 pub const MAX_READ_DELAY: Duration = Duration::from_millis(500);
 
-/// Rate limit of reading the host list in one process.
+/// Rate limit of one process for reading the host list.
 pub const HOST_LIST_BYTES_PER_S: u64 = 3_000;
-/// As measured by `tools/capacity`.
 const HOST_ENTRY_BYTES: u64 = 54;
 
 /// Pause between two reads of a host list; grows with its length, as it is transferred whole.
@@ -44,9 +43,8 @@
     interval.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
 }
 
-/// Pause between two parts of a checkpoint that is written at each `interval`.
-///
-/// Every process reads the parts, so they are spread over half the interval.
+/// Pause between two parts of a checkpoint that is written at each `interval`: every process reads
+/// the parts, so they are spread over half of it.
 pub fn checkpoint_pause(interval: Duration, parts: usize) -> Duration {
     interval / 2 / u32::try_from(parts.max(1)).unwrap_or(u32::MAX)
 }
--- a/crates/corianderstand_control/src/follower.rs
+++ b/crates/corianderstand_control/src/follower.rs
@@ -97,7 +97,7 @@
         let state = self.config.peers.state().await;
         let next = self.snapshot.state.next;
         let Some(state) = state.filter(|s| s.next > next && s.next >= oldest) else { return false };
-        tracing::info!(next = state.next, "state taken from a peer");
+        tracing::info!(next = state.next, "state loaded from a peer");
         self.replace_state(state);
         self.snapshot.caught_up = true;
         true
@@ -116,7 +116,7 @@
         let next = self.snapshot.state.next;
         match found.filter(|state| state.next > next) {
             Some(state) => {
-                tracing::info!(next = state.next, "state taken from a checkpoint");
+                tracing::info!(next = state.next, "state loaded from a checkpoint");
                 self.replace_state(state);
             }
             None if self.query_peers(page.oldest).await => {}
@@ -168,8 +168,7 @@
         snapshot.log_clock_ms = page.now_ms as i64 - now as i64;
         self.refresh_view();
         self.current.store(self.snapshot.clone());
-        // Notify writers after the snapshot is published, so that an accepted change is in force
-        // on this process.
+        // After the snapshot is published, so that an accepted change is in force on this process.
         for (record, offset, outcome) in decided {
             self.notifier.notify(&record, offset, &outcome);
         }
@@ -189,7 +188,7 @@
                 Some((record, entry.offset, outcome))
             }
             Err(error) => {
-                // Skip records of a later version; all processes of this version skip them alike.
+                // A record of a later version, which all processes of this version skip.
                 tracing::error!(offset = entry.offset, %error, "record cannot be decoded, skipping it");
                 self.snapshot.state.next = entry.offset + 1;
                 None
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -22,7 +22,7 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CHECKPOINT_PART_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Competes for the control lease and does the work of its holder.
+/// Competes for the control lease and performs the tasks of its holder.
 pub struct LeaseTask {
     /// The writer identity of this process.
     pub identity: Identity,
@@ -165,9 +165,7 @@
     last.is_none_or(|last| snapshot.oldest > last.as_of.min(last.first))
 }
 
-/// Whether a checkpoint is due.
-///
-/// One is due at each interval, and at once if the log cannot restore the state.
+/// Whether a checkpoint is due: at each interval, and at once if the log cannot restore the state.
 pub fn is_checkpoint_due(snapshot: &Snapshot, log_now_ms: u64) -> bool {
     let Some(last) = snapshot.state.checkpoints.last else { return true };
     let interval = snapshot.view.deployment.checkpoint_interval_ms.as_millis();
--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Guards the slots of healthy hosts against a list that is faulty or truncated.
+    /// Whether a reading of `listed` hosts is accepted; guards against a faulty or truncated list.
     fn accepts(&mut self, now: Instant, lag: Duration, listed: usize) -> bool {
         let present = self.known.values().filter(|known| !known.missing).count();
         if listed > 0 && listed * 2 >= present {
--- a/crates/corianderstand_control/src/paced.rs
+++ b/crates/corianderstand_control/src/paced.rs
@@ -13,7 +13,7 @@
 };
 use tokio::time;
 
-/// A host list whose read interval grows with its length.
+/// A host list that is read less often the longer it is.
 pub struct Paced<L> {
     list: L,
     clock: SharedClock,
--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -58,7 +58,7 @@
 
 #[async_trait]
 impl Peers for HttpPeers {
-    /// Queries a random subset of peers, to spread the load when many processes start.
+    /// Queries a random subset of peers.
     async fn state(&self) -> Option<State> {
         let mut order: Vec<&HttpSystem> = self.peers.iter().collect();
         order.shuffle(&mut rand::rng());
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -1,10 +1,8 @@
 //! Relays the records that this process has read to its followers.
 //!
 //! Relays bound the number of readers of the log: a few routers of each availability zone read
-//! it, the other routers read from those, and agents read from routers. A relay keeps the newest
-//! records unchanged in bounded memory and serves the same reads as the log.
-//!
-//! [`crate::source`] is the client side and selects the relay.
+//! it, the other routers read from those, and agents read from routers. [`crate::source`] is the
+//! client side.
 
 #[cfg(test)]
 mod tests;
@@ -19,19 +17,18 @@
 };
 use tokio::{sync::watch, time};
 
-/// Path under which a router serves reads; stands for the base URL of the log.
+/// Base path under which a router serves reads.
 pub const RELAY_PATH: &str = "/internal";
-/// Bytes of records that a tail keeps; older ones are read from the log.
+/// Bytes of records that a tail keeps.
 pub const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
 /// Time since the last response of the log after which an empty page is stale.
 ///
-/// Lets followers detect a relay that is cut off from the log. It exceeds the sum of the waits of
-/// idle reads from the log and from a relay.
+/// Exceeds the sum of the waits of idle reads from the log and from a relay.
 pub const MAX_PAGE_AGE: Duration = Duration::from_secs(4);
-/// Most relays between the log and a process.
+/// Maximum number of relays between the log and a process.
 pub const MAX_HOPS: u8 = 2;
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Bytes of an HTTP request and response head, as measured by `tools/capacity`.
+/// Bytes of an HTTP request and response head.
 pub const HTTP_OVERHEAD_BYTES: u64 = 330;
 /// Bytes that JSON adds to each record.
 const ENTRY_OVERHEAD_BYTES: u64 = 48;
@@ -39,11 +36,11 @@
 /// Why a relay returned no page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum RelayError {
-    /// the log has not answered this router for a while: follow another one, or read the log
+    /// the log has not responded to this router recently: follow another one, or read the log
     Stale,
-    /// the records asked for are not kept here any more: read the log
+    /// the requested records are no longer kept here: read the log
     Gone,
-    /// too many processes follow this router: come back in {0:?}, or follow another one
+    /// too many processes follow this router: retry after {0:?}, or follow another one
     Busy(Duration),
 }
 
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -1,7 +1,7 @@
 //! Restores the state of a reader that is missing records which the log has dropped.
 //!
-//! Folding only the retained records would diverge from the state of other processes. The reader
-//! loads a checkpoint from the log or the state of a peer, never one older than its own state.
+//! The reader loads a checkpoint from the log or the state of a peer, never one older than its own
+//! state.
 
 use corianderstand_edge::log::Page;
 use corianderstand_schema::records::{Body, Record};
@@ -40,14 +40,14 @@
     }
 }
 
-/// Shortest time that a router waits for another state before it writes a recovery checkpoint.
+/// Minimum delay before a router writes a recovery checkpoint.
 pub const RECOVERY_DELAY: Duration = Duration::from_secs(20);
 
 /// The records of a recovery checkpoint, which gives up records that were dropped unread.
 ///
 /// If no checkpoint covers the gap, a router with settings writes its state as of the oldest
-/// retained record after [`RECOVERY_DELAY`], and all routers load the first such checkpoint. The
-/// lost records were never read back, so none of them was reported as accepted.
+/// retained record, and all routers load the first such checkpoint. The lost records were never
+/// read, so none was reported as accepted.
 pub fn recovery_records(state: &State, page: &Page) -> Vec<Body> {
     let mut state = state.clone();
     state.next = page.oldest;
--- a/crates/corianderstand_control/src/snapshot.rs
+++ b/crates/corianderstand_control/src/snapshot.rs
@@ -33,13 +33,13 @@
 }
 
 impl Waiting {
-    /// A readable reason why the process is not ready.
+    /// The reason why the process is not ready.
     pub const fn reason(self) -> &'static str {
         match self {
-            Self::Start => "it has no settings yet: it reads the log",
-            Self::Log => "it has no settings yet: the log does not answer and no peer has them",
+            Self::Start => "it has no settings yet: it is reading the log",
+            Self::Log => "it has no settings yet: the log does not respond and no peer has them",
             Self::Checkpoint => {
-                "it has no settings yet: the log's beginning is gone, no checkpoint or peer has them"
+                "it has no settings yet: the log dropped old records and no checkpoint or peer has them"
             }
         }
     }
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -5,9 +5,7 @@
 //! cycles (possible while settings differ) are rejected, and the process falls back to the log.
 //!
 //! A relay that returns an error is replaced by the next one, and after [`MAX_RELAYS_TRIED`] by
-//! the log. After an unresponsive relay, at [`RELAY_WAIT`] + [`RELAY_GRACE`], the log is read at
-//! once, so that timeouts do not add up. A relay that is cut off from the log is rejected after
-//! [`relay::MAX_PAGE_AGE`].
+//! the log. After an unresponsive relay the log is read at once, so that timeouts do not add up.
 
 #[cfg(test)]
 mod tests;
@@ -35,14 +33,13 @@
 pub const LOG_READERS: usize = 4;
 /// Relays that are tried before the log is read.
 pub const MAX_RELAYS_TRIED: usize = 2;
-/// Longest wait of one read from a relay. It exceeds the renewal interval of the control lease,
-/// so that few reads return empty.
+/// Longest wait of one read from a relay; exceeds the renewal interval of the control lease, so
+/// that few reads return empty.
 pub const RELAY_WAIT: Duration = Duration::from_secs(2);
 /// Time that a relay's response may take beyond [`RELAY_WAIT`].
 pub const RELAY_GRACE: Duration = Duration::from_millis(500);
 const RELAY_BACKOFF: Duration = Duration::from_secs(5);
-/// Backoff of followers after a failed read of the log, so that they do not overload it when it
-/// recovers.
+/// Backoff of followers after a failed read of the log, which spreads reads when it recovers.
 const LOG_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Reads from a router that relays the log.
@@ -90,7 +87,6 @@
     xxh3::xxh3_64(address.as_bytes())
 }
 
-/// Spreads the followers over the relays.
 fn rendezvous_hash(follower: &str, address: &str) -> u64 {
     xxh3::xxh3_64_with_seed(address.as_bytes(), address_hash(follower))
 }
@@ -146,8 +142,8 @@
         self.candidates.lock().expect("no holder of this lock panics")
     }
 
-    /// The first relay that is not in backoff. The time of the request is recorded, so that the
-    /// timeout keeps running when the follower cancels a read.
+    /// The first relay that is not in backoff. The timeout of a request keeps running when the
+    /// follower cancels the read.
     fn next_candidate(&self) -> Option<(usize, Arc<dyn LogService>)> {
         let now = self.clock.now();
         let mut candidates = self.lock();
@@ -237,8 +233,7 @@
             None => self.read_log(from, max, wait).await?,
         };
         self.tail.extend(&page);
-        // Full pages are not charged: catching up at startup would otherwise exhaust the budget
-        // and delay the settings for minutes.
+        // Full pages are not charged, so that the budget does not delay catching up at startup.
         if page.entries.len() < max as usize {
             self.budget.spend(TrafficClass::Follow, relay::wire_bytes(&page));
         }
--- a/crates/corianderstand_control/src/start.rs
+++ b/crates/corianderstand_control/src/start.rs
@@ -55,8 +55,7 @@
 const RESIGN_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl ControlHandle {
-    /// Releases the control lease for good, so that another process can acquire it before it
-    /// expires.
+    /// Releases the control lease permanently, so that another process can acquire it at once.
     pub async fn resign(&self) {
         self.resigned.store(true, Ordering::Relaxed);
         let snapshot = self.current.load();
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Time that a key is remembered, by log time. The extra hour covers retries made a day later.
+/// Log time for which a key is kept. The extra hour covers retries a day later.
 pub const KEY_RETENTION_MS: u64 = 25 * 3600 * 1000;
-/// Most keys that claims may fill; bounds the memory of every process.
+/// Maximum number of keys at which claims are accepted.
 pub const MAX_KEYS: usize = 60_000;
-/// Most keys in all; the reserve lets routers void calls when no more can be claimed.
+/// Maximum number of keys; the reserve lets routers void calls when no more can be claimed.
 pub const MAX_KEYS_VOIDED: usize = MAX_KEYS + MAX_KEYS / 8;
-/// Total size of remembered answers at which new claims are rejected.
+/// Total size of stored answers at which new claims are rejected.
 pub const MAX_ANSWER_BYTES: usize = 24 * 1024 * 1024;
 /// Longest answer body that is stored for retries.
 pub const MAX_ANSWER_BODY_BYTES: usize = 64 * 1024;
@@ -105,7 +105,7 @@
     Conflict,
 }
 
-/// All remembered calls.
+/// All calls whose keys have not expired.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Calls {
@@ -125,12 +125,12 @@
 }
 
 impl Calls {
-    /// Number of keys remembered.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
@@ -211,8 +211,8 @@
         Ok(())
     }
 
-    /// Fails if the key has a record. Must precede the capacity check: `CallsFull` is reported
-    /// as "not run", which may be false for a claimed key.
+    /// Fails if the key has a record. Must precede the capacity check: `CallsFull` is reported as
+    /// "not run".
     fn ensure_unclaimed(&self, key: &CallKey) -> Result<(), Rejection> {
         if self.by_key.contains_key(&Key::from(key)) {
             Err(Rejection::CallConflict)
@@ -227,7 +227,7 @@
         self.by_key.insert(key, Entry { call, offset, at_ms });
     }
 
-    /// Removes keys older than [`KEY_RETENTION_MS`], oldest first: log time rises with the offset.
+    /// Removes keys older than [`KEY_RETENTION_MS`]; log time rises with the offset.
     fn remove_expired(&mut self, now: u64) {
         while let Some((offset, key)) = self.by_offset.get_min().cloned() {
             let at_ms = self.by_key.get(&key).map_or(0, |entry| entry.at_ms);
--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Encodes the state; the result is the same in every process at the same offset.
+/// Encodes the state; deterministic, so that processes agree on the digest.
 pub fn encode(state: &State) -> Vec<u8> {
     postcard::to_stdvec(state).expect("state is plain data")
 }
@@ -119,8 +119,7 @@
 
 /// Assembles a checkpoint from its parts before any state exists.
 ///
-/// The writer's lease needs no check: the state at an offset is the same in every process, and
-/// the digest verifies that it is complete.
+/// The writer's lease needs no check, as the state at an offset is the same in every process.
 #[derive(Debug, Default)]
 pub struct Collector {
     source: Option<Source>,
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -1,15 +1,13 @@
-//! Decisions after the log has applied or rejected a claim or a void.
+//! Actions after the log has applied or rejected a claim or a void.
 //!
-//! The log grants each key to at most one claim. Its agent runs the call once, or records that it
-//! will not run if the request is no longer pending: the caller may already have been told so.
-//!
-//! No other process or incarnation runs a claimed call, because it may have run already. The
-//! outcome of such a claim stays unknown.
+//! The log grants each key to at most one claim. Its agent runs the call once, or withdraws it if
+//! the request is no longer pending. No other process or incarnation runs a claimed call, as it may
+//! have run already: its outcome stays unknown.
 
 use crate::fold::{Outcome, Rejection};
 use corianderstand_derives::derives;
 
-/// Action for a decided claim.
+/// Action of the agent after its claim was applied or rejected.
 #[derives(key)]
 pub enum ClaimAction {
     /// Make the call and record the answer.
@@ -24,8 +22,8 @@
 
 /// Returns the action for a claim whose record had `outcome`.
 ///
-/// A claim may be decided minutes later if the process was paused or the log was down. The call
-/// runs only if the request is still pending and its deadline has not passed (`in_time`).
+/// The call runs only if the request is still pending and its deadline has not passed (`in_time`):
+/// after a pause or an outage of the log the outcome may arrive late.
 pub const fn claim_action(outcome: &Outcome, is_pending: bool, in_time: bool) -> ClaimAction {
     match outcome {
         Outcome::Applied if is_pending && in_time => ClaimAction::Run,
@@ -35,7 +33,7 @@
     }
 }
 
-/// What a router may report after a decided void.
+/// What a router may report after its void was applied or rejected.
 #[derives(key)]
 pub enum VoidDecision {
     /// The key was unclaimed and can no longer be claimed.
--- a/crates/corianderstand_state/src/documents.rs
+++ b/crates/corianderstand_state/src/documents.rs
@@ -5,7 +5,7 @@
 use corianderstand_schema::records::Change;
 use smol_str::SmolStr;
 
-/// Current content of one document.
+/// A settings document.
 #[derives(wire)]
 pub struct Document {
     /// Offset of the record that wrote it; never 0.
@@ -32,8 +32,7 @@
         self.by_path.get(path).map_or(0, |doc| doc.version)
     }
 
-    /// Applies all changes, or none if any is based on an outdated version, so that concurrent
-    /// changes do not overwrite each other.
+    /// Applies all changes, or none if any is based on an outdated version.
     pub fn change(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -88,9 +88,8 @@
 }
 
 impl State {
-    /// Applies the record at `offset`, appended at log time `at_ms`.
-    ///
-    /// Records are applied in order; an offset below [`State::next`] is ignored as a repeat.
+    /// Applies the record at `offset`, appended at log time `at_ms`. An offset below [`State::next`]
+    /// is ignored as a repeat.
     pub fn apply(&mut self, offset: u64, at_ms: u64, record: &Record) -> Outcome {
         if offset < self.next {
             return Outcome::Repeated;
@@ -173,7 +172,7 @@
         }
     }
 
-    /// Rejects changes appended after their deadline, which were already reported as refused.
+    /// Rejects changes appended after their deadline: they were already reported as refused.
     fn apply_settings(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/history.rs
+++ b/crates/corianderstand_state/src/history.rs
@@ -5,12 +5,12 @@
 use corianderstand_schema::records::Change;
 use smol_str::SmolStr;
 
-/// Number of changes remembered.
+/// Number of changes kept.
 pub const MAX_ENTRIES: usize = 1024;
-/// Paths kept for one entry; bounds the size of the state.
+/// Number of paths kept per change.
 pub const MAX_PATHS: usize = 64;
 
-/// One decided change.
+/// A settings change and its result.
 #[derives(wire)]
 pub struct Entry {
     /// Offset of the record; the documents' new version if accepted.
@@ -36,7 +36,7 @@
 }
 
 impl History {
-    /// Records the result of a change, appended at an offset and log time.
+    /// Records the result of a change; `at` is its offset and log time.
     pub fn record(
         &mut self,
         at: (u64, u64),
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -15,7 +15,7 @@
     pub epoch: u64,
     /// Holder and its incarnation, unless released.
     pub holder: Option<(WriterId, u64)>,
-    /// Duration without renewal, in milliseconds.
+    /// Time to live without renewal, in milliseconds.
     pub ttl_ms: u64,
     /// Log time at which the lease expires, in milliseconds since the Unix epoch.
     pub until_ms: u64,
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// Extends the lease by its duration.
+    /// Extends the lease by its time to live.
     pub fn renew(&mut self, epoch: u64, now: u64, record: &Record) -> Result<(), Rejection> {
         self.check(epoch, record)?;
         self.until_ms = now + self.ttl_ms;
@@ -53,9 +53,7 @@
         Ok(())
     }
 
-    /// Fails unless `record` was written by the lease holder in this epoch.
-    ///
-    /// Fences off a former holder that was paused past the expiry of its lease.
+    /// Fails unless `record` was written by the lease holder in this epoch; fences off former holders.
     pub fn check(&self, epoch: u64, record: &Record) -> Result<(), Rejection> {
         let held = self.held_by(&record.writer, record.incarnation);
         if epoch == self.epoch && held { Ok(()) } else { Err(Rejection::LeaseNotHeld) }
--- a/crates/corianderstand_state/src/lib.rs
+++ b/crates/corianderstand_state/src/lib.rs
@@ -2,8 +2,7 @@
 //!
 //! Every process applies the same records in the same order with [`fold::State::apply`] and
 //! reaches the same state. Records are conditional: each carries the version, lease epoch or
-//! offset that its writer saw, and the fold rejects it if that is out of date. The order of the
-//! log resolves all conflicts.
+//! offset that its writer read, and the fold rejects it if that is out of date.
 //!
 //! ```
 //! use corianderstand_schema::records::{Body, Change, Record};
--- a/crates/corianderstand_state/src/plan.rs
+++ b/crates/corianderstand_state/src/plan.rs
@@ -5,7 +5,7 @@
 use corianderstand_types::names::{AvailabilityZoneId, HostId, ModelId, TargetId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Assignments per round; bounds the size of one append.
+/// Maximum number of assignments per round.
 pub const MAX_ASSIGNMENTS_PER_ROUND: usize = 256;
 
 struct Engine<'a> {
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -1,14 +1,14 @@
 //! Replica slots: each permits one target to hold one replica of a model.
 //!
-//! The log assigns slots; the owner loads the model on demand and unloads it when idle. A cold
-//! start needs no append and works while the log is down, and replicas never exceed slots.
+//! The log assigns slots; their owners load the model on demand and unload it when idle. So a cold
+//! start needs no append, and replicas never exceed slots.
 
 use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Record;
 use corianderstand_types::names::{ModelId, TargetId};
 
-/// Identity of a replica slot.
+/// Key of a replica slot.
 #[derives(name)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct SlotKey {
@@ -21,7 +21,7 @@
 /// An assigned replica slot.
 #[derives(wire)]
 pub struct Slot {
-    /// Its owner.
+    /// The owner.
     pub target: TargetId,
     /// Offset of the assignment; the fencing token of commands under it.
     pub assigned: u64,
@@ -33,7 +33,7 @@
 pub struct Slots {
     /// Assigned slots by key.
     pub by_key: imbl::OrdMap<SlotKey, Slot>,
-    /// Last owner of each released slot; it may still have cached weights.
+    /// Last owner of each released slot, which may still have cached weights.
     pub former: imbl::OrdMap<SlotKey, TargetId>,
     /// Offset of the last change.
     pub version: u64,
@@ -58,9 +58,8 @@
         Ok(())
     }
 
-    /// Releases the assignment made at offset `assigned`.
-    ///
-    /// Only the slot's owner or the lease holder (`by_holder`) may release it.
+    /// Releases the assignment made at offset `assigned`, on behalf of the slot's owner or the lease
+    /// holder (`by_holder`).
     pub fn release(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -67,10 +67,8 @@
         Ok(())
     }
 
-    /// Sets whether a target's host is leaving, unless the target was announced again.
-    ///
-    /// Agents do not read the host list and routers read it rarely; without this record a leaving
-    /// target would keep its slots and receive new work.
+    /// Sets whether a target's host is leaving, unless the target was announced again. Informs
+    /// agents, which do not read the host list, and routers, which read it rarely.
     pub fn set_leaving(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/view.rs
+++ b/crates/corianderstand_state/src/view.rs
@@ -52,7 +52,7 @@
     pub teams: BTreeMap<WorkspaceId, TeamView>,
     /// Team that owns each API key hash.
     pub keys: BTreeMap<SmolStr, WorkspaceId>,
-    /// Combined demand for each model, computed once because decisions read it often.
+    /// Combined demand for each model.
     pub demands: BTreeMap<ModelId, Demand>,
     /// Sum of all teams' shares.
     pub total_shares: u32,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Validates one document on its own and returns all faults.
+/// Validates one document and returns all violations.
 pub fn check_document(path: &str, value: &Value) -> Vec<Violation> {
     match PathKind::parse(path) {
         Some(kind) => check::check(kind.document(), value),
@@ -121,10 +121,7 @@
 }
 
 impl View {
-    /// Builds the view, skipping documents that do not parse.
-    ///
-    /// Documents are validated before they are appended, but a newer schema may reject an old
-    /// one; the rest must stay usable.
+    /// Builds the view, skipping documents that do not parse: a newer schema may reject an old one.
     pub fn new(documents: &Documents) -> Self {
         let mut view = Self { version: documents.version, ..Self::default() };
         for (path, doc) in &documents.by_path {
--- a/crates/corianderstand_types/src/clock.rs
+++ b/crates/corianderstand_types/src/clock.rs
@@ -12,7 +12,7 @@
     fn now(&self) -> Instant;
     /// Wall-clock time, for the time of day and timestamps.
     fn wall(&self) -> SystemTime;
-    /// Time since boot. Unlike [`Clock::now`] it includes time for which the host was suspended.
+    /// Time since boot, including time for which the host was suspended.
     fn since_boot(&self) -> Duration;
 }
 
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -1,10 +1,9 @@
 //! Detection of requests that may have been sent before a pause of this process.
 //!
-//! After a pause, such as a suspended host, a process reads requests that have been in socket
-//! buffers since before it. Their callers may have timed out and retried elsewhere, so running one
-//! may duplicate a call. A request's age is unknown, so each connection records the last poll that
-//! found its socket empty. Until such a poll follows the latest pause, a request read from the
-//! connection may predate that pause.
+//! After a pause, such as a suspended host, a process reads requests that were buffered before it.
+//! Their callers may have retried elsewhere, so running one may duplicate a call. Each connection
+//! records the last poll that found its socket empty: until such a poll follows the latest pause, a
+//! request read from the connection may predate it.
 //!
 //! ```
 //! use corianderstand_types::pause::{PauseDetector, TICK_INTERVAL};
@@ -45,8 +44,8 @@
     last_seen_at: Duration,
     pauses: u64,
     pauses_at_last_tick: u64,
-    /// Value of `pauses` confirmed by two ticks. The runtime polls the system for socket readiness
-    /// between two ticks; until then its readiness may be stale and sockets only seem empty.
+    /// Value of `pauses` confirmed by two ticks, between which the runtime refreshes its readiness
+    /// of sockets.
     confirmed_pauses: u64,
     connections: Vec<Weak<Connection>>,
 }
@@ -77,8 +76,7 @@
 
     /// Checks for a pause; called every [`TICK_INTERVAL`] by a task of the runtime that reads requests.
     ///
-    /// After a pause it wakes all connections to poll their sockets again, so that the next request
-    /// on an idle connection is not mistaken for an old one.
+    /// After a pause it wakes all connections, which poll their sockets again.
     pub fn tick(&self, now: Duration) {
         let mut state = self.lock();
         state.observe(now);
@@ -96,9 +94,7 @@
         }
     }
 
-    /// Registers a connection that was just accepted.
-    ///
-    /// It was opened after the listener's queue was last found empty, so it starts from that poll.
+    /// Registers an accepted connection; it was opened after the listener was last found empty.
     pub fn connection(&self) -> Arc<Connection> {
         let connection = Arc::new(Connection::last_empty_after(self.listener.lock().pauses));
         let mut state = self.lock();
@@ -109,8 +105,8 @@
         connection
     }
 
-    /// Whether a request read from the connection may have been sent before the latest pause. Also
-    /// detects a pause that no tick has seen yet.
+    /// Whether a request read from the connection may have been sent before the latest pause, which
+    /// need not have been detected by a tick.
     pub fn may_predate_pause(&self, now: Duration, connection: &Connection) -> bool {
         let mut state = self.lock();
         state.observe(now);
@@ -158,7 +154,7 @@
         self.last_seen_at = self.last_seen_at.max(now);
         if paused {
             self.pauses += 1;
-            tracing::warn!("this process stood still: unread requests may predate the pause");
+            tracing::warn!("process was paused: unread requests may predate the pause");
         }
     }
 }
@@ -188,7 +184,7 @@
 }
 
 impl<S> WatchedStream<S> {
-    /// Wraps a stream that was just accepted.
+    /// Wraps an accepted stream.
     pub fn new(inner: S, detector: Arc<PauseDetector>) -> Self {
         let connection = detector.connection();
         Self { inner, detector, connection }
--- a/crates/corianderstand_types/src/weights.rs
+++ b/crates/corianderstand_types/src/weights.rs
@@ -3,7 +3,7 @@
 use crate::names::{AdapterId, ModelId, VersionId};
 use corianderstand_derives::derives;
 
-/// A version of a model or of one of its adapters.
+/// A version of a model or of an adapter.
 #[derives(name)]
 #[derive(serde::Serialize, serde::Deserialize)]
 pub struct Weights {
