--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -13,7 +13,6 @@
 const INITIAL_SHORT_RUN_TIME: Duration = Duration::from_millis(100);
 const INITIAL_LONG_RUN_TIME: Duration = Duration::from_secs(2);
 const RUN_TIME_SMOOTHING_DIVISOR: u32 = 8;
-/// Maximum `retry_after` of a refusal.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Retries after a cold start are spread over the load time divided by this.
 const COLD_START_JITTER_DIVISOR: u32 = 8;
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -35,7 +35,6 @@
     until: u64,
 }
 
-/// Validity of a cached result without a window.
 const NO_WINDOW_TTL_S: u64 = 3600;
 
 impl KeepAliveState {
@@ -116,7 +115,6 @@
 }
 
 impl Agent {
-    /// Schedules the expiry of a model that no request uses.
     pub(super) fn schedule_expiry(
         &mut self,
         now: Instant,
@@ -158,7 +156,6 @@
         history::cold_start_cost(config.load_time(weights), factors.cold_start, factors.idle)
     }
 
-    /// The prewarm window of a model, if its lead has begun.
     fn due_window(
         &mut self,
         now: Instant,
@@ -230,7 +227,6 @@
         }
     }
 
-    /// Requests loads of models whose prewarm window is due.
     fn prewarm(&mut self, now: Instant, config: &dyn SchedulingConfig) {
         let known = self.keep_alive.histories.iter().map(|(weights, _)| weights);
         let cold = known.filter(|weights| {
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -107,7 +107,6 @@
         self.waiting.contains_key(weights)
     }
 
-    /// Expected time until the weights are loaded.
     pub fn remaining(&self, now: Instant, weights: &Weights, load_time: Duration) -> Duration {
         match self.started.get(weights) {
             // An overdue load is expected to take as long again.
@@ -142,7 +141,6 @@
         }
     }
 
-    /// Updates the slowdown of loads relative to their configured time.
     fn observe(&mut self, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
         self.slowdown += (ratio.max(1.0) - self.slowdown) * SLOWDOWN_SMOOTHING_RATIO;
@@ -347,7 +345,6 @@
         self.step(now, config)
     }
 
-    /// Retries commands of unknown outcome.
     fn retry_commands(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -4,7 +4,6 @@
 use std::collections::{BTreeSet, VecDeque};
 
 pub const DAY_S: u64 = 86_400;
-/// Minimum idle time before a wake.
 const MIN_IDLE_S: u64 = 30 * 60;
 /// Maximum number of wakes kept per model: two weeks with two wakes a day.
 const MAX_WAKES: usize = 28;
@@ -25,7 +24,6 @@
     pub until: u64,
 }
 
-/// Recent wakes of one model.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Wakes {
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -19,9 +19,7 @@
 const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
 const TYPICAL_RUN: Duration = Duration::from_millis(300);
 const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
-/// Cost of a prefix that isn't cached: about the time to compute it.
 const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
-/// Cost of a target that has to load the model.
 const COLD_START_COST: Duration = Duration::from_secs(5);
 /// Requests of this urgency or higher don't probe ejected targets.
 const MIN_UNPROBED_URGENCY: u8 = 2;
--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -23,7 +23,6 @@
 /// At most one target in this many is ejected, so that the remaining ones aren't overloaded.
 pub const MAX_EJECTED_DIVISOR: usize = 3;
 
-/// Smoothed time for each part of a model's responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BaselinePartTime(Option<f64>);
 
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/owners.rs
@@ -23,7 +23,6 @@
 }
 
 impl Owners {
-    /// Replaces the targets; the state of those that remain is kept.
     pub fn set_targets(&mut self, mut ring: Vec<(u64, TargetKey)>) {
         ring.sort_unstable();
         ring.dedup();
--- a/crates/corianderstand_fleet/src/store_concurrency.rs
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -17,7 +17,6 @@
 const INITIAL_LIMIT: u32 = 2;
 /// Factor by which the limit rises after a load that wasn't slowed down at the limit.
 const PROBE_FACTOR: u32 = 2;
-/// Ratio of actual to expected load time above which the store counts as congested.
 const CONGESTION_RATIO: f64 = 1.25;
 
 /// Limit on concurrent loads from the weight store, adapted to observed load times.
--- a/crates/corianderstand_fleet/src/utility.rs
+++ b/crates/corianderstand_fleet/src/utility.rs
@@ -52,7 +52,6 @@
     prefill_utilization(model).max(batches.max(adapters) * SLOT_UTILIZATION_WEIGHT)
 }
 
-/// Returns the number of engines that the model's prefill keeps busy.
 pub fn prefill_utilization(model: &ModelView) -> f64 {
     let estimate = model.demand.prefill_s_per_token;
     let s_per_token = if estimate > 0.0 { estimate } else { demand::DEFAULT_PREFILL_S_PER_TOKEN };
--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -12,12 +12,9 @@
 use std::{convert::Infallible, time::Duration};
 use tokio::time::Instant;
 
-/// Format and metadata of an answer.
 #[derive(Clone, Debug)]
 pub struct AnswerFormat {
-    /// Whether the request is a chat completion.
     pub chat: bool,
-    /// The request id.
     pub request: SmolStr,
     /// The model name that the caller sent.
     pub model: String,
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -24,25 +24,17 @@
 const MIN_RESUME_TIME: Duration = Duration::from_secs(10);
 const QUEUE_FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A part of a call's answer.
 #[derive(Debug)]
 pub enum Part {
     /// Status and content type of a service's answer.
     Head {
-        /// HTTP status.
         status: u16,
-        /// Content type.
         content_type: SmolStr,
     },
-    /// A piece of the body.
     Chunk(Bytes),
-    /// The answer is complete.
     Whole {
-        /// Tokens in the prompt.
         prompt_tokens: u64,
-        /// Tokens generated.
         completion_tokens: u64,
-        /// Why generation stopped.
         finish_reason: SmolStr,
     },
 }
@@ -110,7 +102,6 @@
         })
     }
 
-    /// Position of the next part.
     pub const fn position(&self) -> u64 {
         self.position
     }
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -99,7 +99,6 @@
     }
 }
 
-/// Header of server-sent events with which a caller resumes a stream.
 const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
 fn resume_position(req: &Request) -> Result<u64, Problem> {
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -31,7 +31,6 @@
 }
 
 impl Connections {
-    /// Creates the counter with the configured limits.
     pub fn new(limits: &Limits) -> Arc<Self> {
         // The header timeout also closes idle connections. The write timeout frees the resources of
         // callers that stop reading.
@@ -42,12 +41,10 @@
         Arc::new(Self { limit, fuse, count: AtomicUsize::new(0), excess: Mutex::default() })
     }
 
-    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Whether a connection was accepted over the limit.
     pub fn is_excess(&self, remote: Option<SocketAddr>) -> bool {
         remote.is_some_and(|remote| self.lock().contains(&remote))
     }
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -32,25 +32,18 @@
 
 /// State of the `decide` thread.
 pub struct Decider {
-    /// The routing logic.
     pub router: Router,
-    /// The current snapshot of the agreed state.
     pub current: CurrentSnapshot,
-    /// The clock.
     pub clock: SharedClock,
     /// Requests in flight, kept for retries.
     pub calls: HashMap<RequestKey, Call>,
-    /// Open connections to agents.
     pub connections: HashMap<TargetId, mpsc::Sender<Command>>,
     /// Versions of the targets, slots and settings last passed to `router`.
     pub versions: (u64, u64, u64),
-    /// Hosts last passed to `router`.
     pub hosts: std::sync::Arc<Hosts>,
     /// Targets whose agents reported that they accept no new requests.
     pub reported_draining: BTreeSet<TargetId>,
-    /// Number of requests in flight.
     pub in_flight: std::sync::Arc<AtomicUsize>,
-    /// The metrics.
     pub metrics: Metrics,
 }
 
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -11,10 +11,8 @@
 pub const CHUNK_WINDOW: u64 = 64;
 /// Queue capacity for updates other than chunks.
 pub const REPLY_EXTRA_CAPACITY: usize = 16;
-/// Capacity of a handler's update queue.
 pub const REPLY_QUEUE_CAPACITY: usize = CHUNK_WINDOW as usize + REPLY_EXTRA_CAPACITY;
 
-/// A request submitted by a handler.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The `decide` thread sets its stream id.
@@ -37,7 +35,6 @@
         position: u64,
         body: Bytes,
     },
-    /// The response has ended.
     End {
         /// Number of chunks in the complete response.
         position: u64,
@@ -85,21 +82,17 @@
     /// A target is available: its connection is open, or it was announced.
     Connected {
         target: TargetId,
-        /// Whether it accepts no new requests.
         draining: bool,
         commands: mpsc::Sender<Command>,
     },
     /// A target is unreachable or was withdrawn.
     Disconnected(TargetId),
-    /// A target accepts no new requests.
     Draining(TargetId),
-    /// A target refused a request.
     Refused {
         key: RequestKey,
         refusal: Refusal,
         load: Load,
     },
-    /// A request has ended.
     Ended {
         key: RequestKey,
         /// Load of the target, if reported.
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -9,14 +9,12 @@
 use corianderstand_schema::process::Timing;
 use std::time::Duration;
 
-/// Action to take at a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
     /// Both sides have sent something.
     Skip,
     /// Send a heartbeat with this nonce.
     Ping(u64),
-    /// Close the idle connection.
     CloseIdle,
     /// Close the connection: nothing was received for this time.
     Unresponsive(Duration),
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -46,57 +46,36 @@
 pub const URGENCY_HEADER: &str = "x-urgency";
 const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// State shared by all handlers.
 pub struct HandlerContext {
-    /// Name of this router.
     pub name: WriterId,
-    /// Client for requests to other routers.
     pub peer_client: reqwest::Client,
-    /// Events to the `decide` thread.
     pub events: SyncSender<Event>,
-    /// The control thread.
     pub control: ControlHandle,
     /// Recent records, for processes that follow this router.
     pub tail: Tail,
-    /// Hashes bearer keys.
     pub hasher: Hasher,
-    /// Hash of the operators' bearer key.
     pub operator_key_hash: SmolStr,
-    /// The metrics.
     pub metrics: Metrics,
-    /// Open connections from callers.
     pub connections: Arc<Connections>,
-    /// Maximum size of a request's head.
     pub max_header_bytes: usize,
-    /// Addresses of other routers.
     pub peers: Vec<SmolStr>,
-    /// Maximum size of a request's body.
     pub max_body_bytes: usize,
-    /// Time limit for reading a body.
     pub read_timeout: Duration,
-    /// Maximum number of requests in flight.
     pub max_in_flight: usize,
-    /// Number of requests in flight.
     pub in_flight: Arc<AtomicUsize>,
-    /// Whether a planned shutdown has begun.
     pub draining: Arc<AtomicBool>,
     /// Detects requests that may predate a pause of this process.
     pub watched: Arc<WatchedConnections>,
-    /// The clock.
     pub clock: SharedClock,
 }
 
 /// An authenticated request.
 pub struct CallerRequest {
-    /// The request id.
     pub id: SmolStr,
-    /// The caller's workspace.
     pub team: WorkspaceId,
     /// The snapshot at its arrival.
     pub snapshot: Arc<Snapshot>,
-    /// The trace context of this hop.
     pub trace: TraceContext,
-    /// The clock.
     pub clock: SharedClock,
 }
 
@@ -189,7 +168,6 @@
     req.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns the caller's bearer key.
 pub fn bearer(req: &Request) -> Result<&str, Problem> {
     let value = header(req, "authorization").ok_or(Problem::Unauthorized)?;
     value.strip_prefix("Bearer ").map(str::trim).ok_or(Problem::Unauthorized)
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -27,29 +27,24 @@
 };
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-/// Capacity of the frame and command queues of a connection.
 pub const QUEUE_CAPACITY: usize = 4096;
 
-/// Context shared by all connections.
 #[derive(Clone)]
 pub struct LinkContext {
     pub router: WriterId,
     pub incarnation: u64,
     pub timing: Timing,
     pub events: SyncSender<Event>,
-    /// Budget for control traffic.
     pub budget: Arc<Budget>,
 }
 
 impl LinkContext {
-    /// Sends an event to the `decide` thread.
     pub fn send_event(&self, event: Event) {
         // Blocks briefly at most: the receiver never waits for this thread.
         drop(self.events.send(event));
     }
 }
 
-/// Why a connection was closed.
 pub enum CloseReason {
     /// It carried no stream for a while.
     Idle,
@@ -96,7 +91,6 @@
     close_reason
 }
 
-/// Returns the request key of a stream id.
 pub fn request_key(stream: u64) -> RequestKey {
     KeyData::from_ffi(stream).into()
 }
@@ -268,7 +262,6 @@
     }
 }
 
-/// Returns the stream id of a request.
 pub fn stream_id(key: RequestKey) -> u64 {
     key.data().as_ffi()
 }
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -30,12 +30,9 @@
 const SETTLE_RESERVE: Duration = Duration::from_secs(1);
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A service's answer.
 #[derives(data)]
 pub struct Answer {
-    /// HTTP status.
     pub status: u16,
-    /// Content type.
     pub content_type: SmolStr,
     /// The body; `None` if it was too long to be stored for repeated requests.
     pub body: Option<Bytes>,
@@ -43,13 +40,10 @@
 
 /// A call under an idempotency key.
 pub struct KeyedCall<'a> {
-    /// The control thread.
     pub control: &'a ControlHandle,
-    /// The idempotency key with its workspace and service.
     pub key: CallKey,
     /// Digest of the call, which detects a key reused for another one.
     pub digest: u64,
-    /// Deadline of the answer.
     pub deadline: Instant,
 }
 
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -21,7 +21,6 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::time::Duration;
 
-/// Endpoint of the operator API.
 #[derives(key)]
 pub enum Kind {
     /// `POST /operator/apply`.
@@ -69,11 +68,6 @@
 /// Includes [`EXPIRY_WINDOW`] and the time to read the change back.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Handles a request to the operator API.
-///
-/// # Errors
-///
-/// Any [`Problem`].
 pub async fn answer(
     context: &HandlerContext,
     kind: Kind,
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -13,7 +13,6 @@
 /// Exclusive limit of `max_tokens`.
 const MAX_TOKENS: u32 = 16 * 1024 * 1024;
 
-/// Parameters of a model request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "an object with `model` and `prompt` or `messages`")]
@@ -89,7 +88,6 @@
 }
 
 impl Params {
-    /// Parses and validates a body.
     pub fn read(body: &[u8], chat: bool) -> Result<Self, Problem> {
         let mut json = serde_json::Deserializer::from_slice(body);
         let params: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -101,12 +99,10 @@
         Ok(params)
     }
 
-    /// Whether the caller requested a stream.
     pub fn is_streamed(&self) -> bool {
         self.stream.unwrap_or(false)
     }
 
-    /// Whether the stream ends with the usage.
     pub fn includes_usage(&self) -> bool {
         let options = self.stream_options.as_ref();
         options.and_then(|options| options.include_usage).unwrap_or(false)
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -9,10 +9,8 @@
 
 /// Response header with the outcome of a call: `ran`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "x-corianderstand-outcome";
-/// Header with the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Why a request failed.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
 pub enum Problem {
     /// invalid request: {0}
@@ -153,7 +151,6 @@
         }})
     }
 
-    /// Writes this problem as the response.
     pub fn write(&self, request: &str, res: &mut Response) {
         res.status_code(self.status());
         if let Some(after) = self.retry_after() {
--- a/crates/corianderstand_router/src/relay.rs
+++ b/crates/corianderstand_router/src/relay.rs
@@ -5,10 +5,8 @@
 use salvo::{Request, Response, http::StatusCode};
 use std::time::Duration;
 
-/// Upper limit of `max`.
 const MAX_RECORDS: u32 = 1024;
 
-/// Responds with a page of records or an error.
 pub async fn answer(tail: &Tail, req: &mut Request, res: &mut Response) {
     let number = |name: &str| req.query::<u64>(name).unwrap_or_default();
     let max = u32::try_from(number("max")).map_or(MAX_RECORDS, |max| max.min(MAX_RECORDS));
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -17,7 +17,6 @@
 
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
-/// Answers a call to a service; on an error nothing was sent.
 pub async fn call(
     context: &HandlerContext,
     caller_request: &CallerRequest,
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -22,7 +22,6 @@
 
 /// Bounds the load of a status request on the `http` thread.
 const MAX_CONCURRENT_QUERIES: usize = 32;
-/// Timeout of one query to an agent or a router.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 struct TargetStatus {
@@ -56,7 +55,6 @@
         "address": record.address, "service": record.service })
 }
 
-/// Returns the status of all targets and routers.
 pub async fn fleet(context: &HandlerContext, authorization: &str) -> Value {
     let mut fleet = local(context);
     let snapshot = context.control.current.load();
@@ -172,7 +170,6 @@
     }
 }
 
-/// Returns the settings version of this router: `GET /operator/version`.
 pub fn version(context: &HandlerContext) -> Value {
     json!({ "router": context.name,
         "version": context.control.current.load().state.documents.version })
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -26,7 +26,6 @@
 }
 
 impl WatchedConnections {
-    /// Creates an empty set; `now` is the time since boot.
     pub fn new(now: Duration) -> Arc<Self> {
         Arc::new(Self {
             pause_detector: Arc::new(PauseDetector::new(now)),
@@ -34,7 +33,6 @@
         })
     }
 
-    /// Checks for a pause and drops closed connections.
     pub fn tick(&self, now: Duration) {
         self.pause_detector.tick(now);
         self.lock().retain(|_, connection| connection.strong_count() > 0);
@@ -58,7 +56,6 @@
 }
 
 impl WatchedAcceptor {
-    /// Wraps `inner`.
     pub const fn new(inner: TcpAcceptor, watched: Arc<WatchedConnections>) -> Self {
         Self { inner, watched }
     }
