--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -151,10 +151,7 @@
     }
 }
 
-/// Retries an append until the log responds.
-///
-/// A response may be lost after the write took effect; the fold ignores the duplicate by its
-/// sequence number.
+/// Retries an append until the log responds; the fold ignores duplicates by sequence number.
 async fn append_until_answered(log: &dyn LogService, records: Vec<Vec<u8>>) {
     while let Err(error) = log.append(records.clone()).await {
         tracing::warn!(%error, "append failed, retrying");
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -138,9 +138,7 @@
     }
 }
 
-/// Records that update the `leaving` mark of targets to match the state of their hosts.
-///
-/// Targets on hosts that are neither live nor leaving in the snapshot are skipped.
+/// Records that update the `leaving` mark of targets to match their hosts, if listed.
 pub fn leaving_marks(snapshot: &Snapshot) -> Vec<Body> {
     let (state, hosts) = (&snapshot.state, &snapshot.hosts);
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -21,9 +21,8 @@
 pub const RELAY_PATH: &str = "/internal";
 /// Bytes of records that a tail keeps.
 pub const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
-/// Time since the last response of the log after which an empty page is stale.
-///
-/// Exceeds the sum of the waits of idle reads from the log and from a relay.
+/// Time since the last response of the log after which an empty page is stale. Exceeds the sum of
+/// the waits of idle reads from the log and from a relay.
 pub const MAX_PAGE_AGE: Duration = Duration::from_secs(4);
 /// Maximum number of relays between the log and a process.
 pub const MAX_HOPS: u8 = 2;
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -25,9 +25,8 @@
         Self { cursor: oldest, collector: Collector::default() }
     }
 
-    /// Scans a page; returns the first complete checkpoint that the log continues.
-    ///
-    /// Recovery checkpoints may differ between writers, so all readers load the first one.
+    /// Scans a page; returns the first complete checkpoint that the log continues, so that all
+    /// readers load the same one.
     pub fn scan(&mut self, page: &Page) -> Option<State> {
         let mut found = None;
         for entry in &page.entries {
--- a/crates/corianderstand_control/tests/marks.rs
+++ b/crates/corianderstand_control/tests/marks.rs
@@ -35,8 +35,7 @@
     snapshot.hosts = Arc::new(Hosts { live: set(live), leaving: set(leaving), gone });
 }
 
-/// Guards against wrong leaving marks after the lease moves to a process that has not yet read the
-/// host list, or after an agent restarts.
+/// Guards against wrong leaving marks after a change of the lease or a restart of an agent.
 #[rstest]
 fn a_lease_holder_marks_only_hosts_that_it_read() {
     let mut snapshot = Snapshot::default();
--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -52,10 +52,7 @@
     }
 }
 
-/// Schedule of the retry times given to refused callers.
-///
-/// Retries are spaced at the rate at which the target completes requests, so that the callers of a
-/// refused burst don't return together.
+/// Schedule of retry times, spaced at the rate at which the target completes requests.
 #[derives(data)]
 #[derive(Default)]
 pub struct RetrySchedule {
@@ -64,8 +61,7 @@
 }
 
 impl RetrySchedule {
-    /// Returns a retry delay of at least `base` that ends no sooner than `spacing` after the
-    /// previous one.
+    /// Returns a retry delay of at least `base`, `spacing` after the previous one.
     pub fn schedule(&mut self, now: Instant, base: Duration, spacing: Duration) -> Duration {
         let base = base.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
         let at = self.next.map_or(now + base, |next| next.max(now + base));
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -183,8 +183,7 @@
         self.loads.record_demand(&weights, LoadDemand { urgency: spec.urgency, until });
     }
 
-    /// Reserves memory for missing weights and starts the loads that may start, ordered by
-    /// urgency, deadline and load time.
+    /// Reserves memory for missing weights and starts the loads that may start.
     pub(super) fn schedule_loads(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -93,8 +93,7 @@
 
 /// Minimum `retry_after` of a refusal.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Interval between scans for queued requests that can't meet their deadline any more; each scan
-/// is linear in the queue length.
+/// Interval between scans for queued requests that can't meet their deadline any more.
 const SHED_SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derives(data)]
@@ -294,8 +293,7 @@
         }
     }
 
-    /// The first weights of a request that are not loaded; the base model precedes its adapter, as
-    /// an engine accepts an adapter only for a loaded model.
+    /// The first weights of a request that are not loaded; the base model precedes its adapter.
     fn missing(&self, spec: &RequestSpec) -> Option<Weights> {
         spec.weights().find(|weights| !self.is_usable(weights)).cloned()
     }
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -188,8 +188,7 @@
     assert!(first < Duration::from_secs(2), "the first retry time is short: {first:?}");
 }
 
-/// After the target slows down, admitted requests that can't finish in time are refused before
-/// their deadline, not at it.
+/// Guards against admitted requests that wait until their deadline on a slowed target.
 #[rstest]
 fn hopeless_requests_are_refused_before_their_deadline() {
     let mut harness = Harness::warm(1, &["a"]);
@@ -245,8 +244,7 @@
     assert!(refusals(&actions).is_empty());
 }
 
-/// Part of the capacity is reserved for each length, so that long requests don't block short ones,
-/// nor a flood of short ones a long one.
+/// Guards against long requests that block short ones, and the reverse.
 #[rstest]
 fn neither_length_starves_the_other() {
     let mut harness = Harness::warm(8, &["a"]);
@@ -269,8 +267,7 @@
     assert!(harness.agent.is_running(chat), "a flood of summaries does not hold up a chat");
 }
 
-/// With more models than fit, weights in use are kept even if least recently used, and of the idle
-/// ones those called rarely are evicted.
+/// Guards against evicting weights in use, or frequently used ones before rarely used ones.
 #[rstest]
 fn the_lowest_utility_is_evicted_and_never_weights_in_use() {
     let mut harness = Harness::new(
@@ -299,8 +296,7 @@
     assert_eq!(unloaded, [ModelId::from("c")], "c has the lowest utility");
 }
 
-/// Guards against a request waiting for memory until its deadline instead of being refused, so
-/// that its router can try another replica.
+/// Guards against a request waiting for memory until its deadline.
 #[rstest]
 fn requests_are_refused_soon_when_memory_is_full() {
     let mut harness =
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -118,8 +118,7 @@
         if all > 0.0 { soon / all } else { 0.0 }
     }
 
-    /// The next time window in which the model should be loaded ahead of its first call; `None` if
-    /// a cold start is expected to cost less.
+    /// The next window in which to load the model ahead of its first call, if that costs less.
     pub fn prewarm_window(&self, unix_s: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
         self.wakes.prewarm_window(unix_s, cold_start_cost)
     }
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -175,9 +175,7 @@
         }
     }
 
-    /// Replaces all entries with those that the engine reports, before any command is sent.
-    ///
-    /// Entries beyond the engine's capacity are counted too.
+    /// Replaces all entries with those that the engine reports, even beyond its capacity.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.entries.clear();
         for (weights, memory, ready) in loaded {
--- a/crates/corianderstand_decide/src/ledger/tests.rs
+++ b/crates/corianderstand_decide/src/ledger/tests.rs
@@ -17,8 +17,7 @@
     (ledger, ManualClock::default())
 }
 
-/// Guards against committing memory twice while a load command of unknown outcome may still be
-/// buffered in the engine's socket.
+/// Guards against committing memory twice after a load command of unknown outcome.
 #[rstest]
 fn unknown_outcome_counts_until_absence_timeout() {
     let (mut ledger, clock) = ledger_with_unknown();
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -24,8 +24,7 @@
 /// Requests of this urgency or higher don't probe ejected targets.
 const MIN_UNPROBED_URGENCY: u8 = 2;
 const MAX_PROBE_CANDIDATES: usize = 4;
-/// Cost of each step along the ring for a target that has to load the model: the next target loads
-/// it only if the one before is busier by this.
+/// Cost of each step along the ring for a target that has to load the model.
 const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
 /// Cost of each step along the ring, which breaks ties alike on all routers.
 const RING_STEP_COST: Duration = Duration::from_micros(100);
@@ -212,8 +211,7 @@
     }
 }
 
-/// Estimates the wait at a target: the reported wait, less its age, plus the cost of requests sent
-/// since the report.
+/// Estimates the wait at a target from its last report and the requests sent since.
 fn wait(now: Instant, target: &Target) -> Duration {
     let reported = Duration::from_millis(target.load.wait_ms);
     let since =
@@ -221,8 +219,7 @@
     reported.saturating_sub(since) + UNREPORTED_REQUEST_COST * target.sent_since_report
 }
 
-/// Hashes a request to its start on the ring: by prefix for a warm model, by model for a cold one,
-/// at random for a service.
+/// Start on the ring: by prefix for a warm model, by model for a cold one, random for a service.
 fn ring_hash(spec: &RequestSpec, seed: u64, warm: bool) -> u64 {
     match (&spec.requirement, spec.shape.prefix) {
         (Requirement::Service(_), _) => seed,
--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -10,8 +10,7 @@
 const BASELINE_SMOOTHING: f64 = 0.05;
 /// Samples are clipped to this multiple of the baseline, for the same reason.
 const MAX_BASELINE_SAMPLE_RATIO: f64 = 2.0;
-/// A target slower than the baseline by this ratio is ejected. Lower values would eject healthy
-/// targets for the variance of a full batch.
+/// A target slower than the baseline by this ratio is ejected.
 const EJECT_RATIO: f64 = 3.0;
 /// An ejected target is readmitted at this ratio or below; the hysteresis prevents flapping.
 const READMIT_RATIO: f64 = 1.5;
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -245,8 +245,7 @@
         (key, self.choose(now, key, None))
     }
 
-    /// Retries a refused request at another target, unless the refusal is final or the retry budget
-    /// is used up.
+    /// Retries a refused request at another target, if the reason and the retry budget allow it.
     pub fn refused(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/router/prefixes.rs
+++ b/crates/corianderstand_decide/src/router/prefixes.rs
@@ -65,9 +65,7 @@
         }
     }
 
-    /// Applies a cache event of a target.
-    ///
-    /// A gap in the sequence may hide removals, so it invalidates all entries of the target.
+    /// Applies a cache event; a gap in the sequence invalidates all entries of the target.
     pub fn apply_event(&mut self, now: Instant, target: TargetKey, event: &CacheEvent) {
         let cursor = self.cursors.entry(target).or_default();
         if event.sequence < cursor.next_sequence {
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -121,8 +121,7 @@
     }
 }
 
-/// Guards against loading a cold model at several replicas when its first requests arrive at
-/// several routers.
+/// Guards against loading a cold model at several replicas.
 #[rstest]
 fn routers_load_a_cold_model_at_one_replica() {
     let mut chosen = BTreeSet::new();
@@ -149,8 +148,7 @@
     assert_ne!(bench.send(None).1, first);
 }
 
-/// A session is sent to the target with its cached prefix, unless the wait there costs more than
-/// computing the prefix again.
+/// Guards against ignoring a cached prefix, and against a long wait for its target.
 #[rstest]
 fn a_session_returns_to_its_cached_prefix_unless_the_wait_is_too_long() {
     let mut bench = Bench::new(9, 7);
@@ -264,8 +262,7 @@
     assert_eq!(decision.is_none(), !repeatable);
 }
 
-/// Guards against leaving a second replica cold while the first serves the model and refuses most
-/// requests for their deadline; refusals keep its reported wait short.
+/// Guards against leaving a second replica cold while the first refuses most requests.
 #[rstest]
 #[case::serving(true)]
 #[case::loading(false)]
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -9,24 +9,20 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3;
 
-/// Cost of a target in another availability zone. Low enough that a larger difference in load
-/// outweighs it.
+/// Cost of a target in another availability zone; a larger difference in load outweighs it.
 const CROSS_ZONE_COST: f64 = 0.05;
 /// Cost saved per thousand prompt tokens that the target has in its prefix cache.
 const CACHED_PREFIX_CREDIT_PER_1000_TOKENS: f64 = 0.12;
-/// Weight of a target's failure score above the lowest among the candidates. A target that fails
-/// half of its requests costs more than a full batch.
+/// Weight of a target's failure score above the lowest among the candidates.
 const FAILURE_SCORE_WEIGHT: f64 = 3.0;
 /// Weight of a target's mean event interval relative to the shortest among the candidates.
 const SLOWDOWN_WEIGHT: f64 = 0.4;
 /// Upper bound of the relative slowdown, so that one slow target does not dominate the cost.
 const MAX_SLOWDOWN_RATIO: f64 = 4.0;
-/// Largest random cost, derived from the request's hash. It spreads requests over targets of nearly
-/// equal cost, so that routers with the same state do not all choose the same one.
+/// Largest cost derived from the request's hash; spreads requests over targets of similar cost.
 const JITTER_WEIGHT: f64 = 0.03;
 
-/// Prefill backlog that costs as much as a full batch: it delays the target's streams and the new
-/// prompt alike.
+/// Prefill backlog that costs as much as a full batch.
 const FULL_PREFILL_BACKLOG: Duration = Duration::from_millis(250);
 
 /// Model and optional adapter that a request names.
--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -122,9 +122,7 @@
             + latency_objective.mul_f64(OBJECTIVE_SMOOTHING);
     }
 
-    /// Updates the prefill estimate from the time between sending a request to an engine with free
-    /// capacity and its first event.
-    ///
+    /// Updates the prefill estimate from the time to the first event, if the engine had capacity.
     /// Shorter times weigh more, because longer ones may include the prefill of other requests.
     pub fn record_first_event(
         &mut self,
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -8,8 +8,7 @@
 
 /// Weight of one failure. Three failures in a row exceed [`EJECTION_THRESHOLD`].
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Weight of one success. Lower than a failure's, so that a target that fails two requests in five
-/// stays ejected.
+/// Weight of one success. A target that fails two requests in five stays ejected.
 const SUCCESS_WEIGHT: f64 = 0.12;
 const FAILURE_SCORE_HALF_LIFE: Duration = Duration::from_secs(4);
 /// Failure score from which a target is ejected: it is used only if no other has capacity.
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -16,11 +16,9 @@
     time::{Duration, Instant},
 };
 
-/// Utility of a redundant replica, relative to the model's requests: it keeps the model available
-/// when an engine crashes.
+/// Utility, relative to the model's requests, of a replica that is redundant until a crash.
 const SPARE_REPLICA_UTILITY: f64 = 0.02;
-/// Cost of each running request, for up to two, of a model that is evicted: the engine accepts no
-/// other command until they end.
+/// Cost of each of up to two running requests of an evicted model, which delay other commands.
 const RUNNING_REQUEST_COST: f64 = 0.9;
 const SWAP_WINDOW: Duration = Duration::from_secs(4);
 const MIN_REPLICA_UTILITY: f64 = 0.5;
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -9,8 +9,7 @@
 use corianderstand_types::names;
 use std::time::{Duration, Instant};
 
-/// Minimum time that a requested adapter stays resident, so that the request finds it. Routers
-/// renew requests for adapters in use more often.
+/// Minimum time that a requested adapter stays resident, so that the request finds it.
 const MIN_ADAPTER_RESIDENCY: Duration = Duration::from_millis(600);
 
 /// A command to an engine.
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -24,19 +24,16 @@
     pub struct TargetKey;
 }
 
-/// Time for which a model counts as absent after its engine refused a request for it, unless the
-/// engine's holdings change before.
+/// Time for which a model counts as absent after its engine refused a request for it.
 const ABSENT_MODEL_TTL: Duration = Duration::from_millis(400);
 /// Time without reports after which an agent counts as unresponsive. Tolerates a lost datagram at
 /// the longest report interval of 0.9 s.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Ejection time of a target that refused a connection. Its process has probably ended, and its
-/// models are loaded elsewhere; afterwards one attempt probes it again.
+/// Time for which a target that refused a connection is ejected, before it is probed again.
 const UNREACHABLE_EJECTION_TIME: Duration = Duration::from_millis(700);
 
-/// Time for which the entry of a removed target is kept, so that a restart under another name can
-/// inherit it.
+/// Time for which a removed entry can be inherited by a restart under another name.
 const REMOVED_ENTRY_TTL: Duration = Duration::from_secs(15);
 
 /// State of one target.
@@ -302,8 +299,8 @@
         self.arena[key].missing_since = Some(now);
     }
 
-    /// Applies a registered entry. Entries must arrive in the order in which they were written: a
-    /// new one removes other targets with the same address.
+    /// Applies a registered entry, which removes other targets with its address. Entries must
+    /// arrive in the order in which they were written.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
         if self
             .drained
@@ -409,8 +406,7 @@
         same
     }
 
-    /// Removes a target whose entry was removed; with `grace`, only if [`Self::expire`] finds it
-    /// still missing.
+    /// Removes a target without an entry; with `grace`, not before [`Self::expire`].
     pub fn remove(&mut self, now: Instant, id: &names::TargetId, grace: bool) {
         let Some(key) = self.key(id) else { return };
         if grace {
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -90,8 +90,7 @@
     assert!(targets.key(&id("after")).is_some() && targets.key(&id("other")).is_some());
 }
 
-/// Guards against refused requests on a router that starts while the store lists only ended
-/// engines.
+/// Guards against refused requests on a router that starts while the store lists ended engines.
 #[test]
 fn an_unknown_engine_is_inferred_from_its_agent_before_it_registers() {
     let now = Instant::now();
@@ -138,8 +137,7 @@
     assert!(!targets.get(key).unwrap().serves(now, &"m".into()));
 }
 
-/// A live engine whose entry is missing after a store outage must stay available until it registers
-/// again.
+/// Guards against removing a live engine whose entry is missing after a store outage.
 #[test]
 fn a_removed_entry_has_a_grace_period() {
     let now = Instant::now();
@@ -219,8 +217,7 @@
     );
 }
 
-/// Guards against repeated attempts at an engine whose process ended while its entry is still
-/// stored. The ejection lasts until it expires or the engine has restarted.
+/// Guards against repeated attempts at an ended engine whose entry is still stored.
 #[test]
 fn an_engine_whose_process_ended_is_ejected() {
     let now = Instant::now();
@@ -242,8 +239,7 @@
     assert_eq!(choose::choose(later, &targets, &query), choose::Choice::Send(key));
 }
 
-/// Guards against a delay after a restart under a new name: the agent's report suffices until the
-/// engine registers.
+/// Guards against waiting for the registration of an engine restarted under a new name.
 #[test]
 fn an_engine_restarted_under_another_name_is_known_before_it_registers() {
     let now = Instant::now();
@@ -294,8 +290,7 @@
     assert_eq!(targets.expire(now + grace * 2, grace), [id("f")]);
 }
 
-/// Guards against a target that passes its health check while it fails requests, and against one
-/// that is ejected for ever.
+/// Guards against sending requests to a failing target, and against ejecting it for ever.
 #[test]
 fn a_failing_target_is_ejected_and_probed_again_later() {
     let now = Instant::now();
@@ -389,8 +384,7 @@
     assert_eq!(preferred(&targets), usual, "all execute a command");
 }
 
-/// Guards against retries that overload the remaining targets, also when two routers share the
-/// allowance.
+/// Guards against retries that overload the remaining targets.
 #[test]
 fn retries_stay_within_the_shared_allowance() {
     let now = Instant::now();
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -111,8 +111,7 @@
     });
 }
 
-/// Missing or reordered parts, or a wrong end position, must fail the call rather than complete an
-/// answer with a gap.
+/// Guards against a complete answer with a gap.
 #[rstest]
 #[case::gap(&[0, 2], 3)]
 #[case::reordered(&[1, 0], 2)]
@@ -127,8 +126,7 @@
     });
 }
 
-/// A target is lost during an answer: the call resumes at the position reached, and later parts of
-/// the lost target are ignored.
+/// Guards against repeated or mixed parts after a target is lost during an answer.
 #[rstest]
 fn a_lost_answer_resumes_at_its_position() {
     block_on(async {
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -150,9 +150,8 @@
     })
 }
 
-/// Resolves `model`, `model:adapter`, `model@version` or `model:adapter@version`.
-///
-/// Forbidden and unknown names return the same error, so that nothing about other workspaces leaks.
+/// Resolves `model`, `model:adapter`, `model@version` or `model:adapter@version`. Forbidden and
+/// unknown names return the same error.
 fn resolve(
     name: &str,
     team: &TeamView,
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -18,10 +18,8 @@
 /// Connections over the limit whose requests are refused; further ones are closed at once.
 const MAX_EXCESS_CONNECTIONS: usize = 256;
 
-/// Counts open connections.
-///
-/// Some connections over the limit are accepted and their requests refused, so that callers do not
-/// wait in the listen backlog.
+/// Counts open connections. Some over the limit are accepted and their requests refused, so that
+/// callers do not wait in the listen backlog.
 #[derive(Debug)]
 pub struct Connections {
     limit: usize,
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -147,9 +147,7 @@
     }
 }
 
-/// Requests that wait for a connection.
-///
-/// Rejects them on drop, as the task is aborted when its target is withdrawn.
+/// Requests that wait for a connection; rejected on drop, as when the target is withdrawn.
 struct PendingRequests {
     context: LinkContext,
     first: Option<Command>,
@@ -176,8 +174,7 @@
     None
 }
 
-/// Reports an unsent request as refused, so that it may go to another target even if it is not
-/// repeatable.
+/// Reports an unsent request as refused, so that it may go to another target.
 fn reject_unsent(context: &LinkContext, command: Option<Command>) {
     let Some(Command::Open(call)) = command else { return };
     let refusal =
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -56,10 +56,8 @@
         self.ever_received = true;
     }
 
-    /// Ends an interval; `busy` is whether streams are in flight.
-    ///
-    /// The response timeout is counted across ticks, because a timeout on each read would restart
-    /// with every heartbeat sent and never expire on a half-open connection.
+    /// Ends an interval; `busy` is whether streams are in flight. The response timeout is counted
+    /// across ticks, because a read timeout would restart with every heartbeat sent.
     pub fn on_tick(&mut self, busy: bool) -> HeartbeatAction {
         self.ticks_unresponsive = if self.received { 0 } else { self.ticks_unresponsive + 1 };
         self.ticks_idle = if busy { 0 } else { self.ticks_idle + 1 };
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -211,8 +211,7 @@
         Ok(())
     }
 
-    /// Fails if the key has a record. Must precede the capacity check: `CallsFull` is reported as
-    /// "not run".
+    /// Fails if the key has a record. Must precede the capacity check: `CallsFull` means "not run".
     fn ensure_unclaimed(&self, key: &CallKey) -> Result<(), Rejection> {
         if self.by_key.contains_key(&Key::from(key)) {
             Err(Rejection::CallConflict)
--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -118,8 +118,6 @@
 }
 
 /// Assembles a checkpoint from its parts before any state exists.
-///
-/// The writer's lease needs no check, as the state at an offset is the same in every process.
 #[derive(Debug, Default)]
 pub struct Collector {
     source: Option<Source>,
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -20,10 +20,8 @@
     Refuse,
 }
 
-/// Returns the action for a claim whose record had `outcome`.
-///
-/// The call runs only if the request is still pending and its deadline has not passed (`in_time`):
-/// after a pause or an outage of the log the outcome may arrive late.
+/// Returns the action for a claim whose record had `outcome`; `in_time` is whether the deadline of
+/// the request has not passed.
 pub const fn claim_action(outcome: &Outcome, is_pending: bool, in_time: bool) -> ClaimAction {
     match outcome {
         Outcome::Applied if is_pending && in_time => ClaimAction::Run,
--- a/crates/corianderstand_state/src/expiry.rs
+++ b/crates/corianderstand_state/src/expiry.rs
@@ -7,8 +7,7 @@
 
 /// Log time between two sweeps.
 pub const SWEEP_INTERVAL_MS: u64 = 60_000;
-/// Log time without a record after which a writer's progress is removed. A later retry is
-/// still subject to the record's own condition.
+/// Log time without a record after which a writer's progress is removed.
 pub const WRITER_TTL_MS: u64 = 86_400_000;
 
 /// Whether a sweep falls between two log times.
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -27,8 +27,7 @@
 
 /// Interval between two calls of [`PauseDetector::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time without a tick that counts as a pause: longer than scheduling delays on a busy host, shorter
-/// than callers' timeouts.
+/// Time without a tick that counts as a pause; shorter than callers' timeouts.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Counts the pauses of this process and tracks its connections.
