--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -61,7 +61,7 @@
 }
 
 impl RetrySchedule {
-    /// Returns a retry delay of at least `base`, `spacing` after the previous one.
+    /// Returns a retry delay of at least `base` that ends `spacing` after the previous one or later.
     pub fn schedule(&mut self, now: Instant, base: Duration, spacing: Duration) -> Duration {
         let base = base.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
         let at = self.next.map_or(now + base, |next| next.max(now + base));
--- a/crates/corianderstand_decide/src/request.rs
+++ b/crates/corianderstand_decide/src/request.rs
@@ -31,7 +31,7 @@
     Service(ServiceId),
 }
 
-/// A request as scheduling decisions see it.
+/// Properties of a request that scheduling depends on.
 #[derives(data)]
 #[derive(Eq)]
 pub struct RequestSpec {
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -19,7 +19,7 @@
 const SLOWDOWN_WEIGHT: f64 = 0.4;
 /// Upper bound of the relative slowdown, so that one slow target does not dominate the cost.
 const MAX_SLOWDOWN_RATIO: f64 = 4.0;
-/// Largest cost derived from the request's hash; spreads requests over targets of similar cost.
+/// Largest pseudo-random cost; spreads requests over targets of similar cost.
 const JITTER_WEIGHT: f64 = 0.03;
 
 /// Prefill backlog that costs as much as a full batch.
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -151,7 +151,7 @@
 }
 
 /// Resolves `model`, `model:adapter`, `model@version` or `model:adapter@version`. Forbidden and
-/// unknown names return the same error.
+/// unknown names return the same error, so that nothing about other workspaces leaks.
 fn resolve(
     name: &str,
     team: &TeamView,
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -1,8 +1,8 @@
 //! Calls that run at most once, identified by an idempotency key.
 //!
 //! The outcome is "ran" with the service's answer, "not run" if the call was refused before it was
-//! claimed or the log records that it did not run, and "unknown" otherwise. A router that times out appends a
-//! `CallVoided` record: if it precedes any claim in the log, the call can never run.
+//! claimed or the log records that it did not run, and "unknown" otherwise. A router that times out
+//! appends a `CallVoided` record: if it precedes any claim in the log, the call can never run.
 
 use crate::{
     call::{CallInProgress, Part},
