--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -61,7 +61,7 @@
 }
 
 impl RetrySchedule {
-    /// Returns a retry delay of at least `base` that ends `spacing` after the previous one or later.
+    /// Returns a retry delay of at least `base`, which ends `spacing` or more after the previous.
     pub fn schedule(&mut self, now: Instant, base: Duration, spacing: Duration) -> Duration {
         let base = base.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
         let at = self.next.map_or(now + base, |next| next.max(now + base));
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -195,7 +195,7 @@
         let target = &self.targets[key];
         let run = (TYPICAL_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
         let mut cost = run + RING_STEP_COST * rank;
-        // The zone of a cold target is ignored, so that routers of all zones load a model at the same
+        // The zone of a cold target is ignored, so that routers of all zones load a model at one
         // target.
         if matches!(spec.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -271,8 +271,8 @@
         self.choose(now, key, Some(refusal))
     }
 
-    /// Handles the loss of the connection to a request's target. Returns `None` if the request isn't
-    /// repeatable and may have run.
+    /// Handles the loss of the connection to a request's target. Returns `None` if the request
+    /// isn't repeatable and may have run.
     pub fn connection_lost(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -299,8 +299,8 @@
         self.arena[key].missing_since = Some(now);
     }
 
-    /// Applies a registered entry, which removes other targets with its address. Entries must
-    /// arrive in the order in which they were written.
+    /// Applies a registered entry. Entries must arrive in the order in which they were written, as a
+    /// new one removes other targets with its address.
     pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
         if self
             .drained
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -210,7 +210,10 @@
         for request in std::mem::take(&mut self.waiting) {
             let waited = now.saturating_duration_since(request.arrived_at);
             let holder = self.engines.iter_mut().filter(|engine| {
-                let unloading = matches!(&engine.command, Some((reconcile::Command::Unload(model), _)) if model == &request.model);
+                let unloading = matches!(
+                    &engine.command,
+                    Some((reconcile::Command::Unload(model), _)) if model == &request.model
+                );
                 engine.up && !unloading && engine.holdings.resident(&request.model).is_some()
             });
             let tally = self.tallies.entry(request.model.clone()).or_default();
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -273,8 +273,8 @@
 
     fn send_command(&self, command: impl FnOnce(u64, u64) -> Command) {
         if let Some(Attachment { stream, commands, .. }) = &self.attachment {
-            // If the channel is full, credit is sent with the next chunk, and the connection cancels
-            // once `updates` is closed.
+            // If the channel is full, credit is sent with the next chunk, and the connection
+            // cancels once `updates` is closed.
             drop(commands.try_send(command(*stream, self.credit_limit)));
         }
     }
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Whether a refusal is due to a planned replica that is stopping, restarting or moving, so that
-    /// its callers should wait.
+    /// Whether a refusal is due to a planned replica that is stopping, restarting or moving, so
+    /// that its callers should wait.
     fn is_transient_refusal(&self, operation: &Operation, reason: RefusalReason) -> bool {
         if !matches!(reason, RefusalReason::Draining | RefusalReason::NotLoaded) {
             return false;
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -245,8 +245,8 @@
     /// Forwards an update to the caller's handler; ignores streams that were cancelled.
     fn forward_update(&mut self, stream: u64, update: Update) {
         let Some(entry) = self.streams.get_mut(&stream) else { return };
-        // The agent respects the window, so sending fails only if the caller is gone. `Cancel` removes
-        // the stream and notifies the agent and the `decide` thread.
+        // The agent respects the window, so sending fails only if the caller is gone. `Cancel`
+        // removes the stream and notifies the agent and the `decide` thread.
         if entry.reply.try_send(update).is_err() {
             drop(self.commands.try_send(Command::Cancel { stream }));
         }
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -108,8 +108,8 @@
         options.and_then(|options| options.include_usage).unwrap_or(false)
     }
 
-    /// Returns the length and the prefix for routing. The first messages identify a session's cached
-    /// prompt.
+    /// Returns the length and the prefix for routing. The first messages identify a session's
+    /// cached prompt.
     pub fn shape(&self, chat: bool) -> request::Shape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
