--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -22,7 +22,7 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CHECKPOINT_PART_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Competes for the control lease and does the work of its holder.
+/// Competes for the control lease and performs the tasks of its holder.
 pub struct LeaseTask {
     /// The writer identity of this process.
     pub identity: Identity,
@@ -107,9 +107,9 @@
             })
             .collect();
         bodies.extend(leaving_marks(snapshot));
-        let avoid: BTreeSet<_> =
+        let excluded_hosts: BTreeSet<_> =
             snapshot.hosts.leaving.union(&snapshot.hosts.gone).cloned().collect();
-        bodies.extend(plan::plan(state, &snapshot.view, &avoid));
+        bodies.extend(plan::plan(state, &snapshot.view, &excluded_hosts));
         self.append_all(bodies, Duration::from_millis(state.lease.ttl_ms)).await;
     }
 
@@ -138,9 +138,7 @@
     }
 }
 
-/// Records that update the `leaving` mark of targets to match the state of their hosts.
-///
-/// Targets on hosts that are neither live nor leaving in the snapshot are skipped.
+/// Records that update the `leaving` mark of targets to match their hosts, if listed.
 pub fn leaving_marks(snapshot: &Snapshot) -> Vec<Body> {
     let (state, hosts) = (&snapshot.state, &snapshot.hosts);
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
@@ -165,9 +163,7 @@
     last.is_none_or(|last| snapshot.oldest > last.as_of.min(last.first))
 }
 
-/// Whether a checkpoint is due.
-///
-/// One is due at each interval, and at once if the log cannot restore the state.
+/// Whether a checkpoint is due: at each interval, and at once if the log cannot restore the state.
 pub fn is_checkpoint_due(snapshot: &Snapshot, log_now_ms: u64) -> bool {
     let Some(last) = snapshot.state.checkpoints.last else { return true };
     let interval = snapshot.view.deployment.checkpoint_interval_ms.as_millis();
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -14,13 +14,12 @@
     time::{Duration, Instant},
 };
 
-/// Time to wait for a coordinator's grant before the agent starts a load at its own pace; long
-/// enough for a change of the coordinator's lease.
+/// Time to wait for a coordinator's grant before the agent's own limiter applies; long enough for
+/// the lease to move to another coordinator.
 pub const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that requests wait for memory before they are refused, so that they can be retried on
-/// another replica before their deadline.
+/// Time that requests wait for memory before they are refused, early enough for a retry elsewhere.
 const CAPACITY_WAIT_LIMIT: Duration = Duration::from_secs(2);
-/// Time beyond the expected load that a load demand of refused callers stays valid.
+/// Validity of a [`LoadDemand`] of refused callers, beyond the expected load time.
 const DEMAND_TTL: Duration = Duration::from_secs(60);
 /// Delay before a command of unknown outcome is retried; engines treat retries as idempotent.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_secs(2);
@@ -28,7 +27,7 @@
 /// A load with reserved memory whose command has not been sent.
 #[derives(data)]
 struct PendingLoad {
-    less_urgent: u8,
+    urgency_rank: u8,
     deadline: Instant,
     load_time: Duration,
     memory: Mib,
@@ -47,12 +46,12 @@
 struct StartedLoad {
     at: Instant,
     expected: Duration,
-    by_gate: bool,
+    by_limiter: bool,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
-    gate: LoadLimiter,
+    limiter: LoadLimiter,
     coordinated: bool,
     unreserved: BTreeSet<Weights>,
     demands: BTreeMap<Weights, LoadDemand>,
@@ -69,7 +68,7 @@
 impl Default for Loads {
     fn default() -> Self {
         Self {
-            gate: LoadLimiter::new(StoreLimits::default()),
+            limiter: LoadLimiter::new(StoreLimits::default()),
             coordinated: false,
             unreserved: BTreeSet::new(),
             demands: BTreeMap::new(),
@@ -85,7 +84,7 @@
 
 impl Loads {
     pub fn set_store(&mut self, store: StoreLimits) {
-        self.gate.set_store(store);
+        self.limiter.set_store(store);
     }
 
     pub const fn set_coordinated(&mut self, coordinated: bool) {
@@ -104,15 +103,13 @@
         }
     }
 
-    /// Whether queued requests wait for the weights.
     pub fn is_awaited(&self, weights: &Weights) -> bool {
         self.waiting.contains_key(weights)
     }
 
-    /// Expected time until the weights are loaded.
     pub fn remaining(&self, now: Instant, weights: &Weights, load_time: Duration) -> Duration {
         match self.started.get(weights) {
-            // An overdue load is expected to take as long again as it already took.
+            // An overdue load is expected to take as long again.
             Some(started) => {
                 let took = now.saturating_duration_since(started.at);
                 let expected = started.expected.mul_f64(self.slowdown);
@@ -122,8 +119,8 @@
         }
     }
 
-    /// When a command may be due without any other event. Must not return a time at which nothing
-    /// is due, or the event loop spins.
+    /// When the next command may be due. Must not return a time at which nothing is due, or the
+    /// event loop spins.
     pub fn next_wake(&self) -> Option<Instant> {
         let pending = self.pending.values().filter_map(|pending| self.next_start_of(pending));
         let retries = self.retries.values().map(|(at, _)| *at);
@@ -132,19 +129,18 @@
     }
 
     fn next_start_of(&self, pending: &PendingLoad) -> Option<Instant> {
-        let gate = self.gate.next_start();
+        let limiter_start = self.limiter.next_start();
         if !self.coordinated {
-            return gate;
+            return limiter_start;
         }
         let grant_deadline = pending.requested_at + GRANT_TIMEOUT;
-        if self.gate.is_full() {
+        if self.limiter.is_full() {
             None
         } else {
-            Some(gate.map_or(grant_deadline, |gate| gate.max(grant_deadline)))
+            Some(limiter_start.map_or(grant_deadline, |at| at.max(grant_deadline)))
         }
     }
 
-    /// Updates the slowdown of loads against their configured time, which scales retry hints.
     fn observe(&mut self, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
         self.slowdown += (ratio.max(1.0) - self.slowdown) * SLOWDOWN_SMOOTHING_RATIO;
@@ -171,7 +167,7 @@
         }
     }
 
-    /// Loads the weights of a refused request, so that its retry succeeds. Without it a model whose
+    /// Requests a load for a refused request, so that its retry succeeds; otherwise a model whose
     /// callers have deadlines shorter than its load time would never be loaded.
     pub(super) fn record_demand(
         &mut self,
@@ -187,8 +183,7 @@
         self.loads.record_demand(&weights, LoadDemand { urgency: spec.urgency, until });
     }
 
-    /// Reserves memory for missing weights and starts the loads that may start, ordered by
-    /// urgency, deadline and load time.
+    /// Reserves memory for missing weights and starts the loads that may start.
     pub(super) fn schedule_loads(
         &mut self,
         now: Instant,
@@ -218,21 +213,21 @@
             let waiting = first_waiting.get(weights).copied();
             let demand = self.loads.demands.get(weights).filter(|demand| now < demand.until);
             let demand = demand.map(|demand| (u8::MAX - demand.urgency, demand.until));
-            if let Some((less_urgent, deadline)) = waiting.into_iter().chain(demand).min() {
+            if let Some((urgency_rank, deadline)) = waiting.into_iter().chain(demand).min() {
                 let load_time = config.load_time(weights);
-                ranked.push((less_urgent, deadline, load_time, weights.clone()));
+                ranked.push((urgency_rank, deadline, load_time, weights.clone()));
             }
         }
         self.loads.unreserved.retain(|weights| ranked.iter().any(|(.., kept)| kept == weights));
         self.loads.without_capacity.retain(|weights, _| self.loads.unreserved.contains(weights));
         ranked.sort();
-        for (less_urgent, deadline, load_time, weights) in ranked {
+        for (urgency_rank, deadline, load_time, weights) in ranked {
             let Some(memory) = config.memory(&weights) else {
                 self.loads.unreserved.remove(&weights);
                 continue;
             };
             let pending = PendingLoad {
-                less_urgent,
+                urgency_rank,
                 deadline,
                 load_time,
                 memory,
@@ -278,14 +273,13 @@
             // The sender fills in its own target.
             target: corianderstand_types::names::TargetId::default(),
             weights: weights.clone(),
-            urgency: u8::MAX - pending.less_urgent,
+            urgency: u8::MAX - pending.urgency_rank,
             deadline: pending.deadline,
             load_time: pending.load_time,
         }
     }
 
-    /// Refuses the requests that wait for weights once these didn't fit in memory for
-    /// [`CAPACITY_WAIT_LIMIT`].
+    /// Refuses the requests for weights that haven't fit in memory for [`CAPACITY_WAIT_LIMIT`].
     fn check_capacity_wait(
         &mut self,
         now: Instant,
@@ -313,24 +307,25 @@
         if self.loads.pending.is_empty() {
             return;
         }
-        let mut order: Vec<(u8, Instant, Duration, Weights)> = self
+        let mut ranked: Vec<(u8, Instant, Duration, Weights)> = self
             .loads
             .pending
             .iter()
-            .map(|(w, p)| (p.less_urgent, p.deadline, p.load_time, w.clone()))
+            .map(|(w, p)| (p.urgency_rank, p.deadline, p.load_time, w.clone()))
             .collect();
-        order.sort();
-        for (.., weights) in order {
+        ranked.sort();
+        for (.., weights) in ranked {
             let pending = &self.loads.pending[&weights];
             let awaiting_grant =
                 self.loads.coordinated && now < pending.requested_at + GRANT_TIMEOUT;
-            let by_gate = !pending.granted && !awaiting_grant && self.loads.gate.try_start(now);
-            if pending.granted || by_gate {
+            let by_limiter =
+                !pending.granted && !awaiting_grant && self.loads.limiter.try_start(now);
+            if pending.granted || by_limiter {
                 let (memory, expected) = (pending.memory, pending.load_time);
                 self.loads.pending.remove(&weights);
                 self.loads
                     .started
-                    .insert(weights.clone(), StartedLoad { at: now, expected, by_gate });
+                    .insert(weights.clone(), StartedLoad { at: now, expected, by_limiter });
                 actions.push(Action::Load(weights, memory));
             }
         }
@@ -349,7 +344,6 @@
         self.step(now, config)
     }
 
-    /// Retries commands of unknown outcome, whose memory counts as used until it is known.
     fn retry_commands(
         &mut self,
         now: Instant,
@@ -368,7 +362,7 @@
             self.ledger.set_stage(&weights, stage);
             if load {
                 let expected = config.load_time(&weights);
-                let started = StartedLoad { at: now, expected, by_gate: false };
+                let started = StartedLoad { at: now, expected, by_limiter: false };
                 self.loads.started.insert(weights.clone(), started);
                 actions.push(Action::Load(weights, memory));
             } else {
@@ -388,8 +382,8 @@
         if let Some(started) = self.loads.started.remove(weights) {
             let took = now.saturating_duration_since(started.at);
             self.loads.observe(took, started.expected);
-            if started.by_gate {
-                self.loads.gate.ended(took, started.expected, outcome == Some(true));
+            if started.by_limiter {
+                self.loads.limiter.ended(took, started.expected, outcome == Some(true));
             }
         }
         let mut actions = Vec::new();
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -71,11 +71,11 @@
     pub keep_alive: KeepAlive,
     /// Which weights are evicted.
     pub eviction: Eviction,
-    /// Dequeue order.
-    pub order: QueueDiscipline,
+    /// The order in which requests are dequeued.
+    pub discipline: QueueDiscipline,
 }
 
-/// An effect that the code driving [`Agent`] must carry out.
+/// An effect that the caller of [`Agent`] must execute.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Action {
@@ -93,8 +93,7 @@
 
 /// Minimum `retry_after` of a refusal.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Interval between scans for queued requests that can't meet their deadline any more; each scan
-/// is linear in the queue length.
+/// Interval between scans for queued requests that can't meet their deadline any more.
 const SHED_SCAN_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derives(data)]
@@ -133,7 +132,7 @@
             limits,
             policy,
             ledger: Ledger::new(memory),
-            queue: Queue::new(limits.concurrency, policy.order),
+            queue: Queue::new(limits.concurrency, policy.discipline),
             requests: SlotMap::with_key(),
             model_users: BTreeMap::new(),
             slots: BTreeSet::new(),
@@ -182,7 +181,7 @@
         self.keep_alive.set_unix_time(now, unix_s);
     }
 
-    /// Sets whether a coordinator paces loads; without one this agent paces its own.
+    /// Sets whether a coordinator limits loads; otherwise this agent limits its own.
     pub fn set_coordinated(&mut self, coordinated: bool) {
         self.loads.set_coordinated(coordinated);
     }
@@ -216,7 +215,7 @@
         self.step(now, config)
     }
 
-    /// Models that queued or running requests need.
+    /// Models of queued or running requests.
     pub fn models_in_use(&self) -> BTreeSet<ModelId> {
         self.model_users.keys().cloned().collect()
     }
@@ -294,8 +293,7 @@
         }
     }
 
-    /// The first weights of a request that are not loaded; the base model precedes its adapter, as
-    /// an engine accepts an adapter only for a loaded model.
+    /// The first weights of a request that are not loaded; the base model precedes its adapter.
     fn missing(&self, spec: &RequestSpec) -> Option<Weights> {
         spec.weights().find(|weights| !self.is_usable(weights)).cloned()
     }
@@ -392,12 +390,11 @@
         actions
     }
 
-    /// Whether even a fast run would miss the request's deadline, so that its capacity is better
-    /// used for another request.
+    /// Whether even a fast run would miss the request's deadline.
     fn cannot_finish(&self, now: Instant, key: RequestKey) -> bool {
         let spec = &self.requests[key].spec;
         let lower_bound = self.run_times[spec.shape.length as usize].lower_bound();
-        self.policy.order == QueueDiscipline::Fair && now + lower_bound > spec.deadline
+        self.policy.discipline == QueueDiscipline::Fair && now + lower_bound > spec.deadline
     }
 
     fn refuse_dequeued(
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -86,8 +86,8 @@
     /// The keep-alive time after a call that minimises the expected cost, where a cold start costs
     /// `cold_start_cost` idle seconds.
     ///
-    /// The cost of each candidate is the expected idle time until the next call or the unload, plus
-    /// a cold start if the next call comes later, both estimated from the gap histogram.
+    /// A candidate's cost is the expected idle time until the next call or the unload, plus a cold
+    /// start if the call comes later.
     pub fn keep_alive_time(&self, cold_start_cost: f64) -> Duration {
         let total: f64 = self.smoothed_counts().sum();
         let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_start_cost, 0.0));
@@ -118,8 +118,7 @@
         if all > 0.0 { soon / all } else { 0.0 }
     }
 
-    /// The next time window in which the model should be loaded ahead of its first call; `None` if
-    /// a cold start is expected to cost less.
+    /// The next window in which to load the model ahead of its first call, if that costs less.
     pub fn prewarm_window(&self, unix_s: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
         self.wakes.prewarm_window(unix_s, cold_start_cost)
     }
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -12,27 +12,21 @@
 const RING_CANDIDATES: usize = 3;
 const RANDOM_CANDIDATES: usize = 2;
 const MAX_RING_STEPS: usize = 8;
-/// Limit of candidates; the last two are the prefix's target and the last warm target.
+/// Includes the target with the cached prefix and the last warm target.
 const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES + 2;
 
 /// Wait added by each request sent since a target's last load report, as reports lag.
 const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
 const TYPICAL_RUN: Duration = Duration::from_millis(300);
 const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
-/// Cost of a prefix that isn't cached, about the time to compute it again. Bounds the load that
-/// a popular prefix draws to one target.
 const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
-/// Cost of a target that has to load the model; warm replicas are preferred until their wait
-/// exceeds it.
 const COLD_START_COST: Duration = Duration::from_secs(5);
 /// Requests of this urgency or higher don't probe ejected targets.
 const MIN_UNPROBED_URGENCY: u8 = 2;
-/// Bounds the time of one decision.
 const MAX_PROBE_CANDIDATES: usize = 4;
-/// Cost of each step along the ring for a target that has to load the model: the next target loads
-/// it only if the one before is busier by this.
+/// Cost of each step along the ring for a target that has to load the model.
 const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
-/// Cost of each step along the ring: a tie-breaker that is the same on all routers.
+/// Cost of each step along the ring, which breaks ties alike on all routers.
 const RING_STEP_COST: Duration = Duration::from_micros(100);
 
 struct Candidates {
@@ -65,7 +59,7 @@
             Refusal { reason: RefusalReason::NotLoaded, retry_after: NO_TARGET_RETRY_AFTER };
         let refusal = last.unwrap_or(no_target);
         let request = &self.requests[key];
-        let exhausted = request.attempted.len() >= MAX_ATTEMPTS || now >= request.work.deadline;
+        let exhausted = request.attempted.len() >= MAX_ATTEMPTS || now >= request.spec.deadline;
         let chosen = if exhausted { None } else { self.select_target(now, key) };
         let chosen = chosen.filter(|chosen| !self.is_futile_cold_start(now, key, *chosen, last));
         let Some(chosen) = chosen else {
@@ -90,13 +84,13 @@
     ) -> bool {
         let request = &self.requests[key];
         let too_late = last.is_some_and(|refusal| refusal.reason == RefusalReason::Deadline);
-        let Some(owners) = self.owners(&request.work) else { return false };
+        let Some(owners) = self.owners(&request.spec) else { return false };
         let loading = || {
             let refused_by = request.attempted.last();
             refused_by.is_none_or(|target| !owners.is_serving(now, *target))
         };
         too_late
-            && matches!(request.work.requirement, Requirement::Weights { .. })
+            && matches!(request.spec.requirement, Requirement::Weights { .. })
             && !owners.is_warm(now, chosen)
             && loading()
     }
@@ -112,7 +106,7 @@
         let request = &mut self.requests[key];
         request.target = Some(chosen);
         request.attempted.push(chosen);
-        if let Some(prefix) = request.work.shape.prefix {
+        if let Some(prefix) = request.spec.shape.prefix {
             self.prefixes.record(now, prefix, chosen);
         }
     }
@@ -120,7 +114,7 @@
     fn select_target(&mut self, now: Instant, key: RequestKey) -> Option<TargetKey> {
         let seed = self.rng.random();
         let request = &self.requests[key];
-        let owners = self.owners(&request.work)?;
+        let owners = self.owners(&request.spec)?;
         if owners.len() == 0 {
             return None;
         }
@@ -133,33 +127,32 @@
             let open: Vec<TargetKey> = owners.iter().filter(|key| usable(*key)).collect();
             return (!open.is_empty()).then(|| open[seed as usize % open.len()]);
         }
-        if let Some(probed) = self.probe_targets(owners, &request.work).find(|key| usable(*key)) {
+        if let Some(probed) = self.probe_targets(owners, &request.spec).find(|key| usable(*key)) {
             return Some(probed);
         }
-        let candidates = self.candidates(now, owners, &request.work, seed, &usable);
+        let candidates = self.candidates(now, owners, &request.spec, seed, &usable);
         let keys = candidates.keys[..candidates.count].iter().enumerate();
         let cost = |(rank, key): &(usize, &TargetKey)| {
-            self.cost(now, **key, owners, &request.work, *rank as u32)
+            self.cost(now, **key, owners, &request.spec, *rank as u32)
         };
         let best = keys.min_by_key(cost).map(|(_, key)| *key);
         // No candidate is usable, as after the loss of a zone: fall back to any usable target.
         best.or_else(|| owners.iter().find(|key| usable(*key)))
     }
 
-    /// Returns ejected targets that this request may probe for recovery. Only requests that are
-    /// repeatable and not urgent are used as probes.
+    /// Returns ejected targets that this request may probe: none if it is urgent or not repeatable.
     fn probe_targets(
         &self,
         owners: &Owners,
-        work: &RequestSpec,
+        spec: &RequestSpec,
     ) -> impl Iterator<Item = TargetKey> {
-        let may_probe = work.repeatable && work.urgency < MIN_UNPROBED_URGENCY;
+        let may_probe = spec.repeatable && spec.urgency < MIN_UNPROBED_URGENCY;
         let ejected = self.ejected.iter().take(if may_probe { MAX_PROBE_CANDIDATES } else { 0 });
         ejected.copied().filter(|key| owners.contains(*key))
     }
 
-    fn owners(&self, work: &RequestSpec) -> Option<&Owners> {
-        match &work.requirement {
+    fn owners(&self, spec: &RequestSpec) -> Option<&Owners> {
+        match &spec.requirement {
             Requirement::Weights { base, .. } => self.by_model.get(&base.model),
             Requirement::Service(service) => self.by_service.get(service),
         }
@@ -169,12 +162,12 @@
         &self,
         now: Instant,
         owners: &Owners,
-        work: &RequestSpec,
+        spec: &RequestSpec,
         seed: u64,
         usable: &impl Fn(TargetKey) -> bool,
     ) -> Candidates {
         let mut found = Candidates { keys: [TargetKey::default(); MAX_CANDIDATES], count: 0 };
-        let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
+        let cached = spec.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
         let mut add = |key: TargetKey| {
             if usable(key) {
                 found.push(key);
@@ -182,7 +175,7 @@
         };
         cached.into_iter().filter(|key| owners.contains(*key)).for_each(&mut add);
         owners.last_warm(now).into_iter().for_each(&mut add);
-        let start = owners.index_of(ring_hash(work, seed, owners.last_warm(now).is_some()));
+        let start = owners.index_of(ring_hash(spec, seed, owners.last_warm(now).is_some()));
         let steps = MAX_RING_STEPS.min(owners.len());
         let ring = (start..start + steps).map(|index| owners.target_at(index));
         ring.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut add);
@@ -196,30 +189,29 @@
         now: Instant,
         key: TargetKey,
         owners: &Owners,
-        work: &RequestSpec,
+        spec: &RequestSpec,
         rank: u32,
     ) -> Duration {
         let target = &self.targets[key];
         let run = (TYPICAL_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
         let mut cost = run + RING_STEP_COST * rank;
-        // Ignores the zone of a cold target: routers of all zones have to load a model at the same
-        // target, and a round trip is negligible against a load.
-        if matches!(work.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
+        // The zone of a cold target is ignored, so that routers of all zones load a model at one
+        // target.
+        if matches!(spec.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
             return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
         if target.zone != self.zone {
             cost += CROSS_ZONE_COST;
         }
-        let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
-        if work.shape.prefix.is_some() && cached != Some(key) {
+        let cached = spec.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
+        if spec.shape.prefix.is_some() && cached != Some(key) {
             cost += PREFIX_MISS_COST;
         }
         cost
     }
 }
 
-/// Estimates the wait at a target: the reported wait, less its age, plus the cost of requests sent
-/// since the report.
+/// Estimates the wait at a target from its last report and the requests sent since.
 fn wait(now: Instant, target: &Target) -> Duration {
     let reported = Duration::from_millis(target.load.wait_ms);
     let since =
@@ -227,10 +219,9 @@
     reported.saturating_sub(since) + UNREPORTED_REQUEST_COST * target.sent_since_report
 }
 
-/// Hashes a request to its start on the ring: by prefix for a warm model, by model for a cold one,
-/// at random for a service.
-fn ring_hash(work: &RequestSpec, seed: u64, warm: bool) -> u64 {
-    match (&work.requirement, work.shape.prefix) {
+/// Start on the ring: by prefix for a warm model, by model for a cold one, random for a service.
+fn ring_hash(spec: &RequestSpec, seed: u64, warm: bool) -> u64 {
+    match (&spec.requirement, spec.shape.prefix) {
         (Requirement::Service(_), _) => seed,
         (Requirement::Weights { .. }, Some(prefix)) if warm => prefix,
         (Requirement::Weights { base, .. }, _) => {
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -90,14 +90,14 @@
 
 #[derives(data)]
 struct PendingRequest {
-    work: RequestSpec,
+    spec: RequestSpec,
     target: Option<TargetKey>,
     attempted: Vec<TargetKey>,
 }
 
-/// Targets that a request is sent to before it is refused. More attempts would amplify an overload.
+/// Targets that a request is sent to before it is refused; bounds the load of retries.
 pub const MAX_ATTEMPTS: usize = 3;
-/// Retry delay returned if no target serves the model or service.
+/// Retry delay while no target serves the model or service.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Selects targets for requests, and tracks what the selection depends on.
@@ -184,7 +184,7 @@
     fn build_rings<K: Ord + Hash>(
         &self,
         mut known: HashMap<K, Owners>,
-        wanted: BTreeMap<K, Vec<TargetKey>>,
+        targets_by_key: BTreeMap<K, Vec<TargetKey>>,
     ) -> HashMap<K, Owners> {
         let hash = |key: TargetKey| {
             let name = self.targets.get(key).map_or("", |target| target.name.as_str());
@@ -195,7 +195,7 @@
             owners.set_targets(keys.into_iter().map(hash).collect());
             (name, owners)
         };
-        wanted.into_iter().map(ring).collect()
+        targets_by_key.into_iter().map(ring).collect()
     }
 
     /// Returns the key of a target.
@@ -227,9 +227,9 @@
         }
     }
 
-    /// Returns whether a request may be sent again after a target may have begun it.
+    /// Returns whether a request may be retried after a target may have started it.
     pub fn is_repeatable(&self, key: RequestKey) -> bool {
-        self.requests.get(key).is_some_and(|request| request.work.repeatable)
+        self.requests.get(key).is_some_and(|request| request.spec.repeatable)
     }
 
     /// Returns the number of requests that haven't ended.
@@ -238,15 +238,14 @@
     }
 
     /// Accepts a request and sends it to a target, or refuses it.
-    pub fn submit(&mut self, now: Instant, work: RequestSpec) -> (RequestKey, Decision) {
+    pub fn submit(&mut self, now: Instant, spec: RequestSpec) -> (RequestKey, Decision) {
         self.retry_budget.deposit();
         let key =
-            self.requests.insert(PendingRequest { work, target: None, attempted: Vec::new() });
+            self.requests.insert(PendingRequest { spec, target: None, attempted: Vec::new() });
         (key, self.choose(now, key, None))
     }
 
-    /// Retries a refused request at another target, unless the refusal is final or the retry budget
-    /// is used up.
+    /// Retries a refused request at another target, if the reason and the retry budget allow it.
     pub fn refused(
         &mut self,
         now: Instant,
@@ -272,8 +271,8 @@
         self.choose(now, key, Some(refusal))
     }
 
-    /// Handles the loss of the connection to a request's target. Returns `None` if the request may
-    /// have run and isn't repeatable, which the caller has to be told.
+    /// Handles the loss of the connection to a request's target. Returns `None` if the request
+    /// isn't repeatable and may have run.
     pub fn connection_lost(
         &mut self,
         now: Instant,
@@ -295,9 +294,7 @@
         Some(self.choose(now, key, Some(refusal)))
     }
 
-    /// Records that `parts` of a response took `took`, for the target's health.
-    ///
-    /// Uses the time for each part, so that long responses don't make a target look slow.
+    /// Records for the target's health that `parts` of a response took `took`.
     pub fn progressed(&mut self, now: Instant, key: RequestKey, parts: u64, took: Duration) {
         let time_per_part = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
         let Some(ratio) = self.owners_of(key).map(|owners| owners.baseline.observe(time_per_part))
@@ -336,13 +333,13 @@
     }
 
     fn owners_of(&mut self, key: RequestKey) -> Option<&mut Owners> {
-        match &self.requests.get(key)?.work.requirement {
+        match &self.requests.get(key)?.spec.requirement {
             Requirement::Weights { base, .. } => self.by_model.get_mut(&base.model),
             Requirement::Service(service) => self.by_service.get_mut(service),
         }
     }
 
-    /// Removes a request that has ended; `load` is present if its target completed the response.
+    /// Removes a request that has ended; `load` is given if its target completed the response.
     pub fn finished(&mut self, now: Instant, key: RequestKey, load: Option<Load>) {
         let answered = load.is_some();
         let target = self.release_target(now, key, load);
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -9,27 +9,23 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3;
 
-/// Cost of a target in another availability zone. Low enough that a larger difference in load
-/// outweighs it.
+/// Cost of a target in another availability zone; a larger difference in load outweighs it.
 const CROSS_ZONE_COST: f64 = 0.05;
 /// Cost saved per thousand prompt tokens that the target has in its prefix cache.
 const CACHED_PREFIX_CREDIT_PER_1000_TOKENS: f64 = 0.12;
-/// Weight of a target's failure score above the lowest among the candidates. A target that fails
-/// half of its requests costs more than a full batch.
+/// Weight of a target's failure score above the lowest among the candidates.
 const FAILURE_SCORE_WEIGHT: f64 = 3.0;
 /// Weight of a target's mean event interval relative to the shortest among the candidates.
 const SLOWDOWN_WEIGHT: f64 = 0.4;
 /// Upper bound of the relative slowdown, so that one slow target does not dominate the cost.
 const MAX_SLOWDOWN_RATIO: f64 = 4.0;
-/// Largest random cost, derived from the request's hash. It spreads requests over targets of nearly
-/// equal cost, so that routers with the same state do not all choose the same one.
+/// Largest pseudo-random cost; spreads requests over targets of similar cost.
 const JITTER_WEIGHT: f64 = 0.03;
 
-/// Prefill backlog that costs as much as a full batch: it delays the target's streams and the new
-/// prompt alike.
+/// Prefill backlog that costs as much as a full batch.
 const FULL_PREFILL_BACKLOG: Duration = Duration::from_millis(250);
 
-/// A model, with an optional adapter, that a request asks for.
+/// Model and optional adapter that a request names.
 #[derives(name)]
 pub struct RequestedModel {
     /// Base model.
@@ -41,7 +37,7 @@
 /// Input for the choice of a target for one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// Service that the route leads to.
+    /// Service selected by the route.
     pub service: &'a names::ServiceId,
     /// Requested model, if any.
     pub requested: Option<&'a RequestedModel>,
@@ -49,7 +45,7 @@
     pub tokens: u64,
     /// Cache capacity of one engine in tokens; 0 if it is not limited.
     pub cache_tokens: u64,
-    /// Adapters that one engine can hold.
+    /// Number of adapters that can be resident on one engine.
     pub adapter_slots: usize,
     /// Availability zone of this process.
     pub zone: &'a names::AvailabilityZoneId,
@@ -171,7 +167,7 @@
         let batch = f64::from(target.estimated_requests()) / slots;
         let memory = match query.cache_tokens {
             0 => 0.0,
-            all => (target.estimated_tokens() + query.tokens) as f64 / all as f64,
+            capacity => (target.estimated_tokens() + query.tokens) as f64 / capacity as f64,
         };
         let zone = if target.entry.zone == *query.zone { 0.0 } else { CROSS_ZONE_COST };
         let failure_score =
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -8,8 +8,7 @@
 
 /// Weight of one failure. Three failures in a row exceed [`EJECTION_THRESHOLD`].
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Weight of one success. Lower than a failure's, so that a target that fails two requests in five
-/// stays ejected.
+/// Weight of one success. A target that fails two requests in five stays ejected.
 const SUCCESS_WEIGHT: f64 = 0.12;
 const FAILURE_SCORE_HALF_LIFE: Duration = Duration::from_secs(4);
 /// Failure score from which a target is ejected: it is used only if no other has capacity.
@@ -36,7 +35,7 @@
         self.updated_at = Some(now);
     }
 
-    /// Records a failed or unanswered request or a broken connection.
+    /// Records a failed request, a missing response or a broken connection.
     pub fn record_failure(&mut self, now: Instant) {
         let failure_score = self.failure_score(now);
         self.failure_score = failure_score + (1.0 - failure_score) * FAILURE_WEIGHT;
@@ -71,7 +70,7 @@
         self.updated_at = Some(now);
     }
 
-    /// The average, or none if it has expired.
+    /// The average; `None` if it has expired.
     pub fn mean(&self, now: Instant) -> Option<Duration> {
         let updated_at = self.updated_at?;
         (now.saturating_duration_since(updated_at) < EVENT_INTERVAL_TTL).then_some(self.mean)
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -16,15 +16,13 @@
     time::{Duration, Instant},
 };
 
-/// Utility of a redundant replica, relative to the model's requests: it keeps the model available
-/// when an engine crashes.
+/// Utility, relative to the model's requests, of a replica that is redundant until a crash.
 const SPARE_REPLICA_UTILITY: f64 = 0.02;
-/// Cost of each running request, for up to two, of a model that is evicted: the engine accepts no
-/// other command until they end.
+/// Cost of each of up to two running requests of an evicted model, which delay other commands.
 const RUNNING_REQUEST_COST: f64 = 0.9;
 const SWAP_WINDOW: Duration = Duration::from_secs(4);
 const MIN_REPLICA_UTILITY: f64 = 0.5;
-/// Prevents two models of similar utility from evicting each other in turn.
+/// Prevents two models of similar utility from evicting each other repeatedly.
 const UTILITY_MARGIN: f64 = 0.3;
 const MIN_RESIDENCY: Duration = Duration::from_millis(1_200);
 /// Expected duration of a running request that an unload waits for.
@@ -117,7 +115,7 @@
         &self.desired
     }
 
-    /// Adds the resident and loading models to the plan, so that a new planner keeps them in place.
+    /// Adds the resident and loading models to the plan, so that a new planner keeps them.
     fn adopt_holdings(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_fleet/src/reconcile.rs
+++ b/crates/corianderstand_fleet/src/reconcile.rs
@@ -9,8 +9,7 @@
 use corianderstand_types::names;
 use std::time::{Duration, Instant};
 
-/// Minimum time that a requested adapter stays resident, so that the request finds it. Routers
-/// renew requests for adapters in use more often.
+/// Minimum time that a requested adapter stays resident, so that the request finds it.
 const MIN_ADAPTER_RESIDENCY: Duration = Duration::from_millis(600);
 
 /// A command to an engine.
@@ -79,11 +78,10 @@
     Some(Command::Unload(victim.model.clone()))
 }
 
-/// Returns the next adapter command. Loads the most recently requested missing adapter, in place of
-/// the least recently requested resident one.
+/// Returns the next adapter command: to load the most recently requested missing adapter, or to
+/// evict the least recently requested one for it.
 ///
-/// An adapter never displaces one that was requested later; otherwise two adapters would evict
-/// each other in turn.
+/// An adapter never displaces one that was requested later, so that two don't evict each other.
 pub fn next_adapter_command(
     now: Instant,
     capacity: Capacity,
--- a/crates/corianderstand_replay/src/strategies.rs
+++ b/crates/corianderstand_replay/src/strategies.rs
@@ -62,7 +62,7 @@
 
     /// First in, first out, without rejection of requests that would miss their deadline.
     pub fn fifo() -> Self {
-        let policy = Policy { order: QueueDiscipline::Fifo, ..Policy::default() };
+        let policy = Policy { discipline: QueueDiscipline::Fifo, ..Policy::default() };
         Self { name: "fcfs".into(), policy, ..Self::standard() }
     }
 
--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -12,12 +12,9 @@
 use std::{convert::Infallible, time::Duration};
 use tokio::time::Instant;
 
-/// Format and metadata of an answer.
 #[derive(Clone, Debug)]
 pub struct AnswerFormat {
-    /// Whether it answers a chat completion.
     pub chat: bool,
-    /// The request id.
     pub request: SmolStr,
     /// The model name that the caller sent.
     pub model: String,
@@ -27,7 +24,7 @@
     pub created_s: u64,
 }
 
-/// Bounds a target that makes no progress; lost connections are detected by heartbeats.
+/// Timeout of a target that makes no progress; heartbeats detect lost connections.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 const MAX_WRITE_BYTES: usize = 16 * 1024;
 
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -99,7 +99,6 @@
     }
 }
 
-/// Header of server-sent events with which a caller resumes a stream.
 const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
 fn resume_position(req: &Request) -> Result<u64, Problem> {
@@ -151,9 +150,8 @@
     })
 }
 
-/// Resolves `model`, `model:adapter`, `model@version` or `model:adapter@version`.
-///
-/// Forbidden and unknown names return the same error, so that nothing about other workspaces leaks.
+/// Resolves `model`, `model:adapter`, `model@version` or `model:adapter@version`. Forbidden and
+/// unknown names return the same error, so that nothing about other workspaces leaks.
 fn resolve(
     name: &str,
     team: &TeamView,
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -15,13 +15,11 @@
     },
 };
 
-/// Connections over the limit whose requests get a refusal; any further ones are closed at once.
+/// Connections over the limit whose requests are refused; further ones are closed at once.
 const MAX_EXCESS_CONNECTIONS: usize = 256;
 
-/// Counts open connections.
-///
-/// Some connections over the limit are accepted and their requests refused with `Retry-After`, so
-/// that callers do not wait in the listen backlog without an answer.
+/// Counts open connections. Some over the limit are accepted and their requests refused, so that
+/// callers do not wait in the listen backlog.
 #[derive(Debug)]
 pub struct Connections {
     limit: usize,
@@ -31,7 +29,6 @@
 }
 
 impl Connections {
-    /// Creates the counter, with the limits of the settings.
     pub fn new(limits: &Limits) -> Arc<Self> {
         // The header timeout also closes idle connections. The write timeout frees the resources of
         // callers that stop reading.
@@ -42,12 +39,10 @@
         Arc::new(Self { limit, fuse, count: AtomicUsize::new(0), excess: Mutex::default() })
     }
 
-    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Whether a connection was accepted over the limit.
     pub fn is_excess(&self, remote: Option<SocketAddr>) -> bool {
         remote.is_some_and(|remote| self.lock().contains(&remote))
     }
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -9,12 +9,10 @@
 
 /// Flow-control window of a stream, in chunks.
 pub const CHUNK_WINDOW: u64 = 64;
-/// Queue capacity for updates other than chunks, of which each attempt causes only a few.
+/// Queue capacity for updates other than chunks.
 pub const REPLY_EXTRA_CAPACITY: usize = 16;
-/// Capacity of the update queue of one caller's handler.
 pub const REPLY_QUEUE_CAPACITY: usize = CHUNK_WINDOW as usize + REPLY_EXTRA_CAPACITY;
 
-/// A request submitted by a handler.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The `decide` thread sets its stream id.
@@ -37,7 +35,6 @@
         position: u64,
         body: Bytes,
     },
-    /// The response has ended.
     End {
         /// Number of chunks in the complete response.
         position: u64,
@@ -46,10 +43,10 @@
     /// The request was not run.
     Refused {
         refusal: Refusal,
-        /// Whether an assigned replica is temporarily unavailable, so that a retry may succeed.
-        moving: bool,
+        /// Whether a replica is temporarily unavailable, so that a retry may succeed.
+        transient: bool,
     },
-    /// The target was lost and no other target accepted the request.
+    /// The target was lost and the request was not sent to another.
     Lost {
         /// Whether the target failed, rather than the connection to it.
         failed: bool,
@@ -85,21 +82,17 @@
     /// A target is available: its connection is open, or it was announced.
     Connected {
         target: TargetId,
-        /// Whether it accepts no new requests.
         draining: bool,
         commands: mpsc::Sender<Command>,
     },
     /// A target is unreachable or was withdrawn.
     Disconnected(TargetId),
-    /// A target accepts no new requests.
     Draining(TargetId),
-    /// A target refused a request.
     Refused {
         key: RequestKey,
         refusal: Refusal,
         load: Load,
     },
-    /// A request has ended.
     Ended {
         key: RequestKey,
         /// Load of the target, if reported.
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -1,7 +1,6 @@
 //! Decides when a connection needs a heartbeat and when it is idle or unresponsive.
 //!
-//! Stream traffic in both directions proves that the connection works, so a heartbeat is sent
-//! only after an interval in which one side sent nothing.
+//! A heartbeat is sent only after an interval in which one side sent nothing.
 
 #[cfg(test)]
 mod tests;
@@ -10,16 +9,14 @@
 use corianderstand_schema::process::Timing;
 use std::time::Duration;
 
-/// Action to take at a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// No heartbeat is needed: both sides have sent something.
+    /// Both sides have sent something.
     Skip,
     /// Send a heartbeat with this nonce.
     Ping(u64),
-    /// Close the idle connection.
     CloseIdle,
-    /// Close the connection: nothing was received for this long.
+    /// Close the connection: nothing was received for this time.
     Unresponsive(Duration),
 }
 
@@ -59,10 +56,8 @@
         self.ever_received = true;
     }
 
-    /// Ends an interval; `busy` is whether streams are in flight.
-    ///
-    /// The response timeout is counted across ticks, because a timeout on each read would restart
-    /// with every heartbeat sent and never expire on a half-open connection.
+    /// Ends an interval; `busy` is whether streams are in flight. The response timeout is counted
+    /// across ticks, because a read timeout would restart with every heartbeat sent.
     pub fn on_tick(&mut self, busy: bool) -> HeartbeatAction {
         self.ticks_unresponsive = if self.received { 0 } else { self.ticks_unresponsive + 1 };
         self.ticks_idle = if busy { 0 } else { self.ticks_idle + 1 };
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -46,57 +46,36 @@
 pub const URGENCY_HEADER: &str = "x-urgency";
 const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// State shared by all handlers.
 pub struct HandlerContext {
-    /// Name of this router.
     pub name: WriterId,
-    /// Client for requests to other routers.
     pub peer_client: reqwest::Client,
-    /// Events to the `decide` thread.
     pub events: SyncSender<Event>,
-    /// The control thread.
     pub control: ControlHandle,
     /// Recent records, for processes that follow this router.
     pub tail: Tail,
-    /// Hashes bearer keys.
     pub hasher: Hasher,
-    /// Hash of the operators' bearer key.
     pub operator_key_hash: SmolStr,
-    /// The metrics.
     pub metrics: Metrics,
-    /// Open connections from callers.
     pub connections: Arc<Connections>,
-    /// Maximum size of a request's head.
     pub max_header_bytes: usize,
-    /// Addresses of other routers.
     pub peers: Vec<SmolStr>,
-    /// Maximum size of a request's body.
     pub max_body_bytes: usize,
-    /// Time limit for reading a body.
     pub read_timeout: Duration,
-    /// Maximum number of requests in flight.
     pub max_in_flight: usize,
-    /// Number of requests in flight.
     pub in_flight: Arc<AtomicUsize>,
-    /// Whether a planned shutdown has begun.
     pub draining: Arc<AtomicBool>,
     /// Detects requests that may predate a pause of this process.
     pub watched: Arc<WatchedConnections>,
-    /// The clock.
     pub clock: SharedClock,
 }
 
 /// An authenticated request.
 pub struct CallerRequest {
-    /// The request id.
     pub id: SmolStr,
-    /// The caller's workspace.
     pub team: WorkspaceId,
-    /// The snapshot that it is decided on.
+    /// The snapshot at its arrival.
     pub snapshot: Arc<Snapshot>,
-    /// The trace context of this hop.
     pub trace: TraceContext,
-    /// The clock.
     pub clock: SharedClock,
 }
 
@@ -136,7 +115,7 @@
     ("readyz", GET, Kind::Ready),
 ];
 
-/// Builds the routes; unknown paths and methods also get a [`Problem`] as their answer.
+/// Builds the routes; unknown paths and methods are answered with a [`Problem`].
 pub fn routes(context: &Arc<HandlerContext>) -> Router {
     let endpoint = |kind| Endpoint(context.clone(), kind);
     let services = Router::with_path("services/{service}/{**rest}").goal(endpoint(Kind::Service));
@@ -164,7 +143,7 @@
         let request = format_smolstr!("r-{:032x}", rand::random::<u128>());
         problem::set_header(res, problem::REQUEST_ID_HEADER, &request);
         if context.draining.load(Ordering::Relaxed) {
-            // Makes the caller reconnect to another router before this one closes its connections.
+            // Makes the caller reconnect to another router.
             problem::set_header(res, "connection", "close");
         }
         if let Err(problem) = context.answer(*kind, request.clone(), req, res).await {
@@ -175,10 +154,8 @@
     }
 }
 
-/// The caller's own request id, used only in the log.
-///
-/// Engines cancel by request id, so the id is generated here: a caller that chose it could cancel
-/// another's request.
+/// Returns the caller's own request id, used only in the log: engines cancel by request id, so a
+/// caller that chose it could cancel another's request.
 fn caller_id(req: &Request) -> Result<Option<&str>, Problem> {
     let Some(id) = header(req, problem::REQUEST_ID_HEADER) else { return Ok(None) };
     names::check(id).map_err(|error| {
@@ -191,7 +168,6 @@
     req.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns the caller's bearer key.
 pub fn bearer(req: &Request) -> Result<&str, Problem> {
     let value = header(req, "authorization").ok_or(Problem::Unauthorized)?;
     value.strip_prefix("Bearer ").map(str::trim).ok_or(Problem::Unauthorized)
@@ -301,7 +277,7 @@
         Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
     }
 
-    /// Readiness for load balancers; requests that arrive during a shutdown are still served.
+    /// Readiness for load balancers; requests are still served during a shutdown.
     fn ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
         if self.draining.load(Ordering::Relaxed) {
             return Err(Problem::NotReady("it is shutting down"));
@@ -379,7 +355,7 @@
         Ok(Duration::from_millis(ms).min(limit))
     }
 
-    /// Builds the request's description for the `decide` thread and its header for the agent.
+    /// Builds the request's spec for the `decide` thread and its header for the agent.
     pub fn open_stream(
         &self,
         requirement: Requirement,
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -27,29 +27,24 @@
 };
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-/// Capacity of the frame and command queues of a connection.
 pub const QUEUE_CAPACITY: usize = 4096;
 
-/// Context shared by all connections.
 #[derive(Clone)]
 pub struct LinkContext {
     pub router: WriterId,
     pub incarnation: u64,
     pub timing: Timing,
     pub events: SyncSender<Event>,
-    /// Budget for control traffic.
     pub budget: Arc<Budget>,
 }
 
 impl LinkContext {
-    /// Sends an event to the `decide` thread.
     pub fn send_event(&self, event: Event) {
         // Blocks briefly at most: the receiver never waits for this thread.
         drop(self.events.send(event));
     }
 }
 
-/// Why a connection was closed.
 pub enum CloseReason {
     /// It carried no stream for a while.
     Idle,
@@ -69,7 +64,7 @@
     streams: HashMap<u64, Stream>,
 }
 
-/// Serves a connection until it is idle or fails; `first` does not wait for the `Welcome`.
+/// Serves a connection until it is idle or fails; `first` is sent without waiting for `Welcome`.
 pub async fn serve(
     stream: TcpStream,
     context: &LinkContext,
@@ -96,7 +91,6 @@
     close_reason
 }
 
-/// Returns the request key of a stream id.
 pub fn request_key(stream: u64) -> RequestKey {
     KeyData::from_ffi(stream).into()
 }
@@ -251,9 +245,8 @@
     /// Forwards an update to the caller's handler; ignores streams that were cancelled.
     fn forward_update(&mut self, stream: u64, update: Update) {
         let Some(entry) = self.streams.get_mut(&stream) else { return };
-        // The agent respects the window, so sending fails only if the caller is gone. The stream is
-        // not removed here: `Cancel` removes it and notifies the agent and the `decide` thread,
-        // which would otherwise count it as in flight forever.
+        // The agent respects the window, so sending fails only if the caller is gone. `Cancel`
+        // removes the stream and notifies the agent and the `decide` thread.
         if entry.reply.try_send(update).is_err() {
             drop(self.commands.try_send(Command::Cancel { stream }));
         }
@@ -261,8 +254,7 @@
 }
 
 impl Drop for Connection<'_> {
-    /// Reports the remaining streams as lost, also when the task was aborted, so that their
-    /// requests are resumed on another target or fail before the deadline.
+    /// Reports the remaining streams as lost, also when the task was aborted.
     fn drop(&mut self) {
         for (stream, entry) in std::mem::take(&mut self.streams) {
             self.report_lost(stream, entry.position, false);
@@ -270,7 +262,6 @@
     }
 }
 
-/// Returns the stream id of a request.
 pub fn stream_id(key: RequestKey) -> u64 {
     key.data().as_ffi()
 }
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -1,8 +1,8 @@
 //! Calls that run at most once, identified by an idempotency key.
 //!
 //! The outcome is "ran" with the service's answer, "not run" if the call was refused before it was
-//! claimed or the log records so, and "unknown" otherwise. A router that times out appends a
-//! `CallVoided` record: if it precedes any claim in the log, the call can never run.
+//! claimed or the log records that it did not run, and "unknown" otherwise. A router that times out
+//! appends a `CallVoided` record: if it precedes any claim in the log, the call can never run.
 
 use crate::{
     call::{CallInProgress, Part},
@@ -30,12 +30,9 @@
 const SETTLE_RESERVE: Duration = Duration::from_secs(1);
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A service's answer.
 #[derives(data)]
 pub struct Answer {
-    /// HTTP status.
     pub status: u16,
-    /// Content type.
     pub content_type: SmolStr,
     /// The body; `None` if it was too long to be stored for repeated requests.
     pub body: Option<Bytes>,
@@ -43,13 +40,10 @@
 
 /// A call under an idempotency key.
 pub struct KeyedCall<'a> {
-    /// The control thread.
     pub control: &'a ControlHandle,
-    /// The idempotency key with its workspace and service.
     pub key: CallKey,
-    /// Digest of the call, to detect a key that is reused for another one.
+    /// Digest of the call, which detects a key reused for another one.
     pub digest: u64,
-    /// Deadline of the answer.
     pub deadline: Instant,
 }
 
@@ -60,7 +54,7 @@
         submit: impl FnOnce() -> Result<CallInProgress, Problem>,
     ) -> Result<Answer, Problem> {
         if is_past_retention(&self.key.key, SystemTime::now()) {
-            return Err(Problem::KeyForgotten);
+            return Err(Problem::KeyExpired);
         }
         let snapshot = self.control.current.load();
         match snapshot.state.calls.status(&self.key, self.digest) {
@@ -122,7 +116,7 @@
                 CallStatus::Conflict => {
                     return Err(Problem::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER));
                 }
-                // The key's retention ended during the wait.
+                // The key expired during the wait.
                 CallStatus::Unclaimed => return Err(unknown("its key has expired")),
                 CallStatus::Claimed => {}
             }
@@ -167,8 +161,8 @@
     }
 }
 
-/// Whether a key's own timestamp is older than the retention of keys, so that its call may have run
-/// before. Only UUIDs of version 7 contain a timestamp.
+/// Whether a key's own timestamp is older than the retention of keys. Only UUIDs of version 7
+/// contain a timestamp.
 fn is_past_retention(key: &str, now: SystemTime) -> bool {
     let digits: String = key.chars().filter(|c| *c != '-').collect();
     if key.len() != 36 || digits.len() != 32 || !digits[12..].starts_with('7') {
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -1,8 +1,7 @@
 //! Parses and validates the body of a model request.
 //!
-//! Engines receive the body unchanged. Fields that would change the format of the answer (several
-//! choices, log probabilities, tool calls) are rejected rather than ignored. A null field counts as
-//! absent.
+//! Engines receive the body unchanged. Fields that would change the format of the answer are
+//! rejected. A null field counts as absent.
 
 use crate::problem::Problem;
 use corianderstand_decide::request;
@@ -14,7 +13,6 @@
 /// Exclusive limit of `max_tokens`.
 const MAX_TOKENS: u32 = 16 * 1024 * 1024;
 
-/// Parameters of a model request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "an object with `model` and `prompt` or `messages`")]
@@ -90,7 +88,6 @@
 }
 
 impl Params {
-    /// Parses and validates a body.
     pub fn read(body: &[u8], chat: bool) -> Result<Self, Problem> {
         let mut json = serde_json::Deserializer::from_slice(body);
         let params: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -102,19 +99,17 @@
         Ok(params)
     }
 
-    /// Whether the caller requested a stream.
     pub fn is_streamed(&self) -> bool {
         self.stream.unwrap_or(false)
     }
 
-    /// Whether the stream ends with the usage.
     pub fn includes_usage(&self) -> bool {
         let options = self.stream_options.as_ref();
         options.and_then(|options| options.include_usage).unwrap_or(false)
     }
 
-    /// Returns the features used for routing. A session keeps its first messages, so they identify
-    /// its cached prompt.
+    /// Returns the length and the prefix for routing. The first messages identify a session's
+    /// cached prompt.
     pub fn shape(&self, chat: bool) -> request::Shape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
--- a/crates/corianderstand_router/src/problem.rs
+++ b/crates/corianderstand_router/src/problem.rs
@@ -9,10 +9,8 @@
 
 /// Response header with the outcome of a call: `ran`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "x-corianderstand-outcome";
-/// Header with the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Why a request failed.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
 pub enum Problem {
     /// invalid request: {0}
@@ -46,7 +44,7 @@
     /// the call did not run and never will under this key ({0}): send it with a new key
     NotRun(SmolStr),
     /// the key has expired, so it is not known whether its call ran: check at the service
-    KeyForgotten,
+    KeyExpired,
     /// no response before the deadline: retry, or set a later deadline
     Deadline,
     /// this process is not ready ({0}): use another router, or retry later
@@ -90,7 +88,7 @@
             Self::Failed(_) => "answer_broke_off",
             Self::Unknown(_) => "outcome_unknown",
             Self::NotRun(_) => "call_not_run",
-            Self::KeyForgotten => "key_forgotten",
+            Self::KeyExpired => "key_forgotten",
             Self::Deadline => "deadline_passed",
             Self::NotReady(_) => "not_ready",
             Self::Conflict(_) => "conflict",
@@ -109,7 +107,7 @@
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::Forbidden => StatusCode::FORBIDDEN,
             Self::NotFound | Self::NoSuchPath => StatusCode::NOT_FOUND,
-            Self::NotRun(_) | Self::KeyForgotten => StatusCode::GONE,
+            Self::NotRun(_) | Self::KeyExpired => StatusCode::GONE,
             Self::Conflict(_) | Self::Refused(RefusalReason::KeyConflict, _) => {
                 StatusCode::CONFLICT
             }
@@ -125,7 +123,7 @@
     pub const fn outcome(&self) -> &'static str {
         match self {
             Self::Failed(_) | Self::Unknown(_) | Self::Deadline | Self::Undecided(_) => "unknown",
-            Self::KeyForgotten => "unknown",
+            Self::KeyExpired => "unknown",
             _ => "not-run",
         }
     }
@@ -153,7 +151,6 @@
         }})
     }
 
-    /// Writes this problem as the response.
     pub fn write(&self, request: &str, res: &mut Response) {
         res.status_code(self.status());
         if let Some(after) = self.retry_after() {
