--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -106,7 +106,7 @@
     /// Targets of the plain service.
     pub desks: Vec<Place>,
     version: u64,
-    _store_open: corianderstand_platform_standins::serve::Open,
+    _store_open: corianderstand_platform_standins::serve::ListenerHandle,
 }
 
 /// IP numbers that no other process on this host uses: a part of 127/8 by this process's id.
