--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults from outside: drawn from a seed, made, and taken back.
 
 use crate::{checks::Trouble, proxy::Mode, world::World};
-use corianderstand_platform_standins::{store::Mood, target::Ills};
+use corianderstand_platform_standins::{store::FaultMode, target::Ills};
 use nix::sys::signal::Signal;
 use rand::{Rng, RngExt};
 use std::time::{Duration, Instant};
@@ -47,7 +47,7 @@
     /// Something happens to callers' connections to a router.
     FrontLink(usize, Mode),
     /// The store misbehaves for all.
-    Store(Mood),
+    Store(FaultMode),
     /// The store forgets its history.
     Forget,
     /// The configuration changes.
@@ -65,9 +65,9 @@
     let desk = rng.random_range(0..world.desks.len());
     let mode = draw_mode(rng);
     let mood = match rng.random_range(0..3) {
-        0 => Mood::Busy,
-        1 => Mood::Silent,
-        _ => Mood::Slow(Duration::from_millis(rng.random_range(50..400))),
+        0 => FaultMode::Busy,
+        1 => FaultMode::Silent,
+        _ => FaultMode::Slow(Duration::from_millis(rng.random_range(50..400))),
     };
     let fault = match rng.random_range(0..36) {
         0..3 => Fault::KillRouter(router),
@@ -161,7 +161,7 @@
             Self::EngineLink(n, _) => world.engines[n].link.set(Mode::Pass),
             Self::StoreLink(n, _) => world.routers[n].store.set(Mode::Pass),
             Self::FrontLink(n, _) => world.fronts[n].set(Mode::Pass),
-            Self::Store(_) => world.store.set_mood(Mood::Well),
+            Self::Store(_) => world.store.set_mood(FaultMode::Well),
             Self::KillAll => {
                 let units = world.routers.iter_mut().chain(&mut world.agents);
                 units.for_each(crate::world::Unit::start);
