--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -161,7 +161,7 @@
             Self::EngineLink(n, _) => world.engines[n].link.set(Mode::Pass),
             Self::StoreLink(n, _) => world.routers[n].store.set(Mode::Pass),
             Self::FrontLink(n, _) => world.fronts[n].set(Mode::Pass),
-            Self::Store(_) => world.store.set_mood(FaultMode::Well),
+            Self::Store(_) => world.store.set_mood(FaultMode::Healthy),
             Self::KillAll => {
                 let units = world.routers.iter_mut().chain(&mut world.agents);
                 units.for_each(crate::world::Unit::start);
