--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -65,7 +65,7 @@
     let desk = rng.random_range(0..world.desks.len());
     let mode = draw_mode(rng);
     let mood = match rng.random_range(0..3) {
-        0 => FaultMode::Busy,
+        0 => FaultMode::Unavailable,
         1 => FaultMode::Silent,
         _ => FaultMode::Slow(Duration::from_millis(rng.random_range(50..400))),
     };
