--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -66,7 +66,7 @@
     let mode = draw_mode(rng);
     let mood = match rng.random_range(0..3) {
         0 => FaultMode::Unavailable,
-        1 => FaultMode::Silent,
+        1 => FaultMode::Unresponsive,
         _ => FaultMode::Slow(Duration::from_millis(rng.random_range(50..400))),
     };
     let fault = match rng.random_range(0..36) {
