--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -122,7 +122,7 @@
             Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
             Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
             Self::FrontLink(n, mode) => world.fronts[n].set(mode),
-            Self::Store(mood) => world.store.set_mood(mood),
+            Self::Store(mood) => world.store.set_fault_mode(mood),
             Self::Forget => world.store.forget(),
             Self::Configure => drop(world.configure()),
             Self::Garbage => world.write_garbage(),
@@ -161,7 +161,7 @@
             Self::EngineLink(n, _) => world.engines[n].link.set(Mode::Pass),
             Self::StoreLink(n, _) => world.routers[n].store.set(Mode::Pass),
             Self::FrontLink(n, _) => world.fronts[n].set(Mode::Pass),
-            Self::Store(_) => world.store.set_mood(FaultMode::Healthy),
+            Self::Store(_) => world.store.set_fault_mode(FaultMode::Healthy),
             Self::KillAll => {
                 let units = world.routers.iter_mut().chain(&mut world.agents);
                 units.for_each(crate::world::Unit::start);
