--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -123,7 +123,7 @@
             Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
             Self::FrontLink(n, mode) => world.fronts[n].set(mode),
             Self::Store(mood) => world.store.set_fault_mode(mood),
-            Self::Forget => world.store.forget(),
+            Self::Forget => world.store.compact(),
             Self::Configure => drop(world.configure()),
             Self::Garbage => world.write_garbage(),
             Self::KillAll => {
