--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -132,7 +132,7 @@
     pub async fn start(size: Size, dir: &Path) -> Self {
         let (store, ledger) = (Store::default(), Ledger::default());
         let store_addr = SocketAddr::new(ip(STORE, 0), STORE_PORT);
-        let store_open = store.open(store_addr).await.expect("its address is its own");
+        let store_open = store.listen(store_addr).await.expect("its address is its own");
         let mut engines = Vec::new();
         for index in 0..size.engines {
             // Each disk has copies of three models, so that each model is on some disk.
