--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -5,7 +5,7 @@
     ledger::Ledger,
     settings,
     store::Store,
-    target::{ENTRIES, HEALTH, Spec, Target},
+    target::{ENTRIES_TOPIC, HEALTH, Spec, Target},
 };
 use serde_json::json;
 use std::{
@@ -222,7 +222,7 @@
 
     /// Writes an entry that nobody can read, as another writer might.
     pub fn write_garbage(&self) {
-        self.store.put(ENTRIES, "stranger", Some("{\"service\":7".into()));
+        self.store.put(ENTRIES_TOPIC, "stranger", Some("{\"service\":7".into()));
     }
 
     /// Waits until all routers say that they are ready.
