--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -5,7 +5,7 @@
     ledger::Ledger,
     settings,
     store::Store,
-    target::{ENTRIES_TOPIC, HEALTH, Spec, Target},
+    target::{ENTRIES_TOPIC, HEALTH_PATH, Spec, Target},
 };
 use serde_json::json;
 use std::{
@@ -207,8 +207,8 @@
                 route(&own, "idempotent", "desk", false),
             ],
             "services": [
-                { "name": "desk", "health_path": HEALTH, "max_conns": 500 },
-                { "name": "models", "health_path": HEALTH, "max_conns": 500, "engine": {
+                { "name": "desk", "health_path": HEALTH_PATH, "max_conns": 500 },
+                { "name": "models", "health_path": HEALTH_PATH, "max_conns": 500, "engine": {
                     "slots": 16, "kv_tokens": 100_000, "models": models,
                     "weights_mb": 100 * MODELS_EACH + 50, "adapter_slots": 1, "loads_per_s": 100,
                 } },
