--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -1,7 +1,7 @@
 //! What must hold for each request, whatever happened meanwhile.
 
 use crate::callers::{Asked, End, Kind};
-use corianderstand_platform_standins::{ledger::Ledger, target::EVENTS};
+use corianderstand_platform_standins::{ledger::Ledger, target::EVENTS_PER_STREAM};
 use http::StatusCode;
 use std::{
     collections::BTreeMap,
@@ -125,7 +125,7 @@
     }
     let text = String::from_utf8_lossy(body);
     let expected: String =
-        (1..=EVENTS).map(|n| format!("id: {n}\ndata: {} {n}\n\n", one.id)).collect();
+        (1..=EVENTS_PER_STREAM).map(|n| format!("id: {n}\ndata: {} {n}\n\n", one.id)).collect();
     let right = if whole { text == expected } else { expected.starts_with(&*text) };
     (!right).then(|| format!("a stream of other events (whole: {whole}): {text:?}"))
 }
