--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -5,7 +5,7 @@
     ledger::Ledger,
     settings,
     store::Store,
-    target::{ENTRIES_TOPIC, HEALTH_PATH, Spec, Target},
+    target::{ENTRIES_TOPIC, HEALTH_PATH, TargetSpec, Target},
 };
 use serde_json::json;
 use std::{
@@ -249,7 +249,7 @@
     let link = proxy::Proxy::open(SocketAddr::new(at, PROXY_PORT), addr).await;
     let link = link.expect("its address is its own");
     let is_engine = service == "models";
-    let spec = Spec {
+    let spec = TargetSpec {
         service: service.into(),
         addr,
         told: link.addr,
