--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -252,7 +252,7 @@
     let spec = TargetSpec {
         service: service.into(),
         addr,
-        told: link.addr,
+        advertised_addr: link.addr,
         slots: 16,
         models: is_engine.then_some(MODELS_EACH),
     };
