--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -254,7 +254,7 @@
         addr,
         advertised_addr: link.addr,
         slots: 16,
-        models: is_engine.then_some(MODELS_EACH),
+        model_capacity: is_engine.then_some(MODELS_EACH),
     };
     let target = Target::new(spec, store.clone(), ledger.clone(), disk);
     let mut place = Place { target, link, starts: 0, name: format!("{name}-{index}") };
