--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults from outside: drawn from a seed, made, and taken back.
 
 use crate::{checks::Trouble, proxy::Mode, world::World};
-use corianderstand_platform_standins::{store::FaultMode, target::Ills};
+use corianderstand_platform_standins::{store::FaultMode, target::TargetFaults};
 use nix::sys::signal::Signal;
 use rand::{Rng, RngExt};
 use std::time::{Duration, Instant};
@@ -116,9 +116,9 @@
             Self::CrashDesk(n) => world.desks[n].target.crash(),
             Self::DrainEngine(n) => world.engines[n].target.drain(),
             Self::FailEngine(n) => {
-                world.engines[n].target.set_ills(Ills { failing: 0.3, ..Ills::default() });
+                world.engines[n].target.set_ills(TargetFaults { failing: 0.3, ..TargetFaults::default() });
             }
-            Self::LoseOrders => set_all(world, Ills { orders_lost: 0.5, ..Ills::default() }),
+            Self::LoseOrders => set_all(world, TargetFaults { orders_lost: 0.5, ..TargetFaults::default() }),
             Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
             Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
             Self::FrontLink(n, mode) => world.fronts[n].set(mode),
@@ -156,8 +156,8 @@
                 world.engines[n].target.lapse();
                 world.engines[n].start().await;
             }
-            Self::FailEngine(n) => world.engines[n].target.set_ills(Ills::default()),
-            Self::LoseOrders => set_all(world, Ills::default()),
+            Self::FailEngine(n) => world.engines[n].target.set_ills(TargetFaults::default()),
+            Self::LoseOrders => set_all(world, TargetFaults::default()),
             Self::EngineLink(n, _) => world.engines[n].link.set(Mode::Pass),
             Self::StoreLink(n, _) => world.routers[n].store.set(Mode::Pass),
             Self::FrontLink(n, _) => world.fronts[n].set(Mode::Pass),
@@ -205,7 +205,7 @@
     }
 }
 
-fn set_all(world: &World, ills: Ills) {
+fn set_all(world: &World, ills: TargetFaults) {
     world.engines.iter().for_each(|engine| engine.target.set_ills(ills));
 }
 
