--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -118,7 +118,7 @@
             Self::FailEngine(n) => {
                 world.engines[n].target.set_ills(TargetFaults { failing: 0.3, ..TargetFaults::default() });
             }
-            Self::LoseOrders => set_all(world, TargetFaults { orders_lost: 0.5, ..TargetFaults::default() }),
+            Self::LoseOrders => set_all(world, TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() }),
             Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
             Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
             Self::FrontLink(n, mode) => world.fronts[n].set(mode),
