--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -116,7 +116,7 @@
             Self::CrashDesk(n) => world.desks[n].target.crash(),
             Self::DrainEngine(n) => world.engines[n].target.drain(),
             Self::FailEngine(n) => {
-                world.engines[n].target.set_ills(TargetFaults { failure_ratio: 0.3, ..TargetFaults::default() });
+                world.engines[n].target.set_faults(TargetFaults { failure_ratio: 0.3, ..TargetFaults::default() });
             }
             Self::LoseOrders => set_all(world, TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() }),
             Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
@@ -156,7 +156,7 @@
                 world.engines[n].target.lapse();
                 world.engines[n].start().await;
             }
-            Self::FailEngine(n) => world.engines[n].target.set_ills(TargetFaults::default()),
+            Self::FailEngine(n) => world.engines[n].target.set_faults(TargetFaults::default()),
             Self::LoseOrders => set_all(world, TargetFaults::default()),
             Self::EngineLink(n, _) => world.engines[n].link.set(Mode::Pass),
             Self::StoreLink(n, _) => world.routers[n].store.set(Mode::Pass),
@@ -206,7 +206,7 @@
 }
 
 fn set_all(world: &World, ills: TargetFaults) {
-    world.engines.iter().for_each(|engine| engine.target.set_ills(ills));
+    world.engines.iter().for_each(|engine| engine.target.set_faults(ills));
 }
 
 /// Waits for a router that was told to stop, and starts it again.
