--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -142,18 +142,18 @@
             Self::KillAgent(n) => world.agents[n].start(),
             Self::FreezeAgent(n) => signal(&world.agents[n].process, Signal::SIGCONT),
             Self::CrashEngine(n) => {
-                world.engines[n].target.lapse();
+                world.engines[n].target.remove_entry();
                 world.engines[n].start().await;
             }
             Self::CrashDesk(n) => {
-                world.desks[n].target.lapse();
+                world.desks[n].target.remove_entry();
                 world.desks[n].start().await;
             }
             Self::DrainEngine(n) => {
                 tokio::time::sleep(LINGER).await;
                 world.engines[n].target.crash();
                 tokio::time::sleep(LAPSE).await;
-                world.engines[n].target.lapse();
+                world.engines[n].target.remove_entry();
                 world.engines[n].start().await;
             }
             Self::FailEngine(n) => world.engines[n].target.set_faults(TargetFaults::default()),
