--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -111,7 +111,7 @@
     tokio::time::sleep(SETTLE).await;
     let report = checks::check(&asked, &world.ledger, &troubles);
     broken.extend(report.broken);
-    let overfilled = world.engines.iter().filter(|engine| engine.target.was_overfilled());
+    let overfilled = world.engines.iter().filter(|engine| engine.target.exceeded_capacity());
     broken.extend(overfilled.map(|engine| format!("ordered to hold too much: {engine:?}")));
     println!("seed {seed}: {} requests {:?}", asked.len(), report.ends);
     drop(world);
