--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -81,21 +81,21 @@
 
 fn ran_twice(one: &Asked, ledger: &Ledger) -> Option<String> {
     let once = matches!(one.kind, Kind::Pay | Kind::Draft);
-    let runs = ledger.of(&one.id);
+    let runs = ledger.runs(&one.id);
     (once && runs.len() > 1).then(|| format!("ran {} times", runs.len()))
 }
 
 fn ran_though_refused(one: &Asked, ledger: &Ledger) -> Option<String> {
     let End::Whole(status, _) = &one.end else { return None };
     let refused = NOT_RUN.contains(&status.as_u16());
-    let ran = !ledger.of(&one.id).is_empty();
+    let ran = !ledger.runs(&one.id).is_empty();
     // What may run twice may be refused after a run that was lost.
     let once = matches!(one.kind, Kind::Pay | Kind::Draft);
     (refused && ran && once).then(|| format!("answered {status} and ran"))
 }
 
 fn other_answer(one: &Asked, ledger: &Ledger) -> Option<String> {
-    let runs = ledger.of(&one.id);
+    let runs = ledger.runs(&one.id);
     let path_differs = runs.iter().any(|run| !run.asked.starts_with("POST /"));
     let model_differs = runs.iter().any(|run| one.kind.streams() && run.model != one.model);
     if path_differs || model_differs {
@@ -142,7 +142,7 @@
     if met.iter().any(|trouble| !trouble.planned) {
         return None;
     }
-    let ran = !ledger.of(&one.id).is_empty();
+    let ran = !ledger.runs(&one.id).is_empty();
     let took = one.ended - one.began;
     match one.end {
         End::Held if met.is_empty() => Some("no answer long after its deadline".into()),
