--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -96,7 +96,7 @@
 
 fn other_answer(one: &Asked, ledger: &Ledger) -> Option<String> {
     let runs = ledger.runs(&one.id);
-    let path_differs = runs.iter().any(|run| !run.asked.starts_with("POST /"));
+    let path_differs = runs.iter().any(|run| !run.request_line.starts_with("POST /"));
     let model_differs = runs.iter().any(|run| one.kind.streams() && run.model != one.model);
     if path_differs || model_differs {
         return Some(format!("ran as something else: {runs:?}"));
