--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -107,7 +107,7 @@
     }
     let body = String::from_utf8_lossy(body);
     let expected = |run: &corianderstand_platform_standins::ledger::Run| {
-        run.done && body == format!("{} done by {}", one.id, run.target)
+        run.finished && body == format!("{} done by {}", one.id, run.target)
     };
     let wrong = !one.kind.streams() && !runs.iter().any(expected);
     wrong.then(|| format!("another body than its target's: {body:?}"))
