--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -116,9 +116,13 @@
             Self::CrashDesk(n) => world.desks[n].target.crash(),
             Self::DrainEngine(n) => world.engines[n].target.drain(),
             Self::FailEngine(n) => {
-                world.engines[n].target.set_faults(TargetFaults { failure_ratio: 0.3, ..TargetFaults::default() });
+                world.engines[n]
+                    .target
+                    .set_faults(TargetFaults { failure_ratio: 0.3, ..TargetFaults::default() });
+            }
+            Self::LoseOrders => {
+                set_all(world, TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() })
             }
-            Self::LoseOrders => set_all(world, TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() }),
             Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
             Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
             Self::FrontLink(n, mode) => world.fronts[n].set(mode),
--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -5,7 +5,7 @@
     ledger::Ledger,
     settings,
     store::Store,
-    target::{ENTRIES_TOPIC, HEALTH_PATH, TargetSpec, Target},
+    target::{ENTRIES_TOPIC, HEALTH_PATH, Target, TargetSpec},
 };
 use serde_json::json;
 use std::{
