--- a/crates/corianderstand_standins/src/batch.rs
+++ b/crates/corianderstand_standins/src/batch.rs
@@ -9,7 +9,7 @@
 
 /// Room for a number of requests.
 pub struct Batch {
-    room: u32,
+    capacity: u32,
     inner: Mutex<Inner>,
     changed: Notify,
 }
@@ -17,20 +17,20 @@
 #[derive(Default)]
 struct Inner {
     running: u32,
-    next: u64,
+    last_sequence: u64,
     waiting: BTreeSet<(Reverse<u8>, u64)>,
 }
 
 /// A place in the batch, given back when dropped.
-pub struct Place(Arc<Batch>);
+pub struct BatchSlot(Arc<Batch>);
 
 /// A place in the queue, given back when dropped, as when the caller leaves.
-struct Turn<'a>(&'a Batch, (Reverse<u8>, u64));
+struct QueueEntry<'a>(&'a Batch, (Reverse<u8>, u64));
 
 impl Batch {
     /// An empty batch.
-    pub fn new(room: u32) -> Arc<Self> {
-        Arc::new(Self { room, inner: Mutex::default(), changed: Notify::new() })
+    pub fn new(capacity: u32) -> Arc<Self> {
+        Arc::new(Self { capacity, inner: Mutex::default(), changed: Notify::new() })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -44,38 +44,38 @@
     }
 
     /// Waits for a place; the highest priority goes first, then the earliest.
-    pub async fn enter(self: &Arc<Self>, priority: u8) -> Place {
-        let turn = {
+    pub async fn acquire(self: &Arc<Self>, priority: u8) -> BatchSlot {
+        let entry = {
             let mut inner = self.lock();
-            inner.next += 1;
-            let turn = (Reverse(priority), inner.next);
-            inner.waiting.insert(turn);
-            Turn(self, turn)
+            inner.last_sequence += 1;
+            let entry = (Reverse(priority), inner.last_sequence);
+            inner.waiting.insert(entry);
+            QueueEntry(self, entry)
         };
         loop {
             let changed = self.changed.notified();
             {
                 let mut inner = self.lock();
-                if inner.running < self.room && inner.waiting.first() == Some(&turn.1) {
+                if inner.running < self.capacity && inner.waiting.first() == Some(&entry.1) {
                     inner.running += 1;
                     break;
                 }
             }
             changed.await;
         }
-        drop(turn);
-        Place(self.clone())
+        drop(entry);
+        BatchSlot(self.clone())
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         self.0.lock().waiting.remove(&self.1);
         self.0.changed.notify_waiters();
     }
 }
 
-impl Drop for Place {
+impl Drop for BatchSlot {
     fn drop(&mut self) {
         self.0.lock().running -= 1;
         self.0.changed.notify_waiters();
--- a/crates/corianderstand_standins/src/cache.rs
+++ b/crates/corianderstand_standins/src/cache.rs
@@ -13,53 +13,57 @@
 /// Blocks by hash of all that precedes them, the least recently used first to go.
 pub struct PrefixCache {
     capacity: usize,
-    used: HashMap<u64, u64>,
-    uses: u64,
+    last_used: HashMap<u64, u64>,
+    use_count: u64,
     events: VecDeque<(Instant, CacheEvent)>,
-    next: u64,
+    next_sequence: u64,
     /// Every how many events one is lost; 0 for none.
-    pub lose_every: u64,
+    pub drop_every: u64,
 }
 
 impl PrefixCache {
     /// An empty cache for this many blocks.
     pub fn new(capacity: usize) -> Self {
-        let (used, events) = Default::default();
-        Self { capacity, used, uses: 0, events, next: 1, lose_every: 0 }
+        let (last_used, events) = Default::default();
+        Self { capacity, last_used, use_count: 0, events, next_sequence: 1, drop_every: 0 }
     }
 
     /// Takes a prompt in; how many of its words were cached.
-    pub fn take(&mut self, model: &str, prompt: &[u8]) -> usize {
+    pub fn insert_prompt(&mut self, model: &str, prompt: &[u8]) -> usize {
         let words: Vec<&[u8]> = prompt.split(u8::is_ascii_whitespace).collect();
         let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
         let mut hits = 0;
         let mut is_prefix = true;
         for block in words.chunks_exact(BLOCK_WORDS) {
             hash = block.iter().fold(hash, |hash, word| xxh3_64_with_seed(word, hash));
-            is_prefix &= self.used.contains_key(&hash);
+            is_prefix &= self.last_used.contains_key(&hash);
             hits += usize::from(is_prefix);
-            self.store(hash);
+            self.insert_block(hash);
         }
         hits * BLOCK_WORDS
     }
 
-    fn store(&mut self, hash: u64) {
-        self.uses += 1;
-        if self.used.insert(hash, self.uses).is_none() {
-            self.note(hash, CacheChange::Stored);
+    fn insert_block(&mut self, hash: u64) {
+        self.use_count += 1;
+        if self.last_used.insert(hash, self.use_count).is_none() {
+            self.record_event(hash, CacheChange::Stored);
         }
-        while self.used.len() > self.capacity {
-            let oldest = self.used.iter().min_by_key(|(_, used)| **used).map(|(hash, _)| *hash);
+        while self.last_used.len() > self.capacity {
+            let oldest = self
+                .last_used
+                .iter()
+                .min_by_key(|(_, last_used)| **last_used)
+                .map(|(hash, _)| *hash);
             let Some(oldest) = oldest else { return };
-            self.used.remove(&oldest);
-            self.note(oldest, CacheChange::Evicted);
+            self.last_used.remove(&oldest);
+            self.record_event(oldest, CacheChange::Evicted);
         }
     }
 
-    fn note(&mut self, block: u64, change: CacheChange) {
-        let sequence = self.next;
-        self.next += 1;
-        if self.lose_every > 0 && sequence.is_multiple_of(self.lose_every) {
+    fn record_event(&mut self, block: u64, change: CacheChange) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        if self.drop_every > 0 && sequence.is_multiple_of(self.drop_every) {
             return;
         }
         if self.events.len() >= MAX_EVENTS {
@@ -70,9 +74,11 @@
 
     /// Events from a sequence number that are at least `lag` old.
     pub fn events(&self, from: u64, lag: Duration) -> CacheEvents {
-        let old = self.events.iter().filter(|(at, _)| at.elapsed() >= lag);
-        let events: Vec<CacheEvent> =
-            old.map(|(_, event)| event.clone()).filter(|event| event.sequence >= from).collect();
+        let published = self.events.iter().filter(|(at, _)| at.elapsed() >= lag);
+        let events: Vec<CacheEvent> = published
+            .map(|(_, event)| event.clone())
+            .filter(|event| event.sequence >= from)
+            .collect();
         let next = events.last().map_or(from.max(1), |event| event.sequence + 1);
         CacheEvents { next, events }
     }
--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -2,9 +2,9 @@
 //! cancelling, resuming, a prefix cache, reports that lag.
 
 use crate::{
-    batch::{Batch, Place},
+    batch::{Batch, BatchSlot},
     cache::PrefixCache,
-    serve::{self, Ask, At, Reply},
+    serve::{self, ApiRequest, Endpoint, Reply},
     text,
 };
 use bytes::Bytes;
@@ -22,9 +22,9 @@
 use tokio::time::{self, Instant};
 
 /// Tokens of an answer that names no `max_tokens`.
-const DEFAULT_TOKENS: u64 = 16;
+const DEFAULT_MAX_TOKENS: u64 = 16;
 /// Time between two notes of how busy the engine is.
-const REPORT_INTERVAL: Duration = Duration::from_millis(20);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 /// Notes kept: twenty seconds of lag.
 const MAX_REPORTS: usize = 1000;
 
@@ -67,8 +67,8 @@
 
 struct Engine {
     memory_mib: u64,
-    token: Duration,
-    prefill: Duration,
+    token_interval: Duration,
+    prefill_per_token: Duration,
     batch: Arc<Batch>,
     report_lag: Duration,
     event_lag: Duration,
@@ -83,7 +83,7 @@
     cache: PrefixCache,
     reports: VecDeque<(Instant, EngineReport)>,
     loaded: Vec<LoadedWeights>,
-    fences: BTreeMap<String, u64>,
+    newest_fences: BTreeMap<String, u64>,
     cancelled: BTreeSet<String>,
     fault: Fault,
     counters: Counters,
@@ -100,13 +100,13 @@
         self.inner.lock().expect("no holder of this lock panics")
     }
 
-    async fn hang(&self) {
+    async fn wait_while_hanging(&self) {
         while self.lock().fault.hang {
             time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    async fn fetch(&self) -> Result<(), String> {
+    async fn fetch_weights(&self) -> Result<(), String> {
         let Some(weights) = &self.weights else {
             time::sleep(Duration::from_millis(self.load_ms)).await;
             return Ok(());
@@ -117,57 +117,57 @@
     }
 
     /// Takes memory for a load, or says why not.
-    fn begin_load(&self, order: &EngineCommand) -> Result<(), Reply> {
+    fn begin_load(&self, command: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
-        if inner.loaded.iter().any(|loaded| loaded.weights == order.weights) {
+        if inner.loaded.iter().any(|loaded| loaded.weights == command.weights) {
             return Err(Reply::text(200, "loaded already"));
         }
-        if inner.memory() + order.memory_mib > self.memory_mib {
+        if inner.memory() + command.memory_mib > self.memory_mib {
             inner.counters.over_memory += 1;
             return Err(Reply::text(507, "not enough memory"));
         }
-        let (weights, memory_mib) = (order.weights.clone(), order.memory_mib);
+        let (weights, memory_mib) = (command.weights.clone(), command.memory_mib);
         inner.loaded.push(LoadedWeights { weights, memory_mib, ready: false });
         inner.counters.most_memory_mib = inner.counters.most_memory_mib.max(inner.memory());
         inner.counters.loads += 1;
         Ok(())
     }
 
-    async fn load(&self, order: &EngineCommand) -> Reply {
-        if let Err(reply) = self.begin_load(order) {
+    async fn load(&self, command: &EngineCommand) -> Reply {
+        if let Err(reply) = self.begin_load(command) {
             return reply;
         }
-        let fetched = self.fetch().await;
+        let fetched = self.fetch_weights().await;
         let mut inner = self.lock();
         if let Err(error) = fetched {
-            inner.loaded.retain(|loaded| loaded.weights != order.weights);
+            inner.loaded.retain(|loaded| loaded.weights != command.weights);
             return Reply::text(502, &error);
         }
-        for loaded in inner.loaded.iter_mut().filter(|loaded| loaded.weights == order.weights) {
+        for loaded in inner.loaded.iter_mut().filter(|loaded| loaded.weights == command.weights) {
             loaded.ready = true;
         }
         Reply::text(200, "loaded")
     }
 
-    fn unload(&self, order: &EngineCommand) -> Reply {
+    fn unload(&self, command: &EngineCommand) -> Reply {
         let mut inner = self.lock();
-        inner.loaded.retain(|loaded| loaded.weights != order.weights);
+        inner.loaded.retain(|loaded| loaded.weights != command.weights);
         inner.counters.unloads += 1;
         Reply::text(200, "unloaded")
     }
 
     /// Refuses an order older than one that was taken for the same weights.
-    fn check_fence(&self, order: &EngineCommand) -> Result<(), Reply> {
+    fn check_fence(&self, command: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
-        let name = order.weights.to_string();
-        let newest = inner.fences.get(&name).copied().unwrap_or_default();
-        if order.fence < newest {
+        let name = command.weights.to_string();
+        let newest = inner.newest_fences.get(&name).copied().unwrap_or_default();
+        if command.fence < newest {
             inner.counters.old_fences += 1;
             if self.check_fencing {
                 return Err(Reply::text(409, "an order with a newer fencing number was taken"));
             }
         }
-        inner.fences.insert(name, order.fence.max(newest));
+        inner.newest_fences.insert(name, command.fence.max(newest));
         Ok(())
     }
 
@@ -175,29 +175,29 @@
         self.lock().loaded.iter().any(|l| l.ready && l.weights.to_string() == model)
     }
 
-    fn pace(&self) -> Duration {
-        self.token.mul_f64(self.lock().fault.slow)
+    fn token_interval(&self) -> Duration {
+        self.token_interval.mul_f64(self.lock().fault.slow)
     }
 }
 
-async fn orders(engine: Arc<Engine>, ask: Ask) -> Reply {
-    engine.hang().await;
-    let order: EngineCommand = match ask.json() {
-        Ok(order) => order,
+async fn execute_command(engine: Arc<Engine>, req: ApiRequest) -> Reply {
+    engine.wait_while_hanging().await;
+    let command: EngineCommand = match req.json() {
+        Ok(command) => command,
         Err(reply) => return reply,
     };
-    if let Err(reply) = engine.check_fence(&order) {
+    if let Err(reply) = engine.check_fence(&command) {
         return reply;
     }
     // An order that was taken is carried out although who gave it is gone.
-    let (own, order) = (engine.clone(), order);
-    let carried_out = tokio::spawn(async move {
-        match order.action {
-            CommandAction::Load => own.load(&order).await,
-            CommandAction::Unload => own.unload(&order),
+    let (executor, command) = (engine.clone(), command);
+    let execution = tokio::spawn(async move {
+        match command.action {
+            CommandAction::Load => executor.load(&command).await,
+            CommandAction::Unload => executor.unload(&command),
         }
     });
-    let Ok(reply) = carried_out.await else { return Reply::text(500, "the order failed") };
+    let Ok(reply) = execution.await else { return Reply::text(500, "the order failed") };
     let mut inner = engine.lock();
     if inner.fault.lose_order_answers > 0 {
         inner.fault.lose_order_answers -= 1;
@@ -206,24 +206,24 @@
     reply
 }
 
-async fn loaded(engine: Arc<Engine>, _ask: Ask) -> Reply {
-    engine.hang().await;
+async fn loaded(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
+    engine.wait_while_hanging().await;
     Reply::json(&engine.lock().loaded)
 }
 
 /// How busy the engine was a while ago: the newest report that is old enough.
-async fn load_report(engine: Arc<Engine>, _ask: Ask) -> Reply {
+async fn load_report(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
     let mut inner = engine.lock();
-    let old = |(at, _): &(Instant, EngineReport)| at.elapsed() >= engine.report_lag;
-    while inner.reports.len() > 1 && old(&inner.reports[1]) {
+    let is_published = |(at, _): &(Instant, EngineReport)| at.elapsed() >= engine.report_lag;
+    while inner.reports.len() > 1 && is_published(&inner.reports[1]) {
         inner.reports.pop_front();
     }
-    let report = inner.reports.front().filter(|report| old(report));
+    let report = inner.reports.front().filter(|report| is_published(report));
     Reply::json(&report.map(|(_, report)| report.clone()).unwrap_or_default())
 }
 
 /// Notes how busy the engine is, again and again.
-async fn watch_load(engine: Arc<Engine>) {
+async fn sample_load(engine: Arc<Engine>) {
     loop {
         let (running, waiting) = engine.batch.counts();
         {
@@ -234,31 +234,31 @@
                 inner.reports.pop_front();
             }
         }
-        time::sleep(REPORT_INTERVAL).await;
+        time::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
-async fn cache_events(engine: Arc<Engine>, ask: Ask) -> Reply {
-    Reply::json(&engine.lock().cache.events(ask.param("from"), engine.event_lag))
+async fn cache_events(engine: Arc<Engine>, req: ApiRequest) -> Reply {
+    Reply::json(&engine.lock().cache.events(req.param("from"), engine.event_lag))
 }
 
-async fn counters(engine: Arc<Engine>, _ask: Ask) -> Reply {
+async fn counters(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
     Reply::json(&engine.lock().counters)
 }
 
-async fn cancel(engine: Arc<Engine>, ask: Ask) -> Reply {
+async fn cancel(engine: Arc<Engine>, req: ApiRequest) -> Reply {
     let mut inner = engine.lock();
     inner.counters.cancelled += 1;
-    inner.cancelled.insert(ask.param("request"));
+    inner.cancelled.insert(req.param("request"));
     Reply::text(200, "cancelled")
 }
 
-async fn fault(engine: Arc<Engine>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(engine: Arc<Engine>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             let fault: Fault = fault;
             let mut inner = engine.lock();
-            inner.cache.lose_every = fault.lose_cache_events;
+            inner.cache.drop_every = fault.lose_cache_events;
             inner.fault = fault;
             Reply::text(200, "set")
         }
@@ -277,7 +277,7 @@
     tokens: u64,
     cached: usize,
     ended: bool,
-    _place: Place,
+    _slot: BatchSlot,
 }
 
 impl Drop for Generation {
@@ -293,14 +293,14 @@
         }
         if self.position == self.tokens {
             self.ended = true;
-            return Some((Ok(self.end()), self));
+            return Some((Ok(self.final_events()), self));
         }
-        let pace = self.engine.pace();
-        if !pace.is_zero() {
-            time::sleep(pace).await;
+        let token_interval = self.engine.token_interval();
+        if !token_interval.is_zero() {
+            time::sleep(token_interval).await;
         }
-        self.engine.hang().await;
-        if self.is_broken() {
+        self.engine.wait_while_hanging().await;
+        if self.is_interrupted() {
             self.ended = true;
             return Some((Err(std::io::Error::other("broke off")), self));
         }
@@ -316,13 +316,13 @@
         Some((Ok(serve::event(&value.to_string())), self))
     }
 
-    fn is_broken(&self) -> bool {
+    fn is_interrupted(&self) -> bool {
         let inner = self.engine.lock();
         inner.cancelled.contains(&self.request)
             || inner.fault.break_after.is_some_and(|after| self.position >= after)
     }
 
-    fn end(&self) -> Bytes {
+    fn final_events(&self) -> Bytes {
         let prompt_tokens = self.prompt.split(u8::is_ascii_whitespace).count();
         let value = json!({
             "id": self.request,
@@ -337,9 +337,9 @@
     }
 }
 
-async fn generate(engine: Arc<Engine>, ask: Ask) -> Reply {
-    engine.hang().await;
-    let body: Value = match ask.json() {
+async fn generate(engine: Arc<Engine>, req: ApiRequest) -> Reply {
+    engine.wait_while_hanging().await;
+    let body: Value = match req.json() {
         Ok(body) => body,
         Err(reply) => return reply,
     };
@@ -352,29 +352,29 @@
         return Reply::text(404, "the model is not loaded");
     }
     engine.lock().counters.requests += 1;
-    let place = engine.batch.enter(ask.header("x-priority")).await;
+    let slot = engine.batch.acquire(req.header("x-priority")).await;
     let cached = {
         let mut inner = engine.lock();
-        let cached = inner.cache.take(&model, &prompt);
+        let cached = inner.cache.insert_prompt(&model, &prompt);
         inner.counters.cached_prompt_tokens += cached as u64;
         cached
     };
     let words = prompt.split(u8::is_ascii_whitespace).count();
-    let prefill = engine.prefill * words.saturating_sub(cached) as u32;
+    let prefill = engine.prefill_per_token * words.saturating_sub(cached) as u32;
     if !prefill.is_zero() {
         time::sleep(prefill).await;
     }
     let generation = Generation {
         engine,
-        request: ask.header("x-request-id"),
+        request: req.header("x-request-id"),
         model,
         prompt,
-        chat: ask.path.contains("chat"),
-        position: ask.header("x-resume-from"),
-        tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_TOKENS),
+        chat: req.path.contains("chat"),
+        position: req.header("x-resume-from"),
+        tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS),
         cached,
         ended: false,
-        _place: place,
+        _slot: slot,
     };
     Reply::Events(stream::unfold(generation, Generation::step).boxed())
 }
@@ -384,8 +384,8 @@
     let client = reqwest::Client::builder().no_proxy().build().map_err(|e| e.to_string())?;
     let engine = Arc::new(Engine {
         memory_mib: serve::opt(matches, "memory-mib", 80_000)?,
-        token: Duration::from_micros(serve::opt(matches, "token-us", 5_000)?),
-        prefill: Duration::from_micros(serve::opt(matches, "prefill-us", 0)?),
+        token_interval: Duration::from_micros(serve::opt(matches, "token-us", 5_000)?),
+        prefill_per_token: Duration::from_micros(serve::opt(matches, "prefill-us", 0)?),
         batch: Batch::new(serve::opt(matches, "batch", 32)?),
         report_lag: Duration::from_millis(serve::opt(matches, "report-lag-ms", 0)?),
         event_lag: Duration::from_millis(serve::opt(matches, "event-lag-ms", 0)?),
@@ -397,23 +397,25 @@
             cache: PrefixCache::new(serve::opt(matches, "cache-blocks", 4096)?),
             reports: VecDeque::new(),
             loaded: Vec::new(),
-            fences: BTreeMap::new(),
+            newest_fences: BTreeMap::new(),
             cancelled: BTreeSet::new(),
             fault: Fault::default(),
             counters: Counters::default(),
         }),
     });
-    tokio::spawn(watch_load(engine.clone()));
-    let at = |operation| At(engine.clone(), operation);
+    tokio::spawn(sample_load(engine.clone()));
+    let endpoint = |operation| Endpoint(engine.clone(), operation);
     let routes = Router::new()
-        .push(Router::with_path("v1/completions").post(at(|s, a| generate(s, a).boxed())))
-        .push(Router::with_path("v1/chat/completions").post(at(|s, a| generate(s, a).boxed())))
-        .push(Router::with_path("orders").post(at(|s, a| orders(s, a).boxed())))
-        .push(Router::with_path("loaded").get(at(|s, a| loaded(s, a).boxed())))
-        .push(Router::with_path("load").get(at(|s, a| load_report(s, a).boxed())))
-        .push(Router::with_path("cache-events").get(at(|s, a| cache_events(s, a).boxed())))
-        .push(Router::with_path("counters").get(at(|s, a| counters(s, a).boxed())))
-        .push(Router::with_path("cancel/{request}").post(at(|s, a| cancel(s, a).boxed())))
-        .push(Router::with_path("fault").post(at(|s, a| fault(s, a).boxed())));
+        .push(Router::with_path("v1/completions").post(endpoint(|s, r| generate(s, r).boxed())))
+        .push(
+            Router::with_path("v1/chat/completions").post(endpoint(|s, r| generate(s, r).boxed())),
+        )
+        .push(Router::with_path("orders").post(endpoint(|s, r| execute_command(s, r).boxed())))
+        .push(Router::with_path("loaded").get(endpoint(|s, r| loaded(s, r).boxed())))
+        .push(Router::with_path("load").get(endpoint(|s, r| load_report(s, r).boxed())))
+        .push(Router::with_path("cache-events").get(endpoint(|s, r| cache_events(s, r).boxed())))
+        .push(Router::with_path("counters").get(endpoint(|s, r| counters(s, r).boxed())))
+        .push(Router::with_path("cancel/{request}").post(endpoint(|s, r| cancel(s, r).boxed())))
+        .push(Router::with_path("fault").post(endpoint(|s, r| fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/hosts.rs
+++ b/crates/corianderstand_standins/src/hosts.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the host list: what is put there is shown after a lag.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::hosts::HostEntry;
 use futures::FutureExt;
 use getopts::Matches;
@@ -21,7 +21,7 @@
     empty: bool,
 }
 
-struct List {
+struct HostList {
     lag: Duration,
     inner: Mutex<Inner>,
 }
@@ -32,24 +32,24 @@
     fault: Fault,
 }
 
-impl List {
+impl HostList {
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 }
 
-async fn hosts(list: Arc<List>, _ask: Ask) -> Reply {
+async fn hosts(list: Arc<HostList>, _req: ApiRequest) -> Reply {
     let inner = list.lock();
     if inner.fault.down {
         return Reply::text(503, "the host list is down");
     }
-    let shown = inner.versions.iter().rev().find(|(at, _)| at.elapsed() >= list.lag);
-    let shown = shown.or(inner.versions.first()).filter(|_| !inner.fault.empty);
-    Reply::json(&shown.map(|(_, hosts)| hosts.clone()).unwrap_or_default())
+    let visible = inner.versions.iter().rev().find(|(at, _)| at.elapsed() >= list.lag);
+    let visible = visible.or(inner.versions.first()).filter(|_| !inner.fault.empty);
+    Reply::json(&visible.map(|(_, hosts)| hosts.clone()).unwrap_or_default())
 }
 
-async fn put(list: Arc<List>, ask: Ask) -> Reply {
-    match ask.json::<Vec<HostEntry>>() {
+async fn put(list: Arc<HostList>, req: ApiRequest) -> Reply {
+    match req.json::<Vec<HostEntry>>() {
         Ok(hosts) => {
             list.lock().versions.push((Instant::now(), hosts));
             Reply::text(200, "set")
@@ -58,8 +58,8 @@
     }
 }
 
-async fn fault(list: Arc<List>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(list: Arc<HostList>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             list.lock().fault = fault;
             Reply::text(200, "set")
@@ -71,12 +71,12 @@
 /// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let lag = Duration::from_millis(serve::opt(matches, "lag-ms", 0)?);
-    let list = Arc::new(List { lag, inner: Mutex::default() });
-    let at = Router::with_path("hosts")
-        .get(At(list.clone(), |s, a| hosts(s, a).boxed()))
-        .put(At(list.clone(), |s, a| put(s, a).boxed()));
+    let list = Arc::new(HostList { lag, inner: Mutex::default() });
+    let hosts_route = Router::with_path("hosts")
+        .get(Endpoint(list.clone(), |s, r| hosts(s, r).boxed()))
+        .put(Endpoint(list.clone(), |s, r| put(s, r).boxed()));
     let routes = Router::new()
-        .push(at)
-        .push(Router::with_path("fault").post(At(list, |s, a| fault(s, a).boxed())));
+        .push(hosts_route)
+        .push(Router::with_path("fault").post(Endpoint(list, |s, r| fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/log.rs
+++ b/crates/corianderstand_standins/src/log.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the log service: offsets, limited retention, and outages.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::log::{AppendRequest, AppendResponse, Entry, Page};
 use futures::FutureExt;
 use getopts::Matches;
@@ -38,7 +38,7 @@
 struct Log {
     retention: Duration,
     inner: Mutex<Inner>,
-    grown: watch::Sender<u64>,
+    appended: watch::Sender<u64>,
 }
 
 #[derive(Default)]
@@ -58,7 +58,7 @@
         self.inner.lock().expect("no holder of this lock panics")
     }
 
-    async fn misbehave(&self) -> Option<Reply> {
+    async fn apply_fault(&self) -> Option<Reply> {
         let fault = self.lock().fault;
         time::sleep(Duration::from_millis(fault.slow_ms)).await;
         self.lock().fault.down.then(|| Reply::text(503, "the log is down"))
@@ -66,8 +66,8 @@
 
     fn page(&self, from: u64, max: usize) -> Page {
         let mut inner = self.lock();
-        let keep = now_ms().saturating_sub(self.retention.as_millis() as u64);
-        while inner.entries.front().is_some_and(|entry| entry.at_ms < keep) {
+        let oldest_kept_ms = now_ms().saturating_sub(self.retention.as_millis() as u64);
+        while inner.entries.front().is_some_and(|entry| entry.at_ms < oldest_kept_ms) {
             inner.entries.pop_front();
         }
         let oldest = inner.entries.front().map_or(inner.next, |entry| entry.offset);
@@ -78,15 +78,15 @@
     }
 }
 
-async fn append(log: Arc<Log>, ask: Ask) -> Reply {
-    if let Some(reply) = log.misbehave().await {
+async fn append(log: Arc<Log>, req: ApiRequest) -> Reply {
+    if let Some(reply) = log.apply_fault().await {
         return reply;
     }
-    let request: AppendRequest = match ask.json() {
+    let request: AppendRequest = match req.json() {
         Ok(request) => request,
         Err(reply) => return reply,
     };
-    let (first, lost) = {
+    let (first, is_lost) = {
         let mut inner = log.lock();
         let first = inner.next;
         inner.counters.appends += 1;
@@ -99,38 +99,38 @@
             inner.entries.push_back(Entry { offset, at_ms, data });
             inner.next += 1;
         }
-        let lost = inner.fault.lose_answers > 0;
+        let is_lost = inner.fault.lose_answers > 0;
         inner.fault.lose_answers = inner.fault.lose_answers.saturating_sub(1);
-        (first, lost)
+        (first, is_lost)
     };
-    log.grown.send_replace(first);
-    if lost { Reply::text(504, "answer lost") } else { Reply::json(&AppendResponse { first }) }
+    log.appended.send_replace(first);
+    if is_lost { Reply::text(504, "answer lost") } else { Reply::json(&AppendResponse { first }) }
 }
 
-async fn read(log: Arc<Log>, ask: Ask) -> Reply {
-    if let Some(reply) = log.misbehave().await {
+async fn read(log: Arc<Log>, req: ApiRequest) -> Reply {
+    if let Some(reply) = log.apply_fault().await {
         return reply;
     }
     log.lock().counters.reads += 1;
-    let (from, max): (u64, usize) = (ask.param("from"), ask.param("max"));
-    let wait = Duration::from_millis(ask.param("wait_ms"));
-    let mut grown = log.grown.subscribe();
+    let (from, max): (u64, usize) = (req.param("from"), req.param("max"));
+    let wait = Duration::from_millis(req.param("wait_ms"));
+    let mut appended = log.appended.subscribe();
     let deadline = time::Instant::now() + wait;
     loop {
         let page = log.page(from, max);
-        let waited = time::timeout_at(deadline, grown.changed());
-        if !page.entries.is_empty() || waited.await.is_err() {
+        let appended_before_deadline = time::timeout_at(deadline, appended.changed());
+        if !page.entries.is_empty() || appended_before_deadline.await.is_err() {
             return Reply::json(&page);
         }
     }
 }
 
-async fn counters(log: Arc<Log>, _ask: Ask) -> Reply {
+async fn counters(log: Arc<Log>, _req: ApiRequest) -> Reply {
     Reply::json(&log.lock().counters)
 }
 
-async fn fault(log: Arc<Log>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(log: Arc<Log>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             log.lock().fault = fault;
             Reply::text(200, "set")
@@ -143,11 +143,13 @@
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let retention = Duration::from_millis(serve::opt(matches, "retention-ms", 86_400_000)?);
     let inner = Mutex::new(Inner { next: 1, ..Inner::default() });
-    let log = Arc::new(Log { retention, inner, grown: watch::Sender::new(0) });
+    let log = Arc::new(Log { retention, inner, appended: watch::Sender::new(0) });
     let routes = Router::new()
-        .push(Router::with_path("append").post(At(log.clone(), |s, a| append(s, a).boxed())))
-        .push(Router::with_path("read").get(At(log.clone(), |s, a| read(s, a).boxed())))
-        .push(Router::with_path("counters").get(At(log.clone(), |s, a| counters(s, a).boxed())))
-        .push(Router::with_path("fault").post(At(log, |s, a| fault(s, a).boxed())));
+        .push(Router::with_path("append").post(Endpoint(log.clone(), |s, r| append(s, r).boxed())))
+        .push(Router::with_path("read").get(Endpoint(log.clone(), |s, r| read(s, r).boxed())))
+        .push(
+            Router::with_path("counters").get(Endpoint(log.clone(), |s, r| counters(s, r).boxed())),
+        )
+        .push(Router::with_path("fault").post(Endpoint(log, |s, r| fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/relay.rs
+++ b/crates/corianderstand_standins/src/relay.rs
@@ -1,6 +1,6 @@
 //! A relay between two ends of TCP connections that can be cut or fall silent.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use futures::FutureExt;
 use getopts::Matches;
 use salvo::Router;
@@ -31,8 +31,8 @@
     fault: watch::Sender<(u64, Fault)>,
 }
 
-async fn fault(relay: Arc<Relay>, ask: Ask) -> Reply {
-    match ask.json::<Fault>() {
+async fn fault(relay: Arc<Relay>, req: ApiRequest) -> Reply {
+    match req.json::<Fault>() {
         Ok(fault) => {
             relay.fault.send_modify(|(count, current)| (*count, *current) = (*count + 1, fault));
             Reply::text(200, "set")
@@ -42,19 +42,19 @@
 }
 
 /// Carries bytes one way until an end closes or the relay is told to cut.
-async fn carry(
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut fault: watch::Receiver<(u64, Fault)>,
 ) {
-    let born = fault.borrow().0;
+    let initial_count = fault.borrow().0;
     let mut buf = vec![0; 64 * 1024];
     loop {
         let (count, current) = *fault.borrow_and_update();
-        if current.cut_open && count > born {
+        if current.cut_open && count > initial_count {
             return;
         }
-        if current.silence_all || (current.silence_open && count > born) {
+        if current.silence_all || (current.silence_open && count > initial_count) {
             if fault.changed().await.is_err() {
                 return;
             }
@@ -71,16 +71,16 @@
 }
 
 async fn accept(listener: TcpListener, to: String, fault: watch::Receiver<(u64, Fault)>) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((downstream, _)) = listener.accept().await {
         let (to, fault) = (to.clone(), fault.clone());
         tokio::spawn(async move {
-            let Ok(far) = TcpStream::connect(&to).await else { return };
-            drop((near.set_nodelay(true), far.set_nodelay(true)));
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
+            let Ok(upstream) = TcpStream::connect(&to).await else { return };
+            drop((downstream.set_nodelay(true), upstream.set_nodelay(true)));
+            let (downstream_read, downstream_write) = downstream.into_split();
+            let (upstream_read, upstream_write) = upstream.into_split();
             tokio::join!(
-                carry(near_read, far_write, fault.clone()),
-                carry(far_read, near_write, fault)
+                forward_bytes(downstream_read, upstream_write, fault.clone()),
+                forward_bytes(upstream_read, downstream_write, fault)
             );
         });
     }
@@ -95,7 +95,7 @@
     let listener = listener.map_err(|error| format!("cannot listen on {listen}: {error}"))?;
     let relay = Arc::new(Relay { fault: watch::Sender::new((0, Fault::default())) });
     tokio::spawn(accept(listener, to, relay.fault.subscribe()));
-    let routes =
-        Router::new().push(Router::with_path("fault").post(At(relay, |s, a| fault(s, a).boxed())));
+    let routes = Router::new()
+        .push(Router::with_path("fault").post(Endpoint(relay, |s, r| fault(s, r).boxed())));
     serve::serve(&control, routes).await
 }
--- a/crates/corianderstand_standins/src/serve.rs
+++ b/crates/corianderstand_standins/src/serve.rs
@@ -14,7 +14,7 @@
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// A request as a stand-in sees it.
-pub struct Ask {
+pub struct ApiRequest {
     /// Method in capitals.
     pub method: String,
     /// Path.
@@ -27,7 +27,7 @@
     pub body: Bytes,
 }
 
-impl Ask {
+impl ApiRequest {
     /// A parameter, or its type's default.
     pub fn param<T: FromStr + Default>(&self, name: &str) -> T {
         self.params.get(name).and_then(|value| value.parse().ok()).unwrap_or_default()
@@ -66,13 +66,13 @@
 }
 
 /// An operation on the state.
-pub type Operation<S> = fn(Arc<S>, Ask) -> BoxFuture<'static, Reply>;
+pub type Operation<S> = fn(Arc<S>, ApiRequest) -> BoxFuture<'static, Reply>;
 
 /// One path of a stand-in.
-pub struct At<S>(pub Arc<S>, pub Operation<S>);
+pub struct Endpoint<S>(pub Arc<S>, pub Operation<S>);
 
 #[async_trait]
-impl<S: Send + Sync + 'static> Handler for At<S> {
+impl<S: Send + Sync + 'static> Handler for Endpoint<S> {
     async fn handle(
         &self,
         req: &mut Request,
@@ -80,26 +80,26 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        let ask = ask(req).await;
-        match (self.1)(self.0.clone(), ask).await {
+        let request = read_request(req).await;
+        match (self.1)(self.0.clone(), request).await {
             Reply::Whole(status, content_type, body) => {
                 res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::OK));
-                set_type(res, content_type);
+                set_content_type(res, content_type);
                 drop(res.write_body(body));
             }
             Reply::Events(events) => {
-                set_type(res, "text/event-stream");
+                set_content_type(res, "text/event-stream");
                 res.stream(events);
             }
         }
     }
 }
 
-fn set_type(res: &mut Response, content_type: &'static str) {
+fn set_content_type(res: &mut Response, content_type: &'static str) {
     res.headers_mut().insert("content-type", content_type.parse().expect("a valid value"));
 }
 
-async fn ask(req: &mut Request) -> Ask {
+async fn read_request(req: &mut Request) -> ApiRequest {
     let mut params = HashMap::new();
     for (name, value) in req.queries().iter() {
         params.insert(name.clone(), value.clone());
@@ -112,7 +112,7 @@
     let headers = headers.collect();
     let (method, path) = (req.method().to_string(), req.uri().path().to_owned());
     let body = req.payload_with_max_size(MAX_BODY_BYTES).await.cloned().unwrap_or_default();
-    Ask { method, path, params, headers, body }
+    ApiRequest { method, path, params, headers, body }
 }
 
 /// Serves until the process is ended.
--- a/crates/corianderstand_standins/src/service.rs
+++ b/crates/corianderstand_standins/src/service.rs
@@ -1,6 +1,6 @@
 //! A stand-in for a plain service that counts what it really ran.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use futures::FutureExt;
 use getopts::Matches;
 use salvo::Router;
@@ -43,10 +43,10 @@
     }
 }
 
-async fn call(service: Arc<Service>, ask: Ask) -> Reply {
+async fn call(service: Arc<Service>, req: ApiRequest) -> Reply {
     let fault = service.lock().fault;
     time::sleep(Duration::from_millis(fault.before_ms)).await;
-    let key: String = ask.header("idempotency-key");
+    let key: String = req.header("idempotency-key");
     let ran = {
         let mut inner = service.lock();
         inner.ran += 1;
@@ -58,19 +58,19 @@
         let text = format!("booked as number {ran}");
         return Reply::Whole(201, "text/plain", text.into_bytes().into());
     }
-    let body = String::from_utf8_lossy(&ask.body).into_owned();
-    let traceparent: String = ask.header("traceparent");
-    Reply::json(&json!({ "ran": ran, "key": key, "method": ask.method, "path": ask.path,
+    let body = String::from_utf8_lossy(&req.body).into_owned();
+    let traceparent: String = req.header("traceparent");
+    Reply::json(&json!({ "ran": ran, "key": key, "method": req.method, "path": req.path,
         "body": body, "traceparent": traceparent }))
 }
 
-async fn counts(service: Arc<Service>, _ask: Ask) -> Reply {
+async fn counts(service: Arc<Service>, _req: ApiRequest) -> Reply {
     let inner = service.lock();
     Reply::json(&json!({ "ran": inner.ran, "by_key": inner.by_key }))
 }
 
-async fn fault(service: Arc<Service>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(service: Arc<Service>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             service.lock().fault = fault;
             Reply::text(200, "set")
@@ -82,10 +82,10 @@
 /// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let service = Arc::<Service>::default();
-    let at = |operation| At(service.clone(), operation);
+    let endpoint = |operation| Endpoint(service.clone(), operation);
     let routes = Router::new()
-        .push(Router::with_path("counts").get(at(|s, a| counts(s, a).boxed())))
-        .push(Router::with_path("fault").post(at(|s, a| fault(s, a).boxed())))
-        .push(Router::with_path("{**rest}").goal(at(|s, a| call(s, a).boxed())));
+        .push(Router::with_path("counts").get(endpoint(|s, r| counts(s, r).boxed())))
+        .push(Router::with_path("fault").post(endpoint(|s, r| fault(s, r).boxed())))
+        .push(Router::with_path("{**rest}").goal(endpoint(|s, r| call(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/weights.rs
+++ b/crates/corianderstand_standins/src/weights.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the weight store: limited rate and concurrency.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::weights::StoreReport;
 use futures::FutureExt;
 use getopts::Matches;
@@ -29,14 +29,14 @@
 }
 
 struct Store {
-    concurrent: u32,
+    full_speed_fetches: u32,
     interval: Duration,
     inner: Mutex<Inner>,
 }
 
 struct Inner {
     report: StoreReport,
-    next_begin: Instant,
+    next_start: Instant,
     fault: Fault,
 }
 
@@ -47,39 +47,40 @@
 }
 
 /// Answers when the fetch is done: `GET /fetch?ms=`.
-async fn fetch(store: Arc<Store>, ask: Ask) -> Reply {
-    let ms: u64 = ask.param("ms");
-    let begin = {
+async fn fetch(store: Arc<Store>, req: ApiRequest) -> Reply {
+    let ms: u64 = req.param("ms");
+    let start = {
         let mut inner = store.lock();
         if inner.fault.down {
             return Reply::text(503, "the store is down");
         }
-        let begin = inner.next_begin.max(Instant::now());
-        inner.next_begin = begin + store.interval;
-        begin
+        let start = inner.next_start.max(Instant::now());
+        inner.next_start = start + store.interval;
+        start
     };
-    time::sleep_until(begin).await;
+    time::sleep_until(start).await;
     let slow = {
         let mut inner = store.lock();
         inner.report.begun += 1;
         inner.report.running += 1;
-        let crowd = (f64::from(inner.report.running) / f64::from(store.concurrent)).max(1.0);
-        if crowd > 1.0 {
+        let contention =
+            (f64::from(inner.report.running) / f64::from(store.full_speed_fetches)).max(1.0);
+        if contention > 1.0 {
             inner.report.throttled += 1;
         }
-        crowd * inner.fault.slow
+        contention * inner.fault.slow
     };
     time::sleep(Duration::from_millis(ms).mul_f64(slow)).await;
     store.lock().report.running -= 1;
     Reply::text(200, "fetched")
 }
 
-async fn report(store: Arc<Store>, _ask: Ask) -> Reply {
+async fn report(store: Arc<Store>, _req: ApiRequest) -> Reply {
     Reply::json(&store.lock().report)
 }
 
-async fn fault(store: Arc<Store>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(store: Arc<Store>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             store.lock().fault = fault;
             Reply::text(200, "set")
@@ -92,17 +93,17 @@
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let rate: f64 = serve::opt(matches, "rate", 2.0)?;
     let store = Arc::new(Store {
-        concurrent: serve::opt(matches, "concurrent", 4)?,
+        full_speed_fetches: serve::opt(matches, "concurrent", 4)?,
         interval: Duration::from_secs_f64(1.0 / rate),
         inner: Mutex::new(Inner {
             report: StoreReport::default(),
-            next_begin: Instant::now(),
+            next_start: Instant::now(),
             fault: Fault::default(),
         }),
     });
     let routes = Router::new()
-        .push(Router::with_path("fetch").get(At(store.clone(), |s, a| fetch(s, a).boxed())))
-        .push(Router::with_path("report").get(At(store.clone(), |s, a| report(s, a).boxed())))
-        .push(Router::with_path("fault").post(At(store, |s, a| fault(s, a).boxed())));
+        .push(Router::with_path("fetch").get(Endpoint(store.clone(), |s, r| fetch(s, r).boxed())))
+        .push(Router::with_path("report").get(Endpoint(store.clone(), |s, r| report(s, r).boxed())))
+        .push(Router::with_path("fault").post(Endpoint(store, |s, r| fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
