--- a/crates/corianderstand_standins/src/batch.rs
+++ b/crates/corianderstand_standins/src/batch.rs
@@ -1,4 +1,4 @@
-//! Which requests run: as many as the batch has room for, the more urgent first.
+//! Admission to a batch of limited size, by priority.
 
 use std::{
     cmp::Reverse,
@@ -7,7 +7,6 @@
 };
 use tokio::sync::Notify;
 
-/// Room for a number of requests.
 pub struct Batch {
     capacity: u32,
     inner: Mutex<Inner>,
@@ -21,14 +20,13 @@
     waiting: BTreeSet<(Reverse<u8>, u64)>,
 }
 
-/// A place in the batch, given back when dropped.
+/// A running request; its slot is released when dropped.
 pub struct BatchSlot(Arc<Batch>);
 
-/// A place in the queue, given back when dropped, as when the caller leaves.
+/// A waiting request; removed from the queue when dropped.
 struct QueueEntry<'a>(&'a Batch, (Reverse<u8>, u64));
 
 impl Batch {
-    /// An empty batch.
     pub fn new(capacity: u32) -> Arc<Self> {
         Arc::new(Self { capacity, inner: Mutex::default(), changed: Notify::new() })
     }
@@ -37,13 +35,13 @@
         self.inner.lock().expect("no holder of this lock panics")
     }
 
-    /// Requests running and waiting.
+    /// Returns the numbers of running and of waiting requests.
     pub fn counts(&self) -> (u32, u32) {
         let inner = self.lock();
         (inner.running, inner.waiting.len() as u32)
     }
 
-    /// Waits for a place; the highest priority goes first, then the earliest.
+    /// Waits for a slot; slots are granted by priority, then in order of arrival.
     pub async fn acquire(self: &Arc<Self>, priority: u8) -> BatchSlot {
         let entry = {
             let mut inner = self.lock();
--- a/crates/corianderstand_standins/src/cache.rs
+++ b/crates/corianderstand_standins/src/cache.rs
@@ -1,34 +1,32 @@
-//! A prefix cache with limited memory, and its events, late and with gaps.
+//! A prefix cache of limited size whose events may be delayed or lost.
 
 use corianderstand_edge::engine::{CacheChange, CacheEvent, CacheEvents};
 use std::collections::{HashMap, VecDeque};
 use tokio::time::{Duration, Instant};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Words in one block of a prompt.
 const BLOCK_WORDS: usize = 16;
-/// Events kept; older ones are gone for whoever has not asked in time.
 const MAX_EVENTS: usize = 4096;
 
-/// Blocks by hash of all that precedes them, the least recently used first to go.
+/// Blocks by hash of the prompt up to their end; evicts the least recently used.
 pub struct PrefixCache {
     capacity: usize,
     last_used: HashMap<u64, u64>,
     use_count: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     next_sequence: u64,
-    /// Every how many events one is lost; 0 for none.
+    /// Loses each n-th event; 0 for none.
     pub drop_every: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache for this many blocks.
+    /// Creates an empty cache; `capacity` is in blocks.
     pub fn new(capacity: usize) -> Self {
         let (last_used, events) = Default::default();
         Self { capacity, last_used, use_count: 0, events, next_sequence: 1, drop_every: 0 }
     }
 
-    /// Takes a prompt in; how many of its words were cached.
+    /// Inserts a prompt and returns how many of its words were cached.
     pub fn insert_prompt(&mut self, model: &str, prompt: &[u8]) -> usize {
         let words: Vec<&[u8]> = prompt.split(u8::is_ascii_whitespace).collect();
         let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
@@ -72,7 +70,7 @@
         self.events.push_back((Instant::now(), CacheEvent { sequence, block, change }));
     }
 
-    /// Events from a sequence number that are at least `lag` old.
+    /// Returns events from a sequence number on that are at least `lag` old.
     pub fn events(&self, from: u64, lag: Duration) -> CacheEvents {
         let published = self.events.iter().filter(|(at, _)| at.elapsed() >= lag);
         let events: Vec<CacheEvent> = published
--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -1,5 +1,4 @@
-//! A stand-in for a model engine: continuous batching at a set rate, limited memory, orders,
-//! cancelling, resuming, a prefix cache, reports that lag.
+//! A simulated model engine: continuous batching, limited memory, a prefix cache, delayed reports.
 
 use crate::{
     batch::{Batch, BatchSlot},
@@ -21,26 +20,24 @@
 };
 use tokio::time::{self, Instant};
 
-/// Tokens of an answer that names no `max_tokens`.
 const DEFAULT_MAX_TOKENS: u64 = 16;
-/// Time between two notes of how busy the engine is.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// Notes kept: twenty seconds of lag.
+/// Covers a report lag of 20 s.
 const MAX_REPORTS: usize = 1000;
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// How many times slower tokens come.
+    /// Factor on the time of a token.
     slow: f64,
-    /// Answers break off without an end after this many tokens.
+    /// Streams fail after this many tokens.
     break_after: Option<u64>,
-    /// Orders that take effect but whose answer is lost.
+    /// Number of commands that are executed without a response.
     lose_order_answers: u32,
-    /// Whether nothing is answered any more.
+    /// Requests and streams stall.
     hang: bool,
-    /// Every how many cache events one is lost; 0 for none.
+    /// Loses each n-th cache event; 0 for none.
     lose_cache_events: u64,
 }
 
@@ -51,7 +48,6 @@
     }
 }
 
-/// What it has done.
 #[derive(Clone, Default, Serialize)]
 struct Counters {
     requests: u64,
@@ -116,11 +112,11 @@
         answer.error_for_status().map(drop).map_err(|error| error.to_string())
     }
 
-    /// Takes memory for a load, or says why not.
+    /// Reserves memory for a load.
     fn begin_load(&self, command: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
         if inner.loaded.iter().any(|loaded| loaded.weights == command.weights) {
-            return Err(Reply::text(200, "loaded already"));
+            return Err(Reply::text(200, "already loaded"));
         }
         if inner.memory() + command.memory_mib > self.memory_mib {
             inner.counters.over_memory += 1;
@@ -156,7 +152,7 @@
         Reply::text(200, "unloaded")
     }
 
-    /// Refuses an order older than one that was taken for the same weights.
+    /// Rejects a command with an older fencing token than another one for the same weights.
     fn check_fence(&self, command: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
         let name = command.weights.to_string();
@@ -164,7 +160,7 @@
         if command.fence < newest {
             inner.counters.old_fences += 1;
             if self.check_fencing {
-                return Err(Reply::text(409, "an order with a newer fencing number was taken"));
+                return Err(Reply::text(409, "a command with a newer fencing token was accepted"));
             }
         }
         inner.newest_fences.insert(name, command.fence.max(newest));
@@ -189,7 +185,7 @@
     if let Err(reply) = engine.check_fence(&command) {
         return reply;
     }
-    // An order that was taken is carried out although who gave it is gone.
+    // Spawned, so that the command is executed even if its connection closes.
     let (executor, command) = (engine.clone(), command);
     let execution = tokio::spawn(async move {
         match command.action {
@@ -197,11 +193,11 @@
             CommandAction::Unload => executor.unload(&command),
         }
     });
-    let Ok(reply) = execution.await else { return Reply::text(500, "the order failed") };
+    let Ok(reply) = execution.await else { return Reply::text(500, "the command failed") };
     let mut inner = engine.lock();
     if inner.fault.lose_order_answers > 0 {
         inner.fault.lose_order_answers -= 1;
-        return Reply::Events(stream::iter([Err(std::io::Error::other("lost"))]).boxed());
+        return Reply::Events(stream::iter([Err(std::io::Error::other("response lost"))]).boxed());
     }
     reply
 }
@@ -211,7 +207,7 @@
     Reply::json(&engine.lock().loaded)
 }
 
-/// How busy the engine was a while ago: the newest report that is old enough.
+/// Returns the newest report that is older than the report lag.
 async fn load_report(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
     let mut inner = engine.lock();
     let is_published = |(at, _): &(Instant, EngineReport)| at.elapsed() >= engine.report_lag;
@@ -222,7 +218,6 @@
     Reply::json(&report.map(|(_, report)| report.clone()).unwrap_or_default())
 }
 
-/// Notes how busy the engine is, again and again.
 async fn sample_load(engine: Arc<Engine>) {
     loop {
         let (running, waiting) = engine.batch.counts();
@@ -266,7 +261,7 @@
     }
 }
 
-/// A generation in progress; dropping it ends it, as when the connection closes.
+/// A generation in progress; cancelled when dropped.
 struct Generation {
     engine: Arc<Engine>,
     request: String,
@@ -302,7 +297,7 @@
         self.engine.wait_while_hanging().await;
         if self.is_interrupted() {
             self.ended = true;
-            return Some((Err(std::io::Error::other("broke off")), self));
+            return Some((Err(std::io::Error::other("stream interrupted")), self));
         }
         let token = text::token(&self.model, &self.prompt, self.position);
         self.position += 1;
@@ -379,7 +374,6 @@
     Reply::Events(stream::unfold(generation, Generation::step).boxed())
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let client = reqwest::Client::builder().no_proxy().build().map_err(|e| e.to_string())?;
     let engine = Arc::new(Engine {
--- a/crates/corianderstand_standins/src/hosts.rs
+++ b/crates/corianderstand_standins/src/hosts.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the host list: what is put there is shown after a lag.
+//! A simulated host list whose updates become visible after a lag.
 
 use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::hosts::HostEntry;
@@ -11,13 +11,13 @@
     time::{Duration, Instant},
 };
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Whether it answers an error.
+    /// Requests fail with status 503.
     down: bool,
-    /// Whether it shows nobody.
+    /// The list is empty.
     empty: bool,
 }
 
@@ -68,7 +68,6 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let lag = Duration::from_millis(serve::opt(matches, "lag-ms", 0)?);
     let list = Arc::new(HostList { lag, inner: Mutex::default() });
--- a/crates/corianderstand_standins/src/log.rs
+++ b/crates/corianderstand_standins/src/log.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the log service: offsets, limited retention, and outages.
+//! A simulated log service with limited retention and outages.
 
 use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::log::{AppendRequest, AppendResponse, Entry, Page};
@@ -13,19 +13,18 @@
 };
 use tokio::{sync::watch, time};
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Whether it answers an error.
+    /// Requests fail with status 503.
     down: bool,
-    /// Time each operation takes longer, in milliseconds.
+    /// Delay of each operation.
     slow_ms: u64,
-    /// Appends that take effect but whose answer is lost.
+    /// Number of appends that take effect, but return status 504.
     lose_answers: u32,
 }
 
-/// What it has done.
 #[derive(Clone, Copy, Default, Serialize)]
 struct Counters {
     appends: u64,
@@ -104,7 +103,7 @@
         (first, is_lost)
     };
     log.appended.send_replace(first);
-    if is_lost { Reply::text(504, "answer lost") } else { Reply::json(&AppendResponse { first }) }
+    if is_lost { Reply::text(504, "response lost") } else { Reply::json(&AppendResponse { first }) }
 }
 
 async fn read(log: Arc<Log>, req: ApiRequest) -> Reply {
@@ -139,7 +138,6 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let retention = Duration::from_millis(serve::opt(matches, "retention-ms", 86_400_000)?);
     let inner = Mutex::new(Inner { next: 1, ..Inner::default() });
--- a/crates/corianderstand_standins/src/main.rs
+++ b/crates/corianderstand_standins/src/main.rs
@@ -1,8 +1,7 @@
-//! Small stand-ins for the outside systems, for tests, demonstrations and measurements.
+//! Simulated external systems for tests, demonstrations and measurements. Not shipped.
 //!
-//! One program with a sub-command each: `engine`, `service`, `weights`, `log`, `hosts` and
-//! `relay`. Each listens on loopback and can be told over HTTP to misbehave: `POST /fault` with
-//! a JSON object of the fields of its `Fault` type. Not shipped.
+//! The subcommands are `engine`, `service`, `weights`, `log`, `hosts` and `relay`. Faults are
+//! injected by `POST /fault` with a JSON object of the fields of the subcommand's `Fault` type.
 
 mod batch;
 mod cache;
@@ -32,9 +31,9 @@
     options.optopt("", "report-lag-ms", "engine: how late load reports are", "MILLISECONDS");
     options.optopt("", "load-ms", "engine: time of one load", "MILLISECONDS");
     options.optopt("", "weights", "engine: base URL of the weight store", "URL");
-    options.optflag("", "check-fencing", "engine: refuse old fencing numbers");
+    options.optflag("", "check-fencing", "engine: reject stale fencing tokens");
     options.optopt("", "concurrent", "weights: loads at full speed", "COUNT");
-    options.optopt("", "rate", "weights: loads begun in a second", "COUNT");
+    options.optopt("", "rate", "weights: loads started per second", "COUNT");
     options.optopt("", "retention-ms", "log: how long records are kept", "MILLISECONDS");
     options.optopt("", "lag-ms", "hosts: how far the list lags", "MILLISECONDS");
     options.optopt("", "to", "relay: address and port to forward to", "ADDRESS");
@@ -54,7 +53,7 @@
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("the system gives a runtime");
+    let runtime = runtime.expect("a runtime can be created");
     let run = async {
         match command.as_str() {
             "engine" => engine::run(&matches).await,
--- a/crates/corianderstand_standins/src/relay.rs
+++ b/crates/corianderstand_standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two ends of TCP connections that can be cut or fall silent.
+//! A TCP relay that can close connections or stop forwarding.
 
 use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use futures::FutureExt;
@@ -15,15 +15,15 @@
     sync::watch,
 };
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Connections that are open now carry nothing any more; new ones work.
+    /// Stops forwarding on open connections; new ones work.
     silence_open: bool,
-    /// Connections that are open now are closed.
+    /// Closes open connections.
     cut_open: bool,
-    /// No connection carries anything until this is set back.
+    /// Stops forwarding on all connections until reset.
     silence_all: bool,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Carries bytes one way until an end closes or the relay is told to cut.
+/// Forwards bytes in one direction until either end closes or a fault closes the connection.
 async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -86,7 +86,6 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let listen = serve::listen(matches)?;
     let to = matches.opt_str("to").ok_or("--to is missing")?;
--- a/crates/corianderstand_standins/src/serve.rs
+++ b/crates/corianderstand_standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a small HTTP server over one state.
+//! HTTP server that the stand-ins share.
 
 use bytes::Bytes;
 use futures::{future::BoxFuture, stream::BoxStream};
@@ -10,65 +10,56 @@
 use serde::{Serialize, de::DeserializeOwned};
 use std::{collections::HashMap, str::FromStr, sync::Arc};
 
-/// Longest request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// A request as a stand-in sees it.
+/// A parsed request.
 pub struct ApiRequest {
-    /// Method in capitals.
     pub method: String,
-    /// Path.
     pub path: String,
-    /// Parameters of the path and the query.
+    /// Path and query parameters.
     pub params: HashMap<String, String>,
-    /// Headers that can be read as text, names in lower case.
+    /// Headers with text values, by lower-case name.
     pub headers: HashMap<String, String>,
-    /// The body.
     pub body: Bytes,
 }
 
 impl ApiRequest {
-    /// A parameter, or its type's default.
+    /// Returns a parameter, or the default if it is missing or invalid.
     pub fn param<T: FromStr + Default>(&self, name: &str) -> T {
         self.params.get(name).and_then(|value| value.parse().ok()).unwrap_or_default()
     }
 
-    /// A header, or its type's default.
+    /// Returns a header, or the default if it is missing or invalid.
     pub fn header<T: FromStr + Default>(&self, name: &str) -> T {
         self.headers.get(name).and_then(|value| value.parse().ok()).unwrap_or_default()
     }
 
-    /// The body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
         serde_json::from_slice(&self.body).map_err(|error| Reply::text(400, &error.to_string()))
     }
 }
 
-/// An answer.
 pub enum Reply {
-    /// Everything at once.
     Whole(u16, &'static str, Bytes),
-    /// Server-sent events as they come.
+    /// A stream of server-sent events.
     Events(BoxStream<'static, Result<Bytes, std::io::Error>>),
 }
 
 impl Reply {
-    /// A JSON answer.
     pub fn json(value: &impl Serialize) -> Self {
-        let body = serde_json::to_vec(value).expect("answers are plain data");
+        let body = serde_json::to_vec(value).expect("a reply serializes to JSON");
         Self::Whole(200, "application/json", body.into())
     }
 
-    /// A plain answer.
     pub fn text(status: u16, text: &str) -> Self {
         Self::Whole(status, "text/plain", Bytes::copy_from_slice(text.as_bytes()))
     }
 }
 
-/// An operation on the state.
+/// A request handler over shared state.
 pub type Operation<S> = fn(Arc<S>, ApiRequest) -> BoxFuture<'static, Reply>;
 
-/// One path of a stand-in.
+/// A handler with its state.
 pub struct Endpoint<S>(pub Arc<S>, pub Operation<S>);
 
 #[async_trait]
@@ -96,7 +87,10 @@
 }
 
 fn set_content_type(res: &mut Response, content_type: &'static str) {
-    res.headers_mut().insert("content-type", content_type.parse().expect("a valid value"));
+    res.headers_mut().insert(
+        "content-type",
+        content_type.parse().expect("a content type is a valid header value"),
+    );
 }
 
 async fn read_request(req: &mut Request) -> ApiRequest {
@@ -115,7 +109,6 @@
     ApiRequest { method, path, params, headers, body }
 }
 
-/// Serves until the process is ended.
 pub async fn serve(listen: &str, routes: Router) -> Result<(), String> {
     let acceptor = TcpListener::new(listen.to_owned()).try_bind().await;
     let acceptor = acceptor.map_err(|error| format!("cannot listen on {listen}: {error}"))?;
@@ -125,7 +118,6 @@
     Ok(())
 }
 
-/// An option's value, or a default.
 pub fn opt<T: FromStr>(matches: &Matches, name: &str, default: T) -> Result<T, String> {
     match matches.opt_str(name) {
         None => Ok(default),
@@ -133,12 +125,11 @@
     }
 }
 
-/// The address to listen on.
 pub fn listen(matches: &Matches) -> Result<String, String> {
     matches.opt_str("listen").ok_or_else(|| "--listen is missing".to_owned())
 }
 
-/// One server-sent event.
+/// Formats a server-sent event.
 pub fn event(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
 }
--- a/crates/corianderstand_standins/src/service.rs
+++ b/crates/corianderstand_standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service that counts what it really ran.
+//! A simulated plain service that counts the calls it executed.
 
 use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use futures::FutureExt;
@@ -13,15 +13,15 @@
 };
 use tokio::time;
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Time a call takes before it takes effect, in milliseconds.
+    /// Delay before a call takes effect.
     before_ms: u64,
-    /// Time a call takes after it took effect, in milliseconds.
+    /// Delay between a call's effect and its response.
     after_ms: u64,
-    /// Whether answers are 201 and plain text in place of 200 and JSON.
+    /// Responds with status 201 and plain text instead of 200 and JSON.
     plain: bool,
 }
 
@@ -79,7 +79,6 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let service = Arc::<Service>::default();
     let endpoint = |operation| Endpoint(service.clone(), operation);
--- a/crates/corianderstand_standins/src/weights.rs
+++ b/crates/corianderstand_standins/src/weights.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the weight store: limited rate and concurrency.
+//! A simulated weight store with limited rate and concurrency.
 
 use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::weights::StoreReport;
@@ -12,13 +12,13 @@
 };
 use tokio::time::{self, Instant};
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// How many times slower fetches are.
+    /// Factor on the time of a fetch.
     slow: f64,
-    /// Whether fetches are refused.
+    /// Fetches fail with status 503.
     down: bool,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Answers when the fetch is done: `GET /fetch?ms=`.
+/// Responds when a fetch that takes `ms` at full speed is complete.
 async fn fetch(store: Arc<Store>, req: ApiRequest) -> Reply {
     let ms: u64 = req.param("ms");
     let start = {
@@ -89,7 +89,6 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let rate: f64 = serve::opt(matches, "rate", 2.0)?;
     let store = Arc::new(Store {
