--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -121,7 +121,7 @@
                     .set_faults(TargetFaults { failure_ratio: 0.3, ..TargetFaults::default() });
             }
             Self::LoseOrders => {
-                set_all(world, TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() })
+                set_all(world, TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() });
             }
             Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
             Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
