--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -69,7 +69,7 @@
     report_lag: Duration,
     event_lag: Duration,
     load_ms: u64,
-    weights: Option<String>,
+    weights_url: Option<String>,
     check_fencing: bool,
     client: reqwest::Client,
     inner: Mutex<Inner>,
@@ -103,13 +103,13 @@
     }
 
     async fn fetch_weights(&self) -> Result<(), String> {
-        let Some(weights) = &self.weights else {
+        let Some(weights_url) = &self.weights_url else {
             time::sleep(Duration::from_millis(self.load_ms)).await;
             return Ok(());
         };
-        let url = format!("{weights}/fetch?ms={}", self.load_ms);
-        let answer = self.client.get(url).send().await.map_err(|error| error.to_string())?;
-        answer.error_for_status().map(drop).map_err(|error| error.to_string())
+        let url = format!("{weights_url}/fetch?ms={}", self.load_ms);
+        let response = self.client.get(url).send().await.map_err(|error| error.to_string())?;
+        response.error_for_status().map(drop).map_err(|error| error.to_string())
     }
 
     /// Reserves memory for a load.
@@ -207,7 +207,7 @@
     Reply::json(&engine.lock().loaded)
 }
 
-/// Returns the newest report that is older than the report lag.
+/// Returns the newest report that is at least as old as the report lag.
 async fn load_report(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
     let mut inner = engine.lock();
     let is_published = |(at, _): &(Instant, EngineReport)| at.elapsed() >= engine.report_lag;
@@ -384,7 +384,7 @@
         report_lag: Duration::from_millis(serve::opt(matches, "report-lag-ms", 0)?),
         event_lag: Duration::from_millis(serve::opt(matches, "event-lag-ms", 0)?),
         load_ms: serve::opt(matches, "load-ms", 500)?,
-        weights: matches.opt_str("weights"),
+        weights_url: matches.opt_str("weights"),
         check_fencing: matches.opt_present("check-fencing"),
         client,
         inner: Mutex::new(Inner {
--- a/crates/corianderstand_standins/src/log.rs
+++ b/crates/corianderstand_standins/src/log.rs
@@ -43,7 +43,7 @@
 #[derive(Default)]
 struct Inner {
     entries: VecDeque<Entry>,
-    next: u64,
+    next_offset: u64,
     fault: Fault,
     counters: Counters,
 }
@@ -69,11 +69,11 @@
         while inner.entries.front().is_some_and(|entry| entry.at_ms < oldest_kept_ms) {
             inner.entries.pop_front();
         }
-        let oldest = inner.entries.front().map_or(inner.next, |entry| entry.offset);
+        let oldest = inner.entries.front().map_or(inner.next_offset, |entry| entry.offset);
         let entries = inner.entries.iter().filter(|entry| entry.offset >= from);
         let entries: Vec<Entry> = entries.take(max).cloned().collect();
         inner.counters.bytes_out += entries.iter().map(|e| e.data.len() as u64).sum::<u64>();
-        Page { oldest, next: inner.next, now_ms: now_ms(), entries, ..Page::default() }
+        Page { oldest, next: inner.next_offset, now_ms: now_ms(), entries, ..Page::default() }
     }
 }
 
@@ -87,16 +87,16 @@
     };
     let (first, is_lost) = {
         let mut inner = log.lock();
-        let first = inner.next;
+        let first = inner.next_offset;
         inner.counters.appends += 1;
         let last_ms = inner.entries.back().map_or(0, |entry| entry.at_ms);
         let at_ms = now_ms().max(last_ms);
         for data in request.records {
             inner.counters.records += 1;
             inner.counters.bytes_in += data.len() as u64;
-            let offset = inner.next;
+            let offset = inner.next_offset;
             inner.entries.push_back(Entry { offset, at_ms, data });
-            inner.next += 1;
+            inner.next_offset += 1;
         }
         let is_lost = inner.fault.lose_answers > 0;
         inner.fault.lose_answers = inner.fault.lose_answers.saturating_sub(1);
@@ -140,7 +140,7 @@
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let retention = Duration::from_millis(serve::opt(matches, "retention-ms", 86_400_000)?);
-    let inner = Mutex::new(Inner { next: 1, ..Inner::default() });
+    let inner = Mutex::new(Inner { next_offset: 1, ..Inner::default() });
     let log = Arc::new(Log { retention, inner, appended: watch::Sender::new(0) });
     let routes = Router::new()
         .push(Router::with_path("append").post(Endpoint(log.clone(), |s, r| append(s, r).boxed())))
