--- a/crates/corianderstand_standins/src/batch.rs
+++ b/crates/corianderstand_standins/src/batch.rs
@@ -1,4 +1,4 @@
-//! Which requests run: as many as the batch has room for, the more urgent first.
+//! Admission to a batch of limited size, by priority.
 
 use std::{
     cmp::Reverse,
@@ -7,9 +7,8 @@
 };
 use tokio::sync::Notify;
 
-/// Room for a number of requests.
 pub struct Batch {
-    room: u32,
+    capacity: u32,
     inner: Mutex<Inner>,
     changed: Notify,
 }
@@ -17,65 +16,64 @@
 #[derive(Default)]
 struct Inner {
     running: u32,
-    next: u64,
+    last_sequence: u64,
     waiting: BTreeSet<(Reverse<u8>, u64)>,
 }
 
-/// A place in the batch, given back when dropped.
-pub struct Place(Arc<Batch>);
+/// A running request; its slot is released when dropped.
+pub struct BatchSlot(Arc<Batch>);
 
-/// A place in the queue, given back when dropped, as when the caller leaves.
-struct Turn<'a>(&'a Batch, (Reverse<u8>, u64));
+/// A waiting request; removed from the queue when dropped.
+struct QueueEntry<'a>(&'a Batch, (Reverse<u8>, u64));
 
 impl Batch {
-    /// An empty batch.
-    pub fn new(room: u32) -> Arc<Self> {
-        Arc::new(Self { room, inner: Mutex::default(), changed: Notify::new() })
+    pub fn new(capacity: u32) -> Arc<Self> {
+        Arc::new(Self { capacity, inner: Mutex::default(), changed: Notify::new() })
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 
-    /// Requests running and waiting.
+    /// Returns the numbers of running and of waiting requests.
     pub fn counts(&self) -> (u32, u32) {
         let inner = self.lock();
         (inner.running, inner.waiting.len() as u32)
     }
 
-    /// Waits for a place; the highest priority goes first, then the earliest.
-    pub async fn enter(self: &Arc<Self>, priority: u8) -> Place {
-        let turn = {
+    /// Waits for a slot; slots are granted by priority, then in order of arrival.
+    pub async fn acquire(self: &Arc<Self>, priority: u8) -> BatchSlot {
+        let entry = {
             let mut inner = self.lock();
-            inner.next += 1;
-            let turn = (Reverse(priority), inner.next);
-            inner.waiting.insert(turn);
-            Turn(self, turn)
+            inner.last_sequence += 1;
+            let entry = (Reverse(priority), inner.last_sequence);
+            inner.waiting.insert(entry);
+            QueueEntry(self, entry)
         };
         loop {
             let changed = self.changed.notified();
             {
                 let mut inner = self.lock();
-                if inner.running < self.room && inner.waiting.first() == Some(&turn.1) {
+                if inner.running < self.capacity && inner.waiting.first() == Some(&entry.1) {
                     inner.running += 1;
                     break;
                 }
             }
             changed.await;
         }
-        drop(turn);
-        Place(self.clone())
+        drop(entry);
+        BatchSlot(self.clone())
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         self.0.lock().waiting.remove(&self.1);
         self.0.changed.notify_waiters();
     }
 }
 
-impl Drop for Place {
+impl Drop for BatchSlot {
     fn drop(&mut self) {
         self.0.lock().running -= 1;
         self.0.changed.notify_waiters();
--- a/crates/corianderstand_standins/src/log.rs
+++ b/crates/corianderstand_standins/src/log.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the log service: offsets, limited retention, and outages.
+//! A simulated log service with limited retention and outages.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::log::{AppendRequest, AppendResponse, Entry, Page};
 use futures::FutureExt;
 use getopts::Matches;
@@ -13,19 +13,18 @@
 };
 use tokio::{sync::watch, time};
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Whether it answers an error.
+    /// Requests fail with status 503.
     down: bool,
-    /// Time each operation takes longer, in milliseconds.
+    /// Delay of each operation.
     slow_ms: u64,
-    /// Appends that take effect but whose answer is lost.
+    /// Number of appends that take effect, but return status 504.
     lose_answers: u32,
 }
 
-/// What it has done.
 #[derive(Clone, Copy, Default, Serialize)]
 struct Counters {
     appends: u64,
@@ -38,13 +37,13 @@
 struct Log {
     retention: Duration,
     inner: Mutex<Inner>,
-    grown: watch::Sender<u64>,
+    appended: watch::Sender<u64>,
 }
 
 #[derive(Default)]
 struct Inner {
     entries: VecDeque<Entry>,
-    next: u64,
+    next_offset: u64,
     fault: Fault,
     counters: Counters,
 }
@@ -58,7 +57,7 @@
         self.inner.lock().expect("no holder of this lock panics")
     }
 
-    async fn misbehave(&self) -> Option<Reply> {
+    async fn apply_fault(&self) -> Option<Reply> {
         let fault = self.lock().fault;
         time::sleep(Duration::from_millis(fault.slow_ms)).await;
         self.lock().fault.down.then(|| Reply::text(503, "the log is down"))
@@ -66,71 +65,71 @@
 
     fn page(&self, from: u64, max: usize) -> Page {
         let mut inner = self.lock();
-        let keep = now_ms().saturating_sub(self.retention.as_millis() as u64);
-        while inner.entries.front().is_some_and(|entry| entry.at_ms < keep) {
+        let oldest_kept_ms = now_ms().saturating_sub(self.retention.as_millis() as u64);
+        while inner.entries.front().is_some_and(|entry| entry.at_ms < oldest_kept_ms) {
             inner.entries.pop_front();
         }
-        let oldest = inner.entries.front().map_or(inner.next, |entry| entry.offset);
+        let oldest = inner.entries.front().map_or(inner.next_offset, |entry| entry.offset);
         let entries = inner.entries.iter().filter(|entry| entry.offset >= from);
         let entries: Vec<Entry> = entries.take(max).cloned().collect();
         inner.counters.bytes_out += entries.iter().map(|e| e.data.len() as u64).sum::<u64>();
-        Page { oldest, next: inner.next, now_ms: now_ms(), entries, ..Page::default() }
+        Page { oldest, next: inner.next_offset, now_ms: now_ms(), entries, ..Page::default() }
     }
 }
 
-async fn append(log: Arc<Log>, ask: Ask) -> Reply {
-    if let Some(reply) = log.misbehave().await {
+async fn append(log: Arc<Log>, req: ApiRequest) -> Reply {
+    if let Some(reply) = log.apply_fault().await {
         return reply;
     }
-    let request: AppendRequest = match ask.json() {
+    let request: AppendRequest = match req.json() {
         Ok(request) => request,
         Err(reply) => return reply,
     };
-    let (first, lost) = {
+    let (first, is_lost) = {
         let mut inner = log.lock();
-        let first = inner.next;
+        let first = inner.next_offset;
         inner.counters.appends += 1;
         let last_ms = inner.entries.back().map_or(0, |entry| entry.at_ms);
         let at_ms = now_ms().max(last_ms);
         for data in request.records {
             inner.counters.records += 1;
             inner.counters.bytes_in += data.len() as u64;
-            let offset = inner.next;
+            let offset = inner.next_offset;
             inner.entries.push_back(Entry { offset, at_ms, data });
-            inner.next += 1;
+            inner.next_offset += 1;
         }
-        let lost = inner.fault.lose_answers > 0;
+        let is_lost = inner.fault.lose_answers > 0;
         inner.fault.lose_answers = inner.fault.lose_answers.saturating_sub(1);
-        (first, lost)
+        (first, is_lost)
     };
-    log.grown.send_replace(first);
-    if lost { Reply::text(504, "answer lost") } else { Reply::json(&AppendResponse { first }) }
+    log.appended.send_replace(first);
+    if is_lost { Reply::text(504, "response lost") } else { Reply::json(&AppendResponse { first }) }
 }
 
-async fn read(log: Arc<Log>, ask: Ask) -> Reply {
-    if let Some(reply) = log.misbehave().await {
+async fn read(log: Arc<Log>, req: ApiRequest) -> Reply {
+    if let Some(reply) = log.apply_fault().await {
         return reply;
     }
     log.lock().counters.reads += 1;
-    let (from, max): (u64, usize) = (ask.param("from"), ask.param("max"));
-    let wait = Duration::from_millis(ask.param("wait_ms"));
-    let mut grown = log.grown.subscribe();
+    let (from, max): (u64, usize) = (req.param("from"), req.param("max"));
+    let wait = Duration::from_millis(req.param("wait_ms"));
+    let mut appended = log.appended.subscribe();
     let deadline = time::Instant::now() + wait;
     loop {
         let page = log.page(from, max);
-        let waited = time::timeout_at(deadline, grown.changed());
-        if !page.entries.is_empty() || waited.await.is_err() {
+        let appended_before_deadline = time::timeout_at(deadline, appended.changed());
+        if !page.entries.is_empty() || appended_before_deadline.await.is_err() {
             return Reply::json(&page);
         }
     }
 }
 
-async fn counters(log: Arc<Log>, _ask: Ask) -> Reply {
+async fn counters(log: Arc<Log>, _req: ApiRequest) -> Reply {
     Reply::json(&log.lock().counters)
 }
 
-async fn fault(log: Arc<Log>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(log: Arc<Log>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             log.lock().fault = fault;
             Reply::text(200, "set")
@@ -139,15 +138,16 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let retention = Duration::from_millis(serve::opt(matches, "retention-ms", 86_400_000)?);
-    let inner = Mutex::new(Inner { next: 1, ..Inner::default() });
-    let log = Arc::new(Log { retention, inner, grown: watch::Sender::new(0) });
+    let inner = Mutex::new(Inner { next_offset: 1, ..Inner::default() });
+    let log = Arc::new(Log { retention, inner, appended: watch::Sender::new(0) });
     let routes = Router::new()
-        .push(Router::with_path("append").post(At(log.clone(), |s, a| append(s, a).boxed())))
-        .push(Router::with_path("read").get(At(log.clone(), |s, a| read(s, a).boxed())))
-        .push(Router::with_path("counters").get(At(log.clone(), |s, a| counters(s, a).boxed())))
-        .push(Router::with_path("fault").post(At(log, |s, a| fault(s, a).boxed())));
+        .push(Router::with_path("append").post(Endpoint(log.clone(), |s, r| append(s, r).boxed())))
+        .push(Router::with_path("read").get(Endpoint(log.clone(), |s, r| read(s, r).boxed())))
+        .push(
+            Router::with_path("counters").get(Endpoint(log.clone(), |s, r| counters(s, r).boxed())),
+        )
+        .push(Router::with_path("fault").post(Endpoint(log, |s, r| fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/tests/state_agents.rs
+++ b/tests/state_agents.rs
@@ -27,7 +27,7 @@
         let code = second(&deployment).wait(END);
         assert_ne!(code, Some(0));
         let said = deployment.log_of("second-agent");
-        assert!(said.contains("another agent runs beside this target"), "{said}");
+        assert!(said.contains("another agent is running for this target"), "{said}");
         deployment.process("agent-engine-0").kill();
         let mut third = second(&deployment);
         wait_for("the port is free after the first one's death", async || {
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -1,7 +1,7 @@
 //! What must hold for each request, whatever happened meanwhile.
 
 use crate::callers::{Asked, End, Kind};
-use corianderstand_platform_standins::{ledger::Ledger, target::EVENTS};
+use corianderstand_platform_standins::{ledger::Ledger, target::EVENTS_PER_STREAM};
 use http::StatusCode;
 use std::{
     collections::BTreeMap,
@@ -81,22 +81,22 @@
 
 fn ran_twice(one: &Asked, ledger: &Ledger) -> Option<String> {
     let once = matches!(one.kind, Kind::Pay | Kind::Draft);
-    let runs = ledger.of(&one.id);
+    let runs = ledger.runs(&one.id);
     (once && runs.len() > 1).then(|| format!("ran {} times", runs.len()))
 }
 
 fn ran_though_refused(one: &Asked, ledger: &Ledger) -> Option<String> {
     let End::Whole(status, _) = &one.end else { return None };
     let refused = NOT_RUN.contains(&status.as_u16());
-    let ran = !ledger.of(&one.id).is_empty();
+    let ran = !ledger.runs(&one.id).is_empty();
     // What may run twice may be refused after a run that was lost.
     let once = matches!(one.kind, Kind::Pay | Kind::Draft);
     (refused && ran && once).then(|| format!("answered {status} and ran"))
 }
 
 fn other_answer(one: &Asked, ledger: &Ledger) -> Option<String> {
-    let runs = ledger.of(&one.id);
-    let path_differs = runs.iter().any(|run| !run.asked.starts_with("POST /"));
+    let runs = ledger.runs(&one.id);
+    let path_differs = runs.iter().any(|run| !run.request_line.starts_with("POST /"));
     let model_differs = runs.iter().any(|run| one.kind.streams() && run.model != one.model);
     if path_differs || model_differs {
         return Some(format!("ran as something else: {runs:?}"));
@@ -107,7 +107,7 @@
     }
     let body = String::from_utf8_lossy(body);
     let expected = |run: &corianderstand_platform_standins::ledger::Run| {
-        run.done && body == format!("{} done by {}", one.id, run.target)
+        run.finished && body == format!("{} done by {}", one.id, run.target)
     };
     let wrong = !one.kind.streams() && !runs.iter().any(expected);
     wrong.then(|| format!("another body than its target's: {body:?}"))
@@ -125,7 +125,7 @@
     }
     let text = String::from_utf8_lossy(body);
     let expected: String =
-        (1..=EVENTS).map(|n| format!("id: {n}\ndata: {} {n}\n\n", one.id)).collect();
+        (1..=EVENTS_PER_STREAM).map(|n| format!("id: {n}\ndata: {} {n}\n\n", one.id)).collect();
     let right = if whole { text == expected } else { expected.starts_with(&*text) };
     (!right).then(|| format!("a stream of other events (whole: {whole}): {text:?}"))
 }
@@ -142,7 +142,7 @@
     if met.iter().any(|trouble| !trouble.planned) {
         return None;
     }
-    let ran = !ledger.of(&one.id).is_empty();
+    let ran = !ledger.runs(&one.id).is_empty();
     let took = one.ended - one.began;
     match one.end {
         End::Held if met.is_empty() => Some("no answer long after its deadline".into()),
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! Faults from outside: drawn from a seed, made, and taken back.
 
 use crate::{checks::Trouble, proxy::Mode, world::World};
-use corianderstand_platform_standins::{store::Mood, target::Ills};
+use corianderstand_platform_standins::{store::FaultMode, target::TargetFaults};
 use nix::sys::signal::Signal;
 use rand::{Rng, RngExt};
 use std::time::{Duration, Instant};
@@ -47,7 +47,7 @@
     /// Something happens to callers' connections to a router.
     FrontLink(usize, Mode),
     /// The store misbehaves for all.
-    Store(Mood),
+    Store(FaultMode),
     /// The store forgets its history.
     Forget,
     /// The configuration changes.
@@ -65,9 +65,9 @@
     let desk = rng.random_range(0..world.desks.len());
     let mode = draw_mode(rng);
     let mood = match rng.random_range(0..3) {
-        0 => Mood::Busy,
-        1 => Mood::Silent,
-        _ => Mood::Slow(Duration::from_millis(rng.random_range(50..400))),
+        0 => FaultMode::Unavailable,
+        1 => FaultMode::Unresponsive,
+        _ => FaultMode::Slow(Duration::from_millis(rng.random_range(50..400))),
     };
     let fault = match rng.random_range(0..36) {
         0..3 => Fault::KillRouter(router),
@@ -116,14 +116,18 @@
             Self::CrashDesk(n) => world.desks[n].target.crash(),
             Self::DrainEngine(n) => world.engines[n].target.drain(),
             Self::FailEngine(n) => {
-                world.engines[n].target.set_ills(Ills { failing: 0.3, ..Ills::default() });
+                world.engines[n]
+                    .target
+                    .set_faults(TargetFaults { failure_ratio: 0.3, ..TargetFaults::default() });
+            }
+            Self::LoseOrders => {
+                set_all(world, TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() });
             }
-            Self::LoseOrders => set_all(world, Ills { orders_lost: 0.5, ..Ills::default() }),
             Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
             Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
             Self::FrontLink(n, mode) => world.fronts[n].set(mode),
-            Self::Store(mood) => world.store.set_mood(mood),
-            Self::Forget => world.store.forget(),
+            Self::Store(mood) => world.store.set_fault_mode(mood),
+            Self::Forget => world.store.compact(),
             Self::Configure => drop(world.configure()),
             Self::Garbage => world.write_garbage(),
             Self::KillAll => {
@@ -142,26 +146,26 @@
             Self::KillAgent(n) => world.agents[n].start(),
             Self::FreezeAgent(n) => signal(&world.agents[n].process, Signal::SIGCONT),
             Self::CrashEngine(n) => {
-                world.engines[n].target.lapse();
+                world.engines[n].target.remove_entry();
                 world.engines[n].start().await;
             }
             Self::CrashDesk(n) => {
-                world.desks[n].target.lapse();
+                world.desks[n].target.remove_entry();
                 world.desks[n].start().await;
             }
             Self::DrainEngine(n) => {
                 tokio::time::sleep(LINGER).await;
                 world.engines[n].target.crash();
                 tokio::time::sleep(LAPSE).await;
-                world.engines[n].target.lapse();
+                world.engines[n].target.remove_entry();
                 world.engines[n].start().await;
             }
-            Self::FailEngine(n) => world.engines[n].target.set_ills(Ills::default()),
-            Self::LoseOrders => set_all(world, Ills::default()),
+            Self::FailEngine(n) => world.engines[n].target.set_faults(TargetFaults::default()),
+            Self::LoseOrders => set_all(world, TargetFaults::default()),
             Self::EngineLink(n, _) => world.engines[n].link.set(Mode::Pass),
             Self::StoreLink(n, _) => world.routers[n].store.set(Mode::Pass),
             Self::FrontLink(n, _) => world.fronts[n].set(Mode::Pass),
-            Self::Store(_) => world.store.set_mood(Mood::Well),
+            Self::Store(_) => world.store.set_fault_mode(FaultMode::Healthy),
             Self::KillAll => {
                 let units = world.routers.iter_mut().chain(&mut world.agents);
                 units.for_each(crate::world::Unit::start);
@@ -205,8 +209,8 @@
     }
 }
 
-fn set_all(world: &World, ills: Ills) {
-    world.engines.iter().for_each(|engine| engine.target.set_ills(ills));
+fn set_all(world: &World, ills: TargetFaults) {
+    world.engines.iter().for_each(|engine| engine.target.set_faults(ills));
 }
 
 /// Waits for a router that was told to stop, and starts it again.
--- a/tools/soak/src/world.rs
+++ b/tools/soak/src/world.rs
@@ -5,7 +5,7 @@
     ledger::Ledger,
     settings,
     store::Store,
-    target::{ENTRIES, HEALTH, Spec, Target},
+    target::{ENTRIES_TOPIC, HEALTH_PATH, Target, TargetSpec},
 };
 use serde_json::json;
 use std::{
@@ -106,7 +106,7 @@
     /// Targets of the plain service.
     pub desks: Vec<Place>,
     version: u64,
-    _store_open: corianderstand_platform_standins::serve::Open,
+    _store_open: corianderstand_platform_standins::serve::ListenerHandle,
 }
 
 /// IP numbers that no other process on this host uses: a part of 127/8 by this process's id.
@@ -132,7 +132,7 @@
     pub async fn start(size: Size, dir: &Path) -> Self {
         let (store, ledger) = (Store::default(), Ledger::default());
         let store_addr = SocketAddr::new(ip(STORE, 0), STORE_PORT);
-        let store_open = store.open(store_addr).await.expect("its address is its own");
+        let store_open = store.listen(store_addr).await.expect("its address is its own");
         let mut engines = Vec::new();
         for index in 0..size.engines {
             // Each disk has copies of three models, so that each model is on some disk.
@@ -207,8 +207,8 @@
                 route(&own, "idempotent", "desk", false),
             ],
             "services": [
-                { "name": "desk", "health_path": HEALTH, "max_conns": 500 },
-                { "name": "models", "health_path": HEALTH, "max_conns": 500, "engine": {
+                { "name": "desk", "health_path": HEALTH_PATH, "max_conns": 500 },
+                { "name": "models", "health_path": HEALTH_PATH, "max_conns": 500, "engine": {
                     "slots": 16, "kv_tokens": 100_000, "models": models,
                     "weights_mb": 100 * MODELS_EACH + 50, "adapter_slots": 1, "loads_per_s": 100,
                 } },
@@ -222,7 +222,7 @@
 
     /// Writes an entry that nobody can read, as another writer might.
     pub fn write_garbage(&self) {
-        self.store.put(ENTRIES, "stranger", Some("{\"service\":7".into()));
+        self.store.put(ENTRIES_TOPIC, "stranger", Some("{\"service\":7".into()));
     }
 
     /// Waits until all routers say that they are ready.
@@ -249,12 +249,12 @@
     let link = proxy::Proxy::open(SocketAddr::new(at, PROXY_PORT), addr).await;
     let link = link.expect("its address is its own");
     let is_engine = service == "models";
-    let spec = Spec {
+    let spec = TargetSpec {
         service: service.into(),
         addr,
-        told: link.addr,
+        advertised_addr: link.addr,
         slots: 16,
-        models: is_engine.then_some(MODELS_EACH),
+        model_capacity: is_engine.then_some(MODELS_EACH),
     };
     let target = Target::new(spec, store.clone(), ledger.clone(), disk);
     let mut place = Place { target, link, starts: 0, name: format!("{name}-{index}") };
