--- a/tests/hang_ups.rs
+++ b/tests/hang_ups.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use serde_json::{Value, json};
-use testbed::{Deployment, Plan, deployment::wait_for, plan::HINOKUNI_KEY, process::PATIENCE};
+use testbed::{Deployment, Plan, deployment::wait_for, plan::HINOKUNI_KEY, process::STATE_TIMEOUT};
 
 /// Callers who leave.
 const CALLERS: usize = 200;
@@ -49,7 +49,7 @@
         wait_for("the engines rest", async || running(&deployment).await == 0).await;
         let router = deployment.process("router-0");
         router.signal(nix::sys::signal::Signal::SIGTERM);
-        router.wait(PATIENCE);
+        router.wait(STATE_TIMEOUT);
         let log = deployment.log_of("router-0");
         assert!(!log.contains("limit reached"), "the router still counted requests in flight");
     });
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -8,7 +8,7 @@
     net::UdpSocket,
     time::{Duration, Instant},
 };
-use testbed::{Deployment, Plan, deployment::wait_for, plan::VIDRIO_KEY, process::PATIENCE};
+use testbed::{Deployment, Plan, deployment::wait_for, plan::VIDRIO_KEY, process::STATE_TIMEOUT};
 
 /// Datagrams longer than this are not sent by the library.
 const MAX_DATAGRAM: usize = 64 * 1024;
@@ -34,7 +34,7 @@
         if missing.is_empty() {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "metrics that did not come: {missing:?}");
+        assert!(began.elapsed() < STATE_TIMEOUT, "metrics that did not come: {missing:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -5,7 +5,7 @@
     path::{Path, PathBuf},
     time::{Duration, Instant},
 };
-use testbed::process::{PATIENCE, Process, free_addresses};
+use testbed::process::{STATE_TIMEOUT, Process, free_addresses};
 
 /// Settings with a budget for second attempts; nobody answers at the store's address.
 fn settings(dir: &Path, budget: &str) -> PathBuf {
@@ -31,7 +31,7 @@
 /// Waits for the log's next line that has this text, after `seen` bytes.
 fn wait_for(log: &Path, seen: &mut usize, text: &str) -> String {
     let began = Instant::now();
-    while began.elapsed() < PATIENCE {
+    while began.elapsed() < STATE_TIMEOUT {
         let all = std::fs::read_to_string(log).unwrap();
         if let Some(line) = all[*seen..].lines().find(|line| line.contains(text)) {
             *seen = all.len();
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -19,7 +19,7 @@
 };
 use testbed::{
     plan::{AUTH_KEY, OPERATOR_KEY, hash},
-    process::{PATIENCE, Process, free_addresses},
+    process::{STATE_TIMEOUT, Process, free_addresses},
 };
 use tokio::time;
 
@@ -121,7 +121,7 @@
     pub async fn wait_for(&self, url: &str) {
         let began = Instant::now();
         while !self.http.get(url).send().await.is_ok_and(|a| a.status().is_success()) {
-            assert!(began.elapsed() < PATIENCE, "{url} does not answer");
+            assert!(began.elapsed() < STATE_TIMEOUT, "{url} does not answer");
             time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -261,7 +261,7 @@
     let (_engine, url) = platform.engine(&[]).await;
     let (process, listen) = platform.agent("engine-000", &url).await;
     let began = Instant::now();
-    while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < PATIENCE {
+    while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < STATE_TIMEOUT {
         time::sleep(Duration::from_millis(20)).await;
     }
     let count = Arc::default();
--- a/tools/capacity/src/requests.rs
+++ b/tools/capacity/src/requests.rs
@@ -15,7 +15,7 @@
     },
     time::{Duration, Instant},
 };
-use testbed::process::PATIENCE;
+use testbed::process::STATE_TIMEOUT;
 use tokio::time;
 
 /// Time of one token at the engine stand-in.
@@ -68,7 +68,7 @@
     let http = reqwest::Client::builder().no_proxy().build().expect("a plain client");
     let began = Instant::now();
     while !ask(&http, &listen, 0, &body(0, 1)).await {
-        assert!(began.elapsed() < PATIENCE, "the model is not served");
+        assert!(began.elapsed() < STATE_TIMEOUT, "the model is not served");
         time::sleep(Duration::from_millis(50)).await;
     }
     let answered = Arc::new(AtomicUsize::new(0));
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash},
-    process::{PATIENCE, Process, free_addresses},
+    process::{STATE_TIMEOUT, Process, free_addresses},
 };
 use serde_json::{Value, json};
 use std::{
@@ -459,7 +459,7 @@
 pub async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let began = Instant::now();
     while !condition().await {
-        assert!(began.elapsed() < PATIENCE, "not reached: {what}");
+        assert!(began.elapsed() < STATE_TIMEOUT, "not reached: {what}");
         time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tools/testbed/src/process.rs
+++ b/tools/testbed/src/process.rs
@@ -16,7 +16,7 @@
 };
 
 /// Longest wait for any state.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const STATE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A child process; dropping it kills it.
 #[derive(Debug)]
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -8,7 +8,7 @@
     Deployment, Plan,
     caller::{self, Answer, Question},
     plan::{HINOKUNI_KEY, VIDRIO_KEY},
-    process::PATIENCE,
+    process::STATE_TIMEOUT,
 };
 use nix::sys::signal::Signal;
 use rhai::{
@@ -148,7 +148,7 @@
     on_process("start", Deployment::run);
     let s = stage.clone();
     engine.register_fn("wait_end", move |name: &str| -> Fallible<i64> {
-        s.with(|d, _| i64::from(d.process(name).wait(PATIENCE).unwrap_or(-1)))
+        s.with(|d, _| i64::from(d.process(name).wait(STATE_TIMEOUT).unwrap_or(-1)))
     });
     let s = stage.clone();
     engine.register_fn("is_running", move |name: &str| s.with(|d, _| d.process(name).is_running()));
@@ -228,7 +228,7 @@
 
 fn finish(stage: &Stage, number: i64) -> Fallible<Dynamic> {
     let task = stage.lock().asked.remove(&number).ok_or("nothing was begun by this number")?;
-    let answer = stage.runtime.block_on(async { time::timeout(PATIENCE, task).await });
+    let answer = stage.runtime.block_on(async { time::timeout(STATE_TIMEOUT, task).await });
     match answer {
         Ok(Ok(answer)) => dynamic(&answer),
         Ok(Err(error)) => Err(error.to_string().into()),
@@ -307,7 +307,7 @@
     let wait_until = |cx: NativeCallContext<'_>, what: &str, condition: FnPtr| -> Fallible<()> {
         let began = Instant::now();
         while !condition.call_within_context::<bool>(&cx, ())? {
-            if began.elapsed() > PATIENCE {
+            if began.elapsed() > STATE_TIMEOUT {
                 return Err(format!("not reached: {what}").into());
             }
             std::thread::sleep(Duration::from_millis(20));
