--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -23,7 +23,7 @@
     for router in ["router-0", "router-1"] {
         let booking = Booking::new(&format!("warm-{router}"), DEADLINE_MS);
         wait_for("a first booking", async || {
-            booking.ask(&deployment, router).await.is_some_and(|a| a.outcome == "ran")
+            booking.send_via(&deployment, router).await.is_some_and(|a| a.outcome == "ran")
         })
         .await;
     }
@@ -31,7 +31,7 @@
 }
 
 async fn ask(deployment: &Deployment, router: &str, booking: &Booking) -> Answer {
-    booking.ask(deployment, router).await.expect("the router answers")
+    booking.send_via(deployment, router).await.expect("the router answers")
 }
 
 /// A caller gets impatient and sends its booking again through another router while the first
@@ -240,7 +240,7 @@
         let deployment = Deployment::start(plan).await;
         let warm = Booking::new("warm", DEADLINE_MS);
         wait_for("a first booking", async || {
-            let answer = warm.ask(&deployment, "router-1").await;
+            let answer = warm.send_via(&deployment, "router-1").await;
             answer.is_some_and(|answer| answer.outcome == "ran")
         })
         .await;
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -132,8 +132,8 @@
     healed(deployment, round).await;
     for (key, answers) in &mut answers {
         let booking = Booking::new(key, SETTLE_MS);
-        answers.push(booking.ask(deployment, "router-0").await);
-        answers.push(booking.ask(deployment, "router-1").await);
+        answers.push(booking.send_via(deployment, "router-0").await);
+        answers.push(booking.send_via(deployment, "router-1").await);
         tally.booking(key, answers, deployment.ran(key).await);
     }
     drawn
@@ -147,7 +147,7 @@
         wait_for("bookings go on", async || {
             turn += 1;
             let probe = Booking::new(&format!("probe-{round}-{router}-{turn}"), SETTLE_MS);
-            probe.ask(deployment, router).await.is_some_and(|answer| answer.outcome == "ran")
+            probe.send_via(deployment, router).await.is_some_and(|answer| answer.outcome == "ran")
         })
         .await;
     }
--- a/tools/chaos/src/measure.rs
+++ b/tools/chaos/src/measure.rs
@@ -79,7 +79,7 @@
     let deployment = Deployment::start(Plan { services: 2, engines: 2, ..Plan::default() }).await;
     let warm = Booking::new("warm", DEADLINE_MS);
     wait_for("a first booking", async || {
-        warm.ask(&deployment, "router-0").await.is_some_and(|answer| answer.outcome == "ran")
+        warm.send_via(&deployment, "router-0").await.is_some_and(|answer| answer.outcome == "ran")
     })
     .await;
     for callers in [1, 16, 64] {
--- a/tools/testbed/src/booking.rs
+++ b/tools/testbed/src/booking.rs
@@ -48,7 +48,7 @@
     }
 
     /// Asks through a router; `None` if the connection broke before an answer came.
-    pub async fn ask(&self, deployment: &Deployment, router: &str) -> Option<Answer> {
+    pub async fn send_via(&self, deployment: &Deployment, router: &str) -> Option<Answer> {
         self.send(&deployment.http, deployment.url(router, "/services/agenda/bookings")).await
     }
 
