--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -51,7 +51,7 @@
         assert_eq!(first, second);
         // A later repeat, too, gets status, type and body as the service gave them.
         assert_eq!(ask(&deployment, "router-1", &booking).await, first);
-        assert_eq!(deployment.ran("b-1").await, 1);
+        assert_eq!(deployment.execution_count("b-1").await, 1);
     });
 }
 
@@ -69,7 +69,7 @@
             assert_eq!((answer.status, answer.code().as_str()), (409, "key_conflict"));
             assert_eq!(answer.outcome, "not-run");
         }
-        assert_eq!(deployment.ran("b-1").await, 1);
+        assert_eq!(deployment.execution_count("b-1").await, 1);
     });
 }
 
@@ -104,7 +104,7 @@
             let repeat = ask(&deployment, router, &booking).await;
             assert_eq!((repeat.status, repeat.outcome.as_str()), (410, "not-run"), "{repeat:?}");
         }
-        assert_eq!(deployment.ran("b-1").await, 0);
+        assert_eq!(deployment.execution_count("b-1").await, 0);
     });
 }
 
@@ -128,7 +128,7 @@
         .await;
         let repeat = ask(&deployment, "router-1", &booking).await;
         assert_eq!((repeat.status, repeat.outcome.as_str()), (410, "not-run"), "{repeat:?}");
-        assert_eq!(deployment.ran("b-1").await, 0);
+        assert_eq!(deployment.execution_count("b-1").await, 0);
     });
 }
 
@@ -162,7 +162,7 @@
         })
         .await;
         for number in 0..20 {
-            assert_eq!(deployment.ran(&format!("b-down-{number}")).await, 0, "number {number}");
+            assert_eq!(deployment.execution_count(&format!("b-down-{number}")).await, 0, "number {number}");
         }
     });
 }
@@ -178,7 +178,7 @@
         let first = ask(&deployment, "router-0", &booking).await;
         assert_eq!(first.outcome, "ran", "{first:?}");
         assert_eq!(ask(&deployment, "router-1", &booking).await, first);
-        assert_eq!(deployment.ran("b-1").await, 1);
+        assert_eq!(deployment.execution_count("b-1").await, 1);
     });
 }
 
@@ -193,12 +193,12 @@
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let (http, lost) = (deployment.http.clone(), booking.clone());
         let lost = tokio::spawn(async move { lost.send(&http, url).await });
-        wait_for("the booking runs", async || deployment.ran("b-1").await == 1).await;
+        wait_for("the booking runs", async || deployment.execution_count("b-1").await == 1).await;
         deployment.process("router-0").kill();
         assert_eq!(lost.await.expect("the task ends"), None);
         let repeat = ask(&deployment, "router-1", &booking).await;
         assert_eq!((repeat.status, repeat.outcome.as_str()), (200, "ran"), "{repeat:?}");
-        assert_eq!(deployment.ran("b-1").await, 1);
+        assert_eq!(deployment.execution_count("b-1").await, 1);
     });
 }
 
@@ -214,7 +214,7 @@
         let url = deployment.url("router-1", "/services/agenda/bookings");
         let (http, first) = (deployment.http.clone(), booking.clone());
         let first = tokio::spawn(async move { first.send(&http, url).await });
-        wait_for("the booking runs", async || deployment.ran("b-1").await == 1).await;
+        wait_for("the booking runs", async || deployment.execution_count("b-1").await == 1).await;
         deployment.process("agent-service-0").kill();
         deployment.process("router-0").freeze();
         let first = first.await.expect("the task ends").expect("the router answers");
@@ -227,7 +227,7 @@
             let repeat = ask(&deployment, router, &again).await;
             assert_eq!((repeat.status, repeat.outcome.as_str()), (504, "unknown"), "{repeat:?}");
         }
-        assert_eq!(deployment.ran("b-1").await, 1);
+        assert_eq!(deployment.execution_count("b-1").await, 1);
     });
 }
 
@@ -253,7 +253,7 @@
             );
             assert_eq!(first.outcome, "ran", "{first:?}");
             assert_eq!((&first, &first), (&second, &third));
-            assert_eq!(deployment.ran(&booking.key).await, 1);
+            assert_eq!(deployment.execution_count(&booking.key).await, 1);
         }
     });
 }
@@ -275,7 +275,7 @@
         deployment.process("router-0").resume();
         let late = asked.await.expect("the task ends").expect("the router answers");
         assert_eq!((late.status, late.outcome.as_str()), (504, "unknown"), "{late:?}");
-        assert_eq!(deployment.ran("b-1").await, 0);
+        assert_eq!(deployment.execution_count("b-1").await, 0);
         let after = Booking::new("b-2", DEADLINE_MS);
         wait_for("the router takes bookings again", async || {
             ask(&deployment, "router-0", &after).await.outcome == "ran"
@@ -310,6 +310,6 @@
             again.outcome != "unknown" && again.status == 410
         })
         .await;
-        assert_eq!(deployment.ran("b-1").await, 0);
+        assert_eq!(deployment.execution_count("b-1").await, 0);
     });
 }
--- a/tests/stops_planned.rs
+++ b/tests/stops_planned.rs
@@ -121,7 +121,7 @@
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let http = deployment.http.clone();
         let asked = tokio::spawn(async move { booking.send(&http, url).await });
-        wait_for("the booking runs", async || deployment.ran("b-1").await == 1).await;
+        wait_for("the booking runs", async || deployment.execution_count("b-1").await == 1).await;
         deployment.process(name).signal(Signal::SIGTERM);
         wait_for("the second signal is heard", async || {
             deployment.process(name).signal(Signal::SIGTERM);
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -134,7 +134,7 @@
         let booking = Booking::new(key, SETTLE_MS);
         answers.push(booking.send_via(deployment, "router-0").await);
         answers.push(booking.send_via(deployment, "router-1").await);
-        tally.booking(key, answers, deployment.ran(key).await);
+        tally.booking(key, answers, deployment.execution_count(key).await);
     }
     drawn
 }
--- a/tools/testbed/src/booking.rs
+++ b/tools/testbed/src/booking.rs
@@ -74,7 +74,7 @@
 
 impl Deployment {
     /// How often the services really ran the booking under a key.
-    pub async fn ran(&self, key: &str) -> u64 {
+    pub async fn execution_count(&self, key: &str) -> u64 {
         let mut ran = 0;
         for i in 0..self.plan.services {
             let counts = self.counters(&format!("service-{i}")).await;
