--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -40,7 +40,7 @@
 fn a_repeat_in_the_meantime_gets_the_same_outcome() {
     block_on(async {
         let deployment = start().await;
-        deployment.fault("service-0", &json!({ "before_ms": 700, "plain": true })).await;
+        deployment.inject_fault("service-0", &json!({ "before_ms": 700, "plain": true })).await;
         let booking = Booking::new("b-1", DEADLINE_MS);
         let (first, second) = tokio::join!(
             ask(&deployment, "router-0", &booking),
@@ -140,7 +140,7 @@
         let deployment = start().await;
         let kept = Booking::new("b-0", DEADLINE_MS);
         let known = ask(&deployment, "router-0", &kept).await;
-        deployment.fault("log", &json!({ "down": true })).await;
+        deployment.inject_fault("log", &json!({ "down": true })).await;
         let mut last = None;
         for number in 0..20 {
             let booking = Booking::new(&format!("b-down-{number}"), DEADLINE_MS);
@@ -155,7 +155,7 @@
         assert!(began.elapsed() < Duration::from_secs(1), "refused at once");
         // An outcome that is known is told in an outage as well.
         assert_eq!(ask(&deployment, "router-1", &kept).await, known);
-        deployment.fault("log", &json!({})).await;
+        deployment.inject_fault("log", &json!({})).await;
         let after = Booking::new("b-after", DEADLINE_MS);
         wait_for("bookings go on", async || {
             ask(&deployment, "router-0", &after).await.outcome == "ran"
@@ -173,7 +173,7 @@
 fn lost_answers_of_the_log_change_nothing() {
     block_on(async {
         let deployment = start().await;
-        deployment.fault("log", &json!({ "lose_answers": 2 })).await;
+        deployment.inject_fault("log", &json!({ "lose_answers": 2 })).await;
         let booking = Booking::new("b-1", DEADLINE_MS);
         let first = ask(&deployment, "router-0", &booking).await;
         assert_eq!(first.outcome, "ran", "{first:?}");
@@ -188,7 +188,7 @@
 fn a_router_that_dies_after_forwarding_leaves_one_booking() {
     block_on(async {
         let mut deployment = start().await;
-        deployment.fault("service-0", &json!({ "after_ms": 800 })).await;
+        deployment.inject_fault("service-0", &json!({ "after_ms": 800 })).await;
         let booking = Booking::new("b-1", DEADLINE_MS);
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let (http, lost) = (deployment.http.clone(), booking.clone());
@@ -209,7 +209,7 @@
 fn an_agent_that_dies_during_a_call_leaves_an_unknown() {
     block_on(async {
         let mut deployment = start().await;
-        deployment.fault("service-0", &json!({ "after_ms": 5_000 })).await;
+        deployment.inject_fault("service-0", &json!({ "after_ms": 5_000 })).await;
         let booking = Booking::new("b-1", DEADLINE_MS);
         let url = deployment.url("router-1", "/services/agenda/bookings");
         let (http, first) = (deployment.http.clone(), booking.clone());
@@ -220,7 +220,7 @@
         let first = first.await.expect("the task ends").expect("the router answers");
         assert_eq!((first.status, first.outcome.as_str()), (504, "unknown"), "{first:?}");
         deployment.process("router-0").resume();
-        deployment.fault("service-0", &json!({})).await;
+        deployment.inject_fault("service-0", &json!({})).await;
         deployment.run("agent-service-0");
         for router in ["router-0", "router-1"] {
             let again = Booking::new("b-1", 1_500);
@@ -291,7 +291,7 @@
 fn a_claim_of_a_frozen_agent_is_withdrawn_when_it_goes_on() {
     block_on(async {
         let mut deployment = start().await;
-        deployment.fault("log", &json!({ "slow_ms": 600 })).await;
+        deployment.inject_fault("log", &json!({ "slow_ms": 600 })).await;
         let booking = Booking::new("b-1", 3_000);
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let (http, first) = (deployment.http.clone(), booking.clone());
@@ -304,7 +304,7 @@
         // The pause has to last beyond the deadline; no state tells that.
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         deployment.process("agent-service-0").resume();
-        deployment.fault("log", &json!({})).await;
+        deployment.inject_fault("log", &json!({})).await;
         wait_for("a definite answer", async || {
             let again = ask(&deployment, "router-1", &Booking::new("b-1", 1_000)).await;
             again.outcome != "unknown" && again.status == 410
--- a/tests/stops_planned.rs
+++ b/tests/stops_planned.rs
@@ -116,7 +116,7 @@
     block_on(async {
         let plan = Plan { engines: 2, ..Plan::default() };
         let mut deployment = Deployment::start(plan).await;
-        deployment.fault("service-0", &json!({ "after_ms": 20_000 })).await;
+        deployment.inject_fault("service-0", &json!({ "after_ms": 20_000 })).await;
         let booking = testbed::booking::Booking::new("b-1", 15_000);
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let http = deployment.http.clone();
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -133,21 +133,21 @@
         let target = serving(&deployment).await;
         if fault.contains("silent") {
             let silence = json!({ "silence_open": true });
-            deployment.fault(&format!("relay-{target}"), &silence).await;
+            deployment.inject_fault(&format!("relay-{target}"), &silence).await;
         }
         match fault {
             "cut" => {
-                deployment.fault(&format!("relay-{target}"), &json!({ "cut_open": true })).await;
+                deployment.inject_fault(&format!("relay-{target}"), &json!({ "cut_open": true })).await;
             }
             "agent" | "silent and agent" => deployment.process(&format!("agent-{target}")).kill(),
             "engine" => deployment.process(&target).kill(),
             "breaks" => {
-                deployment.fault(&target, &json!({ "break_after": 30 })).await;
+                deployment.inject_fault(&target, &json!({ "break_after": 30 })).await;
                 wait_for("the break", async || {
                     deployment.log_of("router-0").contains("taken up again")
                 })
                 .await;
-                deployment.fault(&target, &json!({})).await;
+                deployment.inject_fault(&target, &json!({})).await;
             }
             _ => {}
         }
--- a/tools/agreed/src/main.rs
+++ b/tools/agreed/src/main.rs
@@ -57,7 +57,7 @@
     let mut base = base_version(deployment).await;
     for change in 0..changes {
         if let Some(fault) = &fault {
-            deployment.fault("log", fault).await;
+            deployment.inject_fault("log", fault).await;
         }
         let began = Instant::now();
         let version = apply(deployment, "router-1", base, 1000 + change).await;
@@ -69,7 +69,7 @@
         }
         times.record(began.elapsed().as_micros() as u64).expect("it is in range");
     }
-    deployment.fault("log", &json!({})).await;
+    deployment.inject_fault("log", &json!({})).await;
     times
 }
 
--- a/tools/bench/src/main.rs
+++ b/tools/bench/src/main.rs
@@ -143,7 +143,7 @@
 /// The most chunks a second, with engines that generate as fast as they can.
 async fn flood(deployment: &mut Deployment, engines: &[String]) -> Value {
     for i in 0..ENGINES {
-        deployment.fault(&format!("engine-{i}"), &json!({ "slow": 0.0 })).await;
+        deployment.inject_fault(&format!("engine-{i}"), &json!({ "slow": 0.0 })).await;
     }
     let direct = part(deployment, engines, false, FLOOD_STREAMS, PART, FLOOD_TOKENS).await;
     let before = cpu(deployment, "router-0");
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -63,7 +63,7 @@
             Self::Kill(name) => deployment.process(name).kill(),
             Self::Freeze(name) => deployment.process(name).freeze(),
             Self::Misbehave(name, fault) => send(deployment, name, fault).await,
-            Self::Relay(name, fault) => deployment.fault(name, fault).await,
+            Self::Relay(name, fault) => deployment.inject_fault(name, fault).await,
         }
     }
 
@@ -86,5 +86,5 @@
 /// Tells a stand-in to misbehave, first waking it, as a frozen one takes no orders.
 async fn send(deployment: &mut Deployment, name: &str, fault: &Value) {
     deployment.process(name).resume();
-    deployment.fault(name, fault).await;
+    deployment.inject_fault(name, fault).await;
 }
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -101,7 +101,7 @@
     for i in 0..deployment.plan.services {
         let mut work = || rng.random_range(0..MAX_WORK_MS);
         let work = json!({ "before_ms": work(), "after_ms": work() });
-        deployment.fault(&format!("service-{i}"), &work).await;
+        deployment.inject_fault(&format!("service-{i}"), &work).await;
     }
     let mut asked = Asked::default();
     for number in 0..BOOKINGS {
--- a/tools/chaos/src/measure.rs
+++ b/tools/chaos/src/measure.rs
@@ -113,7 +113,7 @@
 }
 
 async fn outage(deployment: &Deployment) {
-    deployment.fault("log", &json!({ "down": true })).await;
+    deployment.inject_fault("log", &json!({ "down": true })).await;
     let path = "/services/agenda/bookings";
     let (times, answers) = ask(deployment, path, "outage", 16, OUTAGE_CALLS).await;
     let told = |outcome: &str| answers.iter().filter(|a| a.outcome == outcome).count();
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -383,7 +383,7 @@
     /// # Panics
     ///
     /// Panics if it does not take the fault.
-    pub async fn fault(&self, name: &str, fault: &Value) {
+    pub async fn inject_fault(&self, name: &str, fault: &Value) {
         let control = name.replacen("relay-", "relay-control-", 1);
         let post = self.http.post(self.url(&control, "/fault")).json(fault).send().await;
         let status = post.expect("the stand-in answers").status();
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -155,7 +155,7 @@
     let s = stage.clone();
     engine.register_fn("fault", move |name: &str, fault: Dynamic| -> Fallible<()> {
         let fault = json(&fault)?;
-        s.with(|d, runtime| runtime.block_on(d.fault(name, &fault)))
+        s.with(|d, runtime| runtime.block_on(d.inject_fault(name, &fault)))
     });
     let s = stage.clone();
     engine.register_fn("unlist", move |names: Array| -> Fallible<()> {
