--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -98,7 +98,7 @@
         let booking = Booking::new("b-1", DEADLINE_MS);
         let first = ask(&deployment, "router-0", &booking).await;
         assert_eq!((first.status, first.outcome.as_str()), (410, "not-run"), "{first:?}");
-        deployment.run("service-0");
+        deployment.start_process("service-0");
         deployment.wait_for_answer("service-0", "/counts").await;
         for router in ["router-0", "router-1"] {
             let repeat = ask(&deployment, router, &booking).await;
@@ -221,7 +221,7 @@
         assert_eq!((first.status, first.outcome.as_str()), (504, "unknown"), "{first:?}");
         deployment.process("router-0").resume();
         deployment.inject_fault("service-0", &json!({})).await;
-        deployment.run("agent-service-0");
+        deployment.start_process("agent-service-0");
         for router in ["router-0", "router-1"] {
             let again = Booking::new("b-1", 1_500);
             let repeat = ask(&deployment, router, &again).await;
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -109,7 +109,7 @@
         let process = deployment.process(&agent);
         process.signal(nix::sys::signal::Signal::SIGTERM);
         process.wait(Duration::from_secs(30));
-        deployment.run(&agent);
+        deployment.start_process(&agent);
         ask_until_answered(&deployment, HINOKUNI_KEY, "design-13b").await;
     });
 }
--- a/tests/stops_planned.rs
+++ b/tests/stops_planned.rs
@@ -56,7 +56,7 @@
                 .await;
             println!("{name} stopped in {:?}", began.elapsed());
             assert_eq!(deployment.process(name).wait(STOP_LIMIT), Some(0), "{name}");
-            deployment.run(name);
+            deployment.start_process(name);
             if name.starts_with("router-") {
                 deployment.wait_for_answer(name, "/readyz").await;
             }
--- a/tools/agreed/src/main.rs
+++ b/tools/agreed/src/main.rs
@@ -101,7 +101,7 @@
         }
         times.record(began.elapsed().as_micros() as u64).expect("it is in range");
         deployment.process(&name).wait(Duration::from_secs(10));
-        deployment.run(&name);
+        deployment.start_process(&name);
         deployment.wait_for_answer(&name, "/readyz").await;
     }
     times
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -72,7 +72,7 @@
         match self {
             Self::Kill(name) => {
                 if !deployment.process(name).is_running() {
-                    deployment.run(name);
+                    deployment.start_process(name);
                 }
             }
             Self::Freeze(name) => deployment.process(name).resume(),
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -195,7 +195,7 @@
     /// # Panics
     ///
     /// Panics if the plan has no such process.
-    pub fn run(&mut self, name: &str) {
+    pub fn start_process(&mut self, name: &str) {
         let recipe = self.recipes[name].clone();
         let process = Process::start(name, recipe.program, &recipe.args, &self.dir);
         self.processes.insert(name.to_owned(), process);
@@ -218,7 +218,7 @@
     /// Starts the platform's stand-ins and lists all hosts as live.
     pub async fn start_platform(&mut self) {
         for name in ["log", "hosts", "weights"] {
-            self.run(name);
+            self.start_process(name);
         }
         self.wait_for_answer("log", "/counters").await;
         self.wait_for_answer("hosts", "/hosts").await;
@@ -259,21 +259,21 @@
         let all: Vec<String> = self.recipes.keys().cloned().collect();
         let is_target = |n: &str| n.starts_with("engine-") || n.starts_with("service-");
         for name in all.iter().filter(|name| is_target(name)) {
-            self.run(name);
+            self.start_process(name);
         }
         for name in all.iter().filter(|name| is_target(name)) {
             let path = if name.starts_with("engine-") { "/loaded" } else { "/counts" };
             self.wait_for_answer(name, path).await;
         }
         for name in all.iter().filter(|n| n.starts_with("agent-") || n.starts_with("relay-")) {
-            self.run(name);
+            self.start_process(name);
         }
     }
 
     /// Starts all routers.
     pub fn start_routers(&mut self) {
         for i in 0..self.plan.routers {
-            self.run(&format!("router-{i}"));
+            self.start_process(&format!("router-{i}"));
         }
     }
 
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -145,7 +145,7 @@
     on_process("freeze", |d, name| d.process(name).freeze());
     on_process("thaw", |d, name| d.process(name).signal(Signal::SIGCONT));
     on_process("stop", |d, name| d.process(name).signal(Signal::SIGTERM));
-    on_process("start", Deployment::run);
+    on_process("start", Deployment::start_process);
     let s = stage.clone();
     engine.register_fn("wait_end", move |name: &str| -> Fallible<i64> {
         s.with(|d, _| i64::from(d.process(name).wait(STATE_TIMEOUT).unwrap_or(-1)))
