--- a/tests/stops_planned.rs
+++ b/tests/stops_planned.rs
@@ -47,7 +47,7 @@
         wait_for("all models awake", async || load.seen().whole > 100).await;
         let cold = load.seen().errors;
         assert!(cold.is_empty(), "{} errors before any stop: {:?}", cold.len(), cold.first());
-        let names = deployment.running();
+        let names = deployment.started_processes();
         let ours = names.iter().filter(|n| n.starts_with("router-") || n.starts_with("agent-"));
         for name in ours {
             deployment.process(name).signal(Signal::SIGTERM);
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -26,7 +26,7 @@
 impl Fault {
     /// Draws a fault of a running deployment.
     pub fn draw(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Self {
-        let all = deployment.running();
+        let all = deployment.started_processes();
         let of = |prefixes: &[&str]| -> Vec<String> {
             all.iter().filter(|n| prefixes.iter().any(|p| n.starts_with(p))).cloned().collect()
         };
--- a/tools/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -19,7 +19,7 @@
 async fn run() {
     let began = Instant::now();
     let deployment = Deployment::start(Plan::default()).await;
-    println!("started {} processes in {:.1?}", deployment.running().len(), began.elapsed());
+    println!("started {} processes in {:.1?}", deployment.started_processes().len(), began.elapsed());
     let cold =
         json!({ "model": "quotes-7b", "prompt": "A quote for nine floors", "max_tokens": 8 });
     ask(&deployment, "cold start", "router-0", "/v1/completions", VIDRIO_KEY, &cold).await;
@@ -73,7 +73,7 @@
 /// One line for each hop of the trace.
 fn show_trace(deployment: &Deployment) {
     println!("\nhops of trace {}:", &TRACEPARENT[3..35]);
-    for name in deployment.running() {
+    for name in deployment.started_processes() {
         for line in deployment.log_of(&name).lines() {
             let Ok(line) = serde_json::from_str::<Value>(line) else { continue };
             let of_trace = line["trace_id"].as_str() == Some(&TRACEPARENT[3..35]);
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -211,7 +211,7 @@
     }
 
     /// Names of all processes that were started, in order.
-    pub fn running(&self) -> Vec<String> {
+    pub fn started_processes(&self) -> Vec<String> {
         self.processes.keys().cloned().collect()
     }
 
