--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -37,7 +37,7 @@
     pub http: reqwest::Client,
     processes: BTreeMap<String, Process>,
     recipes: BTreeMap<String, Recipe>,
-    keep: bool,
+    keep_files: bool,
 }
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -76,7 +76,8 @@
         let names = names(&plan);
         let addresses = names.iter().cloned().zip(free_addresses(names.len())).collect();
         let (processes, recipes) = Default::default();
-        let mut deployment = Self { plan, addresses, dir, http, processes, recipes, keep: false };
+        let mut deployment =
+            Self { plan, addresses, dir, http, processes, recipes, keep_files: false };
         deployment.write_recipes();
         deployment
     }
@@ -402,8 +403,8 @@
     }
 
     /// Keeps settings and logs when the deployment ends; their folder.
-    pub fn keep(&mut self) -> &Path {
-        self.keep = true;
+    pub fn keep_files(&mut self) -> &Path {
+        self.keep_files = true;
         &self.dir
     }
 
@@ -431,7 +432,7 @@
         // What went wrong is easier to find with the logs at hand.
         if std::thread::panicking() {
             eprintln!("logs are in {}", self.dir.display());
-        } else if !self.keep {
+        } else if !self.keep_files {
             drop(fs::remove_dir_all(&self.dir));
         }
     }
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -83,7 +83,7 @@
 /// A failed scenario's logs are named, so that its cause can be found.
 fn keep_logs(stage: &Stage) {
     if let Some(deployment) = stage.lock().deployment.as_mut() {
-        eprintln!("logs are in {}", deployment.keep().display());
+        eprintln!("logs are in {}", deployment.keep_files().display());
     }
 }
 
