--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -413,7 +413,7 @@
     /// # Panics
     ///
     /// Panics if it does not answer.
-    pub async fn loaded(&self, engine: &str) -> Vec<String> {
+    pub async fn loaded_models(&self, engine: &str) -> Vec<String> {
         let answer = self.http.get(self.url(engine, "/loaded")).send().await;
         let answer: Value = answer.expect("it answers").json().await.expect("it is JSON");
         let weights = answer.as_array().into_iter().flatten().map(|loaded| &loaded["weights"]);
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -290,7 +290,7 @@
     });
     let s = stage.clone();
     engine.register_fn("loaded", move |engine: &str| -> Fallible<Dynamic> {
-        dynamic(&s.with(|d, runtime| runtime.block_on(d.loaded(engine)))?)
+        dynamic(&s.with(|d, runtime| runtime.block_on(d.loaded_models(engine)))?)
     });
     let s = stage.clone();
     engine.register_fn("status", move |router: &str| -> Fallible<Dynamic> {
