--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! A serving system for rarely used models on rented hosts that may be reclaimed at any moment.
 //!
-//! This package is thin: the work lives in the crates that it re-exports, and the binary hands
-//! its arguments to [`cli`]. `docs/ARCHITECTURE.md` tells how they fit together.
+//! This package only re-exports the crates that implement the system; the binary passes its
+//! arguments to [`cli`]. `docs/ARCHITECTURE.md` describes the crates.
 //!
 //! ```
 //! use corianderstand::types::names::WorkspaceId;
--- a/tools/testbed/src/booking.rs
+++ b/tools/testbed/src/booking.rs
@@ -1,58 +1,58 @@
-//! A caller of the plain service `agenda`: books under a key and reads what it is told.
+//! A client of the plain service `agenda`, which books under an idempotency key.
 
 use crate::{Deployment, plan::VIDRIO_KEY};
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Longest wait of a caller for any answer, well beyond every deadline that it names.
+/// Client-side request timeout, longer than every deadline sent.
 const CALLER_PATIENCE: Duration = Duration::from_secs(40);
 
-/// What a caller is told.
+/// A response as the caller receives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// `ran`, `not-run` or `unknown`; empty if the header is missing.
+    /// `ran`, `not-run` or `unknown`; empty without the outcome header.
     pub outcome: String,
-    /// Content type.
+    /// `Content-Type` header.
     pub content_type: String,
     /// Seconds in `Retry-After`.
     pub retry_after: Option<u64>,
-    /// The body.
+    /// Response body.
     pub body: String,
 }
 
 impl Answer {
-    /// The error's code; empty for a service's own answer.
+    /// Error code of the router; empty if the service itself answered.
     pub fn code(&self) -> String {
         let value: Value = serde_json::from_str(&self.body).unwrap_or_default();
         value["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// One booking to ask for.
+/// A booking request.
 #[derive(Clone, Debug)]
 pub struct Booking {
-    /// Its key.
+    /// Idempotency key.
     pub key: String,
-    /// The day booked; another day is another body.
+    /// Day booked; a different day makes a different body.
     pub day: u32,
-    /// Deadline named to the router, in milliseconds.
+    /// Deadline sent to the router, in milliseconds.
     pub deadline_ms: u64,
 }
 
 impl Booking {
-    /// A booking under a key with a deadline.
+    /// Creates a booking with a key and a deadline.
     pub fn new(key: &str, deadline_ms: u64) -> Self {
         Self { key: key.to_owned(), day: 3, deadline_ms }
     }
 
-    /// Asks through a router; `None` if the connection broke before an answer came.
+    /// Sends the booking via a router; `None` if the connection fails before the response.
     pub async fn send_via(&self, deployment: &Deployment, router: &str) -> Option<Answer> {
         self.send(&deployment.http, deployment.url(router, "/services/agenda/bookings")).await
     }
 
-    /// Asks at a URL; `None` if the connection broke before an answer came.
+    /// Sends the booking to a URL; `None` if the connection fails before the response.
     pub async fn send(&self, http: &reqwest::Client, url: String) -> Option<Answer> {
         let req = http.post(url).bearer_auth(VIDRIO_KEY).timeout(CALLER_PATIENCE);
         let req = req.header("idempotency-key", &self.key);
@@ -73,7 +73,7 @@
 }
 
 impl Deployment {
-    /// How often the services really ran the booking under a key.
+    /// Number of times that the services executed the booking with this key.
     pub async fn execution_count(&self, key: &str) -> u64 {
         let mut ran = 0;
         for i in 0..self.plan.services {
--- a/tools/testbed/src/caller.rs
+++ b/tools/testbed/src/caller.rs
@@ -1,43 +1,43 @@
-//! A caller: asks over HTTP and keeps all that it can see of the answer.
+//! An HTTP client that records everything a caller sees of a response.
 
 use serde_json::Value;
 
-/// A request.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Question {
-    /// Where.
+    /// Target URL.
     pub url: String,
-    /// Bearer key.
+    /// Bearer token.
     pub key: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
     /// JSON body.
     pub body: Value,
 }
 
-/// What the caller saw.
+/// A response as the caller receives it.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct Answer {
-    /// HTTP status; 0 if no answer came.
+    /// HTTP status; 0 without a response.
     pub status: i64,
-    /// `code` of an error.
+    /// Error code, if any.
     pub code: String,
-    /// What became of a call: `ran`, `not-run`, `unknown`, or nothing.
+    /// Outcome of a call: `ran`, `not-run`, `unknown` or empty.
     pub outcome: String,
     /// `Retry-After` in seconds; 0 if none.
     pub retry_after: i64,
-    /// The answer's text: of a model, or the whole body.
+    /// Generated text, or the body if there is none.
     pub text: String,
-    /// Whether the answer came to its marked end.
+    /// Whether the response is complete: status 200, or a stream with its end marker.
     pub whole: bool,
-    /// The body as it came.
+    /// Raw body.
     pub body: String,
-    /// How long it took, in milliseconds.
+    /// Duration in milliseconds.
     pub took_ms: i64,
 }
 
 impl Question {
-    /// A question by POST.
+    /// Creates a POST request without a body.
     pub fn post(url: String, key: &str) -> Self {
         Self { url, key: key.to_owned(), headers: Vec::new(), body: Value::Null }
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Asks, and waits for the end of the answer.
+/// Sends a request and reads the response to its end.
 pub async fn ask(client: &reqwest::Client, question: &Question) -> Answer {
     let began = std::time::Instant::now();
     let mut req = client.post(&question.url).bearer_auth(&question.key).json(&question.body);
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A running deployment.
+//! A deployment of real processes on loopback.
 
 use crate::{
     plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash},
@@ -14,26 +14,25 @@
 };
 use tokio::time;
 
-/// Availability zones that hosts are spread over.
 const PLACES: [&str; 3] = ["conce", "talca-hall", "losangeles"];
 
-/// How a process is started, so that it can be started again.
+/// Program and arguments of a process.
 #[derive(Clone, Debug)]
 struct Recipe {
     program: &'static str,
     args: Vec<String>,
 }
 
-/// All processes of a deployment; dropping it ends them.
+/// The processes of a deployment; dropping it kills them.
 #[derive(Debug)]
 pub struct Deployment {
-    /// What was asked for.
+    /// The plan it was started from.
     pub plan: Plan,
-    /// Addresses by process name.
+    /// Listen addresses by process name.
     pub addresses: BTreeMap<String, String>,
-    /// Folder of settings and logs.
+    /// Directory of settings and logs.
     pub dir: PathBuf,
-    /// An HTTP client.
+    /// Shared HTTP client.
     pub http: reqwest::Client,
     processes: BTreeMap<String, Process>,
     recipes: BTreeMap<String, Recipe>,
@@ -49,11 +48,11 @@
 }
 
 impl Deployment {
-    /// Starts everything, applies the settings and waits until routers are ready.
+    /// Starts all processes, applies the settings and waits until the routers are ready.
     ///
     /// # Panics
     ///
-    /// Panics if a state is not reached within the limit.
+    /// Panics if a state is not reached within [`STATE_TIMEOUT`].
     pub async fn start(plan: Plan) -> Self {
         let mut deployment = Self::prepare(plan);
         deployment.start_platform().await;
@@ -64,7 +63,7 @@
         deployment
     }
 
-    /// Chooses addresses and writes settings, without starting anything.
+    /// Allocates addresses and writes process settings without starting anything.
     ///
     /// # Panics
     ///
@@ -82,12 +81,12 @@
         deployment
     }
 
-    /// Address of a process.
+    /// Listen address of a process.
     pub fn address(&self, name: &str) -> &str {
         &self.addresses[name]
     }
 
-    /// URL of a path at a process.
+    /// URL of a path served by a process.
     pub fn url(&self, name: &str, path: &str) -> String {
         format!("http://{}{path}", self.address(name))
     }
@@ -191,32 +190,32 @@
         path.display().to_string()
     }
 
-    /// Starts a process by name, again if it has ended.
+    /// Starts or restarts a process by name.
     ///
     /// # Panics
     ///
-    /// Panics if the plan has no such process.
+    /// Panics if the plan does not have the process.
     pub fn start_process(&mut self, name: &str) {
         let recipe = self.recipes[name].clone();
         let process = Process::start(name, recipe.program, &recipe.args, &self.dir);
         self.processes.insert(name.to_owned(), process);
     }
 
-    /// A running process by name.
+    /// Returns a started process by name.
     ///
     /// # Panics
     ///
-    /// Panics if it was not started.
+    /// Panics if the process was not started.
     pub fn process(&mut self, name: &str) -> &mut Process {
         self.processes.get_mut(name).expect("the process was started")
     }
 
-    /// Names of all processes that were started, in order.
+    /// Names of all started processes, sorted.
     pub fn started_processes(&self) -> Vec<String> {
         self.processes.keys().cloned().collect()
     }
 
-    /// Starts the platform's stand-ins and lists all hosts as live.
+    /// Starts the platform stand-ins and marks all hosts as live in the host list.
     pub async fn start_platform(&mut self) {
         for name in ["log", "hosts", "weights"] {
             self.start_process(name);
@@ -226,7 +225,7 @@
         self.set_hosts(&[]).await;
     }
 
-    /// Lists all hosts, those in `leaving` as leaving.
+    /// Publishes a host list with all hosts; those in `leaving` are marked as leaving.
     ///
     /// # Panics
     ///
@@ -235,7 +234,7 @@
         self.set_host_list(leaving, &[]).await;
     }
 
-    /// Lists all hosts but those in `missing`, those in `leaving` as leaving.
+    /// Publishes a host list without `missing`; hosts in `leaving` are marked as leaving.
     ///
     /// # Panics
     ///
@@ -255,7 +254,7 @@
         put.expect("the host list answers");
     }
 
-    /// Starts all targets, their relays and their agents.
+    /// Starts all targets with their relays and agents.
     pub async fn start_targets(&mut self) {
         let all: Vec<String> = self.recipes.keys().cloned().collect();
         let is_target = |n: &str| n.starts_with("engine-") || n.starts_with("service-");
@@ -278,7 +277,7 @@
         }
     }
 
-    /// Applies the plan's settings through the command line, as an operator would.
+    /// Applies the plan's settings with the operator's command line.
     ///
     /// # Panics
     ///
@@ -290,7 +289,7 @@
         assert_eq!(code, Some(0), "apply: {output}");
     }
 
-    /// Writes the plan's documents as an operator keeps them; the folder.
+    /// Writes the plan's documents as an operator's settings folder and returns its path.
     ///
     /// # Panics
     ///
@@ -306,7 +305,7 @@
         root
     }
 
-    /// Runs an operator's command against the first router; its exit code and output.
+    /// Runs an operator command against the first router; returns exit code and output.
     ///
     /// # Panics
     ///
@@ -315,7 +314,7 @@
         self.command_at("router-0", args)
     }
 
-    /// Runs an operator's command against a router; its exit code and output.
+    /// Runs an operator command against a router; returns exit code and output.
     ///
     /// # Panics
     ///
@@ -331,11 +330,11 @@
         (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Waits until a path answers with success.
+    /// Waits until a path responds with a success status.
     ///
     /// # Panics
     ///
-    /// Panics if it does not within the limit.
+    /// Panics after [`STATE_TIMEOUT`].
     pub async fn wait_for_answer(&self, name: &str, path: &str) {
         let url = self.url(name, path);
         wait_for(&format!("{name}{path}"), async || {
@@ -345,7 +344,7 @@
         .await;
     }
 
-    /// The deployment's status as a router sees it.
+    /// Status of the deployment as reported by a router, null without a response.
     pub async fn status(&self, router: &str) -> Value {
         let url = self.url(router, "/operator/status?own=true");
         let answer = self.http.get(url).bearer_auth(OPERATOR_KEY).send().await;
@@ -355,11 +354,11 @@
         }
     }
 
-    /// Waits until every router knows as many slots as the settings ask for, and is ready.
+    /// Waits until every router is ready and reports all configured replica slots.
     ///
     /// # Panics
     ///
-    /// Panics if they do not within the limit.
+    /// Panics after [`STATE_TIMEOUT`].
     pub async fn wait_for_slots(&self) {
         let wanted: u64 = self
             .plan
@@ -379,11 +378,11 @@
         }
     }
 
-    /// Tells a stand-in to misbehave.
+    /// Injects a fault into a stand-in; an empty object clears it.
     ///
     /// # Panics
     ///
-    /// Panics if it does not take the fault.
+    /// Panics if the stand-in rejects the fault.
     pub async fn inject_fault(&self, name: &str, fault: &Value) {
         let control = name.replacen("relay-", "relay-control-", 1);
         let post = self.http.post(self.url(&control, "/fault")).json(fault).send().await;
@@ -391,7 +390,7 @@
         assert!(status.is_success(), "{name} does not take {fault}");
     }
 
-    /// A stand-in's counters.
+    /// Counters of a stand-in.
     ///
     /// # Panics
     ///
@@ -402,13 +401,13 @@
         answer.expect("the stand-in answers").json().await.expect("counters are JSON")
     }
 
-    /// Keeps settings and logs when the deployment ends; their folder.
+    /// Keeps settings and logs after the deployment is dropped; returns their directory.
     pub fn keep_files(&mut self) -> &Path {
         self.keep_files = true;
         &self.dir
     }
 
-    /// What an engine has loaded or is loading: names, in order.
+    /// Names of the models that an engine has loaded or is loading.
     ///
     /// # Panics
     ///
@@ -420,7 +419,7 @@
         weights.map(|w| w["model"].as_str().unwrap_or_default().to_owned()).collect()
     }
 
-    /// What a process has logged.
+    /// Log output of a process.
     pub fn log_of(&self, name: &str) -> String {
         fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap_or_default()
     }
@@ -429,7 +428,6 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         self.processes.clear();
-        // What went wrong is easier to find with the logs at hand.
         if std::thread::panicking() {
             eprintln!("logs are in {}", self.dir.display());
         } else if !self.keep_files {
@@ -452,11 +450,11 @@
     names
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
 ///
 /// # Panics
 ///
-/// Panics if it does not within the limit.
+/// Panics after [`STATE_TIMEOUT`].
 pub async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let began = Instant::now();
     while !condition().await {
--- a/tools/testbed/src/lib.rs
+++ b/tools/testbed/src/lib.rs
@@ -1,9 +1,8 @@
-//! Starts a small deployment as real processes on loopback, for tests, the demonstration and
-//! measurements.
+//! Starts a small deployment as real processes on loopback, for tests, the demo and measurements.
 //!
-//! [`Deployment::start`] starts the stand-ins, routers and agents that a [`Plan`] names and
-//! applies its settings; everything ends when the value is dropped. Waiting is always for a
-//! state, with a generous limit, never for a fixed time.
+//! [`Deployment::start`] starts the stand-ins, routers and agents of a [`Plan`] and applies its
+//! settings; dropping the value ends all processes. Helpers wait for a state, with a timeout,
+//! never for a fixed time.
 
 pub mod booking;
 pub mod caller;
--- a/tools/testbed/src/load.rs
+++ b/tools/testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! A steady load of callers behind a balancer that looks at readiness, for planned stops.
+//! Closed-loop load from callers behind a readiness-polling load balancer.
 
 use crate::{
     booking::Booking,
@@ -14,21 +14,20 @@
 };
 use tokio::{task::JoinHandle, time};
 
-/// Time between two looks of the balancer.
+/// Interval between readiness polls of the load balancer.
 const LOOK: Duration = Duration::from_millis(50);
-/// Pause of a caller between an answer and its next request.
+/// Pause of a caller between a response and its next request.
 const THINK: Duration = Duration::from_millis(20);
-/// Deadline of every request, in milliseconds.
 const DEADLINE_MS: u64 = 20_000;
 
-/// What the callers saw.
+/// Results of all callers.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// Whole answers of models.
+    /// Complete responses of models.
     pub whole: usize,
-    /// Bookings that ran.
+    /// Executed bookings.
     pub ran: usize,
-    /// Everything else, as text.
+    /// Descriptions of all other results.
     pub errors: Vec<String>,
 }
 
@@ -40,14 +39,14 @@
     stop: AtomicBool,
 }
 
-/// Callers at work.
+/// Running callers.
 pub struct Load {
     shared: Arc<Shared>,
     callers: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Starts callers at the routers' addresses; half of them ask models, half book.
+    /// Starts callers against the routers; half request completions, half send bookings.
     pub fn start(routers: Vec<String>, callers: usize) -> Self {
         let shared = Arc::new(Shared {
             http: reqwest::Client::builder().no_proxy().build().expect("a plain client"),
@@ -61,7 +60,7 @@
         Self { shared, callers: tasks }
     }
 
-    /// What was seen so far.
+    /// Results so far.
     ///
     /// # Panics
     ///
@@ -70,7 +69,7 @@
         self.shared.seen.lock().expect("no holder of this lock panics").clone()
     }
 
-    /// Lets every caller finish its request; what they saw.
+    /// Stops all callers after their current request and returns the results.
     pub async fn finish(self) -> Seen {
         self.shared.stop.store(true, Ordering::Relaxed);
         for caller in self.callers {
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -1,48 +1,48 @@
-//! What a small deployment consists of.
+//! Composition and settings of a small deployment.
 
 use serde_json::{Value, json};
 
-/// A deployment to start.
+/// Describes a deployment to start.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engines, each with its agent.
+    /// Number of engines, each with an agent.
     pub engines: usize,
-    /// Plain services, each with its agent.
+    /// Number of plain services, each with an agent.
     pub services: usize,
-    /// Options of every engine stand-in.
+    /// Command-line options of the engine stand-ins.
     pub engine_options: Vec<String>,
-    /// Options of the log stand-in.
+    /// Command-line options of the log stand-in.
     pub log_options: Vec<String>,
-    /// Options of the host list stand-in.
+    /// Command-line options of the host list stand-in.
     pub hosts_options: Vec<String>,
-    /// Timing of every process.
+    /// `timing` settings of all processes.
     pub timing: Value,
-    /// Requests that each target runs at once, if not the default.
+    /// Concurrent requests of each target, if not the default.
     pub concurrency: Option<u32>,
-    /// Address of the statsd sink of every process, or null.
+    /// Address of the statsd sink, or null.
     pub statsd: Value,
-    /// Limits of every router.
+    /// `limits` settings of the routers.
     pub limits: Value,
-    /// Whether a relay that can be cut stands before each agent.
+    /// Whether a relay with fault injection forwards connections to each agent.
     pub relays: bool,
-    /// Whether agents follow routers instead of reading the log.
+    /// Whether agents follow the routers instead of reading the log.
     pub follow_routers: bool,
     /// Settings documents by path.
     pub documents: Vec<(String, Value)>,
 }
 
-/// Bearer key of the first team.
+/// Bearer token of the team `vidrio`.
 pub const VIDRIO_KEY: &str = "vidrio-key";
-/// Bearer key of the second team.
+/// Bearer token of the team `hinokuni`.
 pub const HINOKUNI_KEY: &str = "hinokuni-key";
-/// Bearer key of the operators.
+/// Bearer token of the operators.
 pub const OPERATOR_KEY: &str = "operator-key";
-/// Hashing key of the deployment.
+/// Key of the hash function for bearer tokens.
 pub const AUTH_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
-/// The hash of a bearer key under [`AUTH_KEY`].
+/// Hashes a bearer token with [`AUTH_KEY`].
 ///
 /// # Panics
 ///
@@ -74,7 +74,6 @@
     }
 }
 
-/// Settings of two small teams.
 fn documents() -> Vec<(String, Value)> {
     let model = |memory: u64| {
         json!({ "memory_mib": memory, "versions": ["1", "2"],
--- a/tools/testbed/src/process.rs
+++ b/tools/testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process: started, signalled, ended.
+//! Child processes and loopback addresses.
 
 use nix::{
     sys::prctl,
@@ -15,22 +15,22 @@
     time::{Duration, Instant},
 };
 
-/// Longest wait for any state.
+/// Timeout when waiting for a state.
 pub const STATE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A child process; dropping it kills it.
 #[derive(Debug)]
 pub struct Process {
-    /// Its name, also that of its log file.
+    /// Process name, also the stem of its log file.
     pub name: String,
     child: Child,
 }
 
-/// The folder of the built binaries.
+/// Directory of the built binary_dir.
 ///
 /// # Panics
 ///
-/// Panics if the current program's path is not known.
+/// Panics if the path of the current executable is unknown.
 pub fn binaries() -> PathBuf {
     let exe = std::env::current_exe().expect("the current program has a path");
     let dir = exe.parent().expect("a program lies in a folder");
@@ -40,7 +40,7 @@
 }
 
 impl Process {
-    /// Starts a program of this workspace; its output goes to a file in `logs`.
+    /// Starts a program of this workspace with its output in a file in `logs`.
     ///
     /// # Panics
     ///
@@ -49,7 +49,7 @@
         Self::start_with(name, program, args, logs, &[])
     }
 
-    /// Starts a program of this workspace with variables in its environment.
+    /// Like [`Process::start`], with additional environment variables.
     ///
     /// # Panics
     ///
@@ -77,55 +77,52 @@
         Self { name: name.to_owned(), child }
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal; does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
-        // A process that has ended already needs no signal.
         let _gone = signal::kill(Pid::from_raw(self.child.id().cast_signed()), signal);
     }
 
-    /// Stops it from running until [`Process::resume`]; returns when each of its threads stands.
+    /// Suspends the process until [`Process::resume`]; returns once all of its threads are stopped.
     ///
-    /// The system lets threads run on until the one that takes the signal has had the processor. On a
-    /// busy host that took a router longer than reading a booking and having it run, so that a test
-    /// believed to have sent the booking to a frozen router.
+    /// After `kill` returns, threads may still run until the kernel delivers the signal.
     ///
     /// # Panics
     ///
-    /// Panics if the system cannot tell.
+    /// Panics if `waitid` fails.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
         let pid = Pid::from_raw(self.child.id().cast_signed());
-        // A process that has ended meanwhile is left for whoever waits for its end.
+        // `WNOWAIT` leaves the exit status for `Process::wait`.
         let flags = WaitPidFlag::WSTOPPED | WaitPidFlag::WEXITED | WaitPidFlag::WNOWAIT;
         wait::waitid(wait::Id::Pid(pid), flags).expect("the system tells of a process of ours");
     }
 
-    /// Lets it run again.
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Tells it to stop as planned.
+    /// Requests a graceful shutdown.
     pub fn stop(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Ends it at once and waits.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
         drop(self.child.wait());
     }
 
-    /// Waits for its end; its exit code.
+    /// Waits for the process to end and returns its exit code.
     ///
     /// # Panics
     ///
-    /// Panics if it does not end within the limit.
+    /// Panics if the process does not end within `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<i32> {
         let began = Instant::now();
         loop {
@@ -137,15 +134,14 @@
         }
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 }
 
-/// Ends the child when this process ends, however that comes about.
-///
-/// A test that is killed by its runner drops nothing, and its children would go on for ever.
+/// Kills the child when this process ends, also if a test runner kills this process before
+/// destructors run.
 #[allow(unsafe_code, reason = "the call between fork and exec can only be set up so")]
 fn end_with_parent(command: &mut Command) {
     // SAFETY: the closure makes one system call and touches no memory of the parent.
@@ -161,12 +157,10 @@
     }
 }
 
-/// Loopback addresses with ports that are free now, on an IP number of this process alone.
+/// Returns loopback addresses with free ports on an IP address that only this process uses.
 ///
-/// On 127.0.0.1 a port that was free a moment ago may meanwhile be the local end of somebody's
-/// outgoing connection; the process that is to listen there then fails to start, and the test
-/// waits for it until its limit. Outgoing connections never have this IP number, and no other
-/// test listens on it.
+/// On 127.0.0.1 the ephemeral port of an outgoing connection could take a port before the child
+/// process binds it.
 ///
 /// # Panics
 ///
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -1,8 +1,8 @@
-//! Scripted scenarios over a deployment of real processes, in [rhai].
+//! Runs scenarios scripted in [rhai] against a deployment of real processes.
 //!
-//! A scenario starts a deployment with `deploy(#{…})`, asks, kills, freezes and cuts, waits for
-//! states with `wait_until`, and states outcomes with `check`. The functions are listed in
-//! `scenarios/README.md`.
+//! A scenario starts a deployment with `deploy(#{…})`, sends requests, injects faults, waits for
+//! states with `wait_until` and asserts results with `check`. `scenarios/README.md` lists the
+//! functions.
 
 use crate::{
     Deployment, Plan,
@@ -24,7 +24,7 @@
 
 type Fallible<T> = Result<T, Box<EvalAltResult>>;
 
-/// What the functions of a script act on.
+/// State shared by the functions of a script.
 struct Stage {
     runtime: Runtime,
     inner: Mutex<Inner>,
@@ -52,15 +52,15 @@
     }
 }
 
-/// Runs one scenario to its end.
+/// Runs a scenario file.
 ///
 /// # Errors
 ///
-/// Returns the script's own error: a failed `check`, a state not reached, or a fault in it.
+/// Returns the error of the script, such as a failed `check` or a timeout in `wait_until`.
 ///
 /// # Panics
 ///
-/// Panics if the system gives no runtime.
+/// Panics if the async runtime cannot be created.
 pub fn run(path: &Path) -> Result<(), String> {
     let mut builder = tokio::runtime::Builder::new_multi_thread();
     let runtime = builder.worker_threads(2).enable_all().build();
@@ -75,12 +75,11 @@
     if result.is_err() {
         keep_logs(&stage);
     }
-    // Processes end here, before the runtime that their clients use.
+    // The deployment uses the runtime, so it is dropped first.
     drop(stage.lock().deployment.take());
     result
 }
 
-/// A failed scenario's logs are named, so that its cause can be found.
 fn keep_logs(stage: &Stage) {
     if let Some(deployment) = stage.lock().deployment.as_mut() {
         eprintln!("logs are in {}", deployment.keep_files().display());
@@ -179,7 +178,6 @@
     }
 }
 
-/// A question about a model, from what a script gives.
 fn model_question(
     deployment: &Deployment,
     router: &str,
