--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -162,7 +162,11 @@
         })
         .await;
         for number in 0..20 {
-            assert_eq!(deployment.execution_count(&format!("b-down-{number}")).await, 0, "number {number}");
+            assert_eq!(
+                deployment.execution_count(&format!("b-down-{number}")).await,
+                0,
+                "number {number}"
+            );
         }
     });
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -39,7 +39,8 @@
 
 /// Connections to agents that are open, as the kernel lists them.
 fn open(deployment: &Deployment) -> usize {
-    let agents = deployment.started_processes().into_iter().filter(|name| name.starts_with("agent-"));
+    let agents =
+        deployment.started_processes().into_iter().filter(|name| name.starts_with("agent-"));
     let wanted: Vec<String> = agents.map(|name| kernels(deployment.address(&name))).collect();
     let table = fs::read_to_string("/proc/net/tcp").expect("the kernel lists connections");
     let to_agent = |line: &&str| {
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -5,7 +5,7 @@
     path::{Path, PathBuf},
     time::{Duration, Instant},
 };
-use testbed::process::{STATE_TIMEOUT, Process, free_addresses};
+use testbed::process::{Process, STATE_TIMEOUT, free_addresses};
 
 /// Settings with a budget for second attempts; nobody answers at the store's address.
 fn settings(dir: &Path, budget: &str) -> PathBuf {
--- a/tests/stops_planned.rs
+++ b/tests/stops_planned.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
-use testbed::{Deployment, Plan, deployment::wait_for, load::Load, plan::HINOKUNI_KEY};
+use testbed::{Deployment, Plan, deployment::wait_for, load::LoadGenerator, plan::HINOKUNI_KEY};
 
 /// Longest time that a planned stop may take here.
 const STOP_LIMIT: Duration = Duration::from_secs(40);
@@ -23,16 +23,19 @@
     Deployment::start(plan).await
 }
 
-fn load(deployment: &Deployment) -> Load {
+fn load(deployment: &Deployment) -> LoadGenerator {
     let routers = (0..deployment.plan.routers).map(|i| format!("router-{i}"));
-    Load::start(routers.map(|name| deployment.address(&name).to_owned()).collect(), CALLERS)
+    LoadGenerator::start(
+        routers.map(|name| deployment.address(&name).to_owned()).collect(),
+        CALLERS,
+    )
 }
 
-async fn flowing(load: &Load, more: usize) {
-    let before = load.seen();
+async fn flowing(load: &LoadGenerator, more: usize) {
+    let before = load.report();
     wait_for("answers of both kinds", async || {
-        let seen = load.seen();
-        seen.whole >= before.whole + more && seen.ran >= before.ran + more
+        let report = load.report();
+        report.completions >= before.completions + more && report.bookings >= before.bookings + more
     })
     .await;
 }
@@ -44,8 +47,8 @@
     block_on(async {
         let mut deployment = start().await;
         let load = load(&deployment);
-        wait_for("all models awake", async || load.seen().whole > 100).await;
-        let cold = load.seen().errors;
+        wait_for("all models awake", async || load.report().completions > 100).await;
+        let cold = load.report().errors;
         assert!(cold.is_empty(), "{} errors before any stop: {:?}", cold.len(), cold.first());
         let names = deployment.started_processes();
         let ours = names.iter().filter(|n| n.starts_with("router-") || n.starts_with("agent-"));
@@ -62,9 +65,9 @@
             }
             flowing(&load, 20).await;
         }
-        let seen = load.finish().await;
-        println!("{} answers whole, {} bookings ran", seen.whole, seen.ran);
-        let errors = &seen.errors;
+        let report = load.finish().await;
+        println!("{} complete answers, {} bookings executed", report.completions, report.bookings);
+        let errors = &report.errors;
         assert!(
             errors.is_empty(),
             "{} errors: {:#?}",
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -137,7 +137,9 @@
         }
         match fault {
             "cut" => {
-                deployment.inject_fault(&format!("relay-{target}"), &json!({ "cut_open": true })).await;
+                deployment
+                    .inject_fault(&format!("relay-{target}"), &json!({ "cut_open": true }))
+                    .await;
             }
             "agent" | "silent and agent" => deployment.process(&format!("agent-{target}")).kill(),
             "engine" => deployment.process(&target).kill(),
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -19,7 +19,7 @@
 };
 use testbed::{
     plan::{AUTH_KEY, OPERATOR_KEY, hash},
-    process::{STATE_TIMEOUT, Process, free_addresses},
+    process::{Process, STATE_TIMEOUT, free_addresses},
 };
 use tokio::time;
 
@@ -261,7 +261,8 @@
     let (_engine, url) = platform.engine(&[]).await;
     let (process, listen) = platform.agent("engine-000", &url).await;
     let began = Instant::now();
-    while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < STATE_TIMEOUT {
+    while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < STATE_TIMEOUT
+    {
         time::sleep(Duration::from_millis(20)).await;
     }
     let count = Arc::default();
--- a/tools/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -19,7 +19,11 @@
 async fn run() {
     let began = Instant::now();
     let deployment = Deployment::start(Plan::default()).await;
-    println!("started {} processes in {:.1?}", deployment.started_processes().len(), began.elapsed());
+    println!(
+        "started {} processes in {:.1?}",
+        deployment.started_processes().len(),
+        began.elapsed()
+    );
     let cold =
         json!({ "model": "quotes-7b", "prompt": "A quote for nine floors", "max_tokens": 8 });
     ask(&deployment, "cold start", "router-0", "/v1/completions", VIDRIO_KEY, &cold).await;
--- a/tools/testbed/src/booking.rs
+++ b/tools/testbed/src/booking.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Client-side request timeout, longer than every deadline sent.
-const CALLER_PATIENCE: Duration = Duration::from_secs(40);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A response as the caller receives it.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,7 +54,7 @@
 
     /// Sends the booking to a URL; `None` if the connection fails before the response.
     pub async fn send(&self, http: &reqwest::Client, url: String) -> Option<Answer> {
-        let req = http.post(url).bearer_auth(VIDRIO_KEY).timeout(CALLER_PATIENCE);
+        let req = http.post(url).bearer_auth(VIDRIO_KEY).timeout(REQUEST_TIMEOUT);
         let req = req.header("idempotency-key", &self.key);
         let req = req.header("x-deadline-ms", self.deadline_ms);
         let answer = req.json(&json!({ "day": self.day })).send().await.ok()?;
--- a/tools/testbed/src/caller.rs
+++ b/tools/testbed/src/caller.rs
@@ -4,7 +4,7 @@
 
 /// A request to send.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct Request {
     /// Target URL.
     pub url: String,
     /// Bearer token.
@@ -36,7 +36,7 @@
     pub took_ms: i64,
 }
 
-impl Question {
+impl Request {
     /// Creates a POST request without a body.
     pub fn post(url: String, key: &str) -> Self {
         Self { url, key: key.to_owned(), headers: Vec::new(), body: Value::Null }
@@ -49,17 +49,17 @@
 }
 
 /// Sends a request and reads the response to its end.
-pub async fn ask(client: &reqwest::Client, question: &Question) -> Answer {
-    let began = std::time::Instant::now();
-    let mut req = client.post(&question.url).bearer_auth(&question.key).json(&question.body);
-    for (name, value) in &question.headers {
+pub async fn send(client: &reqwest::Client, request: &Request) -> Answer {
+    let started_at = std::time::Instant::now();
+    let mut req = client.post(&request.url).bearer_auth(&request.key).json(&request.body);
+    for (name, value) in &request.headers {
         req = req.header(name, value);
     }
     let mut answer = match req.send().await {
         Ok(response) => read(response).await,
         Err(error) => Answer { text: error.to_string(), ..Answer::default() },
     };
-    answer.took_ms = began.elapsed().as_millis() as i64;
+    answer.took_ms = started_at.elapsed().as_millis() as i64;
     answer
 }
 
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash},
-    process::{STATE_TIMEOUT, Process, free_addresses},
+    process::{Process, STATE_TIMEOUT, free_addresses},
 };
 use serde_json::{Value, json};
 use std::{
@@ -14,11 +14,11 @@
 };
 use tokio::time;
 
-const PLACES: [&str; 3] = ["conce", "talca-hall", "losangeles"];
+const AVAILABILITY_ZONES: [&str; 3] = ["conce", "talca-hall", "losangeles"];
 
 /// Program and arguments of a process.
 #[derive(Clone, Debug)]
-struct Recipe {
+struct LaunchSpec {
     program: &'static str,
     args: Vec<String>,
 }
@@ -35,14 +35,14 @@
     /// Shared HTTP client.
     pub http: reqwest::Client,
     processes: BTreeMap<String, Process>,
-    recipes: BTreeMap<String, Recipe>,
+    launch_specs: BTreeMap<String, LaunchSpec>,
     keep_files: bool,
 }
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_DEPLOYMENT: AtomicU32 = AtomicU32::new(0);
 
-fn temporary_folder() -> PathBuf {
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+fn temporary_dir() -> PathBuf {
+    let number = NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed);
     let name = format!("corianderstand-{}-{number}", std::process::id());
     std::env::temp_dir().join(name)
 }
@@ -69,15 +69,15 @@
     ///
     /// Panics if the temporary folder cannot be written.
     pub fn prepare(plan: Plan) -> Self {
-        let dir = temporary_folder();
+        let dir = temporary_dir();
         fs::create_dir_all(&dir).expect("the temporary folder can be written");
         let http = reqwest::Client::builder().no_proxy().build().expect("a plain client");
-        let names = names(&plan);
+        let names = process_names(&plan);
         let addresses = names.iter().cloned().zip(free_addresses(names.len())).collect();
-        let (processes, recipes) = Default::default();
+        let (processes, launch_specs) = Default::default();
         let mut deployment =
-            Self { plan, addresses, dir, http, processes, recipes, keep_files: false };
-        deployment.write_recipes();
+            Self { plan, addresses, dir, http, processes, launch_specs, keep_files: false };
+        deployment.define_processes();
         deployment
     }
 
@@ -91,36 +91,36 @@
         format!("http://{}{path}", self.address(name))
     }
 
-    fn write_recipes(&mut self) {
-        self.standin("log", "log", self.plan.log_options.clone());
-        self.standin("hosts", "hosts", self.plan.hosts_options.clone());
-        self.standin("weights", "weights", vec!["--rate".into(), "50".into()]);
+    fn define_processes(&mut self) {
+        self.define_standin("log", "log", self.plan.log_options.clone());
+        self.define_standin("hosts", "hosts", self.plan.hosts_options.clone());
+        self.define_standin("weights", "weights", vec!["--rate".into(), "50".into()]);
         for i in 0..self.plan.engines {
-            self.standin(&format!("engine-{i}"), "engine", self.plan.engine_options.clone());
+            self.define_standin(&format!("engine-{i}"), "engine", self.plan.engine_options.clone());
             let kind = json!({ "engine": { "memory_mib": 80000, "checks_fencing": false } });
-            self.agent_recipe(&format!("engine-{i}"), i, &kind);
+            self.define_agent(&format!("engine-{i}"), i, &kind);
         }
         for i in 0..self.plan.services {
-            self.standin(&format!("service-{i}"), "service", vec![]);
+            self.define_standin(&format!("service-{i}"), "service", vec![]);
             let kind = json!({ "service": { "service": "agenda" } });
-            self.agent_recipe(&format!("service-{i}"), i, &kind);
+            self.define_agent(&format!("service-{i}"), i, &kind);
         }
         for i in 0..self.plan.routers {
-            self.router_recipe(i);
+            self.define_router(i);
         }
     }
 
-    fn recipe(&mut self, name: &str, program: &'static str, args: Vec<String>) {
-        self.recipes.insert(name.to_owned(), Recipe { program, args });
+    fn define_process(&mut self, name: &str, program: &'static str, args: Vec<String>) {
+        self.launch_specs.insert(name.to_owned(), LaunchSpec { program, args });
     }
 
-    fn standin(&mut self, name: &str, kind: &str, options: Vec<String>) {
+    fn define_standin(&mut self, name: &str, kind: &str, options: Vec<String>) {
         let mut args = vec![kind.to_owned(), "--listen".into(), self.address(name).to_owned()];
         args.extend(options);
-        self.recipe(name, "corianderstand-standins", args);
+        self.define_process(name, "corianderstand-standins", args);
     }
 
-    fn agent_recipe(&mut self, target: &str, index: usize, kind: &Value) {
+    fn define_agent(&mut self, target: &str, index: usize, kind: &Value) {
         let name = format!("agent-{target}");
         if self.plan.relays {
             let relay = format!("relay-{target}");
@@ -128,7 +128,7 @@
             let args = ["relay", "--listen", self.address(&relay), "--to", self.address(&name)];
             let mut args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
             args.extend(["--control".into(), self.address(&control).to_owned()]);
-            self.recipe(&relay, "corianderstand-standins", args);
+            self.define_process(&relay, "corianderstand-standins", args);
         }
         let advertised = if self.plan.relays {
             json!(self.address(&format!("relay-{target}")))
@@ -138,7 +138,7 @@
         let mut settings = json!({
             "name": target,
             "host": format!("host-{target}"),
-            "place": PLACES[index % PLACES.len()],
+            "place": AVAILABILITY_ZONES[index % AVAILABILITY_ZONES.len()],
             "listen": self.address(&name),
             "log_url": self.url("log", ""),
             "host_list_url": self.url("hosts", ""),
@@ -158,18 +158,18 @@
             settings["peers"] = json!(peers);
             settings["peer_token"] = json!(hash("peer"));
         }
-        let args = vec!["agent".into(), self.write(&name, &settings)];
-        self.recipe(&name, "corianderstand", args);
+        let args = vec!["agent".into(), self.write_config(&name, &settings)];
+        self.define_process(&name, "corianderstand", args);
     }
 
-    fn router_recipe(&mut self, index: usize) {
+    fn define_router(&mut self, index: usize) {
         let name = format!("router-{index}");
         let others = (0..self.plan.routers).filter(|other| *other != index);
         let peers: Vec<_> = others.map(|o| self.address(&format!("router-{o}"))).collect();
         let settings = json!({
             "name": name,
             "host": format!("host-{name}"),
-            "place": PLACES[index % PLACES.len()],
+            "place": AVAILABILITY_ZONES[index % AVAILABILITY_ZONES.len()],
             "listen": self.address(&name),
             "log_url": self.url("log", ""),
             "host_list_url": self.url("hosts", ""),
@@ -180,11 +180,11 @@
             "timing": self.plan.timing,
             "statsd": self.plan.statsd,
         });
-        let args = vec!["router".into(), self.write(&name, &settings)];
-        self.recipe(&name, "corianderstand", args);
+        let args = vec!["router".into(), self.write_config(&name, &settings)];
+        self.define_process(&name, "corianderstand", args);
     }
 
-    fn write(&self, name: &str, settings: &Value) -> String {
+    fn write_config(&self, name: &str, settings: &Value) -> String {
         let path = self.dir.join(format!("{name}.json"));
         fs::write(&path, settings.to_string()).expect("the temporary folder can be written");
         path.display().to_string()
@@ -196,8 +196,8 @@
     ///
     /// Panics if the plan does not have the process.
     pub fn start_process(&mut self, name: &str) {
-        let recipe = self.recipes[name].clone();
-        let process = Process::start(name, recipe.program, &recipe.args, &self.dir);
+        let spec = self.launch_specs[name].clone();
+        let process = Process::start(name, spec.program, &spec.args, &self.dir);
         self.processes.insert(name.to_owned(), process);
     }
 
@@ -242,7 +242,7 @@
     pub async fn set_host_list(&self, leaving: &[&str], missing: &[&str]) {
         let target = |name: &String| name.strip_prefix("agent-").map(str::to_owned);
         let routers = (0..self.plan.routers).map(|i| format!("router-{i}"));
-        let names = self.recipes.keys().filter_map(target).chain(routers);
+        let names = self.launch_specs.keys().filter_map(target).chain(routers);
         let hosts: Vec<Value> = names
             .filter(|name| !missing.contains(&name.as_str()))
             .map(|name| {
@@ -256,7 +256,7 @@
 
     /// Starts all targets with their relays and agents.
     pub async fn start_targets(&mut self) {
-        let all: Vec<String> = self.recipes.keys().cloned().collect();
+        let all: Vec<String> = self.launch_specs.keys().cloned().collect();
         let is_target = |n: &str| n.starts_with("engine-") || n.starts_with("service-");
         for name in all.iter().filter(|name| is_target(name)) {
             self.start_process(name);
@@ -320,12 +320,13 @@
     ///
     /// Panics if the binary has not been built.
     pub fn command_at(&self, router: &str, args: &[&str]) -> (Option<i32>, String) {
-        let output = std::process::Command::new(crate::process::binaries().join("corianderstand"))
-            .args(args)
-            .env("CORIANDERSTAND_ROUTER", self.address(router))
-            .env("CORIANDERSTAND_OPERATOR_KEY", OPERATOR_KEY)
-            .output()
-            .expect("the binary has been built");
+        let output =
+            std::process::Command::new(crate::process::binary_dir().join("corianderstand"))
+                .args(args)
+                .env("CORIANDERSTAND_ROUTER", self.address(router))
+                .env("CORIANDERSTAND_OPERATOR_KEY", OPERATOR_KEY)
+                .output()
+                .expect("the binary has been built");
         let text = [output.stdout, output.stderr].concat();
         (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     }
@@ -360,7 +361,7 @@
     ///
     /// Panics after [`STATE_TIMEOUT`].
     pub async fn wait_for_slots(&self) {
-        let wanted: u64 = self
+        let expected: u64 = self
             .plan
             .documents
             .iter()
@@ -371,7 +372,7 @@
             let name = format!("router-{i}");
             wait_for(&format!("slots at {name}"), async || {
                 let status = self.status(&name).await;
-                status["slots"].as_array().is_some_and(|slots| slots.len() as u64 >= wanted)
+                status["slots"].as_array().is_some_and(|slots| slots.len() as u64 >= expected)
             })
             .await;
             self.wait_for_answer(&name, "/readyz").await;
@@ -387,7 +388,7 @@
         let control = name.replacen("relay-", "relay-control-", 1);
         let post = self.http.post(self.url(&control, "/fault")).json(fault).send().await;
         let status = post.expect("the stand-in answers").status();
-        assert!(status.is_success(), "{name} does not take {fault}");
+        assert!(status.is_success(), "{name} rejects the fault {fault}");
     }
 
     /// Counters of a stand-in.
@@ -436,7 +437,7 @@
     }
 }
 
-fn names(plan: &Plan) -> Vec<String> {
+fn process_names(plan: &Plan) -> Vec<String> {
     let mut names: Vec<String> = ["log", "hosts", "weights"].map(str::to_owned).into();
     names.extend((0..plan.routers).map(|i| format!("router-{i}")));
     let engines = (0..plan.engines).map(|i| format!("engine-{i}"));
@@ -455,10 +456,10 @@
 /// # Panics
 ///
 /// Panics after [`STATE_TIMEOUT`].
-pub async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let began = Instant::now();
+pub async fn wait_for(description: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let started_at = Instant::now();
     while !condition().await {
-        assert!(began.elapsed() < STATE_TIMEOUT, "not reached: {what}");
+        assert!(started_at.elapsed() < STATE_TIMEOUT, "timed out waiting for: {description}");
         time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tools/testbed/src/load.rs
+++ b/tools/testbed/src/load.rs
@@ -15,18 +15,18 @@
 use tokio::{task::JoinHandle, time};
 
 /// Interval between readiness polls of the load balancer.
-const LOOK: Duration = Duration::from_millis(50);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause of a caller between a response and its next request.
-const THINK: Duration = Duration::from_millis(20);
+const THINK_TIME: Duration = Duration::from_millis(20);
 const DEADLINE_MS: u64 = 20_000;
 
 /// Results of all callers.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct LoadReport {
     /// Complete responses of models.
-    pub whole: usize,
+    pub completions: usize,
     /// Executed bookings.
-    pub ran: usize,
+    pub bookings: usize,
     /// Descriptions of all other results.
     pub errors: Vec<String>,
 }
@@ -35,29 +35,31 @@
     http: reqwest::Client,
     routers: Vec<String>,
     ready: Mutex<Vec<String>>,
-    seen: Mutex<Seen>,
+    report: Mutex<LoadReport>,
     stop: AtomicBool,
 }
 
 /// Running callers.
-pub struct Load {
+pub struct LoadGenerator {
     shared: Arc<Shared>,
-    callers: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
 }
 
-impl Load {
+impl LoadGenerator {
     /// Starts callers against the routers; half request completions, half send bookings.
-    pub fn start(routers: Vec<String>, callers: usize) -> Self {
+    pub fn start(routers: Vec<String>, caller_count: usize) -> Self {
         let shared = Arc::new(Shared {
             http: reqwest::Client::builder().no_proxy().build().expect("a plain client"),
             ready: Mutex::new(routers.clone()),
             routers,
-            seen: Mutex::default(),
+            report: Mutex::default(),
             stop: AtomicBool::new(false),
         });
-        let mut tasks = vec![tokio::spawn(balance(shared.clone()))];
-        tasks.extend((0..callers).map(|number| tokio::spawn(call(shared.clone(), number))));
-        Self { shared, callers: tasks }
+        let mut tasks = vec![tokio::spawn(poll_readiness(shared.clone()))];
+        tasks.extend(
+            (0..caller_count).map(|number| tokio::spawn(run_caller(shared.clone(), number))),
+        );
+        Self { shared, tasks }
     }
 
     /// Results so far.
@@ -65,60 +67,69 @@
     /// # Panics
     ///
     /// Never: no holder of the lock panics.
-    pub fn seen(&self) -> Seen {
-        self.shared.seen.lock().expect("no holder of this lock panics").clone()
+    pub fn report(&self) -> LoadReport {
+        self.shared.report.lock().expect("no holder of this lock panics").clone()
     }
 
     /// Stops all callers after their current request and returns the results.
-    pub async fn finish(self) -> Seen {
+    pub async fn finish(self) -> LoadReport {
         self.shared.stop.store(true, Ordering::Relaxed);
-        for caller in self.callers {
-            drop(caller.await);
+        for task in self.tasks {
+            drop(task.await);
         }
-        self.shared.seen.lock().expect("no holder of this lock panics").clone()
+        self.shared.report.lock().expect("no holder of this lock panics").clone()
     }
 }
 
-async fn balance(shared: Arc<Shared>) {
+async fn poll_readiness(shared: Arc<Shared>) {
     while !shared.stop.load(Ordering::Relaxed) {
         let mut ready = Vec::new();
         for router in &shared.routers {
-            let look = shared.http.get(format!("http://{router}/readyz")).timeout(LOOK * 10);
-            if look.send().await.is_ok_and(|answer| answer.status().is_success()) {
+            let poll = shared
+                .http
+                .get(format!("http://{router}/readyz"))
+                .timeout(READINESS_POLL_INTERVAL * 10);
+            if poll.send().await.is_ok_and(|answer| answer.status().is_success()) {
                 ready.push(router.clone());
             }
         }
         *shared.ready.lock().expect("no holder of this lock panics") = ready;
-        time::sleep(LOOK).await;
+        time::sleep(READINESS_POLL_INTERVAL).await;
     }
 }
 
-async fn call(shared: Arc<Shared>, number: usize) {
-    let mut turn = number;
+async fn run_caller(shared: Arc<Shared>, number: usize) {
+    let mut sequence = number;
     while !shared.stop.load(Ordering::Relaxed) {
         let router = {
             let ready = shared.ready.lock().expect("no holder of this lock panics");
-            ready.get(turn % ready.len().max(1)).cloned()
+            ready.get(sequence % ready.len().max(1)).cloned()
         };
-        turn += 1;
+        sequence += 1;
         if let Some(router) = router {
             let result = if number.is_multiple_of(2) {
-                ask(&shared.http, &router, number).await.map(|()| true)
+                request_completion(&shared.http, &router, number).await.map(|()| true)
             } else {
-                book(&shared.http, &router, &format!("load-{number}-{turn}")).await.map(|()| false)
+                request_booking(&shared.http, &router, &format!("load-{number}-{sequence}"))
+                    .await
+                    .map(|()| false)
             };
-            let mut seen = shared.seen.lock().expect("no holder of this lock panics");
+            let mut report = shared.report.lock().expect("no holder of this lock panics");
             match result {
-                Ok(true) => seen.whole += 1,
-                Ok(false) => seen.ran += 1,
-                Err(error) => seen.errors.push(error),
+                Ok(true) => report.completions += 1,
+                Ok(false) => report.bookings += 1,
+                Err(error) => report.errors.push(error),
             }
         }
-        time::sleep(THINK).await;
+        time::sleep(THINK_TIME).await;
     }
 }
 
-async fn ask(http: &reqwest::Client, router: &str, number: usize) -> Result<(), String> {
+async fn request_completion(
+    http: &reqwest::Client,
+    router: &str,
+    number: usize,
+) -> Result<(), String> {
     let (model, key) = match number % 3 {
         0 => ("design-13b", HINOKUNI_KEY),
         1 => ("quotes-7b", VIDRIO_KEY),
@@ -132,7 +143,7 @@
     if text.contains("[DONE]") { Ok(()) } else { Err(format!("{model}: {text}")) }
 }
 
-async fn book(http: &reqwest::Client, router: &str, key: &str) -> Result<(), String> {
+async fn request_booking(http: &reqwest::Client, router: &str, key: &str) -> Result<(), String> {
     let url = format!("http://{router}/services/agenda/bookings");
     match Booking::new(key, DEADLINE_MS).send(http, url).await {
         Some(answer) if answer.outcome == "ran" => Ok(()),
--- a/tools/testbed/src/process.rs
+++ b/tools/testbed/src/process.rs
@@ -31,7 +31,7 @@
 /// # Panics
 ///
 /// Panics if the path of the current executable is unknown.
-pub fn binaries() -> PathBuf {
+pub fn binary_dir() -> PathBuf {
     let exe = std::env::current_exe().expect("the current program has a path");
     let dir = exe.parent().expect("a program lies in a folder");
     let dir = if dir.ends_with("deps") { dir.parent().unwrap_or(dir) } else { dir };
@@ -61,7 +61,7 @@
         logs: &Path,
         variables: &[(&str, &Path)],
     ) -> Self {
-        let path = binaries().join(program);
+        let path = binary_dir().join(program);
         let log = File::options()
             .create(true)
             .append(true)
@@ -70,7 +70,7 @@
         let mut command = Command::new(&path);
         command.args(args).envs(variables.iter().copied()).stdin(Stdio::null());
         command.stdout(log.try_clone().expect("a file can be shared")).stderr(log);
-        end_with_parent(&mut command);
+        kill_with_parent(&mut command);
         let child = command
             .spawn()
             .unwrap_or_else(|error| panic!("cannot start {}: {error}", path.display()));
@@ -99,7 +99,7 @@
         let pid = Pid::from_raw(self.child.id().cast_signed());
         // `WNOWAIT` leaves the exit status for `Process::wait`.
         let flags = WaitPidFlag::WSTOPPED | WaitPidFlag::WEXITED | WaitPidFlag::WNOWAIT;
-        wait::waitid(wait::Id::Pid(pid), flags).expect("the system tells of a process of ours");
+        wait::waitid(wait::Id::Pid(pid), flags).expect("the child can be waited for");
     }
 
     /// Resumes a suspended process.
@@ -124,12 +124,12 @@
     ///
     /// Panics if the process does not end within `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<i32> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
-            assert!(began.elapsed() < limit, "{} does not end", self.name);
+            assert!(started_at.elapsed() < limit, "{} does not end", self.name);
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -143,7 +143,7 @@
 /// Kills the child when this process ends, also if a test runner kills this process before
 /// destructors run.
 #[allow(unsafe_code, reason = "the call between fork and exec can only be set up so")]
-fn end_with_parent(command: &mut Command) {
+fn kill_with_parent(command: &mut Command) {
     // SAFETY: the closure makes one system call and touches no memory of the parent.
     unsafe {
         command.pre_exec(|| prctl::set_pdeathsig(Signal::SIGKILL).map_err(std::io::Error::from));
