--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -1,6 +1,6 @@
 //! Callers that go on asking over kept connections, and what became of each request.
 
-use crate::world::{HOST, MODELS};
+use crate::cluster::{HOST, MODELS};
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -1,6 +1,6 @@
 //! Faults from outside: drawn from a seed, made, and taken back.
 
-use crate::{checks::Trouble, proxy::Mode, world::World};
+use crate::{checks::Trouble, cluster::World, proxy::Mode};
 use corianderstand_platform_standins::{store::Mood, target::Ills};
 use nix::sys::signal::Signal;
 use rand::{Rng, RngExt};
@@ -164,7 +164,7 @@
             Self::Store(_) => world.store.set_mood(Mood::Well),
             Self::KillAll => {
                 let units = world.routers.iter_mut().chain(&mut world.agents);
-                units.for_each(crate::world::Unit::start);
+                units.for_each(crate::cluster::Unit::start);
             }
             Self::HangUpRouter(_) | Self::Forget | Self::Configure | Self::Garbage => {}
         }
@@ -210,7 +210,7 @@
 }
 
 /// Waits for a router that was told to stop, and starts it again.
-async fn stopped(unit: &mut crate::world::Unit) -> Option<String> {
+async fn stopped(unit: &mut crate::cluster::Unit) -> Option<String> {
     let mut wrong = None;
     if let Some(mut process) = unit.process.take() {
         let began = Instant::now();
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -8,12 +8,13 @@
 
 mod callers;
 mod checks;
+mod cluster;
 mod faults;
 mod proxy;
-mod world;
 
 use callers::{Callers, End, Kind};
 use checks::Trouble;
+use cluster::{MODELS, Size, World};
 use getopts::Options;
 use http::StatusCode;
 use rand::{RngExt, SeedableRng};
@@ -23,7 +24,6 @@
     process::ExitCode,
     time::{Duration, Instant},
 };
-use world::{MODELS, Size, World};
 
 /// Seeds that once failed, each with its cause.
 const KEPT: &str = include_str!("../kept.txt");
