--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that go on asking over kept connections, and what became of each request.
+//! Callers that send requests over persistent connections and record each outcome.
 
 use crate::cluster::{HOST, MODELS};
 use bytes::Bytes;
@@ -18,16 +18,16 @@
 };
 use tokio::net::TcpStream;
 
-/// What a request asks for.
+/// RequestKind of a request, after the route it is sent to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Kind {
-    /// A plain answer that may be made twice.
+    /// Idempotent request.
     Look,
-    /// A plain answer that may not.
+    /// Non-idempotent request.
     Pay,
-    /// A stream that may be taken up elsewhere.
+    /// Resumable stream.
     Chat,
-    /// A stream that may not.
+    /// Stream that cannot be resumed.
     Draft,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether its answer is a stream.
+    /// Whether the response is a stream.
     pub const fn streams(self) -> bool {
         matches!(self, Self::Chat | Self::Draft)
     }
@@ -53,54 +53,52 @@
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request as its caller sees it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum End {
-    /// An answer that was whole.
+    /// Complete response.
     Whole(StatusCode, Bytes),
-    /// An answer that broke off after its head.
+    /// Response truncated after its head.
     Cut(StatusCode, Bytes),
-    /// The connection ended without an answer.
+    /// Connection closed without a response.
     Closed,
-    /// No connection could be made.
+    /// Connection could not be established.
     NoConnection,
-    /// Nothing came until well after the deadline.
+    /// No response within the deadline and [`DEADLINE_GRACE`].
     Held,
 }
 
-/// One request and its end.
+/// A finished request.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// What it asked for.
+    /// RequestKind of request.
     pub kind: Kind,
-    /// The model it named.
+    /// Requested model; only streams send it.
     pub model: &'static str,
-    /// The router it went to.
+    /// Index of the router it was sent to.
     pub router: usize,
-    /// When it began and ended.
+    /// Start time.
     pub began: Instant,
-    /// When it ended.
+    /// End time.
     pub ended: Instant,
-    /// How.
+    /// Outcome.
     pub end: End,
 }
 
-/// Time beyond the deadline after which a caller takes its request for held up.
+/// Time beyond the deadline after which a caller gives up.
 const PATIENCE: Duration = Duration::from_millis(1_000);
-/// Time for a connection to be made; callers of the platform give it a second.
 const CONNECT: Duration = Duration::from_secs(1);
-/// Longest time that a caller waits before it comes back after a refusal.
+/// Upper bound on the wait before a retry after a rejection.
 const LONGEST_RETURN: Duration = Duration::from_millis(500);
-/// Time that a caller waits after it found nobody.
+/// Delay after a connection failure.
 const AFTER_CLOSE: Duration = Duration::from_millis(100);
-/// Longest pause between two requests of a caller.
 const LONGEST_PAUSE_MS: u64 = 60;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Callers that ask until they are stopped.
+/// Callers that send requests until they are stopped.
 #[derive(Debug)]
 pub struct Callers {
     asked: Arc<Mutex<Vec<Asked>>>,
@@ -121,13 +119,13 @@
         Self { asked, stop, tasks }
     }
 
-    /// Requests that have ended since `seen` of them had.
+    /// Finished requests after the first `seen`.
     pub fn since(&self, seen: usize) -> Vec<Asked> {
         let asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
         asked.iter().skip(seen).cloned().collect()
     }
 
-    /// Lets them end what they are at; all that they asked.
+    /// Stops the callers after their current request and returns all requests.
     pub async fn end(self) -> Vec<Asked> {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
@@ -177,7 +175,7 @@
     Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_RETURN).min(LONGEST_RETURN)
 }
 
-/// Asks once; the connection comes back if it can be used again.
+/// Sends one request; returns the connection if it can be reused.
 pub async fn ask(
     front: SocketAddr,
     kept: Option<Sender>,
@@ -199,7 +197,7 @@
     }
 }
 
-/// Asks for a path without a kind; its status, if an answer came.
+/// Sends a GET request to a path; returns the status of a complete response.
 pub async fn status(front: SocketAddr, path: &str, id: &str) -> Option<StatusCode> {
     let req = Request::builder().uri(path).header("host", HOST).header("request-id", id);
     let req = req.header("deadline-ms", 1_000).body(Full::default());
@@ -210,7 +208,7 @@
     }
 }
 
-/// Whether a router says that it is ready.
+/// Whether a router reports that it is ready.
 pub async fn is_ready(ready: SocketAddr) -> bool {
     status(ready, "/-/readiness", "ready").await == Some(StatusCode::OK)
 }
@@ -239,7 +237,7 @@
 async fn connect(front: SocketAddr) -> Option<Sender> {
     let stream = tokio::time::timeout(CONNECT, TcpStream::connect(front)).await.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // Its end is seen by the request on it.
+    // Errors surface in the request that uses the connection.
     tokio::spawn(async move { connection.await.ok() });
     Some(sender)
 }
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold for each request, whatever happened meanwhile.
+//! Guarantees that must hold for each request regardless of the injected faults.
 
 use crate::callers::{Asked, End, Kind};
 use corianderstand_platform_standins::{ledger::Ledger, target::EVENTS};
@@ -8,35 +8,35 @@
     time::{Duration, Instant},
 };
 
-/// Statuses that promise that a request has not run and will not.
+/// Statuses that guarantee that a request was not and will not be executed.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
-/// After trouble at a router, connections that it held may still end in this time.
+/// Time after a disruption during which the router's connections may still fail.
 const AFTERMATH: Duration = Duration::from_secs(3);
 
-/// What was done to a router, and when.
+/// Disruption of a router by an injected fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Trouble {
-    /// The router.
+    /// Index of the router.
     pub router: usize,
-    /// When it began.
+    /// Start time.
     pub from: Instant,
-    /// When it was over.
+    /// End time.
     pub to: Instant,
-    /// It was told to stop, as planned.
+    /// Whether it was a graceful shutdown.
     pub planned: bool,
 }
 
-/// Promises that were broken, and how requests ended.
+/// Violated guarantees and request counts.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// One line for each broken promise.
+    /// Descriptions of the violations.
     pub broken: Vec<String>,
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub ends: BTreeMap<String, usize>,
 }
 
-/// What is wrong with a request that has ended, whatever was done to its router. Checked while the run
-/// goes on, so that a broken promise stands in the output beside the faults of that moment.
+/// Checks the guarantees that hold even if the router was disrupted. Also called during a run, so
+/// that violations are printed next to the faults that caused them.
 pub fn broken(one: &Asked, ledger: &Ledger) -> Vec<String> {
     let faults = [
         ran_twice(one, ledger),
@@ -51,7 +51,7 @@
     format!("{fault}: {} {:?} at router {}", one.id, one.kind, one.router)
 }
 
-/// Checks all requests against what ran.
+/// Checks all requests against the ledger of executions.
 pub fn check(asked: &[Asked], ledger: &Ledger, troubles: &[Trouble]) -> Report {
     let mut report = Report::default();
     for one in asked {
@@ -89,7 +89,7 @@
     let End::Whole(status, _) = &one.end else { return None };
     let refused = NOT_RUN.contains(&status.as_u16());
     let ran = !ledger.of(&one.id).is_empty();
-    // What may run twice may be refused after a run that was lost.
+    // An idempotent request may be rejected after an execution whose response was lost.
     let once = matches!(one.kind, Kind::Pay | Kind::Draft);
     (refused && ran && once).then(|| format!("answered {status} and ran"))
 }
@@ -113,7 +113,7 @@
     wrong.then(|| format!("another body than its target's: {body:?}"))
 }
 
-/// Events come in order and once each, and a stream that ends as whole has all of them.
+/// Checks that events arrive in order and once, and that a complete stream has all of them.
 fn wrong_stream(one: &Asked) -> Option<String> {
     let (whole, body) = match &one.end {
         End::Whole(StatusCode::OK, body) => (true, body),
@@ -130,8 +130,8 @@
     (!right).then(|| format!("a stream of other events (whole: {whole}): {text:?}"))
 }
 
-/// A request at a router that nothing happened to is answered in its time; one at a router that was
-/// told to stop is answered if it was passed on.
+/// Checks that an undisrupted router responds in time and that a router shutting down responds to
+/// every request that it forwarded.
 fn left_without_answer(one: &Asked, ledger: &Ledger, troubles: &[Trouble]) -> Option<String> {
     let meanwhile = |trouble: &&Trouble| {
         trouble.router == one.router
--- a/tools/soak/src/cluster.rs
+++ b/tools/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A small deployment: real routers and agents, and the platform's stand-ins around them.
+//! A small cluster: real routers and agents, and stand-ins for the platform.
 
 use crate::proxy;
 use corianderstand_platform_standins::{
@@ -15,39 +15,37 @@
 };
 use testbed::process::Process;
 
-/// Host that callers name.
+/// `Host` header of callers.
 pub const HOST: &str = "soak.example";
-/// Models; two fit on an engine.
+/// Names of the models; [`MODELS_PER_ENGINE`] fit on an engine.
 pub const MODELS: [&str; 5] = ["m0", "m1", "m2", "m3", "m4"];
 const MODELS_EACH: usize = 2;
-/// Ports of stand-ins and proxies; each has an IP number of its own.
 const STORE_PORT: u16 = 8_142;
 const TARGET_PORT: u16 = 8_145;
 const PROXY_PORT: u16 = 8_245;
-/// Longest wait for the deployment to be ready.
 const READY_WITHIN: Duration = Duration::from_secs(20);
 
-/// How large a deployment is.
+/// Number of processes in a cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engines, each with an agent.
+    /// Number of engines, each with an agent.
     pub engines: usize,
-    /// Targets of the plain service.
+    /// Number of targets of the plain service.
     pub desks: usize,
 }
 
-/// A process of the system that can be started again.
+/// A router or agent process that can be restarted.
 #[derive(Debug)]
 pub struct Unit {
-    /// Its name.
+    /// Process name.
     pub name: String,
-    /// Its own IP number.
+    /// IP address, used by this process alone.
     pub ip: IpAddr,
-    /// Between it and the store.
+    /// Proxy between the process and the store.
     pub store: proxy::Proxy,
-    /// The process, while it runs.
+    /// The process, while it is running.
     pub process: Option<Process>,
     role: &'static str,
     config: PathBuf,
@@ -65,14 +63,14 @@
     }
 }
 
-/// A target behind a proxy.
+/// A target with a proxy in front of it.
 #[derive(Debug)]
 pub struct Place {
-    /// What answers there.
+    /// The stand-in for the target.
     pub target: Target,
-    /// Between routers and it.
+    /// Proxy between routers and the target.
     pub link: proxy::Proxy,
-    /// How often it was started.
+    /// Number of starts.
     pub starts: u64,
     name: String,
 }
@@ -88,18 +86,18 @@
     }
 }
 
-/// The deployment.
+/// The running cluster.
 #[derive(Debug)]
 pub struct World {
-    /// The platform's store.
+    /// Stand-in for the platform's store.
     pub store: Store,
-    /// What targets really ran.
+    /// Executions by the targets.
     pub ledger: Ledger,
-    /// Routers.
+    /// Router processes.
     pub routers: Vec<Unit>,
     /// Proxies between callers and routers.
     pub fronts: Vec<proxy::Proxy>,
-    /// Agents, one for each engine.
+    /// Agent processes, one per engine.
     pub agents: Vec<Unit>,
     /// Engines.
     pub engines: Vec<Place>,
@@ -109,7 +107,7 @@
     _store_open: corianderstand_platform_standins::serve::Open,
 }
 
-/// IP numbers that no other process on this host uses: a part of 127/8 by this process's id.
+/// Returns a loopback address derived from the process id, so that parallel runs do not collide.
 fn ip(role: u8, index: usize) -> IpAddr {
     let pid = std::process::id();
     let part = |shift: u32| (pid >> shift & 0x7f) as u8;
@@ -121,21 +119,21 @@
     ))
 }
 
-/// Roles of IP numbers; a role has 24 of them at most.
+/// Offsets of IP addresses by role; the gaps limit the processes of a role.
 const ROUTER: u8 = 1;
 const AGENT: u8 = 25;
 const DESK: u8 = 65;
 const STORE: u8 = 120;
 
 impl World {
-    /// Starts a deployment; logs and settings go to `dir`.
+    /// Starts a cluster with logs and settings in `dir`.
     pub async fn start(size: Size, dir: &Path) -> Self {
         let (store, ledger) = (Store::default(), Ledger::default());
         let store_addr = SocketAddr::new(ip(STORE, 0), STORE_PORT);
         let store_open = store.open(store_addr).await.expect("its address is its own");
         let mut engines = Vec::new();
         for index in 0..size.engines {
-            // Each disk has copies of three models, so that each model is on some disk.
+            // Each engine has three models on disk, so that every model is on some disk.
             let disk = [0, 1, 2].map(|copy| MODELS[(index + copy) % MODELS.len()]);
             let at = ip(AGENT, index);
             engines.push(place(("models", "engine"), index, at, (&store, &ledger), &disk).await);
@@ -180,7 +178,7 @@
         world
     }
 
-    /// Writes the next configuration: the same routes, and one that only this version has.
+    /// Writes the next configuration and returns the path prefix of a route unique to it.
     pub fn configure(&mut self) -> String {
         self.version += 7;
         let own = format!("/only-{}/", self.version);
@@ -220,12 +218,12 @@
         own
     }
 
-    /// Writes an entry that nobody can read, as another writer might.
+    /// Writes an entry that cannot be parsed.
     pub fn write_garbage(&self) {
         self.store.put(ENTRIES, "stranger", Some("{\"service\":7".into()));
     }
 
-    /// Waits until all routers say that they are ready.
+    /// Waits until all routers are ready.
     pub async fn wait_ready(&mut self) {
         let ask = async {
             for unit in &self.routers {
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside: drawn from a seed, made, and taken back.
+//! Faults drawn from a seed, injected and reverted.
 
 use crate::{checks::Trouble, cluster::World, proxy::Mode};
 use corianderstand_platform_standins::{store::Mood, target::Ills};
@@ -6,59 +6,59 @@
 use rand::{Rng, RngExt};
 use std::time::{Duration, Instant};
 
-/// Longest time that a process may take to end after it was told to; the platform kills it then.
+/// Time limit of a graceful shutdown, after which the platform kills the process.
 const STOP_WITHIN: Duration = Duration::from_secs(10);
-/// Longest time that a fault lasts.
+/// Maximum duration of a fault.
 const LONGEST_MS: u64 = 2_500;
-/// Time after which the platform takes away the entry of a target that has ended.
+/// Time until the platform removes the entry of a target that has ended.
 const LAPSE: Duration = Duration::from_millis(1_500);
-/// Time for which a target that leaves goes on serving.
+/// Time for which a draining target continues to serve.
 const LINGER: Duration = Duration::from_millis(2_500);
 
-/// One fault.
+/// A fault to inject.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Fault {
-    /// A router is killed and started again.
+    /// Kill and restart a router.
     KillRouter(usize),
-    /// A router is told to stop, and started again when it has ended.
+    /// Shut a router down gracefully and restart it.
     StopRouter(usize),
-    /// A router is paused.
+    /// Suspend a router.
     FreezeRouter(usize),
-    /// A router is told that its settings have changed.
+    /// Send SIGHUP to a router, so that it reloads its settings.
     HangUpRouter(usize),
-    /// An agent is killed and started again.
+    /// Kill and restart an agent.
     KillAgent(usize),
-    /// An agent is paused.
+    /// Suspend an agent.
     FreezeAgent(usize),
-    /// An engine ends and starts again under a new name.
+    /// Crash an engine and restart it under a new name.
     CrashEngine(usize),
-    /// A target of the plain service ends and starts again under a new name.
+    /// Crash a target of the plain service and restart it under a new name.
     CrashDesk(usize),
-    /// An engine says that it leaves, ends, and another takes its place.
+    /// Drain an engine and replace it.
     DrainEngine(usize),
-    /// Part of an engine's requests fail.
+    /// Fail a part of an engine's requests.
     FailEngine(usize),
-    /// Part of the orders get no answer and are carried out late, at all engines.
+    /// At all engines, execute a part of the commands late and without a response.
     LoseOrders,
-    /// Something happens to all connections to an engine.
+    /// Impair the connections to an engine.
     EngineLink(usize, Mode),
-    /// Something happens to a router's connections to the store.
+    /// Impair a router's connections to the store.
     StoreLink(usize, Mode),
-    /// Something happens to callers' connections to a router.
+    /// Impair callers' connections to a router.
     FrontLink(usize, Mode),
-    /// The store misbehaves for all.
+    /// Impair the store for all clients.
     Store(Mood),
-    /// The store forgets its history.
+    /// Discard the history of the store.
     Forget,
-    /// The configuration changes.
+    /// Write a new configuration.
     Configure,
-    /// Somebody writes an entry that cannot be read.
+    /// Write an entry that cannot be parsed.
     Garbage,
-    /// All processes are killed at once.
+    /// Kill and restart all routers and agents at once.
     KillAll,
 }
 
-/// Draws a fault and how long it lasts.
+/// Draws a fault and its duration.
 pub fn draw(rng: &mut impl Rng, world: &World) -> (Fault, Duration) {
     let router = rng.random_range(0..world.routers.len());
     let engine = rng.random_range(0..world.engines.len());
@@ -103,7 +103,7 @@
 }
 
 impl Fault {
-    /// Makes it; [`Fault::end`] takes it back.
+    /// Injects the fault; [`Fault::revert`] undoes it.
     pub fn begin(self, world: &mut World) {
         match self {
             Self::KillRouter(n) => kill(&mut world.routers[n].process),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Takes it back; says what was wrong with it, if anything was.
+    /// Reverts the fault; returns a violation, if there was one.
     pub async fn end(self, world: &mut World) -> Option<String> {
         match self {
             Self::KillRouter(n) => world.routers[n].start(),
@@ -171,7 +171,7 @@
         None
     }
 
-    /// What it means for requests at each router.
+    /// Disruptions of routers by this fault.
     pub fn troubles(self, routers: usize, from: Instant, to: Instant) -> Vec<Trouble> {
         let one = |router, planned| vec![Trouble { router, from, to, planned }];
         match self {
@@ -209,7 +209,7 @@
     world.engines.iter().for_each(|engine| engine.target.set_ills(ills));
 }
 
-/// Waits for a router that was told to stop, and starts it again.
+/// Waits until a router has shut down, and restarts it.
 async fn stopped(unit: &mut crate::cluster::Unit) -> Option<String> {
     let mut wrong = None;
     if let Some(mut process) = unit.process.take() {
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -1,10 +1,9 @@
-//! Random faults over real routers and agents, and what callers get meanwhile.
+//! Soak test: injects random faults into real routers and agents and checks the responses.
 //!
-//! `soak --seeds 1-50` plays one run after the other: a deployment of real processes on loopback, the
-//! platform's stand-ins around it, callers that never stop asking, and faults drawn from the seed, of
-//! which some overlap. Each request is written down with its end, and so is all that targets ran; both
-//! are compared after each fault and, once late runs have come to light, at the end. A run also breaks
-//! a promise if, when all faults are over, the deployment does not serve again. `kept.txt` holds the seeds that once failed.
+//! `soak --seeds 1-50` runs one cluster per seed on loopback, with stand-ins for the platform,
+//! continuous callers and faults drawn from the seed. The outcome of each request is compared with
+//! the executions at the targets, after each fault and at the end. A run also fails if the cluster
+//! does not recover after the last fault. `kept.txt` lists the seeds of past failures.
 
 mod callers;
 mod checks;
@@ -25,22 +24,18 @@
     time::{Duration, Instant},
 };
 
-/// Seeds that once failed, each with its cause.
+/// Seeds of past failures, each with its cause.
 const KEPT: &str = include_str!("../kept.txt");
-/// Faults of one run.
 const FAULTS: usize = 8;
-/// Faults that are under way at once, at most.
 const AT_ONCE: usize = 3;
-/// Longest pause before the next fault.
+/// Maximum pause before the next fault.
 const LONGEST_PAUSE_MS: u64 = 900;
-/// Callers of one run, for each router.
 const CALLERS_EACH: usize = 8;
-/// Time after the last fault within which the deployment serves again.
+/// Time limit for recovery after the last fault.
 const RECOVERED_WITHIN: Duration = Duration::from_secs(12);
-/// Time for late orders and runs to come to light.
+/// Time for late commands and executions to complete before the final check.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// The usual deployment, and the largest: some ninety processes.
 const USUAL: Size = Size { routers: 3, engines: 4, desks: 2 };
 const LARGE: Size = Size { routers: 20, engines: 39, desks: 6 };
 
@@ -71,7 +66,7 @@
     let faults = matches.opt_get_default("faults", FAULTS).unwrap_or(FAULTS);
     let mut failed = Vec::new();
     for seed in seeds {
-        // One runtime a run: it ends all stand-ins and proxies, which hold addresses.
+        // Dropping the runtime ends all stand-ins and proxies and releases their addresses.
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.expect("the system gives a runtime");
         let broken = runtime.block_on(play(seed, size, faults));
@@ -96,7 +91,7 @@
     }
 }
 
-/// Plays one run; one line for each broken promise. The logs stay if there is one.
+/// Runs one seed and returns the violations; logs are kept if there are any.
 async fn play(seed: u64, size: Size, faults: usize) -> Vec<String> {
     let dir = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("the folder for temporary files can be written");
@@ -123,7 +118,7 @@
     broken
 }
 
-/// Makes faults in series, some of which overlap; returns when all are over.
+/// Injects `count` faults, some of them overlapping, and reverts them all.
 async fn run_faults(
     world: &mut World,
     rng: &mut ChaCha8Rng,
@@ -137,7 +132,7 @@
     for left in (0..=count).rev() {
         if left > 0 {
             let (fault, lasts) = faults::draw(rng, world);
-            // Two faults at one place would take each other back.
+            // Two faults at one component would revert each other.
             if open.iter().all(|(other, ..)| !overlaps(*other, fault)) {
                 println!("  {fault:?} for {lasts:?}");
                 let began = Instant::now();
@@ -163,7 +158,7 @@
     troubles
 }
 
-/// Whether two faults concern the same process or place.
+/// Whether two faults affect the same component.
 fn overlaps(one: faults::Fault, other: faults::Fault) -> bool {
     use faults::Fault::{
         CrashDesk, CrashEngine, DrainEngine, FailEngine, FreezeAgent, FreezeRouter, FrontLink,
@@ -189,7 +184,7 @@
         || store(one) && store(other)
 }
 
-/// Whether all routers serve all kinds and models again, and the newest configuration.
+/// Checks that all routers serve all kinds, all models and the newest configuration.
 async fn recovers(world: &mut World, seed: u64) -> Option<String> {
     let own = world.configure();
     let until = Instant::now() + RECOVERED_WITHIN;
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, holds, cuts one way or resets what passes through it.
+//! A loopback TCP proxy that can delay, hold or reset connections.
 
 use std::{net::SocketAddr, time::Duration};
 use tokio::{
@@ -10,37 +10,36 @@
     sync::watch,
 };
 
-/// Bytes that are passed on at once.
 const CHUNK: usize = 16 << 10;
-/// Time after which a cut connection is looked at again, in case it was closed.
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What happens to connections.
+/// Treatment of connections.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Mode {
-    /// Passed on.
+    /// Forward all data.
     #[default]
     Pass,
-    /// Each part is passed on after this time.
+    /// Forward each chunk after a delay.
     Delay(Duration),
-    /// Nothing is passed on either way; it is after the cut.
+    /// Hold data of both directions until the mode changes.
     Cut,
-    /// Requests pass, answers are held until after the cut.
+    /// Forward requests and hold responses until the mode changes.
     CutBack,
-    /// Open ones are reset, and new ones as well.
+    /// Reset open and new connections.
     Reset,
 }
 
-/// A proxy in front of one address.
+/// A proxy for one address.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Listen address.
     pub addr: SocketAddr,
     mode: watch::Sender<Mode>,
 }
 
 impl Proxy {
-    /// Opens one at `addr` in front of `to`.
+    /// Opens a proxy at `addr` that forwards to `to`.
     pub async fn open(addr: SocketAddr, to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let (mode, modes) = watch::channel(Mode::Pass);
@@ -48,7 +47,7 @@
         Ok(Self { addr, mode })
     }
 
-    /// Sets what happens to connections.
+    /// Sets the treatment of open and new connections.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
@@ -117,6 +116,6 @@
             return;
         }
     }
-    // Half of the connection has ended; the other half may go on.
+    // The other direction may stay open.
     to.shutdown().await.ok();
 }
