--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -20,7 +20,7 @@
 
 /// RequestKind of a request, after the route it is sent to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Kind {
+pub enum RequestKind {
     /// Idempotent request.
     Look,
     /// Non-idempotent request.
@@ -31,7 +31,7 @@
     Draft,
 }
 
-impl Kind {
+impl RequestKind {
     const ALL: [Self; 4] = [Self::Look, Self::Pay, Self::Chat, Self::Draft];
 
     const fn path(self) -> &'static str {
@@ -55,53 +55,53 @@
 
 /// Outcome of a request as its caller sees it.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum End {
+pub enum Outcome {
     /// Complete response.
-    Whole(StatusCode, Bytes),
+    Complete(StatusCode, Bytes),
     /// Response truncated after its head.
-    Cut(StatusCode, Bytes),
+    Truncated(StatusCode, Bytes),
     /// Connection closed without a response.
     Closed,
     /// Connection could not be established.
     NoConnection,
     /// No response within the deadline and [`DEADLINE_GRACE`].
-    Held,
+    TimedOut,
 }
 
 /// A finished request.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// Request id.
     pub id: String,
     /// RequestKind of request.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Requested model; only streams send it.
     pub model: &'static str,
     /// Index of the router it was sent to.
     pub router: usize,
     /// Start time.
-    pub began: Instant,
+    pub started_at: Instant,
     /// End time.
-    pub ended: Instant,
+    pub ended_at: Instant,
     /// Outcome.
-    pub end: End,
+    pub outcome: Outcome,
 }
 
 /// Time beyond the deadline after which a caller gives up.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-const CONNECT: Duration = Duration::from_secs(1);
+const DEADLINE_GRACE: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Upper bound on the wait before a retry after a rejection.
-const LONGEST_RETURN: Duration = Duration::from_millis(500);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Delay after a connection failure.
-const AFTER_CLOSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE_MS: u64 = 60;
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+const MAX_PAUSE_MS: u64 = 60;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
 /// Callers that send requests until they are stopped.
 #[derive(Debug)]
 pub struct Callers {
-    asked: Arc<Mutex<Vec<Asked>>>,
+    requests: Arc<Mutex<Vec<RequestRecord>>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
@@ -109,80 +109,91 @@
 impl Callers {
     /// Starts `count` callers.
     pub fn start(count: usize, fronts: &[SocketAddr], seed: u64) -> Self {
-        let (asked, stop) = (Arc::<Mutex<Vec<Asked>>>::default(), Arc::<AtomicBool>::default());
+        let (requests, stop) =
+            (Arc::<Mutex<Vec<RequestRecord>>>::default(), Arc::<AtomicBool>::default());
         let tasks = (0..count).map(|index| {
-            let (fronts, asked, stop) = (fronts.to_vec(), asked.clone(), stop.clone());
+            let (fronts, requests, stop) = (fronts.to_vec(), requests.clone(), stop.clone());
             let rng = ChaCha8Rng::seed_from_u64(seed ^ (index as u64) << 32);
-            tokio::spawn(ask_on(index, fronts, rng, asked, stop))
+            tokio::spawn(run_caller(index, fronts, rng, requests, stop))
         });
         let tasks = tasks.collect();
-        Self { asked, stop, tasks }
+        Self { requests, stop, tasks }
     }
 
     /// Finished requests after the first `seen`.
-    pub fn since(&self, seen: usize) -> Vec<Asked> {
-        let asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        asked.iter().skip(seen).cloned().collect()
+    pub fn since(&self, seen: usize) -> Vec<RequestRecord> {
+        let requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
+        requests.iter().skip(seen).cloned().collect()
     }
 
     /// Stops the callers after their current request and returns all requests.
-    pub async fn end(self) -> Vec<Asked> {
+    pub async fn finish(self) -> Vec<RequestRecord> {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             task.await.expect("a caller does not fail");
         }
-        std::mem::take(&mut self.asked.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-async fn ask_on(
+async fn run_caller(
     caller: usize,
     fronts: Vec<SocketAddr>,
     mut rng: ChaCha8Rng,
-    asked: Arc<Mutex<Vec<Asked>>>,
+    requests: Arc<Mutex<Vec<RequestRecord>>>,
     stop: Arc<AtomicBool>,
 ) {
-    let mut kept: Option<(usize, Sender)> = None;
+    let mut connection: Option<(usize, Sender)> = None;
     let mut number = 0_u64;
     while !stop.load(Ordering::Relaxed) {
         number += 1;
-        let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
+        let kind = RequestKind::ALL[rng.random_range(0..RequestKind::ALL.len())];
         let model = MODELS[rng.random_range(0..MODELS.len())];
         let id = format!("c{caller}-{number}");
-        let router = match &kept {
+        let router = match &connection {
             Some((router, sender)) if !sender.is_closed() => *router,
             _ => rng.random_range(0..fronts.len()),
         };
-        let sender = kept.take().map(|(_, sender)| sender).filter(|sender| !sender.is_closed());
-        let began = Instant::now();
-        let (end, headers, sender) = ask(fronts[router], sender, kind, &id, model).await;
+        let sender =
+            connection.take().map(|(_, sender)| sender).filter(|sender| !sender.is_closed());
+        let started_at = Instant::now();
+        let (outcome, headers, sender) =
+            send_request(fronts[router], sender, kind, &id, model).await;
         let closes = headers.get("connection").is_some_and(|value| value == "close");
-        kept = sender.filter(|_| !closes).map(|sender| (router, sender));
-        let pause = match &end {
-            End::Whole(StatusCode::SERVICE_UNAVAILABLE, _) => retry_after(&headers),
-            End::Closed | End::NoConnection => AFTER_CLOSE,
-            _ => Duration::from_millis(rng.random_range(0..LONGEST_PAUSE_MS)),
+        connection = sender.filter(|_| !closes).map(|sender| (router, sender));
+        let delay = match &outcome {
+            Outcome::Complete(StatusCode::SERVICE_UNAVAILABLE, _) => retry_after(&headers),
+            Outcome::Closed | Outcome::NoConnection => RECONNECT_DELAY,
+            _ => Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)),
         };
-        let record = Asked { id, kind, model, router, began, ended: Instant::now(), end };
-        asked.lock().unwrap_or_else(PoisonError::into_inner).push(record);
-        tokio::time::sleep(pause).await;
+        let record = RequestRecord {
+            id,
+            kind,
+            model,
+            router,
+            started_at,
+            ended_at: Instant::now(),
+            outcome,
+        };
+        requests.lock().unwrap_or_else(PoisonError::into_inner).push(record);
+        tokio::time::sleep(delay).await;
     }
 }
 
 fn retry_after(headers: &HeaderMap) -> Duration {
     let text = headers.get("retry-after").and_then(|value| value.to_str().ok());
     let seconds: f64 = text.and_then(|text| text.parse().ok()).unwrap_or(0.1);
-    Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_RETURN).min(LONGEST_RETURN)
+    Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_DELAY).min(MAX_RETRY_DELAY)
 }
 
 /// Sends one request; returns the connection if it can be reused.
-pub async fn ask(
+pub async fn send_request(
     front: SocketAddr,
-    kept: Option<Sender>,
-    kind: Kind,
+    connection: Option<Sender>,
+    kind: RequestKind,
     id: &str,
     model: &str,
-) -> (End, HeaderMap, Option<Sender>) {
+) -> (Outcome, HeaderMap, Option<Sender>) {
     let mut req = Request::builder().method(Method::POST).uri(kind.path()).header("host", HOST);
     req = req.header("request-id", id);
     req = req.header("deadline-ms", kind.deadline().as_millis() as u64);
@@ -190,10 +201,10 @@
         req = req.header("model", model).header("token-usage", "100,100");
     }
     let req = req.body(Full::default()).expect("the parts are valid");
-    let limit = kind.deadline() + PATIENCE;
-    match tokio::time::timeout(limit, exchange(front, kept, req)).await {
+    let limit = kind.deadline() + DEADLINE_GRACE;
+    match tokio::time::timeout(limit, exchange(front, connection, req)).await {
         Ok(done) => done,
-        Err(_) => (End::Held, HeaderMap::new(), None),
+        Err(_) => (Outcome::TimedOut, HeaderMap::new(), None),
     }
 }
 
@@ -202,8 +213,8 @@
     let req = Request::builder().uri(path).header("host", HOST).header("request-id", id);
     let req = req.header("deadline-ms", 1_000).body(Full::default());
     let req = req.expect("the parts are valid");
-    match tokio::time::timeout(PATIENCE * 2, exchange(front, None, req)).await {
-        Ok((End::Whole(status, _), ..)) => Some(status),
+    match tokio::time::timeout(DEADLINE_GRACE * 2, exchange(front, None, req)).await {
+        Ok((Outcome::Complete(status, _), ..)) => Some(status),
         _ => None,
     }
 }
@@ -215,34 +226,37 @@
 
 async fn exchange(
     front: SocketAddr,
-    kept: Option<Sender>,
+    connection: Option<Sender>,
     req: Request<Full<Bytes>>,
-) -> (End, HeaderMap, Option<Sender>) {
-    let none = HeaderMap::new;
-    let sender = match kept {
+) -> (Outcome, HeaderMap, Option<Sender>) {
+    let no_headers = HeaderMap::new;
+    let sender = match connection {
         Some(sender) => Some(sender),
         None => connect(front).await,
     };
-    let Some(mut sender) = sender else { return (End::NoConnection, none(), None) };
-    let Ok(answer) = sender.send_request(req).await else { return (End::Closed, none(), None) };
+    let Some(mut sender) = sender else { return (Outcome::NoConnection, no_headers(), None) };
+    let Ok(answer) = sender.send_request(req).await else {
+        return (Outcome::Closed, no_headers(), None);
+    };
     let (head, body) = answer.into_parts();
-    let (whole, text) = read(body).await;
-    let end = match whole {
-        true => End::Whole(head.status, text),
-        false => End::Cut(head.status, text),
+    let (complete, text) = read_body(body).await;
+    let outcome = match complete {
+        true => Outcome::Complete(head.status, text),
+        false => Outcome::Truncated(head.status, text),
     };
-    (end, head.headers, whole.then_some(sender))
+    (outcome, head.headers, complete.then_some(sender))
 }
 
 async fn connect(front: SocketAddr) -> Option<Sender> {
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(front)).await.ok()?.ok()?;
+    let stream =
+        tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(front)).await.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     // Errors surface in the request that uses the connection.
     tokio::spawn(async move { connection.await.ok() });
     Some(sender)
 }
 
-async fn read(mut body: Incoming) -> (bool, Bytes) {
+async fn read_body(mut body: Incoming) -> (bool, Bytes) {
     let mut text = Vec::new();
     while let Some(frame) = body.frame().await {
         match frame {
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -1,6 +1,6 @@
 //! Guarantees that must hold for each request regardless of the injected faults.
 
-use crate::callers::{Asked, End, Kind};
+use crate::callers::{Outcome, RequestKind, RequestRecord};
 use corianderstand_platform_standins::{ledger::Ledger, target::EVENTS};
 use http::StatusCode;
 use std::{
@@ -9,13 +9,13 @@
 };
 
 /// Statuses that guarantee that a request was not and will not be executed.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+const NOT_EXECUTED: [u16; 4] = [408, 421, 429, 503];
 /// Time after a disruption during which the router's connections may still fail.
-const AFTERMATH: Duration = Duration::from_secs(3);
+const DISRUPTION_AFTERMATH: Duration = Duration::from_secs(3);
 
 /// Disruption of a router by an injected fault.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
+pub struct Disruption {
     /// Index of the router.
     pub router: usize,
     /// Start time.
@@ -30,126 +30,133 @@
 #[derive(Debug, Default)]
 pub struct Report {
     /// Descriptions of the violations.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of requests by outcome.
-    pub ends: BTreeMap<String, usize>,
+    pub outcomes: BTreeMap<String, usize>,
 }
 
 /// Checks the guarantees that hold even if the router was disrupted. Also called during a run, so
 /// that violations are printed next to the faults that caused them.
-pub fn broken(one: &Asked, ledger: &Ledger) -> Vec<String> {
-    let faults = [
-        ran_twice(one, ledger),
-        ran_though_refused(one, ledger),
-        other_answer(one, ledger),
-        wrong_stream(one),
+pub fn violations(request: &RequestRecord, ledger: &Ledger) -> Vec<String> {
+    let violations = [
+        executed_twice(request, ledger),
+        executed_though_rejected(request, ledger),
+        wrong_response(request, ledger),
+        wrong_stream(request),
     ];
-    faults.into_iter().flatten().map(|fault| line(&fault, one)).collect()
+    violations.into_iter().flatten().map(|violation| describe(&violation, request)).collect()
 }
 
-fn line(fault: &str, one: &Asked) -> String {
-    format!("{fault}: {} {:?} at router {}", one.id, one.kind, one.router)
+fn describe(violation: &str, request: &RequestRecord) -> String {
+    format!("{violation}: {} {:?} at router {}", request.id, request.kind, request.router)
 }
 
 /// Checks all requests against the ledger of executions.
-pub fn check(asked: &[Asked], ledger: &Ledger, troubles: &[Trouble]) -> Report {
+pub fn check(requests: &[RequestRecord], ledger: &Ledger, disruptions: &[Disruption]) -> Report {
     let mut report = Report::default();
-    for one in asked {
-        *report.ends.entry(name(&one.end)).or_default() += 1;
-        report.broken.extend(broken(one, ledger));
-        let left = left_without_answer(one, ledger, troubles);
-        report.broken.extend(left.map(|fault| line(&fault, one)));
+    for request in requests {
+        *report.outcomes.entry(name(&request.outcome)).or_default() += 1;
+        report.violations.extend(violations(request, ledger));
+        let unanswered = unanswered(request, ledger, disruptions);
+        report.violations.extend(unanswered.map(|violation| describe(&violation, request)));
     }
-    let known: std::collections::BTreeSet<&str> = asked.iter().map(|one| one.id.as_str()).collect();
+    let known: std::collections::BTreeSet<&str> =
+        requests.iter().map(|request| request.id.as_str()).collect();
     for id in ledger.ids().iter().filter(|id| id.starts_with('c')) {
         if !known.contains(id.as_str()) {
-            report.broken.push(format!("ran though nobody asked: {id}"));
+            report.violations.push(format!("executed without a request: {id}"));
         }
     }
     report
 }
 
-fn name(end: &End) -> String {
-    match end {
-        End::Whole(status, _) => status.as_u16().to_string(),
-        End::Cut(..) => "cut".into(),
-        End::Closed => "closed".into(),
-        End::NoConnection => "no connection".into(),
-        End::Held => "held".into(),
+fn name(outcome: &Outcome) -> String {
+    match outcome {
+        Outcome::Complete(status, _) => status.as_u16().to_string(),
+        Outcome::Truncated(..) => "truncated".into(),
+        Outcome::Closed => "closed".into(),
+        Outcome::NoConnection => "no connection".into(),
+        Outcome::TimedOut => "timed out".into(),
     }
 }
 
-fn ran_twice(one: &Asked, ledger: &Ledger) -> Option<String> {
-    let once = matches!(one.kind, Kind::Pay | Kind::Draft);
-    let runs = ledger.of(&one.id);
-    (once && runs.len() > 1).then(|| format!("ran {} times", runs.len()))
+fn executed_twice(request: &RequestRecord, ledger: &Ledger) -> Option<String> {
+    let non_idempotent = matches!(request.kind, RequestKind::Pay | RequestKind::Draft);
+    let runs = ledger.of(&request.id);
+    (non_idempotent && runs.len() > 1).then(|| format!("executed {} times", runs.len()))
 }
 
-fn ran_though_refused(one: &Asked, ledger: &Ledger) -> Option<String> {
-    let End::Whole(status, _) = &one.end else { return None };
-    let refused = NOT_RUN.contains(&status.as_u16());
-    let ran = !ledger.of(&one.id).is_empty();
+fn executed_though_rejected(request: &RequestRecord, ledger: &Ledger) -> Option<String> {
+    let Outcome::Complete(status, _) = &request.outcome else { return None };
+    let rejected = NOT_EXECUTED.contains(&status.as_u16());
+    let executed = !ledger.of(&request.id).is_empty();
     // An idempotent request may be rejected after an execution whose response was lost.
-    let once = matches!(one.kind, Kind::Pay | Kind::Draft);
-    (refused && ran && once).then(|| format!("answered {status} and ran"))
+    let non_idempotent = matches!(request.kind, RequestKind::Pay | RequestKind::Draft);
+    (rejected && executed && non_idempotent).then(|| format!("rejected with {status} but executed"))
 }
 
-fn other_answer(one: &Asked, ledger: &Ledger) -> Option<String> {
-    let runs = ledger.of(&one.id);
+fn wrong_response(request: &RequestRecord, ledger: &Ledger) -> Option<String> {
+    let runs = ledger.of(&request.id);
     let path_differs = runs.iter().any(|run| !run.asked.starts_with("POST /"));
-    let model_differs = runs.iter().any(|run| one.kind.streams() && run.model != one.model);
+    let model_differs = runs.iter().any(|run| request.kind.streams() && run.model != request.model);
     if path_differs || model_differs {
-        return Some(format!("ran as something else: {runs:?}"));
+        return Some(format!("executed with another path or model: {runs:?}"));
     }
-    let End::Whole(StatusCode::OK, body) = &one.end else { return None };
+    let Outcome::Complete(StatusCode::OK, body) = &request.outcome else { return None };
     if runs.is_empty() {
-        return Some("answered and never ran".into());
+        return Some("answered but never executed".into());
     }
     let body = String::from_utf8_lossy(body);
     let expected = |run: &corianderstand_platform_standins::ledger::Run| {
-        run.done && body == format!("{} done by {}", one.id, run.target)
+        run.done && body == format!("{} done by {}", request.id, run.target)
     };
-    let wrong = !one.kind.streams() && !runs.iter().any(expected);
-    wrong.then(|| format!("another body than its target's: {body:?}"))
+    let wrong = !request.kind.streams() && !runs.iter().any(expected);
+    wrong.then(|| format!("body differs from the target's: {body:?}"))
 }
 
 /// Checks that events arrive in order and once, and that a complete stream has all of them.
-fn wrong_stream(one: &Asked) -> Option<String> {
-    let (whole, body) = match &one.end {
-        End::Whole(StatusCode::OK, body) => (true, body),
-        End::Cut(StatusCode::OK, body) => (false, body),
+fn wrong_stream(request: &RequestRecord) -> Option<String> {
+    let (complete, body) = match &request.outcome {
+        Outcome::Complete(StatusCode::OK, body) => (true, body),
+        Outcome::Truncated(StatusCode::OK, body) => (false, body),
         _ => return None,
     };
-    if !one.kind.streams() {
+    if !request.kind.streams() {
         return None;
     }
     let text = String::from_utf8_lossy(body);
     let expected: String =
-        (1..=EVENTS).map(|n| format!("id: {n}\ndata: {} {n}\n\n", one.id)).collect();
-    let right = if whole { text == expected } else { expected.starts_with(&*text) };
-    (!right).then(|| format!("a stream of other events (whole: {whole}): {text:?}"))
+        (1..=EVENTS).map(|n| format!("id: {n}\ndata: {} {n}\n\n", request.id)).collect();
+    let correct = if complete { text == expected } else { expected.starts_with(&*text) };
+    (!correct).then(|| format!("wrong events in the stream (complete: {complete}): {text:?}"))
 }
 
 /// Checks that an undisrupted router responds in time and that a router shutting down responds to
 /// every request that it forwarded.
-fn left_without_answer(one: &Asked, ledger: &Ledger, troubles: &[Trouble]) -> Option<String> {
-    let meanwhile = |trouble: &&Trouble| {
-        trouble.router == one.router
-            && one.ended >= trouble.from
-            && one.began <= trouble.to + AFTERMATH
+fn unanswered(
+    request: &RequestRecord,
+    ledger: &Ledger,
+    disruptions: &[Disruption],
+) -> Option<String> {
+    let overlaps = |disruption: &&Disruption| {
+        disruption.router == request.router
+            && request.ended_at >= disruption.from
+            && request.started_at <= disruption.to + DISRUPTION_AFTERMATH
     };
-    let met: Vec<&Trouble> = troubles.iter().filter(meanwhile).collect();
-    if met.iter().any(|trouble| !trouble.planned) {
+    let overlapping: Vec<&Disruption> = disruptions.iter().filter(overlaps).collect();
+    if overlapping.iter().any(|disruption| !disruption.planned) {
         return None;
     }
-    let ran = !ledger.of(&one.id).is_empty();
-    let took = one.ended - one.began;
-    match one.end {
-        End::Held if met.is_empty() => Some("no answer long after its deadline".into()),
-        End::Closed if met.is_empty() || ran => {
-            Some(format!("closed without an answer after {took:?}, ran: {ran}"))
+    let executed = !ledger.of(&request.id).is_empty();
+    let took = request.ended_at - request.started_at;
+    match request.outcome {
+        Outcome::TimedOut if overlapping.is_empty() => {
+            Some("no response after the deadline".into())
         }
-        End::NoConnection if met.is_empty() => Some("no connection".into()),
+        Outcome::Closed if overlapping.is_empty() || executed => {
+            Some(format!("closed without a response after {took:?}, executed: {executed}"))
+        }
+        Outcome::NoConnection if overlapping.is_empty() => Some("no connection".into()),
         _ => None,
     }
 }
--- a/tools/soak/src/cluster.rs
+++ b/tools/soak/src/cluster.rs
@@ -19,26 +19,26 @@
 pub const HOST: &str = "soak.example";
 /// Names of the models; [`MODELS_PER_ENGINE`] fit on an engine.
 pub const MODELS: [&str; 5] = ["m0", "m1", "m2", "m3", "m4"];
-const MODELS_EACH: usize = 2;
+const MODELS_PER_ENGINE: usize = 2;
 const STORE_PORT: u16 = 8_142;
 const TARGET_PORT: u16 = 8_145;
 const PROXY_PORT: u16 = 8_245;
-const READY_WITHIN: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Number of processes in a cluster.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct ClusterSize {
     /// Number of routers.
     pub routers: usize,
     /// Number of engines, each with an agent.
     pub engines: usize,
     /// Number of targets of the plain service.
-    pub desks: usize,
+    pub service_targets: usize,
 }
 
 /// A router or agent process that can be restarted.
 #[derive(Debug)]
-pub struct Unit {
+pub struct ManagedProcess {
     /// Process name.
     pub name: String,
     /// IP address, used by this process alone.
@@ -52,7 +52,7 @@
     logs: PathBuf,
 }
 
-impl Unit {
+impl ManagedProcess {
     /// Starts the process.
     pub fn start(&mut self) {
         let args = [self.role, "--platform"].map(str::to_owned);
@@ -65,7 +65,7 @@
 
 /// A target with a proxy in front of it.
 #[derive(Debug)]
-pub struct Place {
+pub struct ProxiedTarget {
     /// The stand-in for the target.
     pub target: Target,
     /// Proxy between routers and the target.
@@ -75,36 +75,36 @@
     name: String,
 }
 
-impl Place {
+impl ProxiedTarget {
     /// Starts the target under a new name.
     pub async fn start(&mut self) {
         self.starts += 1;
         let name = format!("{}-{}", self.name, self.starts);
-        let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let born = born.as_millis() as u64;
-        self.target.start(&name, born).await.expect("its address is its own");
+        let started_at_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let started_at_ms = started_at_ms.as_millis() as u64;
+        self.target.start(&name, started_at_ms).await.expect("the address is free");
     }
 }
 
 /// The running cluster.
 #[derive(Debug)]
-pub struct World {
+pub struct Cluster {
     /// Stand-in for the platform's store.
     pub store: Store,
     /// Executions by the targets.
     pub ledger: Ledger,
     /// Router processes.
-    pub routers: Vec<Unit>,
+    pub routers: Vec<ManagedProcess>,
     /// Proxies between callers and routers.
     pub fronts: Vec<proxy::Proxy>,
     /// Agent processes, one per engine.
-    pub agents: Vec<Unit>,
+    pub agents: Vec<ManagedProcess>,
     /// Engines.
-    pub engines: Vec<Place>,
+    pub engines: Vec<ProxiedTarget>,
     /// Targets of the plain service.
-    pub desks: Vec<Place>,
+    pub service_targets: Vec<ProxiedTarget>,
     version: u64,
-    _store_open: corianderstand_platform_standins::serve::Open,
+    _store_listener: corianderstand_platform_standins::serve::Open,
 }
 
 /// Returns a loopback address derived from the process id, so that parallel runs do not collide.
@@ -120,68 +120,74 @@
 }
 
 /// Offsets of IP addresses by role; the gaps limit the processes of a role.
-const ROUTER: u8 = 1;
-const AGENT: u8 = 25;
-const DESK: u8 = 65;
-const STORE: u8 = 120;
+const ROUTER_IP_OFFSET: u8 = 1;
+const AGENT_IP_OFFSET: u8 = 25;
+const SERVICE_IP_OFFSET: u8 = 65;
+const STORE_IP_OFFSET: u8 = 120;
 
-impl World {
+impl Cluster {
     /// Starts a cluster with logs and settings in `dir`.
-    pub async fn start(size: Size, dir: &Path) -> Self {
+    pub async fn start(size: ClusterSize, dir: &Path) -> Self {
         let (store, ledger) = (Store::default(), Ledger::default());
-        let store_addr = SocketAddr::new(ip(STORE, 0), STORE_PORT);
-        let store_open = store.open(store_addr).await.expect("its address is its own");
+        let store_addr = SocketAddr::new(ip(STORE_IP_OFFSET, 0), STORE_PORT);
+        let store_listener = store.open(store_addr).await.expect("the address is free");
         let mut engines = Vec::new();
         for index in 0..size.engines {
             // Each engine has three models on disk, so that every model is on some disk.
-            let disk = [0, 1, 2].map(|copy| MODELS[(index + copy) % MODELS.len()]);
-            let at = ip(AGENT, index);
-            engines.push(place(("models", "engine"), index, at, (&store, &ledger), &disk).await);
+            let disk = [0, 1, 2].map(|offset| MODELS[(index + offset) % MODELS.len()]);
+            let ip_addr = ip(AGENT_IP_OFFSET, index);
+            engines.push(
+                start_target(("models", "engine"), index, ip_addr, (&store, &ledger), &disk).await,
+            );
         }
-        let mut desks = Vec::new();
-        for index in 0..size.desks {
-            let at = ip(DESK, index);
-            desks.push(place(("desk", "desk"), index, at, (&store, &ledger), &[]).await);
+        let mut service_targets = Vec::new();
+        for index in 0..size.service_targets {
+            let ip_addr = ip(SERVICE_IP_OFFSET, index);
+            service_targets
+                .push(start_target(("desk", "desk"), index, ip_addr, (&store, &ledger), &[]).await);
         }
-        let seeds: Vec<_> = (0..size.routers.min(3)).map(|index| ip(ROUTER, index)).collect();
+        let seeds: Vec<_> =
+            (0..size.routers.min(3)).map(|index| ip(ROUTER_IP_OFFSET, index)).collect();
         let (mut routers, mut fronts, mut agents) = (Vec::new(), Vec::new(), Vec::new());
         for index in 0..size.routers {
-            let at = ip(ROUTER, index);
-            let unit = unit(("router", index), at, store_addr, dir, |name, store| {
-                settings::router(name, at, &seeds, store)
-            });
-            routers.push(unit.await);
-            let front = settings::front(at);
-            let near = SocketAddr::new(at, PROXY_PORT + 1);
-            fronts.push(proxy::Proxy::open(near, front).await.expect("its address is its own"));
+            let ip_addr = ip(ROUTER_IP_OFFSET, index);
+            let process =
+                start_process(("router", index), ip_addr, store_addr, dir, |name, store| {
+                    settings::router(name, ip_addr, &seeds, store)
+                });
+            routers.push(process.await);
+            let front = settings::front(ip_addr);
+            let proxy_addr = SocketAddr::new(ip_addr, PROXY_PORT + 1);
+            fronts.push(proxy::Proxy::open(proxy_addr, front).await.expect("the address is free"));
         }
         for index in 0..size.engines {
-            let at = ip(AGENT, index);
-            let unit = unit(("agent", index), at, store_addr, dir, |name, store| {
-                settings::agent(name, at, SocketAddr::new(at, TARGET_PORT), store)
-            });
-            agents.push(unit.await);
+            let ip_addr = ip(AGENT_IP_OFFSET, index);
+            let process =
+                start_process(("agent", index), ip_addr, store_addr, dir, |name, store| {
+                    settings::agent(name, ip_addr, SocketAddr::new(ip_addr, TARGET_PORT), store)
+                });
+            agents.push(process.await);
         }
-        let mut world = Self {
+        let mut cluster = Self {
             store,
             ledger,
             routers,
             fronts,
             agents,
             engines,
-            desks,
+            service_targets,
             version: 0,
-            _store_open: store_open,
+            _store_listener: store_listener,
         };
-        world.configure();
-        world.wait_ready().await;
-        world
+        cluster.configure();
+        cluster.wait_ready().await;
+        cluster
     }
 
     /// Writes the next configuration and returns the path prefix of a route unique to it.
     pub fn configure(&mut self) -> String {
         self.version += 7;
-        let own = format!("/only-{}/", self.version);
+        let unique_prefix = format!("/only-{}/", self.version);
         let route = |prefix: &str, kind: &str, service: &str, resumable: bool| {
             json!({
                 "name": prefix.trim_matches('/'), "host": HOST, "path_prefix": prefix,
@@ -202,78 +208,79 @@
                 route("/pay/", "non_idempotent", "desk", false),
                 route("/chat/", "streaming", "models", true),
                 route("/draft/", "streaming", "models", false),
-                route(&own, "idempotent", "desk", false),
+                route(&unique_prefix, "idempotent", "desk", false),
             ],
             "services": [
                 { "name": "desk", "health_path": HEALTH, "max_conns": 500 },
                 { "name": "models", "health_path": HEALTH, "max_conns": 500, "engine": {
                     "slots": 16, "kv_tokens": 100_000, "models": models,
-                    "weights_mb": 100 * MODELS_EACH + 50, "adapter_slots": 1, "loads_per_s": 100,
+                    "weights_mb": 100 * MODELS_PER_ENGINE + 50, "adapter_slots": 1, "loads_per_s": 100,
                 } },
             ],
             "limits": { "max_header_bytes": 16_384, "max_body_bytes": 1_048_576,
                 "header_timeout_ms": 3_000, "idle_timeout_ms": 15_000 },
         });
         self.store.put("keyed.op", "config", Some(config.to_string().into()));
-        own
+        unique_prefix
     }
 
     /// Writes an entry that cannot be parsed.
-    pub fn write_garbage(&self) {
+    pub fn write_invalid_entry(&self) {
         self.store.put(ENTRIES, "stranger", Some("{\"service\":7".into()));
     }
 
     /// Waits until all routers are ready.
     pub async fn wait_ready(&mut self) {
-        let ask = async {
-            for unit in &self.routers {
-                while !crate::callers::is_ready(settings::ready(unit.ip)).await {
+        let poll = async {
+            for router in &self.routers {
+                while !crate::callers::is_ready(settings::ready(router.ip)).await {
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             }
         };
-        tokio::time::timeout(READY_WITHIN, ask).await.expect("all routers become ready");
+        tokio::time::timeout(READY_TIMEOUT, poll).await.expect("all routers become ready");
     }
 }
 
-async fn place(
+async fn start_target(
     (service, name): (&str, &str),
     index: usize,
-    at: IpAddr,
+    ip_addr: IpAddr,
     (store, ledger): (&Store, &Ledger),
     disk: &[&str],
-) -> Place {
-    let addr = SocketAddr::new(at, TARGET_PORT);
-    let link = proxy::Proxy::open(SocketAddr::new(at, PROXY_PORT), addr).await;
-    let link = link.expect("its address is its own");
+) -> ProxiedTarget {
+    let addr = SocketAddr::new(ip_addr, TARGET_PORT);
+    let link = proxy::Proxy::open(SocketAddr::new(ip_addr, PROXY_PORT), addr).await;
+    let link = link.expect("the address is free");
     let is_engine = service == "models";
     let spec = Spec {
         service: service.into(),
         addr,
         told: link.addr,
         slots: 16,
-        models: is_engine.then_some(MODELS_EACH),
+        models: is_engine.then_some(MODELS_PER_ENGINE),
     };
     let target = Target::new(spec, store.clone(), ledger.clone(), disk);
-    let mut place = Place { target, link, starts: 0, name: format!("{name}-{index}") };
-    place.start().await;
-    place
+    let mut target = ProxiedTarget { target, link, starts: 0, name: format!("{name}-{index}") };
+    target.start().await;
+    target
 }
 
-async fn unit(
+async fn start_process(
     (role, index): (&'static str, usize),
-    at: IpAddr,
+    ip_addr: IpAddr,
     store: SocketAddr,
     dir: &Path,
     settings: impl FnOnce(&str, SocketAddr) -> String,
-) -> Unit {
+) -> ManagedProcess {
     let name = format!("{role}-{index}");
-    let near = SocketAddr::new(at, PROXY_PORT + 2);
-    let store = proxy::Proxy::open(near, store).await.expect("its address is its own");
+    let proxy_addr = SocketAddr::new(ip_addr, PROXY_PORT + 2);
+    let store = proxy::Proxy::open(proxy_addr, store).await.expect("the address is free");
     let config = dir.join(format!("{name}.conf"));
     std::fs::write(&config, settings(&name, store.addr)).expect("the folder can be written");
     let logs = dir.to_owned();
-    let mut unit = Unit { name, ip: at, store, process: None, role, config, logs };
-    unit.start();
-    unit
+    let mut process =
+        ManagedProcess { name, ip: ip_addr, store, process: None, role, config, logs };
+    process.start();
+    process
 }
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -1,19 +1,19 @@
 //! Faults drawn from a seed, injected and reverted.
 
-use crate::{checks::Trouble, cluster::World, proxy::Mode};
+use crate::{checks::Disruption, cluster::Cluster, proxy::Mode};
 use corianderstand_platform_standins::{store::Mood, target::Ills};
 use nix::sys::signal::Signal;
 use rand::{Rng, RngExt};
 use std::time::{Duration, Instant};
 
 /// Time limit of a graceful shutdown, after which the platform kills the process.
-const STOP_WITHIN: Duration = Duration::from_secs(10);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum duration of a fault.
-const LONGEST_MS: u64 = 2_500;
+const MAX_FAULT_MS: u64 = 2_500;
 /// Time until the platform removes the entry of a target that has ended.
-const LAPSE: Duration = Duration::from_millis(1_500);
+const ENTRY_TTL: Duration = Duration::from_millis(1_500);
 /// Time for which a draining target continues to serve.
-const LINGER: Duration = Duration::from_millis(2_500);
+const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 
 /// A fault to inject.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -25,7 +25,7 @@
     /// Suspend a router.
     FreezeRouter(usize),
     /// Send SIGHUP to a router, so that it reloads its settings.
-    HangUpRouter(usize),
+    ReloadRouter(usize),
     /// Kill and restart an agent.
     KillAgent(usize),
     /// Suspend an agent.
@@ -33,13 +33,13 @@
     /// Crash an engine and restart it under a new name.
     CrashEngine(usize),
     /// Crash a target of the plain service and restart it under a new name.
-    CrashDesk(usize),
+    CrashService(usize),
     /// Drain an engine and replace it.
     DrainEngine(usize),
     /// Fail a part of an engine's requests.
     FailEngine(usize),
     /// At all engines, execute a part of the commands late and without a response.
-    LoseOrders,
+    LoseCommands,
     /// Impair the connections to an engine.
     EngineLink(usize, Mode),
     /// Impair a router's connections to the store.
@@ -49,20 +49,20 @@
     /// Impair the store for all clients.
     Store(Mood),
     /// Discard the history of the store.
-    Forget,
+    DiscardHistory,
     /// Write a new configuration.
     Configure,
     /// Write an entry that cannot be parsed.
-    Garbage,
+    InvalidEntry,
     /// Kill and restart all routers and agents at once.
     KillAll,
 }
 
 /// Draws a fault and its duration.
-pub fn draw(rng: &mut impl Rng, world: &World) -> (Fault, Duration) {
-    let router = rng.random_range(0..world.routers.len());
-    let engine = rng.random_range(0..world.engines.len());
-    let desk = rng.random_range(0..world.desks.len());
+pub fn draw(rng: &mut impl Rng, cluster: &Cluster) -> (Fault, Duration) {
+    let router = rng.random_range(0..cluster.routers.len());
+    let engine = rng.random_range(0..cluster.engines.len());
+    let service = rng.random_range(0..cluster.service_targets.len());
     let mode = draw_mode(rng);
     let mood = match rng.random_range(0..3) {
         0 => Mood::Busy,
@@ -73,113 +73,114 @@
         0..3 => Fault::KillRouter(router),
         3..7 => Fault::StopRouter(router),
         7..9 => Fault::FreezeRouter(router),
-        9 => Fault::HangUpRouter(router),
+        9 => Fault::ReloadRouter(router),
         10 => Fault::KillAgent(engine),
         11 => Fault::FreezeAgent(engine),
         12..15 => Fault::CrashEngine(engine),
         15..17 => Fault::DrainEngine(engine),
         17 => Fault::FailEngine(engine),
-        18..20 => Fault::LoseOrders,
+        18..20 => Fault::LoseCommands,
         20..23 => Fault::EngineLink(engine, mode),
         23..25 => Fault::StoreLink(router, mode),
         25 => Fault::FrontLink(router, mode),
         26..28 => Fault::Store(mood),
-        28..30 => Fault::Forget,
+        28..30 => Fault::DiscardHistory,
         30..32 => Fault::Configure,
-        32..34 => Fault::Garbage,
-        34 => Fault::CrashDesk(desk),
+        32..34 => Fault::InvalidEntry,
+        34 => Fault::CrashService(service),
         _ => Fault::KillAll,
     };
-    (fault, Duration::from_millis(rng.random_range(200..LONGEST_MS)))
+    (fault, Duration::from_millis(rng.random_range(200..MAX_FAULT_MS)))
 }
 
 fn draw_mode(rng: &mut impl Rng) -> Mode {
     match rng.random_range(0..4) {
         0 => Mode::Delay(Duration::from_millis(rng.random_range(5..120))),
-        1 => Mode::Cut,
-        2 => Mode::CutBack,
+        1 => Mode::Hold,
+        2 => Mode::HoldResponses,
         _ => Mode::Reset,
     }
 }
 
 impl Fault {
     /// Injects the fault; [`Fault::revert`] undoes it.
-    pub fn begin(self, world: &mut World) {
+    pub fn inject(self, cluster: &mut Cluster) {
         match self {
-            Self::KillRouter(n) => kill(&mut world.routers[n].process),
-            Self::StopRouter(n) => signal(&world.routers[n].process, Signal::SIGTERM),
-            Self::FreezeRouter(n) => freeze(&world.routers[n].process),
-            Self::HangUpRouter(n) => signal(&world.routers[n].process, Signal::SIGHUP),
-            Self::KillAgent(n) => kill(&mut world.agents[n].process),
-            Self::FreezeAgent(n) => freeze(&world.agents[n].process),
-            Self::CrashEngine(n) => world.engines[n].target.crash(),
-            Self::CrashDesk(n) => world.desks[n].target.crash(),
-            Self::DrainEngine(n) => world.engines[n].target.drain(),
+            Self::KillRouter(n) => kill(&mut cluster.routers[n].process),
+            Self::StopRouter(n) => signal(&cluster.routers[n].process, Signal::SIGTERM),
+            Self::FreezeRouter(n) => freeze(&cluster.routers[n].process),
+            Self::ReloadRouter(n) => signal(&cluster.routers[n].process, Signal::SIGHUP),
+            Self::KillAgent(n) => kill(&mut cluster.agents[n].process),
+            Self::FreezeAgent(n) => freeze(&cluster.agents[n].process),
+            Self::CrashEngine(n) => cluster.engines[n].target.crash(),
+            Self::CrashService(n) => cluster.service_targets[n].target.crash(),
+            Self::DrainEngine(n) => cluster.engines[n].target.drain(),
             Self::FailEngine(n) => {
-                world.engines[n].target.set_ills(Ills { failing: 0.3, ..Ills::default() });
+                cluster.engines[n].target.set_ills(Ills { failing: 0.3, ..Ills::default() });
             }
-            Self::LoseOrders => set_all(world, Ills { orders_lost: 0.5, ..Ills::default() }),
-            Self::EngineLink(n, mode) => world.engines[n].link.set(mode),
-            Self::StoreLink(n, mode) => world.routers[n].store.set(mode),
-            Self::FrontLink(n, mode) => world.fronts[n].set(mode),
-            Self::Store(mood) => world.store.set_mood(mood),
-            Self::Forget => world.store.forget(),
-            Self::Configure => drop(world.configure()),
-            Self::Garbage => world.write_garbage(),
+            Self::LoseCommands => set_all(cluster, Ills { orders_lost: 0.5, ..Ills::default() }),
+            Self::EngineLink(n, mode) => cluster.engines[n].link.set(mode),
+            Self::StoreLink(n, mode) => cluster.routers[n].store.set(mode),
+            Self::FrontLink(n, mode) => cluster.fronts[n].set(mode),
+            Self::Store(mood) => cluster.store.set_mood(mood),
+            Self::DiscardHistory => cluster.store.forget(),
+            Self::Configure => drop(cluster.configure()),
+            Self::InvalidEntry => cluster.write_invalid_entry(),
             Self::KillAll => {
-                let units = world.routers.iter_mut().chain(&mut world.agents);
-                units.for_each(|unit| kill(&mut unit.process));
+                let processes = cluster.routers.iter_mut().chain(&mut cluster.agents);
+                processes.for_each(|managed| kill(&mut managed.process));
             }
         }
     }
 
     /// Reverts the fault; returns a violation, if there was one.
-    pub async fn end(self, world: &mut World) -> Option<String> {
+    pub async fn revert(self, cluster: &mut Cluster) -> Option<String> {
         match self {
-            Self::KillRouter(n) => world.routers[n].start(),
-            Self::StopRouter(n) => return stopped(&mut world.routers[n]).await,
-            Self::FreezeRouter(n) => signal(&world.routers[n].process, Signal::SIGCONT),
-            Self::KillAgent(n) => world.agents[n].start(),
-            Self::FreezeAgent(n) => signal(&world.agents[n].process, Signal::SIGCONT),
+            Self::KillRouter(n) => cluster.routers[n].start(),
+            Self::StopRouter(n) => return restart_after_shutdown(&mut cluster.routers[n]).await,
+            Self::FreezeRouter(n) => signal(&cluster.routers[n].process, Signal::SIGCONT),
+            Self::KillAgent(n) => cluster.agents[n].start(),
+            Self::FreezeAgent(n) => signal(&cluster.agents[n].process, Signal::SIGCONT),
             Self::CrashEngine(n) => {
-                world.engines[n].target.lapse();
-                world.engines[n].start().await;
+                cluster.engines[n].target.lapse();
+                cluster.engines[n].start().await;
             }
-            Self::CrashDesk(n) => {
-                world.desks[n].target.lapse();
-                world.desks[n].start().await;
+            Self::CrashService(n) => {
+                cluster.service_targets[n].target.lapse();
+                cluster.service_targets[n].start().await;
             }
             Self::DrainEngine(n) => {
-                tokio::time::sleep(LINGER).await;
-                world.engines[n].target.crash();
-                tokio::time::sleep(LAPSE).await;
-                world.engines[n].target.lapse();
-                world.engines[n].start().await;
+                tokio::time::sleep(DRAIN_TIME).await;
+                cluster.engines[n].target.crash();
+                tokio::time::sleep(ENTRY_TTL).await;
+                cluster.engines[n].target.lapse();
+                cluster.engines[n].start().await;
             }
-            Self::FailEngine(n) => world.engines[n].target.set_ills(Ills::default()),
-            Self::LoseOrders => set_all(world, Ills::default()),
-            Self::EngineLink(n, _) => world.engines[n].link.set(Mode::Pass),
-            Self::StoreLink(n, _) => world.routers[n].store.set(Mode::Pass),
-            Self::FrontLink(n, _) => world.fronts[n].set(Mode::Pass),
-            Self::Store(_) => world.store.set_mood(Mood::Well),
+            Self::FailEngine(n) => cluster.engines[n].target.set_ills(Ills::default()),
+            Self::LoseCommands => set_all(cluster, Ills::default()),
+            Self::EngineLink(n, _) => cluster.engines[n].link.set(Mode::Pass),
+            Self::StoreLink(n, _) => cluster.routers[n].store.set(Mode::Pass),
+            Self::FrontLink(n, _) => cluster.fronts[n].set(Mode::Pass),
+            Self::Store(_) => cluster.store.set_mood(Mood::Well),
             Self::KillAll => {
-                let units = world.routers.iter_mut().chain(&mut world.agents);
-                units.for_each(crate::cluster::Unit::start);
+                let processes = cluster.routers.iter_mut().chain(&mut cluster.agents);
+                processes.for_each(crate::cluster::ManagedProcess::start);
+            }
+            Self::ReloadRouter(_) | Self::DiscardHistory | Self::Configure | Self::InvalidEntry => {
             }
-            Self::HangUpRouter(_) | Self::Forget | Self::Configure | Self::Garbage => {}
         }
         None
     }
 
     /// Disruptions of routers by this fault.
-    pub fn troubles(self, routers: usize, from: Instant, to: Instant) -> Vec<Trouble> {
-        let one = |router, planned| vec![Trouble { router, from, to, planned }];
+    pub fn disruptions(self, routers: usize, from: Instant, to: Instant) -> Vec<Disruption> {
+        let one = |router, planned| vec![Disruption { router, from, to, planned }];
         match self {
             Self::KillRouter(n) | Self::FreezeRouter(n) | Self::FrontLink(n, _) => one(n, false),
             Self::StopRouter(n) => one(n, true),
             Self::KillAll => {
                 let all = 0..routers;
-                all.map(|router| Trouble { router, from, to, planned: false }).collect()
+                all.map(|router| Disruption { router, from, to, planned: false }).collect()
             }
             _ => Vec::new(),
         }
@@ -205,22 +206,23 @@
     }
 }
 
-fn set_all(world: &World, ills: Ills) {
-    world.engines.iter().for_each(|engine| engine.target.set_ills(ills));
+fn set_all(cluster: &Cluster, ills: Ills) {
+    cluster.engines.iter().for_each(|engine| engine.target.set_ills(ills));
 }
 
 /// Waits until a router has shut down, and restarts it.
-async fn stopped(unit: &mut crate::cluster::Unit) -> Option<String> {
-    let mut wrong = None;
-    if let Some(mut process) = unit.process.take() {
-        let began = Instant::now();
-        while process.is_running() && began.elapsed() < STOP_WITHIN {
+async fn restart_after_shutdown(managed: &mut crate::cluster::ManagedProcess) -> Option<String> {
+    let mut violation = None;
+    if let Some(mut process) = managed.process.take() {
+        let started_at = Instant::now();
+        while process.is_running() && started_at.elapsed() < SHUTDOWN_TIMEOUT {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         if process.is_running() {
-            wrong = Some(format!("{} did not end {STOP_WITHIN:?} after it was told to", unit.name));
+            violation =
+                Some(format!("{} did not shut down within {SHUTDOWN_TIMEOUT:?}", managed.name));
         }
     }
-    unit.start();
-    wrong
+    managed.start();
+    violation
 }
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -11,9 +11,9 @@
 mod faults;
 mod proxy;
 
-use callers::{Callers, End, Kind};
-use checks::Trouble;
-use cluster::{MODELS, Size, World};
+use callers::{Callers, Outcome, RequestKind};
+use checks::Disruption;
+use cluster::{Cluster, ClusterSize, MODELS};
 use getopts::Options;
 use http::StatusCode;
 use rand::{RngExt, SeedableRng};
@@ -25,31 +25,26 @@
 };
 
 /// Seeds of past failures, each with its cause.
-const KEPT: &str = include_str!("../kept.txt");
-const FAULTS: usize = 8;
-const AT_ONCE: usize = 3;
+const REGRESSION_SEEDS: &str = include_str!("../kept.txt");
+const DEFAULT_FAULTS: usize = 8;
+const MAX_CONCURRENT_FAULTS: usize = 3;
 /// Maximum pause before the next fault.
-const LONGEST_PAUSE_MS: u64 = 900;
-const CALLERS_EACH: usize = 8;
+const MAX_PAUSE_MS: u64 = 900;
+const CALLERS_PER_ROUTER: usize = 8;
 /// Time limit for recovery after the last fault.
-const RECOVERED_WITHIN: Duration = Duration::from_secs(12);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 /// Time for late commands and executions to complete before the final check.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-const USUAL: Size = Size { routers: 3, engines: 4, desks: 2 };
-const LARGE: Size = Size { routers: 20, engines: 39, desks: 6 };
+const DEFAULT_SIZE: ClusterSize = ClusterSize { routers: 3, engines: 4, service_targets: 2 };
+const LARGE_SIZE: ClusterSize = ClusterSize { routers: 20, engines: 39, service_targets: 6 };
 
 fn main() -> ExitCode {
     let mut options = Options::new();
-    options.optopt(
-        "",
-        "seeds",
-        "seeds to play, such as 7 or 1-50 (default: one that is drawn)",
-        "A-B",
-    );
-    options.optflag("", "kept", "play the seeds that once failed");
-    options.optflag("", "large", "many processes");
-    options.optopt("", "faults", "faults of one run (default 8)", "N");
+    options.optopt("", "seeds", "seeds to run, such as 7 or 1-50 (default: a random one)", "A-B");
+    options.optflag("", "kept", "run the seeds of past failures");
+    options.optflag("", "large", "run the large cluster");
+    options.optopt("", "faults", "faults per run (default 8)", "N");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
         Err(error) => {
@@ -59,19 +54,19 @@
     };
     let Some(seeds) = seeds(matches.opt_str("seeds").as_deref(), matches.opt_present("kept"))
     else {
-        eprintln!("give seeds as one number or two, such as 7 or 1-50");
+        eprintln!("invalid seeds: expected a number or a range, such as 7 or 1-50");
         return ExitCode::from(2);
     };
-    let size = if matches.opt_present("large") { LARGE } else { USUAL };
-    let faults = matches.opt_get_default("faults", FAULTS).unwrap_or(FAULTS);
+    let size = if matches.opt_present("large") { LARGE_SIZE } else { DEFAULT_SIZE };
+    let faults = matches.opt_get_default("faults", DEFAULT_FAULTS).unwrap_or(DEFAULT_FAULTS);
     let mut failed = Vec::new();
     for seed in seeds {
         // Dropping the runtime ends all stand-ins and proxies and releases their addresses.
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.expect("the system gives a runtime");
-        let broken = runtime.block_on(play(seed, size, faults));
-        broken.iter().for_each(|line| println!("seed {seed} BROKEN {line}"));
-        if !broken.is_empty() {
+        let runtime = runtime.expect("the runtime can be created");
+        let violations = runtime.block_on(run_seed(seed, size, faults));
+        violations.iter().for_each(|violation| println!("seed {seed} BROKEN {violation}"));
+        if !violations.is_empty() {
             failed.push(seed);
         }
     }
@@ -81,7 +76,7 @@
 
 fn seeds(text: Option<&str>, kept: bool) -> Option<Vec<u64>> {
     if kept {
-        let lines = KEPT.lines().filter(|line| !line.starts_with('#'));
+        let lines = REGRESSION_SEEDS.lines().filter(|line| !line.starts_with('#'));
         return lines.map(|line| line.split_whitespace().next()?.parse().ok()).collect();
     }
     let Some(text) = text else { return Some(vec![rand::random_range(1_000..1_000_000)]) };
@@ -92,126 +87,135 @@
 }
 
 /// Runs one seed and returns the violations; logs are kept if there are any.
-async fn play(seed: u64, size: Size, faults: usize) -> Vec<String> {
+async fn run_seed(seed: u64, size: ClusterSize, faults: usize) -> Vec<String> {
     let dir = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("the folder for temporary files can be written");
-    let mut world = World::start(size, &dir).await;
-    let fronts: Vec<_> = world.fronts.iter().map(|front| front.addr).collect();
-    let callers = Callers::start(CALLERS_EACH * size.routers, &fronts, seed);
-    let mut broken = Vec::new();
+    std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
+    let mut cluster = Cluster::start(size, &dir).await;
+    let fronts: Vec<_> = cluster.fronts.iter().map(|front| front.addr).collect();
+    let callers = Callers::start(CALLERS_PER_ROUTER * size.routers, &fronts, seed);
+    let mut violations = Vec::new();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let troubles = run_faults(&mut world, &mut rng, faults, &callers, &mut broken).await;
-    broken.extend(recovers(&mut world, seed).await);
-    let asked = callers.end().await;
-    tokio::time::sleep(SETTLE).await;
-    let report = checks::check(&asked, &world.ledger, &troubles);
-    broken.extend(report.broken);
-    let overfilled = world.engines.iter().filter(|engine| engine.target.was_overfilled());
-    broken.extend(overfilled.map(|engine| format!("ordered to hold too much: {engine:?}")));
-    println!("seed {seed}: {} requests {:?}", asked.len(), report.ends);
-    drop(world);
-    if broken.is_empty() {
+    let disruptions = run_faults(&mut cluster, &mut rng, faults, &callers, &mut violations).await;
+    violations.extend(check_recovery(&mut cluster, seed).await);
+    let requests = callers.finish().await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let report = checks::check(&requests, &cluster.ledger, &disruptions);
+    violations.extend(report.violations);
+    let overfilled = cluster.engines.iter().filter(|engine| engine.target.was_overfilled());
+    violations.extend(overfilled.map(|engine| format!("commanded to load too much: {engine:?}")));
+    println!("seed {seed}: {} requests {:?}", requests.len(), report.outcomes);
+    drop(cluster);
+    if violations.is_empty() {
         std::fs::remove_dir_all(&dir).ok();
     } else {
         println!("seed {seed}: logs in {}", PathBuf::from(&dir).display());
     }
-    broken
+    violations
 }
 
 /// Injects `count` faults, some of them overlapping, and reverts them all.
 async fn run_faults(
-    world: &mut World,
+    cluster: &mut Cluster,
     rng: &mut ChaCha8Rng,
     count: usize,
     callers: &Callers,
-    broken: &mut Vec<String>,
-) -> Vec<Trouble> {
+    violations: &mut Vec<String>,
+) -> Vec<Disruption> {
     let mut seen = 0;
-    let mut open: Vec<(faults::Fault, Instant, Instant)> = Vec::new();
-    let mut troubles = Vec::new();
+    let mut active: Vec<(faults::Fault, Instant, Instant)> = Vec::new();
+    let mut disruptions = Vec::new();
     for left in (0..=count).rev() {
         if left > 0 {
-            let (fault, lasts) = faults::draw(rng, world);
+            let (fault, duration) = faults::draw(rng, cluster);
             // Two faults at one component would revert each other.
-            if open.iter().all(|(other, ..)| !overlaps(*other, fault)) {
-                println!("  {fault:?} for {lasts:?}");
-                let began = Instant::now();
-                fault.begin(world);
-                open.push((fault, began, began + lasts));
+            if active.iter().all(|(other, ..)| !overlaps(*other, fault)) {
+                println!("  {fault:?} for {duration:?}");
+                let started_at = Instant::now();
+                fault.inject(cluster);
+                active.push((fault, started_at, started_at + duration));
             }
-            let pause = rng.random_range(0..LONGEST_PAUSE_MS);
+            let pause = rng.random_range(0..MAX_PAUSE_MS);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
-        let most = if left > 0 { AT_ONCE - 1 } else { 0 };
-        while open.len() > most || open.iter().any(|(.., until)| Instant::now() >= *until) {
-            let first = (0..open.len()).min_by_key(|&index| open[index].2).unwrap_or(0);
-            let (fault, began, until) = open.remove(first);
+        let max_active = if left > 0 { MAX_CONCURRENT_FAULTS - 1 } else { 0 };
+        while active.len() > max_active || active.iter().any(|(.., until)| Instant::now() >= *until)
+        {
+            let first = (0..active.len()).min_by_key(|&index| active[index].2).unwrap_or(0);
+            let (fault, started_at, until) = active.remove(first);
             tokio::time::sleep_until(until.into()).await;
-            broken.extend(fault.end(world).await);
-            troubles.extend(fault.troubles(world.routers.len(), began, Instant::now()));
-            let ended = callers.since(seen);
-            seen += ended.len();
-            let lines = ended.iter().flat_map(|one| checks::broken(one, &world.ledger));
-            lines.for_each(|line| println!("  BROKEN so far: {line}"));
+            violations.extend(fault.revert(cluster).await);
+            disruptions.extend(fault.disruptions(
+                cluster.routers.len(),
+                started_at,
+                Instant::now(),
+            ));
+            let finished = callers.since(seen);
+            seen += finished.len();
+            let new_violations =
+                finished.iter().flat_map(|request| checks::violations(request, &cluster.ledger));
+            new_violations.for_each(|violation| println!("  BROKEN so far: {violation}"));
         }
     }
-    troubles
+    disruptions
 }
 
 /// Whether two faults affect the same component.
 fn overlaps(one: faults::Fault, other: faults::Fault) -> bool {
     use faults::Fault::{
-        CrashDesk, CrashEngine, DrainEngine, FailEngine, FreezeAgent, FreezeRouter, FrontLink,
-        HangUpRouter, KillAgent, KillAll, KillRouter, LoseOrders, StopRouter, Store,
+        CrashEngine, CrashService, DrainEngine, FailEngine, FreezeAgent, FreezeRouter, FrontLink,
+        KillAgent, KillAll, KillRouter, LoseCommands, ReloadRouter, StopRouter, Store,
     };
-    let place = |fault| match fault {
-        KillRouter(n) | StopRouter(n) | FreezeRouter(n) | HangUpRouter(n) => Some((0, n)),
+    let component = |fault| match fault {
+        KillRouter(n) | StopRouter(n) | FreezeRouter(n) | ReloadRouter(n) => Some((0, n)),
         KillAgent(n) | FreezeAgent(n) => Some((1, n)),
         CrashEngine(n) | DrainEngine(n) | FailEngine(n) => Some((2, n)),
         FrontLink(n, _) => Some((3, n)),
-        CrashDesk(n) => Some((4, n)),
+        CrashService(n) => Some((4, n)),
         _ => None,
     };
-    let processes = |fault| matches!(place(fault), Some((0 | 1, _)));
+    let affects_process = |fault| matches!(component(fault), Some((0 | 1, _)));
     let all = |fault| matches!(fault, KillAll);
-    let ills = |fault| matches!(fault, LoseOrders | FailEngine(_));
+    let degrades_engine = |fault| matches!(fault, LoseCommands | FailEngine(_));
     let store = |fault| matches!(fault, Store(_));
-    (place(one).is_some() && place(one) == place(other))
-        || std::mem::discriminant(&one) == std::mem::discriminant(&other) && place(one).is_none()
-        || all(one) && (all(other) || processes(other))
-        || all(other) && processes(one)
-        || ills(one) && ills(other)
+    (component(one).is_some() && component(one) == component(other))
+        || std::mem::discriminant(&one) == std::mem::discriminant(&other)
+            && component(one).is_none()
+        || all(one) && (all(other) || affects_process(other))
+        || all(other) && affects_process(one)
+        || degrades_engine(one) && degrades_engine(other)
         || store(one) && store(other)
 }
 
 /// Checks that all routers serve all kinds, all models and the newest configuration.
-async fn recovers(world: &mut World, seed: u64) -> Option<String> {
-    let own = world.configure();
-    let until = Instant::now() + RECOVERED_WITHIN;
+async fn check_recovery(cluster: &mut Cluster, seed: u64) -> Option<String> {
+    let unique_prefix = cluster.configure();
+    let until = Instant::now() + RECOVERY_TIMEOUT;
     let mut number = 0;
-    for router in 0..world.fronts.len() {
-        let front = world.fronts[router].addr;
-        let kinds = MODELS.map(|model| (Kind::Chat, model));
-        let kinds = kinds.into_iter().chain([(Kind::Look, MODELS[0]), (Kind::Pay, MODELS[0])]);
+    for router in 0..cluster.fronts.len() {
+        let front = cluster.fronts[router].addr;
+        let kinds = MODELS.map(|model| (RequestKind::Chat, model));
+        let kinds = kinds
+            .into_iter()
+            .chain([(RequestKind::Look, MODELS[0]), (RequestKind::Pay, MODELS[0])]);
         for (kind, model) in kinds {
             loop {
                 number += 1;
                 let id = format!("probe-{seed}-{number}");
-                let (end, ..) = callers::ask(front, None, kind, &id, model).await;
-                if matches!(end, End::Whole(StatusCode::OK, _)) {
+                let (outcome, ..) = callers::send_request(front, None, kind, &id, model).await;
+                if matches!(outcome, Outcome::Complete(StatusCode::OK, _)) {
                     break;
                 }
                 if Instant::now() >= until {
-                    let what = format!("router {router} {kind:?} {model}: {end:?}");
-                    return Some(format!("does not serve again: {what}"));
+                    let what = format!("router {router} {kind:?} {model}: {outcome:?}");
+                    return Some(format!("not recovered: {what}"));
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
         number += 1;
-        let (path, id) = (format!("{own}x"), format!("probe-{seed}-{number}"));
+        let (path, id) = (format!("{unique_prefix}x"), format!("probe-{seed}-{number}"));
         if callers::status(front, &path, &id).await == Some(StatusCode::NOT_FOUND) {
-            return Some(format!("router {router} does not know the newest route {own}"));
+            return Some(format!("router {router} does not know the newest route {unique_prefix}"));
         }
     }
     None
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -10,9 +10,9 @@
     sync::watch,
 };
 
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 /// Delay after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Treatment of connections.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
@@ -23,9 +23,9 @@
     /// Forward each chunk after a delay.
     Delay(Duration),
     /// Hold data of both directions until the mode changes.
-    Cut,
+    Hold,
     /// Forward requests and hold responses until the mode changes.
-    CutBack,
+    HoldResponses,
     /// Reset open and new connections.
     Reset,
 }
@@ -57,31 +57,32 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(pass(stream, to, modes.clone()));
+                tokio::spawn(forward(stream, to, modes.clone()));
             }
             Err(error) => {
-                eprintln!("a proxy takes no connection: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                eprintln!("proxy: accept failed: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, mut modes: watch::Receiver<Mode>) {
+async fn forward(client: TcpStream, to: SocketAddr, mut modes: watch::Receiver<Mode>) {
     if *modes.borrow() == Mode::Reset {
-        return reset(&near);
+        return reset(&client);
     }
-    let Ok(far) = TcpStream::connect(to).await else { return reset(&near) };
-    let sockets = [&near, &far].map(|stream| {
+    let Ok(server) = TcpStream::connect(to).await else { return reset(&client) };
+    let sockets = [&client, &server].map(|stream| {
         stream.set_nodelay(true).ok();
         socket2::SockRef::from(stream).try_clone()
     });
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = copy(near_read, far_write, modes.clone(), &[Mode::Cut]);
-    let back = copy(far_read, near_write, modes.clone(), &[Mode::Cut, Mode::CutBack]);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let requests = copy(client_read, server_write, modes.clone(), &[Mode::Hold]);
+    let responses =
+        copy(server_read, client_write, modes.clone(), &[Mode::Hold, Mode::HoldResponses]);
     tokio::select! {
-        ((), ()) = async { tokio::join!(there, back) } => {}
+        ((), ()) = async { tokio::join!(requests, responses) } => {}
         _ = modes.wait_for(|mode| *mode == Mode::Reset) => {
             for socket in sockets.into_iter().flatten() {
                 socket.set_linger(Some(Duration::ZERO)).ok();
@@ -100,14 +101,14 @@
     mut modes: watch::Receiver<Mode>,
     held: &[Mode],
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; CHUNK_BYTES];
     while let Ok(len) = from.read(&mut buf).await {
         if modes.wait_for(|mode| !held.contains(mode)).await.is_err() {
             return;
         }
         let mode = *modes.borrow();
-        if let Mode::Delay(time) = mode {
-            tokio::time::sleep(time).await;
+        if let Mode::Delay(delay) = mode {
+            tokio::time::sleep(delay).await;
         }
         if len == 0 {
             break;
