--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -95,13 +95,13 @@
 }
 
 #[rstest]
-#[case::a_test("`corianderstand::path a_booking_sent_twice_runs_once`", true)]
+#[case::a_test("`corianderstand::end_to_end a_booking_sent_twice_runs_once`", true)]
 #[case::a_case("`corianderstand::relays records_are_given_to_peers_only::case_1`", true)]
 #[case::in_a_module("`corianderstand_control relay::tests::no_page_reaches_over_a_gap`", true)]
 #[case::a_scenario("`scenarios/router-killed-while-log-is-down.rhai`", true)]
-#[case::a_command("`cargo nextest run --test path`", true)]
+#[case::a_command("`cargo nextest run --test end_to_end`", true)]
 #[case::a_setting("`peers` and `log_url`", true)]
-#[case::no_such_test("`corianderstand::path a_test_that_nobody_wrote`", false)]
+#[case::no_such_test("`corianderstand::end_to_end a_test_that_nobody_wrote`", false)]
 #[case::no_such_scenario("`scenarios/nobody-wrote-this.rhai`", false)]
 fn the_check_finds_what_is_missing_and_only_that(#[case] page: &str, #[case] good: bool) {
     assert_eq!(missing(page, &functions()).is_empty(), good);
