--- a/tests/account.rs
+++ b/tests/account.rs
@@ -1,4 +1,4 @@
-//! `account`: what became of all requests, from log files with gaps.
+//! The `account` command on incomplete log files.
 
 use std::{path::PathBuf, process::Command};
 
@@ -16,7 +16,6 @@
     (out.status.code().unwrap(), String::from_utf8(out.stdout).unwrap())
 }
 
-/// On-call cannot tell how many requests were not served in time, and for which reasons.
 #[test]
 fn requests_are_counted_by_route_cause_and_time() {
     let one = file(
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers who send too much, too slowly, nonsense, or leave; over real sockets.
+//! Oversized, slow, invalid and aborted requests over real sockets.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -14,7 +14,7 @@
     time,
 };
 
-/// Longest wait for an answer that a limit of a second or less brings about.
+/// Generous time limit for responses due within a second.
 const SOON: Duration = Duration::from_secs(20);
 const COMPLETIONS: &str = "/v1/completions";
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// A small deployment with the models of both teams loaded.
+/// Starts a deployment and waits until the models of both teams are loaded.
 async fn started(plan: Plan) -> Deployment {
     let deployment = Deployment::start(plan).await;
     for (key, model) in [(VIDRIO_KEY, "quotes-7b"), (HINOKUNI_KEY, "design-13b")] {
@@ -62,7 +62,7 @@
     deployment.counters("engine-0").await[name].as_u64().unwrap_or_default()
 }
 
-/// One answer over a raw connection: its head, and its body.
+/// Response read from a raw connection.
 struct Raw {
     head: String,
     body: String,
@@ -84,11 +84,10 @@
     TcpStream::connect(deployment.address("router-0")).await.expect("the router listens")
 }
 
-/// Reads until the other end closes.
 async fn read_all(stream: &mut TcpStream) -> Raw {
     let mut buf = Vec::new();
     let read = time::timeout(SOON, stream.read_to_end(&mut buf)).await;
-    // A connection that is reset after its answer has still given the answer.
+    // A reset after the response is not an error.
     drop(read.expect("the router ends the connection"));
     let text = String::from_utf8_lossy(&buf).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -114,7 +113,7 @@
     req.send().await.expect("the router answers")
 }
 
-/// What another team's caller gets meanwhile: whole, and not much later than otherwise.
+/// Asserts that another team's request completes in time.
 async fn assert_others_are_served(deployment: &Deployment) {
     let url = deployment.url("router-0", COMPLETIONS);
     let body = json!({ "model": "design-13b", "prompt": "club", "max_tokens": 4 });
@@ -127,8 +126,8 @@
     assert!(began.elapsed() < SOON, "another team's caller waited {:?}", began.elapsed());
 }
 
-/// A caller's program has a fault, or means harm: it sends a head, a body or a prompt without
-/// end. The user must be told which limit it met; others must notice nothing.
+/// An oversized head or body must be rejected with the code of the exceeded limit and must not
+/// affect other callers.
 #[rstest]
 fn too_much_is_refused_with_the_limit_it_met() {
     block_on(async {
@@ -153,8 +152,7 @@
     });
 }
 
-/// A caller on a bad radio link, or one who means harm, sends a request byte by byte or stops in
-/// the middle. Without a limit each such connection would be held for ever.
+/// Without a read timeout, requests that stall would hold their connections forever.
 #[rstest]
 #[case::within_the_head("POST /v1/completions HTTP/1.1\r\nhost: r\r\n", None)]
 #[case::nothing_at_all("", None)]
@@ -179,8 +177,7 @@
     });
 }
 
-/// A caller opens an answer and stops reading, as a frozen program does. What the router and the
-/// engine hold for it must be given back, and others must not wait for it.
+/// A caller that stops reading must not hold router and engine resources.
 #[rstest]
 fn a_caller_that_does_not_read_is_given_up() {
     block_on(async {
@@ -205,8 +202,7 @@
     });
 }
 
-/// A van's radio link drops, and the caller's connection closes in the midst of an answer. The
-/// engine would go on generating for nobody and keep others waiting.
+/// The engine must not continue to generate after the caller has disconnected.
 #[rstest]
 #[case::streamed(true)]
 #[case::whole(false)]
@@ -233,8 +229,8 @@
     });
 }
 
-/// Two callers choose the same request id, by chance or because one means harm. When one of
-/// them hangs up, the other's answer must go on: an engine cancels by request id.
+/// Engines cancel by request id, so a caller that reuses another's id and disconnects must not
+/// cancel the other request.
 #[rstest]
 fn a_caller_that_reuses_an_id_cannot_cancel_another() {
     block_on(async {
@@ -263,8 +259,7 @@
     });
 }
 
-/// A host's callers all reconnect at once, or one opens connections without end. Those beyond
-/// the limit must be told when to come back; those within it must be served.
+/// Connections over the limit must get `Retry-After`; those within it must be served.
 #[rstest]
 fn connections_beyond_the_limit_are_told_to_come_back() {
     block_on(async {
@@ -281,7 +276,7 @@
         assert_eq!(answer.status(), "503", "{}", answer.head);
         assert!(answer.head.contains("retry-after:"), "{}", answer.head);
         assert_eq!(answer.error()["code"], "too_many_connections");
-        // The connection that the client keeps was there first.
+        // Served over the connection that the client already holds.
         assert_others_are_served(&deployment).await;
         drop(held);
         let get = "GET /v1/models HTTP/1.1\r\nhost: r\r\nconnection: close\r\n\r\n";
@@ -289,8 +284,7 @@
     });
 }
 
-/// A caller's library sends what we do not support, or a fault sends nonsense. Taking it and
-/// doing something else would give the user an answer to another question.
+/// Ignoring an unsupported or invalid field would answer a different request.
 #[rstest]
 fn what_is_not_supported_is_refused_and_named() {
     block_on(async {
@@ -359,7 +353,7 @@
             (head("/services/agenda/bookings", 0, ""), "400", "idempotency_key_required"),
         ];
         for (request, status, code) in cases {
-            // Headers are judged with the body: both are whole here.
+            // Headers are validated with the body, so both are complete here.
             let body = json!({ "model": "quotes-7b", "prompt": "x" }).to_string();
             let length = format!("content-length: {}", body.len());
             let request = format!("{}{body}", request.replace("content-length: 0", &length));
--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -1,4 +1,4 @@
-//! Bookings that may not be repeated, over real processes that die, freeze and lose the log.
+//! Non-idempotent calls during crashes, suspensions and log outages of real processes.
 
 use rstest::rstest;
 use serde_json::json;
@@ -9,7 +9,7 @@
     deployment::wait_for,
 };
 
-/// A deadline that leaves time for one failure.
+/// Leaves time for one failed attempt.
 const DEADLINE_MS: u64 = 4_000;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
@@ -19,7 +19,7 @@
 
 async fn start() -> Deployment {
     let deployment = Deployment::start(Plan { engines: 2, ..Plan::default() }).await;
-    // A first booking shows that every router reaches the service.
+    // Waits until every router reaches the service.
     for router in ["router-0", "router-1"] {
         let booking = Booking::new(&format!("warm-{router}"), DEADLINE_MS);
         wait_for("a first booking", async || {
@@ -34,8 +34,8 @@
     booking.send_via(deployment, router).await.expect("the router answers")
 }
 
-/// A caller gets impatient and sends its booking again through another router while the first
-/// is still at work. Told "unknown", the user would telephone; both must hear the one outcome.
+/// A repeat through another router while the first call is running must get its outcome, not
+/// "unknown".
 #[rstest]
 fn a_repeat_in_the_meantime_gets_the_same_outcome() {
     block_on(async {
@@ -49,14 +49,13 @@
         assert_eq!((first.status, first.outcome.as_str()), (201, "ran"));
         assert_eq!(first.content_type, "text/plain");
         assert_eq!(first, second);
-        // A later repeat, too, gets status, type and body as the service gave them.
+        // A later repeat gets the same status, type and body.
         assert_eq!(ask(&deployment, "router-1", &booking).await, first);
         assert_eq!(deployment.execution_count("b-1").await, 1);
     });
 }
 
-/// A client library draws the same key for two bookings. If the second got the answer of the
-/// first, one building would never be cleaned.
+/// A second booking with a reused key must not get the response of the first.
 #[rstest]
 fn the_same_key_with_another_body_is_a_conflict() {
     block_on(async {
@@ -73,7 +72,6 @@
     });
 }
 
-/// A key is missing, or longer than is kept. The user sees a stated error and no booking.
 #[rstest]
 #[case::missing(0)]
 #[case::too_long(256)]
@@ -87,9 +85,7 @@
     });
 }
 
-/// The service beside an agent is down, so that the connection is refused after the claim. The
-/// booking certainly did not run; told "unknown", the user would wait for an answer that never
-/// comes.
+/// If the agent cannot connect to the service, the outcome is "not-run" rather than "unknown".
 #[rstest]
 fn a_service_that_cannot_be_reached_is_a_certain_not_run() {
     block_on(async {
@@ -108,8 +104,7 @@
     });
 }
 
-/// An agent is frozen before it can claim, and goes on after its caller was answered. A booking
-/// that runs after its caller was told "not run" is a window cleaned twice.
+/// A booking reported as "not-run" must not run when its frozen agent resumes.
 #[rstest]
 fn a_call_given_up_before_its_claim_never_runs() {
     block_on(async {
@@ -132,8 +127,7 @@
     });
 }
 
-/// The log is down when a booking comes, and comes back afterwards. The user is told at once
-/// that nothing ran and when to come back, and nothing of it runs later on its own.
+/// During a log outage, bookings must be rejected without delay and must not run after it.
 #[rstest]
 fn with_the_log_down_a_booking_is_refused_at_once() {
     block_on(async {
@@ -153,7 +147,7 @@
         let began = Instant::now();
         assert_eq!(ask(&deployment, "router-1", &booking).await.outcome, "not-run");
         assert!(began.elapsed() < Duration::from_secs(1), "refused at once");
-        // An outcome that is known is told in an outage as well.
+        // Known outcomes are returned during an outage.
         assert_eq!(ask(&deployment, "router-1", &kept).await, known);
         deployment.inject_fault("log", &json!({})).await;
         let after = Booking::new("b-after", DEADLINE_MS);
@@ -171,8 +165,7 @@
     });
 }
 
-/// The log's answers to appends are lost although the writes took effect. Appended again, the
-/// claim would look like a second agent's, and the user would get no answer to a good booking.
+/// A claim appended again after a lost response must not be mistaken for another agent's claim.
 #[rstest]
 fn lost_answers_of_the_log_change_nothing() {
     block_on(async {
@@ -186,8 +179,7 @@
     });
 }
 
-/// A router dies after it forwarded a booking. The user's connection breaks, and asking again
-/// through another router must give the outcome rather than a second booking.
+/// A repeat after a router crash must return the outcome of the first call.
 #[rstest]
 fn a_router_that_dies_after_forwarding_leaves_one_booking() {
     block_on(async {
@@ -206,9 +198,8 @@
     });
 }
 
-/// An agent dies while its call is at the service, which carries it out all the same; at the
-/// same time the first router is frozen. Nobody knows the outcome: the user is told so in time,
-/// by every router, and never that it did not run.
+/// If the agent dies while the service executes a call, every router must report "unknown" in
+/// time and never "not-run".
 #[rstest]
 fn an_agent_that_dies_during_a_call_leaves_an_unknown() {
     block_on(async {
@@ -235,8 +226,7 @@
     });
 }
 
-/// Two agents offer one service, and two routers send them the same booking at one moment.
-/// Without one claim before both, both would run it.
+/// Concurrent calls with one key at two agents must run once.
 #[rstest]
 fn two_agents_that_race_for_one_key_run_it_once() {
     block_on(async {
@@ -262,9 +252,7 @@
     });
 }
 
-/// A router is frozen with a booking unread in its socket, while a device between keeps the
-/// connection open. Long after its deadline the user has booked by telephone, and the router
-/// goes on. Run then, the building would be cleaned twice.
+/// A booking left unread in the socket of a frozen router must not run after its deadline.
 #[rstest]
 fn a_router_that_was_frozen_runs_no_booking_that_it_reads_late() {
     block_on(async {
@@ -274,7 +262,7 @@
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let http = deployment.http.clone();
         let asked = tokio::spawn(async move { booking.send(&http, url).await });
-        // The pause has to last beyond the deadline; no state tells that.
+        // Lasts beyond the deadline.
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         deployment.process("router-0").resume();
         let late = asked.await.expect("the task ends").expect("the router answers");
@@ -288,9 +276,8 @@
     });
 }
 
-/// The log is slow, and the agent is frozen after it has sent its claim and before it reads that
-/// the claim stands. It goes on when its caller was answered. The claim must not be run then,
-/// and the user, asking again, gets a definite answer rather than "unknown" for a day.
+/// An agent frozen between sending its claim and reading it back must not run the call on resume,
+/// and a repeat must get a definite outcome.
 #[rstest]
 fn a_claim_of_a_frozen_agent_is_withdrawn_when_it_goes_on() {
     block_on(async {
@@ -300,12 +287,12 @@
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let (http, first) = (deployment.http.clone(), booking.clone());
         let first = tokio::spawn(async move { first.send(&http, url).await });
-        // Time for the claim to be on its way; if it is not, the void comes first instead.
+        // Lets the agent send its claim; otherwise the call is rejected before the claim.
         tokio::time::sleep(Duration::from_millis(200)).await;
         deployment.process("agent-service-0").freeze();
         let first = first.await.expect("the task ends").expect("the router answers");
         assert_ne!(first.outcome, "ran", "{first:?}");
-        // The pause has to last beyond the deadline; no state tells that.
+        // Lasts beyond the deadline.
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         deployment.process("agent-service-0").resume();
         deployment.inject_fault("log", &json!({})).await;
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,5 +1,4 @@
-//! Connections between routers and agents over real processes: opened when asked for, closed
-//! when idle.
+//! Connections between routers and agents: opened on demand, closed when idle.
 
 use rstest::rstest;
 use serde_json::json;
@@ -34,10 +33,10 @@
         .await;
 }
 
-/// State of an established connection in the kernel's table.
+/// TCP state in `/proc/net/tcp`.
 const ESTABLISHED: &str = "01";
 
-/// Connections to agents that are open, as the kernel lists them.
+/// Number of established connections to agents.
 fn open(deployment: &Deployment) -> usize {
     let agents =
         deployment.started_processes().into_iter().filter(|name| name.starts_with("agent-"));
@@ -51,7 +50,7 @@
     table.lines().filter(to_agent).count()
 }
 
-/// An address as the kernel writes it.
+/// Formats an address as in `/proc/net/tcp`.
 fn kernels(address: &str) -> String {
     let address: SocketAddrV4 = address.parse().expect("an address of the test bed");
     let ip = u32::from_le_bytes(address.ip().octets());
@@ -75,8 +74,7 @@
     });
 }
 
-/// A host is reclaimed without warning while no router has a connection to it, so that no
-/// connection breaks. The first request to it would wait for an agent that is gone.
+/// Without an open connection, no connection error reveals that the agent has died.
 #[rstest]
 fn a_target_that_died_unseen_costs_a_request_little() {
     block_on(async {
@@ -95,8 +93,7 @@
     });
 }
 
-/// An agent drains, is restarted and announces itself anew while no router has a connection to
-/// it. A router that went on believing that it drains would leave the target unused.
+/// A router without a connection to the agent must not treat the restarted agent as draining.
 #[rstest]
 fn a_target_restarted_after_draining_is_used_again() {
     block_on(async {
--- a/tests/disconnects.rs
+++ b/tests/disconnects.rs
@@ -1,10 +1,9 @@
-//! Callers who leave in the midst of answers that come fast.
+//! Callers that disconnect during fast streams.
 
 use rstest::rstest;
 use serde_json::{Value, json};
 use testbed::{Deployment, Plan, deployment::wait_for, plan::HINOKUNI_KEY, process::STATE_TIMEOUT};
 
-/// Callers who leave.
 const CALLERS: usize = 200;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
@@ -22,10 +21,8 @@
     running
 }
 
-/// Many callers close their windows while parts of their answers arrive, so that a part often
-/// meets a handler that is gone before word of its leaving comes. Once, such a request was
-/// forgotten on one side only: the engine went on for nobody, the router counted it for ever
-/// and in the end refused everybody, and its planned stop waited for its whole limit.
+/// A chunk that arrives for a dropped handler must still cancel the request at the engine and
+/// remove it from the router's requests in flight.
 #[rstest]
 fn callers_who_leave_a_fast_stream_are_forgotten_on_all_sides() {
     block_on(async {
--- a/tests/duplicate_agents.rs
+++ b/tests/duplicate_agents.rs
@@ -1,4 +1,4 @@
-//! Two agents beside one engine, over real processes.
+//! Two agents for one engine.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -12,8 +12,7 @@
     Process::start("second-agent", "corianderstand", &args, &deployment.dir)
 }
 
-/// A second agent is started beside the same engine, also while the first is frozen. Both would
-/// commit the engine's memory as if they were alone, and the engine would fall over.
+/// Two agents would overcommit the engine's memory.
 #[rstest]
 #[case::running(false)]
 #[case::frozen(true)]
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path over real processes: caller, router, agent, target.
+//! Requests through caller, router, agent and target as real processes.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -25,7 +25,7 @@
     (answer.status().as_u16(), answer.json().await.expect("answers are JSON"))
 }
 
-/// Asks again while the answer is a refusal with a time to come back, as a caller would.
+/// Retries while the router rejects the request with 503.
 async fn post_patiently(
     deployment: &Deployment,
     router: &str,
@@ -75,8 +75,7 @@
     });
 }
 
-/// A caller's connection times out and it sends its booking again, through another router. The
-/// user would find two bookings for one building.
+/// A repeat through another router must not run the booking again.
 #[rstest]
 fn a_booking_sent_twice_runs_once() {
     block_on(async {
@@ -95,8 +94,7 @@
     });
 }
 
-/// A host is reclaimed without warning in the midst of answers: the agent beside an engine is
-/// killed. The user must get a whole answer or an error, never half an answer that looks whole.
+/// A killed process must not make a truncated response look complete.
 #[rstest]
 #[case::agent("agent-engine-0")]
 #[case::router("router-1")]
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: what became of one request, from log files with gaps.
+//! The `explain` command on incomplete log files.
 
 use corianderstand::cli::{Exit, run};
 use std::{path::PathBuf, process::Command};
@@ -22,8 +22,7 @@
     assert_eq!(run(["explain".to_owned()]), Exit::Usage);
 }
 
-/// On-call has the id of a refused request and the logs of two routers, one of them cut off in the
-/// middle of a line.
+/// Logs have prefixes, lines of other requests and a truncated line.
 #[test]
 fn the_life_of_a_request_is_told_in_order() {
     let one = file(
@@ -65,8 +64,7 @@
     assert!(value["cause"].as_str().unwrap().contains("longest pause 200 ms"), "{value}");
 }
 
-/// Somebody hands over a settings file of the platform in which a field is missing. The check names the
-/// field and what to write.
+/// The check must report a missing field and how to add it.
 #[test]
 fn settings_of_the_platform_are_checked() {
     let good = "node=e\nzone=z\nip=10.0.0.1\nlisten.front=10.0.0.1:1\nlisten.ready=10.0.0.1:2\n\
@@ -84,8 +82,7 @@
     assert!(said.contains("is missing: add a line"), "{said}");
 }
 
-/// A caller got 404 on a route that had been added a moment before. Whether the route was missing from
-/// the configuration in force or its router went by an older one is told by that router's line alone.
+/// The output must show whether a 404 comes from the current or a stale configuration.
 #[test]
 fn a_404_names_the_configuration_and_how_old_the_knowledge_was() {
     let log = file(
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops over real processes under load.
+//! Graceful shutdown of real processes under load.
 
 use futures::StreamExt;
 use nix::sys::signal::Signal;
@@ -7,7 +7,6 @@
 use std::time::Duration;
 use testbed::{Deployment, Plan, deployment::wait_for, load::LoadGenerator, plan::HINOKUNI_KEY};
 
-/// Longest time that a planned stop may take here.
 const STOP_LIMIT: Duration = Duration::from_secs(40);
 const CALLERS: usize = 24;
 
@@ -40,8 +39,7 @@
     .await;
 }
 
-/// All routers and agents are restarted in turn, as in an upgrade, while callers are at work.
-/// None of them may see an error, a cut answer or a booking refused.
+/// Restarting all routers and agents in turn must not cause errors or truncated responses.
 #[rstest]
 fn a_rolling_restart_under_load_is_seen_by_nobody() {
     block_on(async {
@@ -77,8 +75,7 @@
     });
 }
 
-/// A router is told to stop while a caller reads a long answer slowly. The caller still gets it
-/// to the end, and the router ends after that, not before.
+/// A router that shuts down must finish its open streams before it exits.
 #[rstest]
 fn a_router_ends_only_when_its_last_answer_was_read() {
     block_on(async {
@@ -110,8 +107,7 @@
     });
 }
 
-/// Somebody cannot wait and signals a second time. The process ends at once, and its log says
-/// how many requests that cut; their callers see an answer without its end.
+/// A second signal must end the process at once and log the number of aborted requests.
 #[rstest]
 #[case::router("router-0")]
 #[case::agent("agent-service-0")]
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics and traces as real processes send them.
+//! Metrics and traces emitted by real processes.
 
 use corianderstand::control::metrics::Metric;
 use rstest::rstest;
@@ -10,7 +10,7 @@
 };
 use testbed::{Deployment, Plan, deployment::wait_for, plan::VIDRIO_KEY, process::STATE_TIMEOUT};
 
-/// Datagrams longer than this are not sent by the library.
+/// Upper bound on the datagrams of the statsd client.
 const MAX_DATAGRAM: usize = 64 * 1024;
 
 fn take(sink: &UdpSocket, seen: &mut BTreeSet<String>) {
@@ -24,7 +24,6 @@
     }
 }
 
-/// Waits until all of the metrics have come, and names those that have not.
 async fn wait_for_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>, wanted: &[Metric]) {
     let began = Instant::now();
     loop {
@@ -39,8 +38,7 @@
     }
 }
 
-/// An operator's dashboard stays empty although the deployment serves: a metric is in the table
-/// and on the page, and no process ever sends it.
+/// Every declared metric must be emitted, and every emitted metric must be declared.
 #[rstest]
 fn a_served_and_a_refused_request_show_in_the_sink() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -68,12 +66,12 @@
         assert_eq!(call.expect("the router answers").status(), 200);
         let refused = deployment.http.post(&url).bearer_auth("no-such-key").send().await;
         assert_eq!(refused.expect("the router answers").status(), 401);
-        // Connections are open only while they are used: the agents die in the midst of a stream.
+        // Connections are open only while in use, so the agents are killed during a stream.
         let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 10000,
             "stream": true });
         let stream = deployment.http.post(&url).bearer_auth(VIDRIO_KEY).json(&body).send().await;
         assert_eq!(stream.expect("the router answers").status(), 200);
-        // These need a failure of another kind, or an idle hour.
+        // These need other failures or a long idle time.
         let not_here = [
             Metric::RouterRetries,
             Metric::AgentRefusals,
@@ -83,7 +81,7 @@
         let all = Metric::ALL.iter().copied();
         let all: Vec<_> = all.filter(|metric| !not_here.contains(metric)).collect();
         assert_eq!(all.len() + not_here.len(), Metric::ALL.len());
-        // What a process counted in its last second is gone with it when it is killed.
+        // A killed process loses its last counts, so the others are received first.
         let before: Vec<_> =
             all.iter().copied().filter(|metric| *metric != Metric::RouterLost).collect();
         wait_for_metrics(&sink, &mut seen, &before).await;
@@ -97,14 +95,14 @@
     });
 }
 
-/// The line that a process logged for its hop of a trace.
+/// Log line of a process for a trace.
 fn hop(deployment: &Deployment, process: &str, trace: &str) -> Option<Value> {
     let log = deployment.log_of(process);
     let mut lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     lines.find(|line| line["trace_id"] == trace)
 }
 
-/// A user's request is slow and nobody can tell where: the hops' lines cannot be joined.
+/// The log lines of all hops must be linked by trace and span ids.
 #[rstest]
 fn hops_of_one_request_join_to_one_trace() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see and do, through the command line against real processes.
+//! Operator commands against real processes.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -20,15 +20,14 @@
     serde_json::from_str(&output).expect("--json prints JSON")
 }
 
-/// How far the slots of a model are.
+/// Stages of the replica slots of a model.
 fn stages(status: &Value, model: &str) -> Vec<String> {
     let slots = status["slots"].as_array().into_iter().flatten();
     let slots = slots.filter(|slot| slot["model"] == model);
     slots.map(|slot| slot["stage"].as_str().unwrap_or_default().to_owned()).collect()
 }
 
-/// A host is reclaimed while an operator looks at the deployment. The picture must still come,
-/// show what is warm and cold, and say which target cannot be reached.
+/// `status` must report model stages and unreachable processes after a host loss.
 #[rstest]
 fn status_tells_what_is_warm_and_who_is_reached() {
     block_on(async {
@@ -75,8 +74,6 @@
     });
 }
 
-/// Two operators change the same document. The one who comes second must learn what is in the
-/// way, and a script must be able to tell this from a fault.
 #[rstest]
 fn diff_shows_fields_and_exit_codes_tell_faults_apart() {
     block_on(async {
--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -8,9 +8,9 @@
 };
 
 const PAGE: &str = "docs/PROMISES.md";
-/// Folders with sources of tests.
+/// Directories that are searched for tests.
 const SOURCES: [&str; 5] = ["tests", "crates", "platform", "tools", "src"];
-/// Folders of files that the page may name.
+/// Directories of files that the page may name.
 const NAMED: [&str; 2] = ["scenarios/", "traces/"];
 /// Extensions of files that the page may name.
 const EXTENSIONS: [&str; 3] = ["rhai", "json", "jsonl"];
@@ -19,7 +19,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Text in backticks, without fenced blocks.
+/// Inline code of a page, without fenced blocks.
 fn quoted(page: &str) -> Vec<&str> {
     let fenced = page.split("```").step_by(2);
     fenced.flat_map(|text| text.split('`').skip(1).step_by(2)).collect()
@@ -29,8 +29,7 @@
     !text.is_empty() && text.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
 }
 
-/// The function of a test in nextest's naming, `crate::binary test` or `crate test`, where the
-/// test may have modules before it and a case after it.
+/// Function name of a nextest id, `crate::binary test` or `crate test`, without modules and case.
 fn function(text: &str) -> Option<&str> {
     let (binary, test) = text.split_once(' ')?;
     let is_binary = binary.split("::").all(is_name) && binary.contains("corianderstand");
@@ -63,7 +62,7 @@
     found
 }
 
-/// What a page names that does not exist.
+/// Names on the page that do not exist.
 fn missing(page: &str, functions: &BTreeSet<String>) -> Vec<String> {
     let is_file = |text: &str| {
         let extension = Path::new(text).extension().and_then(|extension| extension.to_str());
@@ -83,8 +82,7 @@
     missing
 }
 
-/// A test is renamed or removed and the page goes on naming it. Whoever reads the page believes
-/// that something is proved which is not.
+/// The page must not name tests that were renamed or removed.
 #[rstest]
 fn every_test_and_file_named_on_the_page_of_promises_exists() {
     let page = fs::read_to_string(root().join(PAGE)).expect("the page can be read");
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Relays of the log over real processes: few read it, all hear of it.
+//! Log relays: a few routers read the log and forward it to the others.
 
 use corianderstand_control::source;
 use corianderstand_types::names::WriterId;
@@ -9,7 +9,7 @@
 use testbed::{Deployment, Plan, deployment::wait_for, plan::OPERATOR_KEY, plan::VIDRIO_KEY};
 
 const ROUTERS: usize = 6;
-/// Time in which an accepted change must be in force everywhere.
+/// Time limit for an accepted change to take effect everywhere.
 const IN_FORCE: Duration = Duration::from_secs(7);
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
@@ -26,7 +26,7 @@
     (0..ROUTERS).map(|i| format!("router-{i}")).collect()
 }
 
-/// Names of the routers that read the log, and of those that follow them.
+/// Names of the routers that read the log and of the routers that follow them.
 fn readers_and_followers(deployment: &Deployment) -> (Vec<String>, Vec<String>) {
     let peers: Vec<SmolStr> = routers().iter().map(|r| deployment.address(r).into()).collect();
     routers().into_iter().partition(|name| {
@@ -39,7 +39,7 @@
     deployment.status(router).await["version"].as_u64()
 }
 
-/// Changes a document through a router; the version that was accepted.
+/// Changes a document through a router and returns the accepted version.
 async fn change(deployment: &Deployment, router: &str, lag_ms: u64) -> u64 {
     let get = deployment.http.get(deployment.url(router, "/operator/get?prefix=system/"));
     let current = get.bearer_auth(OPERATOR_KEY).send().await.expect("the router answers");
@@ -67,9 +67,8 @@
     began.elapsed()
 }
 
-/// Hosts with the routers that read the log are all frozen at once, as when their network goes
-/// silent. The routers that followed them would never hear of a change that was accepted, and
-/// callers of a team that has lost a permission would still be served.
+/// If all routers that read the log become unresponsive, their followers must still receive
+/// accepted changes.
 #[rstest]
 fn a_change_is_in_force_in_time_although_all_relays_fall_silent() {
     block_on(async {
@@ -90,8 +89,7 @@
     });
 }
 
-/// A booking is claimed in the log and read back through two relays; one of them is killed. The
-/// caller would wait for an answer that never comes, or see its booking run twice.
+/// A claim must be read back, and the booking run once, after relays are killed.
 #[rstest]
 fn a_booking_runs_once_although_the_relays_on_its_way_are_killed() {
     block_on(async {
@@ -113,8 +111,7 @@
     });
 }
 
-/// Somebody who is neither a router nor an agent asks a router for the records of the log, in
-/// which the settings and answers of all teams stand.
+/// The log's records hold the data of all teams.
 #[rstest]
 fn records_are_given_to_peers_only() {
     block_on(async {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios over real processes: one test for each file in `scenarios/`.
+//! Runs each file in `scenarios/` as a test.
 
 use rstest::rstest;
 use std::path::PathBuf;
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -1,4 +1,4 @@
-//! A router's settings file changes while it runs: with a signal, without one, and for the worse.
+//! Reload of a router's settings file, with and without a signal.
 
 use nix::sys::signal::Signal;
 use std::{
@@ -7,7 +7,7 @@
 };
 use testbed::process::{Process, STATE_TIMEOUT, free_addresses};
 
-/// Settings with a budget for second attempts; nobody answers at the store's address.
+/// Writes settings with a retry budget; nothing listens at the store's address.
 fn settings(dir: &Path, budget: &str) -> PathBuf {
     let addresses = free_addresses(4);
     let (ip, _) = addresses[0].rsplit_once(':').unwrap();
@@ -28,7 +28,7 @@
     std::fs::write(path, text.replace(from, to)).unwrap();
 }
 
-/// Waits for the log's next line that has this text, after `seen` bytes.
+/// Waits for a log line that contains `text` after the first `seen` bytes.
 fn wait_for(log: &Path, seen: &mut usize, text: &str) -> String {
     let began = Instant::now();
     while began.elapsed() < STATE_TIMEOUT {
@@ -42,8 +42,7 @@
     panic!("no line with {text:?}: {}", std::fs::read_to_string(log).unwrap());
 }
 
-/// An operator changes the file, then writes a wrong one, then mends it. A router that ended at the
-/// wrong one, or took none of them up, would be noticed by callers hours later.
+/// An invalid file must neither end the router nor prevent a later reload.
 #[test]
 fn a_changed_file_is_in_force_and_a_wrong_one_changes_nothing() {
     let dir = std::env::temp_dir().join(format!("settings-reload-{}", std::process::id()));
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine through the real adapter: what the outside system is known to do.
+//! The engine stand-in, used through the real HTTP adapter.
 
 use corianderstand::types::weights::Weights;
 use corianderstand_edge::engine::{
@@ -13,7 +13,7 @@
     process::{Process, free_addresses},
 };
 
-/// An engine process with one model loaded.
+/// An engine process with a loaded model.
 struct Running {
     engine: HttpEngine,
     address: String,
@@ -80,8 +80,7 @@
     runtime.expect("the system gives a runtime").block_on(run)
 }
 
-/// Cache events come late, and some are lost. Who follows them must be able to tell that its
-/// picture is not whole.
+/// A follower of cache events must be able to detect lost events.
 #[rstest]
 fn cache_events_are_late_and_their_gaps_can_be_seen() {
     block_on(async {
@@ -97,7 +96,7 @@
         assert!(early.events.is_empty(), "events that are not late: {early:?}");
         assert_eq!(run(engine, generate(&prompt("a"), "r-2", 1, 2)).await, 2);
         assert_eq!(run(engine, generate(&prompt("b"), "r-3", 1, 2)).await, 2);
-        // Four blocks in, then four others in and the first four out: twelve events.
+        // Four blocks added, then four more added and the first four evicted.
         let mut late = early;
         wait_for("late events", async || {
             late = engine.cache_events(1).await.expect("the engine answers");
@@ -113,8 +112,7 @@
     });
 }
 
-/// An engine's report is of a while ago: a router that trusts it sends a burst to an engine that
-/// is full by now.
+/// Load reports are delayed, and urgent requests overtake queued ones.
 #[rstest]
 fn reports_lag_and_urgent_requests_go_first() {
     block_on(async {
--- a/tests/stream_recovery.rs
+++ b/tests/stream_recovery.rs
@@ -1,5 +1,4 @@
-//! Whole answers over real processes: connections that break or go silent, agents, engines and
-//! routers that die in the midst of a stream.
+//! Recovery of streams after failures of connections, agents, engines and routers.
 
 use futures::StreamExt;
 use rstest::rstest;
@@ -14,7 +13,7 @@
     runtime.expect("the system gives a runtime").block_on(run)
 }
 
-/// A deployment whose engines give a token each 20 ms.
+/// Starts a deployment whose engines generate a token every 20 ms.
 async fn start(replicas: u32) -> Deployment {
     let options = ["--token-us", "20000", "--load-ms", "100"];
     let mut plan =
@@ -27,7 +26,7 @@
     Deployment::start(plan).await
 }
 
-/// One stream as its caller sees it.
+/// A stream as its caller receives it.
 struct Stream {
     events: futures::stream::BoxStream<'static, String>,
     text: String,
@@ -61,7 +60,7 @@
         begun.expect("it has begun")
     }
 
-    /// Reads until so many tokens have come.
+    /// Reads until `tokens` tokens have been received.
     async fn read(&mut self, tokens: usize) {
         while self.tokens().len() < tokens
             && let Some(part) = self.events.next().await
@@ -80,7 +79,7 @@
         self.text.contains("[DONE]")
     }
 
-    /// The texts of all complete events, in order.
+    /// Texts of all complete events, in order.
     fn tokens(&self) -> Vec<String> {
         let events = self.text.split("\n\n").filter(|event| event.starts_with("id: "));
         let data = events.filter_map(|event| event.split_once("data: "));
@@ -114,9 +113,8 @@
     found.expect("it was found")
 }
 
-/// In the midst of a long design chat the connection to the agent breaks or goes silent, or the
-/// agent or the engine dies, or the engine breaks off. The coach notices a pause at most: the
-/// rest comes, each word once.
+/// After a failure between router and engine, the stream must continue without lost or repeated
+/// tokens.
 #[rstest]
 #[case::silent("silent", 1)]
 #[case::cut("cut", 1)]
@@ -159,8 +157,7 @@
     });
 }
 
-/// A router dies in the midst of a stream. The caller reconnects to another router with the id
-/// of the last event it has, and gets the rest, each word once.
+/// After a router crash, `Last-Event-ID` must resume the stream at another router.
 #[rstest]
 fn a_caller_takes_its_stream_up_through_another_router() {
     block_on(async {
@@ -179,8 +176,7 @@
     });
 }
 
-/// A coach closes the window in the midst of an answer. The engine must not go on for nobody:
-/// its work is ended within a second.
+/// The engine must not continue to generate for a disconnected caller.
 #[rstest]
 fn work_for_a_caller_who_left_is_cancelled_within_a_second() {
     block_on(async {
@@ -200,8 +196,7 @@
     });
 }
 
-/// Two callers choose the same request id, and one of them leaves. The other's answer must
-/// neither be mixed with it nor end with it.
+/// Requests with the same id must not share a response or be cancelled together.
 #[rstest]
 fn callers_with_the_same_request_id_get_their_own_answers() {
     block_on(async {
@@ -224,8 +219,7 @@
     });
 }
 
-/// An engine is frozen for a while and goes on, as is its agent. The answer is slow but makes
-/// progress again; it is whole, and not mixed with what was taken up in the meantime.
+/// Output of a resumed process must not be mixed with the stream that replaced it.
 #[rstest]
 #[case::agent("agent-")]
 #[case::engine("")]
