--- a/tests/account.rs
+++ b/tests/account.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn programs_get_the_account_as_json() {
+fn json_output_has_causes() {
     let line = r#"{"timestamp":"t","message":"refused","id":"d","route":"chat","why":"full"}"#;
     let (code, out) = account(&["--json", file("router-b.log", &[line]).to_str().unwrap()]);
     let value: serde_json::Value = serde_json::from_str(&out).unwrap();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn files_without_requests_are_a_fault() {
+fn files_without_requests_are_an_error() {
     let (code, _) =
         account(&[file("agent.log", &[r#"{"message":"agent started"}"#]).to_str().unwrap()]);
     assert_eq!(code, 1);
--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -15,15 +15,15 @@
 };
 
 /// Generous time limit for responses due within a second.
-const SOON: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 const COMPLETIONS: &str = "/v1/completions";
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
-fn small() -> Plan {
+fn small_plan() -> Plan {
     Plan {
         routers: 1,
         engines: 1,
@@ -44,7 +44,7 @@
 }
 
 /// Starts a deployment and waits until the models of both teams are loaded.
-async fn started(plan: Plan) -> Deployment {
+async fn start_loaded(plan: Plan) -> Deployment {
     let deployment = Deployment::start(plan).await;
     for (key, model) in [(VIDRIO_KEY, "quotes-7b"), (HINOKUNI_KEY, "design-13b")] {
         let body = json!({ "model": model, "prompt": "warm", "max_tokens": 1 });
@@ -63,12 +63,12 @@
 }
 
 /// Response read from a raw connection.
-struct Raw {
+struct RawResponse {
     head: String,
     body: String,
 }
 
-impl Raw {
+impl RawResponse {
     fn status(&self) -> &str {
         self.head.split(' ').nth(1).unwrap_or_default()
     }
@@ -84,20 +84,20 @@
     TcpStream::connect(deployment.address("router-0")).await.expect("the router listens")
 }
 
-async fn read_all(stream: &mut TcpStream) -> Raw {
+async fn read_to_end(stream: &mut TcpStream) -> RawResponse {
     let mut buf = Vec::new();
-    let read = time::timeout(SOON, stream.read_to_end(&mut buf)).await;
+    let read = time::timeout(RESPONSE_TIMEOUT, stream.read_to_end(&mut buf)).await;
     // A reset after the response is not an error.
     drop(read.expect("the router ends the connection"));
     let text = String::from_utf8_lossy(&buf).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
-    Raw { head: head.to_lowercase(), body: body.to_owned() }
+    RawResponse { head: head.to_lowercase(), body: body.to_owned() }
 }
 
-async fn raw(deployment: &Deployment, request: &str) -> Raw {
+async fn send_raw(deployment: &Deployment, request: &str) -> RawResponse {
     let mut stream = connect(deployment).await;
     stream.write_all(request.as_bytes()).await.expect("the request is sent");
-    read_all(&mut stream).await
+    read_to_end(&mut stream).await
 }
 
 fn head(path: &str, length: usize, more: &str) -> String {
@@ -117,31 +117,35 @@
 async fn assert_others_are_served(deployment: &Deployment) {
     let url = deployment.url("router-0", COMPLETIONS);
     let body = json!({ "model": "design-13b", "prompt": "club", "max_tokens": 4 });
-    let began = Instant::now();
+    let started_at = Instant::now();
     let req = deployment.http.post(url).bearer_auth(HINOKUNI_KEY).json(&body);
     let answer = req.send().await.expect("the router answers");
     assert_eq!(answer.status(), 200);
     let answer: Value = answer.json().await.expect("the answer is whole");
     assert_eq!(answer["usage"]["completion_tokens"], 4);
-    assert!(began.elapsed() < SOON, "another team's caller waited {:?}", began.elapsed());
+    assert!(
+        started_at.elapsed() < RESPONSE_TIMEOUT,
+        "another team's caller waited {:?}",
+        started_at.elapsed()
+    );
 }
 
 /// An oversized head or body must be rejected with the code of the exceeded limit and must not
 /// affect other callers.
 #[rstest]
-fn too_much_is_refused_with_the_limit_it_met() {
+fn requests_over_a_size_limit_are_rejected_with_its_code() {
     block_on(async {
-        let deployment = started(small()).await;
+        let deployment = start_loaded(small_plan()).await;
         let long = format!("x-filler: {}\r\n", "x".repeat(3000));
-        let answer = raw(&deployment, &head(COMPLETIONS, 0, &long)).await;
+        let answer = send_raw(&deployment, &head(COMPLETIONS, 0, &long)).await;
         assert_eq!(answer.status(), "431", "{}", answer.head);
         assert_eq!(answer.error()["code"], "head_too_long");
 
         let endless = format!("x-filler: {}\r\n", "x".repeat(100_000));
-        let answer = raw(&deployment, &head(COMPLETIONS, 0, &endless)).await;
+        let answer = send_raw(&deployment, &head(COMPLETIONS, 0, &endless)).await;
         assert_eq!(answer.status(), "431", "a head far beyond the limit: {}", answer.head);
 
-        let answer = raw(&deployment, &head(COMPLETIONS, 5000, "")).await;
+        let answer = send_raw(&deployment, &head(COMPLETIONS, 5000, "")).await;
         assert_eq!(answer.status(), "413");
         assert_eq!(answer.error()["code"], "body_too_long");
 
@@ -157,9 +161,9 @@
 #[case::within_the_head("POST /v1/completions HTTP/1.1\r\nhost: r\r\n", None)]
 #[case::nothing_at_all("", None)]
 #[case::within_the_body(&head(COMPLETIONS, 100, ""), Some("request_timeout"))]
-fn a_request_that_does_not_end_is_ended(#[case] sent: &str, #[case] code: Option<&str>) {
+fn incomplete_requests_time_out(#[case] sent: &str, #[case] code: Option<&str>) {
     block_on(async {
-        let deployment = started(small()).await;
+        let deployment = start_loaded(small_plan()).await;
         let mut slow = Vec::new();
         for _ in 0..4 {
             let mut stream = connect(&deployment).await;
@@ -168,7 +172,7 @@
         }
         assert_others_are_served(&deployment).await;
         for mut stream in slow {
-            let answer = read_all(&mut stream).await;
+            let answer = read_to_end(&mut stream).await;
             if let Some(code) = code {
                 assert_eq!(answer.status(), "408", "{}", answer.head);
                 assert_eq!(answer.error()["code"], code);
@@ -179,11 +183,11 @@
 
 /// A caller that stops reading must not hold router and engine resources.
 #[rstest]
-fn a_caller_that_does_not_read_is_given_up() {
+fn a_caller_that_stops_reading_is_disconnected() {
     block_on(async {
-        let mut plan = small();
+        let mut plan = small_plan();
         plan.engine_options = ["--token-us", "0", "--load-ms", "50"].map(str::to_owned).into();
-        let deployment = started(plan).await;
+        let deployment = start_loaded(plan).await;
         let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 10_000_000,
             "stream": true })
         .to_string();
@@ -206,9 +210,9 @@
 #[rstest]
 #[case::streamed(true)]
 #[case::whole(false)]
-fn a_caller_that_hangs_up_frees_the_engine(#[case] streamed: bool) {
+fn a_disconnect_cancels_the_request_at_the_engine(#[case] streamed: bool) {
     block_on(async {
-        let deployment = started(small()).await;
+        let deployment = start_loaded(small_plan()).await;
         let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 100_000,
             "stream": streamed })
         .to_string();
@@ -234,7 +238,7 @@
 #[rstest]
 fn a_caller_that_reuses_an_id_cannot_cancel_another() {
     block_on(async {
-        let deployment = started(small()).await;
+        let deployment = start_loaded(small_plan()).await;
         let ask = |key: &'static str, model: &'static str, tokens: u32| {
             let body = json!({ "model": model, "prompt": "x", "max_tokens": tokens });
             let req = deployment.http.post(deployment.url("router-0", COMPLETIONS));
@@ -261,18 +265,19 @@
 
 /// Connections over the limit must get `Retry-After`; those within it must be served.
 #[rstest]
-fn connections_beyond_the_limit_are_told_to_come_back() {
+fn connections_over_the_limit_are_rejected_with_retry_after() {
     block_on(async {
-        let mut plan = small();
+        let mut plan = small_plan();
         plan.limits["read_timeout_ms"] = json!(30_000);
-        let deployment = started(plan).await;
+        let deployment = start_loaded(plan).await;
         assert_others_are_served(&deployment).await;
         let mut held = Vec::new();
         for _ in 0..16 {
             held.push(connect(&deployment).await);
         }
         let get = "GET /v1/models HTTP/1.1\r\nhost: r\r\n\r\n";
-        let answer = time::timeout(SOON, raw(&deployment, get)).await.expect("an answer");
+        let answer =
+            time::timeout(RESPONSE_TIMEOUT, send_raw(&deployment, get)).await.expect("an answer");
         assert_eq!(answer.status(), "503", "{}", answer.head);
         assert!(answer.head.contains("retry-after:"), "{}", answer.head);
         assert_eq!(answer.error()["code"], "too_many_connections");
@@ -280,15 +285,16 @@
         assert_others_are_served(&deployment).await;
         drop(held);
         let get = "GET /v1/models HTTP/1.1\r\nhost: r\r\nconnection: close\r\n\r\n";
-        wait_for("room again", async || raw(&deployment, get).await.status() == "401").await;
+        wait_for("a free connection", async || send_raw(&deployment, get).await.status() == "401")
+            .await;
     });
 }
 
 /// Ignoring an unsupported or invalid field would answer a different request.
 #[rstest]
-fn what_is_not_supported_is_refused_and_named() {
+fn unsupported_fields_are_rejected_by_name() {
     block_on(async {
-        let deployment = started(small()).await;
+        let deployment = start_loaded(small_plan()).await;
         let cases = [
             (json!({ "max_tokens": "ten" }), "max_tokens"),
             (json!({ "max_tokens": -1 }), "max_tokens"),
@@ -327,7 +333,7 @@
         let nested = "[".repeat(3000);
         for body in ["", "{", "[]", "nonsense", &nested, "{\"model\":\"a\",\"model\":\"b\"}"] {
             let request = format!("{}{body}", head(COMPLETIONS, body.len(), ""));
-            let answer = raw(&deployment, &request).await;
+            let answer = send_raw(&deployment, &request).await;
             assert_eq!(answer.status(), "400", "{body:.20}");
             assert_eq!(answer.error()["code"], "invalid_request");
         }
@@ -335,14 +341,14 @@
         assert_eq!(post(&deployment, &unknown).await.status(), 404);
         let empty = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 3, "stop": ["a"],
             "temperature": 0, "n": 1, "user": "u", "seed": 1, "logprobs": null, "tools": null });
-        assert_eq!(post(&deployment, &empty).await.status(), 200, "what is usual is taken");
+        assert_eq!(post(&deployment, &empty).await.status(), 200, "common fields are accepted");
     });
 }
 
 #[rstest]
-fn headers_and_paths_that_cannot_be_used_are_refused() {
+fn invalid_headers_and_paths_are_rejected() {
     block_on(async {
-        let deployment = started(small()).await;
+        let deployment = start_loaded(small_plan()).await;
         let long_id = format!("x-request-id: {}\r\n", "x".repeat(300));
         let cases = [
             (head(COMPLETIONS, 0, &long_id), "400", "invalid_request"),
@@ -357,24 +363,24 @@
             let body = json!({ "model": "quotes-7b", "prompt": "x" }).to_string();
             let length = format!("content-length: {}", body.len());
             let request = format!("{}{body}", request.replace("content-length: 0", &length));
-            let answer = raw(&deployment, &request).await;
+            let answer = send_raw(&deployment, &request).await;
             assert_eq!((answer.status(), &answer.error()["code"]), (status, &json!(code)));
             assert!(answer.head.contains("x-corianderstand-outcome: not-run"), "{}", answer.head);
             assert!(answer.head.contains("x-request-id: "), "{}", answer.head);
         }
-        let answer = raw(&deployment, &head("/v1/models", 0, "")).await;
+        let answer = send_raw(&deployment, &head("/v1/models", 0, "")).await;
         assert!(answer.head.contains("allow: get"), "{}", answer.head);
         let get = "GET /v1/models HTTP/1.1\r\nhost: r\r\nconnection: close\r\n\r\n";
-        let answer = raw(&deployment, get).await;
+        let answer = send_raw(&deployment, get).await;
         assert_eq!(answer.status(), "401");
         assert!(answer.head.contains("www-authenticate: bearer"), "{}", answer.head);
     });
 }
 
 #[rstest]
-fn a_stream_ends_as_callers_know_it() {
+fn streams_end_with_the_done_event() {
     block_on(async {
-        let deployment = started(small()).await;
+        let deployment = start_loaded(small_plan()).await;
         let mut body = json!({ "model": "quotes-7b", "prompt": "two words", "max_tokens": 3,
             "stream": true });
         let plain = post(&deployment, &body).await.text().await.expect("the answer is whole");
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -15,10 +15,10 @@
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
-async fn ask(deployment: &Deployment, key: &str, model: &str) -> u16 {
+async fn request(deployment: &Deployment, key: &str, model: &str) -> u16 {
     let body = json!({ "model": model, "prompt": "nine floors", "max_tokens": 4 });
     let url = deployment.url("router-0", "/v1/completions");
     let answer = deployment.http.post(url).bearer_auth(key).json(&body).send().await;
@@ -28,30 +28,34 @@
     status
 }
 
-async fn ask_until_answered(deployment: &Deployment, key: &str, model: &str) {
-    wait_for(&format!("an answer of {model}"), async || ask(deployment, key, model).await == 200)
-        .await;
+async fn request_until_served(deployment: &Deployment, key: &str, model: &str) {
+    wait_for(&format!("an answer of {model}"), async || {
+        request(deployment, key, model).await == 200
+    })
+    .await;
 }
 
 /// TCP state in `/proc/net/tcp`.
 const ESTABLISHED: &str = "01";
 
 /// Number of established connections to agents.
-fn open(deployment: &Deployment) -> usize {
+fn open_connections(deployment: &Deployment) -> usize {
     let agents =
         deployment.started_processes().into_iter().filter(|name| name.starts_with("agent-"));
-    let wanted: Vec<String> = agents.map(|name| kernels(deployment.address(&name))).collect();
+    let agent_addresses: Vec<String> =
+        agents.map(|name| proc_net_address(deployment.address(&name))).collect();
     let table = fs::read_to_string("/proc/net/tcp").expect("the kernel lists connections");
     let to_agent = |line: &&str| {
         let mut fields = line.split_whitespace().skip(2);
-        let (far, state) = (fields.next(), fields.next());
-        state == Some(ESTABLISHED) && far.is_some_and(|far| wanted.iter().any(|w| w == far))
+        let (remote, state) = (fields.next(), fields.next());
+        state == Some(ESTABLISHED)
+            && remote.is_some_and(|remote| agent_addresses.iter().any(|agent| agent == remote))
     };
     table.lines().filter(to_agent).count()
 }
 
 /// Formats an address as in `/proc/net/tcp`.
-fn kernels(address: &str) -> String {
+fn proc_net_address(address: &str) -> String {
     let address: SocketAddrV4 = address.parse().expect("an address of the test bed");
     let ip = u32::from_le_bytes(address.ip().octets());
     format!("{ip:08X}:{:04X}", address.port())
@@ -61,34 +65,36 @@
 fn an_idle_connection_is_closed_and_the_next_request_opens_it_again() {
     block_on(async {
         let deployment = Deployment::start(Plan::default()).await;
-        wait_for("no connection before a request", async || open(&deployment) == 0).await;
+        wait_for("no connection before a request", async || open_connections(&deployment) == 0)
+            .await;
         for _ in 0..2 {
-            ask_until_answered(&deployment, VIDRIO_KEY, "rounds-3b").await;
-            assert!(open(&deployment) > 0, "a connection is opened for the request");
-            wait_for("the idle connection's end", async || open(&deployment) == 0).await;
+            request_until_served(&deployment, VIDRIO_KEY, "rounds-3b").await;
+            assert!(open_connections(&deployment) > 0, "a connection is opened for the request");
+            wait_for("the idle connection's end", async || open_connections(&deployment) == 0)
+                .await;
         }
-        let began = Instant::now();
-        assert_eq!(ask(&deployment, VIDRIO_KEY, "rounds-3b").await, 200);
-        let took = began.elapsed();
+        let started_at = Instant::now();
+        assert_eq!(request(&deployment, VIDRIO_KEY, "rounds-3b").await, 200);
+        let took = started_at.elapsed();
         assert!(took < Duration::from_secs(1), "a warm model over a new connection: {took:?}");
     });
 }
 
 /// Without an open connection, no connection error reveals that the agent has died.
 #[rstest]
-fn a_target_that_died_unseen_costs_a_request_little() {
+fn requests_are_served_after_a_target_died_without_a_connection() {
     block_on(async {
         let plan = Plan { engines: 3, ..Plan::default() };
         let mut deployment = Deployment::start(plan).await;
-        ask_until_answered(&deployment, VIDRIO_KEY, "quotes-7b").await;
-        wait_for("the idle connection's end", async || open(&deployment) == 0).await;
+        request_until_served(&deployment, VIDRIO_KEY, "quotes-7b").await;
+        wait_for("the idle connection's end", async || open_connections(&deployment) == 0).await;
         let status = deployment.status("router-0").await;
         let slots = status["slots"].as_array().expect("slots").clone();
         let owner = slots.iter().find(|slot| slot["model"] == "quotes-7b");
         let owner = owner.and_then(|slot| slot["target"].as_str()).expect("an owner");
         deployment.process(&format!("agent-{owner}")).kill();
         for _ in 0..4 {
-            ask_until_answered(&deployment, VIDRIO_KEY, "quotes-7b").await;
+            request_until_served(&deployment, VIDRIO_KEY, "quotes-7b").await;
         }
     });
 }
@@ -98,7 +104,7 @@
 fn a_target_restarted_after_draining_is_used_again() {
     block_on(async {
         let mut deployment = Deployment::start(Plan::default()).await;
-        ask_until_answered(&deployment, HINOKUNI_KEY, "design-13b").await;
+        request_until_served(&deployment, HINOKUNI_KEY, "design-13b").await;
         let status = deployment.status("router-0").await;
         let slots = status["slots"].as_array().expect("slots").clone();
         let owner = slots.iter().find(|slot| slot["model"] == "design-13b");
@@ -108,6 +114,6 @@
         process.signal(nix::sys::signal::Signal::SIGTERM);
         process.wait(Duration::from_secs(30));
         deployment.start_process(&agent);
-        ask_until_answered(&deployment, HINOKUNI_KEY, "design-13b").await;
+        request_until_served(&deployment, HINOKUNI_KEY, "design-13b").await;
     });
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn an_id_is_asked_for() {
+fn a_missing_id_is_a_usage_error() {
     assert_eq!(run(["explain".to_owned()]), Exit::Usage);
 }
 
 /// Logs have prefixes, lines of other requests and a truncated line.
 #[test]
-fn the_life_of_a_request_is_told_in_order() {
+fn lines_of_a_request_are_printed_in_order() {
     let one = file(
         "router-a.log",
         &[
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_id_that_is_in_no_file_is_said() {
+fn an_unknown_id_is_reported() {
     let one = file("router-b.log", &[r#"{"message":"placed","id":"r2"}"#]);
     let (code, out) = explain(&["r9", one.to_str().unwrap()]);
     assert_eq!(code, 1);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn programs_get_json() {
+fn json_output_has_lines_and_cause() {
     let one = file(
         "router-c.log",
         &[
@@ -66,7 +66,7 @@
 
 /// The check must report a missing field and how to add it.
 #[test]
-fn settings_of_the_platform_are_checked() {
+fn platform_settings_are_checked() {
     let good = "node=e\nzone=z\nip=10.0.0.1\nlisten.front=10.0.0.1:1\nlisten.ready=10.0.0.1:2\n\
         port_range=7380,7395\nplatform.address=10.0.0.9:1\n";
     let (whole, cut) = (file("good.conf", &[good]), file("bad.conf", &[&good[..40]]));
@@ -77,14 +77,14 @@
         (out.status.code().unwrap(), String::from_utf8(out.stderr).unwrap())
     };
     assert_eq!(check(&whole).0, 0, "{}", check(&whole).1);
-    let (code, said) = check(&cut);
+    let (code, stderr) = check(&cut);
     assert_eq!(code, 1);
-    assert!(said.contains("is missing: add a line"), "{said}");
+    assert!(stderr.contains("is missing: add a line"), "{stderr}");
 }
 
 /// The output must show whether a 404 comes from the current or a stale configuration.
 #[test]
-fn a_404_names_the_configuration_and_how_old_the_knowledge_was() {
+fn a_404_names_the_configuration_and_its_age() {
     let log = file(
         "router-d.log",
         &[
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use testbed::{Deployment, Plan, deployment::wait_for, load::LoadGenerator, plan::HINOKUNI_KEY};
 
-const STOP_LIMIT: Duration = Duration::from_secs(40);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 const CALLERS: usize = 24;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
 async fn start() -> Deployment {
@@ -30,38 +30,42 @@
     )
 }
 
-async fn flowing(load: &LoadGenerator, more: usize) {
+async fn wait_for_progress(load: &LoadGenerator, count: usize) {
     let before = load.report();
     wait_for("answers of both kinds", async || {
         let report = load.report();
-        report.completions >= before.completions + more && report.bookings >= before.bookings + more
+        report.completions >= before.completions + count
+            && report.bookings >= before.bookings + count
     })
     .await;
 }
 
 /// Restarting all routers and agents in turn must not cause errors or truncated responses.
 #[rstest]
-fn a_rolling_restart_under_load_is_seen_by_nobody() {
+fn a_rolling_restart_under_load_causes_no_errors() {
     block_on(async {
         let mut deployment = start().await;
         let load = load(&deployment);
-        wait_for("all models awake", async || load.report().completions > 100).await;
+        wait_for("all models to be warm", async || load.report().completions > 100).await;
         let cold = load.report().errors;
         assert!(cold.is_empty(), "{} errors before any stop: {:?}", cold.len(), cold.first());
         let names = deployment.started_processes();
-        let ours = names.iter().filter(|n| n.starts_with("router-") || n.starts_with("agent-"));
-        for name in ours {
+        let restarted =
+            names.iter().filter(|n| n.starts_with("router-") || n.starts_with("agent-"));
+        for name in restarted {
             deployment.process(name).signal(Signal::SIGTERM);
-            let began = std::time::Instant::now();
-            wait_for("the end of a planned stop", async || !deployment.process(name).is_running())
-                .await;
-            println!("{name} stopped in {:?}", began.elapsed());
-            assert_eq!(deployment.process(name).wait(STOP_LIMIT), Some(0), "{name}");
+            let started_at = std::time::Instant::now();
+            wait_for("the end of a graceful shutdown", async || {
+                !deployment.process(name).is_running()
+            })
+            .await;
+            println!("{name} stopped in {:?}", started_at.elapsed());
+            assert_eq!(deployment.process(name).wait(SHUTDOWN_TIMEOUT), Some(0), "{name}");
             deployment.start_process(name);
             if name.starts_with("router-") {
                 deployment.wait_for_answer(name, "/readyz").await;
             }
-            flowing(&load, 20).await;
+            wait_for_progress(&load, 20).await;
         }
         let report = load.finish().await;
         println!("{} complete answers, {} bookings executed", report.completions, report.bookings);
@@ -77,7 +81,7 @@
 
 /// A router that shuts down must finish its open streams before it exits.
 #[rstest]
-fn a_router_ends_only_when_its_last_answer_was_read() {
+fn a_router_finishes_its_streams_before_exiting() {
     block_on(async {
         let mut deployment = start().await;
         let body = json!({ "model": "design-13b", "prompt": "stripes", "max_tokens": 400,
@@ -90,7 +94,7 @@
             answer.is_some()
         })
         .await;
-        let mut parts = answer.expect("it has begun").bytes_stream();
+        let mut parts = answer.expect("the stream was opened").bytes_stream();
         let mut text = String::new();
         deployment.process("router-0").signal(Signal::SIGTERM);
         wait_for("not ready", async || {
@@ -103,7 +107,7 @@
         }
         assert!(text.contains("[DONE]"), "cut after {} bytes", text.len());
         assert_eq!(text.matches("\nid: ").count() + 1, 400);
-        assert_eq!(deployment.process("router-0").wait(STOP_LIMIT), Some(0));
+        assert_eq!(deployment.process("router-0").wait(SHUTDOWN_TIMEOUT), Some(0));
     });
 }
 
@@ -111,7 +115,7 @@
 #[rstest]
 #[case::router("router-0")]
 #[case::agent("agent-service-0")]
-fn a_second_signal_ends_at_once_and_says_what_it_cut(#[case] name: &str) {
+fn a_second_signal_exits_at_once_and_logs_aborted_requests(#[case] name: &str) {
     block_on(async {
         let plan = Plan { engines: 2, ..Plan::default() };
         let mut deployment = Deployment::start(plan).await;
@@ -119,17 +123,17 @@
         let booking = testbed::booking::Booking::new("b-1", 15_000);
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let http = deployment.http.clone();
-        let asked = tokio::spawn(async move { booking.send(&http, url).await });
+        let pending = tokio::spawn(async move { booking.send(&http, url).await });
         wait_for("the booking runs", async || deployment.execution_count("b-1").await == 1).await;
         deployment.process(name).signal(Signal::SIGTERM);
-        wait_for("the second signal is heard", async || {
+        wait_for("the second signal to take effect", async || {
             deployment.process(name).signal(Signal::SIGTERM);
             !deployment.process(name).is_running()
         })
         .await;
-        assert_ne!(deployment.process(name).wait(STOP_LIMIT), Some(0));
+        assert_ne!(deployment.process(name).wait(SHUTDOWN_TIMEOUT), Some(0));
         assert!(deployment.log_of(name).contains("\"cut\":1"), "{}", deployment.log_of(name));
-        if let Some(answer) = asked.await.expect("the task ends") {
+        if let Some(answer) = pending.await.expect("the task ends") {
             assert_eq!(answer.outcome, "unknown", "{answer:?}");
         }
     });
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -13,7 +13,7 @@
 /// Upper bound on the datagrams of the statsd client.
 const MAX_DATAGRAM: usize = 64 * 1024;
 
-fn take(sink: &UdpSocket, seen: &mut BTreeSet<String>) {
+fn receive_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     while let Ok(length) = sink.recv(&mut buf) {
         let text = String::from_utf8_lossy(&buf[..length]).into_owned();
@@ -24,25 +24,25 @@
     }
 }
 
-async fn wait_for_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>, wanted: &[Metric]) {
-    let began = Instant::now();
+async fn wait_for_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>, expected: &[Metric]) {
+    let started_at = Instant::now();
     loop {
-        take(sink, seen);
-        let missing = wanted.iter().filter(|metric| !seen.contains(metric.name()));
+        receive_metrics(sink, seen);
+        let missing = expected.iter().filter(|metric| !seen.contains(metric.name()));
         let missing: Vec<_> = missing.copied().map(Metric::name).collect();
         if missing.is_empty() {
             return;
         }
-        assert!(began.elapsed() < STATE_TIMEOUT, "metrics that did not come: {missing:?}");
+        assert!(started_at.elapsed() < STATE_TIMEOUT, "metrics not received: {missing:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 /// Every declared metric must be emitted, and every emitted metric must be declared.
 #[rstest]
-fn a_served_and_a_refused_request_show_in_the_sink() {
+fn declared_metrics_reach_the_sink() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(async {
+    runtime.expect("the runtime can be created").block_on(async {
         let sink = UdpSocket::bind("127.0.0.1:0").expect("loopback has a free port");
         sink.set_read_timeout(Some(Duration::from_millis(1))).expect("a timeout can be set");
         let statsd = json!(sink.local_addr().expect("it is bound").to_string());
@@ -54,7 +54,7 @@
             let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 2,
                 "stream": stream });
             wait_for("an answer", async || {
-                take(&sink, &mut seen);
+                receive_metrics(&sink, &mut seen);
                 let req = deployment.http.post(&url).bearer_auth(VIDRIO_KEY).json(&body);
                 req.send().await.is_ok_and(|answer| answer.status() == 200)
             })
@@ -72,15 +72,15 @@
         let stream = deployment.http.post(&url).bearer_auth(VIDRIO_KEY).json(&body).send().await;
         assert_eq!(stream.expect("the router answers").status(), 200);
         // These need other failures or a long idle time.
-        let not_here = [
+        let excluded = [
             Metric::RouterRetries,
             Metric::AgentRefusals,
             Metric::AgentUnloads,
             Metric::ControlReadFailures,
         ];
         let all = Metric::ALL.iter().copied();
-        let all: Vec<_> = all.filter(|metric| !not_here.contains(metric)).collect();
-        assert_eq!(all.len() + not_here.len(), Metric::ALL.len());
+        let all: Vec<_> = all.filter(|metric| !excluded.contains(metric)).collect();
+        assert_eq!(all.len() + excluded.len(), Metric::ALL.len());
         // A killed process loses its last counts, so the others are received first.
         let before: Vec<_> =
             all.iter().copied().filter(|metric| *metric != Metric::RouterLost).collect();
@@ -104,9 +104,9 @@
 
 /// The log lines of all hops must be linked by trace and span ids.
 #[rstest]
-fn hops_of_one_request_join_to_one_trace() {
+fn hops_of_a_request_share_a_trace() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(async {
+    runtime.expect("the runtime can be created").block_on(async {
         let plan = Plan { routers: 1, ..Plan::default() };
         let deployment = Deployment::start(plan).await;
         let trace = "0af7651916cd43dd8448eb211c80319c";
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -7,10 +7,10 @@
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
-fn small() -> Plan {
+fn small_plan() -> Plan {
     Plan { engines: 2, services: 1, ..Plan::default() }
 }
 
@@ -29,9 +29,9 @@
 
 /// `status` must report model stages and unreachable processes after a host loss.
 #[rstest]
-fn status_tells_what_is_warm_and_who_is_reached() {
+fn status_reports_model_stages_and_unreachable_processes() {
     block_on(async {
-        let mut plan = small();
+        let mut plan = small_plan();
         plan.engine_options = ["--token-us", "2000", "--load-ms", "2000"].map(str::to_owned).into();
         let mut deployment = Deployment::start(plan).await;
         wait_for("all targets reached", async || {
@@ -50,12 +50,12 @@
             }
         }
         let body = json!({ "model": "rounds-3b", "prompt": "x", "max_tokens": 2 });
-        let ask = || {
+        let send = || {
             let req = deployment.http.post(deployment.url("router-0", "/v1/completions"));
             tokio::spawn(req.bearer_auth(VIDRIO_KEY).json(&body).send())
         };
         wait_for("loading", async || {
-            drop(ask());
+            drop(send());
             tokio::task::yield_now().await;
             stages(&status(&deployment), "rounds-3b") == ["loading"]
         })
@@ -75,9 +75,9 @@
 }
 
 #[rstest]
-fn diff_shows_fields_and_exit_codes_tell_faults_apart() {
+fn diff_shows_fields_and_exit_codes_distinguish_errors() {
     block_on(async {
-        let deployment = Deployment::start(small()).await;
+        let deployment = Deployment::start(small_plan()).await;
         let folder = deployment.settings_folder();
         let folder_name = folder.display().to_string();
         let (code, output) = deployment.command(&["diff", &folder_name]);
@@ -130,7 +130,7 @@
 #[case("status")]
 #[case("hash-key")]
 fn each_command_has_help(#[case] command: &str) {
-    let deployment = Deployment::prepare(small());
+    let deployment = Deployment::prepare(small_plan());
     let (code, output) = deployment.command(&[command, "--help"]);
     assert_eq!(code, Some(0));
     assert!(output.contains(&format!("corianderstand {command}")), "{output}");
--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -20,7 +20,7 @@
 }
 
 /// Inline code of a page, without fenced blocks.
-fn quoted(page: &str) -> Vec<&str> {
+fn inline_code(page: &str) -> Vec<&str> {
     let fenced = page.split("```").step_by(2);
     fenced.flat_map(|text| text.split('`').skip(1).step_by(2)).collect()
 }
@@ -42,11 +42,11 @@
     without_case.last().copied()
 }
 
-fn functions_in(dir: &Path, found: &mut BTreeSet<String>) {
+fn collect_functions(dir: &Path, found: &mut BTreeSet<String>) {
     let Ok(entries) = fs::read_dir(dir) else { return };
     for path in entries.flatten().map(|entry| entry.path()) {
         if path.is_dir() {
-            functions_in(&path, found);
+            collect_functions(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             let text = fs::read_to_string(&path).unwrap_or_default();
             let starts = text.split("fn ").skip(1);
@@ -58,7 +58,7 @@
 
 fn functions() -> BTreeSet<String> {
     let mut found = BTreeSet::new();
-    SOURCES.iter().for_each(|dir| functions_in(&root().join(dir), &mut found));
+    SOURCES.iter().for_each(|dir| collect_functions(&root().join(dir), &mut found));
     found
 }
 
@@ -70,7 +70,7 @@
         in_folder && extension.is_some_and(|extension| EXTENSIONS.contains(&extension))
     };
     let mut missing = Vec::new();
-    for text in quoted(page) {
+    for text in inline_code(page) {
         let gone = match function(text) {
             Some(name) => !functions.contains(name),
             None => is_file(text) && !root().join(text).exists(),
@@ -88,7 +88,7 @@
     let page = fs::read_to_string(root().join(PAGE)).expect("the page can be read");
     let gone = missing(&page, &functions());
     assert!(gone.is_empty(), "named in {PAGE}, but not in the tree: {gone:#?}");
-    let tests = quoted(&page).into_iter().filter(|text| function(text).is_some()).count();
+    let tests = inline_code(&page).into_iter().filter(|text| function(text).is_some()).count();
     assert!(tests > 0, "the page names tests");
 }
 
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -10,11 +10,11 @@
 
 const ROUTERS: usize = 6;
 /// Time limit for an accepted change to take effect everywhere.
-const IN_FORCE: Duration = Duration::from_secs(7);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(7);
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
 fn plan() -> Plan {
@@ -56,42 +56,42 @@
     answer["version"].as_u64().unwrap_or_else(|| panic!("accepted: {answer}"))
 }
 
-async fn in_force(deployment: &Deployment, names: &[String], version_wanted: u64) -> Duration {
-    let began = Instant::now();
+async fn time_to_version(deployment: &Deployment, names: &[String], expected: u64) -> Duration {
+    let started_at = Instant::now();
     for name in names {
-        wait_for(&format!("version {version_wanted} at {name}"), async || {
-            version(deployment, name).await.is_some_and(|version| version >= version_wanted)
+        wait_for(&format!("version {expected} at {name}"), async || {
+            version(deployment, name).await.is_some_and(|version| version >= expected)
         })
         .await;
     }
-    began.elapsed()
+    started_at.elapsed()
 }
 
 /// If all routers that read the log become unresponsive, their followers must still receive
 /// accepted changes.
 #[rstest]
-fn a_change_is_in_force_in_time_although_all_relays_fall_silent() {
+fn a_change_takes_effect_in_time_although_all_relays_are_unresponsive() {
     block_on(async {
         let mut deployment = Deployment::start(plan()).await;
         let (readers, followers) = readers_and_followers(&deployment);
         assert_eq!(readers.len(), source::LOG_READERS);
         let accepted = change(&deployment, &readers[0], 11_000).await;
-        let all = in_force(&deployment, &routers(), accepted).await;
-        assert!(all < IN_FORCE, "through relays: {all:?}");
+        let all = time_to_version(&deployment, &routers(), accepted).await;
+        assert!(all < PROPAGATION_LIMIT, "through relays: {all:?}");
         for name in &readers {
             deployment.process(name).freeze();
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let accepted = change(&deployment, &followers[0], 12_000).await;
-        in_force(&deployment, &followers, accepted).await;
-        let took = began.elapsed();
-        assert!(took < IN_FORCE, "past silent relays: {took:?}");
+        time_to_version(&deployment, &followers, accepted).await;
+        let took = started_at.elapsed();
+        assert!(took < PROPAGATION_LIMIT, "past unresponsive relays: {took:?}");
     });
 }
 
 /// A claim must be read back, and the booking run once, after relays are killed.
 #[rstest]
-fn a_booking_runs_once_although_the_relays_on_its_way_are_killed() {
+fn a_booking_runs_once_although_its_relays_are_killed() {
     block_on(async {
         let mut deployment = Deployment::start(plan()).await;
         let (readers, followers) = readers_and_followers(&deployment);
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -8,7 +8,7 @@
 use testbed::process::{Process, STATE_TIMEOUT, free_addresses};
 
 /// Writes settings with a retry budget; nothing listens at the store's address.
-fn settings(dir: &Path, budget: &str) -> PathBuf {
+fn write_settings(dir: &Path, budget: &str) -> PathBuf {
     let addresses = free_addresses(4);
     let (ip, _) = addresses[0].rsplit_once(':').unwrap();
     let (_, first) = addresses[3].rsplit_once(':').unwrap();
@@ -22,7 +22,7 @@
     path
 }
 
-fn change(path: &Path, from: &str, to: &str) {
+fn replace_in_file(path: &Path, from: &str, to: &str) {
     let text = std::fs::read_to_string(path).unwrap();
     assert!(text.contains(from));
     std::fs::write(path, text.replace(from, to)).unwrap();
@@ -30,8 +30,8 @@
 
 /// Waits for a log line that contains `text` after the first `seen` bytes.
 fn wait_for(log: &Path, seen: &mut usize, text: &str) -> String {
-    let began = Instant::now();
-    while began.elapsed() < STATE_TIMEOUT {
+    let started_at = Instant::now();
+    while started_at.elapsed() < STATE_TIMEOUT {
         let all = std::fs::read_to_string(log).unwrap();
         if let Some(line) = all[*seen..].lines().find(|line| line.contains(text)) {
             *seen = all.len();
@@ -44,23 +44,23 @@
 
 /// An invalid file must neither end the router nor prevent a later reload.
 #[test]
-fn a_changed_file_is_in_force_and_a_wrong_one_changes_nothing() {
+fn a_changed_file_is_applied_and_an_invalid_one_is_ignored() {
     let dir = std::env::temp_dir().join(format!("settings-reload-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let path = settings(&dir, "0.2");
+    let path = write_settings(&dir, "0.2");
     let args = ["router", "--platform"].map(str::to_owned);
     let variable = ("CORIANDERSTAND_CONFIG", path.as_path());
     let mut router = Process::start_with("router-a", "corianderstand", &args, &dir, &[variable]);
     let (log, mut seen) = (dir.join("router-a.log"), 0);
     wait_for(&log, &mut seen, "router started");
-    change(&path, "retry_budget=0.2", "retry_budget=0.3");
+    replace_in_file(&path, "retry_budget=0.2", "retry_budget=0.3");
     router.signal(Signal::SIGHUP);
     let line = wait_for(&log, &mut seen, "settings reloaded");
     assert!(line.contains("ratio: 0.3"), "{line}");
-    change(&path, "retry_budget=0.3", "retry_budget=much");
+    replace_in_file(&path, "retry_budget=0.3", "retry_budget=much");
     let line = wait_for(&log, &mut seen, "the settings have a fault");
     assert!(line.contains("bounds.retry_budget"), "the line names the field: {line}");
-    change(&path, "retry_budget=much", "retry_budget=0.4");
+    replace_in_file(&path, "retry_budget=much", "retry_budget=0.4");
     let line = wait_for(&log, &mut seen, "settings reloaded");
     assert!(line.contains("ratio: 0.4"), "{line}");
     assert!(router.is_running());
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -14,14 +14,14 @@
 };
 
 /// An engine process with a loaded model.
-struct Running {
+struct RunningEngine {
     engine: HttpEngine,
     address: String,
     dir: PathBuf,
     _process: Process,
 }
 
-impl Drop for Running {
+impl Drop for RunningEngine {
     fn drop(&mut self) {
         drop(std::fs::remove_dir_all(&self.dir));
     }
@@ -31,7 +31,7 @@
     Weights::model("m".into(), "1".into())
 }
 
-async fn start(options: &[&str]) -> Running {
+async fn start(options: &[&str]) -> RunningEngine {
     let address = free_addresses(1).remove(0);
     let dir = std::env::temp_dir().join(format!("engine-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
@@ -41,14 +41,14 @@
     let process = Process::start("engine", "corianderstand-standins", &args, &dir);
     let engine = HttpEngine::new(&format!("http://{address}"));
     wait_for("the engine", async || engine.loaded().await.is_ok()).await;
-    let order = EngineCommand {
+    let command = EngineCommand {
         action: CommandAction::Load,
         weights: weights(),
         memory_mib: 100,
         fence: 1,
     };
-    engine.execute(&order).await.expect("there is room");
-    Running { engine, address, dir, _process: process }
+    engine.execute(&command).await.expect("there is free memory");
+    RunningEngine { engine, address, dir, _process: process }
 }
 
 fn generate(prompt: &str, request: &str, priority: u8, tokens: u32) -> GenerateRequest {
@@ -68,21 +68,23 @@
 async fn run(engine: &HttpEngine, generate: GenerateRequest) -> u64 {
     let mut stream = engine.generate(generate).await.expect("the model is loaded");
     while let Some(event) = stream.next().await {
-        if let EngineEvent::Finished { completion_tokens, .. } = event.expect("it goes on") {
+        if let EngineEvent::Finished { completion_tokens, .. } =
+            event.expect("the stream continues")
+        {
             return completion_tokens;
         }
     }
-    panic!("the answer has no end");
+    panic!("the stream has no end");
 }
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
 /// A follower of cache events must be able to detect lost events.
 #[rstest]
-fn cache_events_are_late_and_their_gaps_can_be_seen() {
+fn cache_events_lag_and_their_gaps_are_detectable() {
     block_on(async {
         let options = ["--token-us", "0", "--event-lag-ms", "300", "--cache-blocks", "4"];
         let running = start(&options).await;
@@ -93,7 +95,7 @@
         let prompt = |word: &str| [word; 64].join(" ");
         assert_eq!(run(engine, generate(&prompt("a"), "r-1", 1, 2)).await, 2);
         let early = engine.cache_events(1).await.expect("the engine answers");
-        assert!(early.events.is_empty(), "events that are not late: {early:?}");
+        assert!(early.events.is_empty(), "events without delay: {early:?}");
         assert_eq!(run(engine, generate(&prompt("a"), "r-2", 1, 2)).await, 2);
         assert_eq!(run(engine, generate(&prompt("b"), "r-3", 1, 2)).await, 2);
         // Four blocks added, then four more added and the first four evicted.
@@ -114,18 +116,18 @@
 
 /// Load reports are delayed, and urgent requests overtake queued ones.
 #[rstest]
-fn reports_lag_and_urgent_requests_go_first() {
+fn reports_lag_and_urgent_requests_are_scheduled_first() {
     block_on(async {
         let options = ["--token-us", "20000", "--batch", "1", "--report-lag-ms", "200"];
         let running = start(&options).await;
-        let ask = |request: &'static str, priority, tokens| {
+        let spawn_request = |request: &'static str, priority, tokens| {
             let engine = running.engine.clone();
             tokio::spawn(async move {
                 run(&engine, generate("x", request, priority, tokens)).await;
                 tokio::time::Instant::now()
             })
         };
-        let first = ask("r-1", 0, 30);
+        let first = spawn_request("r-1", 0, 30);
         let requests = async || {
             let url = format!("http://{}/counters", running.address);
             let counters = reqwest::get(url).await.expect("the engine answers").text().await;
@@ -135,10 +137,10 @@
         };
         wait_for("the first", async || requests().await == Some(1)).await;
         let report = running.engine.report().await.expect("the engine answers");
-        assert_eq!(report.running, 0, "the report is of a while ago");
-        let low = ask("r-2", 0, 2);
+        assert_eq!(report.running, 0, "the report is delayed");
+        let low = spawn_request("r-2", 0, 2);
         wait_for("the second", async || requests().await == Some(2)).await;
-        let urgent = ask("r-3", 2, 2);
+        let urgent = spawn_request("r-3", 2, 2);
         wait_for("the report", async || {
             let report = running.engine.report().await.expect("the engine answers");
             (report.running, report.waiting) == (1, 2)
--- a/tests/stream_recovery.rs
+++ b/tests/stream_recovery.rs
@@ -10,7 +10,7 @@
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
 /// Starts a deployment whose engines generate a token every 20 ms.
@@ -51,13 +51,13 @@
     }
 
     async fn begin(deployment: &Deployment, router: &str) -> Self {
-        let mut begun = None;
+        let mut opened = None;
         wait_for("a stream that begins", async || {
-            begun = Self::open(deployment, router, 0).await;
-            begun.is_some()
+            opened = Self::open(deployment, router, 0).await;
+            opened.is_some()
         })
         .await;
-        begun.expect("it has begun")
+        opened.expect("the stream was opened")
     }
 
     /// Reads until `tokens` tokens have been received.
@@ -69,13 +69,13 @@
         }
     }
 
-    async fn read_all(&mut self) {
+    async fn read_to_end(&mut self) {
         while let Some(part) = self.events.next().await {
             self.text.push_str(&part);
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.text.contains("[DONE]")
     }
 
@@ -88,17 +88,17 @@
     }
 }
 
-async fn undisturbed(deployment: &Deployment) -> Vec<String> {
+async fn complete_tokens(deployment: &Deployment) -> Vec<String> {
     let mut stream = Stream::begin(deployment, "router-1").await;
-    stream.read_all().await;
-    assert!(stream.is_whole(), "{}", stream.text);
+    stream.read_to_end().await;
+    assert!(stream.is_complete(), "{}", stream.text);
     assert_eq!(stream.tokens().len(), TOKENS);
     stream.tokens()
 }
 
-async fn serving(deployment: &Deployment) -> String {
+async fn busy_engine(deployment: &Deployment) -> String {
     let mut found = None;
-    wait_for("an engine at work", async || {
+    wait_for("a busy engine", async || {
         for i in 0..deployment.plan.engines {
             let url = deployment.url(&format!("engine-{i}"), "/load");
             let load = deployment.http.get(url).send().await.expect("the engine answers");
@@ -110,7 +110,7 @@
         found.is_some()
     })
     .await;
-    found.expect("it was found")
+    found.expect("a busy engine was found")
 }
 
 /// After a failure between router and engine, the stream must continue without lost or repeated
@@ -122,13 +122,13 @@
 #[case::engine_killed("engine", 2)]
 #[case::engine_breaks_off("breaks", 1)]
 #[case::silent_and_agent_killed("silent and agent", 2)]
-fn a_stream_is_taken_up_where_it_was_lost(#[case] fault: &str, #[case] replicas: u32) {
+fn a_stream_resumes_after_a_failure(#[case] fault: &str, #[case] replicas: u32) {
     block_on(async {
         let mut deployment = start(replicas).await;
-        let expected = undisturbed(&deployment).await;
+        let expected = complete_tokens(&deployment).await;
         let mut stream = Stream::begin(&deployment, "router-0").await;
         stream.read(10).await;
-        let target = serving(&deployment).await;
+        let target = busy_engine(&deployment).await;
         if fault.contains("silent") {
             let silence = json!({ "silence_open": true });
             deployment.inject_fault(&format!("relay-{target}"), &silence).await;
@@ -151,48 +151,50 @@
             }
             _ => {}
         }
-        stream.read_all().await;
-        assert!(stream.is_whole(), "{}", stream.text);
+        stream.read_to_end().await;
+        assert!(stream.is_complete(), "{}", stream.text);
         assert_eq!(stream.tokens(), expected);
     });
 }
 
 /// After a router crash, `Last-Event-ID` must resume the stream at another router.
 #[rstest]
-fn a_caller_takes_its_stream_up_through_another_router() {
+fn a_caller_resumes_its_stream_through_another_router() {
     block_on(async {
         let mut deployment = start(2).await;
-        let expected = undisturbed(&deployment).await;
+        let expected = complete_tokens(&deployment).await;
         let mut first = Stream::begin(&deployment, "router-0").await;
         first.read(20).await;
         deployment.process("router-0").kill();
-        first.read_all().await;
-        assert!(!first.is_whole());
-        let had = first.tokens();
-        let mut rest = Stream::open(&deployment, "router-1", had.len()).await.expect("it goes on");
-        rest.read_all().await;
-        assert!(rest.is_whole());
-        assert_eq!([had, rest.tokens()].concat(), expected);
+        first.read_to_end().await;
+        assert!(!first.is_complete());
+        let received = first.tokens();
+        let mut rest = Stream::open(&deployment, "router-1", received.len())
+            .await
+            .expect("the stream continues");
+        rest.read_to_end().await;
+        assert!(rest.is_complete());
+        assert_eq!([received, rest.tokens()].concat(), expected);
     });
 }
 
 /// The engine must not continue to generate for a disconnected caller.
 #[rstest]
-fn work_for_a_caller_who_left_is_cancelled_within_a_second() {
+fn requests_of_disconnected_callers_are_cancelled_within_a_second() {
     block_on(async {
         let deployment = start(1).await;
         let mut stream = Stream::begin(&deployment, "router-0").await;
         stream.read(5).await;
-        let target = serving(&deployment).await;
+        let target = busy_engine(&deployment).await;
         drop(stream);
-        let began = Instant::now();
-        wait_for("the engine rests", async || {
+        let started_at = Instant::now();
+        wait_for("the engine to be idle", async || {
             let url = deployment.url(&target, "/load");
             let load = deployment.http.get(url).send().await.expect("the engine answers");
             load.json::<Value>().await.expect("a report")["running"] == 0
         })
         .await;
-        assert!(began.elapsed() < Duration::from_secs(1), "took {:?}", began.elapsed());
+        assert!(started_at.elapsed() < Duration::from_secs(1), "took {:?}", started_at.elapsed());
     });
 }
 
@@ -201,7 +203,7 @@
 fn callers_with_the_same_request_id_get_their_own_answers() {
     block_on(async {
         let deployment = start(1).await;
-        undisturbed(&deployment).await;
+        complete_tokens(&deployment).await;
         let ask = |prompt: &'static str| {
             let body = json!({ "model": "design-13b", "prompt": prompt, "max_tokens": TOKENS });
             let url = deployment.url("router-0", "/v1/completions");
@@ -213,7 +215,7 @@
             tokio::time::timeout(Duration::from_millis(300), ask("sleeve")),
             ask("collar")
         );
-        assert!(leaves.is_err(), "the first caller left before its answer");
+        assert!(leaves.is_err(), "the first caller disconnects before its response");
         let stays = stays.expect("answered").json::<Value>().await.expect("JSON");
         assert_eq!(stays["choices"], alone["choices"]);
     });
@@ -223,13 +225,13 @@
 #[rstest]
 #[case::agent("agent-")]
 #[case::engine("")]
-fn a_frozen_process_that_goes_on_mixes_nothing(#[case] kind: &str) {
+fn a_stream_is_intact_after_a_process_is_frozen_and_resumed(#[case] kind: &str) {
     block_on(async {
         let mut deployment = start(2).await;
-        let expected = undisturbed(&deployment).await;
+        let expected = complete_tokens(&deployment).await;
         let mut stream = Stream::begin(&deployment, "router-0").await;
         stream.read(10).await;
-        let target = serving(&deployment).await;
+        let target = busy_engine(&deployment).await;
         let name = format!("{kind}{target}");
         deployment.process(&name).freeze();
         if kind.is_empty() {
@@ -239,8 +241,8 @@
             stream.read(30).await;
             deployment.process(&name).resume();
         }
-        stream.read_all().await;
-        assert!(stream.is_whole(), "{}", stream.text);
+        stream.read_to_end().await;
+        assert!(stream.is_complete(), "{}", stream.text);
         assert_eq!(stream.tokens(), expected);
     });
 }
