--- a/examples/fold.rs
+++ b/examples/fold.rs
@@ -1,4 +1,4 @@
-//! Shows two operators changing the same settings at once: the log's order decides.
+//! Two operators change the same settings concurrently; the order of the log decides.
 
 use corianderstand::state::fold::State;
 use corianderstand_schema::records::{Body, Change, Record};
--- a/scenarios/agent-dies-in-the-midst-of-a-load.rhai
+++ b/scenarios/agent-dies-in-the-midst-of-a-load.rhai
@@ -1,6 +1,5 @@
-// An agent dies while its engine loads a model, and the log is down when it starts again. It must
-// count what the engine is still loading: a second order for it, or one for another model in the
-// same memory, would go beyond what the engine has.
+// An agent that restarts during a load, with the log down, must account for the memory of the load
+// in progress: another load command would exceed the engine's memory.
 
 deploy(#{ engines: 1, engine_options: ["--token-us", "1000", "--load-ms", "3000"],
     documents: #{ "teams/vidrio/models/quotes-7b": #{ replicas: 1 } } });
--- a/scenarios/agent-killed-and-log-down-in-a-booking.rhai
+++ b/scenarios/agent-killed-and-log-down-in-a-booking.rhai
@@ -1,5 +1,5 @@
-// The agent is killed while its booking is at the service, and the log goes down before the outcome
-// can be recorded. The booking ran. The user must never be told that it did not.
+// The agent is killed while the service executes its booking, and the log goes down before the
+// outcome is recorded. The router must never report "not-run".
 
 deploy(#{ engines: 2 });
 wait_until("bookings run", || book("router-0", "vidrio", "warm", #{ day: 1 }).outcome == "ran");
--- a/scenarios/booking-while-log-is-lost-and-agent-frozen.rhai
+++ b/scenarios/booking-while-log-is-lost-and-agent-frozen.rhai
@@ -1,5 +1,5 @@
-// The agent beside the bookings service is frozen, and the log loses its answers at the same time.
-// A user who books is told in time, and once all is well again each booking has one outcome.
+// The agent of the booking service is frozen while the log's responses are lost. Callers must get a
+// timely response, and each booking must have one outcome after recovery.
 
 deploy(#{ engines: 2 });
 wait_until("bookings run", || book("router-0", "vidrio", "warm", #{ day: 1 }).outcome == "ran");
--- a/scenarios/change-while-the-log-fails.rhai
+++ b/scenarios/change-while-the-log-fails.rhai
@@ -1,6 +1,5 @@
-// An operator changes settings while the log is down, and again while it is so slow that the
-// answer cannot come in time. "Accepted" would be false in the first case; "refused" would be
-// false in the second if the change took force afterwards.
+// An operator applies settings while the log is down, and while it is too slow to respond in time.
+// The command must not report a rejected change as accepted, nor an accepted one as rejected.
 
 deploy(#{});
 let version = status("router-0").version;
@@ -20,6 +19,6 @@
 if slow.output.contains("not known yet") {
     check(slow.output.contains("ticket"), slow.output);
 }
-// However it was answered, applying again ends in the wanted settings, once.
+// Applying again must succeed regardless of the earlier outcome.
 wait_until("it can be applied", || operate("router-1", ["apply", settings_dir()]).code == 0);
 wait_until("the replicas follow", || status("router-1").slots.len() == 5);
--- a/scenarios/decide/burst.rhai
+++ b/scenarios/decide/burst.rhai
@@ -1,5 +1,5 @@
-// A crew's first requests for many cold models come through all routers at once. If each router
-// woke a replica for itself, crews at the end of the line would wait twice as long.
+// A burst of first requests for many cold models arrives at all routers. Routers must not load
+// separate replicas of the same model.
 let ours = outcome("crew-morning", "ours");
 let random = outcome("crew-morning", "random");
 check(ours.served == ours.calls, "everybody is served");
--- a/scenarios/decide/long-with-short.rhai
+++ b/scenarios/decide/long-with-short.rhai
@@ -1,5 +1,5 @@
-// Long design chats and short summaries meet in an evening. Neither may hold up the other, and
-// each model is ready within the time that the store needs, half as long again.
+// Long chats and short summaries must not delay each other, and cold starts must stay within 1.5
+// times the store's bound.
 let ours = outcome("evening-meeting", "ours");
 check(ours.served == ours.calls, "chats and summaries are all served");
 check(ours.cold_p99_ms * 2 <= ours.bound_ms * 3, "nobody waits much longer than the store forces");
--- a/scenarios/decide/saturation.rhai
+++ b/scenarios/decide/saturation.rhai
@@ -1,5 +1,5 @@
-// Ten times more calls come than all engines can serve. Callers are told at once when to come
-// back; admitted one and all, nearly every answer would come too late.
+// Demand is ten times the capacity. Excess calls must be rejected early, or nearly all calls would
+// miss their deadlines.
 let ours = outcome("overload", "ours");
 let fcfs = outcome("overload", "fcfs");
 check(ours.silent == 0, "nobody is left without an answer");
--- a/scenarios/decide/skewed-demand.rhai
+++ b/scenarios/decide/skewed-demand.rhai
@@ -1,5 +1,5 @@
-// One team floods one model with urgent calls, ten times what it serves, while another team has
-// its steady work there. The flood must not turn the target's time into late answers.
+// One team floods a model with urgent calls at ten times its capacity while another team has steady
+// demand. The flood must not make calls miss their deadlines.
 let ours = outcome("flood", "ours");
 let fcfs = outcome("flood", "fcfs");
 check(ours.silent == 0, "nobody is left without an answer");
--- a/scenarios/frozen-agent.rhai
+++ b/scenarios/frozen-agent.rhai
@@ -1,6 +1,5 @@
-// An agent is frozen for longer than the control lease and goes on. Meanwhile an operator took
-// a replica of the model away. What it believes of its slots is as old as the pause; loading by it would
-// make a replica that nobody decided for.
+// An agent is frozen for longer than the control lease while an operator removes a replica. It must
+// not load the model from its stale state when it resumes.
 
 deploy(#{ engine_options: ["--token-us", "1000", "--load-ms", "100"] });
 let owner = "";
--- a/scenarios/host-list-emptied-and-flapping.rhai
+++ b/scenarios/host-list-emptied-and-flapping.rhai
@@ -1,6 +1,5 @@
-// The host list answers with no hosts at all for some seconds, then with one host of seven, then
-// fails, then is right again. Believing any of that would take every slot away and refuse every
-// caller.
+// The host list is empty, then incomplete, then unavailable, then correct again. Acting on these
+// states would release every slot and reject every caller.
 
 deploy(#{ documents: #{ "system/deployment": #{ lease_ttl_ms: 1500, host_list_lag_ms: 500 } } });
 wait_until("warm", || ask("router-0", "vidrio", "quotes-7b", #{ tokens: 1 }).whole);
--- a/scenarios/host-reclaimed-while-the-lease-moves.rhai
+++ b/scenarios/host-reclaimed-while-the-lease-moves.rhai
@@ -1,6 +1,5 @@
-// A host is reclaimed without warning, and the router that holds the control lease dies with it.
-// Until somebody else takes the lease and the list has lost the host for as long as it may lag,
-// its slots stay with it; after that they must move, or the model is never served again.
+// A host and the holder of the control lease are lost together. The host's slots must be reassigned
+// once another router holds the lease and the lag of the host list has passed.
 
 deploy(#{ documents: #{ "system/deployment": #{ lease_ttl_ms: 1500, host_list_lag_ms: 1000 } } });
 let owner = "";
--- a/scenarios/leaving-host.rhai
+++ b/scenarios/leaving-host.rhai
@@ -1,5 +1,5 @@
-// The host list shows an engine's host as leaving while a long answer runs on it. New work that
-// went there would be cut when the host is taken; unloading at once would cut the answer.
+// An engine's host is listed as leaving during a long stream. It must get no new requests, and the
+// stream must complete before the model is unloaded.
 
 deploy(#{ engine_options: ["--token-us", "20000", "--load-ms", "100"] });
 let owner = "";
--- a/scenarios/order-answers-lost.rhai
+++ b/scenarios/order-answers-lost.rhai
@@ -1,6 +1,5 @@
-// An engine carries out orders but the answers are lost. Taking them for failed would load the
-// next model into memory that is in use; taking them for done would send requests to a model that
-// may not be there. The caller notices a load that takes a little longer.
+// An engine executes commands but the responses are lost. Assuming failure would load the next model
+// into used memory; assuming success would send requests for a model that may not be loaded.
 
 deploy(#{ engines: 1, engine_options: ["--token-us", "1000", "--load-ms", "100"],
     documents: #{
--- a/scenarios/outage-longer-than-the-retention.rhai
+++ b/scenarios/outage-longer-than-the-retention.rhai
@@ -1,6 +1,5 @@
-// The log is down for longer than it keeps records, so that it is empty when it comes back. Only
-// the processes that lived through the outage hold the state. If they were replaced before it is
-// written again, every setting would be lost.
+// The log is down for longer than its retention and empty afterwards. The surviving processes must
+// write a new checkpoint, or all settings would be lost with them.
 
 deploy(#{ log_options: ["--retention-ms", "4000"],
     documents: #{ "system/deployment": #{ lease_ttl_ms: 1500, checkpoint_interval_ms: 1000 } } });
--- a/scenarios/replicas-lowered.rhai
+++ b/scenarios/replicas-lowered.rhai
@@ -1,5 +1,5 @@
-// An operator lowers the replicas of a model while both are loaded. As long as an engine keeps
-// what is no longer decided, the team pays for a replica that it did not ask for.
+// An operator lowers the replicas of a model while both are loaded. The surplus replica must be
+// unloaded.
 
 deploy(#{ engine_options: ["--token-us", "1000", "--load-ms", "100"] });
 let engines = ["engine-0", "engine-1", "engine-2"];
@@ -10,8 +10,7 @@
     }
     count
 };
-// Routers meet at one replica as long as its queue is short; a burst that overfills it wakes the
-// other one.
+// Routers use one replica while its queue is short; a burst makes them load the second one.
 let asked = [];
 wait_until("both replicas are loaded", || {
     for n in 0..100 {
@@ -25,7 +24,7 @@
 set_document("teams/vidrio/models/quotes-7b", #{ replicas: 1 });
 let applied = operate("router-1", ["apply", settings_dir()]);
 check(applied.code == 0, applied.output);
-// The model stays in use, or the last replica would be dropped for idleness.
+// Requests keep the last replica from being unloaded as idle.
 wait_until("a slot is released", || {
     ask("router-0", "vidrio", "quotes-7b", #{ tokens: 1 });
     status("router-0").slots.len() == 3
--- a/scenarios/router-killed-while-log-is-down.rhai
+++ b/scenarios/router-killed-while-log-is-down.rhai
@@ -1,6 +1,5 @@
-// The log service is down when a router is killed. The one holding the control lease may be the
-// victim. A user must still get whole answers through the other router, as nothing that callers
-// need waits for the log.
+// A router, possibly the holder of the control lease, is killed during a log outage. The other
+// router must continue to serve.
 
 deploy(#{});
 let patiently = |router| {
--- a/scenarios/state-from-a-checkpoint.rhai
+++ b/scenarios/state-from-a-checkpoint.rhai
@@ -1,6 +1,5 @@
-// The log keeps records for four seconds only. Both routers are replaced at once while the agents
-// live, so nobody is left to give a new router the state, and the log's beginning is long gone.
-// A router that folded what is left would know no team, and every caller would be refused.
+// Both routers are replaced at once after the first log records have expired. They must restore the
+// settings from a checkpoint; folding the remaining records would lose every team.
 
 deploy(#{ log_options: ["--retention-ms", "4000"],
     documents: #{ "system/deployment": #{ lease_ttl_ms: 1500, checkpoint_interval_ms: 1000 } } });
--- a/scenarios/state-from-a-peer-while-the-log-is-down.rhai
+++ b/scenarios/state-from-a-peer-while-the-log-is-down.rhai
@@ -1,6 +1,5 @@
-// The log service is down when a router's host is replaced. The new process cannot read the
-// settings from the log; without another source it would refuse every caller until the log is
-// back, which may be long.
+// A router replaced during a log outage must get the state from a peer instead of rejecting every
+// caller until the log is available.
 
 deploy(#{});
 let version_of = |router| {
--- a/scenarios/state-unavailable-says-why.rhai
+++ b/scenarios/state-unavailable-says-why.rhai
@@ -1,5 +1,5 @@
-// The log is down and all routers are replaced at once: nobody has the state. A router that took
-// callers then would refuse their keys as wrong, and they would look for a fault of their own.
+// All routers are replaced during a log outage, so none has the state. They must respond "not ready"
+// rather than reject valid keys.
 
 deploy(#{});
 fault("log", #{ down: true });
