--- a/scenarios/agent-killed-and-log-down-in-a-booking.rhai
+++ b/scenarios/agent-killed-and-log-down-in-a-booking.rhai
@@ -10,12 +10,12 @@
 fault("log", #{ down: true });
 kill("agent-service-0");
 let first = finish(number);
-check(first.outcome == "unknown", "unknown while nobody can tell: " + first.body);
+check(first.outcome == "unknown", "unknown during the outage: " + first.body);
 
 fault("log", #{});
 fault("service-0", #{});
 start("agent-service-0");
-wait_until("bookings go on", || book("router-1", "vidrio", "b-2", #{ day: 3 }).outcome == "ran");
+wait_until("bookings run again", || book("router-1", "vidrio", "b-2", #{ day: 3 }).outcome == "ran");
 let again = book("router-1", "vidrio", "b-1", #{ day: 3 });
-check(again.outcome == "unknown", "still unknown, and never not run: " + again.body);
+check(again.outcome == "unknown", "still unknown, never not-run: " + again.body);
 check(counters("service-0").by_key["b-1"] == 1, "it ran once");
--- a/scenarios/change-while-the-log-fails.rhai
+++ b/scenarios/change-while-the-log-fails.rhai
@@ -5,12 +5,12 @@
 let version = status("router-0").version;
 set_document("teams/vidrio/models/rounds-3b", #{ replicas: 2 });
 fault("log", #{ down: true });
-wait_until("the router knows that the log is down", || !status("router-0").log_up);
+wait_until("the router detects that the log is down", || !status("router-0").log_up);
 let down = operate("router-0", ["apply", settings_dir()]);
 check(down.code != 0 && down.output.contains("nothing was written"), down.output);
 fault("log", #{});
 wait_until("the log is back", || status("router-0").log_up);
-check(status("router-0").version == version, "what was refused has not taken force");
+check(status("router-0").version == version, "the rejected change has not taken effect");
 
 fault("log", #{ slow_ms: 6000 });
 let slow = operate("router-0", ["apply", settings_dir()]);
@@ -21,4 +21,4 @@
 }
 // Applying again must succeed regardless of the earlier outcome.
 wait_until("it can be applied", || operate("router-1", ["apply", settings_dir()]).code == 0);
-wait_until("the replicas follow", || status("router-1").slots.len() == 5);
+wait_until("the replicas are added", || status("router-1").slots.len() == 5);
--- a/scenarios/decide/burst.rhai
+++ b/scenarios/decide/burst.rhai
@@ -2,6 +2,6 @@
 // separate replicas of the same model.
 let ours = outcome("crew-morning", "ours");
 let random = outcome("crew-morning", "random");
-check(ours.served == ours.calls, "everybody is served");
-check(ours.loads < random.loads, "fewer loads than with targets taken at random");
-check(ours.cold_p99_ms < random.cold_p99_ms, "the last crew waits less");
+check(ours.served == ours.calls, "all requests are served");
+check(ours.loads < random.loads, "fewer loads than with random targets");
+check(ours.cold_p99_ms < random.cold_p99_ms, "the tail wait is shorter");
--- a/scenarios/decide/saturation.rhai
+++ b/scenarios/decide/saturation.rhai
@@ -2,6 +2,6 @@
 // miss their deadlines.
 let ours = outcome("overload", "ours");
 let fcfs = outcome("overload", "fcfs");
-check(ours.silent == 0, "nobody is left without an answer");
-check(ours.late * 100 <= ours.calls, "hardly anybody is cut at the deadline");
-check(ours.served > fcfs.served * 2, "at least twice as many are served");
+check(ours.silent == 0, "every call gets a response");
+check(ours.late * 100 <= ours.calls, "at most 1% of the calls miss their deadlines");
+check(ours.served > fcfs.served * 2, "more than twice as many are served");
--- a/scenarios/frozen-agent.rhai
+++ b/scenarios/frozen-agent.rhai
@@ -15,12 +15,12 @@
 check(applied.code == 0, applied.output);
 pause(3000);
 thaw("agent-" + owner);
-wait_until("the slot is given back", || {
+wait_until("the slot is released", || {
     let left = 0;
     for slot in status("router-0").slots {
         if slot.model == "quotes-7b" && slot.slot == 1 { left += 1; }
     }
     left == 0
 });
-check(logged("agent-" + owner, "this process stood still"), "the agent noticed its pause");
+check(logged("agent-" + owner, "this process stood still"), "the agent detected its pause");
 check(loaded(owner).index_of("quotes-7b") == -1, "the model is not loaded there");
--- a/scenarios/host-list-emptied-and-flapping.rhai
+++ b/scenarios/host-list-emptied-and-flapping.rhai
@@ -15,7 +15,7 @@
 fault("hosts", #{});
 unlist(["engine-0", "engine-1", "engine-2", "service-0", "router-1"]);
 pause(1500);
-check(ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole, "served with a cut list");
+check(ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole, "served with an incomplete list");
 fault("hosts", #{ down: true });
 pause(1000);
 fault("hosts", #{});
--- a/scenarios/host-reclaimed-while-the-lease-moves.rhai
+++ b/scenarios/host-reclaimed-while-the-lease-moves.rhai
@@ -15,7 +15,7 @@
 kill("agent-" + owner);
 kill(owner);
 unlist([owner, holder]);
-wait_until("its slots have moved", || {
+wait_until("its slots are reassigned", || {
     let state = status(other);
     let left = 0;
     for slot in state.slots {
@@ -23,4 +23,4 @@
     }
     state.slots.len() >= 4 && left == 0
 });
-wait_until("a whole answer", || ask(other, "hinokuni", "design-13b", #{ tokens: 5 }).whole);
+wait_until("a complete answer", || ask(other, "hinokuni", "design-13b", #{ tokens: 5 }).whole);
--- a/scenarios/leaving-host.rhai
+++ b/scenarios/leaving-host.rhai
@@ -10,18 +10,18 @@
     owner != ""
 });
 wait_until("warm", || ask("router-0", "hinokuni", "design-13b", #{ tokens: 1 }).whole);
-let long = begin("router-0", "hinokuni", "design-13b", #{ tokens: 150, stream: true });
+let stream = begin("router-0", "hinokuni", "design-13b", #{ tokens: 150, stream: true });
 wait_until("it runs", || counters(owner).requests >= 2);
 
 leaving([owner]);
-wait_until("no new work goes there", || {
+wait_until("it gets no new requests", || {
     let before = counters(owner).requests;
     ask("router-1", "hinokuni", "design-13b", #{ tokens: 1 });
     counters(owner).requests == before
 });
-let answer = finish(long);
-check(answer.whole, "the answer in flight is whole");
-wait_until("its slots are with others", || {
+let answer = finish(stream);
+check(answer.whole, "the stream in flight is complete");
+wait_until("its slots are reassigned", || {
     let left = 0;
     for slot in status("router-0").slots {
         if slot.target == owner { left += 1; }
--- a/scenarios/order-answers-lost.rhai
+++ b/scenarios/order-answers-lost.rhai
@@ -13,4 +13,4 @@
 fault("engine-0", #{ lose_order_answers: 2 });
 wait_until("the second answers", || ask("router-1", "hinokuni", "design-13b", #{ tokens: 2 }).whole);
 wait_until("the first again", || ask("router-0", "vidrio", "quotes-7b", #{ tokens: 2 }).whole);
-check(counters("engine-0").over_memory == 0, "no order went beyond the engine's memory");
+check(counters("engine-0").over_memory == 0, "no command exceeded the engine's memory");
--- a/scenarios/outage-longer-than-the-retention.rhai
+++ b/scenarios/outage-longer-than-the-retention.rhai
@@ -13,7 +13,7 @@
 check(ask("router-0", "hinokuni", "design-13b", #{ tokens: 5 }).status != 401, "callers are known");
 let before = status("router-0").next;
 fault("log", #{});
-wait_until("the survivors wrote the state anew", || {
+wait_until("the survivors wrote a new checkpoint", || {
     let state = status("router-0");
     state.checkpoint != () && state.checkpoint.as_of >= before
 });
@@ -23,4 +23,4 @@
 start("router-0");
 start("router-1");
 wait_until("the settings are still there", || version_of.call("router-1") == version);
-wait_until("a whole answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
+wait_until("a complete answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
--- a/scenarios/replicas-lowered.rhai
+++ b/scenarios/replicas-lowered.rhai
@@ -11,16 +11,16 @@
     count
 };
 // Routers use one replica while its queue is short; a burst makes them load the second one.
-let asked = [];
+let pending = [];
 wait_until("both replicas are loaded", || {
     for n in 0..100 {
-        asked.push(begin("router-0", "vidrio", "quotes-7b", #{ tokens: 500 }));
-        asked.push(begin("router-1", "vidrio", "quotes-7b", #{ tokens: 500 }));
+        pending.push(begin("router-0", "vidrio", "quotes-7b", #{ tokens: 500 }));
+        pending.push(begin("router-1", "vidrio", "quotes-7b", #{ tokens: 500 }));
     }
     pause(100);
     holders.call() == 2
 });
-for number in asked { finish(number); }
+for number in pending { finish(number); }
 set_document("teams/vidrio/models/quotes-7b", #{ replicas: 1 });
 let applied = operate("router-1", ["apply", settings_dir()]);
 check(applied.code == 0, applied.output);
@@ -29,6 +29,6 @@
     ask("router-0", "vidrio", "quotes-7b", #{ tokens: 1 });
     status("router-0").slots.len() == 3
 });
-check(ask("router-0", "vidrio", "quotes-7b", #{ tokens: 1 }).whole, "the other goes on");
+check(ask("router-0", "vidrio", "quotes-7b", #{ tokens: 1 }).whole, "the other replica serves");
 let left = holders.call();
 check(left == 1, "its replica was unloaded before, left: " + left);
--- a/scenarios/router-killed-while-log-is-down.rhai
+++ b/scenarios/router-killed-while-log-is-down.rhai
@@ -2,18 +2,18 @@
 // router must continue to serve.
 
 deploy(#{});
-let patiently = |router| {
+let ask_with_retries = |router| {
     let answer = ask(router, "vidrio", "quotes-7b", #{ tokens: 5 });
     while answer.status == 503 { answer = ask(router, "vidrio", "quotes-7b", #{ tokens: 5 }); }
     answer
 };
-let before = patiently.call("router-1");
-check(before.whole, "a whole answer while all is well");
+let before = ask_with_retries.call("router-1");
+check(before.whole, "a complete answer before the faults");
 
 fault("log", #{ down: true });
 kill("router-0");
-let after = patiently.call("router-1");
-check(after.whole && after.text == before.text, "the same whole answer during the outage");
+let after = ask_with_retries.call("router-1");
+check(after.whole && after.text == before.text, "the same complete answer during the outage");
 
 fault("log", #{});
 start("router-0");
--- a/scenarios/state-from-a-checkpoint.rhai
+++ b/scenarios/state-from-a-checkpoint.rhai
@@ -16,4 +16,4 @@
 start("router-1");
 wait_until("the settings are back", || version_of.call("router-0") == version);
 check(status("router-0").slots.len() >= 4, "the slots are back too");
-wait_until("a whole answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
+wait_until("a complete answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
--- a/scenarios/state-from-a-peer-while-the-log-is-down.rhai
+++ b/scenarios/state-from-a-peer-while-the-log-is-down.rhai
@@ -11,5 +11,5 @@
 kill("router-1");
 start("router-1");
 wait_until("the new router has the settings", || version_of.call("router-1") == version);
-check(logged("router-1", "state taken from a peer"), "it took them from the other router");
-wait_until("a whole answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
+check(logged("router-1", "state taken from a peer"), "the settings came from the other router");
+wait_until("a complete answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
--- a/scenarios/state-unavailable-says-why.rhai
+++ b/scenarios/state-unavailable-says-why.rhai
@@ -13,4 +13,4 @@
 });
 check(answer.status == 503 && answer.code == "not_ready", "not ready rather than a wrong key");
 fault("log", #{});
-wait_until("a whole answer", || ask("router-0", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
+wait_until("a complete answer", || ask("router-0", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
