--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -9,7 +9,6 @@
     deployment::wait_for,
 };
 
-/// Leaves time for one failed attempt.
 const DEADLINE_MS: u64 = 4_000;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
@@ -262,7 +261,6 @@
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let http = deployment.http.clone();
         let pending = tokio::spawn(async move { booking.send(&http, url).await });
-        // Lasts beyond the deadline.
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         deployment.process("router-0").resume();
         let late = pending.await.expect("the task ends").expect("the router answers");
@@ -292,7 +290,6 @@
         deployment.process("agent-service-0").freeze();
         let first = first.await.expect("the task ends").expect("the router answers");
         assert_ne!(first.outcome, "ran", "{first:?}");
-        // Lasts beyond the deadline.
         tokio::time::sleep(Duration::from_millis(1_000)).await;
         deployment.process("agent-service-0").resume();
         deployment.inject_fault("log", &json!({})).await;
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -38,7 +38,6 @@
 /// TCP state in `/proc/net/tcp`.
 const ESTABLISHED: &str = "01";
 
-/// Number of established connections to agents.
 fn open_connections(deployment: &Deployment) -> usize {
     let agents =
         deployment.started_processes().into_iter().filter(|name| name.starts_with("agent-"));
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -25,7 +25,6 @@
     (answer.status().as_u16(), answer.json().await.expect("answers are JSON"))
 }
 
-/// Retries while the router rejects the request with 503.
 async fn post_with_retries(
     deployment: &Deployment,
     router: &str,
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -95,7 +95,6 @@
     });
 }
 
-/// Log line of a process for a trace.
 fn hop(deployment: &Deployment, process: &str, trace: &str) -> Option<Value> {
     let log = deployment.log_of(process);
     let mut lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -20,7 +20,6 @@
     serde_json::from_str(&output).expect("--json prints JSON")
 }
 
-/// Stages of the replica slots of a model.
 fn stages(status: &Value, model: &str) -> Vec<String> {
     let slots = status["slots"].as_array().into_iter().flatten();
     let slots = slots.filter(|slot| slot["model"] == model);
--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -8,11 +8,8 @@
 };
 
 const PAGE: &str = "docs/PROMISES.md";
-/// Directories that are searched for tests.
 const SOURCES: [&str; 5] = ["tests", "crates", "platform", "tools", "src"];
-/// Directories of files that the page may name.
 const NAMED: [&str; 2] = ["scenarios/", "traces/"];
-/// Extensions of files that the page may name.
 const EXTENSIONS: [&str; 3] = ["rhai", "json", "jsonl"];
 
 fn root() -> PathBuf {
@@ -62,7 +59,6 @@
     found
 }
 
-/// Names on the page that do not exist.
 fn missing(page: &str, functions: &BTreeSet<String>) -> Vec<String> {
     let is_file = |text: &str| {
         let extension = Path::new(text).extension().and_then(|extension| extension.to_str());
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -26,7 +26,6 @@
     (0..ROUTERS).map(|i| format!("router-{i}")).collect()
 }
 
-/// Names of the routers that read the log and of the routers that follow them.
 fn readers_and_followers(deployment: &Deployment) -> (Vec<String>, Vec<String>) {
     let peers: Vec<SmolStr> = routers().iter().map(|r| deployment.address(r).into()).collect();
     routers().into_iter().partition(|name| {
@@ -39,7 +38,6 @@
     deployment.status(router).await["version"].as_u64()
 }
 
-/// Changes a document through a router and returns the accepted version.
 async fn change(deployment: &Deployment, router: &str, lag_ms: u64) -> u64 {
     let get = deployment.http.get(deployment.url(router, "/operator/get?prefix=system/"));
     let current = get.bearer_auth(OPERATOR_KEY).send().await.expect("the router answers");
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -13,7 +13,6 @@
     process::{Process, free_addresses},
 };
 
-/// An engine process with a loaded model.
 struct RunningEngine {
     engine: HttpEngine,
     address: String,
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -18,7 +18,7 @@
 };
 use tokio::net::TcpStream;
 
-/// RequestKind of a request, after the route it is sent to.
+/// Kind of a request, named after its route.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestKind {
     /// Idempotent request.
@@ -43,7 +43,6 @@
         }
     }
 
-    /// Whether the response is a stream.
     pub const fn streams(self) -> bool {
         matches!(self, Self::Chat | Self::Draft)
     }
@@ -53,46 +52,35 @@
     }
 }
 
-/// Outcome of a request as its caller sees it.
+/// Outcome of a request for its caller.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Outcome {
-    /// Complete response.
     Complete(StatusCode, Bytes),
     /// Response truncated after its head.
     Truncated(StatusCode, Bytes),
     /// Connection closed without a response.
     Closed,
-    /// Connection could not be established.
     NoConnection,
     /// No response within the deadline and [`DEADLINE_GRACE`].
     TimedOut,
 }
 
-/// A finished request.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Request id.
     pub id: String,
-    /// RequestKind of request.
     pub kind: RequestKind,
     /// Requested model; only streams send it.
     pub model: &'static str,
-    /// Index of the router it was sent to.
     pub router: usize,
-    /// Start time.
     pub started_at: Instant,
-    /// End time.
     pub ended_at: Instant,
-    /// Outcome.
     pub outcome: Outcome,
 }
 
 /// Time beyond the deadline after which a caller gives up.
 const DEADLINE_GRACE: Duration = Duration::from_millis(1_000);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Upper bound on the wait before a retry after a rejection.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Delay after a connection failure.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 const MAX_PAUSE_MS: u64 = 60;
 
@@ -107,7 +95,6 @@
 }
 
 impl Callers {
-    /// Starts `count` callers.
     pub fn start(count: usize, fronts: &[SocketAddr], seed: u64) -> Self {
         let (requests, stop) =
             (Arc::<Mutex<Vec<RequestRecord>>>::default(), Arc::<AtomicBool>::default());
@@ -219,7 +206,6 @@
     }
 }
 
-/// Whether a router reports that it is ready.
 pub async fn is_ready(ready: SocketAddr) -> bool {
     status(ready, "/-/readiness", "ready").await == Some(StatusCode::OK)
 }
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -16,22 +16,16 @@
 /// Disruption of a router by an injected fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Disruption {
-    /// Index of the router.
     pub router: usize,
-    /// Start time.
     pub from: Instant,
-    /// End time.
     pub to: Instant,
     /// Whether it was a graceful shutdown.
     pub planned: bool,
 }
 
-/// Violated guarantees and request counts.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Descriptions of the violations.
     pub violations: Vec<String>,
-    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, usize>,
 }
 
@@ -51,7 +45,6 @@
     format!("{violation}: {} {:?} at router {}", request.id, request.kind, request.router)
 }
 
-/// Checks all requests against the ledger of executions.
 pub fn check(requests: &[RequestRecord], ledger: &Ledger, disruptions: &[Disruption]) -> Report {
     let mut report = Report::default();
     for request in requests {
--- a/tools/soak/src/cluster.rs
+++ b/tools/soak/src/cluster.rs
@@ -25,12 +25,9 @@
 const PROXY_PORT: u16 = 8_245;
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Number of processes in a cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterSize {
-    /// Number of routers.
     pub routers: usize,
-    /// Number of engines, each with an agent.
     pub engines: usize,
     /// Number of targets of the plain service.
     pub service_targets: usize,
@@ -39,13 +36,11 @@
 /// A router or agent process that can be restarted.
 #[derive(Debug)]
 pub struct ManagedProcess {
-    /// Process name.
     pub name: String,
     /// IP address, used by this process alone.
     pub ip: IpAddr,
     /// Proxy between the process and the store.
     pub store: proxy::Proxy,
-    /// The process, while it is running.
     pub process: Option<Process>,
     role: &'static str,
     config: PathBuf,
@@ -53,7 +48,6 @@
 }
 
 impl ManagedProcess {
-    /// Starts the process.
     pub fn start(&mut self) {
         let args = [self.role, "--platform"].map(str::to_owned);
         let config = ("CORIANDERSTAND_CONFIG", self.config.as_path());
@@ -66,17 +60,14 @@
 /// A target with a proxy in front of it.
 #[derive(Debug)]
 pub struct ProxiedTarget {
-    /// The stand-in for the target.
     pub target: Target,
     /// Proxy between routers and the target.
     pub link: proxy::Proxy,
-    /// Number of starts.
     pub starts: u64,
     name: String,
 }
 
 impl ProxiedTarget {
-    /// Starts the target under a new name.
     pub async fn start(&mut self) {
         self.starts += 1;
         let name = format!("{}-{}", self.name, self.starts);
@@ -86,22 +77,15 @@
     }
 }
 
-/// The running cluster.
 #[derive(Debug)]
 pub struct Cluster {
-    /// Stand-in for the platform's store.
     pub store: Store,
-    /// Executions by the targets.
     pub ledger: Ledger,
-    /// Router processes.
     pub routers: Vec<ManagedProcess>,
     /// Proxies between callers and routers.
     pub fronts: Vec<proxy::Proxy>,
-    /// Agent processes, one per engine.
     pub agents: Vec<ManagedProcess>,
-    /// Engines.
     pub engines: Vec<ProxiedTarget>,
-    /// Targets of the plain service.
     pub service_targets: Vec<ProxiedTarget>,
     version: u64,
     _store_listener: corianderstand_platform_standins::serve::Open,
@@ -224,12 +208,10 @@
         unique_prefix
     }
 
-    /// Writes an entry that cannot be parsed.
     pub fn write_invalid_entry(&self) {
         self.store.put(ENTRIES, "stranger", Some("{\"service\":7".into()));
     }
 
-    /// Waits until all routers are ready.
     pub async fn wait_ready(&mut self) {
         let poll = async {
             for router in &self.routers {
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -8,33 +8,26 @@
 
 /// Time limit of a graceful shutdown, after which the platform kills the process.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum duration of a fault.
 const MAX_FAULT_MS: u64 = 2_500;
 /// Time until the platform removes the entry of a target that has ended.
 const ENTRY_TTL: Duration = Duration::from_millis(1_500);
 /// Time for which a draining target continues to serve.
 const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 
-/// A fault to inject.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Fault {
-    /// Kill and restart a router.
     KillRouter(usize),
     /// Shut a router down gracefully and restart it.
     StopRouter(usize),
-    /// Suspend a router.
     FreezeRouter(usize),
     /// Send SIGHUP to a router, so that it reloads its settings.
     ReloadRouter(usize),
-    /// Kill and restart an agent.
     KillAgent(usize),
-    /// Suspend an agent.
     FreezeAgent(usize),
     /// Crash an engine and restart it under a new name.
     CrashEngine(usize),
     /// Crash a target of the plain service and restart it under a new name.
     CrashService(usize),
-    /// Drain an engine and replace it.
     DrainEngine(usize),
     /// Fail a part of an engine's requests.
     FailEngine(usize),
@@ -46,11 +39,8 @@
     StoreLink(usize, Mode),
     /// Impair callers' connections to a router.
     FrontLink(usize, Mode),
-    /// Impair the store for all clients.
     Store(Mood),
-    /// Discard the history of the store.
     DiscardHistory,
-    /// Write a new configuration.
     Configure,
     /// Write an entry that cannot be parsed.
     InvalidEntry,
@@ -58,7 +48,6 @@
     KillAll,
 }
 
-/// Draws a fault and its duration.
 pub fn draw(rng: &mut impl Rng, cluster: &Cluster) -> (Fault, Duration) {
     let router = rng.random_range(0..cluster.routers.len());
     let engine = rng.random_range(0..cluster.engines.len());
@@ -172,7 +161,6 @@
         None
     }
 
-    /// Disruptions of routers by this fault.
     pub fn disruptions(self, routers: usize, from: Instant, to: Instant) -> Vec<Disruption> {
         let one = |router, planned| vec![Disruption { router, from, to, planned }];
         match self {
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -28,7 +28,6 @@
 const REGRESSION_SEEDS: &str = include_str!("../kept.txt");
 const DEFAULT_FAULTS: usize = 8;
 const MAX_CONCURRENT_FAULTS: usize = 3;
-/// Maximum pause before the next fault.
 const MAX_PAUSE_MS: u64 = 900;
 const CALLERS_PER_ROUTER: usize = 8;
 /// Time limit for recovery after the last fault.
@@ -159,7 +158,6 @@
     disruptions
 }
 
-/// Whether two faults affect the same component.
 fn overlaps(one: faults::Fault, other: faults::Fault) -> bool {
     use faults::Fault::{
         CrashEngine, CrashService, DrainEngine, FailEngine, FreezeAgent, FreezeRouter, FrontLink,
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -11,29 +11,22 @@
 };
 
 const CHUNK_BYTES: usize = 16 << 10;
-/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Treatment of connections.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Mode {
-    /// Forward all data.
     #[default]
     Pass,
-    /// Forward each chunk after a delay.
     Delay(Duration),
     /// Hold data of both directions until the mode changes.
     Hold,
     /// Forward requests and hold responses until the mode changes.
     HoldResponses,
-    /// Reset open and new connections.
     Reset,
 }
 
-/// A proxy for one address.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// Listen address.
     pub addr: SocketAddr,
     mode: watch::Sender<Mode>,
 }
@@ -47,7 +40,6 @@
         Ok(Self { addr, mode })
     }
 
-    /// Sets the treatment of open and new connections.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
--- a/tools/testbed/src/booking.rs
+++ b/tools/testbed/src/booking.rs
@@ -47,12 +47,12 @@
         Self { key: key.to_owned(), day: 3, deadline_ms }
     }
 
-    /// Sends the booking via a router; `None` if the connection fails before the response.
+    /// Sends the booking via a router; `None` without a complete response.
     pub async fn send_via(&self, deployment: &Deployment, router: &str) -> Option<Answer> {
         self.send(&deployment.http, deployment.url(router, "/services/agenda/bookings")).await
     }
 
-    /// Sends the booking to a URL; `None` if the connection fails before the response.
+    /// Sends the booking to a URL; `None` without a complete response.
     pub async fn send(&self, http: &reqwest::Client, url: String) -> Option<Answer> {
         let req = http.post(url).bearer_auth(VIDRIO_KEY).timeout(REQUEST_TIMEOUT);
         let req = req.header("idempotency-key", &self.key);
--- a/tools/testbed/src/caller.rs
+++ b/tools/testbed/src/caller.rs
@@ -26,7 +26,7 @@
     pub outcome: String,
     /// `Retry-After` in seconds; 0 if none.
     pub retry_after: i64,
-    /// Generated text, or the body if there is none.
+    /// Generated text, else the body or the transport error.
     pub text: String,
     /// Whether the response is complete: status 200, or a stream with its end marker.
     pub whole: bool,
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -16,7 +16,6 @@
 
 const AVAILABILITY_ZONES: [&str; 3] = ["conce", "talca-hall", "losangeles"];
 
-/// Program and arguments of a process.
 #[derive(Clone, Debug)]
 struct LaunchSpec {
     program: &'static str,
@@ -49,10 +48,6 @@
 
 impl Deployment {
     /// Starts all processes, applies the settings and waits until the routers are ready.
-    ///
-    /// # Panics
-    ///
-    /// Panics if a state is not reached within [`STATE_TIMEOUT`].
     pub async fn start(plan: Plan) -> Self {
         let mut deployment = Self::prepare(plan);
         deployment.start_platform().await;
@@ -64,10 +59,6 @@
     }
 
     /// Allocates addresses and writes process settings without starting anything.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the temporary folder cannot be written.
     pub fn prepare(plan: Plan) -> Self {
         let dir = temporary_dir();
         fs::create_dir_all(&dir).expect("the temporary folder can be written");
@@ -191,10 +182,6 @@
     }
 
     /// Starts or restarts a process by name.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the plan does not have the process.
     pub fn start_process(&mut self, name: &str) {
         let spec = self.launch_specs[name].clone();
         let process = Process::start(name, spec.program, &spec.args, &self.dir);
@@ -202,10 +189,6 @@
     }
 
     /// Returns a started process by name.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the process was not started.
     pub fn process(&mut self, name: &str) -> &mut Process {
         self.processes.get_mut(name).expect("the process was started")
     }
@@ -226,19 +209,11 @@
     }
 
     /// Publishes a host list with all hosts; those in `leaving` are marked as leaving.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the stand-in does not answer.
     pub async fn set_hosts(&self, leaving: &[&str]) {
         self.set_host_list(leaving, &[]).await;
     }
 
     /// Publishes a host list without `missing`; hosts in `leaving` are marked as leaving.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the stand-in does not answer.
     pub async fn set_host_list(&self, leaving: &[&str], missing: &[&str]) {
         let target = |name: &String| name.strip_prefix("agent-").map(str::to_owned);
         let routers = (0..self.plan.routers).map(|i| format!("router-{i}"));
@@ -278,10 +253,6 @@
     }
 
     /// Applies the plan's settings with the operator's command line.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the command fails.
     pub async fn apply_plan(&mut self) {
         self.wait_for_answer("router-0", "/readyz").await;
         let settings = self.settings_folder();
@@ -290,10 +261,6 @@
     }
 
     /// Writes the plan's documents as an operator's settings folder and returns its path.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the temporary folder cannot be written.
     pub fn settings_folder(&self) -> PathBuf {
         let root = self.dir.join("settings");
         for (path, value) in &self.plan.documents {
@@ -306,19 +273,11 @@
     }
 
     /// Runs an operator command against the first router; returns exit code and output.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the binary has not been built.
     pub fn command(&self, args: &[&str]) -> (Option<i32>, String) {
         self.command_at("router-0", args)
     }
 
     /// Runs an operator command against a router; returns exit code and output.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the binary has not been built.
     pub fn command_at(&self, router: &str, args: &[&str]) -> (Option<i32>, String) {
         let output =
             std::process::Command::new(crate::process::binary_dir().join("corianderstand"))
@@ -332,10 +291,6 @@
     }
 
     /// Waits until a path responds with a success status.
-    ///
-    /// # Panics
-    ///
-    /// Panics after [`STATE_TIMEOUT`].
     pub async fn wait_for_answer(&self, name: &str, path: &str) {
         let url = self.url(name, path);
         wait_for(&format!("{name}{path}"), async || {
@@ -356,10 +311,6 @@
     }
 
     /// Waits until every router is ready and reports all configured replica slots.
-    ///
-    /// # Panics
-    ///
-    /// Panics after [`STATE_TIMEOUT`].
     pub async fn wait_for_slots(&self) {
         let expected: u64 = self
             .plan
@@ -380,10 +331,6 @@
     }
 
     /// Injects a fault into a stand-in; an empty object clears it.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the stand-in rejects the fault.
     pub async fn inject_fault(&self, name: &str, fault: &Value) {
         let control = name.replacen("relay-", "relay-control-", 1);
         let post = self.http.post(self.url(&control, "/fault")).json(fault).send().await;
@@ -392,10 +339,6 @@
     }
 
     /// Counters of a stand-in.
-    ///
-    /// # Panics
-    ///
-    /// Panics if it does not answer.
     pub async fn counters(&self, name: &str) -> Value {
         let path = if name.starts_with("service") { "/counts" } else { "/counters" };
         let answer = self.http.get(self.url(name, path)).send().await;
@@ -409,10 +352,6 @@
     }
 
     /// Names of the models that an engine has loaded or is loading.
-    ///
-    /// # Panics
-    ///
-    /// Panics if it does not answer.
     pub async fn loaded_models(&self, engine: &str) -> Vec<String> {
         let answer = self.http.get(self.url(engine, "/loaded")).send().await;
         let answer: Value = answer.expect("it answers").json().await.expect("it is JSON");
@@ -452,10 +391,6 @@
 }
 
 /// Polls a condition until it holds.
-///
-/// # Panics
-///
-/// Panics after [`STATE_TIMEOUT`].
 pub async fn wait_for(description: &str, mut condition: impl AsyncFnMut() -> bool) {
     let started_at = Instant::now();
     while !condition().await {
--- a/tools/testbed/src/lib.rs
+++ b/tools/testbed/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Deployment::start`] starts the stand-ins, routers and agents of a [`Plan`] and applies its
 //! settings; dropping the value ends all processes. Helpers wait for a state, with a timeout,
-//! never for a fixed time.
+//! never for a fixed time, and panic on errors and timeouts.
 
 pub mod booking;
 pub mod caller;
--- a/tools/testbed/src/load.rs
+++ b/tools/testbed/src/load.rs
@@ -14,7 +14,6 @@
 };
 use tokio::{task::JoinHandle, time};
 
-/// Interval between readiness polls of the load balancer.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause of a caller between a response and its next request.
 const THINK_TIME: Duration = Duration::from_millis(20);
@@ -63,10 +62,6 @@
     }
 
     /// Results so far.
-    ///
-    /// # Panics
-    ///
-    /// Never: no holder of the lock panics.
     pub fn report(&self) -> LoadReport {
         self.shared.report.lock().expect("no holder of this lock panics").clone()
     }
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -43,10 +43,6 @@
 pub const AUTH_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
 /// Hashes a bearer token with [`AUTH_KEY`].
-///
-/// # Panics
-///
-/// Never: the key is well formed.
 pub fn hash(key: &str) -> String {
     let hasher = corianderstand_router::auth::Hasher::new(AUTH_KEY).expect("a well-formed key");
     hasher.hash(key).to_string()
--- a/tools/testbed/src/process.rs
+++ b/tools/testbed/src/process.rs
@@ -26,11 +26,7 @@
     child: Child,
 }
 
-/// Directory of the built binary_dir.
-///
-/// # Panics
-///
-/// Panics if the path of the current executable is unknown.
+/// Directory of the built binaries.
 pub fn binary_dir() -> PathBuf {
     let exe = std::env::current_exe().expect("the current program has a path");
     let dir = exe.parent().expect("a program lies in a folder");
@@ -41,19 +37,11 @@
 
 impl Process {
     /// Starts a program of this workspace with its output in a file in `logs`.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the program has not been built.
     pub fn start(name: &str, program: &str, args: &[String], logs: &Path) -> Self {
         Self::start_with(name, program, args, logs, &[])
     }
 
     /// Like [`Process::start`], with additional environment variables.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the program has not been built.
     pub fn start_with(
         name: &str,
         program: &str,
@@ -90,10 +78,6 @@
     /// Suspends the process until [`Process::resume`]; returns once all of its threads are stopped.
     ///
     /// After `kill` returns, threads may still run until the kernel delivers the signal.
-    ///
-    /// # Panics
-    ///
-    /// Panics if `waitid` fails.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
         let pid = Pid::from_raw(self.child.id().cast_signed());
@@ -119,10 +103,6 @@
     }
 
     /// Waits for the process to end and returns its exit code.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the process does not end within `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<i32> {
         let started_at = Instant::now();
         loop {
@@ -161,10 +141,6 @@
 ///
 /// On 127.0.0.1 the ephemeral port of an outgoing connection could take a port before the child
 /// process binds it.
-///
-/// # Panics
-///
-/// Panics if loopback has no free port.
 pub fn free_addresses(count: usize) -> Vec<String> {
     let pid = std::process::id();
     let part = |shift: u32| (pid >> shift & 0x7f) as u8;
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -24,7 +24,6 @@
 
 type ScriptResult<T> = Result<T, Box<EvalAltResult>>;
 
-/// State shared by the functions of a script.
 struct ScriptContext {
     runtime: Runtime,
     state: Mutex<ScriptState>,
@@ -57,10 +56,6 @@
 /// # Errors
 ///
 /// Returns the error of the script, such as a failed `check` or a timeout in `wait_until`.
-///
-/// # Panics
-///
-/// Panics if the async runtime cannot be created.
 pub fn run(path: &Path) -> Result<(), String> {
     let mut builder = tokio::runtime::Builder::new_multi_thread();
     let runtime = builder.worker_threads(2).enable_all().build();
