--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -43,7 +43,6 @@
     }
 }
 
-/// Starts a deployment and waits until the models of both teams are loaded.
 async fn start_loaded(plan: Plan) -> Deployment {
     let deployment = Deployment::start(plan).await;
     for (key, model) in [(VIDRIO_KEY, "quotes-7b"), (HINOKUNI_KEY, "design-13b")] {
@@ -62,7 +61,6 @@
     deployment.counters("engine-0").await[name].as_u64().unwrap_or_default()
 }
 
-/// Response read from a raw connection.
 struct RawResponse {
     head: String,
     body: String,
@@ -121,7 +119,7 @@
     let req = deployment.http.post(url).bearer_auth(HINOKUNI_KEY).json(&body);
     let answer = req.send().await.expect("the router answers");
     assert_eq!(answer.status(), 200);
-    let answer: Value = answer.json().await.expect("the answer is whole");
+    let answer: Value = answer.json().await.expect("the response is complete");
     assert_eq!(answer["usage"]["completion_tokens"], 4);
     assert!(
         started_at.elapsed() < RESPONSE_TIMEOUT,
@@ -198,7 +196,7 @@
         let request = format!("{}{body}", head(COMPLETIONS, body.len(), ""));
         stream.write_all(request.as_bytes()).await.expect("the request is sent");
         stream.readable().await.expect("the answer begins");
-        wait_for("the engine is told to stop", async || {
+        wait_for("the engine to cancel the request", async || {
             engine_count(&deployment, "cancelled").await != 0
         })
         .await;
@@ -209,7 +207,7 @@
 /// The engine must not continue to generate after the caller has disconnected.
 #[rstest]
 #[case::streamed(true)]
-#[case::whole(false)]
+#[case::not_streamed(false)]
 fn a_disconnect_cancels_the_request_at_the_engine(#[case] streamed: bool) {
     block_on(async {
         let deployment = start_loaded(small_plan()).await;
@@ -225,7 +223,7 @@
         })
         .await;
         drop(stream);
-        wait_for("the engine is told to stop", async || {
+        wait_for("the engine to cancel the request", async || {
             engine_count(&deployment, "cancelled").await != 0
         })
         .await;
@@ -252,13 +250,13 @@
         })
         .await;
         other.abort();
-        wait_for("the engine is told to stop one", async || {
+        wait_for("the engine to cancel one request", async || {
             engine_count(&deployment, "cancelled").await != 0
         })
         .await;
         let answer = victim.await.expect("the task ends").expect("the router answers");
         assert_eq!(answer.status(), 200);
-        let answer: Value = answer.json().await.expect("the answer is whole");
+        let answer: Value = answer.json().await.expect("the response is complete");
         assert_eq!(answer["usage"]["completion_tokens"], 800);
     });
 }
@@ -383,10 +381,11 @@
         let deployment = start_loaded(small_plan()).await;
         let mut body = json!({ "model": "quotes-7b", "prompt": "two words", "max_tokens": 3,
             "stream": true });
-        let plain = post(&deployment, &body).await.text().await.expect("the answer is whole");
+        let plain = post(&deployment, &body).await.text().await.expect("the response is complete");
         assert!(plain.ends_with("data: [DONE]\n\n") && !plain.contains("usage"), "{plain}");
         body["stream_options"] = json!({ "include_usage": true });
-        let counted = post(&deployment, &body).await.text().await.expect("the answer is whole");
+        let counted =
+            post(&deployment, &body).await.text().await.expect("the response is complete");
         let events: Vec<&str> = counted.split("\n\n").filter(|event| !event.is_empty()).collect();
         assert_eq!(events.last(), Some(&"data: [DONE]"));
         let usage: Value =
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -87,7 +87,7 @@
             let req = req.header("idempotency-key", "b-1").json(&json!({ "day": 3 }));
             let answer = req.send().await.expect("the router answers");
             assert_eq!(answer.headers()["x-corianderstand-outcome"], "ran");
-            answers.push(answer.text().await.expect("the answer is whole"));
+            answers.push(answer.text().await.expect("the response is complete"));
         }
         assert_eq!(answers[0], answers[1]);
         assert_eq!(deployment.counters("service-0").await["by_key"]["b-1"], 1);
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -69,15 +69,15 @@
 fn platform_settings_are_checked() {
     let good = "node=e\nzone=z\nip=10.0.0.1\nlisten.front=10.0.0.1:1\nlisten.ready=10.0.0.1:2\n\
         port_range=7380,7395\nplatform.address=10.0.0.9:1\n";
-    let (whole, cut) = (file("good.conf", &[good]), file("bad.conf", &[&good[..40]]));
+    let (complete, truncated) = (file("good.conf", &[good]), file("bad.conf", &[&good[..40]]));
     let check = |path: &PathBuf| {
         let binary = env!("CARGO_BIN_EXE_corianderstand");
         let args = ["check", "--platform", path.to_str().unwrap()];
         let out = Command::new(binary).args(args).output().unwrap();
         (out.status.code().unwrap(), String::from_utf8(out.stderr).unwrap())
     };
-    assert_eq!(check(&whole).0, 0, "{}", check(&whole).1);
-    let (code, stderr) = check(&cut);
+    assert_eq!(check(&complete).0, 0, "{}", check(&complete).1);
+    let (code, stderr) = check(&truncated);
     assert_eq!(code, 1);
     assert!(stderr.contains("is missing: add a line"), "{stderr}");
 }
--- a/tests/stream_recovery.rs
+++ b/tests/stream_recovery.rs
@@ -26,7 +26,6 @@
     Deployment::start(plan).await
 }
 
-/// A stream as its caller receives it.
 struct Stream {
     events: futures::stream::BoxStream<'static, String>,
     text: String,
@@ -60,7 +59,6 @@
         opened.expect("the stream was opened")
     }
 
-    /// Reads until `tokens` tokens have been received.
     async fn read(&mut self, tokens: usize) {
         while self.tokens().len() < tokens
             && let Some(part) = self.events.next().await
@@ -116,12 +114,12 @@
 /// After a failure between router and engine, the stream must continue without lost or repeated
 /// tokens.
 #[rstest]
-#[case::silent("silent", 1)]
+#[case::unresponsive("unresponsive", 1)]
 #[case::cut("cut", 1)]
 #[case::agent_killed("agent", 2)]
 #[case::engine_killed("engine", 2)]
 #[case::engine_breaks_off("breaks", 1)]
-#[case::silent_and_agent_killed("silent and agent", 2)]
+#[case::unresponsive_and_agent_killed("unresponsive and agent", 2)]
 fn a_stream_resumes_after_a_failure(#[case] fault: &str, #[case] replicas: u32) {
     block_on(async {
         let mut deployment = start(replicas).await;
@@ -129,9 +127,9 @@
         let mut stream = Stream::begin(&deployment, "router-0").await;
         stream.read(10).await;
         let target = busy_engine(&deployment).await;
-        if fault.contains("silent") {
-            let silence = json!({ "silence_open": true });
-            deployment.inject_fault(&format!("relay-{target}"), &silence).await;
+        if fault.contains("unresponsive") {
+            let fault = json!({ "silence_open": true });
+            deployment.inject_fault(&format!("relay-{target}"), &fault).await;
         }
         match fault {
             "cut" => {
@@ -139,7 +137,9 @@
                     .inject_fault(&format!("relay-{target}"), &json!({ "cut_open": true }))
                     .await;
             }
-            "agent" | "silent and agent" => deployment.process(&format!("agent-{target}")).kill(),
+            "agent" | "unresponsive and agent" => {
+                deployment.process(&format!("agent-{target}")).kill()
+            }
             "engine" => deployment.process(&target).kill(),
             "breaks" => {
                 deployment.inject_fault(&target, &json!({ "break_after": 30 })).await;
