--- a/tests/stream_recovery.rs
+++ b/tests/stream_recovery.rs
@@ -138,7 +138,7 @@
                     .await;
             }
             "agent" | "unresponsive and agent" => {
-                deployment.process(&format!("agent-{target}")).kill()
+                deployment.process(&format!("agent-{target}")).kill();
             }
             "engine" => deployment.process(&target).kill(),
             "breaks" => {
