--- a/tests/duplicate_agents.rs
+++ b/tests/duplicate_agents.rs
@@ -26,7 +26,7 @@
         let code = start_second_agent(&deployment).wait(EXIT_TIMEOUT);
         assert_ne!(code, Some(0));
         let log = deployment.log_of("second-agent");
-        assert!(log.contains("another agent runs beside this target"), "{log}");
+        assert!(log.contains("another agent is running for this target"), "{log}");
         deployment.process("agent-engine-0").kill();
         let mut third = start_second_agent(&deployment);
         wait_for("the port is free after the first one's death", async || {
