--- a/scenarios/order-answers-lost.rhai
+++ b/scenarios/order-answers-lost.rhai
@@ -1,6 +1,5 @@
-// An engine carries out orders but the answers are lost. Taking them for failed would load the
-// next model into memory that is in use; taking them for done would send requests to a model that
-// may not be there. The caller notices a load that takes a little longer.
+// An engine executes commands but the responses are lost. Assuming failure would load the next model
+// into used memory; assuming success would send requests for a model that may not be loaded.
 
 deploy(#{ engines: 1, engine_options: ["--token-us", "1000", "--load-ms", "100"],
     documents: #{
@@ -14,4 +13,4 @@
 fault("engine-0", #{ lose_order_answers: 2 });
 wait_until("the second answers", || ask("router-1", "hinokuni", "design-13b", #{ tokens: 2 }).whole);
 wait_until("the first again", || ask("router-0", "vidrio", "quotes-7b", #{ tokens: 2 }).whole);
-check(counters("engine-0").over_memory == 0, "no order went beyond the engine's memory");
+check(counters("engine-0").over_memory == 0, "no command exceeded the engine's memory");
--- a/scenarios/outage-longer-than-the-retention.rhai
+++ b/scenarios/outage-longer-than-the-retention.rhai
@@ -1,6 +1,5 @@
-// The log is down for longer than it keeps records, so that it is empty when it comes back. Only
-// the processes that lived through the outage hold the state. If they were replaced before it is
-// written again, every setting would be lost.
+// The log is down for longer than its retention and empty afterwards. The surviving processes must
+// write a new checkpoint, or all settings would be lost with them.
 
 deploy(#{ log_options: ["--retention-ms", "4000"],
     documents: #{ "system/deployment": #{ lease_ttl_ms: 1500, checkpoint_interval_ms: 1000 } } });
@@ -14,7 +13,7 @@
 check(ask("router-0", "hinokuni", "design-13b", #{ tokens: 5 }).status != 401, "callers are known");
 let before = status("router-0").next;
 fault("log", #{});
-wait_until("the survivors wrote the state anew", || {
+wait_until("the survivors wrote a new checkpoint", || {
     let state = status("router-0");
     state.checkpoint != () && state.checkpoint.as_of >= before
 });
@@ -24,4 +23,4 @@
 start("router-0");
 start("router-1");
 wait_until("the settings are still there", || version_of.call("router-1") == version);
-wait_until("a whole answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
+wait_until("a complete answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
--- a/scenarios/router-killed-while-log-is-down.rhai
+++ b/scenarios/router-killed-while-log-is-down.rhai
@@ -1,20 +1,19 @@
-// The log service is down when a router is killed. The one holding the control lease may be the
-// victim. A user must still get whole answers through the other router, as nothing that callers
-// need waits for the log.
+// A router, possibly the holder of the control lease, is killed during a log outage. The other
+// router must continue to serve.
 
 deploy(#{});
-let patiently = |router| {
+let ask_with_retries = |router| {
     let answer = ask(router, "vidrio", "quotes-7b", #{ tokens: 5 });
     while answer.status == 503 { answer = ask(router, "vidrio", "quotes-7b", #{ tokens: 5 }); }
     answer
 };
-let before = patiently.call("router-1");
-check(before.whole, "a whole answer while all is well");
+let before = ask_with_retries.call("router-1");
+check(before.whole, "a complete answer before the faults");
 
 fault("log", #{ down: true });
 kill("router-0");
-let after = patiently.call("router-1");
-check(after.whole && after.text == before.text, "the same whole answer during the outage");
+let after = ask_with_retries.call("router-1");
+check(after.whole && after.text == before.text, "the same complete answer during the outage");
 
 fault("log", #{});
 start("router-0");
--- a/scenarios/state-unavailable-says-why.rhai
+++ b/scenarios/state-unavailable-says-why.rhai
@@ -1,5 +1,5 @@
-// The log is down and all routers are replaced at once: nobody has the state. A router that took
-// callers then would refuse their keys as wrong, and they would look for a fault of their own.
+// All routers are replaced during a log outage, so none has the state. They must respond "not ready"
+// rather than reject valid keys.
 
 deploy(#{});
 fault("log", #{ down: true });
@@ -13,4 +13,4 @@
 });
 check(answer.status == 503 && answer.code == "not_ready", "not ready rather than a wrong key");
 fault("log", #{});
-wait_until("a whole answer", || ask("router-0", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
+wait_until("a complete answer", || ask("router-0", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
--- a/tests/account.rs
+++ b/tests/account.rs
@@ -1,4 +1,4 @@
-//! `account`: what became of all requests, from log files with gaps.
+//! The `account` command on incomplete log files.
 
 use std::{path::PathBuf, process::Command};
 
@@ -16,7 +16,6 @@
     (out.status.code().unwrap(), String::from_utf8(out.stdout).unwrap())
 }
 
-/// On-call cannot tell how many requests were not served in time, and for which reasons.
 #[test]
 fn requests_are_counted_by_route_cause_and_time() {
     let one = file(
@@ -53,7 +52,7 @@
 }
 
 #[test]
-fn programs_get_the_account_as_json() {
+fn json_output_has_causes() {
     let line = r#"{"timestamp":"t","message":"refused","id":"d","route":"chat","why":"full"}"#;
     let (code, out) = account(&["--json", file("router-b.log", &[line]).to_str().unwrap()]);
     let value: serde_json::Value = serde_json::from_str(&out).unwrap();
@@ -62,7 +61,7 @@
 }
 
 #[test]
-fn files_without_requests_are_a_fault() {
+fn files_without_requests_are_an_error() {
     let (code, _) =
         account(&[file("agent.log", &[r#"{"message":"agent started"}"#]).to_str().unwrap()]);
     assert_eq!(code, 1);
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics and traces as real processes send them.
+//! Metrics and traces emitted by real processes.
 
 use corianderstand::control::metrics::Metric;
 use rstest::rstest;
@@ -8,12 +8,12 @@
     net::UdpSocket,
     time::{Duration, Instant},
 };
-use testbed::{Deployment, Plan, deployment::wait_for, plan::VIDRIO_KEY, process::PATIENCE};
+use testbed::{Deployment, Plan, deployment::wait_for, plan::VIDRIO_KEY, process::STATE_TIMEOUT};
 
-/// Datagrams longer than this are not sent by the library.
+/// Upper bound on the datagrams of the statsd client.
 const MAX_DATAGRAM: usize = 64 * 1024;
 
-fn take(sink: &UdpSocket, seen: &mut BTreeSet<String>) {
+fn receive_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>) {
     let mut buf = vec![0; MAX_DATAGRAM];
     while let Ok(length) = sink.recv(&mut buf) {
         let text = String::from_utf8_lossy(&buf[..length]).into_owned();
@@ -24,27 +24,25 @@
     }
 }
 
-/// Waits until all of the metrics have come, and names those that have not.
-async fn wait_for_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>, wanted: &[Metric]) {
-    let began = Instant::now();
+async fn wait_for_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>, expected: &[Metric]) {
+    let started_at = Instant::now();
     loop {
-        take(sink, seen);
-        let missing = wanted.iter().filter(|metric| !seen.contains(metric.name()));
+        receive_metrics(sink, seen);
+        let missing = expected.iter().filter(|metric| !seen.contains(metric.name()));
         let missing: Vec<_> = missing.copied().map(Metric::name).collect();
         if missing.is_empty() {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "metrics that did not come: {missing:?}");
+        assert!(started_at.elapsed() < STATE_TIMEOUT, "metrics not received: {missing:?}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// An operator's dashboard stays empty although the deployment serves: a metric is in the table
-/// and on the page, and no process ever sends it.
+/// Every declared metric must be emitted, and every emitted metric must be declared.
 #[rstest]
-fn a_served_and_a_refused_request_show_in_the_sink() {
+fn declared_metrics_reach_the_sink() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(async {
+    runtime.expect("the runtime can be created").block_on(async {
         let sink = UdpSocket::bind("127.0.0.1:0").expect("loopback has a free port");
         sink.set_read_timeout(Some(Duration::from_millis(1))).expect("a timeout can be set");
         let statsd = json!(sink.local_addr().expect("it is bound").to_string());
@@ -56,7 +54,7 @@
             let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 2,
                 "stream": stream });
             wait_for("an answer", async || {
-                take(&sink, &mut seen);
+                receive_metrics(&sink, &mut seen);
                 let req = deployment.http.post(&url).bearer_auth(VIDRIO_KEY).json(&body);
                 req.send().await.is_ok_and(|answer| answer.status() == 200)
             })
@@ -68,22 +66,22 @@
         assert_eq!(call.expect("the router answers").status(), 200);
         let refused = deployment.http.post(&url).bearer_auth("no-such-key").send().await;
         assert_eq!(refused.expect("the router answers").status(), 401);
-        // Connections are open only while they are used: the agents die in the midst of a stream.
+        // Connections are open only while in use, so the agents are killed during a stream.
         let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 10000,
             "stream": true });
         let stream = deployment.http.post(&url).bearer_auth(VIDRIO_KEY).json(&body).send().await;
         assert_eq!(stream.expect("the router answers").status(), 200);
-        // These need a failure of another kind, or an idle hour.
-        let not_here = [
+        // These need other failures or a long idle time.
+        let excluded = [
             Metric::RouterRetries,
             Metric::AgentRefusals,
             Metric::AgentUnloads,
             Metric::ControlReadFailures,
         ];
         let all = Metric::ALL.iter().copied();
-        let all: Vec<_> = all.filter(|metric| !not_here.contains(metric)).collect();
-        assert_eq!(all.len() + not_here.len(), Metric::ALL.len());
-        // What a process counted in its last second is gone with it when it is killed.
+        let all: Vec<_> = all.filter(|metric| !excluded.contains(metric)).collect();
+        assert_eq!(all.len() + excluded.len(), Metric::ALL.len());
+        // A killed process loses its last counts, so the others are received first.
         let before: Vec<_> =
             all.iter().copied().filter(|metric| *metric != Metric::RouterLost).collect();
         wait_for_metrics(&sink, &mut seen, &before).await;
@@ -97,18 +95,17 @@
     });
 }
 
-/// The line that a process logged for its hop of a trace.
 fn hop(deployment: &Deployment, process: &str, trace: &str) -> Option<Value> {
     let log = deployment.log_of(process);
     let mut lines = log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     lines.find(|line| line["trace_id"] == trace)
 }
 
-/// A user's request is slow and nobody can tell where: the hops' lines cannot be joined.
+/// The log lines of all hops must be linked by trace and span ids.
 #[rstest]
-fn hops_of_one_request_join_to_one_trace() {
+fn hops_of_a_request_share_a_trace() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(async {
+    runtime.expect("the runtime can be created").block_on(async {
         let plan = Plan { routers: 1, ..Plan::default() };
         let deployment = Deployment::start(plan).await;
         let trace = "0af7651916cd43dd8448eb211c80319c";
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Relays of the log over real processes: few read it, all hear of it.
+//! Log relays: a few routers read the log and forward it to the others.
 
 use corianderstand_control::source;
 use corianderstand_types::names::WriterId;
@@ -9,12 +9,12 @@
 use testbed::{Deployment, Plan, deployment::wait_for, plan::OPERATOR_KEY, plan::VIDRIO_KEY};
 
 const ROUTERS: usize = 6;
-/// Time in which an accepted change must be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(7);
+/// Time limit for an accepted change to take effect everywhere.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(7);
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
 fn plan() -> Plan {
@@ -26,7 +26,6 @@
     (0..ROUTERS).map(|i| format!("router-{i}")).collect()
 }
 
-/// Names of the routers that read the log, and of those that follow them.
 fn readers_and_followers(deployment: &Deployment) -> (Vec<String>, Vec<String>) {
     let peers: Vec<SmolStr> = routers().iter().map(|r| deployment.address(r).into()).collect();
     routers().into_iter().partition(|name| {
@@ -39,7 +38,6 @@
     deployment.status(router).await["version"].as_u64()
 }
 
-/// Changes a document through a router; the version that was accepted.
 async fn change(deployment: &Deployment, router: &str, lag_ms: u64) -> u64 {
     let get = deployment.http.get(deployment.url(router, "/operator/get?prefix=system/"));
     let current = get.bearer_auth(OPERATOR_KEY).send().await.expect("the router answers");
@@ -56,44 +54,42 @@
     answer["version"].as_u64().unwrap_or_else(|| panic!("accepted: {answer}"))
 }
 
-async fn in_force(deployment: &Deployment, names: &[String], version_wanted: u64) -> Duration {
-    let began = Instant::now();
+async fn time_to_version(deployment: &Deployment, names: &[String], expected: u64) -> Duration {
+    let started_at = Instant::now();
     for name in names {
-        wait_for(&format!("version {version_wanted} at {name}"), async || {
-            version(deployment, name).await.is_some_and(|version| version >= version_wanted)
+        wait_for(&format!("version {expected} at {name}"), async || {
+            version(deployment, name).await.is_some_and(|version| version >= expected)
         })
         .await;
     }
-    began.elapsed()
+    started_at.elapsed()
 }
 
-/// Hosts with the routers that read the log are all frozen at once, as when their network goes
-/// silent. The routers that followed them would never hear of a change that was accepted, and
-/// callers of a team that has lost a permission would still be served.
+/// If all routers that read the log become unresponsive, their followers must still receive
+/// accepted changes.
 #[rstest]
-fn a_change_is_in_force_in_time_although_all_relays_fall_silent() {
+fn a_change_takes_effect_in_time_although_all_relays_are_unresponsive() {
     block_on(async {
         let mut deployment = Deployment::start(plan()).await;
         let (readers, followers) = readers_and_followers(&deployment);
         assert_eq!(readers.len(), source::LOG_READERS);
         let accepted = change(&deployment, &readers[0], 11_000).await;
-        let all = in_force(&deployment, &routers(), accepted).await;
-        assert!(all < IN_FORCE, "through relays: {all:?}");
+        let all = time_to_version(&deployment, &routers(), accepted).await;
+        assert!(all < PROPAGATION_LIMIT, "through relays: {all:?}");
         for name in &readers {
             deployment.process(name).freeze();
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let accepted = change(&deployment, &followers[0], 12_000).await;
-        in_force(&deployment, &followers, accepted).await;
-        let took = began.elapsed();
-        assert!(took < IN_FORCE, "past silent relays: {took:?}");
+        time_to_version(&deployment, &followers, accepted).await;
+        let took = started_at.elapsed();
+        assert!(took < PROPAGATION_LIMIT, "past unresponsive relays: {took:?}");
     });
 }
 
-/// A booking is claimed in the log and read back through two relays; one of them is killed. The
-/// caller would wait for an answer that never comes, or see its booking run twice.
+/// A claim must be read back, and the booking run once, after relays are killed.
 #[rstest]
-fn a_booking_runs_once_although_the_relays_on_its_way_are_killed() {
+fn a_booking_runs_once_although_its_relays_are_killed() {
     block_on(async {
         let mut deployment = Deployment::start(plan()).await;
         let (readers, followers) = readers_and_followers(&deployment);
@@ -113,8 +109,7 @@
     });
 }
 
-/// Somebody who is neither a router nor an agent asks a router for the records of the log, in
-/// which the settings and answers of all teams stand.
+/// The log's records hold the data of all teams.
 #[rstest]
 fn records_are_given_to_peers_only() {
     block_on(async {
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -26,7 +26,7 @@
 impl Fault {
     /// Draws a fault of a running deployment.
     pub fn draw(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Self {
-        let all = deployment.running();
+        let all = deployment.started_processes();
         let of = |prefixes: &[&str]| -> Vec<String> {
             all.iter().filter(|n| prefixes.iter().any(|p| n.starts_with(p))).cloned().collect()
         };
@@ -63,7 +63,7 @@
             Self::Kill(name) => deployment.process(name).kill(),
             Self::Freeze(name) => deployment.process(name).freeze(),
             Self::Misbehave(name, fault) => send(deployment, name, fault).await,
-            Self::Relay(name, fault) => deployment.fault(name, fault).await,
+            Self::Relay(name, fault) => deployment.inject_fault(name, fault).await,
         }
     }
 
@@ -72,7 +72,7 @@
         match self {
             Self::Kill(name) => {
                 if !deployment.process(name).is_running() {
-                    deployment.run(name);
+                    deployment.start_process(name);
                 }
             }
             Self::Freeze(name) => deployment.process(name).resume(),
@@ -86,5 +86,5 @@
 /// Tells a stand-in to misbehave, first waking it, as a frozen one takes no orders.
 async fn send(deployment: &mut Deployment, name: &str, fault: &Value) {
     deployment.process(name).resume();
-    deployment.fault(name, fault).await;
+    deployment.inject_fault(name, fault).await;
 }
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -101,7 +101,7 @@
     for i in 0..deployment.plan.services {
         let mut work = || rng.random_range(0..MAX_WORK_MS);
         let work = json!({ "before_ms": work(), "after_ms": work() });
-        deployment.fault(&format!("service-{i}"), &work).await;
+        deployment.inject_fault(&format!("service-{i}"), &work).await;
     }
     let mut asked = Asked::default();
     for number in 0..BOOKINGS {
@@ -132,9 +132,9 @@
     healed(deployment, round).await;
     for (key, answers) in &mut answers {
         let booking = Booking::new(key, SETTLE_MS);
-        answers.push(booking.ask(deployment, "router-0").await);
-        answers.push(booking.ask(deployment, "router-1").await);
-        tally.booking(key, answers, deployment.ran(key).await);
+        answers.push(booking.send_via(deployment, "router-0").await);
+        answers.push(booking.send_via(deployment, "router-1").await);
+        tally.booking(key, answers, deployment.execution_count(key).await);
     }
     drawn
 }
@@ -147,7 +147,7 @@
         wait_for("bookings go on", async || {
             turn += 1;
             let probe = Booking::new(&format!("probe-{round}-{router}-{turn}"), SETTLE_MS);
-            probe.ask(deployment, router).await.is_some_and(|answer| answer.outcome == "ran")
+            probe.send_via(deployment, router).await.is_some_and(|answer| answer.outcome == "ran")
         })
         .await;
     }
--- a/tools/chaos/src/measure.rs
+++ b/tools/chaos/src/measure.rs
@@ -79,7 +79,7 @@
     let deployment = Deployment::start(Plan { services: 2, engines: 2, ..Plan::default() }).await;
     let warm = Booking::new("warm", DEADLINE_MS);
     wait_for("a first booking", async || {
-        warm.ask(&deployment, "router-0").await.is_some_and(|answer| answer.outcome == "ran")
+        warm.send_via(&deployment, "router-0").await.is_some_and(|answer| answer.outcome == "ran")
     })
     .await;
     for callers in [1, 16, 64] {
@@ -113,7 +113,7 @@
 }
 
 async fn outage(deployment: &Deployment) {
-    deployment.fault("log", &json!({ "down": true })).await;
+    deployment.inject_fault("log", &json!({ "down": true })).await;
     let path = "/services/agenda/bookings";
     let (times, answers) = ask(deployment, path, "outage", 16, OUTAGE_CALLS).await;
     let told = |outcome: &str| answers.iter().filter(|a| a.outcome == outcome).count();
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -1,6 +1,6 @@
-//! Callers that go on asking over kept connections, and what became of each request.
+//! Callers that send requests over persistent connections and record each outcome.
 
-use crate::world::{HOST, MODELS};
+use crate::cluster::{HOST, MODELS};
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -18,20 +18,20 @@
 };
 use tokio::net::TcpStream;
 
-/// What a request asks for.
+/// Kind of a request, named after its route.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Kind {
-    /// A plain answer that may be made twice.
+pub enum RequestKind {
+    /// Idempotent request.
     Look,
-    /// A plain answer that may not.
+    /// Non-idempotent request.
     Pay,
-    /// A stream that may be taken up elsewhere.
+    /// Resumable stream.
     Chat,
-    /// A stream that may not.
+    /// Stream that cannot be resumed.
     Draft,
 }
 
-impl Kind {
+impl RequestKind {
     const ALL: [Self; 4] = [Self::Look, Self::Pay, Self::Chat, Self::Draft];
 
     const fn path(self) -> &'static str {
@@ -43,7 +43,6 @@
         }
     }
 
-    /// Whether its answer is a stream.
     pub const fn streams(self) -> bool {
         matches!(self, Self::Chat | Self::Draft)
     }
@@ -53,138 +52,135 @@
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum End {
-    /// An answer that was whole.
-    Whole(StatusCode, Bytes),
-    /// An answer that broke off after its head.
-    Cut(StatusCode, Bytes),
-    /// The connection ended without an answer.
+pub enum Outcome {
+    Complete(StatusCode, Bytes),
+    /// Response truncated after its head.
+    Truncated(StatusCode, Bytes),
+    /// Connection closed without a response.
     Closed,
-    /// No connection could be made.
     NoConnection,
-    /// Nothing came until well after the deadline.
-    Held,
+    /// No response within the deadline and [`DEADLINE_GRACE`].
+    TimedOut,
 }
 
-/// One request and its end.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// Its id.
+pub struct RequestRecord {
     pub id: String,
-    /// What it asked for.
-    pub kind: Kind,
-    /// The model it named.
+    pub kind: RequestKind,
+    /// Requested model; only streams send it.
     pub model: &'static str,
-    /// The router it went to.
     pub router: usize,
-    /// When it began and ended.
-    pub began: Instant,
-    /// When it ended.
-    pub ended: Instant,
-    /// How.
-    pub end: End,
+    pub started_at: Instant,
+    pub ended_at: Instant,
+    pub outcome: Outcome,
 }
 
-/// Time beyond the deadline after which a caller takes its request for held up.
-const PATIENCE: Duration = Duration::from_millis(1_000);
-/// Time for a connection to be made; callers of the platform give it a second.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Longest time that a caller waits before it comes back after a refusal.
-const LONGEST_RETURN: Duration = Duration::from_millis(500);
-/// Time that a caller waits after it found nobody.
-const AFTER_CLOSE: Duration = Duration::from_millis(100);
-/// Longest pause between two requests of a caller.
-const LONGEST_PAUSE_MS: u64 = 60;
+/// Time beyond the deadline after which a caller gives up.
+const DEADLINE_GRACE: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+const MAX_PAUSE_MS: u64 = 60;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Callers that ask until they are stopped.
+/// Callers that send requests until they are stopped.
 #[derive(Debug)]
 pub struct Callers {
-    asked: Arc<Mutex<Vec<Asked>>>,
+    requests: Arc<Mutex<Vec<RequestRecord>>>,
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Callers {
-    /// Starts `count` callers.
     pub fn start(count: usize, fronts: &[SocketAddr], seed: u64) -> Self {
-        let (asked, stop) = (Arc::<Mutex<Vec<Asked>>>::default(), Arc::<AtomicBool>::default());
+        let (requests, stop) =
+            (Arc::<Mutex<Vec<RequestRecord>>>::default(), Arc::<AtomicBool>::default());
         let tasks = (0..count).map(|index| {
-            let (fronts, asked, stop) = (fronts.to_vec(), asked.clone(), stop.clone());
+            let (fronts, requests, stop) = (fronts.to_vec(), requests.clone(), stop.clone());
             let rng = ChaCha8Rng::seed_from_u64(seed ^ (index as u64) << 32);
-            tokio::spawn(ask_on(index, fronts, rng, asked, stop))
+            tokio::spawn(run_caller(index, fronts, rng, requests, stop))
         });
         let tasks = tasks.collect();
-        Self { asked, stop, tasks }
+        Self { requests, stop, tasks }
     }
 
-    /// Requests that have ended since `seen` of them had.
-    pub fn since(&self, seen: usize) -> Vec<Asked> {
-        let asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        asked.iter().skip(seen).cloned().collect()
+    /// Finished requests after the first `seen`.
+    pub fn since(&self, seen: usize) -> Vec<RequestRecord> {
+        let requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
+        requests.iter().skip(seen).cloned().collect()
     }
 
-    /// Lets them end what they are at; all that they asked.
-    pub async fn end(self) -> Vec<Asked> {
+    /// Stops the callers after their current request and returns all requests.
+    pub async fn finish(self) -> Vec<RequestRecord> {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             task.await.expect("a caller does not fail");
         }
-        std::mem::take(&mut self.asked.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-async fn ask_on(
+async fn run_caller(
     caller: usize,
     fronts: Vec<SocketAddr>,
     mut rng: ChaCha8Rng,
-    asked: Arc<Mutex<Vec<Asked>>>,
+    requests: Arc<Mutex<Vec<RequestRecord>>>,
     stop: Arc<AtomicBool>,
 ) {
-    let mut kept: Option<(usize, Sender)> = None;
+    let mut connection: Option<(usize, Sender)> = None;
     let mut number = 0_u64;
     while !stop.load(Ordering::Relaxed) {
         number += 1;
-        let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
+        let kind = RequestKind::ALL[rng.random_range(0..RequestKind::ALL.len())];
         let model = MODELS[rng.random_range(0..MODELS.len())];
         let id = format!("c{caller}-{number}");
-        let router = match &kept {
+        let router = match &connection {
             Some((router, sender)) if !sender.is_closed() => *router,
             _ => rng.random_range(0..fronts.len()),
         };
-        let sender = kept.take().map(|(_, sender)| sender).filter(|sender| !sender.is_closed());
-        let began = Instant::now();
-        let (end, headers, sender) = ask(fronts[router], sender, kind, &id, model).await;
+        let sender =
+            connection.take().map(|(_, sender)| sender).filter(|sender| !sender.is_closed());
+        let started_at = Instant::now();
+        let (outcome, headers, sender) =
+            send_request(fronts[router], sender, kind, &id, model).await;
         let closes = headers.get("connection").is_some_and(|value| value == "close");
-        kept = sender.filter(|_| !closes).map(|sender| (router, sender));
-        let pause = match &end {
-            End::Whole(StatusCode::SERVICE_UNAVAILABLE, _) => retry_after(&headers),
-            End::Closed | End::NoConnection => AFTER_CLOSE,
-            _ => Duration::from_millis(rng.random_range(0..LONGEST_PAUSE_MS)),
+        connection = sender.filter(|_| !closes).map(|sender| (router, sender));
+        let delay = match &outcome {
+            Outcome::Complete(StatusCode::SERVICE_UNAVAILABLE, _) => retry_after(&headers),
+            Outcome::Closed | Outcome::NoConnection => RECONNECT_DELAY,
+            _ => Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)),
         };
-        let record = Asked { id, kind, model, router, began, ended: Instant::now(), end };
-        asked.lock().unwrap_or_else(PoisonError::into_inner).push(record);
-        tokio::time::sleep(pause).await;
+        let record = RequestRecord {
+            id,
+            kind,
+            model,
+            router,
+            started_at,
+            ended_at: Instant::now(),
+            outcome,
+        };
+        requests.lock().unwrap_or_else(PoisonError::into_inner).push(record);
+        tokio::time::sleep(delay).await;
     }
 }
 
 fn retry_after(headers: &HeaderMap) -> Duration {
     let text = headers.get("retry-after").and_then(|value| value.to_str().ok());
     let seconds: f64 = text.and_then(|text| text.parse().ok()).unwrap_or(0.1);
-    Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_RETURN).min(LONGEST_RETURN)
+    Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_DELAY).min(MAX_RETRY_DELAY)
 }
 
-/// Asks once; the connection comes back if it can be used again.
-pub async fn ask(
+/// Sends one request; returns the connection if it can be reused.
+pub async fn send_request(
     front: SocketAddr,
-    kept: Option<Sender>,
-    kind: Kind,
+    connection: Option<Sender>,
+    kind: RequestKind,
     id: &str,
     model: &str,
-) -> (End, HeaderMap, Option<Sender>) {
+) -> (Outcome, HeaderMap, Option<Sender>) {
     let mut req = Request::builder().method(Method::POST).uri(kind.path()).header("host", HOST);
     req = req.header("request-id", id);
     req = req.header("deadline-ms", kind.deadline().as_millis() as u64);
@@ -192,59 +188,61 @@
         req = req.header("model", model).header("token-usage", "100,100");
     }
     let req = req.body(Full::default()).expect("the parts are valid");
-    let limit = kind.deadline() + PATIENCE;
-    match tokio::time::timeout(limit, exchange(front, kept, req)).await {
+    let limit = kind.deadline() + DEADLINE_GRACE;
+    match tokio::time::timeout(limit, exchange(front, connection, req)).await {
         Ok(done) => done,
-        Err(_) => (End::Held, HeaderMap::new(), None),
+        Err(_) => (Outcome::TimedOut, HeaderMap::new(), None),
     }
 }
 
-/// Asks for a path without a kind; its status, if an answer came.
+/// Sends a GET request to a path; returns the status of a complete response.
 pub async fn status(front: SocketAddr, path: &str, id: &str) -> Option<StatusCode> {
     let req = Request::builder().uri(path).header("host", HOST).header("request-id", id);
     let req = req.header("deadline-ms", 1_000).body(Full::default());
     let req = req.expect("the parts are valid");
-    match tokio::time::timeout(PATIENCE * 2, exchange(front, None, req)).await {
-        Ok((End::Whole(status, _), ..)) => Some(status),
+    match tokio::time::timeout(DEADLINE_GRACE * 2, exchange(front, None, req)).await {
+        Ok((Outcome::Complete(status, _), ..)) => Some(status),
         _ => None,
     }
 }
 
-/// Whether a router says that it is ready.
 pub async fn is_ready(ready: SocketAddr) -> bool {
     status(ready, "/-/readiness", "ready").await == Some(StatusCode::OK)
 }
 
 async fn exchange(
     front: SocketAddr,
-    kept: Option<Sender>,
+    connection: Option<Sender>,
     req: Request<Full<Bytes>>,
-) -> (End, HeaderMap, Option<Sender>) {
-    let none = HeaderMap::new;
-    let sender = match kept {
+) -> (Outcome, HeaderMap, Option<Sender>) {
+    let no_headers = HeaderMap::new;
+    let sender = match connection {
         Some(sender) => Some(sender),
         None => connect(front).await,
     };
-    let Some(mut sender) = sender else { return (End::NoConnection, none(), None) };
-    let Ok(answer) = sender.send_request(req).await else { return (End::Closed, none(), None) };
+    let Some(mut sender) = sender else { return (Outcome::NoConnection, no_headers(), None) };
+    let Ok(answer) = sender.send_request(req).await else {
+        return (Outcome::Closed, no_headers(), None);
+    };
     let (head, body) = answer.into_parts();
-    let (whole, text) = read(body).await;
-    let end = match whole {
-        true => End::Whole(head.status, text),
-        false => End::Cut(head.status, text),
+    let (complete, text) = read_body(body).await;
+    let outcome = match complete {
+        true => Outcome::Complete(head.status, text),
+        false => Outcome::Truncated(head.status, text),
     };
-    (end, head.headers, whole.then_some(sender))
+    (outcome, head.headers, complete.then_some(sender))
 }
 
 async fn connect(front: SocketAddr) -> Option<Sender> {
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(front)).await.ok()?.ok()?;
+    let stream =
+        tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(front)).await.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // Its end is seen by the request on it.
+    // Errors surface in the request that uses the connection.
     tokio::spawn(async move { connection.await.ok() });
     Some(sender)
 }
 
-async fn read(mut body: Incoming) -> (bool, Bytes) {
+async fn read_body(mut body: Incoming) -> (bool, Bytes) {
     let mut text = Vec::new();
     while let Some(frame) = body.frame().await {
         match frame {
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, holds, cuts one way or resets what passes through it.
+//! A loopback TCP proxy that can delay, hold or reset connections.
 
 use std::{net::SocketAddr, time::Duration};
 use tokio::{
@@ -10,37 +10,29 @@
     sync::watch,
 };
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
-/// Time after which a cut connection is looked at again, in case it was closed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const CHUNK_BYTES: usize = 16 << 10;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What happens to connections.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Mode {
-    /// Passed on.
     #[default]
     Pass,
-    /// Each part is passed on after this time.
     Delay(Duration),
-    /// Nothing is passed on either way; it is after the cut.
-    Cut,
-    /// Requests pass, answers are held until after the cut.
-    CutBack,
-    /// Open ones are reset, and new ones as well.
+    /// Hold data of both directions until the mode changes.
+    Hold,
+    /// Forward requests and hold responses until the mode changes.
+    HoldResponses,
     Reset,
 }
 
-/// A proxy in front of one address.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// Where it listens.
     pub addr: SocketAddr,
     mode: watch::Sender<Mode>,
 }
 
 impl Proxy {
-    /// Opens one at `addr` in front of `to`.
+    /// Opens a proxy at `addr` that forwards to `to`.
     pub async fn open(addr: SocketAddr, to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let (mode, modes) = watch::channel(Mode::Pass);
@@ -48,7 +40,6 @@
         Ok(Self { addr, mode })
     }
 
-    /// Sets what happens to connections.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
@@ -58,31 +49,32 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(pass(stream, to, modes.clone()));
+                tokio::spawn(forward(stream, to, modes.clone()));
             }
             Err(error) => {
-                eprintln!("a proxy takes no connection: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                eprintln!("proxy: accept failed: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, mut modes: watch::Receiver<Mode>) {
+async fn forward(client: TcpStream, to: SocketAddr, mut modes: watch::Receiver<Mode>) {
     if *modes.borrow() == Mode::Reset {
-        return reset(&near);
+        return reset(&client);
     }
-    let Ok(far) = TcpStream::connect(to).await else { return reset(&near) };
-    let sockets = [&near, &far].map(|stream| {
+    let Ok(server) = TcpStream::connect(to).await else { return reset(&client) };
+    let sockets = [&client, &server].map(|stream| {
         stream.set_nodelay(true).ok();
         socket2::SockRef::from(stream).try_clone()
     });
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = copy(near_read, far_write, modes.clone(), &[Mode::Cut]);
-    let back = copy(far_read, near_write, modes.clone(), &[Mode::Cut, Mode::CutBack]);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let requests = copy(client_read, server_write, modes.clone(), &[Mode::Hold]);
+    let responses =
+        copy(server_read, client_write, modes.clone(), &[Mode::Hold, Mode::HoldResponses]);
     tokio::select! {
-        ((), ()) = async { tokio::join!(there, back) } => {}
+        ((), ()) = async { tokio::join!(requests, responses) } => {}
         _ = modes.wait_for(|mode| *mode == Mode::Reset) => {
             for socket in sockets.into_iter().flatten() {
                 socket.set_linger(Some(Duration::ZERO)).ok();
@@ -101,14 +93,14 @@
     mut modes: watch::Receiver<Mode>,
     held: &[Mode],
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; CHUNK_BYTES];
     while let Ok(len) = from.read(&mut buf).await {
         if modes.wait_for(|mode| !held.contains(mode)).await.is_err() {
             return;
         }
         let mode = *modes.borrow();
-        if let Mode::Delay(time) = mode {
-            tokio::time::sleep(time).await;
+        if let Mode::Delay(delay) = mode {
+            tokio::time::sleep(delay).await;
         }
         if len == 0 {
             break;
@@ -117,6 +109,6 @@
             return;
         }
     }
-    // Half of the connection has ended; the other half may go on.
+    // The other direction may stay open.
     to.shutdown().await.ok();
 }
