--- a/tools/chaos/src/callers.rs
+++ b/tools/chaos/src/callers.rs
@@ -15,23 +15,23 @@
 const TOKENS: usize = 40;
 
 /// Whole answers as they were before any fault.
-pub struct Kept(Vec<Vec<String>>);
+pub struct ReferenceAnswers(Vec<Vec<String>>);
 
 /// What came of a stream.
-enum Streamed {
+enum StreamOutcome {
     Refused,
     Broken,
     Text(String),
 }
 
-async fn stream(http: reqwest::Client, url: String, prompt: &'static str) -> Streamed {
+async fn stream(http: reqwest::Client, url: String, prompt: &'static str) -> StreamOutcome {
     let body = json!({ "model": "design-13b", "prompt": prompt, "max_tokens": TOKENS,
         "stream": true });
     let answer = http.post(url).bearer_auth(HINOKUNI_KEY).json(&body).send().await;
     match answer {
-        Err(_) => Streamed::Broken,
-        Ok(answer) if !answer.status().is_success() => Streamed::Refused,
-        Ok(answer) => answer.text().await.map_or(Streamed::Broken, Streamed::Text),
+        Err(_) => StreamOutcome::Broken,
+        Ok(answer) if !answer.status().is_success() => StreamOutcome::Refused,
+        Ok(answer) => answer.text().await.map_or(StreamOutcome::Broken, StreamOutcome::Text),
     }
 }
 
@@ -43,23 +43,25 @@
     values.filter_map(|v| v["choices"][0]["text"].as_str().map(str::to_owned)).collect()
 }
 
-impl Kept {
+impl ReferenceAnswers {
     /// Asks each prompt until its answer is whole.
-    pub async fn read(deployment: &Deployment) -> Self {
-        let mut kept = Vec::new();
+    pub async fn record(deployment: &Deployment) -> Self {
+        let mut reference = Vec::new();
         for prompt in PROMPTS {
             let mut answer = Vec::new();
             wait_for("an answer before any fault", async || {
                 let url = deployment.url("router-0", "/v1/completions");
-                if let Streamed::Text(text) = stream(deployment.http.clone(), url, prompt).await {
+                if let StreamOutcome::Text(text) =
+                    stream(deployment.http.clone(), url, prompt).await
+                {
                     answer = tokens(&text);
                 }
                 answer.len() == TOKENS
             })
             .await;
-            kept.push(answer);
+            reference.push(answer);
         }
-        Self(kept)
+        Self(reference)
     }
 }
 
@@ -68,49 +70,54 @@
 
 /// All that is asked in one round.
 #[derive(Default)]
-pub struct Asked {
+pub struct InFlightRequests {
     bookings: Vec<(String, JoinHandle<Option<Answer>>)>,
-    streams: Vec<(usize, JoinHandle<Streamed>)>,
+    streams: Vec<(usize, JoinHandle<StreamOutcome>)>,
 }
 
-impl Asked {
+impl InFlightRequests {
     /// Asks for a booking after a pause.
     pub fn book(
         &mut self,
         deployment: &Deployment,
         booking: &Booking,
         router: usize,
-        after: Duration,
+        delay: Duration,
     ) {
         let url = deployment.url(&format!("router-{router}"), "/services/agenda/bookings");
         let (http, booking) = (deployment.http.clone(), booking.clone());
         let key = booking.key.clone();
-        let asked = async move {
-            time::sleep(after).await;
+        let request = async move {
+            time::sleep(delay).await;
             booking.send(&http, url).await
         };
-        self.bookings.push((key, tokio::spawn(asked)));
+        self.bookings.push((key, tokio::spawn(request)));
     }
 
     /// Asks for a stream.
     pub fn stream(&mut self, deployment: &Deployment, number: usize, router: usize) {
         let prompt = number % PROMPTS.len();
         let url = deployment.url(&format!("router-{router}"), "/v1/completions");
-        let asked = stream(deployment.http.clone(), url, PROMPTS[prompt]);
-        self.streams.push((prompt, tokio::spawn(asked)));
+        let request = stream(deployment.http.clone(), url, PROMPTS[prompt]);
+        self.streams.push((prompt, tokio::spawn(request)));
     }
 
     /// Waits for all answers and judges the streams.
-    pub async fn finish(self, kept: &Kept, tally: &mut Tally) -> Answers {
+    pub async fn finish(self, reference: &ReferenceAnswers, tally: &mut Tally) -> Answers {
         for (prompt, task) in self.streams {
             match task.await {
-                Ok(Streamed::Text(text)) => {
-                    let whole = text.contains("[DONE]");
-                    let explicit = text.contains("\"error\"");
-                    tally.stream(&tokens(&text), &kept.0[prompt], whole, explicit);
+                Ok(StreamOutcome::Text(text)) => {
+                    let is_complete = text.contains("[DONE]");
+                    let has_error = text.contains("\"error\"");
+                    tally.record_stream(
+                        &tokens(&text),
+                        &reference.0[prompt],
+                        is_complete,
+                        has_error,
+                    );
                 }
-                Ok(Streamed::Refused) => tally.streams_refused += 1,
-                Ok(Streamed::Broken) | Err(_) => tally.streams_broken += 1,
+                Ok(StreamOutcome::Refused) => tally.streams_refused += 1,
+                Ok(StreamOutcome::Broken) | Err(_) => tally.streams_disconnected += 1,
             }
         }
         let mut answers = Answers::new();
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -19,22 +19,24 @@
     Relay(String, Value),
 }
 
-fn pick(rng: &mut ChaCha8Rng, names: &[String]) -> String {
-    names[rng.random_range(0..names.len())].clone()
+fn choose(rng: &mut ChaCha8Rng, candidates: &[String]) -> String {
+    candidates[rng.random_range(0..candidates.len())].clone()
 }
 
 impl Fault {
     /// Draws a fault of a running deployment.
     pub fn draw(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Self {
         let all = deployment.running();
-        let of = |prefixes: &[&str]| -> Vec<String> {
+        let running_with = |prefixes: &[&str]| -> Vec<String> {
             all.iter().filter(|n| prefixes.iter().any(|p| n.starts_with(p))).cloned().collect()
         };
         match rng.random_range(0..10) {
-            0 | 1 => Self::Kill(pick(rng, &of(&["router-", "agent-"]))),
-            2 => Self::Kill(pick(rng, &of(&["agent-service-"]))),
-            3 => Self::Freeze(pick(rng, &of(&["router-", "agent-"]))),
-            4 => Self::Freeze(pick(rng, &of(&["agent-service-", "service-", "engine-"]))),
+            0 | 1 => Self::Kill(choose(rng, &running_with(&["router-", "agent-"]))),
+            2 => Self::Kill(choose(rng, &running_with(&["agent-service-"]))),
+            3 => Self::Freeze(choose(rng, &running_with(&["router-", "agent-"]))),
+            4 => {
+                Self::Freeze(choose(rng, &running_with(&["agent-service-", "service-", "engine-"])))
+            }
             5 => {
                 let faults = [
                     json!({ "down": true }),
@@ -46,23 +48,26 @@
             6 => {
                 let faults = [json!({ "before_ms": 900 }), json!({ "after_ms": 900 })];
                 let fault = faults[rng.random_range(0..2)].clone();
-                Self::Misbehave(pick(rng, &of(&["service-"])), fault)
+                Self::Misbehave(choose(rng, &running_with(&["service-"])), fault)
             }
             7 => {
                 let fault = json!({ "break_after": rng.random_range(0..30) });
-                Self::Misbehave(pick(rng, &of(&["engine-"])), fault)
+                Self::Misbehave(choose(rng, &running_with(&["engine-"])), fault)
             }
-            8 => Self::Relay(pick(rng, &of(&["relay-"])), json!({ "silence_open": true })),
-            _ => Self::Relay(pick(rng, &of(&["relay-"])), json!({ "cut_open": true })),
+            8 => Self::Relay(
+                choose(rng, &running_with(&["relay-"])),
+                json!({ "silence_open": true }),
+            ),
+            _ => Self::Relay(choose(rng, &running_with(&["relay-"])), json!({ "cut_open": true })),
         }
     }
 
     /// Brings it about.
-    pub async fn begin(&self, deployment: &mut Deployment) {
+    pub async fn inject(&self, deployment: &mut Deployment) {
         match self {
             Self::Kill(name) => deployment.process(name).kill(),
             Self::Freeze(name) => deployment.process(name).freeze(),
-            Self::Misbehave(name, fault) => send(deployment, name, fault).await,
+            Self::Misbehave(name, fault) => set_fault(deployment, name, fault).await,
             Self::Relay(name, fault) => deployment.fault(name, fault).await,
         }
     }
@@ -76,7 +81,7 @@
                 }
             }
             Self::Freeze(name) => deployment.process(name).resume(),
-            Self::Misbehave(name, _) => send(deployment, name, &json!({})).await,
+            Self::Misbehave(name, _) => set_fault(deployment, name, &json!({})).await,
             // What has fallen silent stays so; new connections work.
             Self::Relay(..) => {}
         }
@@ -84,7 +89,7 @@
 }
 
 /// Tells a stand-in to misbehave, first waking it, as a frozen one takes no orders.
-async fn send(deployment: &mut Deployment, name: &str, fault: &Value) {
+async fn set_fault(deployment: &mut Deployment, name: &str, fault: &Value) {
     deployment.process(name).resume();
     deployment.fault(name, fault).await;
 }
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -11,7 +11,7 @@
 mod measure;
 mod tally;
 
-use callers::{Asked, Kept};
+use callers::{InFlightRequests, ReferenceAnswers};
 use faults::Fault;
 use getopts::Options;
 use rand::{RngExt, SeedableRng};
@@ -23,19 +23,19 @@
 use tokio::time;
 
 /// Bookings of one round; some are asked for twice at once.
-const BOOKINGS: usize = 8;
+const BOOKINGS_PER_ROUND: usize = 8;
 /// Streams of one round.
-const STREAMS: usize = 4;
+const STREAMS_PER_ROUND: usize = 4;
 /// Most faults of one round.
-const MAX_FAULTS: usize = 3;
+const MAX_FAULTS_PER_ROUND: usize = 3;
 /// Longest pause before a booking is asked for.
-const MAX_BOOKING_PAUSE_MS: u64 = 1_200;
+const MAX_BOOKING_DELAY_MS: u64 = 1_200;
 /// Longest time that a service takes before and after a booking takes effect.
-const MAX_WORK_MS: u64 = 250;
+const MAX_SERVICE_DELAY_MS: u64 = 250;
 /// Longest pause between two faults.
-const MAX_PAUSE_MS: u64 = 400;
+const MAX_FAULT_DELAY_MS: u64 = 400;
 /// Deadline of the question that settles a booking after its round.
-const SETTLE_MS: u64 = 2_000;
+const VERIFY_DEADLINE_MS: u64 = 2_000;
 
 fn main() -> ExitCode {
     let mut options = Options::new();
@@ -78,75 +78,76 @@
 
 async fn run(rounds: u64, seed: u64) -> Tally {
     let mut deployment = Deployment::start(plan()).await;
-    let kept = Kept::read(&deployment).await;
+    let reference = ReferenceAnswers::record(&deployment).await;
     let mut tally = Tally::default();
     for round in 0..rounds {
         let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003) + round);
-        let before = tally.broken();
-        let drawn = round_of(&mut deployment, &kept, round, &mut rng, &mut tally).await;
-        if tally.broken() > before {
-            println!("round {round} broke a promise under {drawn:?}: {tally}");
+        let violations_before = tally.violations();
+        let faults = run_round(&mut deployment, &reference, round, &mut rng, &mut tally).await;
+        if tally.violations() > violations_before {
+            println!("round {round} broke a promise under {faults:?}: {tally}");
         }
     }
     tally
 }
 
-async fn round_of(
+async fn run_round(
     deployment: &mut Deployment,
-    kept: &Kept,
+    reference: &ReferenceAnswers,
     round: u64,
     rng: &mut ChaCha8Rng,
     tally: &mut Tally,
 ) -> Vec<Fault> {
     for i in 0..deployment.plan.services {
-        let mut work = || rng.random_range(0..MAX_WORK_MS);
-        let work = json!({ "before_ms": work(), "after_ms": work() });
-        deployment.fault(&format!("service-{i}"), &work).await;
+        let mut delay = || rng.random_range(0..MAX_SERVICE_DELAY_MS);
+        let delay = json!({ "before_ms": delay(), "after_ms": delay() });
+        deployment.fault(&format!("service-{i}"), &delay).await;
     }
-    let mut asked = Asked::default();
-    for number in 0..BOOKINGS {
+    let mut requests = InFlightRequests::default();
+    for index in 0..BOOKINGS_PER_ROUND {
         let deadline_ms = rng.random_range(800..3_000);
-        let booking = Booking::new(&format!("round-{round}-{number}"), deadline_ms);
+        let booking = Booking::new(&format!("round-{round}-{index}"), deadline_ms);
         let router = rng.random_range(0..deployment.plan.routers);
-        let mut after = || Duration::from_millis(rng.random_range(0..MAX_BOOKING_PAUSE_MS));
-        let (first, second) = (after(), after());
-        asked.book(deployment, &booking, router, first);
+        let mut delay_before = || Duration::from_millis(rng.random_range(0..MAX_BOOKING_DELAY_MS));
+        let (first, second) = (delay_before(), delay_before());
+        requests.book(deployment, &booking, router, first);
         if rng.random_bool(0.5) {
-            asked.book(deployment, &booking, deployment.plan.routers - 1 - router, second);
+            requests.book(deployment, &booking, deployment.plan.routers - 1 - router, second);
         }
     }
-    for number in 0..STREAMS {
-        asked.stream(deployment, number, rng.random_range(0..deployment.plan.routers));
+    for index in 0..STREAMS_PER_ROUND {
+        requests.stream(deployment, index, rng.random_range(0..deployment.plan.routers));
     }
-    let count = rng.random_range(1..=MAX_FAULTS);
-    let drawn: Vec<Fault> = (0..count).map(|_| Fault::draw(deployment, rng)).collect();
-    for fault in &drawn {
-        time::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS))).await;
-        fault.begin(deployment).await;
+    let count = rng.random_range(1..=MAX_FAULTS_PER_ROUND);
+    let faults: Vec<Fault> = (0..count).map(|_| Fault::draw(deployment, rng)).collect();
+    for fault in &faults {
+        time::sleep(Duration::from_millis(rng.random_range(0..MAX_FAULT_DELAY_MS))).await;
+        fault.inject(deployment).await;
     }
-    time::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS * 4))).await;
-    for fault in drawn.iter().rev() {
+    time::sleep(Duration::from_millis(rng.random_range(0..MAX_FAULT_DELAY_MS * 4))).await;
+    for fault in faults.iter().rev() {
         fault.heal(deployment).await;
     }
-    let mut answers = asked.finish(kept, tally).await;
-    healed(deployment, round).await;
+    let mut answers = requests.finish(reference, tally).await;
+    wait_until_healthy(deployment, round).await;
     for (key, answers) in &mut answers {
-        let booking = Booking::new(key, SETTLE_MS);
+        let booking = Booking::new(key, VERIFY_DEADLINE_MS);
         answers.push(booking.ask(deployment, "router-0").await);
         answers.push(booking.ask(deployment, "router-1").await);
-        tally.booking(key, answers, deployment.ran(key).await);
+        tally.record_booking(key, answers, deployment.ran(key).await);
     }
-    drawn
+    faults
 }
 
 /// Waits until bookings and models go on through every router.
-async fn healed(deployment: &Deployment, round: u64) {
+async fn wait_until_healthy(deployment: &Deployment, round: u64) {
     for router in ["router-0", "router-1"] {
         deployment.wait_for_answer(router, "/readyz").await;
-        let mut turn = 0;
+        let mut attempt = 0;
         wait_for("bookings go on", async || {
-            turn += 1;
-            let probe = Booking::new(&format!("probe-{round}-{router}-{turn}"), SETTLE_MS);
+            attempt += 1;
+            let probe =
+                Booking::new(&format!("probe-{round}-{router}-{attempt}"), VERIFY_DEADLINE_MS);
             probe.ask(deployment, router).await.is_some_and(|answer| answer.outcome == "ran")
         })
         .await;
--- a/tools/chaos/src/measure.rs
+++ b/tools/chaos/src/measure.rs
@@ -20,52 +20,52 @@
 /// Calls of the measurement of an outage.
 const OUTAGE_CALLS: usize = 500;
 /// Keys whose memory is measured.
-const KEYS: u64 = 50_000;
+const MEMORY_KEYS: u64 = 50_000;
 /// Bytes of an answer that is kept.
-const ANSWER_BYTES: usize = 120;
+const STORED_ANSWER_BYTES: usize = 120;
 const DEADLINE_MS: u64 = 5_000;
 
-struct Times(Vec<Duration>);
+struct Latencies(Vec<Duration>);
 
-impl Times {
-    fn at(&self, share: f64) -> f64 {
-        let index = ((self.0.len() - 1) as f64 * share) as usize;
+impl Latencies {
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        let index = ((self.0.len() - 1) as f64 * quantile) as usize;
         self.0[index].as_secs_f64() * 1000.0
     }
 }
 
 /// Asks `calls` times with so many callers at once; sorted times and all answers.
-async fn ask(
+async fn send_bookings(
     deployment: &Deployment,
     path: &str,
     prefix: &str,
     callers: usize,
     calls: usize,
-) -> (Times, Vec<Answer>) {
+) -> (Latencies, Vec<Answer>) {
     let mut tasks = Vec::new();
     for caller in 0..callers {
         let (http, prefix) = (deployment.http.clone(), prefix.to_owned());
         let url = deployment.url(&format!("router-{}", caller % deployment.plan.routers), path);
         tasks.push(tokio::spawn(async move {
-            let mut seen = Vec::new();
+            let mut results = Vec::new();
             for number in 0..calls / callers {
                 let booking = Booking::new(&format!("{prefix}-{caller}-{number}"), DEADLINE_MS);
                 let began = Instant::now();
                 let answer = booking.send(&http, url.clone()).await;
-                seen.push((began.elapsed(), answer));
+                results.push((began.elapsed(), answer));
             }
-            seen
+            results
         }));
     }
-    let (mut times, mut answers) = (Vec::new(), Vec::new());
+    let (mut latencies, mut answers) = (Vec::new(), Vec::new());
     for task in tasks {
-        for (took, answer) in task.await.unwrap_or_default() {
-            times.push(took);
+        for (latency, answer) in task.await.unwrap_or_default() {
+            latencies.push(latency);
             answers.extend(answer);
         }
     }
-    times.sort();
-    (Times(times), answers)
+    latencies.sort();
+    (Latencies(latencies), answers)
 }
 
 async fn log_counts(deployment: &Deployment) -> (u64, u64, u64) {
@@ -84,48 +84,49 @@
     .await;
     for callers in [1, 16, 64] {
         let calls = if callers == 1 { CALLS / 4 } else { CALLS };
-        let (plain, _) = ask(&deployment, "/services/agenda/rounds", "plain", callers, calls).await;
+        let (unkeyed, _) =
+            send_bookings(&deployment, "/services/agenda/rounds", "plain", callers, calls).await;
         let before = log_counts(&deployment).await;
         let began = Instant::now();
         let prefix = format!("once-{callers}");
         let path = "/services/agenda/bookings";
-        let (once, answers) = ask(&deployment, path, &prefix, callers, calls).await;
-        let rate = once.0.len() as f64 / began.elapsed().as_secs_f64();
+        let (keyed, answers) = send_bookings(&deployment, path, &prefix, callers, calls).await;
+        let rate = keyed.0.len() as f64 / began.elapsed().as_secs_f64();
         let after = log_counts(&deployment).await;
-        let each = |a: u64, b: u64| (a - b) as f64 / once.0.len() as f64;
+        let per_call = |a: u64, b: u64| (a - b) as f64 / keyed.0.len() as f64;
         let ran = answers.iter().filter(|answer| answer.outcome == "ran").count();
         println!(
             "{callers} callers: {ran} of {} ran, {rate:.0}/s; p50 {:.1} ms, p99 {:.1} ms; \
              not under a key p50 {:.1} ms, p99 {:.1} ms; \
              {:.2} appends, {:.2} records, {:.0} bytes a call",
-            once.0.len(),
-            once.at(0.5),
-            once.at(0.99),
-            plain.at(0.5),
-            plain.at(0.99),
-            each(after.0, before.0),
-            each(after.1, before.1),
-            each(after.2, before.2),
+            keyed.0.len(),
+            keyed.quantile_ms(0.5),
+            keyed.quantile_ms(0.99),
+            unkeyed.quantile_ms(0.5),
+            unkeyed.quantile_ms(0.99),
+            per_call(after.0, before.0),
+            per_call(after.1, before.1),
+            per_call(after.2, before.2),
         );
     }
-    outage(&deployment).await;
-    memory();
+    measure_outage(&deployment).await;
+    measure_memory();
 }
 
-async fn outage(deployment: &Deployment) {
+async fn measure_outage(deployment: &Deployment) {
     deployment.fault("log", &json!({ "down": true })).await;
     let path = "/services/agenda/bookings";
-    let (times, answers) = ask(deployment, path, "outage", 16, OUTAGE_CALLS).await;
-    let told = |outcome: &str| answers.iter().filter(|a| a.outcome == outcome).count();
+    let (latencies, answers) = send_bookings(deployment, path, "outage", 16, OUTAGE_CALLS).await;
+    let count = |outcome: &str| answers.iter().filter(|a| a.outcome == outcome).count();
     println!(
         "log down: {} asked, {} not run, {} unknown, {} ran; p50 {:.1} ms, p99 {:.1} ms, longest {:.0} ms",
         answers.len(),
-        told("not-run"),
-        told("unknown"),
-        told("ran"),
-        times.at(0.5),
-        times.at(0.99),
-        times.at(1.0),
+        count("not-run"),
+        count("unknown"),
+        count("ran"),
+        latencies.quantile_ms(0.5),
+        latencies.quantile_ms(0.99),
+        latencies.quantile_ms(1.0),
     );
 }
 
@@ -139,10 +140,10 @@
     Record { writer: "agent-service-0".into(), incarnation: 1, sequence, body }
 }
 
-fn memory() {
+fn measure_memory() {
     let before = resident_kib();
     let mut state = State::default();
-    for number in 0..KEYS {
+    for number in 0..MEMORY_KEYS {
         let key = CallKey {
             team: WorkspaceId::new("vidrio").expect("a good name"),
             service: ServiceId::new("agenda").expect("a good name"),
@@ -152,15 +153,15 @@
         let claim = 2 * number + 1;
         let claimed = Body::Claimed { key: key.clone(), digest: number, target };
         state.apply(claim, claim, &record(claim, claimed));
-        let body = Some(vec![b'x'; ANSWER_BYTES]);
+        let body = Some(vec![b'x'; STORED_ANSWER_BYTES]);
         let answer = CallAnswer { status: 200, content_type: "application/json".into(), body };
         let ended = Body::CallEnded { key, claim, answer: Some(answer) };
         state.apply(claim + 1, claim + 1, &record(claim + 1, ended));
     }
-    let used = (resident_kib() - before) * 1024;
+    let used_bytes = (resident_kib() - before) * 1024;
     println!(
-        "memory: {} keys with answers of {ANSWER_BYTES} bytes take {} bytes each",
+        "memory: {} keys with answers of {STORED_ANSWER_BYTES} bytes take {} bytes each",
         state.calls.len(),
-        used / KEYS
+        used_bytes / MEMORY_KEYS
     );
 }
--- a/tools/chaos/src/tally.rs
+++ b/tools/chaos/src/tally.rs
@@ -13,52 +13,62 @@
     /// Bookings whose service ran them.
     pub ran: usize,
     /// Bookings that ran twice.
-    pub doubles: usize,
+    pub ran_twice: usize,
     /// Bookings that ran though their callers were told "not run".
     pub false_not_run: usize,
     /// Bookings with two outcomes, or said to have run and not run.
-    pub mixed: usize,
+    pub contradictory: usize,
     /// Bookings that a caller was told "unknown" of during the round.
-    pub unknown_first: usize,
+    pub unknown_during_round: usize,
     /// Bookings still "unknown" when asked again after the round.
-    pub unknown_last: usize,
+    pub unknown_after_round: usize,
     /// Refusals that may come back under the same key.
-    pub refused: usize,
+    pub retryable_refusals: usize,
     /// Streams that were whole.
-    pub streams_whole: usize,
+    pub streams_complete: usize,
     /// Streams that ended with an explicit error.
     pub streams_failed: usize,
     /// Streams refused before they began.
     pub streams_refused: usize,
     /// Streams whose router's connection broke.
-    pub streams_broken: usize,
+    pub streams_disconnected: usize,
     /// Streams with words of another answer, or not in order.
-    pub streams_mixed: usize,
+    pub streams_corrupted: usize,
     /// Streams that ended short without an error.
-    pub streams_cut: usize,
+    pub streams_truncated: usize,
 }
 
 impl Tally {
     /// Promises broken.
-    pub const fn broken(&self) -> usize {
-        self.doubles + self.false_not_run + self.mixed + self.streams_mixed + self.streams_cut
+    pub const fn violations(&self) -> usize {
+        self.ran_twice
+            + self.false_not_run
+            + self.contradictory
+            + self.streams_corrupted
+            + self.streams_truncated
     }
 
     /// Whether every promise was kept.
     pub const fn is_clean(&self) -> bool {
-        self.broken() == 0
+        self.violations() == 0
     }
 
     /// Judges one stream against the undisturbed answer.
-    pub fn stream(&mut self, tokens: &[String], kept: &[String], whole: bool, explicit: bool) {
-        if !kept.starts_with(tokens) {
-            self.streams_mixed += 1;
-        } else if whole && tokens.len() == kept.len() {
-            self.streams_whole += 1;
-        } else if explicit && !whole {
+    pub fn record_stream(
+        &mut self,
+        tokens: &[String],
+        reference: &[String],
+        is_complete: bool,
+        has_error: bool,
+    ) {
+        if !reference.starts_with(tokens) {
+            self.streams_corrupted += 1;
+        } else if is_complete && tokens.len() == reference.len() {
+            self.streams_complete += 1;
+        } else if has_error && !is_complete {
             self.streams_failed += 1;
         } else {
-            self.streams_cut += 1;
+            self.streams_truncated += 1;
         }
     }
 
@@ -66,25 +76,31 @@
     ///
     /// A void, 410, speaks of the key for ever. A refusal, 503, speaks of its own request: it is
     /// false if every request was refused and yet the booking ran.
-    pub fn booking(&mut self, key: &str, answers: &[Option<Answer>], ran: u64) {
-        let told: Vec<&Answer> = answers.iter().flatten().collect();
-        let outcome = |wanted: &str| told.iter().any(|answer| answer.outcome == wanted);
-        let said_ran: Vec<&&Answer> = told.iter().filter(|a| a.outcome == "ran").collect();
-        let void = told.iter().any(|a| a.status == 410 && a.outcome == "not-run");
+    pub fn record_booking(&mut self, key: &str, answers: &[Option<Answer>], ran: u64) {
+        let received: Vec<&Answer> = answers.iter().flatten().collect();
+        let outcome = |expected: &str| received.iter().any(|answer| answer.outcome == expected);
+        let reported_ran: Vec<&&Answer> = received.iter().filter(|a| a.outcome == "ran").collect();
+        let rejected = received.iter().any(|a| a.status == 410 && a.outcome == "not-run");
         let all_refused =
-            told.len() == answers.len() && told.iter().all(|a| a.outcome == "not-run");
-        let same = said_ran.windows(2).all(|pair| pair[0].body == pair[1].body);
+            received.len() == answers.len() && received.iter().all(|a| a.outcome == "not-run");
+        let identical = reported_ran.windows(2).all(|pair| pair[0].body == pair[1].body);
         self.bookings += 1;
         self.ran += usize::from(ran > 0);
-        self.doubles += usize::from(ran > 1);
-        self.false_not_run += usize::from(ran > 0 && (void || all_refused));
-        let mixed = !same || !said_ran.is_empty() && (void || ran == 0);
-        self.mixed += usize::from(mixed);
-        let first = told.len().saturating_sub(2);
-        self.unknown_first += usize::from(told[..first].iter().any(|a| a.outcome == "unknown"));
-        self.unknown_last += usize::from(told.last().is_some_and(|a| a.outcome == "unknown"));
-        self.refused += told.iter().filter(|a| a.status == 503).count();
-        if ran > 1 || ran > 0 && (void || all_refused) || mixed || !outcome("") && told.is_empty() {
+        self.ran_twice += usize::from(ran > 1);
+        self.false_not_run += usize::from(ran > 0 && (rejected || all_refused));
+        let contradictory = !identical || !reported_ran.is_empty() && (rejected || ran == 0);
+        self.contradictory += usize::from(contradictory);
+        let first = received.len().saturating_sub(2);
+        self.unknown_during_round +=
+            usize::from(received[..first].iter().any(|a| a.outcome == "unknown"));
+        self.unknown_after_round +=
+            usize::from(received.last().is_some_and(|a| a.outcome == "unknown"));
+        self.retryable_refusals += received.iter().filter(|a| a.status == 503).count();
+        if ran > 1
+            || ran > 0 && (rejected || all_refused)
+            || contradictory
+            || !outcome("") && received.is_empty()
+        {
             println!("{key}: ran {ran} times, told {answers:#?}");
         }
     }
@@ -93,16 +109,20 @@
 impl fmt::Display for Tally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "bookings {} (ran {})", self.bookings, self.ran)?;
-        writeln!(f, "  doubles {}", self.doubles)?;
+        writeln!(f, "  doubles {}", self.ran_twice)?;
         writeln!(f, "  false \"not run\" {}", self.false_not_run)?;
-        writeln!(f, "  mixed outcomes {}", self.mixed)?;
-        let (first, last) = (self.unknown_first, self.unknown_last);
+        writeln!(f, "  mixed outcomes {}", self.contradictory)?;
+        let (first, last) = (self.unknown_during_round, self.unknown_after_round);
         writeln!(f, "  unknown: {first} in the round, {last} still after it")?;
-        writeln!(f, "  refusals with a time to come back {}", self.refused)?;
-        let (whole, failed) = (self.streams_whole, self.streams_failed);
-        writeln!(f, "streams whole {whole}, explicit error {failed}")?;
-        let (refused, broken) = (self.streams_refused, self.streams_broken);
-        writeln!(f, "  refused {refused}, connection to the router broke {broken}")?;
-        write!(f, "  mixed {}, cut without an error {}", self.streams_mixed, self.streams_cut)
+        writeln!(f, "  refusals with a time to come back {}", self.retryable_refusals)?;
+        let (complete, failed) = (self.streams_complete, self.streams_failed);
+        writeln!(f, "streams whole {complete}, explicit error {failed}")?;
+        let (refused, disconnected) = (self.streams_refused, self.streams_disconnected);
+        writeln!(f, "  refused {refused}, connection to the router broke {disconnected}")?;
+        write!(
+            f,
+            "  mixed {}, cut without an error {}",
+            self.streams_corrupted, self.streams_truncated
+        )
     }
 }
