--- a/tools/capacity/src/emulate.rs
+++ b/tools/capacity/src/emulate.rs
@@ -1,6 +1,6 @@
 //! The many peers of one process, emulated in this program with the project's own frames.
 
-use crate::{forward::Count, size};
+use crate::{forward::ByteCounter, size};
 use corianderstand_edge::log::{HttpLog, LogService};
 use corianderstand_link::{
     PROTOCOL, connection,
@@ -25,11 +25,11 @@
 };
 
 /// Frames that wait to be written.
-const RING: usize = 64;
+const WRITE_QUEUE: usize = 64;
 /// Bytes that frame a message.
-const LENGTH_BYTES: u64 = 4;
+const LENGTH_PREFIX_BYTES: u64 = 4;
 /// Longest silence before a peer gives up.
-const SILENCE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Agents that a router connects to.
 #[derive(Clone, Debug, Default)]
@@ -37,14 +37,14 @@
     /// Their addresses, in the order of targets.
     pub addresses: Vec<SmolStr>,
     /// Bytes on all connections.
-    pub count: Arc<Count>,
+    pub counter: Arc<ByteCounter>,
     /// Connections that are up.
     pub connected: Arc<AtomicUsize>,
 }
 
-fn bytes_of(message: &impl Serialize) -> u64 {
+fn frame_bytes(message: &impl Serialize) -> u64 {
     let frame = frame::encode(message, b"").expect("messages are plain data");
-    frame.len() as u64 + LENGTH_BYTES
+    frame.len() as u64 + LENGTH_PREFIX_BYTES
 }
 
 impl Agents {
@@ -59,8 +59,8 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a port");
             let address = listener.local_addr().expect("it is bound");
             agents.addresses.push(format_smolstr!("{address}"));
-            let (count, connected) = (agents.count.clone(), agents.connected.clone());
-            tokio::spawn(accept(listener, size::target(i), count, connected));
+            let (counter, connected) = (agents.counter.clone(), agents.connected.clone());
+            tokio::spawn(accept(listener, size::target(i), counter, connected));
         }
         agents
     }
@@ -69,26 +69,30 @@
 async fn accept(
     listener: TcpListener,
     target: TargetId,
-    count: Arc<Count>,
+    counter: Arc<ByteCounter>,
     connected: Arc<AtomicUsize>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        let (target, count, connected) = (target.clone(), count.clone(), connected.clone());
+        let (target, counter, connected) = (target.clone(), counter.clone(), connected.clone());
         tokio::spawn(async move {
             connected.fetch_add(1, Ordering::Relaxed);
-            drop(answer(stream, target, &count).await);
+            drop(serve(stream, target, &counter).await);
             connected.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn answer(stream: TcpStream, target: TargetId, count: &Count) -> Result<(), FrameError> {
-    let (mut reader, writer) = connection::split(stream, SILENCE)?;
-    let (tx, rx) = mpsc::channel(RING);
+async fn serve(
+    stream: TcpStream,
+    target: TargetId,
+    counter: &ByteCounter,
+) -> Result<(), FrameError> {
+    let (mut reader, writer) = connection::split(stream, IDLE_TIMEOUT)?;
+    let (tx, rx) = mpsc::channel(WRITE_QUEUE);
     tokio::spawn(writer.run(rx));
     loop {
         let (message, _) = reader.next::<ToAgent>().await?;
-        count.sent.fetch_add(bytes_of(&message), Ordering::Relaxed);
+        counter.sent.fetch_add(frame_bytes(&message), Ordering::Relaxed);
         let reply = match message {
             ToAgent::Hello { .. } => {
                 ToRouter::Welcome { target: target.clone(), incarnation: 1, draining: false }
@@ -99,47 +103,47 @@
             }
             _ => continue,
         };
-        count.received.fetch_add(bytes_of(&reply), Ordering::Relaxed);
+        counter.received.fetch_add(frame_bytes(&reply), Ordering::Relaxed);
         tx.send(frame::encode(&reply, b"")?).await.map_err(|_| FrameError::Closed)?;
     }
 }
 
 /// Connects as `routers` routers would, each with a heartbeat `every` so often.
-pub fn routers(agent: &str, routers: usize, every: Duration, count: &Arc<Count>) {
+pub fn routers(agent: &str, routers: usize, heartbeat: Duration, counter: &Arc<ByteCounter>) {
     for i in 0..routers {
-        tokio::spawn(connect(agent.to_owned(), i, every, count.clone()));
+        tokio::spawn(emulate_router(agent.to_owned(), i, heartbeat, counter.clone()));
     }
 }
 
-async fn connect(
+async fn emulate_router(
     agent: String,
     index: usize,
-    every: Duration,
-    count: Arc<Count>,
+    heartbeat: Duration,
+    counter: Arc<ByteCounter>,
 ) -> Result<(), FrameError> {
     let stream = TcpStream::connect(&agent).await?;
-    let (mut reader, writer) = connection::split(stream, SILENCE)?;
-    let (tx, rx) = mpsc::channel(RING);
+    let (mut reader, writer) = connection::split(stream, IDLE_TIMEOUT)?;
+    let (tx, rx) = mpsc::channel(WRITE_QUEUE);
     tokio::spawn(writer.run(rx));
     let router = WriterId(format_smolstr!("router-{index:04}"));
     let hello = ToAgent::Hello { router, incarnation: 1, protocol: PROTOCOL };
-    count.received.fetch_add(bytes_of(&hello), Ordering::Relaxed);
+    counter.received.fetch_add(frame_bytes(&hello), Ordering::Relaxed);
     tx.send(frame::encode(&hello, b"")?).await.map_err(|_| FrameError::Closed)?;
     // Routers do not beat together.
-    time::sleep(every.mul_f64(f64::from(index as u32 % 100) / 100.0)).await;
-    let mut ticks = time::interval(every);
+    time::sleep(heartbeat.mul_f64(f64::from(index as u32 % 100) / 100.0)).await;
+    let mut ticks = time::interval(heartbeat);
     let mut nonce = 0;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 nonce += 1;
                 let ping = ToAgent::Ping { nonce };
-                count.received.fetch_add(bytes_of(&ping), Ordering::Relaxed);
+                counter.received.fetch_add(frame_bytes(&ping), Ordering::Relaxed);
                 tx.send(frame::encode(&ping, b"")?).await.map_err(|_| FrameError::Closed)?;
             }
             next = reader.next::<ToRouter>() => {
                 let (message, _) = next?;
-                count.sent.fetch_add(bytes_of(&message), Ordering::Relaxed);
+                counter.sent.fetch_add(frame_bytes(&message), Ordering::Relaxed);
             }
         }
     }
--- a/tools/capacity/src/main.rs
+++ b/tools/capacity/src/main.rs
@@ -19,9 +19,9 @@
 use std::{fs, path::Path, process::ExitCode, time::Duration};
 
 /// Folder of results.
-const RESULTS: &str = "docs/measurements";
+const RESULTS_DIR: &str = "docs/measurements";
 /// Sizes measured, in percent of the size to design for.
-const STEPS: [usize; 4] = [10, 25, 50, 100];
+const SIZE_PERCENTS: [usize; 4] = [10, 25, 50, 100];
 
 /// What is written down.
 #[derive(Default, Serialize)]
@@ -62,34 +62,37 @@
     let repeats = matches.opt_str("repeats").and_then(|text| text.parse().ok()).unwrap_or(3);
     let name = matches.opt_str("out").unwrap_or_else(|| "capacity".into());
     let mut report = Report { repeats, ..Report::default() };
-    let wants = |part: &str| matches.free.is_empty() || matches.free.iter().any(|f| f == part);
-    if wants("state") {
+    let is_selected =
+        |part: &str| matches.free.is_empty() || matches.free.iter().any(|f| f == part);
+    if is_selected("state") {
         measure_state(&mut report);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.expect("the system gives a runtime");
-    if wants("router") {
+    if is_selected("router") {
         runtime.block_on(measure_routers(&mut report));
     }
-    if wants("agent") {
+    if is_selected("agent") {
         runtime.block_on(measure_agents(&mut report));
     }
-    if wants("relay") {
+    if is_selected("relay") {
         runtime.block_on(measure_relays(&mut report));
     }
-    if wants("streams") {
+    if is_selected("streams") {
         runtime.block_on(measure_streams(&mut report));
     }
-    if wants("requests") {
+    if is_selected("requests") {
         runtime.block_on(measure_requests(&mut report));
     }
-    write(&name, &report);
+    write_results(&name, &report);
     ExitCode::SUCCESS
 }
 
 fn measure_state(report: &mut Report) {
-    for percent in STEPS {
-        report.state.push((0..report.repeats).map(|_| one_state(percent)).collect());
+    for percent in SIZE_PERCENTS {
+        report
+            .state
+            .push((0..report.repeats).map(|_| measure_state_in_subprocess(percent)).collect());
     }
     let measures: [Measure<state::StateCost>; 9] = [
         ("checkpoint, bytes", |cost| cost.checkpoint_bytes as f64),
@@ -103,21 +106,21 @@
         ("clone of the state, us", |cost| cost.clone_us),
     ];
     for (name, measure) in measures {
-        let points = STEPS.iter().zip(&report.state);
+        let points = SIZE_PERCENTS.iter().zip(&report.state);
         let points = points.map(|(x, costs)| (*x as f64, costs.iter().map(measure).collect()));
         report.series.push(Series::new(name, "percent of the size", points.collect()));
     }
 }
 
 /// Routers that keep a connection to one agent, as steps.
-const ROUTERS: [usize; 3] = [0, 170, 340];
+const ROUTER_COUNTS: [usize; 3] = [0, 170, 340];
 /// Heartbeat of an emulated router.
 const HEARTBEAT: Duration = Duration::from_millis(500);
 /// Followers that read from one relay, as steps.
-const FOLLOWERS: [usize; 4] = [0, 8, 16, 32];
+const FOLLOWER_COUNTS: [usize; 4] = [0, 8, 16, 32];
 
 async fn measure_routers(report: &mut Report) {
-    for percent in STEPS {
+    for percent in SIZE_PERCENTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
             costs.push(node::router(percent).await);
@@ -125,11 +128,11 @@
         report.routers.push(costs);
     }
     let costs = report.routers.clone();
-    report.add_nodes("router", "percent of the size", &STEPS, &costs);
+    report.add_nodes("router", "percent of the size", &SIZE_PERCENTS, &costs);
 }
 
 async fn measure_agents(report: &mut Report) {
-    for routers in ROUTERS {
+    for routers in ROUTER_COUNTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
             costs.push(node::agent(100, routers, HEARTBEAT).await);
@@ -137,11 +140,11 @@
         report.agents.push(costs);
     }
     let costs = report.agents.clone();
-    report.add_nodes("agent", "connections", &ROUTERS, &costs);
+    report.add_nodes("agent", "connections", &ROUTER_COUNTS, &costs);
 }
 
 async fn measure_relays(report: &mut Report) {
-    for followers in FOLLOWERS {
+    for followers in FOLLOWER_COUNTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
             costs.push(node::relay(followers).await);
@@ -149,16 +152,16 @@
         report.relays.push(costs);
     }
     let costs = report.relays.clone();
-    report.add_nodes("relay", "followers", &FOLLOWERS, &costs);
+    report.add_nodes("relay", "followers", &FOLLOWER_COUNTS, &costs);
 }
 
 /// Streams in flight at one router, as steps.
-const STREAMS: [usize; 3] = [0, 100, 200];
+const STREAM_COUNTS: [usize; 3] = [0, 100, 200];
 /// Requests a second and tokens of each, as steps.
 const LOADS: [(u32, u64); 6] = [(10, 1), (40, 1), (80, 1), (20, 1), (20, 25), (20, 100)];
 
 async fn measure_streams(report: &mut Report) {
-    for count in STREAMS {
+    for count in STREAM_COUNTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
             costs.push(requests::streams(count).await);
@@ -166,7 +169,7 @@
         report.streams.push(costs);
     }
     let costs = report.streams.clone();
-    report.add_nodes("router with streams", "streams in flight", &STREAMS, &costs);
+    report.add_nodes("router with streams", "streams in flight", &STREAM_COUNTS, &costs);
 }
 
 async fn measure_requests(report: &mut Report) {
@@ -209,7 +212,7 @@
         costs: &[Vec<node::NodeCost>],
     ) {
         let measures: [Measure<node::NodeCost>; 7] = [
-            ("all control, bytes/s", node::NodeCost::bytes),
+            ("all control, bytes/s", node::NodeCost::bytes_per_s),
             ("log, bytes/s", |cost| cost.log_bytes),
             ("host list, bytes/s", |cost| cost.hosts_bytes),
             ("link, bytes/s", |cost| cost.link_bytes),
@@ -227,7 +230,7 @@
 }
 
 /// Measures in a fresh process, so that memory of earlier points does not count.
-fn one_state(percent: usize) -> state::StateCost {
+fn measure_state_in_subprocess(percent: usize) -> state::StateCost {
     let exe = std::env::current_exe().expect("the current program has a path");
     let mut command = std::process::Command::new(exe);
     let output = command.args(["--one-state", &percent.to_string()]).output();
@@ -235,8 +238,8 @@
     serde_json::from_slice(&output.stdout).expect("it prints one cost")
 }
 
-fn write(name: &str, report: &Report) {
-    let dir = Path::new(RESULTS);
+fn write_results(name: &str, report: &Report) {
+    let dir = Path::new(RESULTS_DIR);
     fs::create_dir_all(dir).expect("the folder of results can be written");
     let json = serde_json::to_string_pretty(report).expect("a report is plain data");
     fs::write(dir.join(format!("{name}.json")), json + "\n").expect("results can be written");
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -24,13 +24,13 @@
 use tokio::time;
 
 /// Records in one append while the state is built up.
-const PACK: usize = 256;
+const APPEND_BATCH: usize = 256;
 /// Time over which a steady state is measured.
-pub const WINDOW: Duration = Duration::from_secs(4);
+pub const MEASUREMENT_WINDOW: Duration = Duration::from_secs(4);
 /// How long nothing may change before a state counts as steady.
-const STEADY: Duration = Duration::from_secs(1);
+const STEADY_TIME: Duration = Duration::from_secs(1);
 /// Longest wait of one read of the log.
-pub const POLL: Duration = Duration::from_secs(1);
+pub const LOG_POLL_WAIT: Duration = Duration::from_secs(1);
 
 /// What a process spends in a steady state.
 #[derives(wire)]
@@ -54,7 +54,7 @@
 
 impl NodeCost {
     /// All bytes a second.
-    pub fn bytes(&self) -> f64 {
+    pub fn bytes_per_s(&self) -> f64 {
         self.log_bytes + self.hosts_bytes + self.link_bytes
     }
 }
@@ -65,8 +65,8 @@
     http: reqwest::Client,
     log: HttpLog,
     hosts: String,
-    log_count: Arc<forward::Count>,
-    hosts_count: Arc<forward::Count>,
+    log_counter: Arc<forward::ByteCounter>,
+    hosts_counter: Arc<forward::ByteCounter>,
     log_url: String,
     hosts_url: String,
     processes: Vec<Process>,
@@ -94,18 +94,18 @@
             Process::start(kind, "corianderstand-standins", &args, &dir)
         };
         let processes = vec![start("log", &addresses[0]), start("hosts", &addresses[1])];
-        let (log_count, hosts_count) = (Arc::default(), Arc::default());
-        let log_near = forward::start(addresses[0].clone(), Arc::clone(&log_count)).await;
-        let hosts_near = forward::start(addresses[1].clone(), Arc::clone(&hosts_count)).await;
+        let (log_counter, hosts_counter) = (Arc::default(), Arc::default());
+        let log_proxy = forward::start(addresses[0].clone(), Arc::clone(&log_counter)).await;
+        let hosts_proxy = forward::start(addresses[1].clone(), Arc::clone(&hosts_counter)).await;
         let platform = Self {
             dir,
             http: reqwest::Client::builder().no_proxy().build().expect("a plain client"),
-            log: HttpLog::new(&format!("http://{}", addresses[0]), POLL),
+            log: HttpLog::new(&format!("http://{}", addresses[0]), LOG_POLL_WAIT),
             hosts: format!("http://{}/hosts", addresses[1]),
-            log_count,
-            hosts_count,
-            log_url: format!("http://{log_near}"),
-            hosts_url: format!("http://{hosts_near}"),
+            log_counter,
+            hosts_counter,
+            log_url: format!("http://{log_proxy}"),
+            hosts_url: format!("http://{hosts_proxy}"),
             processes,
         };
         platform.wait_for(&format!("http://{}/counters", addresses[0])).await;
@@ -132,8 +132,8 @@
     ///
     /// Panics if the log does not take them.
     pub async fn append(&self, records: &[Record]) {
-        for pack in records.chunks(PACK) {
-            let data = pack.iter().map(|r| postcard::to_stdvec(r).expect("plain data"));
+        for batch in records.chunks(APPEND_BATCH) {
+            let data = batch.iter().map(|r| postcard::to_stdvec(r).expect("plain data"));
             self.log.append(data.collect()).await.expect("the log takes records");
         }
     }
@@ -150,11 +150,11 @@
             state: HostState::Live,
         };
         let hosts: Vec<HostEntry> = (0..count).map(entry).collect();
-        let put = self.http.put(&self.hosts).json(&hosts).send().await;
-        put.expect("the host list answers");
+        let response = self.http.put(&self.hosts).json(&hosts).send().await;
+        response.expect("the host list answers");
     }
 
-    fn common(&self, name: &str, listen: &str) -> Value {
+    fn common_settings(&self, name: &str, listen: &str) -> Value {
         json!({
             "name": name,
             "host": "host-000",
@@ -162,11 +162,11 @@
             "listen": listen,
             "log_url": self.log_url,
             "host_list_url": self.hosts_url,
-            "timing": { "log_poll_ms": POLL.as_millis() as u64 },
+            "timing": { "log_poll_ms": LOG_POLL_WAIT.as_millis() as u64 },
         })
     }
 
-    fn run(&self, name: &str, role: &str, settings: &Value) -> Process {
+    fn start_process(&self, name: &str, role: &str, settings: &Value) -> Process {
         let path = self.dir.join(format!("{name}.json"));
         fs::write(&path, settings.to_string()).expect("the temporary folder can be written");
         let args = [role.to_owned(), path.display().to_string()];
@@ -177,11 +177,11 @@
     /// took.
     pub async fn router(&self, name: &str) -> (Process, String, Duration) {
         let listen = free_addresses(1).remove(0);
-        let mut settings = self.common(name, &listen);
+        let mut settings = self.common_settings(name, &listen);
         settings["auth_key"] = json!(AUTH_KEY);
         settings["operator_key_hash"] = json!(hash(OPERATOR_KEY));
         let began = Instant::now();
-        let process = self.run(name, "router", &settings);
+        let process = self.start_process(name, "router", &settings);
         self.wait_for(&format!("http://{listen}/readyz")).await;
         (process, listen, began.elapsed())
     }
@@ -189,10 +189,10 @@
     /// Starts an agent of an engine at `engine`; the process and its address.
     pub async fn agent(&self, name: &str, engine: &str) -> (Process, String) {
         let listen = free_addresses(1).remove(0);
-        let mut settings = self.common(name, &listen);
+        let mut settings = self.common_settings(name, &listen);
         let kind = json!({ "engine": { "memory_mib": 640_000, "checks_fencing": false } });
         settings["target"] = json!({ "url": engine, "kind": kind });
-        let process = self.run(name, "agent", &settings);
+        let process = self.start_process(name, "agent", &settings);
         (process, listen)
     }
 
@@ -207,18 +207,18 @@
     }
 
     /// What a process spends over the window.
-    pub async fn measure(&self, process: &Process, link: &forward::Count) -> NodeCost {
+    pub async fn measure(&self, process: &Process, link: &forward::ByteCounter) -> NodeCost {
         let pid = process.pid();
-        let before = (self.log_count.total(), self.hosts_count.total(), link.total());
-        let (cpu, began) = (process::cpu(pid), Instant::now());
-        time::sleep(WINDOW).await;
+        let before = (self.log_counter.total(), self.hosts_counter.total(), link.total());
+        let (cpu, began) = (process::cpu_time(pid), Instant::now());
+        time::sleep(MEASUREMENT_WINDOW).await;
         let seconds = began.elapsed().as_secs_f64();
         let rate = |now: u64, then: u64| (now - then) as f64 / seconds;
         NodeCost {
-            log_bytes: rate(self.log_count.total(), before.0),
-            hosts_bytes: rate(self.hosts_count.total(), before.1),
+            log_bytes: rate(self.log_counter.total(), before.0),
+            hosts_bytes: rate(self.hosts_counter.total(), before.1),
             link_bytes: rate(link.total(), before.2),
-            cpu_percent: (process::cpu(pid) - cpu).as_secs_f64() / seconds * 100.0,
+            cpu_percent: (process::cpu_time(pid) - cpu).as_secs_f64() / seconds * 100.0,
             resident_kib: process::resident_kib(pid) as f64,
             ..NodeCost::default()
         }
@@ -226,9 +226,9 @@
 }
 
 /// Waits until a number has not changed for a while.
-pub async fn steady(read: impl Fn() -> usize) {
+pub async fn wait_until_steady(read: impl Fn() -> usize) {
     let (mut last, mut since) = (read(), Instant::now());
-    while since.elapsed() < STEADY {
+    while since.elapsed() < STEADY_TIME {
         time::sleep(Duration::from_millis(50)).await;
         let now = read();
         if now != last {
@@ -244,12 +244,12 @@
     let agents = emulate::Agents::start(size.targets).await;
     platform.append(&size::records(size, |i| agents.addresses[i].clone())).await;
     platform.list_hosts(size.writers).await;
-    let (process, _, took) = platform.router("router-0").await;
+    let (process, _, startup) = platform.router("router-0").await;
     let connected = agents.connected.clone();
-    steady(|| connected.load(Ordering::Relaxed)).await;
-    let cost = platform.measure(&process, &agents.count).await;
+    wait_until_steady(|| connected.load(Ordering::Relaxed)).await;
+    let cost = platform.measure(&process, &agents.counter).await;
     let connections = connected.load(Ordering::Relaxed) as f64;
-    NodeCost { connections, start_ms: took.as_secs_f64() * 1e3, ..cost }
+    NodeCost { connections, start_ms: startup.as_secs_f64() * 1e3, ..cost }
 }
 
 /// An agent at a part of the size, with connections from `routers` emulated routers.
@@ -264,10 +264,10 @@
     while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < PATIENCE {
         time::sleep(Duration::from_millis(20)).await;
     }
-    let count = Arc::default();
-    emulate::routers(&listen, routers, heartbeat, &count);
-    steady(|| 0).await;
-    let cost = platform.measure(&process, &count).await;
+    let counter = Arc::default();
+    emulate::routers(&listen, routers, heartbeat, &counter);
+    wait_until_steady(|| 0).await;
+    let cost = platform.measure(&process, &counter).await;
     NodeCost { connections: routers as f64, ..cost }
 }
 
@@ -279,11 +279,11 @@
     platform.append(&records).await;
     platform.list_hosts(size.writers).await;
     let (process, listen, _) = platform.router("router-0").await;
-    let count: Arc<forward::Count> = Arc::default();
-    let near = forward::start(listen, count.clone()).await;
-    let base = format!("http://{near}/internal");
+    let counter: Arc<forward::ByteCounter> = Arc::default();
+    let proxy = forward::start(listen, counter.clone()).await;
+    let base = format!("http://{proxy}/internal");
     emulate::followers(&base, followers, records.len() as u64 + 1, source::RELAY_WAIT);
-    steady(|| 0).await;
-    let cost = platform.measure(&process, &count).await;
+    wait_until_steady(|| 0).await;
+    let cost = platform.measure(&process, &counter).await;
     NodeCost { connections: followers as f64, ..cost }
 }
--- a/tools/capacity/src/process.rs
+++ b/tools/capacity/src/process.rs
@@ -19,13 +19,13 @@
 /// # Panics
 ///
 /// Panics if the process is gone.
-pub fn cpu(pid: u32) -> Duration {
+pub fn cpu_time(pid: u32) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).expect("the process runs");
-    let total: u64 = tasks.flatten().map(|task| running_ns(&task.path())).sum();
+    let total: u64 = tasks.flatten().map(|task| cpu_ns(&task.path())).sum();
     Duration::from_nanos(total)
 }
 
-fn running_ns(task: &Path) -> u64 {
+fn cpu_ns(task: &Path) -> u64 {
     let text = fs::read_to_string(task.join("schedstat")).unwrap_or_default();
     text.split_whitespace().next().and_then(|ns| ns.parse().ok()).unwrap_or_default()
 }
--- a/tools/capacity/src/requests.rs
+++ b/tools/capacity/src/requests.rs
@@ -19,9 +19,9 @@
 use tokio::time;
 
 /// Time of one token at the engine stand-in.
-const TOKEN_US: &str = "500";
+const TOKEN_TIME_US: &str = "500";
 /// Deadline of a request that is to stay in flight.
-const LONG_MS: u64 = 120_000;
+const REQUEST_DEADLINE_MS: u64 = 120_000;
 
 /// Processor time under a load of requests.
 #[derives(wire)]
@@ -38,15 +38,20 @@
 }
 
 /// Asks for a completion as a team; whether it was answered.
-async fn ask(http: &reqwest::Client, router: &str, team: usize, body: &serde_json::Value) -> bool {
+async fn complete(
+    http: &reqwest::Client,
+    router: &str,
+    team: usize,
+    request_body: &serde_json::Value,
+) -> bool {
     let req = http.post(format!("http://{router}/v1/completions"));
-    let req = req.bearer_auth(format!("key-{team}")).header("x-deadline-ms", LONG_MS);
-    let Ok(answer) = req.json(body).send().await else { return false };
+    let req = req.bearer_auth(format!("key-{team}")).header("x-deadline-ms", REQUEST_DEADLINE_MS);
+    let Ok(answer) = req.json(request_body).send().await else { return false };
     let answered = answer.status().is_success();
     answer.bytes().await.is_ok() && answered
 }
 
-fn body(model: usize, tokens: u64) -> serde_json::Value {
+fn request_body(model: usize, tokens: u64) -> serde_json::Value {
     json!({ "model": format!("model-{model:03}-7b"), "prompt": "nine floors",
         "max_tokens": tokens, "stream": true })
 }
@@ -62,35 +67,35 @@
     platform.append(&size::records(size, |_| "".into())).await;
     platform.list_hosts(1).await;
     let (_engine, url) =
-        platform.engine(&["--token-us", TOKEN_US, "--load-ms", "10", "--batch", "1000"]).await;
+        platform.engine(&["--token-us", TOKEN_TIME_US, "--load-ms", "10", "--batch", "1000"]).await;
     let (agent, _) = platform.agent("engine-000", &url).await;
     let (router, listen, _) = platform.router("router-0").await;
     let http = reqwest::Client::builder().no_proxy().build().expect("a plain client");
     let began = Instant::now();
-    while !ask(&http, &listen, 0, &body(0, 1)).await {
+    while !complete(&http, &listen, 0, &request_body(0, 1)).await {
         assert!(began.elapsed() < PATIENCE, "the model is not served");
         time::sleep(Duration::from_millis(50)).await;
     }
     let answered = Arc::new(AtomicUsize::new(0));
-    let sender = tokio::spawn(send(http, listen, rate, tokens, answered.clone()));
+    let sender = tokio::spawn(send_requests(http, listen, rate, tokens, answered.clone()));
     time::sleep(Duration::from_secs(2)).await;
-    let before = (process::cpu(router.pid()), process::cpu(agent.pid()));
+    let before = (process::cpu_time(router.pid()), process::cpu_time(agent.pid()));
     let (count, began) = (answered.load(Ordering::Relaxed), Instant::now());
-    time::sleep(node::WINDOW).await;
+    time::sleep(node::MEASUREMENT_WINDOW).await;
     let seconds = began.elapsed().as_secs_f64();
     let requests = (answered.load(Ordering::Relaxed) - count) as f64 / seconds;
     let percent = |now: Duration, then: Duration| (now - then).as_secs_f64() / seconds * 100.0;
     let cost = LoadCost {
         requests,
         tokens: requests * tokens as f64,
-        router_percent: percent(process::cpu(router.pid()), before.0),
-        agent_percent: percent(process::cpu(agent.pid()), before.1),
+        router_percent: percent(process::cpu_time(router.pid()), before.0),
+        agent_percent: percent(process::cpu_time(agent.pid()), before.1),
     };
     sender.abort();
     cost
 }
 
-async fn send(
+async fn send_requests(
     http: reqwest::Client,
     router: String,
     rate: u32,
@@ -102,7 +107,7 @@
         ticks.tick().await;
         let (http, router, answered) = (http.clone(), router.clone(), answered.clone());
         tokio::spawn(async move {
-            if ask(&http, &router, 0, &body(0, tokens)).await {
+            if complete(&http, &router, 0, &request_body(0, tokens)).await {
                 answered.fetch_add(1, Ordering::Relaxed);
             }
         });
@@ -121,10 +126,10 @@
     let http = reqwest::Client::builder().no_proxy().build().expect("a plain client");
     for team in 0..count {
         let (http, listen) = (http.clone(), listen.clone());
-        tokio::spawn(async move { ask(&http, &listen, team, &body(team, 4)).await });
+        tokio::spawn(async move { complete(&http, &listen, team, &request_body(team, 4)).await });
     }
     let connected = agents.connected.clone();
-    node::steady(|| connected.load(Ordering::Relaxed)).await;
-    let cost = platform.measure(&process, &agents.count).await;
+    node::wait_until_steady(|| connected.load(Ordering::Relaxed)).await;
+    let cost = platform.measure(&process, &agents.counter).await;
     NodeCost { connections: connected.load(Ordering::Relaxed) as f64, ..cost }
 }
--- a/tools/capacity/src/size.rs
+++ b/tools/capacity/src/size.rs
@@ -8,7 +8,7 @@
 use testbed::plan;
 
 /// Availability zones that targets are spread over.
-const PLACES: usize = 4;
+const AVAILABILITY_ZONES: usize = 4;
 /// Memory of an engine: eight accelerators.
 const ENGINE_MIB: u64 = 8 * 80_000;
 /// Bytes of an answer that is kept for a call that may not be repeated.
@@ -87,7 +87,7 @@
     names::TargetId(format_smolstr!("engine-{index:03}"))
 }
 
-fn settings(path: &str, value: &serde_json::Value) -> Body {
+fn settings_change(path: &str, value: &serde_json::Value) -> Body {
     let change = Change { path: path.into(), base: 0, value: Some(value.to_string()) };
     let (author, ticket) = ("capacity".into(), "capacity".into());
     Body::Settings { changes: vec![change], author, ticket, not_after_ms: u64::MAX }
@@ -104,16 +104,16 @@
 }
 
 fn add_documents(writer: &mut Writer, size: Size) {
-    writer.add("operator", settings("system/deployment", &json!({ "lease_ttl_ms": 3000 })));
+    writer.add("operator", settings_change("system/deployment", &json!({ "lease_ttl_ms": 3000 })));
     for i in 0..size.models {
         let doc = json!({ "memory_mib": 16_000, "versions": ["1", "2"], "load_ms": 20_000,
             "adapter_memory_mib": 200 });
-        writer.add("operator", settings(&format!("shared/models/{}", model(i).0), &doc));
+        writer.add("operator", settings_change(&format!("shared/models/{}", model(i).0), &doc));
     }
     for team in 0..size.teams {
-        let key = plan::hash(&format!("key-{team}"));
-        let doc = json!({ "key_hashes": [key], "default_urgency": "normal", "share": 10 });
-        writer.add("operator", settings(&format!("teams/team-{team:04}/team"), &doc));
+        let key_hash = plan::hash(&format!("key-{team}"));
+        let doc = json!({ "key_hashes": [key_hash], "default_urgency": "normal", "share": 10 });
+        writer.add("operator", settings_change(&format!("teams/team-{team:04}/team"), &doc));
         add_team_model(writer, size, team);
     }
 }
@@ -128,7 +128,7 @@
         (0..count).map(|i| json!({ "name": format!("site-{i:03}"), "version": "1" })).collect();
     let doc = json!({ "replicas": 1, "adapters": adapters });
     let path = format!("teams/team-{team:04}/models/{}", model(team % size.models).0);
-    writer.add("operator", settings(&path, &doc));
+    writer.add("operator", settings_change(&path, &doc));
 }
 
 fn add_targets(
@@ -142,7 +142,7 @@
         let record = TargetRecord {
             target: name.clone(),
             host: names::HostId(format_smolstr!("host-{i:03}")),
-            place: names::AvailabilityZoneId(format_smolstr!("place-{}", i % PLACES)),
+            place: names::AvailabilityZoneId(format_smolstr!("place-{}", i % AVAILABILITY_ZONES)),
             address: address(i),
             memory_mib: Mib(ENGINE_MIB),
             accelerators: 8,
@@ -152,8 +152,8 @@
         writer.add(name.0.as_str(), Body::TargetUp { target: record });
     }
     for i in size.targets..size.writers {
-        let holder = format!("router-{i:04}");
-        writer.add(&holder, Body::LeaseReleased { epoch: 0 });
+        let router = format!("router-{i:04}");
+        writer.add(&router, Body::LeaseReleased { epoch: 0 });
     }
     announced
 }
@@ -176,12 +176,12 @@
     for i in 0..size.calls {
         let agent = format!("service-{}", i % 20);
         let claim = writer.next_offset();
-        writer.add(&agent, claimed(i));
-        writer.add(&agent, ended(i, claim));
+        writer.add(&agent, call_claimed(i));
+        writer.add(&agent, call_ended(i, claim));
     }
 }
 
-fn key(index: usize) -> CallKey {
+fn call_key(index: usize) -> CallKey {
     CallKey {
         team: names::WorkspaceId("team-0001".into()),
         service: names::ServiceId("agenda".into()),
@@ -190,14 +190,14 @@
 }
 
 /// The claim of a call.
-pub fn claimed(index: usize) -> Body {
+pub fn call_claimed(index: usize) -> Body {
     let target = names::TargetId("service-1".into());
-    Body::Claimed { key: key(index), digest: index as u64, target }
+    Body::Claimed { key: call_key(index), digest: index as u64, target }
 }
 
 /// The outcome of a call.
-pub fn ended(index: usize, claim: u64) -> Body {
+pub fn call_ended(index: usize, claim: u64) -> Body {
     let body = Some(vec![b'x'; OUTCOME_BYTES]);
     let answer = CallAnswer { status: 200, content_type: "application/json".into(), body };
-    Body::CallEnded { key: key(index), claim, answer: Some(answer) }
+    Body::CallEnded { key: call_key(index), claim, answer: Some(answer) }
 }
--- a/tools/capacity/src/slope.rs
+++ b/tools/capacity/src/slope.rs
@@ -53,18 +53,18 @@
     let count = medians.len().max(1) as f64;
     let mean_x = medians.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = medians.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let over: f64 = medians.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-    let under: f64 = medians.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let slope = if under == 0.0 { 0.0 } else { over / under };
+    let sum_xy: f64 = medians.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let sum_xx: f64 = medians.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let slope = if sum_xx == 0.0 { 0.0 } else { sum_xy / sum_xx };
     let intercept = mean_y - slope * mean_x;
     Line { intercept, slope, spread: spread(points) }
 }
 
 fn spread(points: &[(f64, Vec<f64>)]) -> f64 {
-    let apart = |(_, ys): &(f64, Vec<f64>)| {
-        let middle = median(ys);
-        let far = ys.iter().map(|y| (y - middle).abs()).fold(0.0, f64::max);
-        if middle == 0.0 { 0.0 } else { far / middle.abs() }
+    let relative_deviation = |(_, ys): &(f64, Vec<f64>)| {
+        let median_value = median(ys);
+        let max_deviation = ys.iter().map(|y| (y - median_value).abs()).fold(0.0, f64::max);
+        if median_value == 0.0 { 0.0 } else { max_deviation / median_value.abs() }
     };
-    points.iter().map(apart).fold(0.0, f64::max)
+    points.iter().map(relative_deviation).fold(0.0, f64::max)
 }
--- a/tools/capacity/src/state.rs
+++ b/tools/capacity/src/state.rs
@@ -10,9 +10,9 @@
 use std::time::Instant;
 
 /// Clones of the state that are timed together.
-const CLONES: u32 = 1000;
+const TIMED_CLONES: u32 = 1000;
 /// Changes of one document that are timed together.
-const CHANGES: usize = 20;
+const TIMED_CHANGES: usize = 20;
 
 /// Cost of one state.
 #[derives(wire)]
@@ -68,7 +68,7 @@
 }
 
 /// A start from nothing: what a process does with the pages that the log gives it.
-fn start(json: &[u8]) -> (State, View) {
+fn start_from_log(json: &[u8]) -> (State, View) {
     let entries: Vec<Entry> = serde_json::from_slice(json).expect("written by this program");
     let mut state = State { next: 1, ..State::default() };
     for entry in &entries {
@@ -87,20 +87,20 @@
 pub fn measure(size: size::Size) -> StateCost {
     let records = size::records(size, |i| format!("10.0.0.1:{}", 1000 + i).into());
     let before = process::resident_kib(std::process::id());
-    let (state, folded) = timed(|| fold(&records));
+    let (state, fold_s) = timed(|| fold(&records));
     let after_state = process::resident_kib(std::process::id());
     let (view, view_s) = timed(|| View::new(&state.documents));
     let after_view = process::resident_kib(std::process::id());
-    let ((), clones) = timed(|| (0..CLONES).for_each(|_| drop(state.clone())));
-    let (bytes, checkpoint) =
+    let ((), clones_s) = timed(|| (0..TIMED_CLONES).for_each(|_| drop(state.clone())));
+    let (bytes, checkpoint_s) =
         timed(|| postcard::to_stdvec(&state).expect("the state is plain data"));
-    let (restored, restore) = timed(|| postcard::from_bytes::<State>(&bytes));
+    let (restored, restore_s) = timed(|| postcard::from_bytes::<State>(&bytes));
     drop(restored);
     let change_s = time_changes(&state, &view);
     let entries = entries(&records);
     let record_bytes = entries.iter().map(|entry| entry.data.len()).sum();
     let json = serde_json::to_vec(&entries).expect("entries are plain data");
-    let (started, start_s) = timed(|| start(&json));
+    let (started, start_s) = timed(|| start_from_log(&json));
     drop(started);
     StateCost {
         size,
@@ -109,13 +109,13 @@
         checkpoint_bytes: bytes.len(),
         state_kib: after_state - before,
         view_kib: after_view - after_state,
-        fold_ns: folded * 1e9 / records.len().max(1) as f64,
-        checkpoint_ms: checkpoint * 1e3,
-        restore_ms: restore * 1e3,
+        fold_ns: fold_s * 1e9 / records.len().max(1) as f64,
+        checkpoint_ms: checkpoint_s * 1e3,
+        restore_ms: restore_s * 1e3,
         view_ms: view_s * 1e3,
         change_ms: change_s * 1e3,
         start_ms: start_s * 1e3,
-        clone_us: clones * 1e6 / f64::from(CLONES),
+        clone_us: clones_s * 1e6 / f64::from(TIMED_CLONES),
     }
 }
 
@@ -125,19 +125,19 @@
     let mut view = view.clone();
     let path = "teams/team-0000/team";
     let mut seconds = 0.0;
-    for i in 0..CHANGES {
+    for i in 0..TIMED_CHANGES {
         let base = state.documents.version_of(path);
         let text = format!("{{\"key_hashes\":[],\"default_urgency\":\"low\",\"share\":{i}}}");
         let value = Some(text);
         let change = corianderstand_schema::records::Change { path: path.into(), base, value };
         let offset = state.next;
         state.next += 1;
-        let done = state.documents.change(offset, &[change], "capacity");
-        done.expect("the change names the version in force");
-        let (next, took) = timed(|| View::new(&state.documents));
+        let changed = state.documents.change(offset, &[change], "capacity");
+        changed.expect("the change names the version in force");
+        let (next, view_s) = timed(|| View::new(&state.documents));
         view = next;
-        seconds += took;
+        seconds += view_s;
     }
     drop(view);
-    seconds / CHANGES as f64
+    seconds / TIMED_CHANGES as f64
 }
