--- a/tools/agreed/src/main.rs
+++ b/tools/agreed/src/main.rs
@@ -16,9 +16,9 @@
 /// Changes in the series with a slow log.
 const SLOW_CHANGES: u64 = 30;
 /// Leases taken over.
-const TAKE_OVERS: u64 = 8;
+const TAKEOVERS: u64 = 8;
 /// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const ROUTERS: usize = 3;
 
 fn routers() -> impl Iterator<Item = String> {
@@ -52,7 +52,11 @@
 }
 
 /// Time from the operator's request until every router has the change.
-async fn in_force(deployment: &Deployment, changes: u64, fault: Option<Value>) -> Histogram<u64> {
+async fn propagation_times(
+    deployment: &Deployment,
+    changes: u64,
+    fault: Option<Value>,
+) -> Histogram<u64> {
     let mut times = Histogram::new(3).expect("three digits are allowed");
     let mut base = base_version(deployment).await;
     for change in 0..changes {
@@ -64,7 +68,7 @@
         base = version.expect("the change is accepted");
         for router in routers() {
             while version_at(deployment, &router).await < base {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         times.record(began.elapsed().as_micros() as u64).expect("it is in range");
@@ -73,31 +77,31 @@
     times
 }
 
-async fn holder(deployment: &Deployment, asked: &str) -> (u64, String) {
-    let status = deployment.status(asked).await;
+async fn lease_holder(deployment: &Deployment, router: &str) -> (u64, String) {
+    let status = deployment.status(router).await;
     let lease = &status["lease"];
     let name = lease["holder"][0].as_str().unwrap_or_default().to_owned();
     (lease["epoch"].as_u64().unwrap_or_default(), name)
 }
 
 /// Time from the holder's end until another holds the lease.
-async fn take_overs(deployment: &mut Deployment, planned: bool) -> Histogram<u64> {
+async fn takeover_times(deployment: &mut Deployment, graceful: bool) -> Histogram<u64> {
     let mut times = Histogram::new(3).expect("three digits are allowed");
-    for _ in 0..TAKE_OVERS {
-        let (epoch, name) = holder(deployment, "router-0").await;
+    for _ in 0..TAKEOVERS {
+        let (epoch, name) = lease_holder(deployment, "router-0").await;
         let other = routers().find(|router| *router != name).expect("there are three");
         let began = Instant::now();
-        if planned {
+        if graceful {
             deployment.process(&name).stop();
         } else {
             deployment.process(&name).kill();
         }
         loop {
-            let (now, holder) = holder(deployment, &other).await;
-            if now > epoch && !holder.is_empty() {
+            let (current_epoch, current) = lease_holder(deployment, &other).await;
+            if current_epoch > epoch && !current.is_empty() {
                 break;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         times.record(began.elapsed().as_micros() as u64).expect("it is in range");
         deployment.process(&name).wait(Duration::from_secs(10));
@@ -123,19 +127,22 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("the system gives a runtime").block_on(async {
         let mut deployment = Deployment::start(Plan { routers: ROUTERS, ..Plan::default() }).await;
-        print("in force, calm", &in_force(&deployment, CHANGES, None).await);
+        print("in force, calm", &propagation_times(&deployment, CHANGES, None).await);
         let lost = json!({ "lose_answers": 1 });
         print(
             "in force, the append's answer lost",
-            &in_force(&deployment, CHANGES, Some(lost)).await,
+            &propagation_times(&deployment, CHANGES, Some(lost)).await,
         );
         let slow = json!({ "slow_ms": 300 });
         print(
             "in force, the log slow by 300 ms",
-            &in_force(&deployment, SLOW_CHANGES, Some(slow)).await,
+            &propagation_times(&deployment, SLOW_CHANGES, Some(slow)).await,
+        );
+        print("lease taken over after a kill", &takeover_times(&mut deployment, false).await);
+        print(
+            "lease taken over after a planned stop",
+            &takeover_times(&mut deployment, true).await,
         );
-        print("lease taken over after a kill", &take_overs(&mut deployment, false).await);
-        print("lease taken over after a planned stop", &take_overs(&mut deployment, true).await);
         let appends = deployment.counters("log").await;
         println!("log: {appends}");
     });
--- a/tools/agreed/src/planner.rs
+++ b/tools/agreed/src/planner.rs
@@ -9,9 +9,9 @@
 const ENGINES: usize = 730;
 const MODELS: usize = 350;
 const REPLICAS: u32 = 3;
-const PLACES: usize = 4;
+const AVAILABILITY_ZONES: usize = 4;
 /// Hosts that go, one after the other.
-const LOSSES: usize = 20;
+const HOST_LOSSES: usize = 20;
 
 fn append(state: &mut State, body: Body) {
     let offset = state.next;
@@ -25,7 +25,7 @@
         target: TargetRecord {
             target: text("engine", engine).as_str().into(),
             host: text("host", engine).as_str().into(),
-            place: text("place", engine % PLACES).as_str().into(),
+            place: text("place", engine % AVAILABILITY_ZONES).as_str().into(),
             address: "127.0.0.1:1".into(),
             memory_mib: Mib(640_000),
             accelerators: 8,
@@ -45,10 +45,11 @@
     let team = json!({ "key_hashes": ["0".repeat(64)], "default_urgency": "normal" });
     let mut changes = vec![change("teams/t/team".into(), team)];
     for model in 0..MODELS {
-        let facts = json!({ "memory_mib": 40_000, "versions": ["1"], "adapter_memory_mib": 1 });
-        changes.push(change(format!("shared/models/m{model}"), facts));
-        let wanted = json!({ "replicas": REPLICAS });
-        changes.push(change(format!("teams/t/models/m{model}"), wanted));
+        let model_settings =
+            json!({ "memory_mib": 40_000, "versions": ["1"], "adapter_memory_mib": 1 });
+        changes.push(change(format!("shared/models/m{model}"), model_settings));
+        let demand = json!({ "replicas": REPLICAS });
+        changes.push(change(format!("teams/t/models/m{model}"), demand));
     }
     let (author, ticket) = ("measurement".into(), "t".into());
     append(&mut state, Body::Settings { changes, author, ticket, not_after_ms: u64::MAX });
@@ -56,19 +57,19 @@
 }
 
 /// Plans until nothing is missing; slots given.
-fn settle(state: &mut State, view: &View) -> usize {
-    let mut given = 0;
+fn plan_until_stable(state: &mut State, view: &View) -> usize {
+    let mut assigned = 0;
     loop {
         let bodies = plan::plan(state, view, &BTreeSet::new());
         if bodies.is_empty() {
-            return given;
+            return assigned;
         }
-        given += bodies.len();
+        assigned += bodies.len();
         bodies.into_iter().for_each(|body| append(state, body));
     }
 }
 
-fn lose(state: &mut State, engine: usize) -> usize {
+fn lose_target(state: &mut State, engine: usize) -> usize {
     let name = TargetId::from(format!("engine-{engine}").as_str());
     let slots = state.slots.by_key.values().filter(|slot| slot.target == name).count();
     let target_offset = state.targets.by_name[&name].offset;
@@ -81,19 +82,21 @@
     let mut state = full_state();
     let view = View::new(&state.documents);
     let began = Instant::now();
-    let given = settle(&mut state, &view);
-    println!("planner: {given} slots from nothing in {:.1?}", began.elapsed());
+    let assigned = plan_until_stable(&mut state, &view);
+    println!("planner: {assigned} slots from nothing in {:.1?}", began.elapsed());
     let began = Instant::now();
-    settle(&mut state, &view);
+    plan_until_stable(&mut state, &view);
     println!("planner: one look with nothing to do {:.1?}", began.elapsed());
     let (mut lost, mut moved) = (0, 0);
     let began = Instant::now();
-    for engine in 0..LOSSES {
-        lost += lose(&mut state, engine);
-        moved += settle(&mut state, &view);
+    for engine in 0..HOST_LOSSES {
+        lost += lose_target(&mut state, engine);
+        moved += plan_until_stable(&mut state, &view);
     }
-    let each = began.elapsed() / LOSSES as u32;
-    println!("planner: {LOSSES} hosts lost: {moved} moves, minimum {lost}, {each:.1?} each");
+    let per_loss = began.elapsed() / HOST_LOSSES as u32;
+    println!(
+        "planner: {HOST_LOSSES} hosts lost: {moved} moves, minimum {lost}, {per_loss:.1?} each"
+    );
     append(&mut state, target(ENGINES));
-    println!("planner: one host comes: {} moves, minimum 0", settle(&mut state, &view));
+    println!("planner: one host comes: {} moves, minimum 0", plan_until_stable(&mut state, &view));
 }
--- a/tools/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -20,22 +20,29 @@
     let began = Instant::now();
     let deployment = Deployment::start(Plan::default()).await;
     println!("started {} processes in {:.1?}", deployment.running().len(), began.elapsed());
-    let cold =
+    let completion =
         json!({ "model": "quotes-7b", "prompt": "A quote for nine floors", "max_tokens": 8 });
-    ask(&deployment, "cold start", "router-0", "/v1/completions", VIDRIO_KEY, &cold).await;
-    ask(&deployment, "warm", "router-1", "/v1/completions", VIDRIO_KEY, &cold).await;
+    send(&deployment, "cold start", "router-0", "/v1/completions", VIDRIO_KEY, &completion).await;
+    send(&deployment, "warm", "router-1", "/v1/completions", VIDRIO_KEY, &completion).await;
     let chat = json!({ "model": "design-13b", "stream": true, "max_tokens": 5,
         "messages": [{ "role": "user", "content": "Two stripes, red collar" }] });
-    ask(&deployment, "streamed chat", "router-1", "/v1/chat/completions", HINOKUNI_KEY, &chat)
+    send(&deployment, "streamed chat", "router-1", "/v1/chat/completions", HINOKUNI_KEY, &chat)
         .await;
     let adapter = json!({ "model": "quotes-7b:conce", "prompt": "Wind today?", "max_tokens": 4 });
-    ask(&deployment, "adapter", "router-0", "/v1/completions", VIDRIO_KEY, &adapter).await;
-    let other = json!({ "model": "design-13b", "prompt": "not mine" });
-    ask(&deployment, "another team's model", "router-0", "/v1/completions", VIDRIO_KEY, &other)
-        .await;
+    send(&deployment, "adapter", "router-0", "/v1/completions", VIDRIO_KEY, &adapter).await;
+    let foreign_model = json!({ "model": "design-13b", "prompt": "not mine" });
+    send(
+        &deployment,
+        "another team's model",
+        "router-0",
+        "/v1/completions",
+        VIDRIO_KEY,
+        &foreign_model,
+    )
+    .await;
     for router in ["router-0", "router-1"] {
         let booking = json!({ "building": "Torre Norte", "day": "2026-12-03" });
-        ask(&deployment, "booking", router, "/services/agenda/bookings", VIDRIO_KEY, &booking)
+        send(&deployment, "booking", router, "/services/agenda/bookings", VIDRIO_KEY, &booking)
             .await;
     }
     let counts = deployment.counters("service-0").await;
@@ -45,9 +52,9 @@
     println!("\n{status}");
 }
 
-async fn ask(
+async fn send(
     deployment: &Deployment,
-    what: &str,
+    label: &str,
     router: &str,
     path: &str,
     key: &str,
@@ -66,7 +73,7 @@
         .expect("the router answers");
     let status = answer.status();
     let text = answer.text().await.expect("the answer is whole");
-    println!("\n{what}: {path} at {router}: {status} after {:.0?}", began.elapsed());
+    println!("\n{label}: {path} at {router}: {status} after {:.0?}", began.elapsed());
     println!("{}", text.trim_end());
 }
 
@@ -76,8 +83,8 @@
     for name in deployment.running() {
         for line in deployment.log_of(&name).lines() {
             let Ok(line) = serde_json::from_str::<Value>(line) else { continue };
-            let of_trace = line["trace_id"].as_str() == Some(&TRACEPARENT[3..35]);
-            if of_trace {
+            let is_in_trace = line["trace_id"].as_str() == Some(&TRACEPARENT[3..35]);
+            if is_in_trace {
                 println!(
                     "{name}: {} {} {} µs",
                     line["message"].as_str().unwrap_or_default(),
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -18,14 +18,14 @@
     time::{Duration, Instant},
 };
 
-const ROUNDS: u32 = 200_000;
+const ITERATIONS: u32 = 200_000;
 /// Repeats; the best is printed, as others share the machine.
 const REPEATS: usize = 5;
-const IDLE: Load = Load { running: 0, queued: 0, wait_ms: 0 };
+const IDLE_LOAD: Load = Load { running: 0, queued: 0, wait_ms: 0 };
 
-struct Plain;
+struct FixedConfig;
 
-impl SchedulingConfig for Plain {
+impl SchedulingConfig for FixedConfig {
     fn memory(&self, weights: &Weights) -> Option<Mib> {
         Some(Mib(if weights.adapter.is_some() { 1 } else { 1000 }))
     }
@@ -35,7 +35,7 @@
     }
 }
 
-fn work(
+fn request_spec(
     clock: &ManualClock,
     model: usize,
     adapter: Option<usize>,
@@ -57,17 +57,17 @@
 }
 
 /// Best time of one round, in nanoseconds.
-fn best(mut round: impl FnMut(u32)) -> f64 {
+fn best_ns(mut run: impl FnMut(u32)) -> f64 {
     let time = |_| {
         let began = Instant::now();
-        (0..ROUNDS).for_each(&mut round);
-        began.elapsed().as_nanos() as f64 / f64::from(ROUNDS)
+        (0..ITERATIONS).for_each(&mut run);
+        began.elapsed().as_nanos() as f64 / f64::from(ITERATIONS)
     };
     (0..REPEATS).map(time).fold(f64::MAX, f64::min)
 }
 
 /// A router's choice and the end of its request; half of the targets own the model asked for.
-fn router_cost(targets: usize, models: usize, adapters: usize) -> f64 {
+fn router_cost_ns(targets: usize, models: usize, adapters: usize) -> f64 {
     let clock = ManualClock::default();
     let mut router = Router::new("conce".into(), 1);
     let name = |number: usize| format!("engine-{number}");
@@ -80,25 +80,30 @@
         (ModelId::from(format!("model-{model}").as_str()), owners)
     };
     router.set_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
-    let works: Vec<RequestSpec> = (0..1024)
+    let specs: Vec<RequestSpec> = (0..1024)
         .map(|number| {
-            work(&clock, number % models, Some(number * 53 % adapters), Some(number as u64 * 7919))
+            request_spec(
+                &clock,
+                number % models,
+                Some(number * 53 % adapters),
+                Some(number as u64 * 7919),
+            )
         })
         .collect();
-    best(|round| {
-        let work = works[round as usize % works.len()].clone();
-        let (key, decision) = router.submit(clock.now(), work);
+    best_ns(|iteration| {
+        let spec = specs[iteration as usize % specs.len()].clone();
+        let (key, decision) = router.submit(clock.now(), spec);
         if let Decision::Send(target) = black_box(decision) {
             black_box(target);
         }
-        router.finished(clock.now(), key, Some(IDLE));
+        router.finished(clock.now(), key, Some(IDLE_LOAD));
     })
 }
 
 /// An agent's admission, start and end, with so many waiting and so many adapters loaded.
-fn agent_cost(waiting: usize, adapters: usize) -> f64 {
+fn agent_cost_ns(queued: usize, adapters: usize) -> f64 {
     let clock = ManualClock::default();
-    let limits = Limits { concurrency: 16, queue: waiting as u32 + 64 };
+    let limits = Limits { concurrency: 16, queue: queued as u32 + 64 };
     let mut agent = Agent::new(limits, Mib(1_000_000));
     agent.set_slots(BTreeSet::from(["model-0".into()]));
     let base = Weights::model("model-0".into(), "1".into());
@@ -109,30 +114,33 @@
     let loaded = (0..adapters).map(|number| (adapter(number), Mib(1), true));
     agent.rebuild(std::iter::once((base.clone(), Mib(1000), true)).chain(loaded));
     let mut running = std::collections::VecDeque::new();
-    let mut note = |actions: Vec<Action>| {
+    let mut next_running = |actions: Vec<Action>| {
         running.extend(actions.into_iter().filter_map(|action| match action {
             Action::Run(key) => Some(key),
             _ => None,
         }));
         running.pop_front()
     };
-    for number in 0..waiting + 16 {
-        let (_, actions) =
-            agent.submit(clock.now(), work(&clock, 0, Some(number % adapters), None), &Plain);
+    for number in 0..queued + 16 {
+        let (_, actions) = agent.submit(
+            clock.now(),
+            request_spec(&clock, 0, Some(number % adapters), None),
+            &FixedConfig,
+        );
         for action in actions {
             if let Action::Run(_) = action {
-                note(vec![action]).into_iter().for_each(drop);
+                next_running(vec![action]).into_iter().for_each(drop);
             }
         }
     }
-    let works: Vec<RequestSpec> =
-        (0..1024).map(|n| work(&clock, 0, Some(n * 53 % adapters), None)).collect();
-    best(|round| {
-        let work = works[round as usize % works.len()].clone();
-        let (_, actions) = agent.submit(clock.now(), work, &Plain);
-        if let Some(key) = note(actions) {
-            let actions = agent.on_request_finished(clock.now(), key, &Plain);
-            note(actions);
+    let specs: Vec<RequestSpec> =
+        (0..1024).map(|n| request_spec(&clock, 0, Some(n * 53 % adapters), None)).collect();
+    best_ns(|iteration| {
+        let spec = specs[iteration as usize % specs.len()].clone();
+        let (_, actions) = agent.submit(clock.now(), spec, &FixedConfig);
+        if let Some(key) = next_running(actions) {
+            let actions = agent.on_request_finished(clock.now(), key, &FixedConfig);
+            next_running(actions);
         }
     })
 }
@@ -140,23 +148,23 @@
 /// Prints the table.
 pub fn print() {
     println!("router: choice and end of one request");
-    let mut first = None;
+    let mut baseline = None;
     for (targets, models, adapters) in [(10, 5, 500), (100, 50, 5_000), (730, 350, 54_000)] {
-        let cost = router_cost(targets, models, adapters);
-        let first = *first.get_or_insert(cost);
+        let cost = router_cost_ns(targets, models, adapters);
+        let baseline = *baseline.get_or_insert(cost);
         println!(
             "  {targets:>4} targets {adapters:>6} adapters  {cost:>7.0} ns  x{:.2}",
-            cost / first
+            cost / baseline
         );
     }
     println!("agent: admission, start and end of one request");
-    let mut first = None;
-    for (waiting, adapters) in [(10, 10), (100, 74), (1000, 740)] {
-        let cost = agent_cost(waiting, adapters);
-        let first = *first.get_or_insert(cost);
+    let mut baseline = None;
+    for (queued, adapters) in [(10, 10), (100, 74), (1000, 740)] {
+        let cost = agent_cost_ns(queued, adapters);
+        let baseline = *baseline.get_or_insert(cost);
         println!(
-            "  {waiting:>4} waiting {adapters:>6} adapters  {cost:>7.0} ns  x{:.2}",
-            cost / first
+            "  {queued:>4} waiting {adapters:>6} adapters  {cost:>7.0} ns  x{:.2}",
+            cost / baseline
         );
     }
 }
--- a/tools/measure/src/curve.rs
+++ b/tools/measure/src/curve.rs
@@ -7,9 +7,9 @@
 use std::{path::Path, time::Duration};
 
 /// Ratios of the weights of tail and idle hours.
-const WEIGHTS: [(u32, u32); 6] = [(5, 95), (20, 80), (50, 50), (80, 20), (95, 5), (99, 1)];
+const COST_FACTORS: [(u32, u32); 6] = [(5, 95), (20, 80), (50, 50), (80, 20), (95, 5), (99, 1)];
 /// Fixed times in minutes.
-const FIXED: [u64; 6] = [2, 5, 10, 40, 160, 640];
+const FIXED_KEEP_ALIVE_MINUTES: [u64; 6] = [2, 5, 10, 40, 160, 640];
 
 /// One way's outcome.
 struct Point {
@@ -17,49 +17,50 @@
     idle_hours: f64,
     mean_ms: u64,
     p99_ms: u64,
-    cold: u64,
+    cold_starts: u64,
 }
 
-fn points(trace: &Trace, ways: impl Iterator<Item = Strategy>) -> Vec<Point> {
-    ways.map(|way| {
-        let outcome = replay::run(trace, &way);
-        Point {
-            name: way.name.to_string(),
-            idle_hours: outcome.idle_hours,
-            mean_ms: outcome.cold_mean_ms,
-            p99_ms: outcome.cold_p99_ms,
-            cold: outcome.cold,
-        }
-    })
-    .collect()
+fn points(trace: &Trace, strategies: impl Iterator<Item = Strategy>) -> Vec<Point> {
+    strategies
+        .map(|strategy| {
+            let outcome = replay::run(trace, &strategy);
+            Point {
+                name: strategy.name.to_string(),
+                idle_hours: outcome.idle_hours,
+                mean_ms: outcome.cold_mean_ms,
+                p99_ms: outcome.cold_p99_ms,
+                cold_starts: outcome.cold,
+            }
+        })
+        .collect()
 }
 
 /// Prints the points of both traces with habits and without, and draws the one with.
 pub fn draw(path: &Path) {
     for trace in [generate::market_days(1), generate::quiet_nights(1)] {
-        let ours = points(
+        let adaptive = points(
             &trace,
-            WEIGHTS.into_iter().map(|(tail, idle)| Strategy::with_cost_factors(tail, idle)),
+            COST_FACTORS.into_iter().map(|(tail, idle)| Strategy::with_cost_factors(tail, idle)),
         );
-        let fixed = FIXED
+        let fixed = FIXED_KEEP_ALIVE_MINUTES
             .into_iter()
             .map(|minutes| Strategy::fixed_keep_alive(Duration::from_secs(minutes * 60)));
         let fixed = points(&trace, fixed);
         println!("{}", trace.header.trace);
-        for point in ours.iter().chain(&fixed) {
+        for point in adaptive.iter().chain(&fixed) {
             println!(
                 "  {:<14} idle {:>8.2} h  mean {:>6} ms  p99 {:>6} ms  cold {:>5}",
-                point.name, point.idle_hours, point.mean_ms, point.p99_ms, point.cold
+                point.name, point.idle_hours, point.mean_ms, point.p99_ms, point.cold_starts
             );
         }
-        chart(path, &trace, &ours, &fixed);
+        chart(path, &trace, &adaptive, &fixed);
     }
 }
 
-fn chart(path: &Path, trace: &Trace, ours: &[Point], fixed: &[Point]) {
-    let all = || ours.iter().chain(fixed);
-    let most_hours = all().map(|point| point.idle_hours).fold(1.0, f64::max);
-    let most_ms = all().map(|point| point.mean_ms).max().unwrap_or(1) as f64;
+fn chart(path: &Path, trace: &Trace, adaptive: &[Point], fixed: &[Point]) {
+    let all = || adaptive.iter().chain(fixed);
+    let max_hours = all().map(|point| point.idle_hours).fold(1.0, f64::max);
+    let max_ms = all().map(|point| point.mean_ms).max().unwrap_or(1) as f64;
     let root = SVGBackend::new(path, (800, 500)).into_drawing_area();
     root.fill(&WHITE).expect("the file can be written");
     let caption = format!("{}: blue by history, red fixed time", trace.header.trace);
@@ -68,7 +69,7 @@
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..most_hours * 1.05, 0.0..most_ms * 1.05)
+        .build_cartesian_2d(0.0..max_hours * 1.05, 0.0..max_ms * 1.05)
         .expect("the ranges are not empty");
     chart
         .configure_mesh()
@@ -77,7 +78,7 @@
         .axis_style(BLACK)
         .draw()
         .expect("the file can be written");
-    for (points, color) in [(ours, BLUE), (fixed, RED)] {
+    for (points, color) in [(adaptive, BLUE), (fixed, RED)] {
         let mut line: Vec<(f64, f64)> =
             points.iter().map(|point| (point.idle_hours, point.mean_ms as f64)).collect();
         line.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/tools/measure/src/main.rs
+++ b/tools/measure/src/main.rs
@@ -43,9 +43,11 @@
         generate::flood(1),
     ];
     let all: Vec<Trace> = generate::committed().into_iter().chain(others).collect();
-    let wanted = |trace: &&Trace| names.is_empty() || names.contains(&trace.header.trace.as_str());
-    for trace in all.iter().filter(wanted) {
-        let outcomes: Vec<_> = Strategy::all().iter().map(|way| replay::run(trace, way)).collect();
+    let selected =
+        |trace: &&Trace| names.is_empty() || names.contains(&trace.header.trace.as_str());
+    for trace in all.iter().filter(selected) {
+        let outcomes: Vec<_> =
+            Strategy::all().iter().map(|strategy| replay::run(trace, strategy)).collect();
         for outcome in &outcomes {
             if !outcome.longest_share_deficit_ms.is_empty() {
                 println!(
