--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -55,14 +55,14 @@
 const TESTS: [&str; 5] = ["nextest", "run", "--workspace", "--locked", "--no-fail-fast"];
 
 fn main() -> ExitCode {
-    let wanted: Vec<String> = std::env::args().skip(1).collect();
-    if let Some(unknown) = wanted.iter().find(|name| STEPS.iter().all(|(n, _)| n != name)) {
+    let selected: Vec<String> = std::env::args().skip(1).collect();
+    if let Some(unknown) = selected.iter().find(|name| STEPS.iter().all(|(n, _)| n != name)) {
         let names: Vec<&str> = STEPS.iter().map(|(name, _)| *name).collect();
         eprintln!("there is no step `{unknown}`: use one of {}", names.join(", "));
         return ExitCode::from(2);
     }
     for (name, commands) in STEPS {
-        if !wanted.is_empty() && !wanted.iter().any(|w| w == name) {
+        if !selected.is_empty() && !selected.iter().any(|w| w == name) {
             continue;
         }
         println!("== {name}");
--- a/tools/generate/src/main.rs
+++ b/tools/generate/src/main.rs
@@ -7,8 +7,8 @@
 use serde_json::{Value, json};
 use std::{fs, path::Path, process::ExitCode};
 
-const FILES: [&str; 5] = ["settings", "process", "records", "messages", "peers"];
-const OUT: &str = "crates/corianderstand_schema/src/generated";
+const SCHEMAS: [&str; 5] = ["settings", "process", "records", "messages", "peers"];
+const OUTPUT_DIR: &str = "crates/corianderstand_schema/src/generated";
 
 /// Formats with a type of our own: format, name in the schema, Rust path.
 const FORMATS: [(&str, &str, &str); 12] = [
@@ -29,9 +29,9 @@
 fn main() -> ExitCode {
     let check = std::env::args().any(|arg| arg == "--check");
     let mut stale = false;
-    for name in FILES {
+    for name in SCHEMAS {
         let text = generate(&Path::new("schema").join(format!("{name}.json")));
-        let out = Path::new(OUT).join(format!("{name}.rs"));
+        let out = Path::new(OUTPUT_DIR).join(format!("{name}.rs"));
         if check {
             let current = fs::read_to_string(&out).unwrap_or_default();
             if current != text {
@@ -95,7 +95,7 @@
     match schema {
         Value::Object(map) => {
             let format = map.get("format").and_then(Value::as_str).unwrap_or_default();
-            if let Some((_, name, _)) = FORMATS.iter().find(|(own, _, _)| *own == format) {
+            if let Some((_, name, _)) = FORMATS.iter().find(|(custom, _, _)| *custom == format) {
                 map.retain(|key, _| key == "description" || key == "default");
                 map.insert("allOf".into(), json!([{ "$ref": format!("#/definitions/{name}") }]));
                 return;
--- a/tools/reference/src/settings.rs
+++ b/tools/reference/src/settings.rs
@@ -29,14 +29,15 @@
     let title = definition["description"].as_str().unwrap_or_default();
     let (subject, rest) = title.split_once(": ").unwrap_or((title, ""));
     let subject = subject.trim_end_matches('.');
-    let about = if rest.is_empty() { String::new() } else { format!("{}\n\n", capital(rest)) };
-    let mut text = format!("### {subject}\n\n{about}");
+    let description =
+        if rest.is_empty() { String::new() } else { format!("{}\n\n", capitalize(rest)) };
+    let mut text = format!("### {subject}\n\n{description}");
     text.push_str("| field | value | default | meaning |\n|---|---|---|---|\n");
     rows(schema, definition, "", &mut text);
     text
 }
 
-fn capital(text: &str) -> String {
+fn capitalize(text: &str) -> String {
     let mut chars = text.chars();
     let first = chars.next().map(char::to_uppercase);
     first.into_iter().flatten().chain(chars).collect()
@@ -61,9 +62,12 @@
             Value::Null => "none".to_owned(),
             value => format!("`{value}`"),
         };
-        let about = property["description"].as_str().or(field["description"].as_str());
-        let about = about.unwrap_or_default();
-        text.push_str(&format!("| `{path}` | {} | {default} | {about} |\n", value(root, field)));
+        let description = property["description"].as_str().or(field["description"].as_str());
+        let description = description.unwrap_or_default();
+        text.push_str(&format!(
+            "| `{path}` | {} | {default} | {description} |\n",
+            allowed_values(root, field)
+        ));
         rows(root, field, &format!("{path}."), text);
         rows(root, resolve(root, &field["items"]), &format!("{path}[]."), text);
         for alternative in field["oneOf"].as_array().into_iter().flatten() {
@@ -73,9 +77,10 @@
 }
 
 /// What a field may hold.
-fn value(root: &Value, field: &Value) -> String {
+fn allowed_values(root: &Value, field: &Value) -> String {
     if let Some(alternatives) = field["oneOf"].as_array() {
-        let alternatives = alternatives.iter().map(|inner| value(root, resolve(root, inner)));
+        let alternatives =
+            alternatives.iter().map(|inner| allowed_values(root, resolve(root, inner)));
         return alternatives.collect::<Vec<_>>().join(" or ");
     }
     let kind = check::describe_type(field);
@@ -83,7 +88,7 @@
         (Value::Null, _, Value::Null, Value::Null) => kind,
         (Value::Null, _, low, high) => {
             let low = low.as_u64().unwrap_or_default();
-            let inner = value(root, resolve(root, &field["items"]));
+            let inner = allowed_values(root, resolve(root, &field["items"]));
             format!("{low} to {high} items, each: {inner}")
         }
         (low, high, ..) => format!("{kind}, {low} to {high}"),
--- a/tools/reference/tests/current.rs
+++ b/tools/reference/tests/current.rs
@@ -11,16 +11,16 @@
 /// A metric or a setting is added and its page is not: an operator looks for it at night and
 /// finds nothing.
 #[rstest]
-fn the_reference_is_current() {
+fn the_reference_pages_are_current() {
     for name in reference::PAGES {
         let text = fs::read_to_string(root().join(name)).expect("the page can be read");
-        let wanted = reference::page(root(), name);
-        assert!(text == wanted, "{name} is not current: run `cargo run -p reference`");
+        let expected = reference::page(root(), name);
+        assert!(text == expected, "{name} is not current: run `cargo run -p reference`");
     }
 }
 
 #[rstest]
-fn every_metric_has_unit_and_meaning_and_a_name_of_its_own() {
+fn every_metric_has_a_unit_a_meaning_and_a_unique_name() {
     let page = fs::read_to_string(root().join("docs/operators/metrics-logs-traces.md"));
     let page = page.expect("the page can be read");
     for (i, metric) in Metric::ALL.iter().enumerate() {
@@ -33,7 +33,7 @@
 
 /// A metric that nothing sends looks like a quiet system on a dashboard.
 #[rstest]
-fn every_metric_is_sent_somewhere() {
+fn every_metric_is_recorded() {
     let mut code = String::new();
     for krate in ["router", "agent", "control"] {
         let dir = root().join(format!("crates/corianderstand_{krate}/src"));
