--- a/tools/chaos/src/callers.rs
+++ b/tools/chaos/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of one round, and what they are told.
+//! Sends the requests of one round and collects the responses.
 
 use crate::tally::Tally;
 use serde_json::{Value, json};
@@ -14,10 +14,9 @@
 const PROMPTS: [&str; 2] = ["stripes on the sleeve", "a red collar"];
 const TOKENS: usize = 40;
 
-/// Whole answers as they were before any fault.
+/// Complete stream for each prompt, recorded before any fault is injected.
 pub struct ReferenceAnswers(Vec<Vec<String>>);
 
-/// What came of a stream.
 enum StreamOutcome {
     Refused,
     Broken,
@@ -35,7 +34,7 @@
     }
 }
 
-/// The texts of all token events, in order.
+/// Extracts the token texts of a server-sent event stream, in order.
 fn tokens(text: &str) -> Vec<String> {
     let events = text.split("\n\n").filter(|event| event.starts_with("id: "));
     let data = events.filter_map(|event| event.split_once("data: "));
@@ -44,12 +43,12 @@
 }
 
 impl ReferenceAnswers {
-    /// Asks each prompt until its answer is whole.
+    /// Sends each prompt until its stream completes.
     pub async fn record(deployment: &Deployment) -> Self {
         let mut reference = Vec::new();
         for prompt in PROMPTS {
             let mut answer = Vec::new();
-            wait_for("an answer before any fault", async || {
+            wait_for("a complete stream before any fault", async || {
                 let url = deployment.url("router-0", "/v1/completions");
                 if let StreamOutcome::Text(text) =
                     stream(deployment.http.clone(), url, prompt).await
@@ -65,10 +64,10 @@
     }
 }
 
-/// Answers by key; `None` where the connection broke.
+/// Answers by booking key. `None` stands for a broken connection.
 pub type Answers = BTreeMap<String, Vec<Option<Answer>>>;
 
-/// All that is asked in one round.
+/// Bookings and streams that one round has started.
 #[derive(Default)]
 pub struct InFlightRequests {
     bookings: Vec<(String, JoinHandle<Option<Answer>>)>,
@@ -76,7 +75,7 @@
 }
 
 impl InFlightRequests {
-    /// Asks for a booking after a pause.
+    /// Sends a booking after a delay.
     pub fn book(
         &mut self,
         deployment: &Deployment,
@@ -94,7 +93,7 @@
         self.bookings.push((key, tokio::spawn(request)));
     }
 
-    /// Asks for a stream.
+    /// Starts a stream.
     pub fn stream(&mut self, deployment: &Deployment, number: usize, router: usize) {
         let prompt = number % PROMPTS.len();
         let url = deployment.url(&format!("router-{router}"), "/v1/completions");
@@ -102,7 +101,7 @@
         self.streams.push((prompt, tokio::spawn(request)));
     }
 
-    /// Waits for all answers and judges the streams.
+    /// Waits for all responses, records the streams and returns the bookings' answers.
     pub async fn finish(self, reference: &ReferenceAnswers, tally: &mut Tally) -> Answers {
         for (prompt, task) in self.streams {
             match task.await {
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn at random, begun and healed.
+//! Random faults of a deployment.
 
 use corianderstand_derives::derives;
 use rand::RngExt;
@@ -6,16 +6,16 @@
 use serde_json::{Value, json};
 use testbed::Deployment;
 
-/// One fault.
+/// A fault that is injected and later healed.
 #[derives(data)]
 pub enum Fault {
-    /// A router or agent is killed, and started again on healing.
+    /// Kills a router or agent; healing restarts it.
     Kill(String),
-    /// A process is frozen until healing.
+    /// Suspends a process until it is healed.
     Freeze(String),
-    /// A stand-in misbehaves until healing.
+    /// Configures a stand-in to misbehave until it is healed.
     Misbehave(String, Value),
-    /// Open connections of a relay fall silent for good, or are cut.
+    /// Stalls or closes the open connections of a relay.
     Relay(String, Value),
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Fault {
-    /// Draws a fault of a running deployment.
+    /// Draws a random fault for the running processes.
     pub fn draw(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Self {
         let all = deployment.running();
         let running_with = |prefixes: &[&str]| -> Vec<String> {
@@ -62,7 +62,6 @@
         }
     }
 
-    /// Brings it about.
     pub async fn inject(&self, deployment: &mut Deployment) {
         match self {
             Self::Kill(name) => deployment.process(name).kill(),
@@ -72,7 +71,6 @@
         }
     }
 
-    /// Ends it.
     pub async fn heal(&self, deployment: &mut Deployment) {
         match self {
             Self::Kill(name) => {
@@ -82,13 +80,13 @@
             }
             Self::Freeze(name) => deployment.process(name).resume(),
             Self::Misbehave(name, _) => set_fault(deployment, name, &json!({})).await,
-            // What has fallen silent stays so; new connections work.
+            // Stalled connections stay stalled; new ones are not affected.
             Self::Relay(..) => {}
         }
     }
 }
 
-/// Tells a stand-in to misbehave, first waking it, as a frozen one takes no orders.
+/// Sets the fault of a stand-in. A suspended process must be resumed first to receive it.
 async fn set_fault(deployment: &mut Deployment, name: &str, fault: &Value) {
     deployment.process(name).resume();
     deployment.fault(name, fault).await;
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -1,10 +1,9 @@
-//! Rounds of random kills, freezes, silences and outages over real processes.
+//! Runs rounds of random faults against real processes and checks delivery guarantees.
 //!
-//! `chaos --rounds 200 --seed 7` counts, against what the services really ran: bookings that ran
-//! twice, a "not run" of one that ran, outcomes that contradict each other, and streams that
-//! are mixed or cut without saying so. All must be 0. It also counts how many bookings ended
-//! "unknown", and how many streams with an explicit error. The verdict depends on no time:
-//! faults are drawn from the seed, and each round waits until everything is healed.
+//! `chaos --rounds 200 --seed 7` fails if a booking ran twice, was reported as not run although
+//! it ran, or has contradictory outcomes, or if a stream is corrupted or truncated without an
+//! error. Faults are drawn from the seed, and each round waits until the deployment is healthy
+//! again, so the result does not depend on timing.
 
 mod callers;
 mod faults;
@@ -22,26 +21,23 @@
 use testbed::{Deployment, Plan, booking::Booking, deployment::wait_for};
 use tokio::time;
 
-/// Bookings of one round; some are asked for twice at once.
+/// Some bookings of a round are sent through two routers.
 const BOOKINGS_PER_ROUND: usize = 8;
-/// Streams of one round.
 const STREAMS_PER_ROUND: usize = 4;
-/// Most faults of one round.
 const MAX_FAULTS_PER_ROUND: usize = 3;
-/// Longest pause before a booking is asked for.
 const MAX_BOOKING_DELAY_MS: u64 = 1_200;
-/// Longest time that a service takes before and after a booking takes effect.
+/// Upper bound of the service's delay before and after a booking takes effect.
 const MAX_SERVICE_DELAY_MS: u64 = 250;
-/// Longest pause between two faults.
+/// Upper bound of the delay between two faults.
 const MAX_FAULT_DELAY_MS: u64 = 400;
-/// Deadline of the question that settles a booking after its round.
+/// Deadline of the requests that query a booking's outcome after its round.
 const VERIFY_DEADLINE_MS: u64 = 2_000;
 
 fn main() -> ExitCode {
     let mut options = Options::new();
-    options.optopt("", "rounds", "how many rounds (default 200)", "N");
-    options.optflag("", "measure", "measure what bookings cost, in place of rounds");
-    options.optopt("", "seed", "seed of the random choices (default: drawn)", "N");
+    options.optopt("", "rounds", "number of rounds (default 200)", "N");
+    options.optflag("", "measure", "measure the cost of bookings instead of running rounds");
+    options.optopt("", "seed", "random seed (default: random)", "N");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
         Err(error) => {
@@ -50,7 +46,7 @@
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("the system gives a runtime");
+    let runtime = runtime.expect("the runtime can be created");
     if matches.opt_present("measure") {
         runtime.block_on(measure::run());
         return ExitCode::SUCCESS;
@@ -85,7 +81,7 @@
         let violations_before = tally.violations();
         let faults = run_round(&mut deployment, &reference, round, &mut rng, &mut tally).await;
         if tally.violations() > violations_before {
-            println!("round {round} broke a promise under {faults:?}: {tally}");
+            println!("round {round} violated a guarantee under {faults:?}: {tally}");
         }
     }
     tally
@@ -139,12 +135,12 @@
     faults
 }
 
-/// Waits until bookings and models go on through every router.
+/// Waits until every router is ready and completes a booking.
 async fn wait_until_healthy(deployment: &Deployment, round: u64) {
     for router in ["router-0", "router-1"] {
         deployment.wait_for_answer(router, "/readyz").await;
         let mut attempt = 0;
-        wait_for("bookings go on", async || {
+        wait_for("a booking completes", async || {
             attempt += 1;
             let probe =
                 Booking::new(&format!("probe-{round}-{router}-{attempt}"), VERIFY_DEADLINE_MS);
--- a/tools/chaos/src/measure.rs
+++ b/tools/chaos/src/measure.rs
@@ -1,4 +1,4 @@
-//! What calls that may not be repeated cost: appends, latency, memory, refusals in an outage.
+//! Cost of non-repeatable calls: log appends, latency, memory, and refusals during a log outage.
 
 use serde_json::json;
 use std::{
@@ -15,13 +15,9 @@
 use corianderstand_state::fold::State;
 use corianderstand_types::names::{ServiceId, TargetId, WorkspaceId};
 
-/// Calls of one measurement.
 const CALLS: usize = 2_000;
-/// Calls of the measurement of an outage.
 const OUTAGE_CALLS: usize = 500;
-/// Keys whose memory is measured.
 const MEMORY_KEYS: u64 = 50_000;
-/// Bytes of an answer that is kept.
 const STORED_ANSWER_BYTES: usize = 120;
 const DEADLINE_MS: u64 = 5_000;
 
@@ -34,7 +30,7 @@
     }
 }
 
-/// Asks `calls` times with so many callers at once; sorted times and all answers.
+/// Sends `calls` bookings from concurrent callers. Returns sorted latencies and all answers.
 async fn send_bookings(
     deployment: &Deployment,
     path: &str,
@@ -74,11 +70,11 @@
     (count("appends"), count("records"), count("bytes_in"))
 }
 
-/// Prints all measurements.
+/// Runs all measurements and prints them.
 pub async fn run() {
     let deployment = Deployment::start(Plan { services: 2, engines: 2, ..Plan::default() }).await;
     let warm = Booking::new("warm", DEADLINE_MS);
-    wait_for("a first booking", async || {
+    wait_for("the first booking", async || {
         warm.ask(&deployment, "router-0").await.is_some_and(|answer| answer.outcome == "ran")
     })
     .await;
@@ -97,7 +93,7 @@
         let ran = answers.iter().filter(|answer| answer.outcome == "ran").count();
         println!(
             "{callers} callers: {ran} of {} ran, {rate:.0}/s; p50 {:.1} ms, p99 {:.1} ms; \
-             not under a key p50 {:.1} ms, p99 {:.1} ms; \
+             without a key p50 {:.1} ms, p99 {:.1} ms; \
              {:.2} appends, {:.2} records, {:.0} bytes a call",
             keyed.0.len(),
             keyed.quantile_ms(0.5),
@@ -119,7 +115,7 @@
     let (latencies, answers) = send_bookings(deployment, path, "outage", 16, OUTAGE_CALLS).await;
     let count = |outcome: &str| answers.iter().filter(|a| a.outcome == outcome).count();
     println!(
-        "log down: {} asked, {} not run, {} unknown, {} ran; p50 {:.1} ms, p99 {:.1} ms, longest {:.0} ms",
+        "log down: {} answered, {} not run, {} unknown, {} ran; p50 {:.1} ms, p99 {:.1} ms, longest {:.0} ms",
         answers.len(),
         count("not-run"),
         count("unknown"),
@@ -145,8 +141,8 @@
     let mut state = State::default();
     for number in 0..MEMORY_KEYS {
         let key = CallKey {
-            team: WorkspaceId::new("vidrio").expect("a good name"),
-            service: ServiceId::new("agenda").expect("a good name"),
+            team: WorkspaceId::new("vidrio").expect("the name is valid"),
+            service: ServiceId::new("agenda").expect("the name is valid"),
             key: format!("018f3b2c-4d5e-7abc-8def-{number:012x}").into(),
         };
         let target = TargetId("service-0".into());
--- a/tools/chaos/src/tally.rs
+++ b/tools/chaos/src/tally.rs
@@ -1,45 +1,42 @@
-//! Counts of promises kept and broken.
+//! Outcome counts and guarantee violations over all rounds.
 
 use corianderstand_derives::derives;
 use std::fmt;
 use testbed::booking::Answer;
 
-/// What was seen over all rounds.
+/// Outcome counts over all rounds.
 #[derives(data)]
 #[derive(Default)]
 pub struct Tally {
-    /// Bookings judged.
     pub bookings: usize,
-    /// Bookings whose service ran them.
+    /// Bookings that ran at least once.
     pub ran: usize,
-    /// Bookings that ran twice.
+    /// Bookings that ran more than once.
     pub ran_twice: usize,
-    /// Bookings that ran though their callers were told "not run".
+    /// Bookings that ran although they were reported as not run.
     pub false_not_run: usize,
-    /// Bookings with two outcomes, or said to have run and not run.
+    /// Bookings with differing results, or reported both as run and as not run.
     pub contradictory: usize,
-    /// Bookings that a caller was told "unknown" of during the round.
+    /// Bookings reported as unknown during the round.
     pub unknown_during_round: usize,
-    /// Bookings still "unknown" when asked again after the round.
+    /// Bookings still reported as unknown after the round.
     pub unknown_after_round: usize,
-    /// Refusals that may come back under the same key.
+    /// Refusals after which the caller may retry under the same key.
     pub retryable_refusals: usize,
-    /// Streams that were whole.
     pub streams_complete: usize,
-    /// Streams that ended with an explicit error.
+    /// Streams that ended with an error event.
     pub streams_failed: usize,
-    /// Streams refused before they began.
     pub streams_refused: usize,
-    /// Streams whose router's connection broke.
+    /// Streams whose connection to the router broke.
     pub streams_disconnected: usize,
-    /// Streams with words of another answer, or not in order.
+    /// Streams with tokens that are out of order or of another stream.
     pub streams_corrupted: usize,
-    /// Streams that ended short without an error.
+    /// Streams that ended early without an error event.
     pub streams_truncated: usize,
 }
 
 impl Tally {
-    /// Promises broken.
+    /// Number of guarantee violations.
     pub const fn violations(&self) -> usize {
         self.ran_twice
             + self.false_not_run
@@ -48,12 +45,11 @@
             + self.streams_truncated
     }
 
-    /// Whether every promise was kept.
     pub const fn is_clean(&self) -> bool {
         self.violations() == 0
     }
 
-    /// Judges one stream against the undisturbed answer.
+    /// Classifies a stream by comparison with its reference.
     pub fn record_stream(
         &mut self,
         tokens: &[String],
@@ -72,10 +68,10 @@
         }
     }
 
-    /// Judges all answers for one key against how often the services ran it.
+    /// Checks all answers for a key against the number of times that the services ran it.
     ///
-    /// A void, 410, speaks of the key for ever. A refusal, 503, speaks of its own request: it is
-    /// false if every request was refused and yet the booking ran.
+    /// A 410 rejects the key for good. A 503 refuses one request only, so it is wrong only if
+    /// every request was refused and the booking still ran.
     pub fn record_booking(&mut self, key: &str, answers: &[Option<Answer>], ran: u64) {
         let received: Vec<&Answer> = answers.iter().flatten().collect();
         let outcome = |expected: &str| received.iter().any(|answer| answer.outcome == expected);
@@ -101,7 +97,7 @@
             || contradictory
             || !outcome("") && received.is_empty()
         {
-            println!("{key}: ran {ran} times, told {answers:#?}");
+            println!("{key}: ran {ran} times, answers {answers:#?}");
         }
     }
 }
@@ -109,19 +105,19 @@
 impl fmt::Display for Tally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "bookings {} (ran {})", self.bookings, self.ran)?;
-        writeln!(f, "  doubles {}", self.ran_twice)?;
-        writeln!(f, "  false \"not run\" {}", self.false_not_run)?;
-        writeln!(f, "  mixed outcomes {}", self.contradictory)?;
+        writeln!(f, "  ran twice {}", self.ran_twice)?;
+        writeln!(f, "  wrongly reported as not run {}", self.false_not_run)?;
+        writeln!(f, "  contradictory outcomes {}", self.contradictory)?;
         let (first, last) = (self.unknown_during_round, self.unknown_after_round);
-        writeln!(f, "  unknown: {first} in the round, {last} still after it")?;
-        writeln!(f, "  refusals with a time to come back {}", self.retryable_refusals)?;
+        writeln!(f, "  unknown: {first} during the round, {last} after it")?;
+        writeln!(f, "  retryable refusals {}", self.retryable_refusals)?;
         let (complete, failed) = (self.streams_complete, self.streams_failed);
-        writeln!(f, "streams whole {complete}, explicit error {failed}")?;
+        writeln!(f, "streams complete {complete}, failed with an error {failed}")?;
         let (refused, disconnected) = (self.streams_refused, self.streams_disconnected);
-        writeln!(f, "  refused {refused}, connection to the router broke {disconnected}")?;
+        writeln!(f, "  refused {refused}, disconnected {disconnected}")?;
         write!(
             f,
-            "  mixed {}, cut without an error {}",
+            "  corrupted {}, truncated without an error {}",
             self.streams_corrupted, self.streams_truncated
         )
     }
