--- a/tools/capacity/src/emulate.rs
+++ b/tools/capacity/src/emulate.rs
@@ -1,4 +1,4 @@
-//! The many peers of one process, emulated in this program with the project's own frames.
+//! Emulates the peers of a process with the real link protocol.
 
 use crate::{forward::ByteCounter, size};
 use corianderstand_edge::log::{HttpLog, LogService};
@@ -24,35 +24,29 @@
     time,
 };
 
-/// Frames that wait to be written.
+/// Capacity of a connection's write queue, in frames.
 const WRITE_QUEUE: usize = 64;
-/// Bytes that frame a message.
 const LENGTH_PREFIX_BYTES: u64 = 4;
-/// Longest silence before a peer gives up.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Agents that a router connects to.
+/// Emulated agents that a router connects to.
 #[derive(Clone, Debug, Default)]
 pub struct Agents {
-    /// Their addresses, in the order of targets.
+    /// Listen addresses by target index.
     pub addresses: Vec<SmolStr>,
-    /// Bytes on all connections.
+    /// Traffic on all connections.
     pub counter: Arc<ByteCounter>,
-    /// Connections that are up.
+    /// Number of open connections.
     pub connected: Arc<AtomicUsize>,
 }
 
 fn frame_bytes(message: &impl Serialize) -> u64 {
-    let frame = frame::encode(message, b"").expect("messages are plain data");
+    let frame = frame::encode(message, b"").expect("messages can be serialized");
     frame.len() as u64 + LENGTH_PREFIX_BYTES
 }
 
 impl Agents {
-    /// Starts `count` of them.
-    ///
-    /// # Panics
-    ///
-    /// Panics if loopback has no free port.
+    /// Starts `count` agents on loopback.
     pub async fn start(count: usize) -> Self {
         let mut agents = Self::default();
         for i in 0..count {
@@ -108,7 +102,7 @@
     }
 }
 
-/// Connects as `routers` routers would, each with a heartbeat `every` so often.
+/// Connects `routers` emulated routers to an agent, each sending a ping every `heartbeat`.
 pub fn routers(agent: &str, routers: usize, heartbeat: Duration, counter: &Arc<ByteCounter>) {
     for i in 0..routers {
         tokio::spawn(emulate_router(agent.to_owned(), i, heartbeat, counter.clone()));
@@ -129,7 +123,7 @@
     let hello = ToAgent::Hello { router, incarnation: 1, protocol: PROTOCOL };
     counter.received.fetch_add(frame_bytes(&hello), Ordering::Relaxed);
     tx.send(frame::encode(&hello, b"")?).await.map_err(|_| FrameError::Closed)?;
-    // Routers do not beat together.
+    // Spreads the pings of the routers over the interval.
     time::sleep(heartbeat.mul_f64(f64::from(index as u32 % 100) / 100.0)).await;
     let mut ticks = time::interval(heartbeat);
     let mut nonce = 0;
@@ -149,7 +143,7 @@
     }
 }
 
-/// Reads the log from `base` as `followers` processes would, from offset `from` on.
+/// Starts `followers` emulated followers that read the log at `base` from offset `from`.
 pub fn followers(base: &str, followers: usize, from: u64, wait: Duration) {
     for _ in 0..followers {
         let log = HttpLog::new(base, wait).with_bearer(&plan::hash("peer"));
--- a/tools/capacity/src/forward.rs
+++ b/tools/capacity/src/forward.rs
@@ -1,5 +1,4 @@
-//! Forwards connections and counts their bytes, so that what a process sends and receives is
-//! known without asking it.
+//! A TCP proxy that counts the bytes it forwards.
 
 use std::sync::{
     Arc,
@@ -13,30 +12,23 @@
     },
 };
 
-/// Bytes read at once.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Bytes and messages of one path.
+/// Bytes sent and received by the measured process on one path.
 #[derive(Debug, Default)]
 pub struct ByteCounter {
-    /// Bytes from the process that is measured.
     pub sent: AtomicU64,
-    /// Bytes to it.
     pub received: AtomicU64,
 }
 
 impl ByteCounter {
-    /// All bytes so far, both ways.
+    /// Bytes in both directions.
     pub fn total(&self) -> u64 {
         self.sent.load(Ordering::Relaxed) + self.received.load(Ordering::Relaxed)
     }
 }
 
-/// Listens on loopback and forwards to `to`; the address listened on.
-///
-/// # Panics
-///
-/// Panics if loopback has no free port.
+/// Starts a proxy on loopback that forwards to `to`, and returns its address.
 pub async fn start(to: String, counter: Arc<ByteCounter>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
--- a/tools/capacity/src/main.rs
+++ b/tools/capacity/src/main.rs
@@ -1,7 +1,7 @@
-//! Measures what one process costs against the size of the deployment.
+//! Measures the resource usage of one process by deployment size.
 //!
 //! `cargo run --release -p capacity -- [state|router|agent|relay|streams|requests] [--repeats N] [--out NAME]`
-//! writes `docs/measurements/NAME.json` and `NAME.svg`. Without a part all are measured.
+//! writes `docs/measurements/NAME.json` and `NAME.svg`. Without a part, all parts are measured.
 
 mod emulate;
 mod forward;
@@ -18,12 +18,11 @@
 use slope::Series;
 use std::{fs, path::Path, process::ExitCode, time::Duration};
 
-/// Folder of results.
 const RESULTS_DIR: &str = "docs/measurements";
-/// Sizes measured, in percent of the size to design for.
+/// Measured sizes, in percent of [`size::DESIGN`].
 const SIZE_PERCENTS: [usize; 4] = [10, 25, 50, 100];
 
-/// What is written down.
+/// Contents of the JSON result file.
 #[derive(Default, Serialize)]
 struct Report {
     repeats: usize,
@@ -36,14 +35,19 @@
     series: Vec<Series>,
 }
 
-/// A measure by name, taken from a cost.
+/// Name of a measure and its accessor.
 type Measure<T> = (&'static str, fn(&T) -> f64);
 
 fn main() -> ExitCode {
     let mut options = Options::new();
-    options.optopt("", "repeats", "repeats of each point", "COUNT");
-    options.optopt("", "out", "name of the result files", "NAME");
-    options.optopt("", "one-state", "measure one state, in percent, and print it", "PERCENT");
+    options.optopt("", "repeats", "measurements per point (default 3)", "COUNT");
+    options.optopt("", "out", "name of the result files (default capacity)", "NAME");
+    options.optopt(
+        "",
+        "one-state",
+        "measure the state at a percentage of the design size and print it",
+        "PERCENT",
+    );
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
         Err(error) => {
@@ -56,7 +60,7 @@
     };
     if let Some(percent) = matches.opt_str("one-state").and_then(|text| text.parse().ok()) {
         let cost = state::measure(size::DESIGN.percent(percent));
-        println!("{}", serde_json::to_string(&cost).expect("a cost is plain data"));
+        println!("{}", serde_json::to_string(&cost).expect("a cost can be serialized"));
         return ExitCode::SUCCESS;
     }
     let repeats = matches.opt_str("repeats").and_then(|text| text.parse().ok()).unwrap_or(3);
@@ -68,7 +72,7 @@
         measure_state(&mut report);
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("the system gives a runtime");
+    let runtime = runtime.expect("the runtime can be created");
     if is_selected("router") {
         runtime.block_on(measure_routers(&mut report));
     }
@@ -112,11 +116,11 @@
     }
 }
 
-/// Routers that keep a connection to one agent, as steps.
+/// Numbers of routers connected to one agent.
 const ROUTER_COUNTS: [usize; 3] = [0, 170, 340];
-/// Heartbeat of an emulated router.
+/// Heartbeat interval of an emulated router.
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Followers that read from one relay, as steps.
+/// Numbers of followers that read from one relay.
 const FOLLOWER_COUNTS: [usize; 4] = [0, 8, 16, 32];
 
 async fn measure_routers(report: &mut Report) {
@@ -155,9 +159,9 @@
     report.add_nodes("relay", "followers", &FOLLOWER_COUNTS, &costs);
 }
 
-/// Streams in flight at one router, as steps.
+/// Numbers of streams in flight at one router.
 const STREAM_COUNTS: [usize; 3] = [0, 100, 200];
-/// Requests a second and tokens of each, as steps.
+/// Loads as requests per second and tokens per request.
 const LOADS: [(u32, u64); 6] = [(10, 1), (40, 1), (80, 1), (20, 1), (20, 25), (20, 100)];
 
 async fn measure_streams(report: &mut Report) {
@@ -229,7 +233,7 @@
     }
 }
 
-/// Measures in a fresh process, so that memory of earlier points does not count.
+/// Runs [`state::measure`] in a new process, so that memory of earlier points is not included.
 fn measure_state_in_subprocess(percent: usize) -> state::StateCost {
     let exe = std::env::current_exe().expect("the current program has a path");
     let mut command = std::process::Command::new(exe);
@@ -240,8 +244,8 @@
 
 fn write_results(name: &str, report: &Report) {
     let dir = Path::new(RESULTS_DIR);
-    fs::create_dir_all(dir).expect("the folder of results can be written");
-    let json = serde_json::to_string_pretty(report).expect("a report is plain data");
+    fs::create_dir_all(dir).expect("the results directory can be created");
+    let json = serde_json::to_string_pretty(report).expect("a report can be serialized");
     fs::write(dir.join(format!("{name}.json")), json + "\n").expect("results can be written");
     plot::draw(&dir.join(format!("{name}.svg")), &report.series).expect("plots can be written");
     for series in &report.series {
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -1,4 +1,4 @@
-//! One process under measure, with the platform's stand-ins and its peers emulated.
+//! Measures one process against platform stand-ins and emulated peers.
 
 use crate::{emulate, forward, process, size};
 use corianderstand_control::source;
@@ -23,43 +23,41 @@
 };
 use tokio::time;
 
-/// Records in one append while the state is built up.
+/// Records per append to the log.
 const APPEND_BATCH: usize = 256;
-/// Time over which a steady state is measured.
 pub const MEASUREMENT_WINDOW: Duration = Duration::from_secs(4);
-/// How long nothing may change before a state counts as steady.
+/// Time without a change after which a state counts as steady.
 const STEADY_TIME: Duration = Duration::from_secs(1);
-/// Longest wait of one read of the log.
+/// Maximum wait of a long-polling read of the log.
 pub const LOG_POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// What a process spends in a steady state.
+/// Resource usage of a process in a steady state.
 #[derives(wire)]
 #[derive(Copy, Default)]
 pub struct NodeCost {
-    /// Bytes a second to and from the log.
+    /// Bytes per second to and from the log.
     pub log_bytes: f64,
-    /// Bytes a second to and from the host list.
+    /// Bytes per second to and from the host list.
     pub hosts_bytes: f64,
-    /// Bytes a second to and from agents or routers.
+    /// Bytes per second to and from agents or routers.
     pub link_bytes: f64,
     /// Connections to agents or from routers.
     pub connections: f64,
-    /// Processor time, in percent of a core.
+    /// CPU time, in percent of a core.
     pub cpu_percent: f64,
-    /// Resident memory, in KiB.
     pub resident_kib: f64,
-    /// Time from its start until it was ready, in milliseconds.
+    /// Time from start to readiness, in milliseconds.
     pub start_ms: f64,
 }
 
 impl NodeCost {
-    /// All bytes a second.
+    /// Total traffic, in bytes per second.
     pub fn bytes_per_s(&self) -> f64 {
         self.log_bytes + self.hosts_bytes + self.link_bytes
     }
 }
 
-/// The log and the host list, each behind a counting forwarder.
+/// Stand-ins for the log and the host list, each behind a counting proxy.
 pub struct Platform {
     dir: PathBuf,
     http: reqwest::Client,
@@ -80,14 +78,10 @@
 }
 
 impl Platform {
-    /// Starts both and waits until they answer.
-    ///
-    /// # Panics
-    ///
-    /// Panics if they do not within the limit.
+    /// Starts both stand-ins and waits until they respond.
     pub async fn start() -> Self {
         let dir = std::env::temp_dir().join(format!("capacity-{}", std::process::id()));
-        fs::create_dir_all(&dir).expect("the temporary folder can be written");
+        fs::create_dir_all(&dir).expect("the temporary directory can be created");
         let addresses = free_addresses(2);
         let start = |kind: &str, address: &str| {
             let args = [kind, "--listen", address].map(str::to_owned);
@@ -99,7 +93,7 @@
         let hosts_proxy = forward::start(addresses[1].clone(), Arc::clone(&hosts_counter)).await;
         let platform = Self {
             dir,
-            http: reqwest::Client::builder().no_proxy().build().expect("a plain client"),
+            http: reqwest::Client::builder().no_proxy().build().expect("the client can be built"),
             log: HttpLog::new(&format!("http://{}", addresses[0]), LOG_POLL_WAIT),
             hosts: format!("http://{}/hosts", addresses[1]),
             log_counter,
@@ -113,36 +107,29 @@
         platform
     }
 
-    /// Waits until a URL answers with success.
+    /// Polls a URL until it returns a success status.
     ///
     /// # Panics
     ///
-    /// Panics if it does not within the limit.
+    /// Panics if the wait limit passes first.
     pub async fn wait_for(&self, url: &str) {
         let began = Instant::now();
         while !self.http.get(url).send().await.is_ok_and(|a| a.status().is_success()) {
-            assert!(began.elapsed() < PATIENCE, "{url} does not answer");
+            assert!(began.elapsed() < PATIENCE, "{url} did not respond in time");
             time::sleep(Duration::from_millis(5)).await;
         }
     }
 
     /// Appends records to the log.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the log does not take them.
     pub async fn append(&self, records: &[Record]) {
         for batch in records.chunks(APPEND_BATCH) {
-            let data = batch.iter().map(|r| postcard::to_stdvec(r).expect("plain data"));
-            self.log.append(data.collect()).await.expect("the log takes records");
+            let data =
+                batch.iter().map(|r| postcard::to_stdvec(r).expect("records can be serialized"));
+            self.log.append(data.collect()).await.expect("the log accepts records");
         }
     }
 
-    /// Lists so many hosts.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the host list does not take them.
+    /// Replaces the host list by `count` live hosts.
     pub async fn list_hosts(&self, count: usize) {
         let entry = |i: usize| HostEntry {
             host: names::HostId(format_smolstr!("host-{i:03}")),
@@ -151,7 +138,7 @@
         };
         let hosts: Vec<HostEntry> = (0..count).map(entry).collect();
         let response = self.http.put(&self.hosts).json(&hosts).send().await;
-        response.expect("the host list answers");
+        response.expect("the host list responds");
     }
 
     fn common_settings(&self, name: &str, listen: &str) -> Value {
@@ -168,13 +155,12 @@
 
     fn start_process(&self, name: &str, role: &str, settings: &Value) -> Process {
         let path = self.dir.join(format!("{name}.json"));
-        fs::write(&path, settings.to_string()).expect("the temporary folder can be written");
+        fs::write(&path, settings.to_string()).expect("the temporary directory is writable");
         let args = [role.to_owned(), path.display().to_string()];
         Process::start(name, "corianderstand", &args, &self.dir)
     }
 
-    /// Starts a router and waits until it is ready; the process, its address, and how long it
-    /// took.
+    /// Starts a router and returns its process, its address and the time until it was ready.
     pub async fn router(&self, name: &str) -> (Process, String, Duration) {
         let listen = free_addresses(1).remove(0);
         let mut settings = self.common_settings(name, &listen);
@@ -186,7 +172,7 @@
         (process, listen, began.elapsed())
     }
 
-    /// Starts an agent of an engine at `engine`; the process and its address.
+    /// Starts an agent for the engine at `engine` and returns its process and its address.
     pub async fn agent(&self, name: &str, engine: &str) -> (Process, String) {
         let listen = free_addresses(1).remove(0);
         let mut settings = self.common_settings(name, &listen);
@@ -196,7 +182,7 @@
         (process, listen)
     }
 
-    /// Starts an engine stand-in; the process and its URL.
+    /// Starts an engine stand-in and returns its process and its URL.
     pub async fn engine(&self, options: &[&str]) -> (Process, String) {
         let listen = free_addresses(1).remove(0);
         let mut args = vec!["engine".to_owned(), "--listen".into(), listen.clone()];
@@ -206,7 +192,7 @@
         (process, format!("http://{listen}"))
     }
 
-    /// What a process spends over the window.
+    /// Measures a process over [`MEASUREMENT_WINDOW`].
     pub async fn measure(&self, process: &Process, link: &forward::ByteCounter) -> NodeCost {
         let pid = process.pid();
         let before = (self.log_counter.total(), self.hosts_counter.total(), link.total());
@@ -225,7 +211,7 @@
     }
 }
 
-/// Waits until a number has not changed for a while.
+/// Waits until a value has not changed for [`STEADY_TIME`].
 pub async fn wait_until_steady(read: impl Fn() -> usize) {
     let (mut last, mut since) = (read(), Instant::now());
     while since.elapsed() < STEADY_TIME {
@@ -237,7 +223,8 @@
     }
 }
 
-/// A router at a part of the size, in percent: its state, and as many emulated agents.
+/// Measures a router with the state and the emulated agents of a deployment at `percent` of the
+/// design size.
 pub async fn router(percent: usize) -> NodeCost {
     let size = size::DESIGN.percent(percent);
     let platform = Platform::start().await;
@@ -252,7 +239,7 @@
     NodeCost { connections, start_ms: startup.as_secs_f64() * 1e3, ..cost }
 }
 
-/// An agent at a part of the size, with connections from `routers` emulated routers.
+/// Measures an agent with connections from `routers` emulated routers.
 pub async fn agent(percent: usize, routers: usize, heartbeat: Duration) -> NodeCost {
     let size = size::DESIGN.percent(percent);
     let platform = Platform::start().await;
@@ -271,7 +258,7 @@
     NodeCost { connections: routers as f64, ..cost }
 }
 
-/// The lease holder as a relay of the log to so many emulated followers, at full size.
+/// Measures the lease holder as relay of the log to emulated followers, at the design size.
 pub async fn relay(followers: usize) -> NodeCost {
     let size = size::DESIGN;
     let platform = Platform::start().await;
--- a/tools/capacity/src/plot.rs
+++ b/tools/capacity/src/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of all series.
+//! Plots of measured series.
 
 use crate::slope::Series;
 use plotters::prelude::{
@@ -6,16 +6,12 @@
 };
 use std::{error::Error, path::Path};
 
-/// Size of one chart, in pixels.
+/// Width and height of one chart, in pixels.
 const CHART_SIZE: (u32, u32) = (480, 300);
-/// Charts side by side.
+/// Charts per row.
 const COLUMNS: usize = 3;
 
-/// Draws one chart a series.
-///
-/// # Errors
-///
-/// Fails if the file cannot be written.
+/// Draws one chart per series to an SVG file.
 pub fn draw(path: &Path, series: &[Series]) -> Result<(), Box<dyn Error>> {
     let rows = series.len().div_ceil(COLUMNS);
     let size = (CHART_SIZE.0 * COLUMNS as u32, CHART_SIZE.1 * rows as u32);
--- a/tools/capacity/src/process.rs
+++ b/tools/capacity/src/process.rs
@@ -1,24 +1,16 @@
-//! What the kernel counts for a process.
+//! Resource usage of a process, from `/proc`.
 
 use std::{fs, path::Path, time::Duration};
 
-/// Resident memory of a process, in KiB.
-///
-/// # Panics
-///
-/// Panics if the process is gone.
+/// Resident memory of a running process, in KiB.
 pub fn resident_kib(pid: u32) -> i64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().nth(1));
-    number.and_then(|number| number.parse().ok()).expect("the kernel tells resident memory")
+    number.and_then(|number| number.parse().ok()).expect("the status has a resident size")
 }
 
-/// Processor time of all live threads of a process.
-///
-/// # Panics
-///
-/// Panics if the process is gone.
+/// CPU time of all live threads of a running process.
 pub fn cpu_time(pid: u32) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).expect("the process runs");
     let total: u64 = tasks.flatten().map(|task| cpu_ns(&task.path())).sum();
--- a/tools/capacity/src/requests.rs
+++ b/tools/capacity/src/requests.rs
@@ -1,5 +1,4 @@
-//! What requests and tokens cost a router and an agent, and what streams in flight cost a
-//! router in heartbeats.
+//! CPU usage of a router and an agent under load, and the heartbeat cost of streams in flight.
 
 use crate::{
     emulate,
@@ -18,26 +17,25 @@
 use testbed::process::PATIENCE;
 use tokio::time;
 
-/// Time of one token at the engine stand-in.
+/// Time per token of the engine stand-in.
 const TOKEN_TIME_US: &str = "500";
-/// Deadline of a request that is to stay in flight.
 const REQUEST_DEADLINE_MS: u64 = 120_000;
 
-/// Processor time under a load of requests.
+/// CPU usage under a load of requests.
 #[derives(wire)]
 #[derive(Copy, Default)]
 pub struct LoadCost {
-    /// Requests answered a second.
+    /// Completed requests per second.
     pub requests: f64,
-    /// Tokens answered a second.
+    /// Generated tokens per second.
     pub tokens: f64,
-    /// Processor time of the router, in percent of a core.
+    /// CPU time of the router, in percent of a core.
     pub router_percent: f64,
-    /// Processor time of the agent, in percent of a core.
+    /// CPU time of the agent, in percent of a core.
     pub agent_percent: f64,
 }
 
-/// Asks for a completion as a team; whether it was answered.
+/// Requests a completion as a team and returns whether it succeeded.
 async fn complete(
     http: &reqwest::Client,
     router: &str,
@@ -56,11 +54,8 @@
         "max_tokens": tokens, "stream": true })
 }
 
-/// A router and an agent with one model under `rate` requests a second of `tokens` tokens.
-///
-/// # Panics
-///
-/// Panics if the model is not served within the limit.
+/// Measures a router and an agent with one model under `rate` requests per second of `tokens`
+/// tokens each.
 pub async fn load(rate: u32, tokens: u64) -> LoadCost {
     let size = size::Size { targets: 0, slots: 0, calls: 0, writers: 0, ..size::DESIGN };
     let platform = Platform::start().await;
@@ -70,10 +65,10 @@
         platform.engine(&["--token-us", TOKEN_TIME_US, "--load-ms", "10", "--batch", "1000"]).await;
     let (agent, _) = platform.agent("engine-000", &url).await;
     let (router, listen, _) = platform.router("router-0").await;
-    let http = reqwest::Client::builder().no_proxy().build().expect("a plain client");
+    let http = reqwest::Client::builder().no_proxy().build().expect("the client can be built");
     let began = Instant::now();
     while !complete(&http, &listen, 0, &request_body(0, 1)).await {
-        assert!(began.elapsed() < PATIENCE, "the model is not served");
+        assert!(began.elapsed() < PATIENCE, "the model was not served in time");
         time::sleep(Duration::from_millis(50)).await;
     }
     let answered = Arc::new(AtomicUsize::new(0));
@@ -114,8 +109,9 @@
     }
 }
 
-/// A router at full size with so many streams in flight that wait for their first token, each
-/// of another model: the dearest state of its connections.
+/// Measures a router at the design size with `count` streams that wait for their first token.
+///
+/// Each stream uses another model, which maximises the heartbeat traffic.
 pub async fn streams(count: usize) -> NodeCost {
     let size = size::DESIGN;
     let platform = Platform::start().await;
@@ -123,7 +119,7 @@
     platform.append(&size::records(size, |i| agents.addresses[i].clone())).await;
     platform.list_hosts(size.writers).await;
     let (process, listen, _) = platform.router("router-0").await;
-    let http = reqwest::Client::builder().no_proxy().build().expect("a plain client");
+    let http = reqwest::Client::builder().no_proxy().build().expect("the client can be built");
     for team in 0..count {
         let (http, listen) = (http.clone(), listen.clone());
         tokio::spawn(async move { complete(&http, &listen, team, &request_body(team, 4)).await });
--- a/tools/capacity/src/size.rs
+++ b/tools/capacity/src/size.rs
@@ -1,4 +1,4 @@
-//! A deployment's size, and log records that bring a state of that size about.
+//! Deployment sizes, and log records that build a state of a given size.
 
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{Body, CallAnswer, CallKey, Change, Record, TargetRecord};
@@ -7,35 +7,31 @@
 use smol_str::{SmolStr, format_smolstr};
 use testbed::plan;
 
-/// Availability zones that targets are spread over.
 const AVAILABILITY_ZONES: usize = 4;
-/// Memory of an engine: eight accelerators.
+/// Memory of an engine with eight accelerators.
 const ENGINE_MIB: u64 = 8 * 80_000;
-/// Bytes of an answer that is kept for a call that may not be repeated.
+/// Bytes of the stored outcome of a non-repeatable call.
 const OUTCOME_BYTES: usize = 120;
 
-/// How many of each there are.
+/// Numbers of objects in a deployment.
 #[derives(wire)]
 #[derive(Copy, Eq)]
 pub struct Size {
     /// Announced targets.
     pub targets: usize,
-    /// Models.
     pub models: usize,
-    /// Adapters over all teams.
+    /// Adapters of all teams together.
     pub adapters: usize,
-    /// Teams.
     pub teams: usize,
-    /// Slots over all models.
+    /// Replica slots of all models together.
     pub slots: usize,
-    /// Calls that may not be repeated and are remembered.
+    /// Non-repeatable calls with a stored outcome.
     pub calls: usize,
-    /// Processes that write.
+    /// Processes that write to the log.
     pub writers: usize,
 }
 
-/// The size that the users' letter names. Teams, slots and remembered calls are not in it and
-/// are assumptions: 600 teams with 90 adapters each, three slots a model, 10,000 calls.
+/// The size that the system is designed for, with 90 adapters per team and three slots per model.
 pub const DESIGN: Size = Size {
     targets: 730,
     models: 350,
@@ -47,7 +43,7 @@
 };
 
 impl Size {
-    /// This size in proportion, in percent.
+    /// Scales all numbers to a percentage.
     pub const fn percent(self, percent: usize) -> Self {
         Self {
             targets: self.targets * percent / 100,
@@ -61,7 +57,7 @@
     }
 }
 
-/// Writes records as one process would.
+/// Collects records in log order.
 struct Writer {
     records: Vec<Record>,
 }
@@ -82,7 +78,6 @@
     names::ModelId(format_smolstr!("model-{index:03}-7b"))
 }
 
-/// Name of a target.
 pub fn target(index: usize) -> names::TargetId {
     names::TargetId(format_smolstr!("engine-{index:03}"))
 }
@@ -93,7 +88,8 @@
     Body::Settings { changes: vec![change], author, ticket, not_after_ms: u64::MAX }
 }
 
-/// All records, in order from offset 1; `address` gives the address of a target's agent.
+/// Builds the records of a deployment, starting at offset 1. `address` returns the address of a
+/// target's agent.
 pub fn records(size: Size, address: impl Fn(usize) -> SmolStr) -> Vec<Record> {
     let mut writer = Writer { records: Vec::new() };
     add_documents(&mut writer, size);
@@ -118,7 +114,7 @@
     }
 }
 
-/// Each team calls one model with its share of the adapters.
+/// Adds one model for a team, with the team's share of the adapters.
 fn add_team_model(writer: &mut Writer, size: Size, team: usize) {
     if size.models == 0 {
         return;
@@ -189,13 +185,11 @@
     }
 }
 
-/// The claim of a call.
 pub fn call_claimed(index: usize) -> Body {
     let target = names::TargetId("service-1".into());
     Body::Claimed { key: call_key(index), digest: index as u64, target }
 }
 
-/// The outcome of a call.
 pub fn call_ended(index: usize, claim: u64) -> Body {
     let body = Some(vec![b'x'; OUTCOME_BYTES]);
     let answer = CallAnswer { status: 200, content_type: "application/json".into(), body };
--- a/tools/capacity/src/slope.rs
+++ b/tools/capacity/src/slope.rs
@@ -1,33 +1,30 @@
-//! Straight lines through measured points, and how far repeats lie apart.
+//! Least-squares fit of measured points, and the spread of repeated measurements.
 
 use corianderstand_derives::derives;
 
-/// Points of one measure against one size.
+/// Measurements of one quantity by size.
 #[derives(wire)]
 pub struct Series {
-    /// What was measured, with its unit.
+    /// Measured quantity with its unit.
     pub measure: String,
-    /// Against what.
+    /// Meaning of the size.
     pub against: String,
-    /// Points: size, then the measure of each repeat.
+    /// Size and the value of each repeat.
     pub points: Vec<(f64, Vec<f64>)>,
-    /// The line through the medians.
     pub line: Line,
 }
 
-/// A line by least squares.
+/// A least-squares line through the medians.
 #[derives(wire)]
 #[derive(Copy)]
 pub struct Line {
-    /// Measure at size zero.
     pub intercept: f64,
-    /// Measure for each one more.
     pub slope: f64,
-    /// Largest distance of a repeat from its point's median, as a part of that median.
+    /// Maximum deviation of a repeat from its point's median, relative to that median.
     pub spread: f64,
 }
 
-/// The middle of some values.
+/// Median, or 0 without values.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -40,14 +37,12 @@
 }
 
 impl Series {
-    /// A series with its line.
     pub fn new(measure: &str, against: &str, points: Vec<(f64, Vec<f64>)>) -> Self {
         let line = fit(&points);
         Self { measure: measure.into(), against: against.into(), points, line }
     }
 }
 
-/// The line through the medians of points.
 pub fn fit(points: &[(f64, Vec<f64>)]) -> Line {
     let medians: Vec<(f64, f64)> = points.iter().map(|(x, ys)| (*x, median(ys))).collect();
     let count = medians.len().max(1) as f64;
--- a/tools/capacity/src/state.rs
+++ b/tools/capacity/src/state.rs
@@ -1,6 +1,4 @@
-//! What the agreed state costs one process, measured without sockets.
-//!
-//! Each point runs in a process of its own, so that resident memory is that of one state.
+//! Cost of the replicated state in one process, measured without sockets.
 
 use crate::{process, size};
 use corianderstand_derives::derives;
@@ -9,39 +7,34 @@
 use corianderstand_state::{fold::State, view::View};
 use std::time::Instant;
 
-/// Clones of the state that are timed together.
 const TIMED_CLONES: u32 = 1000;
-/// Changes of one document that are timed together.
 const TIMED_CHANGES: usize = 20;
 
-/// Cost of one state.
+/// Time and memory used by a state.
 #[derives(wire)]
 pub struct StateCost {
-    /// Its size.
     pub size: size::Size,
-    /// Records folded.
     pub records: usize,
-    /// Bytes of all records as the log holds them.
+    /// Bytes of all records in the log.
     pub record_bytes: usize,
-    /// Bytes of the serialised state: a checkpoint's size.
     pub checkpoint_bytes: usize,
-    /// Resident memory of the folded state, in KiB.
+    /// Resident memory of the state, in KiB.
     pub state_kib: i64,
     /// Resident memory of the parsed settings, in KiB.
     pub view_kib: i64,
-    /// Time of one fold, in nanoseconds.
+    /// Time to fold one record, in nanoseconds.
     pub fold_ns: f64,
-    /// Time to write the state down, in milliseconds.
+    /// Time to serialize the state, in milliseconds.
     pub checkpoint_ms: f64,
-    /// Time to read the state back, in milliseconds.
+    /// Time to deserialize the state, in milliseconds.
     pub restore_ms: f64,
     /// Time to parse all settings, in milliseconds.
     pub view_ms: f64,
-    /// Time from a change of one document to the parsed settings in force, in milliseconds.
+    /// Time to apply a change of one document and parse the settings, in milliseconds.
     pub change_ms: f64,
-    /// Time from pages of the log, as JSON, to a state and parsed settings, in milliseconds.
+    /// Time to build the state and the settings from a JSON page of the log, in milliseconds.
     pub start_ms: f64,
-    /// Time of one clone of the state, in microseconds.
+    /// Time to clone the state, in microseconds.
     pub clone_us: f64,
 }
 
@@ -61,13 +54,13 @@
 
 fn entries(records: &[Record]) -> Vec<Entry> {
     let entry = |(offset, record)| {
-        let data = postcard::to_stdvec(record).expect("records are plain data");
+        let data = postcard::to_stdvec(record).expect("records can be serialized");
         Entry { offset, at_ms: offset, data }
     };
     (1..).zip(records).map(entry).collect()
 }
 
-/// A start from nothing: what a process does with the pages that the log gives it.
+/// Builds the state and the settings from a JSON page of the log, as a starting process does.
 fn start_from_log(json: &[u8]) -> (State, View) {
     let entries: Vec<Entry> = serde_json::from_slice(json).expect("written by this program");
     let mut state = State { next: 1, ..State::default() };
@@ -79,11 +72,7 @@
     (state, view)
 }
 
-/// Measures a state of one size in this process.
-///
-/// # Panics
-///
-/// Panics if `/proc` cannot be read.
+/// Measures a state of one size in the current process.
 pub fn measure(size: size::Size) -> StateCost {
     let records = size::records(size, |i| format!("10.0.0.1:{}", 1000 + i).into());
     let before = process::resident_kib(std::process::id());
@@ -93,13 +82,13 @@
     let after_view = process::resident_kib(std::process::id());
     let ((), clones_s) = timed(|| (0..TIMED_CLONES).for_each(|_| drop(state.clone())));
     let (bytes, checkpoint_s) =
-        timed(|| postcard::to_stdvec(&state).expect("the state is plain data"));
+        timed(|| postcard::to_stdvec(&state).expect("the state can be serialized"));
     let (restored, restore_s) = timed(|| postcard::from_bytes::<State>(&bytes));
     drop(restored);
     let change_s = time_changes(&state, &view);
     let entries = entries(&records);
     let record_bytes = entries.iter().map(|entry| entry.data.len()).sum();
-    let json = serde_json::to_vec(&entries).expect("entries are plain data");
+    let json = serde_json::to_vec(&entries).expect("entries can be serialized");
     let (started, start_s) = timed(|| start_from_log(&json));
     drop(started);
     StateCost {
@@ -119,7 +108,7 @@
     }
 }
 
-/// Time of one change of settings, as the follower takes it.
+/// Average time of a settings change as a follower applies it, in seconds.
 fn time_changes(state: &State, view: &View) -> f64 {
     let mut state = state.clone();
     let mut view = view.clone();
@@ -133,7 +122,7 @@
         let offset = state.next;
         state.next += 1;
         let changed = state.documents.change(offset, &[change], "capacity");
-        changed.expect("the change names the version in force");
+        changed.expect("the change is based on the current version");
         let (next, view_s) = timed(|| View::new(&state.documents));
         view = next;
         seconds += view_s;
