--- a/tools/agreed/src/main.rs
+++ b/tools/agreed/src/main.rs
@@ -1,8 +1,7 @@
-//! Measures the agreed state over real processes on loopback: the time until a change is in force
-//! on every router, in the calm and under faults, the time until a lease is taken over, and the
-//! planner at the size to design for.
+//! Measures the replicated state with real processes on loopback: the time until a change is in
+//! force on every router, with and without faults, the time of a lease takeover, and the planner.
 //!
-//! `cargo run --release -p agreed`; the figures are in docs/design/0002-agreed-state.md.
+//! Run with `cargo run --release -p agreed`. Results: docs/design/0002-agreed-state.md.
 
 mod planner;
 
@@ -11,13 +10,9 @@
 use std::time::{Duration, Instant};
 use testbed::{Deployment, Plan, plan::OPERATOR_KEY};
 
-/// Changes in a series.
 const CHANGES: u64 = 200;
-/// Changes in the series with a slow log.
 const SLOW_CHANGES: u64 = 30;
-/// Leases taken over.
 const TAKEOVERS: u64 = 8;
-/// Pause between two looks.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const ROUTERS: usize = 3;
 
@@ -33,7 +28,7 @@
     value["version"].as_u64().unwrap_or_default()
 }
 
-/// Changes one document through a router; its new version once accepted.
+/// Changes a document through a router and returns its new version.
 async fn apply(deployment: &Deployment, router: &str, base: u64, load_ms: u64) -> Option<u64> {
     let value = json!({ "memory_mib": 8000, "versions": ["1", "2"], "load_ms": load_ms,
         "adapter_memory_mib": 500 });
@@ -47,17 +42,18 @@
 async fn base_version(deployment: &Deployment) -> u64 {
     let url = deployment.url("router-0", "/operator/get?prefix=shared/models/rounds-3b");
     let answer = deployment.http.get(url).bearer_auth(OPERATOR_KEY).send().await;
-    let value: Value = answer.expect("it answers").json().await.expect("it is JSON");
+    let value: Value =
+        answer.expect("the router responds").json().await.expect("the response is JSON");
     value["documents"][0]["version"].as_u64().unwrap_or_default()
 }
 
-/// Time from the operator's request until every router has the change.
+/// Measures the time from the operator's request until every router has the change.
 async fn propagation_times(
     deployment: &Deployment,
     changes: u64,
     fault: Option<Value>,
 ) -> Histogram<u64> {
-    let mut times = Histogram::new(3).expect("three digits are allowed");
+    let mut times = Histogram::new(3).expect("the precision is valid");
     let mut base = base_version(deployment).await;
     for change in 0..changes {
         if let Some(fault) = &fault {
@@ -71,7 +67,7 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
-        times.record(began.elapsed().as_micros() as u64).expect("it is in range");
+        times.record(began.elapsed().as_micros() as u64).expect("the time is in range");
     }
     deployment.fault("log", &json!({})).await;
     times
@@ -84,12 +80,12 @@
     (lease["epoch"].as_u64().unwrap_or_default(), name)
 }
 
-/// Time from the holder's end until another holds the lease.
+/// Measures the time from the end of the lease holder until another router holds the lease.
 async fn takeover_times(deployment: &mut Deployment, graceful: bool) -> Histogram<u64> {
-    let mut times = Histogram::new(3).expect("three digits are allowed");
+    let mut times = Histogram::new(3).expect("the precision is valid");
     for _ in 0..TAKEOVERS {
         let (epoch, name) = lease_holder(deployment, "router-0").await;
-        let other = routers().find(|router| *router != name).expect("there are three");
+        let other = routers().find(|router| *router != name).expect("another router is running");
         let began = Instant::now();
         if graceful {
             deployment.process(&name).stop();
@@ -103,7 +99,7 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        times.record(began.elapsed().as_micros() as u64).expect("it is in range");
+        times.record(began.elapsed().as_micros() as u64).expect("the time is in range");
         deployment.process(&name).wait(Duration::from_secs(10));
         deployment.run(&name);
         deployment.wait_for_answer(&name, "/readyz").await;
@@ -125,24 +121,21 @@
 fn main() {
     planner::measure();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(async {
+    runtime.expect("the runtime can be created").block_on(async {
         let mut deployment = Deployment::start(Plan { routers: ROUTERS, ..Plan::default() }).await;
-        print("in force, calm", &propagation_times(&deployment, CHANGES, None).await);
+        print("change in force, no fault", &propagation_times(&deployment, CHANGES, None).await);
         let lost = json!({ "lose_answers": 1 });
         print(
-            "in force, the append's answer lost",
+            "change in force, append response lost",
             &propagation_times(&deployment, CHANGES, Some(lost)).await,
         );
         let slow = json!({ "slow_ms": 300 });
         print(
-            "in force, the log slow by 300 ms",
+            "change in force, log slowed by 300 ms",
             &propagation_times(&deployment, SLOW_CHANGES, Some(slow)).await,
         );
-        print("lease taken over after a kill", &takeover_times(&mut deployment, false).await);
-        print(
-            "lease taken over after a planned stop",
-            &takeover_times(&mut deployment, true).await,
-        );
+        print("lease takeover after a kill", &takeover_times(&mut deployment, false).await);
+        print("lease takeover after a planned stop", &takeover_times(&mut deployment, true).await);
         let appends = deployment.counters("log").await;
         println!("log: {appends}");
     });
--- a/tools/agreed/src/planner.rs
+++ b/tools/agreed/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner at the size to design for.
+//! Measures the planner at the size that the system is designed for.
 
 use corianderstand_schema::records::{Body, Change, Record, TargetRecord};
 use corianderstand_state::{fold::State, plan, view::View};
@@ -10,7 +10,7 @@
 const MODELS: usize = 350;
 const REPLICAS: u32 = 3;
 const AVAILABILITY_ZONES: usize = 4;
-/// Hosts that go, one after the other.
+/// Hosts that are lost one after the other.
 const HOST_LOSSES: usize = 20;
 
 fn append(state: &mut State, body: Body) {
@@ -56,7 +56,7 @@
     state
 }
 
-/// Plans until nothing is missing; slots given.
+/// Runs the planner until it has nothing to do, and returns the number of records it wrote.
 fn plan_until_stable(state: &mut State, view: &View) -> usize {
     let mut assigned = 0;
     loop {
@@ -77,16 +77,16 @@
     slots
 }
 
-/// Prints times and moves.
+/// Prints planning times and replica moves.
 pub fn measure() {
     let mut state = full_state();
     let view = View::new(&state.documents);
     let began = Instant::now();
     let assigned = plan_until_stable(&mut state, &view);
-    println!("planner: {assigned} slots from nothing in {:.1?}", began.elapsed());
+    println!("planner: {assigned} slots assigned from an empty state in {:.1?}", began.elapsed());
     let began = Instant::now();
     plan_until_stable(&mut state, &view);
-    println!("planner: one look with nothing to do {:.1?}", began.elapsed());
+    println!("planner: one scan without changes {:.1?}", began.elapsed());
     let (mut lost, mut moved) = (0, 0);
     let began = Instant::now();
     for engine in 0..HOST_LOSSES {
@@ -98,5 +98,5 @@
         "planner: {HOST_LOSSES} hosts lost: {moved} moves, minimum {lost}, {per_loss:.1?} each"
     );
     append(&mut state, target(ENGINES));
-    println!("planner: one host comes: {} moves, minimum 0", plan_until_stable(&mut state, &view));
+    println!("planner: one host added: {} moves, minimum 0", plan_until_stable(&mut state, &view));
 }
--- a/tools/bench/src/load.rs
+++ b/tools/bench/src/load.rs
@@ -1,24 +1,21 @@
-//! Callers in a closed loop: each begins its next stream when the last has ended.
+//! Closed-loop load generator: each caller starts a stream once its previous one has ended.
 
 use futures::{StreamExt, future};
 use hdrhistogram::Histogram;
 use reqwest::RequestBuilder;
 use std::time::{Duration, Instant};
 
-/// Longest time that is recorded, in microseconds.
+/// Upper bound of recorded latencies.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// What the callers saw.
+/// Result of a load run, over all callers.
 pub struct LoadResult {
-    /// Time to the first part of a stream, in microseconds.
+    /// Time to the first chunk of a stream.
     pub first_chunk_us: Histogram<u64>,
-    /// Parts of answers.
     pub chunks: u64,
-    /// Whole answers.
     pub completed: u64,
-    /// Requests that were refused or broke off.
+    /// Requests that were refused or did not complete.
     pub failed: u64,
-    /// How long it took.
     pub elapsed: Duration,
 }
 
@@ -36,13 +33,13 @@
         self.failed += other.failed;
     }
 
-    /// A percentile of the time to the first part, in microseconds.
+    /// Quantile of the time to the first chunk, in microseconds.
     pub fn percentile(&self, quantile: f64) -> u64 {
         self.first_chunk_us.value_at_quantile(quantile)
     }
 }
 
-/// Runs `callers` callers until `until` and lets each end its last stream.
+/// Runs `callers` callers for `until` and waits for their last streams to end.
 pub async fn run<F>(callers: usize, until: Duration, request: F) -> LoadResult
 where
     F: Fn(usize) -> RequestBuilder + Clone + Send + Sync + 'static,
--- a/tools/bench/src/main.rs
+++ b/tools/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures what a router adds to calling an engine directly, both in one run.
+//! Measures the overhead of a router compared with direct calls to an engine.
 //!
 //! Prints a table and writes `docs/measurements/bench.json`. Build everything first:
 //! `cargo build --release --workspace && cargo run --release -p bench`.
@@ -12,30 +12,23 @@
 
 const OUTPUT: &str = "docs/measurements/bench.json";
 const ENGINES: usize = 4;
-/// Concurrent streams of each comparison.
 const COMPARED_STREAMS: [usize; 3] = [1, 64, 1000];
-/// Tokens of one stream in the comparisons.
 const COMPARED_TOKENS: u32 = 20;
-/// Time of one token in the comparisons: the 27 ms that callers are to see, a little less.
+/// Time per token of the engines in the comparisons.
 const TOKEN_US: &str = "20000";
-/// Length of one part of a comparison.
 const RUN_DURATION: Duration = Duration::from_secs(5);
-/// Parts of each comparison, direct and routed in turn, so that other work on the machine
-/// falls on both.
+/// Direct and routed runs alternate, so that other load on the machine affects both.
 const ROUNDS: usize = 2;
-/// Streams for the most chunks a second.
 const THROUGHPUT_STREAMS: usize = 128;
-/// Tokens of one stream there.
 const THROUGHPUT_TOKENS: u32 = 2000;
-/// Callers for the processor time of one request.
 const SHORT_REQUEST_CALLERS: usize = 64;
-/// Ticks of processor time in a second, as Linux counts them for user programs.
+/// `USER_HZ`, the unit of CPU times in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() {
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run());
+    runtime.expect("the runtime can be created").block_on(run());
 }
 
 fn plan() -> Plan {
@@ -49,7 +42,7 @@
         ..Plan::default()
     };
     plan.documents.retain(|(path, _)| !path.contains("/models/"));
-    // One model fits on an engine, so that each engine has its own.
+    // Sized so that an engine holds one model only.
     let model = json!({ "memory_mib": 70_000, "versions": ["1"], "adapter_memory_mib": 1 });
     for i in 0..ENGINES {
         plan.documents.push((format!("shared/models/m{i}"), model.clone()));
@@ -58,12 +51,12 @@
     plan
 }
 
-/// Loads every model; the engine of each.
+/// Loads every model and returns the engine of each.
 async fn load_models(deployment: &Deployment) -> Vec<String> {
     let mut engines = Vec::new();
     for i in 0..ENGINES {
         let body = json!({ "model": format!("m{i}"), "prompt": "warm", "max_tokens": 1 });
-        wait_for("a warm model", async || {
+        wait_for("the model to load", async || {
             let req = deployment.http.post(deployment.url("router-0", "/v1/completions"));
             let answer = req.bearer_auth(VIDRIO_KEY).json(&body).send().await;
             answer.is_ok_and(|answer| answer.status().is_success())
@@ -72,17 +65,21 @@
         for j in 0..ENGINES {
             let name = format!("engine-{j}");
             let loaded = deployment.http.get(deployment.url(&name, "/loaded")).send().await;
-            let loaded = loaded.expect("the engine answers").text().await.unwrap_or_default();
+            let loaded = loaded.expect("the engine responds").text().await.unwrap_or_default();
             if loaded.contains(&format!("\"m{i}\"")) {
                 engines.push(name);
             }
         }
     }
-    assert_eq!(engines.len(), ENGINES, "each model is on one engine: {engines:?}");
+    assert_eq!(
+        engines.len(),
+        ENGINES,
+        "each model must be loaded on exactly one engine: {engines:?}"
+    );
     engines
 }
 
-/// Processor time that a process has used, in seconds.
+/// User and system CPU time of a process.
 fn cpu_seconds(deployment: &mut Deployment, name: &str) -> f64 {
     let pid = deployment.process(name).pid();
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
@@ -100,7 +97,7 @@
     tokens: u32,
 ) -> LoadResult {
     let client = reqwest::Client::builder().no_proxy().tcp_nodelay(true).build();
-    let client = client.expect("a plain client");
+    let client = client.expect("the client can be built");
     let name = |i: usize| if routed { "router-0" } else { engines[i].as_str() };
     let urls: Vec<String> =
         (0..ENGINES).map(|i| deployment.url(name(i), "/v1/completions")).collect();
@@ -146,7 +143,7 @@
     })
 }
 
-/// The most chunks a second, with engines that generate as fast as they can.
+/// Measures chunks per second with engines that generate without delay.
 async fn measure_throughput(deployment: &mut Deployment, engines: &[String]) -> Value {
     for i in 0..ENGINES {
         deployment.fault(&format!("engine-{i}"), &json!({ "slow": 0.0 })).await;
@@ -170,7 +167,7 @@
     })
 }
 
-/// Processor time of the router for one short request.
+/// Measures the CPU time of the router per one-token request.
 async fn measure_short_requests(deployment: &mut Deployment, engines: &[String]) -> Value {
     let before = cpu_seconds(deployment, "router-0");
     let result = run_load(deployment, engines, true, SHORT_REQUEST_CALLERS, RUN_DURATION, 1).await;
@@ -206,7 +203,7 @@
         "chunks": chunks,
         "short_requests": short,
     });
-    let text = serde_json::to_string_pretty(&result).expect("the result is plain data");
-    fs::write(OUTPUT, text + "\n").expect("the folder for measurements can be written");
-    println!("written to {OUTPUT}");
+    let text = serde_json::to_string_pretty(&result).expect("the result can be serialized");
+    fs::write(OUTPUT, text + "\n").expect("the results directory is writable");
+    println!("results written to {OUTPUT}");
 }
--- a/tools/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -1,5 +1,4 @@
-//! Starts a small deployment on loopback, sends a few streamed and plain requests, prints what
-//! happened and ends by itself.
+//! Starts a small deployment on loopback, sends a few requests and prints the responses.
 
 use serde_json::{Value, json};
 use std::time::Instant;
@@ -8,12 +7,12 @@
     plan::{HINOKUNI_KEY, VIDRIO_KEY},
 };
 
-/// Trace context that the demonstration sends, to be found again in every hop's log.
+/// Trace context of all requests, which every hop logs.
 const TRACEPARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run());
+    runtime.expect("the runtime can be created").block_on(run());
 }
 
 async fn run() {
@@ -70,14 +69,14 @@
         .json(body)
         .send()
         .await
-        .expect("the router answers");
+        .expect("the router responds");
     let status = answer.status();
-    let text = answer.text().await.expect("the answer is whole");
+    let text = answer.text().await.expect("the response is complete");
     println!("\n{label}: {path} at {router}: {status} after {:.0?}", began.elapsed());
     println!("{}", text.trim_end());
 }
 
-/// One line for each hop of the trace.
+/// Prints one line per hop of the trace.
 fn show_trace(deployment: &Deployment) {
     println!("\nhops of trace {}:", &TRACEPARENT[3..35]);
     for name in deployment.running() {
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -1,4 +1,4 @@
-//! The time of one decision, as targets and adapters grow.
+//! Time per scheduling decision by numbers of targets and adapters.
 
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
@@ -19,7 +19,7 @@
 };
 
 const ITERATIONS: u32 = 200_000;
-/// Repeats; the best is printed, as others share the machine.
+/// The fastest repeat is printed, to exclude interference from other processes.
 const REPEATS: usize = 5;
 const IDLE_LOAD: Load = Load { running: 0, queued: 0, wait_ms: 0 };
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Best time of one round, in nanoseconds.
+/// Time per iteration of the fastest repeat.
 fn best_ns(mut run: impl FnMut(u32)) -> f64 {
     let time = |_| {
         let began = Instant::now();
@@ -66,7 +66,7 @@
     (0..REPEATS).map(time).fold(f64::MAX, f64::min)
 }
 
-/// A router's choice and the end of its request; half of the targets own the model asked for.
+/// Time to submit and finish a request at a router. Half of the targets own each model.
 fn router_cost_ns(targets: usize, models: usize, adapters: usize) -> f64 {
     let clock = ManualClock::default();
     let mut router = Router::new("conce".into(), 1);
@@ -100,7 +100,7 @@
     })
 }
 
-/// An agent's admission, start and end, with so many waiting and so many adapters loaded.
+/// Time to admit, start and finish a request at an agent with queued requests and loaded adapters.
 fn agent_cost_ns(queued: usize, adapters: usize) -> f64 {
     let clock = ManualClock::default();
     let limits = Limits { concurrency: 16, queue: queued as u32 + 64 };
@@ -145,9 +145,9 @@
     })
 }
 
-/// Prints the table.
+/// Measures all sizes and prints the results.
 pub fn print() {
-    println!("router: choice and end of one request");
+    println!("router: submit and finish one request");
     let mut baseline = None;
     for (targets, models, adapters) in [(10, 5, 500), (100, 50, 5_000), (730, 350, 54_000)] {
         let cost = router_cost_ns(targets, models, adapters);
@@ -157,13 +157,13 @@
             cost / baseline
         );
     }
-    println!("agent: admission, start and end of one request");
+    println!("agent: admit, start and finish one request");
     let mut baseline = None;
     for (queued, adapters) in [(10, 10), (100, 74), (1000, 740)] {
         let cost = agent_cost_ns(queued, adapters);
         let baseline = *baseline.get_or_insert(cost);
         println!(
-            "  {queued:>4} waiting {adapters:>6} adapters  {cost:>7.0} ns  x{:.2}",
+            "  {queued:>4} queued {adapters:>6} adapters  {cost:>7.0} ns  x{:.2}",
             cost / baseline
         );
     }
--- a/tools/measure/src/curve.rs
+++ b/tools/measure/src/curve.rs
@@ -1,4 +1,4 @@
-//! Cold-start tail against idle hours, as weights and fixed times move them.
+//! Cold-start latency against idle hours, for adaptive and fixed keep-alive times.
 
 use corianderstand_replay::{generate, replay, strategies::Strategy, trace::Trace};
 use plotters::prelude::{
@@ -6,12 +6,11 @@
 };
 use std::{path::Path, time::Duration};
 
-/// Ratios of the weights of tail and idle hours.
+/// Cost factors of cold-start latency and of idle hours.
 const COST_FACTORS: [(u32, u32); 6] = [(5, 95), (20, 80), (50, 50), (80, 20), (95, 5), (99, 1)];
-/// Fixed times in minutes.
 const FIXED_KEEP_ALIVE_MINUTES: [u64; 6] = [2, 5, 10, 40, 160, 640];
 
-/// One way's outcome.
+/// Result of one strategy.
 struct Point {
     name: String,
     idle_hours: f64,
@@ -35,7 +34,7 @@
         .collect()
 }
 
-/// Prints the points of both traces with habits and without, and draws the one with.
+/// Prints the points of both traces and draws a chart. The chart of the last trace remains.
 pub fn draw(path: &Path) {
     for trace in [generate::market_days(1), generate::quiet_nights(1)] {
         let adaptive = points(
@@ -62,8 +61,8 @@
     let max_hours = all().map(|point| point.idle_hours).fold(1.0, f64::max);
     let max_ms = all().map(|point| point.mean_ms).max().unwrap_or(1) as f64;
     let root = SVGBackend::new(path, (800, 500)).into_drawing_area();
-    root.fill(&WHITE).expect("the file can be written");
-    let caption = format!("{}: blue by history, red fixed time", trace.header.trace);
+    root.fill(&WHITE).expect("the chart can be drawn");
+    let caption = format!("{}: blue adaptive, red fixed keep-alive", trace.header.trace);
     let mut chart = ChartBuilder::on(&root)
         .caption(caption, ("sans-serif", 18))
         .margin(10)
@@ -77,14 +76,14 @@
         .y_desc("mean cold-start latency of wakes, ms")
         .axis_style(BLACK)
         .draw()
-        .expect("the file can be written");
+        .expect("the chart can be drawn");
     for (points, color) in [(adaptive, BLUE), (fixed, RED)] {
         let mut line: Vec<(f64, f64)> =
             points.iter().map(|point| (point.idle_hours, point.mean_ms as f64)).collect();
         line.sort_by(|a, b| a.0.total_cmp(&b.0));
-        chart.draw_series(LineSeries::new(line.clone(), color)).expect("the file can be written");
+        chart.draw_series(LineSeries::new(line.clone(), color)).expect("the chart can be drawn");
         let dots = line.into_iter().map(|at| Circle::new(at, 4, color.filled()));
-        chart.draw_series(dots).expect("the file can be written");
+        chart.draw_series(dots).expect("the chart can be drawn");
     }
-    root.present().expect("the file can be written");
+    root.present().expect("the chart can be drawn");
 }
--- a/tools/measure/src/main.rs
+++ b/tools/measure/src/main.rs
@@ -1,8 +1,8 @@
-//! Maintainers' measurements.
+//! Offline measurements for maintainers.
 //!
-//! `measure traces DIR` writes the committed traces; `measure compare [NAME…]` replays generated
-//! ones in all ways; `measure curve FILE.svg` draws tail against idle hours; `measure cost`
-//! times one decision as targets and adapters grow.
+//! `measure traces DIR` writes the committed traces, `measure compare [NAME…]` replays generated
+//! traces under all strategies, `measure curve FILE.svg` draws cold-start latency against idle
+//! hours, and `measure cost` times one scheduling decision.
 
 mod cost;
 mod curve;
@@ -29,7 +29,7 @@
 fn traces(dir: &Path) {
     for trace in generate::committed() {
         let path = dir.join(format!("{}.jsonl", trace.header.trace));
-        fs::write(&path, trace.text()).expect("the directory can be written");
+        fs::write(&path, trace.text()).expect("the directory is writable");
         println!("{} {} lines", path.display(), trace.lines.len());
     }
 }
