--- a/tools/ci/src/known_red.rs
+++ b/tools/ci/src/known_red.rs
@@ -1,4 +1,4 @@
-//! Tests that are listed in `KNOWN-RED.txt` because of an open fault.
+//! Tests listed in `KNOWN-RED.txt`, which fail because of an open issue.
 //!
 //! Each entry starts with an unindented line, `binary-id test-name`, as nextest prints it. Indented
 //! lines give the command, what was seen and the issue.
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -1,6 +1,4 @@
-//! All checks of this repository, one sub-command each, so that a person and CI run the same.
-//!
-//! Without a sub-command all run in order, the tests last.
+//! Runs the checks of this repository: all in order, or those named as arguments.
 
 mod known_red;
 
@@ -29,7 +27,7 @@
         ]],
     ),
     ("doc", &[&["test", "--workspace", "--doc", "--locked", "--quiet"]]),
-    // A short form with fixed seeds; it waits for states, so its verdict depends on no speed.
+    // A short run with fixed seeds. It waits for states, so the result does not depend on timing.
     (
         "chaos",
         &[
@@ -38,8 +36,7 @@
             &["run", "--quiet", "--locked", "-p", "chaos", "--", "--rounds", "6", "--seed", "2"],
         ],
     ),
-    // Real processes on the platform's stand-ins: two usual seeds, one that showed a fault put in by
-    // hand, and the seeds that once failed.
+    // Seed 11 exposed a fault that was injected by hand; `--kept` replays seeds that once failed.
     (
         "soak",
         &[
@@ -58,7 +55,7 @@
     let selected: Vec<String> = std::env::args().skip(1).collect();
     if let Some(unknown) = selected.iter().find(|name| STEPS.iter().all(|(n, _)| n != name)) {
         let names: Vec<&str> = STEPS.iter().map(|(name, _)| *name).collect();
-        eprintln!("there is no step `{unknown}`: use one of {}", names.join(", "));
+        eprintln!("unknown step `{unknown}`: use one of {}", names.join(", "));
         return ExitCode::from(2);
     }
     for (name, commands) in STEPS {
@@ -74,7 +71,7 @@
     ExitCode::SUCCESS
 }
 
-/// Runs all tests. Those in `KNOWN-RED.txt` run first and don't change the verdict.
+/// Runs all tests. Those in `KNOWN-RED.txt` run first and do not affect the result.
 fn tests() -> bool {
     let known_red = match known_red::read() {
         Ok(known_red) => known_red,
--- a/tools/generate/src/main.rs
+++ b/tools/generate/src/main.rs
@@ -1,8 +1,7 @@
 //! Generates the types of `corianderstand_schema` from the JSON Schema files in `schema/`.
 //!
 //! `cargo run -p generate` writes the files; `cargo run -p generate -- --check` fails if they
-//! are not current. Formats of our own (`duration-ms`, `team`, …) stand for types of
-//! `corianderstand_types`.
+//! are out of date. Custom formats (`duration-ms`, `team`, …) map to `corianderstand_types`.
 
 use serde_json::{Value, json};
 use std::{fs, path::Path, process::ExitCode};
@@ -10,7 +9,7 @@
 const SCHEMAS: [&str; 5] = ["settings", "process", "records", "messages", "peers"];
 const OUTPUT_DIR: &str = "crates/corianderstand_schema/src/generated";
 
-/// Formats with a type of our own: format, name in the schema, Rust path.
+/// Custom formats: format, definition in the schema, Rust type.
 const FORMATS: [(&str, &str, &str); 12] = [
     ("duration-ms", "Millis", "corianderstand_types::units::Millis"),
     ("mib", "Mib", "corianderstand_types::units::Mib"),
@@ -35,11 +34,11 @@
         if check {
             let current = fs::read_to_string(&out).unwrap_or_default();
             if current != text {
-                eprintln!("{} is not current: run `cargo run -p generate`", out.display());
+                eprintln!("{} is out of date: run `cargo run -p generate`", out.display());
                 stale = true;
             }
         } else {
-            fs::write(&out, text).expect("the output folder can be written");
+            fs::write(&out, text).expect("the output directory is writable");
         }
     }
     if stale { ExitCode::FAILURE } else { ExitCode::SUCCESS }
@@ -63,8 +62,8 @@
         settings.with_replacement(name, path, impls.into_iter());
     }
     let mut space = typify::TypeSpace::new(&settings);
-    space.add_root_schema(root).expect("typify understands the schema");
-    let file = syn::parse2(space.to_stream()).expect("typify writes Rust");
+    space.add_root_schema(root).expect("typify supports the schema");
+    let file = syn::parse2(space.to_stream()).expect("typify generates valid Rust");
     format!(
         "// Generated from {} by `cargo run -p generate`; do not edit.\n\n{}",
         path.display(),
@@ -72,10 +71,9 @@
     )
 }
 
-/// Spells out the default `{}` of a property whose definition has a default for each field.
+/// Expands the default `{}` of a property to the defaults of its definition's fields.
 ///
-/// typify fills an empty default object with each type's own zero, not with the defaults of the
-/// schema: a file without `limits` would then allow no connection at all.
+/// typify fills an empty default object with `Default::default()` of each field's type instead.
 fn fill_defaults(schema: &mut Value) {
     let definitions = schema["definitions"].clone();
     let properties = schema["definitions"].as_object_mut().into_iter().flatten();
@@ -90,7 +88,7 @@
     }
 }
 
-/// Turns each schema with a format of our own into a reference to its type.
+/// Replaces each schema with a custom format by a reference to its type.
 fn replace_formats(schema: &mut Value) {
     match schema {
         Value::Object(map) => {
@@ -100,8 +98,8 @@
                 map.insert("allOf".into(), json!([{ "$ref": format!("#/definitions/{name}") }]));
                 return;
             }
-            // Ranges are checked against the schema when a file is read; without the lower
-            // bound typify takes plain integers instead of non-zero ones.
+            // typify generates `NonZero` types for a lower bound of 1. Ranges are checked against
+            // the schema when a file is read.
             if map.get("type").and_then(Value::as_str) == Some("integer") {
                 map.insert("minimum".into(), json!(0));
             }
--- a/tools/reference/src/lib.rs
+++ b/tools/reference/src/lib.rs
@@ -1,8 +1,7 @@
-//! Writes the reference parts of the operators' pages: settings from the schema, commands from
-//! their arguments, metrics from their table.
+//! Generates the reference sections of the operators' pages: settings from the schema, commands
+//! from their arguments, and metrics from their table.
 //!
-//! A page is written by hand but for the parts between `<!-- reference: NAME -->` and
-//! `<!-- end -->`, which are filled in here, so that they cannot fall behind the code.
+//! A generated section stands between `<!-- reference: NAME -->` and `<!-- end -->`.
 
 mod settings;
 
@@ -13,25 +12,25 @@
 const BEGIN_END: &str = " -->\n";
 const END: &str = "<!-- end -->";
 
-/// Pages with reference parts.
+/// Pages with generated sections.
 pub const PAGES: [&str; 3] = [
     "docs/operators/settings.md",
     "docs/operators/commands.md",
     "docs/operators/metrics-logs-traces.md",
 ];
 
-/// A page as it should be.
+/// Returns a page with its generated sections filled in.
 ///
 /// # Panics
 ///
-/// Panics if a page cannot be read or names a part that there is not.
+/// Panics if the page cannot be read or names an unknown section.
 pub fn page(root: &Path, name: &str) -> String {
     let text = fs::read_to_string(root.join(name)).expect("the page can be read");
     let mut rest = text.as_str();
     let mut filled = String::new();
     while let Some((before, after)) = rest.split_once(BEGIN) {
-        let (part, after) = after.split_once(BEGIN_END).expect("a part has a name");
-        let (_, after) = after.split_once(END).expect("a part has an end");
+        let (part, after) = after.split_once(BEGIN_END).expect("a section has a name");
+        let (_, after) = after.split_once(END).expect("a section has an end");
         filled.push_str(&format!("{before}{BEGIN}{part}{BEGIN_END}\n{}\n{END}", fill(part)));
         rest = after;
     }
@@ -45,7 +44,7 @@
         "commands" => corianderstand_cli::reference(),
         "process" => settings::process(),
         "settings" => settings::documents(),
-        _ => panic!("there is no part `{part}`"),
+        _ => panic!("unknown section `{part}`"),
     }
 }
 
--- a/tools/reference/src/main.rs
+++ b/tools/reference/src/main.rs
@@ -1,5 +1,5 @@
-//! `cargo run -p reference` writes the reference parts of the operators' pages;
-//! `cargo run -p reference -- --check` fails if they are not current.
+//! `cargo run -p reference` writes the generated sections of the operators' pages;
+//! `cargo run -p reference -- --check` fails if they are out of date.
 
 use std::{fs, path::Path, process::ExitCode};
 
@@ -10,9 +10,9 @@
     for name in reference::PAGES {
         let page = reference::page(root, name);
         if !check {
-            fs::write(name, page).expect("the page can be written");
+            fs::write(name, page).expect("the page is writable");
         } else if fs::read_to_string(name).ok() != Some(page) {
-            eprintln!("{name} is not current: run `cargo run -p reference`");
+            eprintln!("{name} is out of date: run `cargo run -p reference`");
             stale = true;
         }
     }
--- a/tools/reference/src/settings.rs
+++ b/tools/reference/src/settings.rs
@@ -1,4 +1,4 @@
-//! Tables of settings, from their schema.
+//! Tables of settings, generated from their schema.
 
 use corianderstand_schema::check::{self, Document};
 use serde_json::Value;
@@ -12,12 +12,12 @@
     Document::TeamService,
 ];
 
-/// Documents under settings paths.
+/// Sections of the settings documents.
 pub fn documents() -> String {
     DOCUMENTS.iter().map(|kind| section(&kind.schema())).collect::<Vec<_>>().join("\n")
 }
 
-/// Process settings.
+/// Sections of the process settings.
 pub fn process() -> String {
     let router = Document::Router.schema();
     let agent = Document::Agent.schema();
@@ -51,7 +51,7 @@
     }
 }
 
-/// The fields of an object, those of objects inside it with their path.
+/// Adds a row per field, with nested fields under their path.
 fn rows(root: &Value, definition: &Value, prefix: &str, text: &mut String) {
     let required = definition["required"].as_array().cloned().unwrap_or_default();
     for (name, property) in definition["properties"].as_object().into_iter().flatten() {
@@ -76,7 +76,6 @@
     }
 }
 
-/// What a field may hold.
 fn allowed_values(root: &Value, field: &Value) -> String {
     if let Some(alternatives) = field["oneOf"].as_array() {
         let alternatives =
--- a/tools/reference/tests/current.rs
+++ b/tools/reference/tests/current.rs
@@ -1,4 +1,4 @@
-//! The operators' pages tell what the code does.
+//! The operators' pages match the code.
 
 use corianderstand_control::metrics::Metric;
 use rstest::rstest;
@@ -8,14 +8,13 @@
     Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
 
-/// A metric or a setting is added and its page is not: an operator looks for it at night and
-/// finds nothing.
+/// Guards against a metric, setting or command that is missing from its page.
 #[rstest]
 fn the_reference_pages_are_current() {
     for name in reference::PAGES {
         let text = fs::read_to_string(root().join(name)).expect("the page can be read");
         let expected = reference::page(root(), name);
-        assert!(text == expected, "{name} is not current: run `cargo run -p reference`");
+        assert!(text == expected, "{name} is out of date: run `cargo run -p reference`");
     }
 }
 
@@ -31,17 +30,17 @@
     }
 }
 
-/// A metric that nothing sends looks like a quiet system on a dashboard.
+/// Guards against a metric that is documented but never recorded.
 #[rstest]
 fn every_metric_is_recorded() {
     let mut code = String::new();
     for krate in ["router", "agent", "control"] {
         let dir = root().join(format!("crates/corianderstand_{krate}/src"));
-        for file in fs::read_dir(dir).expect("the folder can be read").filter_map(Result::ok) {
+        for file in fs::read_dir(dir).expect("the directory is readable").filter_map(Result::ok) {
             code.push_str(&fs::read_to_string(file.path()).unwrap_or_default());
         }
     }
     for metric in Metric::ALL {
-        assert!(code.contains(&format!("Metric::{metric:?}")), "nothing sends {metric:?}");
+        assert!(code.contains(&format!("Metric::{metric:?}")), "no crate records {metric:?}");
     }
 }
