--- a/tools/reference/src/lib.rs
+++ b/tools/reference/src/lib.rs
@@ -8,9 +8,9 @@
 use corianderstand_control::metrics::{Kind, Metric};
 use std::{fs, path::Path};
 
-const BEGIN: &str = "<!-- reference: ";
-const BEGIN_END: &str = " -->\n";
-const END: &str = "<!-- end -->";
+const SECTION_START: &str = "<!-- reference: ";
+const SECTION_START_CLOSE: &str = " -->\n";
+const SECTION_END: &str = "<!-- end -->";
 
 /// Pages with generated sections.
 pub const PAGES: [&str; 3] = [
@@ -26,25 +26,28 @@
 /// Panics if the page cannot be read or names an unknown section.
 pub fn page(root: &Path, name: &str) -> String {
     let text = fs::read_to_string(root.join(name)).expect("the page can be read");
-    let mut rest = text.as_str();
-    let mut filled = String::new();
-    while let Some((before, after)) = rest.split_once(BEGIN) {
-        let (part, after) = after.split_once(BEGIN_END).expect("a section has a name");
-        let (_, after) = after.split_once(END).expect("a section has an end");
-        filled.push_str(&format!("{before}{BEGIN}{part}{BEGIN_END}\n{}\n{END}", fill(part)));
-        rest = after;
+    let mut remaining = text.as_str();
+    let mut output = String::new();
+    while let Some((before, after)) = remaining.split_once(SECTION_START) {
+        let (section, after) = after.split_once(SECTION_START_CLOSE).expect("a section has a name");
+        let (_, after) = after.split_once(SECTION_END).expect("a section has an end");
+        output.push_str(&format!(
+            "{before}{SECTION_START}{section}{SECTION_START_CLOSE}\n{}\n{SECTION_END}",
+            render_section(section)
+        ));
+        remaining = after;
     }
-    filled.push_str(rest);
-    filled
+    output.push_str(remaining);
+    output
 }
 
-fn fill(part: &str) -> String {
-    match part {
+fn render_section(section: &str) -> String {
+    match section {
         "metrics" => metrics(),
         "commands" => corianderstand_cli::reference(),
         "process" => settings::process(),
         "settings" => settings::documents(),
-        _ => panic!("unknown section `{part}`"),
+        _ => panic!("unknown section `{section}`"),
     }
 }
 
