--- a/tools/capacity/src/emulate.rs
+++ b/tools/capacity/src/emulate.rs
@@ -1,6 +1,6 @@
-//! The many peers of one process, emulated in this program with the project's own frames.
+//! Emulates the peers of a process with the real link protocol.
 
-use crate::{forward::Count, size};
+use crate::{forward::ByteCounter, size};
 use corianderstand_edge::log::{HttpLog, LogService};
 use corianderstand_link::{
     PROTOCOL, connection,
@@ -24,43 +24,37 @@
     time,
 };
 
-/// Frames that wait to be written.
-const RING: usize = 64;
-/// Bytes that frame a message.
-const LENGTH_BYTES: u64 = 4;
-/// Longest silence before a peer gives up.
-const SILENCE: Duration = Duration::from_secs(60);
+/// Capacity of a connection's write queue, in frames.
+const WRITE_QUEUE: usize = 64;
+const LENGTH_PREFIX_BYTES: u64 = 4;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Agents that a router connects to.
+/// Emulated agents that a router connects to.
 #[derive(Clone, Debug, Default)]
 pub struct Agents {
-    /// Their addresses, in the order of targets.
+    /// Listen addresses by target index.
     pub addresses: Vec<SmolStr>,
-    /// Bytes on all connections.
-    pub count: Arc<Count>,
-    /// Connections that are up.
+    /// Traffic on all connections.
+    pub counter: Arc<ByteCounter>,
+    /// Number of open connections.
     pub connected: Arc<AtomicUsize>,
 }
 
-fn bytes_of(message: &impl Serialize) -> u64 {
-    let frame = frame::encode(message, b"").expect("messages are plain data");
-    frame.len() as u64 + LENGTH_BYTES
+fn frame_bytes(message: &impl Serialize) -> u64 {
+    let frame = frame::encode(message, b"").expect("messages can be serialized");
+    frame.len() as u64 + LENGTH_PREFIX_BYTES
 }
 
 impl Agents {
-    /// Starts `count` of them.
-    ///
-    /// # Panics
-    ///
-    /// Panics if loopback has no free port.
+    /// Starts `count` agents on loopback.
     pub async fn start(count: usize) -> Self {
         let mut agents = Self::default();
         for i in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a port");
             let address = listener.local_addr().expect("it is bound");
             agents.addresses.push(format_smolstr!("{address}"));
-            let (count, connected) = (agents.count.clone(), agents.connected.clone());
-            tokio::spawn(accept(listener, size::target(i), count, connected));
+            let (counter, connected) = (agents.counter.clone(), agents.connected.clone());
+            tokio::spawn(accept(listener, size::target(i), counter, connected));
         }
         agents
     }
@@ -69,26 +63,30 @@
 async fn accept(
     listener: TcpListener,
     target: TargetId,
-    count: Arc<Count>,
+    counter: Arc<ByteCounter>,
     connected: Arc<AtomicUsize>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        let (target, count, connected) = (target.clone(), count.clone(), connected.clone());
+        let (target, counter, connected) = (target.clone(), counter.clone(), connected.clone());
         tokio::spawn(async move {
             connected.fetch_add(1, Ordering::Relaxed);
-            drop(answer(stream, target, &count).await);
+            drop(serve(stream, target, &counter).await);
             connected.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn answer(stream: TcpStream, target: TargetId, count: &Count) -> Result<(), FrameError> {
-    let (mut reader, writer) = connection::split(stream, SILENCE)?;
-    let (tx, rx) = mpsc::channel(RING);
+async fn serve(
+    stream: TcpStream,
+    target: TargetId,
+    counter: &ByteCounter,
+) -> Result<(), FrameError> {
+    let (mut reader, writer) = connection::split(stream, IDLE_TIMEOUT)?;
+    let (tx, rx) = mpsc::channel(WRITE_QUEUE);
     tokio::spawn(writer.run(rx));
     loop {
         let (message, _) = reader.next::<ToAgent>().await?;
-        count.sent.fetch_add(bytes_of(&message), Ordering::Relaxed);
+        counter.sent.fetch_add(frame_bytes(&message), Ordering::Relaxed);
         let reply = match message {
             ToAgent::Hello { .. } => {
                 ToRouter::Welcome { target: target.clone(), incarnation: 1, draining: false }
@@ -99,53 +97,53 @@
             }
             _ => continue,
         };
-        count.received.fetch_add(bytes_of(&reply), Ordering::Relaxed);
+        counter.received.fetch_add(frame_bytes(&reply), Ordering::Relaxed);
         tx.send(frame::encode(&reply, b"")?).await.map_err(|_| FrameError::Closed)?;
     }
 }
 
-/// Connects as `routers` routers would, each with a heartbeat `every` so often.
-pub fn routers(agent: &str, routers: usize, every: Duration, count: &Arc<Count>) {
+/// Connects `routers` emulated routers to an agent, each sending a ping every `heartbeat`.
+pub fn routers(agent: &str, routers: usize, heartbeat: Duration, counter: &Arc<ByteCounter>) {
     for i in 0..routers {
-        tokio::spawn(connect(agent.to_owned(), i, every, count.clone()));
+        tokio::spawn(emulate_router(agent.to_owned(), i, heartbeat, counter.clone()));
     }
 }
 
-async fn connect(
+async fn emulate_router(
     agent: String,
     index: usize,
-    every: Duration,
-    count: Arc<Count>,
+    heartbeat: Duration,
+    counter: Arc<ByteCounter>,
 ) -> Result<(), FrameError> {
     let stream = TcpStream::connect(&agent).await?;
-    let (mut reader, writer) = connection::split(stream, SILENCE)?;
-    let (tx, rx) = mpsc::channel(RING);
+    let (mut reader, writer) = connection::split(stream, IDLE_TIMEOUT)?;
+    let (tx, rx) = mpsc::channel(WRITE_QUEUE);
     tokio::spawn(writer.run(rx));
     let router = WriterId(format_smolstr!("router-{index:04}"));
     let hello = ToAgent::Hello { router, incarnation: 1, protocol: PROTOCOL };
-    count.received.fetch_add(bytes_of(&hello), Ordering::Relaxed);
+    counter.received.fetch_add(frame_bytes(&hello), Ordering::Relaxed);
     tx.send(frame::encode(&hello, b"")?).await.map_err(|_| FrameError::Closed)?;
-    // Routers do not beat together.
-    time::sleep(every.mul_f64(f64::from(index as u32 % 100) / 100.0)).await;
-    let mut ticks = time::interval(every);
+    // Spreads the pings of the routers over the interval.
+    time::sleep(heartbeat.mul_f64(f64::from(index as u32 % 100) / 100.0)).await;
+    let mut ticks = time::interval(heartbeat);
     let mut nonce = 0;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 nonce += 1;
                 let ping = ToAgent::Ping { nonce };
-                count.received.fetch_add(bytes_of(&ping), Ordering::Relaxed);
+                counter.received.fetch_add(frame_bytes(&ping), Ordering::Relaxed);
                 tx.send(frame::encode(&ping, b"")?).await.map_err(|_| FrameError::Closed)?;
             }
             next = reader.next::<ToRouter>() => {
                 let (message, _) = next?;
-                count.sent.fetch_add(bytes_of(&message), Ordering::Relaxed);
+                counter.sent.fetch_add(frame_bytes(&message), Ordering::Relaxed);
             }
         }
     }
 }
 
-/// Reads the log from `base` as `followers` processes would, from offset `from` on.
+/// Starts `followers` emulated followers that read the log at `base` from offset `from`.
 pub fn followers(base: &str, followers: usize, from: u64, wait: Duration) {
     for _ in 0..followers {
         let log = HttpLog::new(base, wait).with_bearer(&plan::hash("peer"));
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn at random, begun and healed.
+//! Random faults of a deployment.
 
 use corianderstand_derives::derives;
 use rand::RngExt;
@@ -6,35 +6,37 @@
 use serde_json::{Value, json};
 use testbed::Deployment;
 
-/// One fault.
+/// A fault that is injected and later healed.
 #[derives(data)]
 pub enum Fault {
-    /// A router or agent is killed, and started again on healing.
+    /// Kills a router or agent; healing restarts it.
     Kill(String),
-    /// A process is frozen until healing.
+    /// Suspends a process until it is healed.
     Freeze(String),
-    /// A stand-in misbehaves until healing.
+    /// Configures a stand-in to misbehave until it is healed.
     Misbehave(String, Value),
-    /// Open connections of a relay fall silent for good, or are cut.
+    /// Stalls or closes the open connections of a relay.
     Relay(String, Value),
 }
 
-fn pick(rng: &mut ChaCha8Rng, names: &[String]) -> String {
-    names[rng.random_range(0..names.len())].clone()
+fn choose(rng: &mut ChaCha8Rng, candidates: &[String]) -> String {
+    candidates[rng.random_range(0..candidates.len())].clone()
 }
 
 impl Fault {
-    /// Draws a fault of a running deployment.
+    /// Draws a random fault for the running processes.
     pub fn draw(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Self {
         let all = deployment.started_processes();
-        let of = |prefixes: &[&str]| -> Vec<String> {
+        let running_with = |prefixes: &[&str]| -> Vec<String> {
             all.iter().filter(|n| prefixes.iter().any(|p| n.starts_with(p))).cloned().collect()
         };
         match rng.random_range(0..10) {
-            0 | 1 => Self::Kill(pick(rng, &of(&["router-", "agent-"]))),
-            2 => Self::Kill(pick(rng, &of(&["agent-service-"]))),
-            3 => Self::Freeze(pick(rng, &of(&["router-", "agent-"]))),
-            4 => Self::Freeze(pick(rng, &of(&["agent-service-", "service-", "engine-"]))),
+            0 | 1 => Self::Kill(choose(rng, &running_with(&["router-", "agent-"]))),
+            2 => Self::Kill(choose(rng, &running_with(&["agent-service-"]))),
+            3 => Self::Freeze(choose(rng, &running_with(&["router-", "agent-"]))),
+            4 => {
+                Self::Freeze(choose(rng, &running_with(&["agent-service-", "service-", "engine-"])))
+            }
             5 => {
                 let faults = [
                     json!({ "down": true }),
@@ -46,28 +48,29 @@
             6 => {
                 let faults = [json!({ "before_ms": 900 }), json!({ "after_ms": 900 })];
                 let fault = faults[rng.random_range(0..2)].clone();
-                Self::Misbehave(pick(rng, &of(&["service-"])), fault)
+                Self::Misbehave(choose(rng, &running_with(&["service-"])), fault)
             }
             7 => {
                 let fault = json!({ "break_after": rng.random_range(0..30) });
-                Self::Misbehave(pick(rng, &of(&["engine-"])), fault)
+                Self::Misbehave(choose(rng, &running_with(&["engine-"])), fault)
             }
-            8 => Self::Relay(pick(rng, &of(&["relay-"])), json!({ "silence_open": true })),
-            _ => Self::Relay(pick(rng, &of(&["relay-"])), json!({ "cut_open": true })),
+            8 => Self::Relay(
+                choose(rng, &running_with(&["relay-"])),
+                json!({ "silence_open": true }),
+            ),
+            _ => Self::Relay(choose(rng, &running_with(&["relay-"])), json!({ "cut_open": true })),
         }
     }
 
-    /// Brings it about.
-    pub async fn begin(&self, deployment: &mut Deployment) {
+    pub async fn inject(&self, deployment: &mut Deployment) {
         match self {
             Self::Kill(name) => deployment.process(name).kill(),
             Self::Freeze(name) => deployment.process(name).freeze(),
-            Self::Misbehave(name, fault) => send(deployment, name, fault).await,
+            Self::Misbehave(name, fault) => set_fault(deployment, name, fault).await,
             Self::Relay(name, fault) => deployment.inject_fault(name, fault).await,
         }
     }
 
-    /// Ends it.
     pub async fn heal(&self, deployment: &mut Deployment) {
         match self {
             Self::Kill(name) => {
@@ -76,15 +79,15 @@
                 }
             }
             Self::Freeze(name) => deployment.process(name).resume(),
-            Self::Misbehave(name, _) => send(deployment, name, &json!({})).await,
-            // What has fallen silent stays so; new connections work.
+            Self::Misbehave(name, _) => set_fault(deployment, name, &json!({})).await,
+            // Stalled connections stay stalled; new ones are not affected.
             Self::Relay(..) => {}
         }
     }
 }
 
-/// Tells a stand-in to misbehave, first waking it, as a frozen one takes no orders.
-async fn send(deployment: &mut Deployment, name: &str, fault: &Value) {
+/// Sets the fault of a stand-in. A suspended process must be resumed first to receive it.
+async fn set_fault(deployment: &mut Deployment, name: &str, fault: &Value) {
     deployment.process(name).resume();
     deployment.inject_fault(name, fault).await;
 }
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -1,17 +1,16 @@
-//! Rounds of random kills, freezes, silences and outages over real processes.
+//! Runs rounds of random faults against real processes and checks delivery guarantees.
 //!
-//! `chaos --rounds 200 --seed 7` counts, against what the services really ran: bookings that ran
-//! twice, a "not run" of one that ran, outcomes that contradict each other, and streams that
-//! are mixed or cut without saying so. All must be 0. It also counts how many bookings ended
-//! "unknown", and how many streams with an explicit error. The verdict depends on no time:
-//! faults are drawn from the seed, and each round waits until everything is healed.
+//! `chaos --rounds 200 --seed 7` fails if a booking ran twice, was reported as not run although
+//! it ran, or has contradictory outcomes, or if a stream is corrupted or truncated without an
+//! error. Faults are drawn from the seed, and each round waits until the deployment is healthy
+//! again, so the result does not depend on timing.
 
 mod callers;
 mod faults;
 mod measure;
 mod tally;
 
-use callers::{Asked, Kept};
+use callers::{InFlightRequests, ReferenceAnswers};
 use faults::Fault;
 use getopts::Options;
 use rand::{RngExt, SeedableRng};
@@ -22,26 +21,23 @@
 use testbed::{Deployment, Plan, booking::Booking, deployment::wait_for};
 use tokio::time;
 
-/// Bookings of one round; some are asked for twice at once.
-const BOOKINGS: usize = 8;
-/// Streams of one round.
-const STREAMS: usize = 4;
-/// Most faults of one round.
-const MAX_FAULTS: usize = 3;
-/// Longest pause before a booking is asked for.
-const MAX_BOOKING_PAUSE_MS: u64 = 1_200;
-/// Longest time that a service takes before and after a booking takes effect.
-const MAX_WORK_MS: u64 = 250;
-/// Longest pause between two faults.
-const MAX_PAUSE_MS: u64 = 400;
-/// Deadline of the question that settles a booking after its round.
-const SETTLE_MS: u64 = 2_000;
+/// Some bookings of a round are sent through two routers.
+const BOOKINGS_PER_ROUND: usize = 8;
+const STREAMS_PER_ROUND: usize = 4;
+const MAX_FAULTS_PER_ROUND: usize = 3;
+const MAX_BOOKING_DELAY_MS: u64 = 1_200;
+/// Upper bound of the service's delay before and after a booking takes effect.
+const MAX_SERVICE_DELAY_MS: u64 = 250;
+/// Upper bound of the delay between two faults.
+const MAX_FAULT_DELAY_MS: u64 = 400;
+/// Deadline of the requests that query a booking's outcome after its round.
+const VERIFY_DEADLINE_MS: u64 = 2_000;
 
 fn main() -> ExitCode {
     let mut options = Options::new();
-    options.optopt("", "rounds", "how many rounds (default 200)", "N");
-    options.optflag("", "measure", "measure what bookings cost, in place of rounds");
-    options.optopt("", "seed", "seed of the random choices (default: drawn)", "N");
+    options.optopt("", "rounds", "number of rounds (default 200)", "N");
+    options.optflag("", "measure", "measure the cost of bookings instead of running rounds");
+    options.optopt("", "seed", "random seed (default: random)", "N");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
         Err(error) => {
@@ -50,7 +46,7 @@
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("the system gives a runtime");
+    let runtime = runtime.expect("the runtime can be created");
     if matches.opt_present("measure") {
         runtime.block_on(measure::run());
         return ExitCode::SUCCESS;
@@ -78,75 +74,76 @@
 
 async fn run(rounds: u64, seed: u64) -> Tally {
     let mut deployment = Deployment::start(plan()).await;
-    let kept = Kept::read(&deployment).await;
+    let reference = ReferenceAnswers::record(&deployment).await;
     let mut tally = Tally::default();
     for round in 0..rounds {
         let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003) + round);
-        let before = tally.broken();
-        let drawn = round_of(&mut deployment, &kept, round, &mut rng, &mut tally).await;
-        if tally.broken() > before {
-            println!("round {round} broke a promise under {drawn:?}: {tally}");
+        let violations_before = tally.violations();
+        let faults = run_round(&mut deployment, &reference, round, &mut rng, &mut tally).await;
+        if tally.violations() > violations_before {
+            println!("round {round} violated a guarantee under {faults:?}: {tally}");
         }
     }
     tally
 }
 
-async fn round_of(
+async fn run_round(
     deployment: &mut Deployment,
-    kept: &Kept,
+    reference: &ReferenceAnswers,
     round: u64,
     rng: &mut ChaCha8Rng,
     tally: &mut Tally,
 ) -> Vec<Fault> {
     for i in 0..deployment.plan.services {
-        let mut work = || rng.random_range(0..MAX_WORK_MS);
-        let work = json!({ "before_ms": work(), "after_ms": work() });
-        deployment.inject_fault(&format!("service-{i}"), &work).await;
+        let mut delay = || rng.random_range(0..MAX_SERVICE_DELAY_MS);
+        let delay = json!({ "before_ms": delay(), "after_ms": delay() });
+        deployment.inject_fault(&format!("service-{i}"), &delay).await;
     }
-    let mut asked = Asked::default();
-    for number in 0..BOOKINGS {
+    let mut requests = InFlightRequests::default();
+    for index in 0..BOOKINGS_PER_ROUND {
         let deadline_ms = rng.random_range(800..3_000);
-        let booking = Booking::new(&format!("round-{round}-{number}"), deadline_ms);
+        let booking = Booking::new(&format!("round-{round}-{index}"), deadline_ms);
         let router = rng.random_range(0..deployment.plan.routers);
-        let mut after = || Duration::from_millis(rng.random_range(0..MAX_BOOKING_PAUSE_MS));
-        let (first, second) = (after(), after());
-        asked.book(deployment, &booking, router, first);
+        let mut delay_before = || Duration::from_millis(rng.random_range(0..MAX_BOOKING_DELAY_MS));
+        let (first, second) = (delay_before(), delay_before());
+        requests.book(deployment, &booking, router, first);
         if rng.random_bool(0.5) {
-            asked.book(deployment, &booking, deployment.plan.routers - 1 - router, second);
+            requests.book(deployment, &booking, deployment.plan.routers - 1 - router, second);
         }
     }
-    for number in 0..STREAMS {
-        asked.stream(deployment, number, rng.random_range(0..deployment.plan.routers));
+    for index in 0..STREAMS_PER_ROUND {
+        requests.stream(deployment, index, rng.random_range(0..deployment.plan.routers));
     }
-    let count = rng.random_range(1..=MAX_FAULTS);
-    let drawn: Vec<Fault> = (0..count).map(|_| Fault::draw(deployment, rng)).collect();
-    for fault in &drawn {
-        time::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS))).await;
-        fault.begin(deployment).await;
+    let count = rng.random_range(1..=MAX_FAULTS_PER_ROUND);
+    let faults: Vec<Fault> = (0..count).map(|_| Fault::draw(deployment, rng)).collect();
+    for fault in &faults {
+        time::sleep(Duration::from_millis(rng.random_range(0..MAX_FAULT_DELAY_MS))).await;
+        fault.inject(deployment).await;
     }
-    time::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS * 4))).await;
-    for fault in drawn.iter().rev() {
+    time::sleep(Duration::from_millis(rng.random_range(0..MAX_FAULT_DELAY_MS * 4))).await;
+    for fault in faults.iter().rev() {
         fault.heal(deployment).await;
     }
-    let mut answers = asked.finish(kept, tally).await;
-    healed(deployment, round).await;
+    let mut answers = requests.finish(reference, tally).await;
+    wait_until_healthy(deployment, round).await;
     for (key, answers) in &mut answers {
-        let booking = Booking::new(key, SETTLE_MS);
+        let booking = Booking::new(key, VERIFY_DEADLINE_MS);
         answers.push(booking.send_via(deployment, "router-0").await);
         answers.push(booking.send_via(deployment, "router-1").await);
-        tally.booking(key, answers, deployment.execution_count(key).await);
+        tally.record_booking(key, answers, deployment.execution_count(key).await);
     }
-    drawn
+    faults
 }
 
-/// Waits until bookings and models go on through every router.
-async fn healed(deployment: &Deployment, round: u64) {
+/// Waits until every router is ready and completes a booking.
+async fn wait_until_healthy(deployment: &Deployment, round: u64) {
     for router in ["router-0", "router-1"] {
         deployment.wait_for_answer(router, "/readyz").await;
-        let mut turn = 0;
-        wait_for("bookings go on", async || {
-            turn += 1;
-            let probe = Booking::new(&format!("probe-{round}-{router}-{turn}"), SETTLE_MS);
+        let mut attempt = 0;
+        wait_for("a booking completes", async || {
+            attempt += 1;
+            let probe =
+                Booking::new(&format!("probe-{round}-{router}-{attempt}"), VERIFY_DEADLINE_MS);
             probe.send_via(deployment, router).await.is_some_and(|answer| answer.outcome == "ran")
         })
         .await;
--- a/tools/reference/tests/current.rs
+++ b/tools/reference/tests/current.rs
@@ -1,4 +1,4 @@
-//! The operators' pages tell what the code does.
+//! The operators' pages match the code.
 
 use corianderstand_control::metrics::Metric;
 use rstest::rstest;
@@ -8,19 +8,18 @@
     Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."))
 }
 
-/// A metric or a setting is added and its page is not: an operator looks for it at night and
-/// finds nothing.
+/// Guards against a metric, setting or command that is missing from its page.
 #[rstest]
-fn the_reference_is_current() {
+fn the_reference_pages_are_current() {
     for name in reference::PAGES {
         let text = fs::read_to_string(root().join(name)).expect("the page can be read");
-        let wanted = reference::page(root(), name);
-        assert!(text == wanted, "{name} is not current: run `cargo run -p reference`");
+        let expected = reference::page(root(), name);
+        assert!(text == expected, "{name} is out of date: run `cargo run -p reference`");
     }
 }
 
 #[rstest]
-fn every_metric_has_unit_and_meaning_and_a_name_of_its_own() {
+fn every_metric_has_a_unit_a_meaning_and_a_unique_name() {
     let page = fs::read_to_string(root().join("docs/operators/metrics-logs-traces.md"));
     let page = page.expect("the page can be read");
     for (i, metric) in Metric::ALL.iter().enumerate() {
@@ -31,17 +30,17 @@
     }
 }
 
-/// A metric that nothing sends looks like a quiet system on a dashboard.
+/// Guards against a metric that is documented but never recorded.
 #[rstest]
-fn every_metric_is_sent_somewhere() {
+fn every_metric_is_recorded() {
     let mut code = String::new();
     for krate in ["router", "agent", "control"] {
         let dir = root().join(format!("crates/corianderstand_{krate}/src"));
-        for file in fs::read_dir(dir).expect("the folder can be read").filter_map(Result::ok) {
+        for file in fs::read_dir(dir).expect("the directory is readable").filter_map(Result::ok) {
             code.push_str(&fs::read_to_string(file.path()).unwrap_or_default());
         }
     }
     for metric in Metric::ALL {
-        assert!(code.contains(&format!("Metric::{metric:?}")), "nothing sends {metric:?}");
+        assert!(code.contains(&format!("Metric::{metric:?}")), "no crate records {metric:?}");
     }
 }
