--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -1,11 +1,11 @@
 //! Connections from routers.
 
 use crate::{
-    event::{ConnectionId, Event, Request, StreamEnd},
+    event::{ConnectionId, Event, Request, ResponseStream},
     shape,
 };
 use bytes::Bytes;
-use corianderstand_decide::work::{Need, Work};
+use corianderstand_decide::request::{RequestSpec, Requirement};
 use corianderstand_link::{
     PROTOCOL,
     connection::{self, Reader},
@@ -23,73 +23,67 @@
     sync::{mpsc, watch},
 };
 
-/// Frames that wait to be written to one router.
-const OUT_RING: usize = 1024;
+/// Capacity in frames of the queue to one router.
+const OUTBOUND_QUEUE_CAPACITY: usize = 1024;
 
-/// What every connection needs.
+/// State shared by all connections.
 #[derive(Clone)]
-pub struct Shared {
-    /// Name of the target.
+pub struct ConnectionContext {
     pub target: TargetId,
-    /// Start of this process.
     pub incarnation: u64,
-    /// Limit on silence.
-    pub silence: Duration,
-    /// To the `decide` thread.
+    pub idle_timeout: Duration,
     pub events: SyncSender<Event>,
-    /// How busy the target is.
     pub load: watch::Receiver<Load>,
-    /// Whether new work is taken.
+    /// Whether new requests are refused.
     pub draining: watch::Receiver<bool>,
-    /// Time.
     pub clock: SharedClock,
 }
 
-/// Accepts for ever.
-pub async fn run(listener: TcpListener, shared: Shared) {
+pub async fn run(listener: TcpListener, context: ConnectionContext) {
     let mut next_id: ConnectionId = 0;
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "connection not accepted");
+                tracing::warn!(%error, "cannot accept a connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
         next_id += 1;
-        tokio::spawn(serve(stream, next_id, shared.clone()));
+        tokio::spawn(serve(stream, next_id, context.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, id: ConnectionId, shared: Shared) {
-    let Ok((reader, writer)) = connection::split(stream, shared.silence) else { return };
-    let (out, rx) = mpsc::channel(OUT_RING);
-    let events = shared.events.clone();
-    let mut connection = Connection { id, out, shared, credits: HashMap::new(), greeted: false };
+async fn serve(stream: TcpStream, id: ConnectionId, context: ConnectionContext) {
+    let Ok((reader, writer)) = connection::split(stream, context.idle_timeout) else { return };
+    let (outbound, rx) = mpsc::channel(OUTBOUND_QUEUE_CAPACITY);
+    let events = context.events.clone();
+    let mut connection =
+        Connection { id, outbound, context, credits: HashMap::new(), sends_requests: false };
     let ended = tokio::select! {
         ended = connection.read(reader) => ended,
         written = writer.run(rx) => written.err().unwrap_or(FrameError::Closed),
     };
-    if connection.greeted {
-        tracing::info!(connection = id, error = %ended, "connection from a router ended");
+    if connection.sends_requests {
+        tracing::info!(connection = id, error = %ended, "connection from a router closed");
     }
-    // The ring is bounded and its reader never waits for this thread, so this ends soon.
-    drop(events.send(Event::Gone(id)));
+    // Blocks only briefly: the `decide` thread never waits for this one.
+    drop(events.send(Event::Disconnected(id)));
 }
 
 struct Connection {
     id: ConnectionId,
-    out: mpsc::Sender<Bytes>,
-    shared: Shared,
+    outbound: mpsc::Sender<Bytes>,
+    context: ConnectionContext,
     credits: HashMap<u64, watch::Sender<u64>>,
-    /// Whether a router greeted to send requests, not only to ask what is loaded.
-    greeted: bool,
+    /// Whether the router connected to send requests, not only to query the status.
+    sends_requests: bool,
 }
 
 impl Connection {
     async fn read(&mut self, mut reader: Reader) -> FrameError {
-        let mut draining = self.shared.draining.clone();
+        let mut draining = self.context.draining.clone();
         loop {
             let next = tokio::select! {
                 next = reader.next::<ToAgent>() => next,
@@ -104,7 +98,7 @@
                 Ok(next) => next,
                 Err(error) => return error,
             };
-            if let Err(error) = self.take(message, body).await {
+            if let Err(error) = self.handle(message, body).await {
                 return error;
             }
         }
@@ -112,13 +106,13 @@
 
     async fn send(&self, message: &ToRouter) -> bool {
         let Ok(frame) = frame::encode(message, b"") else { return false };
-        self.out.send(frame).await.is_ok()
+        self.outbound.send(frame).await.is_ok()
     }
 
-    async fn take(&mut self, message: ToAgent, body: Bytes) -> Result<(), FrameError> {
+    async fn handle(&mut self, message: ToAgent, body: Bytes) -> Result<(), FrameError> {
         match message {
             ToAgent::Hello { router, incarnation, protocol } => {
-                self.greeted = incarnation != corianderstand_link::ASKING;
+                self.sends_requests = incarnation != corianderstand_link::STATUS_QUERY_INCARNATION;
                 self.welcome(&router.0, protocol).await
             }
             ToAgent::Open(open) => self.open(open, body),
@@ -130,11 +124,11 @@
             }
             ToAgent::Cancel { stream } => {
                 self.credits.remove(&stream);
-                self.tell(Event::Cancelled { connection: self.id, stream })
+                self.send_event(Event::Cancelled { connection: self.id, stream })
             }
-            ToAgent::List => self.tell(Event::List(self.out.clone())),
+            ToAgent::List => self.send_event(Event::ListHoldings(self.outbound.clone())),
             ToAgent::Ping { nonce } => {
-                let load = self.shared.load.borrow().clone();
+                let load = self.context.load.borrow().clone();
                 self.send(&ToRouter::Pong { nonce, load }).await;
                 self.credits.retain(|_, credit| !credit.is_closed());
                 Ok(())
@@ -144,12 +138,16 @@
 
     async fn welcome(&self, router: &str, protocol: u32) -> Result<(), FrameError> {
         if protocol != PROTOCOL {
-            tracing::error!(router, protocol, "router speaks another version: upgrade it");
+            tracing::error!(
+                router,
+                protocol,
+                "router uses an incompatible protocol version: upgrade it"
+            );
             return Err(FrameError::Closed);
         }
-        let target = self.shared.target.clone();
-        let draining = *self.shared.draining.borrow();
-        let incarnation = self.shared.incarnation;
+        let target = self.context.target.clone();
+        let draining = *self.context.draining.borrow();
+        let incarnation = self.context.incarnation;
         self.send(&ToRouter::Welcome { target, incarnation, draining }).await;
         Ok(())
     }
@@ -157,21 +155,26 @@
     fn open(&mut self, open: OpenStream, body: Bytes) -> Result<(), FrameError> {
         let (credit, rx) = watch::channel(open.position + open.window);
         let stream = open.stream;
-        let end = StreamEnd { connection: self.id, stream, out: self.out.clone(), credit: rx };
+        let response = ResponseStream {
+            connection: self.id,
+            stream,
+            frames: self.outbound.clone(),
+            credit: rx,
+        };
         self.credits.insert(stream, credit);
-        let work = work(&open, &body, self.shared.clock.now());
-        let deadline = work.deadline;
-        let request = Request { open, body, end, deadline };
-        self.tell(Event::Submit(Box::new((work, request))))
+        let spec = request_spec(&open, &body, self.context.clock.now());
+        let deadline = spec.deadline;
+        let request = Request { open, body, response, deadline };
+        self.send_event(Event::Submit(Box::new((spec, request))))
     }
 
-    /// A full ring means that the `decide` thread is far behind; the connection is closed, so
-    /// that its router goes elsewhere, rather than holding up all other connections.
-    fn tell(&self, event: Event) -> Result<(), FrameError> {
-        match self.shared.events.try_send(event) {
+    /// Closes the connection if the queue is full, so that its router retries elsewhere and the
+    /// other connections are not blocked.
+    fn send_event(&self, event: Event) -> Result<(), FrameError> {
+        match self.context.events.try_send(event) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(_)) => {
-                tracing::error!("the decide ring is full: closing a connection");
+                tracing::error!("event queue of the decide thread is full, closing a connection");
                 Err(FrameError::Closed)
             }
             Err(TrySendError::Disconnected(_)) => Err(FrameError::Closed),
@@ -179,8 +182,8 @@
     }
 }
 
-fn work(open: &OpenStream, body: &[u8], now: std::time::Instant) -> Work {
-    let need = match &open.operation {
+fn request_spec(open: &OpenStream, body: &[u8], now: std::time::Instant) -> RequestSpec {
+    let requirement = match &open.operation {
         Operation::Completion { model, version, adapter }
         | Operation::Chat { model, version, adapter } => {
             let base = Weights::model(model.clone(), version.clone());
@@ -189,16 +192,16 @@
                 version: adapter.version.clone(),
                 adapter: Some(adapter.name.clone()),
             });
-            Need::Weights { base, adapter }
+            Requirement::Weights { base, adapter }
         }
-        Operation::Call { service, .. } => Need::Service(service.clone()),
+        Operation::Call { service, .. } => Requirement::Service(service.clone()),
     };
-    Work {
+    RequestSpec {
         team: open.team.clone(),
-        need,
+        requirement,
         urgency: open.urgency,
         deadline: now + Duration::from_millis(open.deadline_ms),
         repeatable: true,
-        shape: shape::of(&open.operation, body),
+        shape: shape::request_shape(&open.operation, body),
     }
 }
--- /dev/null
+++ b/crates/corianderstand_agent/src/held_requests.rs
@@ -0,0 +1,76 @@
+//! Requests that arrive before the log records they were routed by.
+//!
+//! A router may apply a slot assignment some milliseconds before the slot's owner does. Instead
+//! of refusing the router's request as `not_loaded`, the owner holds it until it has applied the
+//! log up to the offset that the router used.
+
+use crate::event::ConnectionId;
+use std::time::{Duration, Instant};
+
+/// Maximum time that a request is held. After it the request is submitted, and refused early
+/// enough to be retried elsewhere.
+pub const MAX_HOLD_TIME: Duration = Duration::from_millis(1000);
+/// Maximum number of held requests; further requests are submitted immediately.
+pub const MAX_HELD_REQUESTS: usize = 1024;
+/// Interval at which held requests are polled.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+#[derive(Debug)]
+struct HeldRequest<T> {
+    as_of: u64,
+    until: Instant,
+    stream: (ConnectionId, u64),
+    request: T,
+}
+
+/// Held requests, in order of arrival.
+#[derive(Debug)]
+pub struct HeldRequests<T> {
+    held: Vec<HeldRequest<T>>,
+}
+
+impl<T> Default for HeldRequests<T> {
+    fn default() -> Self {
+        Self { held: Vec::new() }
+    }
+}
+
+impl<T> HeldRequests<T> {
+    /// Holds a request routed by the record at `as_of`. Returns the request if that record has
+    /// been applied or too many are held.
+    pub fn hold(
+        &mut self,
+        now: Instant,
+        next: u64,
+        as_of: u64,
+        stream: (ConnectionId, u64),
+        request: T,
+    ) -> Option<T> {
+        if as_of < next || self.held.len() >= MAX_HELD_REQUESTS {
+            return Some(request);
+        }
+        self.held.push(HeldRequest { as_of, until: now + MAX_HOLD_TIME, stream, request });
+        None
+    }
+
+    /// Removes and returns, in order, all requests whose record is applied or whose hold expired.
+    pub fn take_ready(&mut self, now: Instant, next: u64) -> Vec<T> {
+        let ready = |held: &mut HeldRequest<T>| held.as_of < next || held.until <= now;
+        self.held.extract_if(.., ready).map(|held| held.request).collect()
+    }
+
+    pub fn cancel(&mut self, stream: (ConnectionId, u64)) {
+        self.held.retain(|held| held.stream != stream);
+    }
+
+    pub fn remove_connection(&mut self, connection: ConnectionId) {
+        self.held.retain(|held| held.stream.0 != connection);
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.held.is_empty()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/corianderstand_cli/src/args.rs
+++ b/crates/corianderstand_cli/src/args.rs
@@ -1,38 +1,25 @@
-//! Sub-commands and their options.
+//! Subcommands and their options.
 
 use corianderstand_derives::derives;
 use getopts::{Matches, Options};
 
-/// A sub-command.
 #[derives(key)]
 pub enum Command {
-    /// Runs a router.
     Router,
-    /// Runs an agent.
     Agent,
-    /// Checks files.
     Check,
-    /// Compares a directory with what is in force.
     Diff,
-    /// Puts a directory in force.
     Apply,
-    /// Shows documents in force.
     Get,
-    /// Shows the changes of one document.
     History,
-    /// Shows the deployment.
     Status,
-    /// Hashes a bearer key.
     HashKey,
-    /// Replays a trace.
     Replay,
-    /// Tells what became of a request.
     Explain,
-    /// Tells what became of all requests.
     Account,
 }
 
-const ALL: [Command; 12] = [
+const ALL_COMMANDS: [Command; 12] = [
     Command::Router,
     Command::Agent,
     Command::Check,
@@ -65,7 +52,7 @@
         }
     }
 
-    const fn about(self) -> (&'static str, &'static str) {
+    const fn help_text(self) -> (&'static str, &'static str) {
         match self {
             Self::Router => ("FILE", "run a router with the process settings in FILE"),
             Self::Agent => ("FILE", "run an agent with the process settings in FILE"),
@@ -81,16 +68,14 @@
                 "show what is in force where, which models are warm, loading or cold, and who \
                 holds the lease",
             ),
-            Self::Replay => {
-                ("FILE", "replay a trace through the decisions and print both measures")
-            }
-            Self::Explain => {
-                ("ID FILE…", "tell what became of request ID, from the log files of processes")
-            }
+            Self::Replay => ("FILE", "replay a trace through the scheduler and print its outcome"),
+            Self::Explain => (
+                "ID FILE…",
+                "show the log lines and the outcome of request ID, from the log files of processes",
+            ),
             Self::Account => (
                 "FILE…",
-                "count what became of requests, by route, cause and time, from the log files of \
-                routers",
+                "count requests by route, outcome and time, from the log files of routers",
             ),
             Self::HashKey => (
                 "FILE",
@@ -100,27 +85,25 @@
         }
     }
 
-    /// The sub-command of that name.
-    pub fn find(name: &str) -> Option<Self> {
-        ALL.into_iter().find(|command| command.name() == name)
+    pub fn from_name(name: &str) -> Option<Self> {
+        ALL_COMMANDS.into_iter().find(|command| command.name() == name)
     }
 
     const fn runs_process(self) -> bool {
         matches!(self, Self::Router | Self::Agent)
     }
 
-    const fn asks_router(self) -> bool {
+    const fn queries_router(self) -> bool {
         matches!(self, Self::Diff | Self::Apply | Self::Get | Self::History | Self::Status)
     }
 }
 
-/// What the binary can do.
 pub fn overview() -> String {
     let mut text = String::from("corianderstand COMMAND [options]\n\nCommands:\n");
-    for command in ALL {
-        let (operand, about) = command.about();
+    for command in ALL_COMMANDS {
+        let (operand, help_text) = command.help_text();
         let head = format!("{} {operand}", command.name());
-        text.push_str(&format!("  {head:<18} {about}\n"));
+        text.push_str(&format!("  {head:<18} {help_text}\n"));
     }
     text.push_str("\nEach command has --help. Exit codes: 0 done, 1 fault found, 2 usage, ");
     text.push_str("3 conflict, 4 undecided, 5 unreachable.");
@@ -136,53 +119,54 @@
     if command == Command::Check {
         options.optflag("p", "platform", "the files are settings of the users' platform");
     }
-    if command.asks_router()
+    if command.queries_router()
         || matches!(command, Command::Check | Command::Explain | Command::Account)
     {
         options.optflag("j", "json", "print JSON");
     }
-    if command.asks_router() {
+    if command.queries_router() {
         options.optopt("r", "router", "address and port of any router", "ADDRESS");
         options.optopt("k", "key-file", "file with the operators' bearer key", "FILE");
     }
     if command == Command::Replay {
-        options.optopt("s", "settings", "settings in place of those of the trace", "DIR");
+        options.optopt("s", "settings", "settings that override those of the trace", "DIR");
         options.optflag("c", "compare", "also replay all baselines");
         options.optflag("j", "json", "print JSON");
     }
     if command == Command::Apply {
-        options.optopt("a", "author", "who asks, for the history", "NAME");
-        options.optflag("", "prune", "also remove documents that DIR does not have");
-        options.optflag("", "wait", "wait until it is in force on all routers that answer");
+        options.optopt("a", "author", "author recorded in the history", "NAME");
+        options.optflag("", "prune", "also remove documents missing from DIR");
+        options.optflag("", "wait", "wait until the change is in force on all responsive routers");
     }
     if command == Command::Status {
-        options.optflag("w", "watch", "show it again and again until interrupted");
-        options.optopt("i", "interval-ms", "pause of --watch, 2000 if not given", "MILLISECONDS");
+        options.optflag("w", "watch", "refresh until interrupted");
+        options.optopt(
+            "i",
+            "interval-ms",
+            "refresh interval of --watch, default 2000",
+            "MILLISECONDS",
+        );
     }
     options
 }
 
 fn usage(command: Command) -> String {
-    let (operand, about) = command.about();
-    let brief = format!("corianderstand {} {operand} [options]\n\n{about}", command.name());
+    let (operand, help_text) = command.help_text();
+    let brief = format!("corianderstand {} {operand} [options]\n\n{help_text}", command.name());
     options(command).usage(&brief)
 }
 
-/// The overview and every command's help, as a page.
+/// Help of all commands as Markdown.
 pub fn reference() -> String {
     let mut text = format!("```text\n{}\n```\n", overview());
-    for command in ALL {
+    for command in ALL_COMMANDS {
         let usage = usage(command);
         text.push_str(&format!("\n## {}\n\n```text\n{}\n```\n", command.name(), usage.trim()));
     }
     text
 }
 
-/// Parses a sub-command's arguments; `None` if help was asked for and printed.
-///
-/// # Errors
-///
-/// A message that names the fault and shows the usage.
+/// Returns `None` after printing the help of the subcommand.
 pub fn parse(
     command: Command,
     args: impl Iterator<Item = String>,
@@ -202,7 +186,7 @@
         _ => 1..=1,
     };
     if !operands.contains(&matches.free.len()) {
-        return Err(format!("the number of operands is wrong\n\n{usage}"));
+        return Err(format!("wrong number of operands\n\n{usage}"));
     }
     Ok(Some(matches))
 }
--- a/crates/corianderstand_cli/src/check.rs
+++ b/crates/corianderstand_cli/src/check.rs
@@ -1,7 +1,7 @@
-//! `corianderstand check`: all faults of settings directories and process files at once.
+//! `check`: reports all violations in settings directories and process settings files.
 
-use crate::{Exit, directory, together};
-use corianderstand_schema::check::{self, Document, Fault};
+use crate::{Exit, cross_document, directory};
+use corianderstand_schema::check::{self, Document, Violation};
 use corianderstand_state::view;
 use getopts::Matches;
 use serde_json::{Value, json};
@@ -10,35 +10,35 @@
     path::{Path, PathBuf},
 };
 
-/// A fault, and the file that has it.
+/// A violation with the file that contains it.
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub enum FileFault {
     /// {0}
-    Unread(String),
+    Unreadable(String),
     /// {file} {fault}
-    Faulty {
-        /// The file, as shown.
+    Invalid {
+        /// File path as displayed.
         file: String,
-        /// Its fault.
-        fault: Fault,
+        /// Violation in that file.
+        fault: Violation,
     },
 }
 
 impl FileFault {
-    fn new(file: &Path, fault: Fault) -> Self {
-        Self::Faulty { file: file.display().to_string(), fault }
+    fn new(file: &Path, fault: Violation) -> Self {
+        Self::Invalid { file: file.display().to_string(), fault }
     }
 
     fn json(&self) -> Value {
         match self {
-            Self::Unread(message) => json!({ "problem": message }),
-            Self::Faulty { file, fault } => json!({ "file": file, "path": fault.path,
+            Self::Unreadable(message) => json!({ "problem": message }),
+            Self::Invalid { file, fault } => json!({ "file": file, "path": fault.path,
                 "problem": fault.problem, "remedy": fault.remedy }),
         }
     }
 }
 
-/// Checks every path named on the command line.
+/// Checks all paths given on the command line.
 pub fn run(matches: &Matches) -> Exit {
     let faults: Vec<FileFault> =
         matches.free.iter().flat_map(|path| check_path(Path::new(path))).collect();
@@ -53,30 +53,30 @@
     if faults.is_empty() { Exit::Success } else { Exit::Fault }
 }
 
-/// All faults of a settings directory or a process settings file.
+/// Checks a settings directory or a process settings file.
 pub fn check_path(path: &Path) -> Vec<FileFault> {
     if path.is_dir() { check_directory(path) } else { check_process(path) }
 }
 
-/// All faults of a settings directory, each with its file.
+/// Checks a settings directory.
 pub fn check_directory(root: &Path) -> Vec<FileFault> {
     let (documents, errors) = directory::read(root);
     let file = |document: &str| -> PathBuf { root.join(format!("{document}.json")) };
-    let unread = errors.into_iter().map(|error| FileFault::Unread(error.to_string()));
-    let alone = documents.iter().flat_map(|(path, value)| {
+    let unreadable = errors.into_iter().map(|error| FileFault::Unreadable(error.to_string()));
+    let within = documents.iter().flat_map(|(path, value)| {
         let faults = view::check_document(path, value).into_iter();
         faults.map(move |fault| FileFault::new(&file(path), fault))
     });
-    let together = together::check(&documents).into_iter();
-    let together = together.map(|(document, fault)| FileFault::new(&file(&document), fault));
-    unread.chain(alone).chain(together).collect()
+    let across = cross_document::check(&documents).into_iter();
+    let across = across.map(|(document, fault)| FileFault::new(&file(&document), fault));
+    unreadable.chain(within).chain(across).collect()
 }
 
-/// All faults of one process settings file; what kind it is shows by its content.
+/// Checks a process settings file, whose kind follows from its fields.
 fn check_process(path: &Path) -> Vec<FileFault> {
     let value = match directory::read_file(path) {
         Ok(value) => value,
-        Err(error) => return vec![FileFault::Unread(error.to_string())],
+        Err(error) => return vec![FileFault::Unreadable(error.to_string())],
     };
     let agent = value.get("target").is_some();
     let router = value.get("auth_key").is_some() || value.get("operator_key_hash").is_some();
@@ -85,51 +85,50 @@
         (false, true) => process_faults(Document::Router, path, &value),
         (false, false) => vec![FileFault::new(
             path,
-            Fault {
+            Violation {
                 path: "/".into(),
-                problem: "this is neither an agent's nor a router's settings".into(),
-                remedy: "give `target` for an agent, `auth_key` and `operator_key_hash` for a \
-                    router; check a settings directory by its folder"
+                problem: "these are neither settings of an agent nor of a router".into(),
+                remedy: "set `target` for an agent, `auth_key` and `operator_key_hash` for a \
+                    router; pass a settings directory by its path"
                     .into(),
             },
         )],
     }
 }
 
-/// Faults of a process settings file of a known kind.
+/// Checks a process settings file of a known kind.
 pub fn process_faults(kind: Document, path: &Path, value: &Value) -> Vec<FileFault> {
     let mut faults = check::check(kind, value);
-    faults.extend(contradictions(value));
-    faults.extend(addresses(value));
+    faults.extend(timing_conflicts(value));
+    faults.extend(invalid_addresses(value));
     faults.into_iter().map(|fault| FileFault::new(path, fault)).collect()
 }
 
-/// Limits that cannot hold together.
-fn contradictions(value: &Value) -> Vec<Fault> {
+fn timing_conflicts(value: &Value) -> Vec<Violation> {
     let ms = |name: &str, default: u64| value["timing"][name].as_u64().unwrap_or(default);
     let mut faults = Vec::new();
     if ms("silence_ms", 2000) < 2 * ms("heartbeat_ms", 500) {
-        faults.push(Fault {
+        faults.push(Violation {
             path: "/timing/silence_ms".into(),
             problem: "it is less than two heartbeats".into(),
-            remedy: "raise silence_ms or lower heartbeat_ms, or every pause cuts a connection"
+            remedy: "raise silence_ms or lower heartbeat_ms, or short pauses close connections"
                 .into(),
         });
     }
     faults
 }
 
-/// Addresses are IP numbers with a port; nothing is looked up by name.
-fn addresses(value: &Value) -> Vec<Fault> {
-    let one = |name: &str| Some((format!("/{name}"), value[name].as_str()?.to_owned()));
+/// Addresses must be literal IP addresses with a port, as names are never resolved.
+fn invalid_addresses(value: &Value) -> Vec<Violation> {
+    let field = |name: &str| Some((format!("/{name}"), value[name].as_str()?.to_owned()));
     let peers = value["peers"].as_array().into_iter().flatten().enumerate();
     let peers = peers.filter_map(|(i, peer)| Some((format!("/peers/{i}"), peer.as_str()?.into())));
-    let all = ["listen", "advertise", "statsd"].into_iter().filter_map(one).chain(peers);
-    let wrong = all.filter(|(_, address)| address.parse::<SocketAddr>().is_err());
-    let describe = |(path, address)| Fault {
+    let all = ["listen", "advertise", "statsd"].into_iter().filter_map(field).chain(peers);
+    let invalid = all.filter(|(_, address)| address.parse::<SocketAddr>().is_err());
+    let describe = |(path, address)| Violation {
         path,
-        problem: format!("{address:?} is no IP number with a port"),
-        remedy: "give one, like 192.0.2.1:8080".into(),
+        problem: format!("{address:?} is not an IP address with a port"),
+        remedy: "use the form 192.0.2.1:8080".into(),
     };
-    wrong.map(describe).collect()
+    invalid.map(describe).collect()
 }
--- a/crates/corianderstand_cli/src/client.rs
+++ b/crates/corianderstand_cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks a router what operators ask.
+//! HTTP client for the operator API of a router.
 
 use crate::Exit;
 use getopts::Matches;
@@ -6,30 +6,27 @@
 use serde_json::Value;
 use std::{fs, time::Duration};
 
-/// Variable with the operators' key, if no file is named.
+/// Variable with the operator key, used without `--key-file`.
 pub const KEY_VARIABLE: &str = "CORIANDERSTAND_OPERATOR_KEY";
-/// Variable with a router's address, if none is named.
+/// Variable with a router's address, used without `--router`.
 pub const ROUTER_VARIABLE: &str = "CORIANDERSTAND_ROUTER";
-/// Time a router has to answer.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A question that got no good answer.
 #[derive(Debug, displaydoc::Display)]
 pub enum ClientError {
     /// no router is named: give --router or set `CORIANDERSTAND_ROUTER`
     NoRouter,
     /// no key is named: give --key-file or set `CORIANDERSTAND_OPERATOR_KEY`
     NoKey,
-    /// cannot reach the router ({0}): check its address, or ask another
+    /// cannot reach the router ({0}): check its address, or use another router
     Unreachable(reqwest::Error),
-    /// the router refused ({0}): {1}
+    /// the router rejected the request ({0}): {1}
     Refused(u16, String),
 }
 
 impl std::error::Error for ClientError {}
 
 impl ClientError {
-    /// The exit code for it.
     pub const fn exit(&self) -> Exit {
         match self {
             Self::NoRouter | Self::NoKey => Exit::Usage,
@@ -41,20 +38,14 @@
     }
 }
 
-/// A router that can be asked.
 pub struct Client {
-    base: String,
+    base_url: String,
     key: String,
     http: reqwest::Client,
     runtime: tokio::runtime::Runtime,
 }
 
 impl Client {
-    /// A client for the router that the options or variables name.
-    ///
-    /// # Errors
-    ///
-    /// [`ClientError::NoRouter`] or [`ClientError::NoKey`].
     pub fn new(matches: &Matches) -> Result<Self, ClientError> {
         let router = matches.opt_str("router").or_else(|| std::env::var(ROUTER_VARIABLE).ok());
         let router = router.ok_or(ClientError::NoRouter)?;
@@ -64,25 +55,20 @@
         let http = reqwest::Client::builder().no_proxy().timeout(TIMEOUT).build();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         Ok(Self {
-            base: format!("http://{router}"),
+            base_url: format!("http://{router}"),
             key,
             http: http.map_err(ClientError::Unreachable)?,
-            runtime: runtime.expect("the system gives a runtime"),
+            runtime: runtime.expect("the runtime starts"),
         })
     }
 
-    /// Asks and reads a JSON answer.
-    ///
-    /// # Errors
-    ///
-    /// [`ClientError::Unreachable`] or [`ClientError::Refused`].
-    pub fn ask(
+    pub fn request(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
     ) -> Result<Value, ClientError> {
-        let mut req = self.http.request(method, format!("{}{path}", self.base));
+        let mut req = self.http.request(method, format!("{}{path}", self.base_url));
         req = req.bearer_auth(&self.key);
         if let Some(body) = body {
             req = req.json(body);
--- a/crates/corianderstand_cli/src/platform.rs
+++ b/crates/corianderstand_cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `router --platform`, `agent --platform` and `check --platform`: the users' platform.
+//! `router`, `agent` and `check` with `--platform`.
 
 use crate::{Exit, logging};
 use corianderstand_forward::{agent, router};
@@ -8,7 +8,6 @@
 use std::{fmt::Display, sync::Arc, time::Duration};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Runs a router until it is told to stop.
 pub fn router() -> Exit {
     run(|fields| {
         let (settings, store) = (fields.router()?, fields.store()?);
@@ -18,18 +17,17 @@
     })
 }
 
-/// Runs an agent until it is told to stop.
 pub fn agent() -> Exit {
     run(|fields| {
         let (settings, addr) = (fields.agent()?, fields.engine()?);
         let holder = settings.name.clone();
         let engine = move |client| engine::Engine::new(client, addr, holder);
         let clock = Arc::new(SystemClock);
-        agent::run(settings, clock, engine, stop_and_note_reloads()).map_err(Into::into)
+        agent::run(settings, clock, engine, stop_and_log_reloads()).map_err(Into::into)
     })
 }
 
-/// Checks settings files of the platform; a file that names an engine is an agent's.
+/// Checks settings files of the platform; those with an engine address belong to agents.
 pub fn check(matches: &Matches) -> Exit {
     let mut exit = Exit::Success;
     for path in &matches.free {
@@ -49,30 +47,28 @@
     exit
 }
 
-/// Pause between two looks at the settings file, which may change without a signal. A look takes some
-/// tens of microseconds.
-const LOOK: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A router's settings file, read again after a signal and now and then.
+/// A router's settings file, reloaded on SIGHUP and periodically.
 struct SettingsFile {
-    last: router::Settings,
-    /// The fault that was last said, so that it is said once.
+    active: router::Settings,
+    /// Last reported error, to log each error once.
     fault: Option<settings::SettingsError>,
-    hangups: Option<Signal>,
+    hangup_signal: Option<Signal>,
 }
 
 impl SettingsFile {
-    const fn new(last: router::Settings) -> Self {
-        Self { last, fault: None, hangups: None }
+    const fn new(active: router::Settings) -> Self {
+        Self { active, fault: None, hangup_signal: None }
     }
 
-    /// Settings that differ from the last; a file with a fault changes nothing.
-    fn look(&mut self) -> Option<router::Settings> {
+    /// Returns the settings if they have changed. An invalid file keeps the active settings.
+    fn poll(&mut self) -> Option<router::Settings> {
         match settings::Fields::load().and_then(|fields| fields.router()) {
             Ok(settings) => {
                 self.fault = None;
-                let differs = settings != self.last;
-                differs.then(|| self.last.clone_from(&settings))?;
+                let differs = settings != self.active;
+                differs.then(|| self.active.clone_from(&settings))?;
                 Some(settings)
             }
             Err(fault) => {
@@ -88,66 +84,64 @@
 
 impl router::Reload for SettingsFile {
     async fn next(&mut self) -> router::Settings {
-        if self.hangups.is_none() {
-            self.hangups = hangups();
+        if self.hangup_signal.is_none() {
+            self.hangup_signal = watch_hangup();
         }
         loop {
             tokio::select! {
-                () = told(self.hangups.as_mut()) => {
-                    tracing::info!("told that the settings have changed");
+                () = wait_for_hangup(self.hangup_signal.as_mut()) => {
+                    tracing::info!("SIGHUP received: reloading the settings");
                 }
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
-            if let Some(settings) = self.look() {
+            if let Some(settings) = self.poll() {
                 return settings;
             }
         }
     }
 }
 
-/// The signal that says that settings have changed; without a handler it would end the process.
-fn hangups() -> Option<Signal> {
-    let hangups = signal(SignalKind::hangup());
-    hangups
-        .inspect_err(|error| tracing::warn!(%error, "the signal to reload cannot be watched"))
+/// Installs the SIGHUP handler, without which the signal would end the process.
+fn watch_hangup() -> Option<Signal> {
+    let hangup_signal = signal(SignalKind::hangup());
+    hangup_signal
+        .inspect_err(|error| tracing::warn!(%error, "cannot install the SIGHUP handler"))
         .ok()
 }
 
-async fn told(hangups: Option<&mut Signal>) {
-    match hangups {
-        Some(hangups) => {
-            hangups.recv().await;
+async fn wait_for_hangup(hangup_signal: Option<&mut Signal>) {
+    match hangup_signal {
+        Some(hangup_signal) => {
+            hangup_signal.recv().await;
         }
         None => std::future::pending().await,
     }
 }
 
-/// Waits for the signal to stop.
 async fn stop() {
     match signal(SignalKind::terminate()) {
         Ok(mut term) => {
             term.recv().await;
         }
         Err(error) => {
-            tracing::warn!(%error, "the signal to stop cannot be watched");
+            tracing::warn!(%error, "cannot install the SIGTERM handler");
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Waits for the signal to stop. An agent's settings are its name and addresses, which hold until its
-/// next start.
-async fn stop_and_note_reloads() {
-    let mut hangups = hangups();
-    let note = async {
+/// Waits for SIGTERM. Agents apply changed settings at their next start only.
+async fn stop_and_log_reloads() {
+    let mut hangup_signal = watch_hangup();
+    let log_reloads = async {
         loop {
-            told(hangups.as_mut()).await;
-            tracing::info!("told that the settings have changed: they hold from the next start on");
+            wait_for_hangup(hangup_signal.as_mut()).await;
+            tracing::info!("SIGHUP received: changed settings apply at the next start");
         }
     };
     tokio::select! {
         () = stop() => {}
-        () = note => {}
+        () = log_reloads => {}
     }
 }
 
--- a/crates/corianderstand_control/src/duty.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -1,9 +1,9 @@
-//! The duties of the control lease: taking it, keeping it, planning slots, checkpoints.
+//! Acquires and renews the control lease; its holder plans slots and writes checkpoints.
 
 use crate::{
     appender::{Appender, Identity},
     budget,
-    snapshot::{Current, Snapshot},
+    snapshot::{CurrentSnapshot, Snapshot},
 };
 use corianderstand_schema::records::Body;
 use corianderstand_state::{checkpoint, fold::Outcome, plan};
@@ -19,46 +19,44 @@
 };
 use tokio::{task::JoinHandle, time};
 
-/// Shortest time between two looks at the lease.
-const MIN_TICK: Duration = Duration::from_millis(100);
-/// Time the log has to decide one part of a checkpoint.
-const PART_TIMEOUT: Duration = Duration::from_secs(10);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const CHECKPOINT_PART_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the duties of one process need.
-pub struct Duty {
-    /// Who this process is.
+/// Competes for the control lease and performs the tasks of its holder.
+pub struct LeaseTask {
+    /// The writer identity of this process.
     pub identity: Identity,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
-    /// Snapshots.
-    pub current: Current,
-    /// Appends.
+    /// The current snapshot.
+    pub current: CurrentSnapshot,
+    /// Appends records to the log.
     pub appender: Appender,
-    /// Whether this process has given the lease back for good.
+    /// Whether this process has released the lease for good.
     pub resigned: Arc<AtomicBool>,
 }
 
-impl Duty {
-    /// Takes the lease when it is free, and does its duties while it is held.
+impl LeaseTask {
+    /// Acquires the lease when it is vacant; renews it, plans and writes checkpoints while held.
     pub async fn run(self) {
         let mut renewed_ms = 0;
         let mut checkpoint: Option<JoinHandle<()>> = None;
         loop {
             let snapshot = self.current.load();
             let ttl = snapshot.view.deployment.lease_ttl_ms.0;
-            let may_act = snapshot.caught_up && snapshot.log_up;
-            if may_act && !self.resigned.load(Ordering::Relaxed) {
+            let is_current = snapshot.caught_up && snapshot.log_up;
+            if is_current && !self.resigned.load(Ordering::Relaxed) {
                 let held =
                     snapshot.state.lease.held_by(&self.identity.writer, self.identity.incarnation);
                 if held {
-                    self.keep(&snapshot, &mut renewed_ms).await;
+                    self.renew(&snapshot, &mut renewed_ms).await;
                     self.plan(&snapshot).await;
                     self.start_checkpoint(&snapshot, &mut checkpoint);
                 } else {
-                    self.take(ttl).await;
+                    self.acquire(ttl).await;
                 }
             }
-            time::sleep((ttl / 6).max(MIN_TICK)).await;
+            time::sleep((ttl / 6).max(MIN_POLL_INTERVAL)).await;
         }
     }
 
@@ -66,23 +64,20 @@
         clock::unix_ms(self.clock.wall()).saturating_add_signed(snapshot.log_clock_ms)
     }
 
-    fn is_free(&self, snapshot: &Snapshot) -> bool {
+    fn is_vacant(&self, snapshot: &Snapshot) -> bool {
         let lease = &snapshot.state.lease;
         lease.holder.is_none() || self.log_now_ms(snapshot) >= lease.until_ms
     }
 
-    /// Takes the lease if it is free, after a random pause.
-    ///
-    /// When a holder dies, all routers see the lease lapse at the same moment. Without the pause
-    /// each of them would append at once; with it, most see the first one's record in time.
-    async fn take(&self, ttl: Duration) {
-        if !self.is_free(&self.current.load()) {
+    /// Acquires the lease if it is vacant, after a random delay: all routers see it expire at once.
+    async fn acquire(&self, ttl: Duration) {
+        if !self.is_vacant(&self.current.load()) {
             return;
         }
-        let part: f64 = rand::rng().random_range(0.0..1.0);
-        time::sleep((ttl / 3).mul_f64(part)).await;
+        let fraction: f64 = rand::rng().random_range(0.0..1.0);
+        time::sleep((ttl / 3).mul_f64(fraction)).await;
         let snapshot = self.current.load();
-        if !self.is_free(&snapshot) {
+        if !self.is_vacant(&snapshot) {
             return;
         }
         let epoch = snapshot.state.lease.epoch + 1;
@@ -90,7 +85,7 @@
         self.append_all(vec![body], ttl).await;
     }
 
-    async fn keep(&self, snapshot: &Snapshot, renewed_ms: &mut u64) {
+    async fn renew(&self, snapshot: &Snapshot, renewed_ms: &mut u64) {
         let (lease, now_ms) = (&snapshot.state.lease, self.log_now_ms(snapshot));
         if now_ms < *renewed_ms + lease.ttl_ms / 3 {
             return;
@@ -102,33 +97,31 @@
 
     async fn plan(&self, snapshot: &Snapshot) {
         let state = &snapshot.state;
-        let gone = |host| snapshot.hosts.gone.contains(host);
-        let lost = state.targets.by_name.iter().filter(|(_, t)| gone(&t.record.host));
-        let mut bodies: Vec<Body> = lost
+        let is_gone = |host| snapshot.hosts.gone.contains(host);
+        let gone_targets = state.targets.by_name.iter().filter(|(_, t)| is_gone(&t.record.host));
+        let mut bodies: Vec<Body> = gone_targets
             .map(|(name, target)| Body::TargetGone {
                 epoch: state.lease.epoch,
                 target: name.clone(),
                 target_offset: target.offset,
             })
             .collect();
-        bodies.extend(marks(snapshot));
-        let avoid: BTreeSet<_> =
+        bodies.extend(leaving_marks(snapshot));
+        let excluded_hosts: BTreeSet<_> =
             snapshot.hosts.leaving.union(&snapshot.hosts.gone).cloned().collect();
-        bodies.extend(plan::plan(state, &snapshot.view, &avoid));
+        bodies.extend(plan::plan(state, &snapshot.view, &excluded_hosts));
         self.append_all(bodies, Duration::from_millis(state.lease.ttl_ms)).await;
     }
 
-    /// Appends together and waits for all.
     async fn append_all(&self, bodies: Vec<Body>, timeout: Duration) {
         let appends = bodies.into_iter().map(|body| self.appender.append(body, timeout));
         for decided in futures::future::join_all(appends).await {
             if let Err(error) = decided {
-                tracing::warn!(%error, "duty record not decided");
+                tracing::warn!(%error, "append by the lease holder failed");
             }
         }
     }
 
-    /// Starts to write a checkpoint if one is due and none is being written.
     fn start_checkpoint(&self, snapshot: &Snapshot, running: &mut Option<JoinHandle<()>>) {
         let busy = running.as_ref().is_some_and(|task| !task.is_finished());
         if busy || !is_checkpoint_due(snapshot, self.log_now_ms(snapshot)) {
@@ -145,18 +138,16 @@
     }
 }
 
-/// Records for targets whose host leaves, or stays after all, by what this process read.
-///
-/// A holder that has not read the host list yet knows neither, and so marks nothing.
-pub fn marks(snapshot: &Snapshot) -> Vec<Body> {
+/// Records that update the `leaving` mark of targets to match their hosts, if listed.
+pub fn leaving_marks(snapshot: &Snapshot) -> Vec<Body> {
     let (state, hosts) = (&snapshot.state, &snapshot.hosts);
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
         let (host, epoch) = (&target.record.host, state.lease.epoch);
         let leaving = hosts.leaving.contains(host);
-        let told = leaving || hosts.live.contains(host);
-        let (target_offset, known) = (target.offset, target.leaving);
+        let listed = leaving || hosts.live.contains(host);
+        let (target_offset, recorded) = (target.offset, target.leaving);
         let target = name.clone();
-        (told && leaving != known).then_some(Body::TargetMarked {
+        (listed && leaving != recorded).then_some(Body::TargetMarked {
             epoch,
             target,
             target_offset,
@@ -166,38 +157,33 @@
     marked.collect()
 }
 
-/// Whether the log alone could not give the state to a process that starts now.
+/// Whether the log cannot restore the state: the last checkpoint or later records were dropped.
 fn is_checkpoint_urgent(snapshot: &Snapshot) -> bool {
     let last = snapshot.state.checkpoints.last;
     last.is_none_or(|last| snapshot.oldest > last.as_of.min(last.first))
 }
 
-/// Whether the state must be written again.
-///
-/// Besides at intervals, that is so when the log no longer has what the last checkpoint needs:
-/// after an outage longer than the retention the survivors alone hold the state, and if they
-/// died before it was written again, it would be lost.
+/// Whether a checkpoint is due: at each interval, and at once if the log cannot restore the state.
 pub fn is_checkpoint_due(snapshot: &Snapshot, log_now_ms: u64) -> bool {
     let Some(last) = snapshot.state.checkpoints.last else { return true };
     let interval = snapshot.view.deployment.checkpoint_interval_ms.as_millis();
     log_now_ms >= last.at_ms + interval || is_checkpoint_urgent(snapshot)
 }
 
-/// Writes all parts, with a pause between two of them.
 async fn write_checkpoint(appender: Appender, bodies: Vec<Body>, pause: Duration) {
     let parts = bodies.len();
     for (part, body) in bodies.into_iter().enumerate() {
         if part > 0 {
             time::sleep(pause).await;
         }
-        match appender.append(body, PART_TIMEOUT).await {
+        match appender.append(body, CHECKPOINT_PART_TIMEOUT).await {
             Ok(decided) if decided.outcome == Outcome::Applied => {}
             Ok(decided) => {
-                tracing::warn!(outcome = ?decided.outcome, "checkpoint given up");
+                tracing::warn!(outcome = ?decided.outcome, "checkpoint aborted");
                 return;
             }
             Err(error) => {
-                tracing::warn!(%error, "checkpoint given up");
+                tracing::warn!(%error, "checkpoint aborted");
                 return;
             }
         }
--- a/crates/corianderstand_control/src/measured.rs
+++ b/crates/corianderstand_control/src/measured.rs
@@ -1,9 +1,9 @@
-//! What is measured of the log and of what this process knows of the agreed state.
+//! Metrics of the log and of the agreed state.
 
 use crate::{
     appender::Identity,
     metrics::{Metric, Metrics, REPORT_INTERVAL},
-    snapshot::{Current, Snapshot},
+    snapshot::{CurrentSnapshot, Snapshot},
 };
 use async_trait::async_trait;
 use corianderstand_edge::{
@@ -14,25 +14,25 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time;
 
-/// A log service whose use is measured.
+/// A log service that records metrics.
 pub struct MeasuredLog {
-    /// The log service.
+    /// The wrapped log service.
     pub log: Arc<dyn LogService>,
-    /// Where measures go.
+    /// Receives the metrics.
     pub metrics: Metrics,
-    /// Time.
+    /// The clock.
     pub clock: SharedClock,
 }
 
 #[async_trait]
 impl LogService for MeasuredLog {
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
-        let (count, began) = (records.len() as u64, self.clock.now());
+        let (count, started_at) = (records.len() as u64, self.clock.now());
         let appended = self.log.append(records).await;
         let outcome = if appended.is_ok() { "done" } else { "unknown" };
-        self.metrics.count_as(Metric::ControlAppends, 1, "outcome", outcome);
+        self.metrics.count_tagged(Metric::ControlAppends, 1, "outcome", outcome);
         self.metrics.count(Metric::ControlRecords, count);
-        self.metrics.time(Metric::ControlAppendTime, self.clock.now() - began);
+        self.metrics.time(Metric::ControlAppendTime, self.clock.now() - started_at);
         appended
     }
 
@@ -51,18 +51,18 @@
     }
 }
 
-/// Reports the agreed state as this process knows it, and `more`, for ever.
+/// Reports gauges of the agreed state, then calls `report_more`, at each report interval.
 pub async fn report(
     metrics: Metrics,
     identity: Identity,
-    current: Current,
-    more: impl Fn(&Metrics) + Send,
+    current: CurrentSnapshot,
+    report_more: impl Fn(&Metrics) + Send,
 ) {
     let mut interval = time::interval(REPORT_INTERVAL);
     loop {
         interval.tick().await;
         report_state(&metrics, &identity, &current.load());
-        more(&metrics);
+        report_more(&metrics);
         metrics.flush();
     }
 }
--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -1,4 +1,4 @@
-//! State from another router, for a process that cannot get it from the log.
+//! Requests state from other routers when the log cannot provide it.
 
 use async_trait::async_trait;
 use corianderstand_edge::http::HttpSystem;
@@ -7,32 +7,30 @@
 use smol_str::SmolStr;
 use std::time::Duration;
 
-/// Path at which a router gives its state.
+/// Path at which a router serves its state.
 pub const STATE_PATH: &str = "/operator/state";
-/// Time a peer has to answer.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Peers asked in one go: one may be down or starting too, all of them hardly.
-const MAX_ASKED: usize = 4;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_QUERIED: usize = 4;
 
-/// Where a process may get the state besides the log.
+/// A source of state besides the log.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// The newest state that some peers have.
+    /// Returns the newest state among the queried peers.
     async fn state(&self) -> Option<State>;
 }
 
-/// No peers.
+/// A source without peers.
 #[derive(Clone, Copy, Debug)]
-pub struct Nobody;
+pub struct NoPeers;
 
 #[async_trait]
-impl Peers for Nobody {
+impl Peers for NoPeers {
     async fn state(&self) -> Option<State> {
         None
     }
 }
 
-/// Other routers, over HTTP.
+/// Queries other routers over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpPeers {
     peers: Vec<HttpSystem>,
@@ -40,30 +38,32 @@
 }
 
 impl HttpPeers {
-    /// The routers at `addresses`, which know this process by `token`.
+    /// The routers at `addresses`, authenticated by `token`.
     pub fn new(addresses: &[SmolStr], token: SmolStr) -> Self {
-        let peer = |a: &SmolStr| HttpSystem::new("a peer router", &format!("http://{a}"), SILENCE);
+        let peer = |a: &SmolStr| {
+            HttpSystem::new("a peer router", &format!("http://{a}"), RESPONSE_TIMEOUT)
+        };
         Self { peers: addresses.iter().map(peer).collect(), token }
     }
 
-    async fn ask(&self, peer: &HttpSystem) -> Option<State> {
+    async fn query(&self, peer: &HttpSystem) -> Option<State> {
         let req = peer.request(reqwest::Method::GET, STATE_PATH).bearer_auth(&self.token);
-        let answer = peer.send(req).await;
-        let answer = answer.inspect_err(|error| tracing::info!(%error, "no state from a peer"));
-        let bytes = answer.ok()?.bytes().await.ok()?;
+        let response = peer.send(req).await;
+        let response =
+            response.inspect_err(|error| tracing::info!(%error, "peer returned no state"));
+        let bytes = response.ok()?.bytes().await.ok()?;
         checkpoint::decode(&bytes)
     }
 }
 
 #[async_trait]
 impl Peers for HttpPeers {
-    /// Asks a few peers taken at random, so that all processes that start in an outage do not
-    /// go to the same one.
+    /// Queries a random subset of peers.
     async fn state(&self) -> Option<State> {
         let mut order: Vec<&HttpSystem> = self.peers.iter().collect();
         order.shuffle(&mut rand::rng());
-        let asked = order.into_iter().take(MAX_ASKED).map(|peer| self.ask(peer));
-        let states = futures::future::join_all(asked).await;
+        let queries = order.into_iter().take(MAX_QUERIED).map(|peer| self.query(peer));
+        let states = futures::future::join_all(queries).await;
         states.into_iter().flatten().max_by_key(|state| state.next)
     }
 }
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -1,12 +1,12 @@
-//! What a reader does whose records the log has dropped.
+//! Tests how a reader recovers from records that the log has dropped.
 
 use async_trait::async_trait;
 use corianderstand_control::{
     appender::{self, Identity},
-    follower::{Follower, Sources},
-    peers::{Nobody, Peers},
-    restore::RESCUE_AFTER,
-    snapshot::{Current, Hosts},
+    follower::{Follower, FollowerConfig},
+    peers::{NoPeers, Peers},
+    restore::RECOVERY_DELAY,
+    snapshot::{CurrentSnapshot, Hosts},
 };
 use corianderstand_edge::{
     EdgeError,
@@ -19,11 +19,10 @@
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::watch, time};
 
-/// A log whose reads let others run.
-struct Patient(Arc<MemoryLog>);
+struct YieldingLog(Arc<MemoryLog>);
 
 #[async_trait]
-impl LogService for Patient {
+impl LogService for YieldingLog {
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError> {
         self.0.append(records).await
     }
@@ -44,22 +43,23 @@
 }
 
 struct Reader {
-    current: Current,
+    current: CurrentSnapshot,
     clock: ManualClock,
     _hosts: watch::Sender<Arc<Hosts>>,
 }
 
 fn start(name: &str, log: &Arc<MemoryLog>, peers: Arc<dyn Peers>) -> Reader {
-    let (current, clock) = (Current::default(), ManualClock::default());
+    let (current, clock) = (CurrentSnapshot::default(), ManualClock::default());
     let identity = Identity { writer: name.into(), incarnation: 1 };
-    let (appender, queue, decisions) = appender::channel(identity);
+    let (appender, queue, notifier) = appender::channel(identity);
     let (hosts_tx, hosts) = watch::channel(Arc::default());
-    let log: Arc<dyn LogService> = Arc::new(Patient(log.clone()));
-    let (wait, rescue) = (Duration::ZERO, Some(appender));
+    let log: Arc<dyn LogService> = Arc::new(YieldingLog(log.clone()));
+    let (wait, recovery_appender) = (Duration::ZERO, Some(appender));
     let clocks = Arc::new(clock.clone());
-    let sources = Sources { log: log.clone(), wait, peers, clock: clocks, hosts, rescue };
+    let config =
+        FollowerConfig { log: log.clone(), wait, peers, clock: clocks, hosts, recovery_appender };
     tokio::spawn(queue.run(log));
-    tokio::spawn(Follower::new(sources, current.clone(), decisions).run());
+    tokio::spawn(Follower::new(config, current.clone(), notifier).run());
     Reader { current, clock, _hosts: hosts_tx }
 }
 
@@ -91,23 +91,22 @@
     runtime.expect("the system gives a runtime").block_on(run);
 }
 
-/// An outage begins before any router has read the last record and lasts longer than the log
-/// keeps it. Every router would be not ready for ever, and with them the whole service.
+/// Guards against routers that never become ready after the log dropped unread records.
 #[rstest]
 fn routers_that_all_miss_dropped_records_agree_on_what_is_left() {
     block_on(async {
         let log = Arc::new(MemoryLog::default());
         change(&log, 1, "a").await;
-        let readers = [start("r1", &log, Arc::new(Nobody)), start("r2", &log, Arc::new(Nobody))];
+        let readers = [start("r1", &log, Arc::new(NoPeers)), start("r2", &log, Arc::new(NoPeers))];
         for reader in &readers {
             wait_for(reader, |state, caught_up| caught_up && state.next == 2).await;
         }
-        // Nobody reads between these two, as neither waits.
+        // No reader runs between these two calls, as neither yields.
         change(&log, 2, "lost").await;
         log.drop_below(3);
         for reader in &readers {
             wait_for(reader, |_, caught_up| !caught_up).await;
-            reader.clock.advance(RESCUE_AFTER * 2);
+            reader.clock.advance(RECOVERY_DELAY * 2);
         }
         for reader in &readers {
             wait_for(reader, |state, caught_up| caught_up && state.next > 3).await;
@@ -122,9 +121,9 @@
     });
 }
 
-/// A router that starts in an outage asks its peers. One that is behind must not take it back.
+/// Guards against a lagging peer whose state replaces a newer one.
 #[rstest]
-fn a_peers_state_is_taken_only_if_it_is_newer() {
+fn a_peers_state_is_accepted_only_if_it_is_newer() {
     block_on(async {
         let log = Arc::new(MemoryLog::default());
         log.set_down(true);
@@ -134,6 +133,6 @@
         let old = start("r2", &log, Arc::new(Peer(State { next: 1, ..State::default() })));
         let mut changed = old.current.subscribe();
         changed.changed().await.expect("the follower runs");
-        assert!(!old.current.load().caught_up, "a state of nothing is none");
+        assert!(!old.current.load().caught_up, "an empty state is rejected");
     });
 }
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -1,77 +1,80 @@
-//! What makes room in an engine's memory.
+//! Eviction of idle weights from an engine's memory.
 
 use super::{Action, Agent, Eviction};
-use crate::{ledger::Stage, work::Sizes};
+use crate::{ledger::Stage, request::SchedulingConfig};
 use corianderstand_types::{units::Mib, weights::Weights};
 use std::{
     cmp::Reverse,
     time::{Duration, Instant},
 };
 
-/// Look-ahead over which the worth of keeping a model is judged.
-const WORTH_HORIZON: Duration = Duration::from_secs(30 * 60);
+const UTILITY_HORIZON: Duration = Duration::from_secs(30 * 60);
 
 impl Agent {
-    /// Unloads what is least worth keeping of what nobody uses, until enough will be free;
-    /// false if that is not enough.
-    ///
-    /// Made for more models than fit. What is unloaded too soon costs its next caller a load, so
-    /// the probability of a call soon and the time of loading again are weighed against the
-    /// memory that is won. What runs or is waited for is never unloaded.
+    /// Unloads idle weights until `missing` will be free, if possible; returns whether it will be.
     pub(super) fn evict(
         &mut self,
         now: Instant,
         missing: Mib,
-        keep: &Weights,
-        sizes: &dyn Sizes,
+        loading: &Weights,
+        config: &dyn SchedulingConfig,
         actions: &mut Vec<Action>,
     ) -> bool {
         let unloading = self.ledger.entries().filter(|(_, entry)| entry.stage == Stage::Unloading);
-        let mut coming: u64 = unloading.map(|(_, entry)| entry.memory.0).sum();
-        coming += self.keep.leaving(&self.ledger);
-        if coming >= missing.0 {
+        let mut reclaimable_mib: u64 = unloading.map(|(_, entry)| entry.memory.0).sum();
+        reclaimable_mib += self.keep_alive.pending_unload_mib(&self.ledger);
+        if reclaimable_mib >= missing.0 {
             return true;
         }
-        for (_, weights, memory) in self.victims(now, keep, sizes) {
-            if coming >= missing.0 {
+        for (_, weights, memory) in self.victims(now, loading, config) {
+            if reclaimable_mib >= missing.0 {
                 break;
             }
-            coming += memory;
-            self.leave(&weights, actions);
+            reclaimable_mib += memory;
+            self.begin_unload(&weights, actions);
         }
-        coming >= missing.0
+        reclaimable_mib >= missing.0
     }
 
-    /// Models and single adapters that may be unloaded, the least worth first, each with the
-    /// memory that comes free.
-    fn victims(&self, now: Instant, keep: &Weights, sizes: &dyn Sizes) -> Vec<(u64, Weights, u64)> {
+    /// Evictable weights in eviction order, each with its utility and the MiB that it frees.
+    fn victims(
+        &self,
+        now: Instant,
+        loading: &Weights,
+        config: &dyn SchedulingConfig,
+    ) -> Vec<(u64, Weights, u64)> {
         let idle = self.ledger.entries().filter(|(weights, entry)| {
-            let needed = weights.model == keep.model && weights.adapter.is_none();
+            let needed = weights.model == loading.model && weights.adapter.is_none();
             let free = entry.users == 0 && !self.loads.is_awaited(weights);
-            entry.stage == Stage::Ready && free && !needed && !self.keep.is_leaving(weights)
+            entry.stage == Stage::Ready
+                && free
+                && !needed
+                && !self.keep_alive.is_unload_pending(weights)
         });
-        let whole =
+        let is_evictable =
             |weights: &&Weights| weights.adapter.is_some() || !self.is_in_use(&weights.model);
-        let idle = idle.filter(|(weights, _)| whole(weights));
+        let idle = idle.filter(|(weights, _)| is_evictable(weights));
         let mut victims: Vec<(u64, Weights, u64)> = idle
             .map(|(weights, entry)| {
                 let memory = match weights.adapter {
                     Some(_) => entry.memory.0,
-                    None => self.group_memory(weights),
+                    None => self.group_memory_mib(weights),
                 };
-                let worth = match self.policy.eviction {
-                    Eviction::LeastRecent => self.keep.last_used(entry.last_used),
-                    Eviction::LeastWorth => self.worth(now, weights, memory, sizes),
+                let utility = match self.policy.eviction {
+                    Eviction::LeastRecentlyUsed => self.keep_alive.last_used_ms(entry.last_used),
+                    Eviction::LowestUtility => self.utility(now, weights, memory, config),
                 };
-                (worth, weights.clone(), memory)
+                (utility, weights.clone(), memory)
             })
             .collect();
-        // Of equal worth the larger goes first, as fewer models are lost.
-        victims.sort_by_key(|(worth, weights, memory)| (*worth, Reverse(*memory), weights.clone()));
+        // At equal utility the largest is evicted first, so that fewer are evicted.
+        victims.sort_by_key(|(utility, weights, memory)| {
+            (*utility, Reverse(*memory), weights.clone())
+        });
         victims
     }
 
-    fn group_memory(&self, base: &Weights) -> u64 {
+    fn group_memory_mib(&self, base: &Weights) -> u64 {
         let of_model = self
             .ledger
             .entries()
@@ -79,12 +82,18 @@
         of_model.map(|(_, entry)| entry.memory.0).sum()
     }
 
-    /// Expected waiting, weighed by its teams, that keeping it spares for each GiB.
-    fn worth(&self, now: Instant, weights: &Weights, memory: u64, sizes: &dyn Sizes) -> u64 {
-        let weighing = sizes.weighing(&weights.model);
-        let probability = self.keep.probability(now, weights, WORTH_HORIZON);
-        let load_ms = sizes.load_time(weights).as_millis() as f64;
-        (probability * load_ms * f64::from(weighing.tail.max(1)) * 1024.0 / memory.max(1) as f64)
-            as u64
+    /// Expected cold-start time avoided by keeping the weights, weighted by cost factor, per GiB.
+    fn utility(
+        &self,
+        now: Instant,
+        weights: &Weights,
+        memory: u64,
+        config: &dyn SchedulingConfig,
+    ) -> u64 {
+        let factors = config.cost_factors(&weights.model);
+        let probability = self.keep_alive.probability(now, weights, UTILITY_HORIZON);
+        let load_ms = config.load_time(weights).as_millis() as f64;
+        (probability * load_ms * f64::from(factors.cold_start.max(1)) * 1024.0
+            / memory.max(1) as f64) as u64
     }
 }
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -1,15 +1,14 @@
-//! Requests waiting beside a target, and who goes next.
+//! A weighted fair queue of the requests waiting for one target.
 //!
-//! A request whose weights are in the engine's memory is *ready* and waits for room only; others
-//! wait for a load. Ready requests go by their team's share first, then by urgency, deadline and
-//! length. Every operation takes time logarithmic in the requests that wait; choosing the next
-//! looks at each team that has ready requests.
+//! A request whose weights are loaded is *ready* and waits for a free slot only; the others wait
+//! for a load. Ready requests are dequeued by their team's use of its share, then by urgency and
+//! deadline.
 
 mod backlog;
 #[cfg(test)]
 mod tests;
 
-use crate::work::RequestKey;
+use crate::request::RequestKey;
 use backlog::Backlog;
 use corianderstand_derives::derives;
 use corianderstand_types::{names::WorkspaceId, weights::Weights};
@@ -19,76 +18,76 @@
     time::{Duration, Instant},
 };
 
-/// Whether a request holds its room in the target for long.
+/// The expected duration of a request.
 #[derives(key)]
 pub enum Length {
-    /// A summary, a quote, a call: seconds.
+    /// Seconds, such as a summary or a service call.
     Short,
-    /// A design chat: up to minutes.
+    /// Up to minutes, such as a chat.
     Long,
 }
 
 const LENGTHS: [Length; 2] = [Length::Short, Length::Long];
 
-/// The order in which ready requests go.
+/// The order in which ready requests are dequeued.
 #[derives(key)]
 #[derive(Default)]
-pub enum Order {
+pub enum QueueDiscipline {
     /// By share, urgency and deadline.
     #[default]
     Fair,
-    /// First come first served, all alike: the baseline of the measurements.
-    FirstCome,
+    /// By arrival: the baseline of the benchmarks.
+    Fifo,
 }
 
-/// Place in the queue: higher urgency first, then the earlier deadline.
+/// Sort key of a queued request: higher urgency first, then the earlier deadline.
 #[derives(key)]
-pub struct Place {
-    less_urgent: u8,
-    due: Option<Instant>,
-    number: u64,
+pub struct QueuePosition {
+    urgency_rank: u8,
+    sort_deadline: Option<Instant>,
+    sequence: u64,
     key: RequestKey,
     deadline: Instant,
 }
 
-impl Place {
-    /// When it must be answered.
+impl QueuePosition {
+    /// The request's deadline.
     pub const fn deadline(self) -> Instant {
         self.deadline
     }
 
-    /// 0 is the most urgent.
-    pub const fn less_urgent(self) -> u8 {
-        self.less_urgent
+    /// The inverted urgency; lower is dequeued earlier.
+    pub const fn urgency_rank(self) -> u8 {
+        self.urgency_rank
     }
 }
 
-/// A request that is to wait.
+/// Properties of a request that determine its dequeue order.
 #[derives(data)]
-pub struct Waiting {
-    /// Whose it is.
+pub struct QueuedRequest {
+    /// The team that sent it.
     pub team: WorkspaceId,
-    /// How long it holds its room.
+    /// Its expected duration.
     pub length: Length,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When it must be answered.
+    /// When its response is due.
     pub deadline: Instant,
-    /// What must be loaded first.
+    /// Weights that must be loaded before it can run.
     pub missing: Option<Weights>,
 }
 
 #[derives(data)]
 struct Entry {
-    waiting: Waiting,
-    place: Place,
+    request: QueuedRequest,
+    position: QueuePosition,
 }
 
 #[derives(data)]
 #[derive(Default)]
 struct TeamQueue {
     share: u32,
-    ready: [BTreeSet<Place>; 2],
+    ready: [BTreeSet<QueuePosition>; 2],
     running: u32,
     waiting: u32,
     backlog: [Backlog; 2],
@@ -100,100 +99,98 @@
     }
 }
 
-/// Part of the room that either length can always get while it has work: one slot in this many.
+/// One slot in this many is reserved for each [`Length`].
 ///
-/// Without it a few design chats hold all of a target for minutes and every summary behind them
-/// misses its deadline; or a flood of summaries never lets a chat begin. A quarter keeps the
-/// loss small while one kind alone is there: short requests may use all room, long ones three
-/// quarters.
-pub const LENGTH_ROOM_DIVISOR: u32 = 4;
-/// Thousandths that the guaranteed shares of all teams add up to at most.
-pub const WHOLE_SHARE: u32 = 1000;
-
-/// The queue, and what of it runs.
+/// Keeps neither length from starving the other. Short requests may borrow slots reserved for long
+/// ones.
+pub const RESERVED_SLOTS_DIVISOR: u32 = 4;
+/// Capacity of a target, in thousandths, that guaranteed shares divide.
+pub const FULL_SHARE_PERMILLE: u32 = 1000;
+
+/// A queue of requests, with counts of those running.
 #[derive(Clone, Debug)]
 pub struct Queue {
     concurrency: u32,
-    order: Order,
+    discipline: QueueDiscipline,
     total_shares: u32,
     teams: BTreeMap<WorkspaceId, TeamQueue>,
-    missing: BTreeMap<Weights, BTreeSet<Place>>,
+    missing: BTreeMap<Weights, BTreeSet<QueuePosition>>,
     entries: SecondaryMap<RequestKey, Entry>,
     deadlines: BTreeSet<(Instant, RequestKey)>,
     backlog: [Backlog; 2],
     running: [u32; 2],
-    number: u64,
+    sequence: u64,
 }
 
 impl Queue {
-    /// An empty queue before a target that runs `concurrency` requests at once.
-    pub fn new(concurrency: u32, order: Order) -> Self {
+    /// Creates an empty queue for a target that runs `concurrency` requests at once.
+    pub fn new(concurrency: u32, discipline: QueueDiscipline) -> Self {
         Self {
             concurrency: concurrency.max(1),
-            order,
-            total_shares: WHOLE_SHARE,
+            discipline,
+            total_shares: FULL_SHARE_PERMILLE,
             teams: BTreeMap::new(),
             missing: BTreeMap::new(),
             entries: SecondaryMap::new(),
             deadlines: BTreeSet::new(),
             backlog: Default::default(),
             running: [0; 2],
-            number: 0,
+            sequence: 0,
         }
     }
 
-    /// Sum of the shares of all teams; above [`WHOLE_SHARE`] each is guaranteed its part of it.
+    /// Sets the sum of all teams' shares; above [`FULL_SHARE_PERMILLE`] shares are scaled down.
     pub fn set_total_shares(&mut self, total: u32) {
-        self.total_shares = total.max(WHOLE_SHARE);
+        self.total_shares = total.max(FULL_SHARE_PERMILLE);
     }
 
-    /// Adds a request of a team with this guaranteed share.
-    pub fn push(&mut self, key: RequestKey, share: u32, waiting: Waiting) {
-        self.number += 1;
-        let fair = self.order == Order::Fair;
-        let place = Place {
-            less_urgent: if fair { u8::MAX - waiting.urgency } else { 0 },
-            due: fair.then_some(waiting.deadline),
-            number: self.number,
+    /// Enqueues a request; `share` is its team's guaranteed share in thousandths.
+    pub fn push(&mut self, key: RequestKey, share: u32, request: QueuedRequest) {
+        self.sequence += 1;
+        let fair = self.discipline == QueueDiscipline::Fair;
+        let position = QueuePosition {
+            urgency_rank: if fair { u8::MAX - request.urgency } else { 0 },
+            sort_deadline: fair.then_some(request.deadline),
+            sequence: self.sequence,
             key,
-            deadline: waiting.deadline,
+            deadline: request.deadline,
         };
-        let index = waiting.length as usize;
-        let team = self.teams.entry(waiting.team.clone()).or_default();
+        let index = request.length as usize;
+        let team = self.teams.entry(request.team.clone()).or_default();
         team.share = share;
         team.waiting += 1;
-        team.backlog[index].add(place.less_urgent, place.deadline);
-        self.backlog[index].add(place.less_urgent, place.deadline);
-        self.deadlines.insert((waiting.deadline, key));
-        match &waiting.missing {
-            None => team.ready[index].insert(place),
-            Some(weights) => self.missing.entry(weights.clone()).or_default().insert(place),
+        team.backlog[index].add(position.urgency_rank, position.deadline);
+        self.backlog[index].add(position.urgency_rank, position.deadline);
+        self.deadlines.insert((request.deadline, key));
+        match &request.missing {
+            None => team.ready[index].insert(position),
+            Some(weights) => self.missing.entry(weights.clone()).or_default().insert(position),
         };
-        self.entries.insert(key, Entry { waiting, place });
+        self.entries.insert(key, Entry { request, position });
     }
 
-    /// Removes a request that waits.
-    pub fn remove(&mut self, key: RequestKey) -> Option<Waiting> {
-        let Entry { waiting, place } = self.entries.remove(key)?;
-        let index = waiting.length as usize;
-        self.deadlines.remove(&(waiting.deadline, key));
-        self.backlog[index].remove(place.less_urgent, place.deadline);
-        if let Some(weights) = &waiting.missing {
-            self.remove_missing(weights, place);
+    /// Removes a waiting request.
+    pub fn remove(&mut self, key: RequestKey) -> Option<QueuedRequest> {
+        let Entry { request, position } = self.entries.remove(key)?;
+        let index = request.length as usize;
+        self.deadlines.remove(&(request.deadline, key));
+        self.backlog[index].remove(position.urgency_rank, position.deadline);
+        if let Some(weights) = &request.missing {
+            self.remove_missing(weights, position);
         }
-        if let Some(team) = self.teams.get_mut(&waiting.team) {
-            team.ready[index].remove(&place);
+        if let Some(team) = self.teams.get_mut(&request.team) {
+            team.ready[index].remove(&position);
             team.waiting -= 1;
-            team.backlog[index].remove(place.less_urgent, place.deadline);
+            team.backlog[index].remove(position.urgency_rank, position.deadline);
         }
-        self.drop_unused(&waiting.team);
-        Some(waiting)
+        self.drop_unused(&request.team);
+        Some(request)
     }
 
-    fn remove_missing(&mut self, weights: &Weights, place: Place) {
-        if let Some(places) = self.missing.get_mut(weights) {
-            places.remove(&place);
-            if places.is_empty() {
+    fn remove_missing(&mut self, weights: &Weights, position: QueuePosition) {
+        if let Some(positions) = self.missing.get_mut(weights) {
+            positions.remove(&position);
+            if positions.is_empty() {
                 self.missing.remove(weights);
             }
         }
@@ -205,151 +202,157 @@
         }
     }
 
-    /// Sets what a request waits for; `None` if all it needs is loaded.
+    /// Sets the weights that a request waits for; `None` makes it ready.
     pub fn set_missing(&mut self, key: RequestKey, missing: Option<Weights>) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        if entry.waiting.missing == missing {
+        if entry.request.missing == missing {
             return;
         }
-        let (place, index) = (entry.place, entry.waiting.length as usize);
-        let before = std::mem::replace(&mut entry.waiting.missing, missing.clone());
-        let team = entry.waiting.team.clone();
+        let (position, index) = (entry.position, entry.request.length as usize);
+        let before = std::mem::replace(&mut entry.request.missing, missing.clone());
+        let team = entry.request.team.clone();
         match before {
-            Some(weights) => self.remove_missing(&weights, place),
+            Some(weights) => self.remove_missing(&weights, position),
             None => {
-                self.teams.get_mut(&team).map(|team| team.ready[index].remove(&place));
+                self.teams.get_mut(&team).map(|team| team.ready[index].remove(&position));
             }
         }
         match missing {
             Some(weights) => {
-                self.missing.entry(weights).or_default().insert(place);
+                self.missing.entry(weights).or_default().insert(position);
             }
             None => {
-                self.teams.get_mut(&team).map(|team| team.ready[index].insert(place));
+                self.teams.get_mut(&team).map(|team| team.ready[index].insert(position));
             }
         }
     }
 
-    /// Requests that wait for these weights, in order.
+    /// Returns the requests that wait for these weights, in dequeue order.
     pub fn waiting_for(&self, weights: &Weights) -> Vec<RequestKey> {
-        self.missing.get(weights).into_iter().flatten().map(|place| place.key).collect()
+        self.missing.get(weights).into_iter().flatten().map(|position| position.key).collect()
     }
 
-    /// Weights that requests wait for, each with the first that does.
-    pub fn missing(&self) -> impl Iterator<Item = (&Weights, Place)> {
-        self.missing.iter().filter_map(|(weights, places)| Some((weights, *places.first()?)))
+    /// Iterates over missing weights, each with the position of the first request that needs them.
+    pub fn missing(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
+        self.missing.iter().filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.running.iter().sum()
     }
 
-    /// Requests of a team that run.
+    /// Returns the number of a team's running requests.
     pub fn running_of(&self, team: &WorkspaceId) -> u32 {
         self.teams.get(team).map_or(0, |team| team.running)
     }
 
-    /// Requests of a team that wait for room only.
+    /// Returns the number of a team's ready requests.
     pub fn ready_of(&self, team: &WorkspaceId) -> usize {
         self.teams.get(team).map_or(0, |team| team.ready.iter().map(BTreeSet::len).sum())
     }
 
-    /// Requests of a team that wait.
+    /// Returns the number of a team's waiting requests, including those that are not ready.
     pub fn waiting_of(&self, team: &WorkspaceId) -> u32 {
         self.teams.get(team).map_or(0, |team| team.waiting)
     }
 
-    /// Earliest deadline of any request waiting.
+    /// Returns the earliest deadline of all waiting requests.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Requests whose deadline has passed; they stay until removed.
+    /// Returns the waiting requests whose deadline has passed.
     pub fn expired(&self, now: Instant) -> Vec<RequestKey> {
         self.deadlines.iter().take_while(|(at, _)| *at <= now).map(|(_, key)| *key).collect()
     }
 
-    /// Takes out the request that runs next, if there is room, and counts it as running.
+    /// Dequeues the next request if a slot is free, and counts it as running.
     ///
-    /// Made for skewed demand: a team below its guaranteed share goes before any that is above,
-    /// whatever their urgency, so that no team's flood of urgent work takes what another is
-    /// owed. Room that nobody is owed goes to the more urgent, then to the team that uses least
-    /// of its share. What was lent comes back with the next requests that end; running work is
-    /// not cut off, as its answer so far would be lost.
+    /// A team below its guaranteed share precedes any team above, regardless of urgency. Ties go to
+    /// a length below its reserved slots, then to the more urgent request, then to the team that
+    /// uses least of its share. Running requests are not preempted.
     pub fn pop(&mut self) -> Option<RequestKey> {
         if self.running() >= self.concurrency {
             return None;
         }
-        let best = self.teams.values().flat_map(|team| self.heads(team)).min()?;
-        let key = best.place.key;
-        let waiting = self.remove(key)?;
-        self.running[waiting.length as usize] += 1;
-        let team = self.teams.entry(waiting.team).or_default();
+        let best = self.teams.values().flat_map(|team| self.dequeue_candidates(team)).min()?;
+        let key = best.position.key;
+        let request = self.remove(key)?;
+        self.running[request.length as usize] += 1;
+        let team = self.teams.entry(request.team).or_default();
         team.running += 1;
         team.share = best.share;
         Some(key)
     }
 
-    fn heads<'a>(&'a self, team: &'a TeamQueue) -> impl Iterator<Item = Head> + 'a {
+    fn dequeue_candidates<'a>(
+        &'a self,
+        team: &'a TeamQueue,
+    ) -> impl Iterator<Item = DequeueCandidate> + 'a {
         LENGTHS.into_iter().filter_map(move |length| {
-            let place = *team.ready[length as usize].first()?;
-            let allowed = self.order == Order::FirstCome || self.has_room(length);
-            allowed.then(|| self.head(team, length, place))
+            let position = *team.ready[length as usize].first()?;
+            let allowed = self.discipline == QueueDiscipline::Fifo || self.has_slot(length);
+            allowed.then(|| self.dequeue_candidate(team, length, position))
         })
     }
 
-    fn head(&self, team: &TeamQueue, length: Length, place: Place) -> Head {
-        if self.order == Order::FirstCome {
-            let (lent, beyond_room, used) = (false, false, 0);
-            return Head {
-                lent,
-                beyond_room,
-                less_urgent: 0,
-                used,
-                place_order: place.number,
-                place,
+    fn dequeue_candidate(
+        &self,
+        team: &TeamQueue,
+        length: Length,
+        position: QueuePosition,
+    ) -> DequeueCandidate {
+        if self.discipline == QueueDiscipline::Fifo {
+            let (over_share, over_reserved, share_usage) = (false, false, 0);
+            return DequeueCandidate {
+                over_share,
+                over_reserved,
+                urgency_rank: 0,
+                share_usage,
+                arrival_order: position.sequence,
+                position,
                 share: team.share,
             };
         }
         let share = u64::from(team.share.max(1));
         let running = u64::from(team.running);
-        Head {
-            lent: running * u64::from(self.total_shares) >= share * u64::from(self.concurrency)
+        DequeueCandidate {
+            over_share: running * u64::from(self.total_shares)
+                >= share * u64::from(self.concurrency)
                 && running > 0,
-            beyond_room: self.running[length as usize] >= self.room(),
-            less_urgent: place.less_urgent,
-            used: running * u64::from(WHOLE_SHARE) / share,
-            place_order: 0,
-            place,
+            over_reserved: self.running[length as usize] >= self.reserved_slots(),
+            urgency_rank: position.urgency_rank,
+            share_usage: running * u64::from(FULL_SHARE_PERMILLE) / share,
+            arrival_order: 0,
+            position,
             share: team.share,
         }
     }
 
-    fn room(&self) -> u32 {
-        self.concurrency / LENGTH_ROOM_DIVISOR
+    fn reserved_slots(&self) -> u32 {
+        self.concurrency / RESERVED_SLOTS_DIVISOR
     }
 
-    fn has_room(&self, length: Length) -> bool {
+    fn has_slot(&self, length: Length) -> bool {
         length == Length::Short || self.running[Length::Long as usize] < self.long_limit()
     }
 
-    /// Long requests that may run at once.
     fn long_limit(&self) -> u32 {
-        (self.concurrency - self.room()).max(1)
+        (self.concurrency - self.reserved_slots()).max(1)
     }
 
-    /// A running request has ended.
+    /// Releases the slot of a request that has ended.
     pub fn ended(&mut self, team: &WorkspaceId, length: Length) {
         let running = &mut self.running[length as usize];
         *running = running.saturating_sub(1);
@@ -359,70 +362,78 @@
         self.drop_unused(team);
     }
 
-    /// Time until a request with these properties would begin, if its weights were loaded.
+    /// Estimates how long a request would wait for a slot, if its weights were loaded.
     ///
-    /// The work ahead of it is what is at least as urgent and due no later, of its length;
-    /// behind a flood of other teams its own team's guaranteed share bounds the wait.
-    pub fn expected_wait(&self, asked: &Waiting, share: u32, mean_run: Duration) -> Duration {
-        let index = asked.length as usize;
-        let slots = self.slots(asked.length);
-        let full = self.running() >= self.concurrency || !self.has_room(asked.length);
-        let less_urgent = u8::MAX - asked.urgency;
-        let ahead = self.backlog[index].ahead(less_urgent, asked.deadline);
+    /// Counts the requests of its length that are at least as urgent and due no later. The
+    /// guaranteed share of its team bounds the wait behind other teams' requests.
+    pub fn expected_wait(
+        &self,
+        request: &QueuedRequest,
+        share: u32,
+        mean_run: Duration,
+    ) -> Duration {
+        let index = request.length as usize;
+        let slots = self.slots(request.length);
+        let full = self.running() >= self.concurrency || !self.has_slot(request.length);
+        let urgency_rank = u8::MAX - request.urgency;
+        let ahead = self.backlog[index].ahead(urgency_rank, request.deadline);
         if !full && ahead == 0 {
             return Duration::ZERO;
         }
-        // A request that runs is on average half done.
-        let turn = mean_run / 2 * self.running[index].min(slots) / slots;
-        let of_all = turn + mean_run * ahead / slots;
-        let owed = self.owed(share, slots);
-        if owed == 0 {
-            return of_all;
+        // A running request is half done on average.
+        let slot_wait = mean_run / 2 * self.running[index].min(slots) / slots;
+        let global_wait = slot_wait + mean_run * ahead / slots;
+        let guaranteed = self.guaranteed_slots(share, slots);
+        if guaranteed == 0 {
+            return global_wait;
         }
-        let team = self.teams.get(&asked.team);
-        let own = team.map_or(0, |t| t.backlog[index].ahead(less_urgent, asked.deadline));
+        let team = self.teams.get(&request.team);
+        let own_ahead = team.map_or(0, |t| t.backlog[index].ahead(urgency_rank, request.deadline));
         let running = team.map_or(0, |team| team.running);
-        let catching_up = if running < owed { Duration::ZERO } else { mean_run / 2 };
-        of_all.min(turn + catching_up + mean_run * own / owed)
+        let share_wait = if running < guaranteed { Duration::ZERO } else { mean_run / 2 };
+        global_wait.min(slot_wait + share_wait + mean_run * own_ahead / guaranteed)
     }
 
-    /// Ready requests that cannot be answered in time even if all goes on as expected.
-    ///
-    /// Made for sudden slowness: what was admitted when the target was quick may be hopeless now.
-    /// Its callers are told at once. This looks at all that wait, so it is called at intervals.
-    pub fn hopeless(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
-        if self.order == Order::FirstCome {
+    /// Returns the ready requests that would miss their deadline at the current mean run times, as
+    /// when the target has slowed down since their admission. Linear in the ready requests.
+    pub fn infeasible(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
+        if self.discipline == QueueDiscipline::Fifo {
             return Vec::new();
         }
-        let of = |length| self.hopeless_of(now, length, mean_runs[length as usize]);
+        let of = |length| self.infeasible_of_length(now, length, mean_runs[length as usize]);
         LENGTHS.into_iter().flat_map(of).collect()
     }
 
-    fn hopeless_of(&self, now: Instant, length: Length, mean_run: Duration) -> Vec<RequestKey> {
+    fn infeasible_of_length(
+        &self,
+        now: Instant,
+        length: Length,
+        mean_run: Duration,
+    ) -> Vec<RequestKey> {
         let slots = self.slots(length);
         let ready = |team: &TeamQueue| team.ready[length as usize].clone();
-        let mut places: Vec<Place> = self.teams.values().flat_map(ready).collect();
-        places.sort_unstable();
-        let mut lost = Vec::new();
+        let mut positions: Vec<QueuePosition> = self.teams.values().flat_map(ready).collect();
+        positions.sort_unstable();
+        let mut infeasible = Vec::new();
         let mut ahead = 0;
         let mut ahead_of_own: BTreeMap<&WorkspaceId, u32> = BTreeMap::new();
-        for place in places {
-            let waiting = &self.entries[place.key].waiting;
-            let own = ahead_of_own.entry(&waiting.team).or_default();
-            let owed = self.owed(self.teams[&waiting.team].share, slots);
-            let guaranteed = if owed == 0 { Duration::MAX } else { mean_run * *own / owed };
-            let wait = (mean_run * ahead / slots).min(guaranteed);
-            if now + wait + mean_run > place.deadline {
-                lost.push(place.key);
+        for position in positions {
+            let request = &self.entries[position.key].request;
+            let own_ahead = ahead_of_own.entry(&request.team).or_default();
+            let guaranteed = self.guaranteed_slots(self.teams[&request.team].share, slots);
+            let guaranteed_wait =
+                if guaranteed == 0 { Duration::MAX } else { mean_run * *own_ahead / guaranteed };
+            let wait = (mean_run * ahead / slots).min(guaranteed_wait);
+            if now + wait + mean_run > position.deadline {
+                infeasible.push(position.key);
             } else {
                 ahead += 1;
-                *own += 1;
+                *own_ahead += 1;
             }
         }
-        lost
+        infeasible
     }
 
-    /// Slots that requests of this length can get.
     fn slots(&self, length: Length) -> u32 {
         let long = self.running[Length::Long as usize];
         match length {
@@ -431,20 +442,19 @@
         }
     }
 
-    /// Whole slots out of these that a team with this share is guaranteed.
-    fn owed(&self, share: u32, slots: u32) -> u32 {
+    fn guaranteed_slots(&self, share: u32, slots: u32) -> u32 {
         (u64::from(share) * u64::from(slots) / u64::from(self.total_shares)) as u32
     }
 }
 
-/// The first ready request of one team and length; the least one runs next.
+/// The first ready request of one team and length; the smallest is dequeued next.
 #[derives(key)]
-struct Head {
-    lent: bool,
-    beyond_room: bool,
-    less_urgent: u8,
-    used: u64,
-    place_order: u64,
-    place: Place,
+struct DequeueCandidate {
+    over_share: bool,
+    over_reserved: bool,
+    urgency_rank: u8,
+    share_usage: u64,
+    arrival_order: u64,
+    position: QueuePosition,
     share: u32,
 }
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -1,46 +1,34 @@
-//! The choice among the targets that can serve a request.
+//! Selection of a target for a request, by estimated cost.
 
 use super::{
-    Decision, MAX_TRIES, Placement, RETRY_NO_TARGET, Router, Target, TargetKey, owners::Owners,
+    BalancingPolicy, Decision, MAX_ATTEMPTS, NO_TARGET_RETRY_AFTER, Router, Target, TargetKey,
+    owners::Owners,
 };
-use crate::work::{Need, Refusal, RequestKey, Work};
+use crate::request::{Refusal, RequestKey, RequestSpec, Requirement};
 use corianderstand_schema::messages::RefusalReason;
 use rand::RngExt;
 use std::time::{Duration, Instant};
 
-/// Targets looked at from a request's place on the ring: the first, and who takes over from it.
 const RING_CANDIDATES: usize = 3;
-/// Targets looked at at random, for when all those on the ring are busy.
 const RANDOM_CANDIDATES: usize = 2;
-/// Steps along the ring in search of candidates that can be used.
-const RING_STEPS: usize = 8;
-/// Most candidates: those of the ring, at random, cached, and warm.
+const MAX_RING_STEPS: usize = 8;
+/// Includes the target with the cached prefix and the last warm target.
 const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES + 2;
 
-/// What one request adds to the wait at a target that has not told its load since. Reports lag;
-/// without this a burst would all go where the last report was best.
-const SENT_COST: Duration = Duration::from_millis(20);
-/// Time of an ordinary answer, which a slow target multiplies.
-const ORDINARY_RUN: Duration = Duration::from_millis(300);
-/// A round trip to another availability zone.
-const OTHER_PLACE_COST: Duration = Duration::from_millis(3);
-/// Wait that is borne for the sake of a cached prompt: about what computing it again takes. It
-/// bounds the load that a popular session draws to one target.
-const PREFIX_WORTH: Duration = Duration::from_millis(500);
-/// Wait that is borne rather than wake one more replica, whose load takes longer and whose
-/// memory then stands idle. Beyond it the next replica is woken.
-const WAKING_COST: Duration = Duration::from_secs(5);
-/// Urgency of requests that are not sent to see whether a slow target is well again.
-const URGENT: u8 = 2;
-/// Slow targets looked at for one request, so that its decision takes bounded time.
-const MAX_PROBED: usize = 4;
-/// The same for a target that would have to load the model: a second replica is woken only if
-/// the first has more to do than this.
-const COLD_STEP_COST: Duration = Duration::from_secs(1);
-/// What each step along the ring costs: just enough that routers agree when all else is alike.
-const STEP_COST: Duration = Duration::from_micros(100);
+/// Wait added by each request sent since a target's last load report, as reports lag.
+const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
+const TYPICAL_RUN: Duration = Duration::from_millis(300);
+const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
+const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
+const COLD_START_COST: Duration = Duration::from_secs(5);
+/// Requests of this urgency or higher don't probe ejected targets.
+const MIN_UNPROBED_URGENCY: u8 = 2;
+const MAX_PROBE_CANDIDATES: usize = 4;
+/// Cost of each step along the ring for a target that has to load the model.
+const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
+/// Cost of each step along the ring, which breaks ties alike on all routers.
+const RING_STEP_COST: Duration = Duration::from_micros(100);
 
-/// The few targets that are weighed, each once.
 struct Candidates {
     keys: [TargetKey; MAX_CANDIDATES],
     count: usize,
@@ -56,115 +44,117 @@
 }
 
 impl Router {
-    /// Made for bursts, skew and stale reports: what each of a few candidates would cost the
-    /// request in time is weighed. All routers look at the same few first, so that the first
-    /// requests for a cold model meet at one replica, and a session where its prompt is cached;
-    /// looking at all would cost time with each target, and would send everybody to the same
-    /// one until its next report.
+    /// Sends a request to the candidate with the lowest estimated cost, or refuses it.
+    ///
+    /// All routers take the same candidates from the ring, so that requests for a cold model load
+    /// one replica. Comparing all targets would send every request to the same one until its next
+    /// load report.
     pub(super) fn choose(
         &mut self,
         now: Instant,
         key: RequestKey,
         last: Option<Refusal>,
     ) -> Decision {
-        let no_target = Refusal { reason: RefusalReason::NotLoaded, retry_after: RETRY_NO_TARGET };
+        let no_target =
+            Refusal { reason: RefusalReason::NotLoaded, retry_after: NO_TARGET_RETRY_AFTER };
         let refusal = last.unwrap_or(no_target);
-        let held = &self.requests[key];
-        let over = held.tried.len() >= MAX_TRIES || now >= held.work.deadline;
-        let chosen = if over { None } else { self.best(now, key) };
-        let chosen = chosen.filter(|chosen| !self.would_wake_in_vain(now, key, *chosen, last));
+        let request = &self.requests[key];
+        let exhausted = request.attempted.len() >= MAX_ATTEMPTS || now >= request.spec.deadline;
+        let chosen = if exhausted { None } else { self.select_target(now, key) };
+        let chosen = chosen.filter(|chosen| !self.is_futile_cold_start(now, key, *chosen, last));
         let Some(chosen) = chosen else {
             self.requests.remove(key);
             return Decision::Refuse(refusal);
         };
-        self.note_sent(now, key, chosen);
+        self.record_sent(now, key, chosen);
         Decision::Send(chosen)
     }
 
-    /// Made for a burst of first requests behind a slow store: a request that came too late for
-    /// the load at one replica is too late for a load at another, and asking there would only
-    /// load the model once more for nobody. A replica that answers others meanwhile has the model
-    /// and too much to do: the next one is woken then, for those who come after. Its told wait does
-    /// not show that, as it holds no more than it can serve in time; of 61,975 requests in a minute
-    /// of overload 61,568 were refused while the second replica slept.
-    fn would_wake_in_vain(
+    /// Returns whether a request would start a load at `chosen` that can't finish in time.
+    ///
+    /// A request refused for its deadline by a loading replica is too late for a load at another.
+    /// If the refusing replica is serving the model, it is overloaded, which its reported wait
+    /// doesn't show, and another replica is started for later requests.
+    fn is_futile_cold_start(
         &self,
         now: Instant,
         key: RequestKey,
         chosen: TargetKey,
         last: Option<Refusal>,
     ) -> bool {
-        let held = &self.requests[key];
+        let request = &self.requests[key];
         let too_late = last.is_some_and(|refusal| refusal.reason == RefusalReason::Deadline);
-        let Some(owners) = self.owners(&held.work) else { return false };
+        let Some(owners) = self.owners(&request.spec) else { return false };
         let loading = || {
-            let refused_by = held.tried.last();
+            let refused_by = request.attempted.last();
             refused_by.is_none_or(|target| !owners.is_serving(now, *target))
         };
         too_late
-            && matches!(held.work.need, Need::Weights { .. })
+            && matches!(request.spec.requirement, Requirement::Weights { .. })
             && !owners.is_warm(now, chosen)
             && loading()
     }
 
-    fn note_sent(&mut self, now: Instant, key: RequestKey, chosen: TargetKey) {
+    fn record_sent(&mut self, now: Instant, key: RequestKey, chosen: TargetKey) {
         let target = &mut self.targets[chosen];
         target.outstanding += 1;
-        target.sent_since_told += 1;
-        target.health.sent(now);
+        target.sent_since_report += 1;
+        target.health.record_sent(now);
         if let Some(owners) = self.owners_of(key) {
-            owners.note_warm(now, chosen);
+            owners.mark_warm(now, chosen);
         }
-        let held = &mut self.requests[key];
-        held.target = Some(chosen);
-        held.tried.push(chosen);
-        if let Some(prefix) = held.work.shape.prefix {
-            self.prefixes.note(now, prefix, chosen);
+        let request = &mut self.requests[key];
+        request.target = Some(chosen);
+        request.attempted.push(chosen);
+        if let Some(prefix) = request.spec.shape.prefix {
+            self.prefixes.record(now, prefix, chosen);
         }
     }
 
-    fn best(&mut self, now: Instant, key: RequestKey) -> Option<TargetKey> {
+    fn select_target(&mut self, now: Instant, key: RequestKey) -> Option<TargetKey> {
         let seed = self.rng.random();
-        let held = &self.requests[key];
-        let owners = self.owners(&held.work)?;
+        let request = &self.requests[key];
+        let owners = self.owners(&request.spec)?;
         if owners.len() == 0 {
             return None;
         }
         let usable = |key: TargetKey| {
             let target = self.targets.get(key);
-            let open = target.is_some_and(|t| t.connected && !t.draining && t.health.takes(now));
-            open && !held.tried.contains(&key)
+            let open = target.is_some_and(|t| t.connected && !t.draining && t.health.accepts(now));
+            open && !request.attempted.contains(&key)
         };
-        if self.placement == Placement::Random {
+        if self.policy == BalancingPolicy::Random {
             let open: Vec<TargetKey> = owners.iter().filter(|key| usable(*key)).collect();
             return (!open.is_empty()).then(|| open[seed as usize % open.len()]);
         }
-        if let Some(probed) = self.probed(owners, &held.work).find(|key| usable(*key)) {
+        if let Some(probed) = self.probe_targets(owners, &request.spec).find(|key| usable(*key)) {
             return Some(probed);
         }
-        let candidates = self.candidates(now, owners, &held.work, seed, &usable);
+        let candidates = self.candidates(now, owners, &request.spec, seed, &usable);
         let keys = candidates.keys[..candidates.count].iter().enumerate();
         let cost = |(rank, key): &(usize, &TargetKey)| {
-            self.cost(now, **key, owners, &held.work, *rank as u32)
+            self.cost(now, **key, owners, &request.spec, *rank as u32)
         };
         let best = keys.min_by_key(cost).map(|(_, key)| *key);
-        // None of the few can be used, as after the loss of a place: then all are looked at.
+        // No candidate is usable, as after the loss of a zone: fall back to any usable target.
         best.or_else(|| owners.iter().find(|key| usable(*key)))
     }
 
-    /// A slow target whose turn it is to be tried again. Its recovery shows only in an answer, so
-    /// now and then a request goes there whatever it costs: one that is not urgent and may be
-    /// tried elsewhere.
-    fn probed(&self, owners: &Owners, work: &Work) -> impl Iterator<Item = TargetKey> {
-        let bears = work.repeatable && work.urgency < URGENT;
-        let out = self.out.iter().take(if bears { MAX_PROBED } else { 0 });
-        out.copied().filter(|key| owners.contains(*key))
+    /// Returns ejected targets that this request may probe: none if it is urgent or not repeatable.
+    fn probe_targets(
+        &self,
+        owners: &Owners,
+        spec: &RequestSpec,
+    ) -> impl Iterator<Item = TargetKey> {
+        let may_probe = spec.repeatable && spec.urgency < MIN_UNPROBED_URGENCY;
+        let ejected = self.ejected.iter().take(if may_probe { MAX_PROBE_CANDIDATES } else { 0 });
+        ejected.copied().filter(|key| owners.contains(*key))
     }
 
-    fn owners(&self, work: &Work) -> Option<&Owners> {
-        match &work.need {
-            Need::Weights { base, .. } => self.by_model.get(&base.model),
-            Need::Service(service) => self.by_service.get(service),
+    fn owners(&self, spec: &RequestSpec) -> Option<&Owners> {
+        match &spec.requirement {
+            Requirement::Weights { base, .. } => self.by_model.get(&base.model),
+            Requirement::Service(service) => self.by_service.get(service),
         }
     }
 
@@ -172,25 +162,25 @@
         &self,
         now: Instant,
         owners: &Owners,
-        work: &Work,
+        spec: &RequestSpec,
         seed: u64,
         usable: &impl Fn(TargetKey) -> bool,
     ) -> Candidates {
         let mut found = Candidates { keys: [TargetKey::default(); MAX_CANDIDATES], count: 0 };
-        let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
-        let mut take = |key: TargetKey| {
+        let cached = spec.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
+        let mut add = |key: TargetKey| {
             if usable(key) {
                 found.push(key);
             }
         };
-        cached.into_iter().filter(|key| owners.contains(*key)).for_each(&mut take);
-        owners.warm(now).into_iter().for_each(&mut take);
-        let start = owners.index_of(ring_hash(work, seed, owners.warm(now).is_some()));
-        let steps = RING_STEPS.min(owners.len());
-        let ring = (start..start + steps).map(|index| owners.at(index));
-        ring.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut take);
+        cached.into_iter().filter(|key| owners.contains(*key)).for_each(&mut add);
+        owners.last_warm(now).into_iter().for_each(&mut add);
+        let start = owners.index_of(ring_hash(spec, seed, owners.last_warm(now).is_some()));
+        let steps = MAX_RING_STEPS.min(owners.len());
+        let ring = (start..start + steps).map(|index| owners.target_at(index));
+        ring.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut add);
         let random = (0..RANDOM_CANDIDATES).map(|step| seed.rotate_left(step as u32 * 31) as usize);
-        random.map(|index| owners.at(index % owners.len())).for_each(&mut take);
+        random.map(|index| owners.target_at(index % owners.len())).for_each(&mut add);
         found
     }
 
@@ -199,42 +189,42 @@
         now: Instant,
         key: TargetKey,
         owners: &Owners,
-        work: &Work,
+        spec: &RequestSpec,
         rank: u32,
     ) -> Duration {
         let target = &self.targets[key];
-        let run = (ORDINARY_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
-        let mut cost = run + STEP_COST * rank;
-        // Where a model is loaded, routers of all places must agree; a round trip is nothing to
-        // a load, and each place for itself would load it once more.
-        if matches!(work.need, Need::Weights { .. }) && !owners.is_warm(now, key) {
-            return cost + WAKING_COST + COLD_STEP_COST * rank;
+        let run = (TYPICAL_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
+        let mut cost = run + RING_STEP_COST * rank;
+        // The zone of a cold target is ignored, so that routers of all zones load a model at one
+        // target.
+        if matches!(spec.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
+            return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
-        if target.place != self.place {
-            cost += OTHER_PLACE_COST;
+        if target.zone != self.zone {
+            cost += CROSS_ZONE_COST;
         }
-        let cached = work.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
-        if work.shape.prefix.is_some() && cached != Some(key) {
-            cost += PREFIX_WORTH;
+        let cached = spec.shape.prefix.and_then(|prefix| self.prefixes.find(prefix));
+        if spec.shape.prefix.is_some() && cached != Some(key) {
+            cost += PREFIX_MISS_COST;
         }
         cost
     }
 }
 
-/// The wait at a target: what it told, less the time since, and what was sent there since.
+/// Estimates the wait at a target from its last report and the requests sent since.
 fn wait(now: Instant, target: &Target) -> Duration {
-    let told = Duration::from_millis(target.load.wait_ms);
-    let since = target.told.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-    told.saturating_sub(since) + SENT_COST * target.sent_since_told
+    let reported = Duration::from_millis(target.load.wait_ms);
+    let since =
+        target.load_reported_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+    reported.saturating_sub(since) + UNREPORTED_REQUEST_COST * target.sent_since_report
 }
 
-/// Requests of one session meet at one place of the ring, and the first requests of all sessions
-/// of a cold model at another; calls to plain services, which have nothing to load, spread.
-fn ring_hash(work: &Work, seed: u64, warm: bool) -> u64 {
-    match (&work.need, work.shape.prefix) {
-        (Need::Service(_), _) => seed,
-        (Need::Weights { .. }, Some(prefix)) if warm => prefix,
-        (Need::Weights { base, .. }, _) => {
+/// Start on the ring: by prefix for a warm model, by model for a cold one, random for a service.
+fn ring_hash(spec: &RequestSpec, seed: u64, warm: bool) -> u64 {
+    match (&spec.requirement, spec.shape.prefix) {
+        (Requirement::Service(_), _) => seed,
+        (Requirement::Weights { .. }, Some(prefix)) if warm => prefix,
+        (Requirement::Weights { base, .. }, _) => {
             xxhash_rust::xxh3::xxh3_64(base.model.as_str().as_bytes())
         }
     }
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -1,10 +1,7 @@
-//! Which target gets one attempt of a request.
+//! Selects the target for one attempt of a request.
 //!
-//! The load it is made for: a few engines with large batches, of which some hold the model that is
-//! wanted; a few plain services with few places each. The harm it prevents: requests to engines
-//! that do not have the model, batches that slow every stream in them while others are half empty,
-//! and requests that go on meeting a target that fails. Costs are in shares of a full batch, so
-//! that each weight below can be read as "worth this much of a batch".
+//! Candidates are filtered by health, resident model and capacity, and the cheapest one is chosen.
+//! Costs are fractions of a full batch: a cost of 0.1 equals the load of a tenth of a batch.
 
 use crate::{health, targets};
 use corianderstand_derives::derives;
@@ -12,179 +9,185 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3;
 
-/// Another availability zone costs 1.4 ms each way and is charged by the byte; a twentieth of a
-/// batch slows a step by less than that, so load goes first when it differs by more.
-const OTHER_ZONE: f64 = 0.05;
-/// What a prompt's parts that a target has read are worth, for each thousand tokens: reading them
-/// again takes about 26 ms, the work of some three steps of a full batch.
-const READ_BEFORE_PER_THOUSAND: f64 = 0.12;
-/// Weight of a target's trouble beyond that of its peers. One with half of its requests failing
-/// costs more than a full batch.
-const TROUBLE: f64 = 3.0;
-/// Weight of a target's streams coming slower than those of the quickest that is considered: some
-/// engines are 1.3 times slower, and one at whose streams others' prompts are read in between shows
-/// it here first.
-const SLOWER: f64 = 0.4;
-/// A target counts as at most this many times slower.
-const MOST_SLOWER: f64 = 4.0;
-/// Share of a batch that differs between two targets without meaning: less is decided by hash, so
-/// that routers with the same view do not all take the same target.
-const JITTER: f64 = 0.03;
+/// Cost of a target in another availability zone; a larger difference in load outweighs it.
+const CROSS_ZONE_COST: f64 = 0.05;
+/// Cost saved per thousand prompt tokens that the target has in its prefix cache.
+const CACHED_PREFIX_CREDIT_PER_1000_TOKENS: f64 = 0.12;
+/// Weight of a target's failure score above the lowest among the candidates.
+const FAILURE_SCORE_WEIGHT: f64 = 3.0;
+/// Weight of a target's mean event interval relative to the shortest among the candidates.
+const SLOWDOWN_WEIGHT: f64 = 0.4;
+/// Upper bound of the relative slowdown, so that one slow target does not dominate the cost.
+const MAX_SLOWDOWN_RATIO: f64 = 4.0;
+/// Largest pseudo-random cost; spreads requests over targets of similar cost.
+const JITTER_WEIGHT: f64 = 0.03;
 
-/// A target that reads prompts for this long yet costs as much as a full batch: its streams pause, and
-/// a prompt sent there waits as long.
-const FULL_READING: Duration = Duration::from_millis(250);
+/// Prefill backlog that costs as much as a full batch.
+const FULL_PREFILL_BACKLOG: Duration = Duration::from_millis(250);
 
-/// A model that a request wants.
+/// Model and optional adapter that a request names.
 #[derives(name)]
-pub struct Wanted {
-    /// The model.
+pub struct RequestedModel {
+    /// Base model.
     pub model: names::ModelId,
-    /// An adapter of it.
+    /// Adapter to apply to the model.
     pub adapter: Option<names::AdapterId>,
 }
 
-/// One attempt that needs a target.
+/// Input for the choice of a target for one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    /// The service that the route leads to.
+pub struct Query<'a> {
+    /// Service selected by the route.
     pub service: &'a names::ServiceId,
-    /// The model it wants, if any.
-    pub wanted: Option<&'a Wanted>,
-    /// Tokens that it is expected to need in all.
+    /// Requested model, if any.
+    pub requested: Option<&'a RequestedModel>,
+    /// Expected tokens of the prompt and the answer.
     pub tokens: u64,
-    /// Cache memory of one engine, in tokens.
+    /// Cache capacity of one engine in tokens; 0 if it is not limited.
     pub cache_tokens: u64,
-    /// Adapters that one engine holds at once.
-    pub adapter_places: usize,
-    /// Where this process stands.
+    /// Number of adapters that can be resident on one engine.
+    pub adapter_slots: usize,
+    /// Availability zone of this process.
     pub zone: &'a names::AvailabilityZoneId,
-    /// Targets that the request has been to.
+    /// Targets that earlier attempts of the request were sent to.
     pub tried: &'a [targets::TargetKey],
-    /// A hash of the request.
+    /// Hash of the request.
     pub hash: u64,
-    /// The target that last read parts of the prompt, and how many tokens.
-    pub read_before: Option<(targets::TargetKey, u64)>,
+    /// Target with the longest cached prefix of the prompt, and the prefix's length in tokens.
+    pub cached_prefix: Option<(targets::TargetKey, u64)>,
 }
 
-/// What to do with the attempt.
+/// Result of the choice.
 #[derives(key)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the attempt to this target.
     Send(targets::TargetKey),
-    /// Have the adapter loaded there, then send it.
+    /// Load the adapter on this target, then send the attempt.
     LoadAdapter(targets::TargetKey),
-    /// Targets hold the model, and none has room.
+    /// All targets that hold the model are at capacity.
     Full,
     /// No target of the service holds the model.
     Cold,
-    /// The service has no target that may be used.
+    /// The service has no available target.
     NoTarget,
 }
 
-/// Chooses a target.
-pub fn choose(now: Instant, targets: &targets::Targets, ask: &Ask) -> Choice {
+/// Chooses a target for an attempt.
+pub fn choose(now: Instant, targets: &targets::Targets, query: &Query) -> Choice {
     let usable: Vec<_> = targets
         .iter()
         .filter(|(key, target)| {
-            target.entry.service == *ask.service
-                && target.takes_work(now)
-                && !ask.tried.contains(key)
+            target.entry.service == *query.service
+                && target.accepts_requests(now)
+                && !query.tried.contains(key)
         })
         .collect();
     if usable.is_empty() {
         return Choice::NoTarget;
     }
-    let holders: Vec<_> = match ask.wanted {
+    let holders: Vec<_> = match query.requested {
         None => usable,
-        Some(wanted) => {
-            usable.into_iter().filter(|(_, target)| target.serves(now, &wanted.model)).collect()
+        Some(requested) => {
+            usable.into_iter().filter(|(_, target)| target.serves(now, &requested.model)).collect()
         }
     };
     if holders.is_empty() {
         return Choice::Cold;
     }
-    let with_room: Vec<_> =
-        holders.into_iter().filter(|(_, target)| has_room(target, ask)).collect();
-    if with_room.is_empty() {
+    let with_capacity: Vec<_> =
+        holders.into_iter().filter(|(_, target)| has_capacity(target, query)).collect();
+    if with_capacity.is_empty() {
         return Choice::Full;
     }
-    match ask.wanted.and_then(|wanted| wanted.adapter.as_ref().map(|adapter| (wanted, adapter))) {
-        None => best(now, &with_room, ask).map_or(Choice::Full, Choice::Send),
-        Some((wanted, adapter)) => with_adapter(now, &with_room, ask, wanted, adapter),
+    match query
+        .requested
+        .and_then(|requested| requested.adapter.as_ref().map(|adapter| (requested, adapter)))
+    {
+        None => cheapest(now, &with_capacity, query).map_or(Choice::Full, Choice::Send),
+        Some((requested, adapter)) => {
+            choose_for_adapter(now, &with_capacity, query, requested, adapter)
+        }
     }
 }
 
-/// Prefers engines that have the adapter; then those that can take an order for it and have a place left,
-/// and among them by hash, so that all routers have it loaded at the same engine.
-fn with_adapter(
+/// Prefers engines that hold the adapter, then engines without an ongoing command and with a free
+/// adapter slot. Rendezvous hashing breaks ties, so that all routers load it on the same engine.
+fn choose_for_adapter(
     now: Instant,
     holders: &[(targets::TargetKey, &targets::Target)],
-    ask: &Ask,
-    wanted: &Wanted,
+    query: &Query,
+    requested: &RequestedModel,
     adapter: &names::AdapterId,
 ) -> Choice {
     let has = |target: &targets::Target| {
-        let resident = target.entry.holdings.resident(&wanted.model);
+        let resident = target.entry.holdings.resident(&requested.model);
         resident.is_some_and(|resident| resident.adapters.contains(adapter))
     };
     let ready: Vec<_> = holders.iter().copied().filter(|(_, target)| has(target)).collect();
-    if let Some(key) = best(now, &ready, ask) {
+    if let Some(key) = cheapest(now, &ready, query) {
         return Choice::Send(key);
     }
-    let place = |target: &targets::Target| {
-        let name = format!("{}/{}/{}", target.entry.id, wanted.model, adapter);
+    let rendezvous_hash = |target: &targets::Target| {
+        let name = format!("{}/{}/{}", target.entry.id, requested.model, adapter);
         xxh3::xxh3_64(name.as_bytes())
     };
-    let has_place = |target: &targets::Target| {
+    let has_free_slot = |target: &targets::Target| {
         let resident = target.entry.holdings.resident.iter();
-        resident.map(|resident| resident.adapters.len()).sum::<usize>() < ask.adapter_places
+        resident.map(|resident| resident.adapters.len()).sum::<usize>() < query.adapter_slots
     };
-    let well = holders.iter().filter(|(_, target)| target.health.trouble(now) < health::OUT);
-    // An engine that is carrying out an order takes none for an adapter meanwhile.
-    let home =
-        well.max_by_key(|(_, target)| (target.ongoing.is_none(), has_place(target), place(target)));
-    let home = home.or(holders.first());
-    home.map_or(Choice::Full, |(key, _)| Choice::LoadAdapter(*key))
+    let healthy = holders
+        .iter()
+        .filter(|(_, target)| target.health.failure_score(now) < health::EJECTION_THRESHOLD);
+    let preferred = healthy.max_by_key(|(_, target)| {
+        (target.ongoing.is_none(), has_free_slot(target), rendezvous_hash(target))
+    });
+    let preferred = preferred.or(holders.first());
+    preferred.map_or(Choice::Full, |(key, _)| Choice::LoadAdapter(*key))
 }
 
-/// Whether it can take the request without making it wait for another to end.
-fn has_room(target: &targets::Target, ask: &Ask) -> bool {
-    let memory = ask.cache_tokens == 0 || target.tokens() + ask.tokens <= ask.cache_tokens;
-    target.occupied() < target.entry.slots.max(1) && memory
+/// Whether the target can start the request without queueing it.
+fn has_capacity(target: &targets::Target, query: &Query) -> bool {
+    let memory =
+        query.cache_tokens == 0 || target.estimated_tokens() + query.tokens <= query.cache_tokens;
+    target.estimated_requests() < target.entry.slots.max(1) && memory
 }
 
-fn best(
+fn cheapest(
     now: Instant,
     holders: &[(targets::TargetKey, &targets::Target)],
-    ask: &Ask,
+    query: &Query,
 ) -> Option<targets::TargetKey> {
-    let trouble = holders.iter().map(|(_, target)| target.health.trouble(now));
-    let least_trouble = trouble.fold(f64::INFINITY, f64::min);
-    let paces = holders.iter().filter_map(|(_, target)| target.pace.between(now));
-    let quickest = paces.min().map_or(f64::INFINITY, |pace| pace.as_secs_f64());
+    let failure_scores = holders.iter().map(|(_, target)| target.health.failure_score(now));
+    let least_failure_score = failure_scores.fold(f64::INFINITY, f64::min);
+    let intervals = holders.iter().filter_map(|(_, target)| target.event_interval.mean(now));
+    let shortest_interval =
+        intervals.min().map_or(f64::INFINITY, |interval| interval.as_secs_f64());
     let cost = |key: targets::TargetKey, target: &targets::Target| {
         let slots = f64::from(target.entry.slots.max(1));
-        let batch = f64::from(target.occupied()) / slots;
-        let memory = match ask.cache_tokens {
+        let batch = f64::from(target.estimated_requests()) / slots;
+        let memory = match query.cache_tokens {
             0 => 0.0,
-            all => (target.tokens() + ask.tokens) as f64 / all as f64,
+            capacity => (target.estimated_tokens() + query.tokens) as f64 / capacity as f64,
         };
-        let zone = if target.entry.zone == *ask.zone { 0.0 } else { OTHER_ZONE };
-        let trouble = (target.health.trouble(now) - least_trouble) * TROUBLE;
-        let read = match ask.read_before {
-            Some((there, tokens)) if there == key => {
-                tokens as f64 / 1_000.0 * READ_BEFORE_PER_THOUSAND
+        let zone = if target.entry.zone == *query.zone { 0.0 } else { CROSS_ZONE_COST };
+        let failure_score =
+            (target.health.failure_score(now) - least_failure_score) * FAILURE_SCORE_WEIGHT;
+        let cached_prefix = match query.cached_prefix {
+            Some((holder, tokens)) if holder == key => {
+                tokens as f64 / 1_000.0 * CACHED_PREFIX_CREDIT_PER_1000_TOKENS
             }
             _ => 0.0,
         };
-        let slower =
-            target.pace.between(now).map_or(0.0, |pace| pace.as_secs_f64() / quickest - 1.0);
-        let slower = slower.clamp(0.0, MOST_SLOWER) * SLOWER;
-        let jitter = (ask.hash ^ xxh3::xxh3_64(target.entry.id.as_str().as_bytes())) % 1_000;
-        let reading = target.reading(now).as_secs_f64() / FULL_READING.as_secs_f64();
-        batch.max(memory) + reading + zone + trouble + slower - read
-            + jitter as f64 / 1_000.0 * JITTER
+        let slowdown = target
+            .event_interval
+            .mean(now)
+            .map_or(0.0, |interval| interval.as_secs_f64() / shortest_interval - 1.0);
+        let slowdown = slowdown.clamp(0.0, MAX_SLOWDOWN_RATIO) * SLOWDOWN_WEIGHT;
+        let jitter = (query.hash ^ xxh3::xxh3_64(target.entry.id.as_str().as_bytes())) % 1_000;
+        let prefill =
+            target.prefill_backlog(now).as_secs_f64() / FULL_PREFILL_BACKLOG.as_secs_f64();
+        batch.max(memory) + prefill + zone + failure_score + slowdown - cached_prefix
+            + jitter as f64 / 1_000.0 * JITTER_WEIGHT
     };
     let costs = holders.iter().map(|&(key, target)| (cost(key, target), key));
     costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, key)| key)
--- /dev/null
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -0,0 +1,84 @@
+//! Estimates how many concurrent loads the weight store sustains.
+//!
+//! The estimate drops when a load takes much longer than expected, and rises when a load takes its
+//! expected time at the current limit.
+
+use crate::{
+    snapshot::{EngineView, Models},
+    targets,
+};
+use corianderstand_types::names;
+use std::{
+    collections::HashMap,
+    time::{Duration, Instant},
+};
+
+/// Low, because excess loads delay each other, and the limit rises within a few loads.
+const INITIAL_LIMIT: u32 = 2;
+/// Factor by which the limit rises after a load that wasn't slowed down at the limit.
+const PROBE_FACTOR: u32 = 2;
+const CONGESTION_RATIO: f64 = 1.25;
+
+/// Limit on concurrent loads from the weight store, adapted to observed load times.
+#[derive(Debug)]
+pub struct StoreConcurrency {
+    pub limit: u32,
+    loads: HashMap<targets::TargetKey, StoreLoad>,
+}
+
+#[derive(Debug)]
+struct StoreLoad {
+    model: names::ModelId,
+    started_at: Instant,
+    max_concurrent: u32,
+}
+
+impl Default for StoreConcurrency {
+    fn default() -> Self {
+        Self { limit: INITIAL_LIMIT, loads: HashMap::new() }
+    }
+}
+
+impl StoreConcurrency {
+    /// Tracks the ongoing loads and updates the limit from those that have completed.
+    pub fn observe(&mut self, now: Instant, engines: &[EngineView], models: &Models) {
+        let loading: HashMap<_, _> = engines.iter().filter_map(store_load).collect();
+        let count = loading.len() as u32;
+        let completed =
+            self.loads.iter().filter(|(key, load)| loading.get(*key) != Some(&&load.model));
+        let completed: Vec<_> = completed.map(|(key, _)| *key).collect();
+        for key in completed {
+            let Some(load) = self.loads.remove(&key) else { continue };
+            let engine = engines.iter().find(|engine| engine.key == key);
+            let resident = engine.is_some_and(|e| e.holdings.resident(&load.model).is_some());
+            if let (true, Some(model)) = (resident, models.get(&load.model)) {
+                self.update_limit(now, &load, model.spec.load_from_store);
+            }
+        }
+        for (key, model) in loading {
+            let load = StoreLoad { model: model.clone(), started_at: now, max_concurrent: count };
+            let load = self.loads.entry(key).or_insert(load);
+            load.max_concurrent = load.max_concurrent.max(count);
+        }
+    }
+
+    fn update_limit(&mut self, now: Instant, load: &StoreLoad, expected: Duration) {
+        let elapsed = now.saturating_duration_since(load.started_at).as_secs_f64();
+        let slowdown = elapsed / expected.as_secs_f64().max(0.001);
+        if slowdown > CONGESTION_RATIO {
+            let sustained = (f64::from(load.max_concurrent) / slowdown).round() as u32;
+            self.limit = sustained.clamp(1, self.limit);
+        } else if load.max_concurrent >= self.limit {
+            self.limit = load.max_concurrent * PROBE_FACTOR;
+        }
+    }
+}
+
+fn store_load(engine: &EngineView) -> Option<(targets::TargetKey, &names::ModelId)> {
+    match &engine.ongoing {
+        Some(targets::Ongoing::Loading { model, from_store: true, .. }) => {
+            Some((engine.key, model))
+        }
+        _ => None,
+    }
+}
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -1,9 +1,11 @@
-//! Routes, targets, budgets, patience and steps.
+//! Routes, targets, retry budgets, wait limits and commands for engines.
 
 mod common;
 
 use common::id;
-use corianderstand_fleet::{budget, choose, config, health, patience, routes, steps, targets};
+use corianderstand_fleet::{
+    budget, choose, config, health, reconcile, routes, targets, wait_limit,
+};
 use corianderstand_types::names::ModelId;
 use rand::RngExt;
 use std::{
@@ -34,11 +36,11 @@
 fn the_longest_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] path: &str,
-    #[case] wanted: Option<&str>,
+    #[case] expected: Option<&str>,
 ) {
     let table = table(&["/a/", "/a/b/"]);
     let found = table.find(host, path).map(|route| route.prefix.as_str());
-    assert_eq!(found, wanted);
+    assert_eq!(found, expected);
 }
 
 #[test]
@@ -49,7 +51,7 @@
     assert_eq!(two, 100);
 }
 
-/// An address for each name, on a host of its own.
+/// A distinct address, on its own host, for each name.
 fn address(name: &str) -> SocketAddr {
     let host = name.bytes().fold(0_u8, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte));
     SocketAddr::from(([127, 0, 1, host], 1))
@@ -58,14 +60,14 @@
 fn entry(name: &str) -> Entry {
     Entry {
         id: id(name),
-        born: 10,
+        started_at_ms: 10,
         renewals: 5,
         service: "models".into(),
         addr: address(name),
         zone: "here".into(),
         slots: 4,
         draining: false,
-        leaves_in: None,
+        shutdown_in: None,
         holdings: holdings(&["m"]),
     }
 }
@@ -75,40 +77,42 @@
     Holdings { resident: resident.collect(), ..Default::default() }
 }
 
-/// Requests are sent to engines that have ended although others at their addresses have registered.
+/// Guards against requests to an engine that ended after another registered at its address.
 #[test]
-fn an_engine_that_registers_at_an_address_ends_the_one_before() {
+fn a_registration_replaces_the_engine_at_its_address() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("before"));
     targets.register(now, entry("other"));
     let after = Entry { addr: address("before"), ..entry("after") };
     assert_eq!(targets.register(now, after), Change::New);
-    assert!(targets.key(&id("before")).is_none(), "requests would be refused there");
+    assert!(targets.key(&id("before")).is_none(), "the previous engine has ended");
     assert!(targets.key(&id("after")).is_some() && targets.key(&id("other")).is_some());
 }
 
-/// A router that starts knows only engines that have ended, and its callers are refused.
+/// Guards against refused requests on a router that starts while the store lists ended engines.
 #[test]
-fn an_engine_is_known_by_its_agent_s_word_before_it_registers() {
+fn an_unknown_engine_is_inferred_from_its_agent_before_it_registers() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("before"));
     let host = address("before").ip();
-    assert!(!targets.introduce(now, &id("after"), 0, host, |_| false), "a plain service's target");
-    assert!(targets.introduce(now, &id("after"), 0, host, |_| true));
+    assert!(
+        !targets.infer_successor(now, &id("after"), 0, host, |_| false),
+        "not an engine's service"
+    );
+    assert!(targets.infer_successor(now, &id("after"), 0, host, |_| true));
     let known = targets.get(targets.key(&id("after")).unwrap()).unwrap();
     assert_eq!(known.entry.addr, address("before"));
-    assert!(!targets.introduce(now, &id("before"), 0, host, |_| true), "its word came late");
-    assert_eq!(targets.register(now, entry("before")), Change::New, "it lives after all");
-    assert!(targets.key(&id("after")).is_none(), "only one can live at an address");
-    assert!(!targets.introduce(now, &id("stranger"), 0, address("nobody").ip(), |_| true));
+    assert!(!targets.infer_successor(now, &id("before"), 0, host, |_| true), "outdated report");
+    assert_eq!(targets.register(now, entry("before")), Change::New, "the previous engine is alive");
+    assert!(targets.key(&id("after")).is_none(), "one target per address");
+    assert!(!targets.infer_successor(now, &id("stranger"), 0, address("nobody").ip(), |_| true));
 }
 
-/// The store returns an entry that was written before the newest one. Taken, requests would go to an
-/// engine that is leaving.
+/// Guards against an outdated entry that makes a draining engine available again.
 #[test]
-fn an_entry_from_before_is_left_out() {
+fn an_outdated_entry_is_ignored() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -116,28 +120,26 @@
     assert_eq!(targets.register(now, draining), Change::Draining);
     assert_eq!(targets.register(now, entry("e")), Change::Stale);
     let key = targets.key(&id("e")).unwrap();
-    assert!(!targets.get(key).unwrap().takes_work(now));
+    assert!(!targets.get(key).unwrap().accepts_requests(now));
     targets.remove(now, &id("e"), false);
-    assert_eq!(targets.register(now, entry("e")), Change::Stale, "it has left for good");
+    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the incarnation has ended");
 }
 
-/// An engine starts again under its name and has forgotten its models. Requests for these would be
-/// refused there.
+/// Guards against requests for models that an engine lost in a restart.
 #[test]
-fn a_new_start_under_the_same_name_holds_nothing_of_before() {
+fn a_restart_under_the_same_name_clears_the_holdings() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    let again = Entry { born: 20, renewals: 1, holdings: holdings(&[]), ..entry("e") };
+    let again = Entry { started_at_ms: 20, renewals: 1, holdings: holdings(&[]), ..entry("e") };
     assert_eq!(targets.register(now, again), Change::New);
     let key = targets.key(&id("e")).unwrap();
     assert!(!targets.get(key).unwrap().serves(now, &"m".into()));
 }
 
-/// The store was away and has forgotten an engine that lives. It is back in the store within two
-/// seconds; until then it goes on serving.
+/// Guards against removing a live engine whose entry is missing after a store outage.
 #[test]
-fn an_entry_that_lapsed_has_time_to_return() {
+fn a_removed_entry_has_a_grace_period() {
     let now = Instant::now();
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
@@ -151,17 +153,17 @@
     assert!(targets.key(&id("e")).is_some());
 }
 
-/// An agent reports from beside its engine; the entry in the store lags behind it by a second.
+/// Guards against a delayed entry that overwrites a newer agent report.
 #[test]
-fn what_the_agent_says_goes_before_the_entry() {
+fn agent_reports_take_precedence_over_entries() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
     let report = Report {
         id: id("e"),
-        born: 10,
-        holdings: Holdings { orders: 2, ..holdings(&["n"]) },
-        copies_told: true,
+        started_at_ms: 10,
+        holdings: Holdings { commands_accepted: 2, ..holdings(&["n"]) },
+        cached_weights_reported: true,
         ongoing: None,
         load: Load::default(),
     };
@@ -169,30 +171,31 @@
     targets.register(now, Entry { renewals: 6, ..entry("e") });
     let key = targets.key(&id("e")).unwrap();
     assert!(targets.get(key).unwrap().serves(now, &"n".into()));
-    let older = Report { holdings: Holdings { orders: 1, ..holdings(&["m"]) }, ..report };
-    assert!(!targets.report(now, older), "datagrams overtake each other");
+    let older =
+        Report { holdings: Holdings { commands_accepted: 1, ..holdings(&["m"]) }, ..report };
+    assert!(!targets.report(now, older), "reordered datagram");
 }
 
-fn ask<'a>(
-    wanted: &'a choose::Wanted,
+fn query<'a>(
+    requested: &'a choose::RequestedModel,
     service: &'a corianderstand_types::names::ServiceId,
     zone: &'a corianderstand_types::names::AvailabilityZoneId,
-) -> choose::Ask<'a> {
-    choose::Ask {
+) -> choose::Query<'a> {
+    choose::Query {
         service,
-        wanted: Some(wanted),
+        requested: Some(requested),
         tokens: 1_000,
         cache_tokens: 10_000,
-        adapter_places: 2,
+        adapter_slots: 2,
         zone,
         tried: &[],
         hash: 7,
-        read_before: None,
+        cached_prefix: None,
     }
 }
 
-fn wanted() -> choose::Wanted {
-    choose::Wanted { model: "m".into(), adapter: None }
+fn requested() -> choose::RequestedModel {
+    choose::RequestedModel { model: "m".into(), adapter: None }
 }
 
 #[test]
@@ -200,92 +203,96 @@
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, Entry { holdings: holdings(&["n"]), ..entry("e") });
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
-    let ask = ask(&wanted, &service, &zone);
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Cold);
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
+    let query = query(&requested, &service, &zone);
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Cold);
     targets.register(now, entry("f"));
     let key = targets.key(&id("f")).unwrap();
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Send(key));
-    targets.get_mut(key).unwrap().note_absent(now, &ModelId::from("m"));
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Cold, "it said it has it not");
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Send(key));
+    targets.get_mut(key).unwrap().record_absent_model(now, &ModelId::from("m"));
+    assert_eq!(
+        choose::choose(now, &targets, &query),
+        choose::Choice::Cold,
+        "the engine reported the model as absent"
+    );
 }
 
-/// An engine's process ends, and its entry stays in the store for some seconds. Requests for its
-/// models are sent to an address where nobody listens and refused, again and again, while another
-/// engine could have loaded them. What its agent says of its end holds until it has started again.
+/// Guards against repeated attempts at an ended engine whose entry is still stored.
 #[test]
-fn an_engine_whose_process_has_ended_counts_for_nothing() {
+fn an_engine_whose_process_ended_is_ejected() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
-    let ask = ask(&wanted, &service, &zone);
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
+    let query = query(&requested, &service, &zone);
     let key = targets.key(&id("e")).unwrap();
-    targets.get_mut(key).unwrap().note_nobody(now);
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::NoTarget);
+    targets.get_mut(key).unwrap().record_unreachable(now);
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::NoTarget);
     let later = now + Duration::from_secs(1);
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key), "tried again");
-    assert!(targets.note_gone(later, &id("e"), 10));
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::NoTarget);
-    targets.register(later, Entry { born: 20, renewals: 1, ..entry("e") });
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::Send(key), "probed again");
+    assert!(targets.record_exit(later, &id("e"), 10));
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::NoTarget);
+    targets.register(later, Entry { started_at_ms: 20, renewals: 1, ..entry("e") });
     let key = targets.key(&id("e")).unwrap();
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
-    assert!(!targets.note_gone(later, &id("e"), 10), "said of the start before");
-    assert_eq!(choose::choose(later, &targets, &ask), choose::Choice::Send(key));
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::Send(key));
+    assert!(!targets.record_exit(later, &id("e"), 10), "report of the previous incarnation");
+    assert_eq!(choose::choose(later, &targets, &query), choose::Choice::Send(key));
 }
 
-/// All hosts lose their power. An engine is back under a new name, and registers it up to two seconds
-/// later; until then nobody orders it anything, and callers of its models wait. Its agent knows it.
+/// Guards against waiting for the registration of an engine restarted under a new name.
 #[test]
-fn an_engine_that_is_back_under_another_name_is_known_before_it_registers() {
+fn an_engine_restarted_under_another_name_is_known_before_it_registers() {
     let now = Instant::now();
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
     let on_disk = Holdings { on_disk: vec!["m".into()], ..holdings(&["m"]) };
     targets.register(now, Entry { holdings: on_disk, ..entry("e") });
     targets.remove(now, &id("e"), false);
-    let replaced = targets::Replaced { id: id("f"), born: 20, before: id("e") };
+    let replaced = targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") };
     assert!(targets.replace(now, &replaced));
     let found = |targets: &Targets| targets.get(targets.key(&id("f")).unwrap()).unwrap().clone();
     assert_eq!(found(&targets).entry.addr, entry("e").addr);
-    assert_eq!(found(&targets).entry.holdings.on_disk, [ModelId::from("m")], "a disk stays");
-    assert!(!found(&targets).serves(now, &"m".into()), "it starts empty");
-    assert!(!targets.replace(now, &replaced), "said again");
-    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the old name is over");
-    targets.register(now, Entry { born: 20, renewals: 1, ..entry("f") });
+    assert_eq!(
+        found(&targets).entry.holdings.on_disk,
+        [ModelId::from("m")],
+        "weights on disk persist"
+    );
+    assert!(!found(&targets).serves(now, &"m".into()), "no model is loaded after a restart");
+    assert!(!targets.replace(now, &replaced), "repeated report");
+    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the previous name has ended");
+    targets.register(now, Entry { started_at_ms: 20, renewals: 1, ..entry("f") });
     assert!(targets.expire(now + grace, grace).is_empty(), "it has registered");
     targets.remove(now, &id("f"), false);
-    assert!(
-        !targets.replace(now, &replaced),
-        "of a name that has ended, nothing is known any more"
-    );
+    assert!(!targets.replace(now, &replaced), "the previous name is no longer known");
 }
 
-/// The agent's word stands in for an entry that never comes: it is over when the agent falls silent.
+/// An engine known only from its agent must expire when the agent is unresponsive.
 #[test]
-fn an_engine_that_never_registers_is_forgotten_when_its_agent_falls_silent() {
+fn an_unregistered_engine_expires_when_its_agent_is_unresponsive() {
     let now = Instant::now();
     let grace = Duration::from_secs(2);
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    assert!(targets.replace(now, &targets::Replaced { id: id("f"), born: 20, before: id("e") }));
+    assert!(targets.replace(
+        now,
+        &targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") }
+    ));
     let report = Report {
         id: id("f"),
-        born: 20,
+        started_at_ms: 20,
         holdings: Holdings::default(),
-        copies_told: false,
+        cached_weights_reported: false,
         ongoing: None,
         load: Load::default(),
     };
     assert!(targets.report(now + grace / 2, report));
-    assert!(targets.expire(now + grace, grace).is_empty(), "its agent spoke a second ago");
+    assert!(targets.expire(now + grace, grace).is_empty(), "its agent reported a second ago");
     assert_eq!(targets.expire(now + grace * 2, grace), [id("f")]);
 }
 
-/// One engine fails every other request while it says that it is well. Callers must not go on
-/// meeting it, and it must not be left out for ever.
+/// Guards against sending requests to a failing target, and against ejecting it for ever.
 #[test]
-fn a_target_that_fails_gets_little_and_is_tried_again_later() {
+fn a_failing_target_is_ejected_and_probed_again_later() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
@@ -293,15 +300,15 @@
     let bad = targets.key(&id("e")).unwrap();
     let health = &mut targets.get_mut(bad).unwrap().health;
     for _ in 0..3 {
-        health.failed(now);
+        health.record_failure(now);
     }
-    assert!(health.trouble(now) > health::OUT);
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
+    assert!(health.failure_score(now) > health::EJECTION_THRESHOLD);
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
     let sent = |now: Instant, targets: &Targets| {
         let mut rng = common::rng(1);
         let hits = (0..100).filter(|_| {
-            let ask = choose::Ask { hash: rng.random(), ..ask(&wanted, &service, &zone) };
-            choose::choose(now, targets, &ask) == choose::Choice::Send(bad)
+            let query = choose::Query { hash: rng.random(), ..query(&requested, &service, &zone) };
+            choose::choose(now, targets, &query) == choose::Choice::Send(bad)
         });
         hits.count()
     };
@@ -310,22 +317,22 @@
 }
 
 #[test]
-fn a_full_engine_gets_no_more() {
+fn a_full_engine_gets_no_requests() {
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
     let key = targets.key(&id("e")).unwrap();
-    let (wanted, service, zone) = (wanted(), "models".into(), "here".into());
-    let ask = ask(&wanted, &service, &zone);
-    targets.get_mut(key).unwrap().note_load(Load { running: 4, waiting: 0, cache_used: None });
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Full);
+    let (requested, service, zone) = (requested(), "models".into(), "here".into());
+    let query = query(&requested, &service, &zone);
+    targets.get_mut(key).unwrap().record_load(Load { running: 4, waiting: 0, cache_used: None });
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Full);
     let load = Load { running: 1, waiting: 0, cache_used: Some(9_500) };
-    targets.get_mut(key).unwrap().note_load(load);
-    assert_eq!(choose::choose(now, &targets, &ask), choose::Choice::Full, "its memory is full");
+    targets.get_mut(key).unwrap().record_load(load);
+    assert_eq!(choose::choose(now, &targets, &query), choose::Choice::Full, "its cache is full");
 }
 
 #[test]
-fn adapters_go_where_they_are_then_where_there_is_a_place() {
+fn adapters_prefer_engines_that_hold_them_then_free_slots() {
     let now = Instant::now();
     let mut targets = Targets::default();
     let with = |adapters: &[&str]| Holdings {
@@ -339,17 +346,17 @@
     targets.register(now, Entry { holdings: with(&["c"]), ..entry("free") });
     let (service, zone) = ("models".into(), "here".into());
     let choose = |adapter: &str| {
-        let wanted = choose::Wanted { model: "m".into(), adapter: Some(adapter.into()) };
-        choose::choose(now, &targets, &ask(&wanted, &service, &zone))
+        let requested = choose::RequestedModel { model: "m".into(), adapter: Some(adapter.into()) };
+        choose::choose(now, &targets, &query(&requested, &service, &zone))
     };
     let key = |name: &str| targets.key(&id(name)).unwrap();
     assert_eq!(choose("a"), choose::Choice::Send(key("full")));
     assert_eq!(choose("d"), choose::Choice::LoadAdapter(key("free")));
 }
 
-/// A caller waits for an adapter until its engine has loaded somebody else's model.
+/// Guards against an adapter request that waits for the load of an unrelated model.
 #[test]
-fn an_adapter_is_not_asked_of_an_engine_that_is_busy_with_an_order() {
+fn an_adapter_is_not_loaded_on_an_engine_that_executes_a_command() {
     let now = Instant::now();
     let names = ["one", "two", "three"];
     let mut targets = Targets::default();
@@ -357,28 +364,29 @@
         targets.register(now, entry(name));
     }
     let (service, zone) = ("models".into(), "here".into());
-    let wanted = choose::Wanted { model: "m".into(), adapter: Some("a".into()) };
-    let home = |targets: &Targets| {
-        let choice = choose::choose(now, targets, &ask(&wanted, &service, &zone));
-        let choose::Choice::LoadAdapter(key) = choice else { panic!("nobody has it: {choice:?}") };
+    let requested = choose::RequestedModel { model: "m".into(), adapter: Some("a".into()) };
+    let preferred = |targets: &Targets| {
+        let choice = choose::choose(now, targets, &query(&requested, &service, &zone));
+        let choose::Choice::LoadAdapter(key) = choice else {
+            panic!("no engine holds it: {choice:?}")
+        };
         key
     };
-    let usual = home(&targets);
+    let usual = preferred(&targets);
     let ready_at = now + Duration::from_secs(1);
     let loading = Ongoing::Loading { model: "n".into(), ready_at, from_store: false };
     targets.get_mut(usual).unwrap().ongoing = Some(loading.clone());
-    assert_ne!(home(&targets), usual);
+    assert_ne!(preferred(&targets), usual);
     for name in names {
         let key = targets.key(&id(name)).unwrap();
         targets.get_mut(key).unwrap().ongoing = Some(loading.clone());
     }
-    assert_eq!(home(&targets), usual, "all are busy alike");
+    assert_eq!(preferred(&targets), usual, "all execute a command");
 }
 
-/// All targets fail at once. Each second attempt adds load to what is left; beyond the allowance
-/// there are none, and two routers together stay within it too.
+/// Guards against retries that overload the remaining targets.
 #[test]
-fn second_attempts_stay_within_the_shared_allowance() {
+fn retries_stay_within_the_shared_allowance() {
     let now = Instant::now();
     let window = Duration::from_secs(10);
     let allowance = budget::Allowance { ratio: 0.2, fixed: 50.0, window };
@@ -395,100 +403,100 @@
 }
 
 #[rstest::rstest]
-#[case(patience::Expected::Takes(Duration::from_millis(800)), true)]
-#[case(patience::Expected::Takes(Duration::from_secs(6)), false)]
-#[case(patience::Expected::Room, true)]
-#[case(patience::Expected::Unknown, false)]
-fn a_request_is_held_only_if_its_model_can_be_there(
-    #[case] expected: patience::Expected,
-    #[case] held: bool,
+#[case(wait_limit::Readiness::LoadTime(Duration::from_millis(800)), true)]
+#[case(wait_limit::Readiness::LoadTime(Duration::from_secs(6)), false)]
+#[case(wait_limit::Readiness::AtCapacity, true)]
+#[case(wait_limit::Readiness::Unknown, false)]
+fn a_request_is_held_only_if_its_model_can_be_ready_in_time(
+    #[case] expected: wait_limit::Readiness,
+    #[case] holdings: bool,
 ) {
     let now = Instant::now();
-    let verdict = patience::judge(now, now + Duration::from_secs(2), expected, 0.5);
-    assert_eq!(matches!(verdict, patience::Verdict::Hold { .. }), held, "{verdict:?}");
-    if let patience::Verdict::Refuse { after } = verdict {
-        assert!(after >= Duration::from_secs(1), "it says when the model is there: {after:?}");
+    let decision = wait_limit::decide(now, now + Duration::from_secs(2), expected, 0.5);
+    assert_eq!(matches!(decision, wait_limit::Decision::Hold { .. }), holdings, "{decision:?}");
+    if let wait_limit::Decision::Refuse { after } = decision {
+        assert!(after >= Duration::from_secs(1), "retry time: {after:?}");
     }
 }
 
-fn parts(models: &[(&str, bool)]) -> Vec<steps::Part> {
-    let parts = models.iter().map(|(model, wanted)| steps::Part {
+fn engine_models(models: &[(&str, bool)]) -> Vec<reconcile::EngineModel> {
+    let models = models.iter().map(|(model, desired)| reconcile::EngineModel {
         model: (*model).into(),
         weights_mb: 70,
         adapter_mb: 5,
-        wanted: *wanted,
+        desired: *desired,
     });
-    parts.collect()
+    models.collect()
 }
 
-const ROOM: steps::Room = steps::Room { weights_mb: 150, adapter_places: 2 };
+const CAPACITY: reconcile::Capacity = reconcile::Capacity { weights_mb: 150, adapter_slots: 2 };
 
 #[test]
-fn what_is_not_wanted_goes_before_what_is_wanted_comes() {
-    let parts = parts(&[("new", true), ("keep", true), ("old", false)]);
-    let order = steps::next_model(ROOM, &parts, &holdings(&["keep", "old"]));
-    assert_eq!(order, Some(steps::Order::Unload("old".into())));
-    let order = steps::next_model(ROOM, &parts, &holdings(&["keep"]));
-    assert_eq!(order, Some(steps::Order::Load("new".into())));
-    assert_eq!(steps::next_model(ROOM, &parts, &holdings(&["keep", "new"])), None);
+fn unplanned_models_are_unloaded_before_planned_ones_are_loaded() {
+    let models = engine_models(&[("new", true), ("keep", true), ("old", false)]);
+    let command = reconcile::next_model_command(CAPACITY, &models, &holdings(&["keep", "old"]));
+    assert_eq!(command, Some(reconcile::Command::Unload("old".into())));
+    let command = reconcile::next_model_command(CAPACITY, &models, &holdings(&["keep"]));
+    assert_eq!(command, Some(reconcile::Command::Load("new".into())));
+    assert_eq!(reconcile::next_model_command(CAPACITY, &models, &holdings(&["keep", "new"])), None);
 }
 
-/// The plan is older than what the engine holds: the size of a model that it holds is not in it. An
-/// engine that is ordered to hold too much crashes.
+/// Guards against exceeding an engine's memory when the plan lacks the size of a resident model.
 #[test]
 fn nothing_is_loaded_beside_a_model_of_unknown_size() {
-    let parts = parts(&[("new", true)]);
-    assert_eq!(steps::next_model(ROOM, &parts, &holdings(&["stranger"])), None);
+    let models = engine_models(&[("new", true)]);
+    assert_eq!(reconcile::next_model_command(CAPACITY, &models, &holdings(&["stranger"])), None);
 }
 
 #[test]
-fn an_adapter_takes_the_place_of_the_one_not_asked_for_the_longest() {
+fn the_least_recently_requested_adapter_is_evicted() {
     let now = Instant::now();
-    let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| steps::AskedAdapter {
+    let models = engine_models(&[("m", true)]);
+    let request = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
-        at: now - Duration::from_millis(ago),
+        requested_at: now - Duration::from_millis(ago),
     };
-    let held = Holdings {
+    let holdings = Holdings {
         resident: vec![Resident { model: "m".into(), adapters: vec!["a".into(), "b".into()] }],
         ..Default::default()
     };
-    let next =
-        |asked: &[steps::AskedAdapter]| steps::next_adapter(now, ROOM, &parts, &held, 0, asked);
-    let order = next(&[asked("c", 0), asked("a", 5_000), asked("b", 10)]);
-    assert_eq!(order, Some(steps::Order::UnloadAdapter("m".into(), "a".into())));
-    let order = next(&[asked("c", 0), asked("a", 100), asked("b", 10)]);
-    assert_eq!(order, None, "both are in use: routers have just named them");
+    let next = |requests: &[reconcile::AdapterRequest]| {
+        reconcile::next_adapter_command(now, CAPACITY, &models, &holdings, 0, requests)
+    };
+    let command = next(&[request("c", 0), request("a", 5_000), request("b", 10)]);
+    assert_eq!(command, Some(reconcile::Command::UnloadAdapter("m".into(), "a".into())));
+    let command = next(&[request("c", 0), request("a", 100), request("b", 10)]);
+    assert_eq!(command, None, "both were requested recently");
 }
 
-/// An engine has room for fewer adapters than were asked for within some seconds. One whose request
-/// has long gone takes the place of one asked for since, that one takes it back, and so on: thirty
-/// orders a second, and callers whose adapter goes before their request arrives.
+/// Guards against two adapters that evict each other repeatedly.
 #[test]
-fn an_adapter_asked_for_earlier_does_not_push_out_a_later_one() {
+fn an_adapter_requested_earlier_does_not_evict_a_later_one() {
     let now = Instant::now();
-    let parts = parts(&[("m", true)]);
-    let asked = |name: &str, ago: u64| steps::AskedAdapter {
+    let models = engine_models(&[("m", true)]);
+    let request = |name: &str, ago: u64| reconcile::AdapterRequest {
         model: "m".into(),
         adapter: name.into(),
-        at: now - Duration::from_millis(ago),
+        requested_at: now - Duration::from_millis(ago),
     };
-    let asked = [asked("b", 900), asked("a", 1_000), asked("c", 2_000)];
-    let mut held = Holdings {
+    let requests = [request("b", 900), request("a", 1_000), request("c", 2_000)];
+    let mut holdings = Holdings {
         resident: vec![Resident { model: "m".into(), adapters: vec!["a".into(), "b".into()] }],
         ..Default::default()
     };
-    let mut orders = 0;
-    while let Some(order) = steps::next_adapter(now, ROOM, &parts, &held, 0, &asked) {
-        let adapters = &mut held.resident[0].adapters;
-        match order {
-            steps::Order::LoadAdapter(_, adapter) => adapters.push(adapter),
-            steps::Order::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
-            other => panic!("{other:?} is no order for an adapter"),
+    let mut commands = 0;
+    while let Some(command) =
+        reconcile::next_adapter_command(now, CAPACITY, &models, &holdings, 0, &requests)
+    {
+        let adapters = &mut holdings.resident[0].adapters;
+        match command {
+            reconcile::Command::LoadAdapter(_, adapter) => adapters.push(adapter),
+            reconcile::Command::UnloadAdapter(_, adapter) => adapters.retain(|own| *own != adapter),
+            other => panic!("unexpected command {other:?}"),
         }
-        orders += 1;
-        assert!(orders < 10, "adapters take turns");
+        commands += 1;
+        assert!(commands < 10, "adapters evict each other");
     }
-    assert_eq!(held.resident[0].adapters, ["a".into(), "b".into()]);
+    assert_eq!(holdings.resident[0].adapters, ["a".into(), "b".into()]);
 }
--- a/crates/corianderstand_fleet/tests/prefill.rs
+++ b/crates/corianderstand_fleet/tests/prefill.rs
@@ -1,207 +1,224 @@
-//! Turns in which an engine reads prompts: what callers get of a load, without a network.
+//! Prefill permits on a simulated engine, without a network.
 
-use corianderstand_fleet::prefill::{Answer, Ask, Turns};
+use corianderstand_fleet::prefill::{PermitQueue, PermitRequest, PermitResponse};
 use rstest::rstest;
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Time in which the engine under load reads a prompt of the usual size alone.
-const WORK: Duration = Duration::from_millis(45);
-/// Longest useful pause of the streams.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Time to a first event that is of full use.
-const AIM: Duration = Duration::from_millis(500);
+/// Prefill time of a typical prompt alone.
+const PREFILL_TIME: Duration = Duration::from_millis(45);
+const MAX_PAUSE: Duration = Duration::from_millis(250);
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(500);
 
-fn ask(id: u64, now: Instant, aim: Duration) -> Ask<()> {
-    Ask {
+fn permit_request(id: u64, now: Instant, objective: Duration) -> PermitRequest<()> {
+    PermitRequest {
         id,
-        asker: (),
-        work: WORK,
-        aim_at: now + aim,
-        useful_until: now + Duration::from_secs(2),
-        pause: Some(PAUSE),
+        requester: (),
+        prefill_time: PREFILL_TIME,
+        latency_objective_at: now + objective,
+        expires_at: now + Duration::from_secs(2),
+        max_pause: Some(MAX_PAUSE),
     }
 }
 
-/// An engine that reads what it is sent in pieces, a piece a step, and makes a token for each stream
-/// at the end of each step.
+/// Engine with chunked prefill: each step processes at most one chunk and emits one token per
+/// stream.
 #[derive(Default)]
 struct Engine {
     queue: VecDeque<(u64, Duration)>,
-    /// Prompts that are read, and the tokens that their first events lack.
-    begun: Vec<(u64, usize)>,
-    /// Steps so far, by their length.
+    /// Prompts after prefill, with the tokens missing until their first event.
+    prefilled: Vec<(u64, usize)>,
     steps: Vec<Duration>,
 }
 
-/// Reading in one step at most.
-const PIECE: Duration = Duration::from_millis(80);
-/// A step without any reading.
-const STEP: Duration = Duration::from_millis(8);
-/// Part of its time that the engine may spend on prompts: the share that turns leave, less what the
-/// steps themselves take of it (8 of 88 ms).
-const FOR_PROMPTS: f64 = 0.75;
-/// Tokens in one event.
-const TOKENS: usize = 3;
+const MAX_CHUNK: Duration = Duration::from_millis(80);
+/// Duration of a step without prefill.
+const DECODE_STEP: Duration = Duration::from_millis(8);
+/// Prefill part of the time under permits: the limit, less the steps' own time (8 of 88 ms).
+const PREFILL_RATIO: f64 = 0.75;
+const TOKENS_PER_EVENT: usize = 3;
 
 impl Engine {
-    /// One step; the ids of prompts whose first events come at its end.
+    /// Executes one step; returns its duration and the prompts with a first event at its end.
     fn step(&mut self) -> (Duration, Vec<u64>) {
-        let mut room = PIECE;
-        let mut read = Vec::new();
+        let mut budget = MAX_CHUNK;
+        let mut finished = Vec::new();
         while let Some((id, left)) = self.queue.front_mut() {
-            let piece = room.min(*left);
-            room -= piece;
-            *left -= piece;
+            let chunk = budget.min(*left);
+            budget -= chunk;
+            *left -= chunk;
             if !left.is_zero() {
                 break;
             }
-            read.push((*id, TOKENS));
+            finished.push((*id, TOKENS_PER_EVENT));
             self.queue.pop_front();
         }
-        let took = STEP + (PIECE - room);
+        let took = DECODE_STEP + (MAX_CHUNK - budget);
         self.steps.push(took);
-        self.begun.iter_mut().for_each(|(_, lacks)| *lacks -= 1);
-        let first = self.begun.extract_if(.., |(_, lacks)| *lacks == 0).map(|(id, _)| id).collect();
-        self.begun.extend(read);
+        self.prefilled.iter_mut().for_each(|(_, missing)| *missing -= 1);
+        let first =
+            self.prefilled.extract_if(.., |(_, missing)| *missing == 0).map(|(id, _)| id).collect();
+        self.prefilled.extend(finished);
         (took, first)
     }
 
     fn longest_pause(&self) -> Duration {
-        let events = self.steps.windows(TOKENS).map(|steps| steps.iter().sum());
+        let events = self.steps.windows(TOKENS_PER_EVENT).map(|steps| steps.iter().sum());
         events.max().unwrap_or_default()
     }
 }
 
-/// What callers got of a load: first events in time, and the longest pause of streams.
+/// First events on time, and the longest pause of the streams.
 struct Outcome {
-    in_time: Vec<u64>,
+    on_time: Vec<u64>,
     longest_pause: Duration,
 }
 
-/// Plays arrivals, each `(after, aim)`, with turns or sent at once.
-fn play(arrivals: &[(Duration, Duration)], turns: bool) -> Outcome {
+/// Simulates arrivals, each `(after, objective)`, with permits or sent at once.
+fn simulate(arrivals: &[(Duration, Duration)], with_permits: bool) -> Outcome {
     let began = Instant::now();
     let mut now = began;
     let mut engine = Engine::default();
-    let mut queue = Turns::default();
-    let (mut next, mut in_time) = (0, Vec::new());
+    let mut queue = PermitQueue::default();
+    let (mut next, mut on_time) = (0, Vec::new());
     while next < arrivals.len() || now < began + Duration::from_secs(10) {
         while next < arrivals.len() && began + arrivals[next].0 <= now {
             let id = next as u64;
-            let sent = !turns || queue.ask(now, ask(id, now, arrivals[next].1)) == Answer::Given;
+            let sent = !with_permits
+                || queue.request(now, permit_request(id, now, arrivals[next].1))
+                    == PermitResponse::Granted;
             if sent {
-                engine.queue.push_back((id, WORK));
+                engine.queue.push_back((id, PREFILL_TIME));
             }
             next += 1;
         }
-        engine.queue.extend(queue.due(now).into_iter().map(|((), id)| (id, WORK)));
+        engine.queue.extend(queue.grant_due(now).into_iter().map(|((), id)| (id, PREFILL_TIME)));
         let (took, first) = engine.step();
         now += took;
         let due = |id: &u64| began + arrivals[*id as usize].0 + arrivals[*id as usize].1;
-        in_time.extend(first.into_iter().filter(|id| now <= due(id)));
+        on_time.extend(first.into_iter().filter(|id| now <= due(id)));
     }
-    Outcome { in_time, longest_pause: engine.longest_pause() }
+    Outcome { on_time, longest_pause: engine.longest_pause() }
 }
 
-fn every(count: usize, pause: Duration, aim: Duration) -> Vec<(Duration, Duration)> {
-    (0..count).map(|n| (pause * n as u32, aim)).collect()
+fn arrivals_at_interval(
+    count: usize,
+    interval: Duration,
+    objective: Duration,
+) -> Vec<(Duration, Duration)> {
+    (0..count).map(|n| (interval * n as u32, objective)).collect()
 }
 
-/// A model becomes busy and its one engine gets bursts of eight prompts, which it could read in time
-/// one after the other. Sent at once, they are read without a break, and each stream at the engine
-/// stands still for longer than its reader bears.
+/// Guards against streams that stall while the prompts of a burst are processed without a break.
 #[rstest]
-fn streams_do_not_pause_while_prompts_of_a_burst_are_read() {
+fn streams_do_not_pause_during_a_burst_of_prompts() {
     let bursts = (0..5).flat_map(|burst| {
-        every(8, Duration::ZERO, AIM * 2)
+        arrivals_at_interval(8, Duration::ZERO, LATENCY_OBJECTIVE * 2)
             .into_iter()
-            .map(move |(after, aim)| (after + Duration::from_secs(burst), aim))
+            .map(move |(after, objective)| (after + Duration::from_secs(burst), objective))
     });
     let bursts: Vec<_> = bursts.collect();
-    let (before, after) = (play(&bursts, false), play(&bursts, true));
-    assert!(before.longest_pause > PAUSE, "at once: {:?}", before.longest_pause);
-    assert!(after.longest_pause <= PAUSE, "in turns: {:?}", after.longest_pause);
-    assert_eq!((before.in_time.len(), after.in_time.len()), (40, 40));
+    let (without, with) = (simulate(&bursts, false), simulate(&bursts, true));
+    assert!(without.longest_pause > MAX_PAUSE, "at once: {:?}", without.longest_pause);
+    assert!(with.longest_pause <= MAX_PAUSE, "with permits: {:?}", with.longest_pause);
+    assert_eq!((without.on_time.len(), with.on_time.len()), (40, 40));
 }
 
-/// After a power cut all callers ask again at once: thirty prompts that take 1.4 s to read, of which
-/// most would come after their callers' aim. Read in the order of their arrival with patient ones
-/// among them, urgent ones come late behind prompts that have two seconds to spare.
+/// Guards against urgent prompts that miss their objective behind prompts with a later one.
 #[rstest]
-fn patient_prompts_let_urgent_ones_go_first() {
+fn urgent_prompts_have_priority() {
     let mixed: Vec<_> = (0..24)
-        .map(|n| (Duration::ZERO, if n % 2 == 0 { Duration::from_millis(2_500) } else { AIM }))
+        .map(|n| {
+            (
+                Duration::ZERO,
+                if n % 2 == 0 { Duration::from_millis(2_500) } else { LATENCY_OBJECTIVE },
+            )
+        })
         .collect();
-    let urgent = |outcome: &Outcome| outcome.in_time.iter().filter(|id| *id % 2 == 1).count();
-    let (before, after) = (play(&mixed, false), play(&mixed, true));
-    // Within the aim, less half a pause for the first event, three quarters of the time go to
-    // prompts, and three turns of four to those that can be in time.
-    let possible = (AIM - PAUSE / 2).mul_f64(FOR_PROMPTS * 0.75).div_duration_f64(WORK);
-    assert!(urgent(&after) >= possible as usize, "{} of {possible}", urgent(&after));
-    assert!(urgent(&after) > urgent(&before), "{}, then {}", urgent(&before), urgent(&after));
-    assert_eq!(after.in_time.len() - urgent(&after), 12, "all patient ones");
+    let urgent = |outcome: &Outcome| outcome.on_time.iter().filter(|id| *id % 2 == 1).count();
+    let (without, with) = (simulate(&mixed, false), simulate(&mixed, true));
+    // Of the objective, less half a pause for the first event, three quarters of the time go to
+    // prefill, and three of four permits to prompts that can be on time.
+    let possible = (LATENCY_OBJECTIVE - MAX_PAUSE / 2)
+        .mul_f64(PREFILL_RATIO * 0.75)
+        .div_duration_f64(PREFILL_TIME);
+    assert!(urgent(&with) >= possible as usize, "{} of {possible}", urgent(&with));
+    assert!(urgent(&with) > urgent(&without), "{}, then {}", urgent(&without), urgent(&with));
+    assert_eq!(with.on_time.len() - urgent(&with), 12, "all prompts with the later objective");
 }
 
-/// Twice as much is asked for as the engine can read. Each prompt behind the ones before it would be
-/// late, and so nobody in time; the ones that are late already have to let others pass.
+/// Guards against overload in which every prompt is late because each waits for the ones before it.
 #[rstest]
-fn some_are_in_time_when_not_all_can_be() {
-    let flood = every(200, WORK / 2, AIM);
-    let (before, after) = (play(&flood, false), play(&flood, true));
-    // Of the time of the flood three quarters go to prompts, and of these three quarters to those
-    // that can be in time.
-    let possible = (WORK / 2 * 200).mul_f64(FOR_PROMPTS * 0.75).div_duration_f64(WORK) as usize;
-    assert!(before.in_time.len() < possible / 2, "{}", before.in_time.len());
-    assert!(after.in_time.len() >= possible * 9 / 10, "{} of {possible}", after.in_time.len());
+fn some_prompts_are_on_time_under_overload() {
+    let flood = arrivals_at_interval(200, PREFILL_TIME / 2, LATENCY_OBJECTIVE);
+    let (without, with) = (simulate(&flood, false), simulate(&flood, true));
+    // Three quarters of the time go to prefill, and three quarters of that to prompts that can be
+    // on time.
+    let possible = (PREFILL_TIME / 2 * 200)
+        .mul_f64(PREFILL_RATIO * 0.75)
+        .div_duration_f64(PREFILL_TIME) as usize;
+    assert!(without.on_time.len() < possible / 2, "{}", without.on_time.len());
+    assert!(with.on_time.len() >= possible * 9 / 10, "{} of {possible}", with.on_time.len());
 }
 
-/// A prompt is longer than what may be read at a time. Waiting for room that never comes, its caller
-/// would leave.
+/// Guards against starvation of a prompt that exceeds the window's limit by itself.
 #[rstest]
-fn a_prompt_beyond_the_limit_has_its_turn() {
+fn a_prompt_longer_than_the_limit_is_granted() {
     let now = Instant::now();
-    let mut turns = Turns::default();
-    assert_eq!(turns.ask(now, ask(1, now, AIM)), Answer::Given);
-    let long = Ask { work: PAUSE * 2, ..ask(2, now, AIM) };
-    assert!(matches!(turns.ask(now, long), Answer::Wait(_)));
-    // Shorter ones come all the while and do not pass it for ever.
-    let mut given = Vec::new();
+    let mut queue = PermitQueue::default();
+    assert_eq!(
+        queue.request(now, permit_request(1, now, LATENCY_OBJECTIVE)),
+        PermitResponse::Granted
+    );
+    let long =
+        PermitRequest { prefill_time: MAX_PAUSE * 2, ..permit_request(2, now, LATENCY_OBJECTIVE) };
+    assert!(matches!(queue.request(now, long), PermitResponse::Wait(_)));
+    // Shorter prompts keep arriving and must not overtake it for ever.
+    let mut granted = Vec::new();
     for n in 0..20 {
-        let now = now + WORK * n;
-        let _answer = turns.ask(now, ask(10 + u64::from(n), now, AIM));
-        given.extend(turns.due(now).into_iter().map(|((), id)| id));
+        let now = now + PREFILL_TIME * n;
+        let _answer = queue.request(now, permit_request(10 + u64::from(n), now, LATENCY_OBJECTIVE));
+        granted.extend(queue.grant_due(now).into_iter().map(|((), id)| id));
     }
-    assert!(given.contains(&2), "{given:?}");
+    assert!(granted.contains(&2), "{granted:?}");
 }
 
-/// The datagram with a turn is lost and the router asks again. Counted as a second prompt, the turn
-/// would keep others waiting for reading that never comes.
+/// Guards against counting a prompt twice if the response to its request was lost.
 #[rstest]
-fn a_turn_that_is_asked_for_twice_counts_once() {
+fn a_repeated_request_is_counted_once() {
     let now = Instant::now();
-    let mut turns = Turns::default();
-    assert_eq!(turns.ask(now, ask(1, now, AIM)), Answer::Given);
-    assert_eq!(turns.ask(now, ask(1, now, AIM)), Answer::Given);
-    assert_eq!(turns.level(now), WORK);
+    let mut queue = PermitQueue::default();
+    assert_eq!(
+        queue.request(now, permit_request(1, now, LATENCY_OBJECTIVE)),
+        PermitResponse::Granted
+    );
+    assert_eq!(
+        queue.request(now, permit_request(1, now, LATENCY_OBJECTIVE)),
+        PermitResponse::Granted
+    );
+    assert_eq!(queue.backlog(now), PREFILL_TIME);
 }
 
-/// Callers leave while they wait. A turn given to one of them would leave the engine idle.
+/// Guards against permits for callers that have left, which would leave the engine idle.
 #[rstest]
 #[case::withdrawn(true)]
 #[case::expired(false)]
-fn who_has_left_gets_no_turn(#[case] withdrawn: bool) {
+fn no_permit_is_granted_to_a_caller_that_left(#[case] withdrawn: bool) {
     let now = Instant::now();
-    let mut turns = Turns::default();
-    let full = Ask { work: PAUSE, ..ask(1, now, AIM) };
-    assert_eq!(turns.ask(now, full), Answer::Given);
-    assert!(matches!(turns.ask(now, ask(2, now, AIM)), Answer::Wait(_)));
-    let later = now + if withdrawn { PAUSE } else { Duration::from_secs(3) };
+    let mut queue = PermitQueue::default();
+    let full =
+        PermitRequest { prefill_time: MAX_PAUSE, ..permit_request(1, now, LATENCY_OBJECTIVE) };
+    assert_eq!(queue.request(now, full), PermitResponse::Granted);
+    assert!(matches!(
+        queue.request(now, permit_request(2, now, LATENCY_OBJECTIVE)),
+        PermitResponse::Wait(_)
+    ));
+    let later = now + if withdrawn { MAX_PAUSE } else { Duration::from_secs(3) };
     if withdrawn {
-        turns.withdraw(2);
+        queue.cancel(2);
     }
-    assert_eq!(turns.due(later), vec![]);
-    assert_eq!(turns.next_in(later), None);
+    assert_eq!(queue.grant_due(later), vec![]);
+    assert_eq!(queue.next_grant_in(later), None);
 }
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one target.
+//! One attempt to send a request to a target.
 
 use crate::{dialect, job, pool, router};
 use corianderstand_fleet::targets;
@@ -7,152 +7,147 @@
 use hyper::body::Incoming;
 use std::{rc::Rc, time::Duration};
 
-/// The target is given this much less than is left, so that its own answer to an expired request
-/// arrives before ours is due.
-const ANSWER_WAY: Duration = Duration::from_millis(25);
-/// A target that has said nothing for this many times the route's aim is given up for another, if
-/// the request may be repeated. At twice the aim it is late already, and three targets in four
-/// answer within one.
-const SILENT_AIMS: u32 = 2;
-/// Least time before a silent target is given up: work that takes five times as long as usual (0.3
-/// s) is slow, not lost.
-const LEAST_SILENCE: Duration = Duration::from_millis(600);
+/// Lets the target's timeout response arrive before the router's own is due.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
+/// Latency objectives after which a request that may be retried is tried elsewhere.
+const RESPONSE_TIMEOUT_OBJECTIVES: u32 = 2;
+/// Longer than slow requests usually take, 0.3 s.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How one attempt ended.
-pub enum Attempt<P: router::Platform> {
-    /// The head of an answer came.
+pub enum AttemptOutcome<P: router::Platform> {
+    /// The response head arrived.
     Answered(Box<Answered<P>>),
     /// Nothing was written to the target.
     NotSent,
-    /// The target says that it did not run the request.
+    /// The target reported that it did not run the request.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown(&'static str),
-    /// The request's time is over.
-    TimeOver,
+    /// The request's deadline was exceeded.
+    DeadlineExceeded,
 }
 
-/// The head of an answer, with what the rest comes over.
+/// A response head and the connection that carries its body.
 pub struct Answered<P: router::Platform> {
-    /// Status and headers as the target sent them.
+    /// Status and headers.
     pub head: http::response::Parts,
-    /// What they say.
-    pub info: dialect::AnswerHead,
-    /// The rest.
+    /// The parsed headers.
+    pub info: dialect::ResponseHead,
+    /// The body.
     pub body: Incoming,
     /// The connection.
     pub lease: pool::Lease,
-    /// Counts the request at the target.
-    pub flight: job::Flight<P>,
+    /// The request's count at the target.
+    pub in_flight: job::InFlight<P>,
 }
 
-/// Sends the request to a target and waits for the head of its answer.
+/// Sends the request to a target and waits for the response head.
 pub async fn attempt<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: &mut job::Job,
     key: targets::TargetKey,
     last_event: Option<u64>,
-) -> Attempt<P> {
+) -> AttemptOutcome<P> {
     let now = shared.clock.now();
-    let Some((addr, id)) = shared.address(key) else { return Attempt::NotSent };
+    let Some((addr, id)) = shared.address(key) else { return AttemptOutcome::NotSent };
     job.last_target = id.clone();
-    job.sent = Some(now);
-    job.unread_tokens = job.unread(&shared.view.borrow(), key);
-    let left = job.latest.saturating_duration_since(now).saturating_sub(ANSWER_WAY);
-    if left.is_zero() {
-        return Attempt::TimeOver;
+    job.sent_at = Some(now);
+    job.prefill_tokens = job.uncached_tokens(&shared.view.borrow(), key);
+    let time_left = job.deadline.saturating_duration_since(now).saturating_sub(RESPONSE_MARGIN);
+    if time_left.is_zero() {
+        return AttemptOutcome::DeadlineExceeded;
     }
-    let flight = job::Flight::begin(shared, key, job);
-    let passing = dialect::Passing {
+    let in_flight = job::InFlight::begin(shared, key, job);
+    let forwarded = dialect::ForwardedRequest {
         target: &id,
-        time_left: left,
-        priority: job.call.wanted.is_some().then_some(job.route.priority),
+        time_left,
+        priority: job.request.requested_model.is_some().then_some(job.route.priority),
         last_event,
     };
-    let req = request(shared, job, &passing);
+    let req = build_request(shared, job, &forwarded);
     let mut lease = match shared.pool.lease(now, addr).await {
         Ok(lease) => lease,
         Err(error) => {
-            shared.no_connection(key, &error);
+            shared.connection_failed(key, &error);
             tracing::debug!(%addr, %error, "no connection to the target");
-            return Attempt::NotSent;
+            return AttemptOutcome::NotSent;
         }
     };
     let mut unsent = Some(req);
     loop {
-        let Some(req) = unsent.take() else { return Attempt::NotSent };
+        let Some(req) = unsent.take() else { return AttemptOutcome::NotSent };
         let sending = lease.sender.try_send_request(req);
-        let answer = match wait_for_head(shared, job, key, sending).await {
-            Head::Came(answer) => answer,
-            Head::Unsent(req) if lease.used => {
-                // The target had closed the connection before anything was written.
+        let response = match wait_for_head(shared, job, key, sending).await {
+            HeadOutcome::Received(response) => response,
+            HeadOutcome::NotSent(req) if lease.reused => {
+                // The target closed the idle connection before anything was written.
                 match shared.pool.open(addr).await {
                     Ok(new) => lease = new,
                     Err(error) => {
-                        shared.no_connection(key, &error);
-                        return Attempt::NotSent;
+                        shared.connection_failed(key, &error);
+                        return AttemptOutcome::NotSent;
                     }
                 }
                 unsent = Some(*req);
                 continue;
             }
-            Head::Unsent(_) => {
+            HeadOutcome::NotSent(_) => {
                 shared.target_failed(key, "connection closed at once");
-                return Attempt::NotSent;
+                return AttemptOutcome::NotSent;
             }
-            Head::Lost => {
+            HeadOutcome::ConnectionLost => {
                 shared.target_failed(key, "connection lost");
-                return Attempt::Unknown("the target's connection was lost");
+                return AttemptOutcome::Unknown("the target's connection was lost");
             }
-            Head::Silent => {
+            HeadOutcome::TimedOut => {
                 shared.target_failed(key, "silent");
-                return Attempt::Unknown("the target was silent");
+                return AttemptOutcome::Unknown("the target was silent");
             }
-            Head::TimeOver => {
+            HeadOutcome::DeadlineExceeded => {
                 shared.target_failed(key, "time over");
-                return Attempt::TimeOver;
+                return AttemptOutcome::DeadlineExceeded;
             }
         };
-        return judge_head(shared, job, lease, flight, answer);
+        return classify_head(shared, job, lease, in_flight, response);
     }
 }
 
-fn judge_head<P: router::Platform>(
+fn classify_head<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: &job::Job,
     lease: pool::Lease,
-    flight: job::Flight<P>,
-    answer: Response<Incoming>,
-) -> Attempt<P> {
-    let key = flight.key();
-    let (head, body) = answer.into_parts();
-    let info = shared.platform.read_answer(head.status, &head.headers);
-    if info.request.as_ref().is_some_and(|id| *id != job.call.id) {
+    in_flight: job::InFlight<P>,
+    response: Response<Incoming>,
+) -> AttemptOutcome<P> {
+    let key = in_flight.key();
+    let (head, body) = response.into_parts();
+    let info = shared.platform.parse_response(head.status, &head.headers);
+    if info.request.as_ref().is_some_and(|id| *id != job.request.id) {
         shared.target_failed(key, "answer to another request");
-        return Attempt::Unknown("the answer was to another request");
+        return AttemptOutcome::Unknown("the answer was to another request");
     }
     if let Some(load) = info.load {
-        shared.note_load(key, load);
+        shared.record_load(key, load);
     }
     if info.not_run {
         shared.not_run(key, job, head.status, info.target.as_ref());
-        // Its short answer is not waited for; the connection is closed.
-        return Attempt::NotRun;
+        // The body isn't read; dropping the lease closes the connection.
+        return AttemptOutcome::NotRun;
     }
     if !info.signed {
         shared.target_failed(key, "answer without signature");
-        return Attempt::Unknown("the answer was not the target's");
+        return AttemptOutcome::Unknown("the answer was not the target's");
     }
-    Attempt::Answered(Box::new(Answered { head, info, body, lease, flight }))
+    AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, in_flight }))
 }
 
-/// What came of waiting for the head of an answer.
-enum Head {
-    Came(Response<Incoming>),
-    Unsent(Box<Request<pool::Body>>),
-    Lost,
-    Silent,
-    TimeOver,
+enum HeadOutcome {
+    Received(Response<Incoming>),
+    NotSent(Box<Request<pool::Body>>),
+    ConnectionLost,
+    TimedOut,
+    DeadlineExceeded,
 }
 
 async fn wait_for_head<P: router::Platform>(
@@ -162,42 +157,42 @@
     sending: impl Future<
         Output = Result<Response<Incoming>, hyper::client::conn::TrySendError<Request<pool::Body>>>,
     >,
-) -> Head {
+) -> HeadOutcome {
     tokio::pin!(sending);
-    let silence = (job.route.aim * SILENT_AIMS).max(LEAST_SILENCE);
-    let mut look = (shared.clock.now() + silence).min(shared.latest(job));
+    let response_timeout =
+        (job.route.latency_objective * RESPONSE_TIMEOUT_OBJECTIVES).max(MIN_RESPONSE_TIMEOUT);
+    let mut poll_at = (shared.clock.now() + response_timeout).min(shared.response_deadline(job));
     loop {
         tokio::select! {
             sent = &mut sending => {
                 return match sent {
-                    Ok(answer) => Head::Came(answer),
+                    Ok(response) => HeadOutcome::Received(response),
                     Err(mut error) => match error.take_message() {
-                        Some(req) => Head::Unsent(Box::new(req)),
-                        None => Head::Lost,
+                        Some(req) => HeadOutcome::NotSent(Box::new(req)),
+                        None => HeadOutcome::ConnectionLost,
                     },
                 };
             }
-            () = tokio::time::sleep_until(look.into()) => {}
+            () = tokio::time::sleep_until(poll_at.into()) => {}
         }
         let now = shared.clock.now();
-        if now >= shared.latest(job) {
-            return Head::TimeOver;
+        if now >= shared.response_deadline(job) {
+            return HeadOutcome::DeadlineExceeded;
         }
-        if job.route.may_repeat() && shared.has_alternative(now, job, key) {
-            return Head::Silent;
+        if job.route.may_retry() && shared.has_alternative(now, job, key) {
+            return HeadOutcome::TimedOut;
         }
-        look = (now + silence).min(shared.latest(job));
+        poll_at = (now + response_timeout).min(shared.response_deadline(job));
     }
 }
 
-/// The request as the target gets it.
-fn request<P: router::Platform>(
+fn build_request<P: router::Platform>(
     shared: &router::Shared<P>,
     job: &job::Job,
-    passing: &dialect::Passing,
+    forwarded: &dialect::ForwardedRequest,
 ) -> Request<pool::Body> {
     let mut headers = job.headers.clone();
-    shared.platform.pass_on(&mut headers, passing);
+    shared.platform.rewrite_request(&mut headers, forwarded);
     if !job.body.is_empty() {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(job.body.len()));
     }
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -1,8 +1,7 @@
-//! One call over HTTP whose whole answer is wanted: to the store, or to the engine beside an agent.
+//! HTTP client that buffers whole responses, for calls to the store and to an agent's engine.
 //!
-//! A short answer has a time for the whole of it. A long one, such as a large configuration on a slow
-//! link, has a time for silence only: given up by its whole time it would be begun again from nothing,
-//! and never be there where the link needs longer.
+//! Short responses have a timeout for the whole call, long ones an idle timeout only, so that a slow
+//! transfer isn't restarted from the beginning.
 
 use crate::pool;
 use bytes::{Bytes, BytesMut};
@@ -17,55 +16,54 @@
     time::{Duration, Instant},
 };
 
-/// Largest answer that is read. The newest records of a topic come in pages of 1 MB, or in one larger
-/// record; a configuration of 4 MB has a third more in base64.
-const MOST_BYTES: usize = 8 << 20;
+/// Fits a single record with a 4 MB configuration in base64.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A call that got no whole answer.
+/// Why a call returned no complete response.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum CallError {
-    /// nobody listens at {0}
-    Nobody(SocketAddr),
+    /// connection refused by {0}
+    ConnectionRefused(SocketAddr),
     /// no connection ({0})
     NotSent(String),
-    /// nothing came for {0} ms
-    Silent(u64),
-    /// the answer broke off ({0})
-    Broken(String),
+    /// no data received for {0} ms
+    TimedOut(u64),
+    /// the response ended early ({0})
+    Interrupted(String),
 }
 
 impl std::error::Error for CallError {}
 
-/// When something last came of an answer that is on its way.
+/// Shared time at which data of a pending response was last received.
 #[derive(Clone, Debug, Default)]
-pub struct Heard(Rc<Cell<Option<Instant>>>);
+pub struct LastReceived(Rc<Cell<Option<Instant>>>);
 
-impl Heard {
-    /// Something came.
-    pub fn note(&self, now: Instant) {
+impl LastReceived {
+    /// Records that data was received.
+    pub fn record(&self, now: Instant) {
         self.0.set(Some(now));
     }
 
-    /// When it came; none if nothing ever did.
+    /// The recorded time, if any.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
 }
 
-/// How long the other end may be silent in a long answer.
+/// Timeouts of a response of unknown length.
 #[derive(Clone, Debug)]
-pub struct Silence {
-    /// Before the answer begins.
-    pub first: Duration,
-    /// Between two parts of it.
-    pub between: Duration,
-    /// Told of each part.
-    pub heard: Heard,
+pub struct ResponseTimeouts {
+    /// Limit until the response head arrives.
+    pub head: Duration,
+    /// Limit between two frames of the body.
+    pub idle: Duration,
+    /// Updated with each frame.
+    pub last_received: LastReceived,
 }
 
-/// Makes calls.
+/// Sends requests over pooled connections.
 #[derive(Clone)]
 pub struct Client {
     pool: Rc<pool::Pool>,
@@ -73,99 +71,89 @@
 }
 
 impl Client {
-    /// A client over a pool of connections.
+    /// Creates a client on a connection pool.
     pub const fn new(pool: Rc<pool::Pool>, clock: clock::SharedClock) -> Self {
         Self { pool, clock }
     }
 
-    /// Sends a request and reads its whole answer within `limit`. `keep` is for how long the other
-    /// end keeps an unused connection, if that is known.
-    ///
-    /// # Errors
-    ///
-    /// See [`CallError`]; after [`CallError::NotSent`] the call was not made.
+    /// Sends a request and buffers its response within `limit`; `keep_alive` is the server's, if known.
     pub async fn call(
         &self,
         addr: SocketAddr,
         req: Request<pool::Body>,
         limit: Duration,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let work = async {
-            let (lease, answer) = self.begin(addr, req).await?;
-            let (head, body) = answer.into_parts();
-            let body = Limited::new(body, MOST_BYTES).collect().await;
-            let body = body.map_err(|error| CallError::Broken(error.to_string()))?.to_bytes();
-            self.pool.give_back(self.clock.now(), lease, keep);
+        let call = async {
+            let (lease, response) = self.send(addr, req).await?;
+            let (head, body) = response.into_parts();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+            let body = body.map_err(|error| CallError::Interrupted(error.to_string()))?.to_bytes();
+            self.pool.release(self.clock.now(), lease, keep_alive);
             Ok(Response::from_parts(head, body))
         };
-        within(limit, work).await
+        with_timeout(limit, call).await
     }
 
-    /// Sends a request and reads its whole answer, however long that takes, for as long as parts of
-    /// it come.
-    ///
-    /// # Errors
-    ///
-    /// See [`CallError`]; after [`CallError::NotSent`] the call was not made.
-    pub async fn call_long(
+    /// Sends a request and buffers its response, limited only by the timeouts between frames.
+    pub async fn call_with_idle_timeout(
         &self,
         addr: SocketAddr,
         req: Request<pool::Body>,
-        silence: &Silence,
-        keep: Option<Duration>,
+        timeouts: &ResponseTimeouts,
+        keep_alive: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let (lease, answer) = within(silence.first, self.begin(addr, req)).await?;
-        silence.heard.note(self.clock.now());
-        let (head, body) = answer.into_parts();
-        let mut body = Limited::new(body, MOST_BYTES);
+        let (lease, response) = with_timeout(timeouts.head, self.send(addr, req)).await?;
+        timeouts.last_received.record(self.clock.now());
+        let (head, body) = response.into_parts();
+        let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
-        let part = |part: Result<_, BoxError>| part.map_err(|e| CallError::Broken(e.to_string()));
+        let convert =
+            |frame: Result<_, BoxError>| frame.map_err(|e| CallError::Interrupted(e.to_string()));
         while let Some(frame) =
-            within(silence.between, async { body.frame().await.map(part).transpose() }).await?
+            with_timeout(timeouts.idle, async { body.frame().await.map(convert).transpose() })
+                .await?
         {
-            silence.heard.note(self.clock.now());
+            timeouts.last_received.record(self.clock.now());
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
             }
         }
-        self.pool.give_back(self.clock.now(), lease, keep);
+        self.pool.release(self.clock.now(), lease, keep_alive);
         Ok(Response::from_parts(head, bytes.freeze()))
     }
 
-    /// Sends a request and waits for the head of its answer.
-    async fn begin(
+    async fn send(
         &self,
         addr: SocketAddr,
         req: Request<pool::Body>,
     ) -> Result<(pool::Lease, Response<Incoming>), CallError> {
-        let broken = |error: hyper::Error| CallError::Broken(error.to_string());
+        let interrupted = |error: hyper::Error| CallError::Interrupted(error.to_string());
         let not_sent = |error: std::io::Error| match error.kind() {
-            std::io::ErrorKind::ConnectionRefused => CallError::Nobody(addr),
+            std::io::ErrorKind::ConnectionRefused => CallError::ConnectionRefused(addr),
             _ => CallError::NotSent(error.to_string()),
         };
         let mut lease = self.pool.lease(self.clock.now(), addr).await.map_err(not_sent)?;
         let sent = lease.sender.try_send_request(req).await;
-        let answer = match sent {
-            Ok(answer) => answer,
+        let response = match sent {
+            Ok(response) => response,
             Err(mut error) => match error.take_message() {
-                // The other end had closed the connection before anything was written.
+                // The server closed the connection before anything was written.
                 Some(req) => {
                     lease = self.pool.open(addr).await.map_err(not_sent)?;
-                    lease.sender.send_request(req).await.map_err(broken)?
+                    lease.sender.send_request(req).await.map_err(interrupted)?
                 }
-                None => return Err(broken(error.into_error())),
+                None => return Err(interrupted(error.into_error())),
             },
         };
-        Ok((lease, answer))
+        Ok((lease, response))
     }
 }
 
-/// What comes within a time, or [`CallError::Silent`].
-async fn within<T>(
+async fn with_timeout<T>(
     limit: Duration,
-    work: impl Future<Output = Result<T, CallError>>,
+    call: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    let silent = || CallError::Silent(limit.as_millis() as u64);
-    tokio::time::timeout(limit, work).await.map_err(|_| silent())?
+    let timed_out = || CallError::TimedOut(limit.as_millis() as u64);
+    tokio::time::timeout(limit, call).await.map_err(|_| timed_out())?
 }
