--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -1,7 +1,7 @@
-//! What operators ask: apply settings, read them, see what is in force.
+//! The operator API: applies and reads settings, and reports the status of the fleet.
 
 use crate::{
-    http::{self, Door},
+    http::{self, HandlerContext},
     problem::{self, Problem},
     status,
 };
@@ -11,7 +11,7 @@
 use corianderstand_schema::records::{Body, Change};
 use corianderstand_state::{
     checkpoint,
-    fold::{Outcome, Void},
+    fold::{Outcome, Rejection},
     history::MAX_ENTRIES,
     view,
 };
@@ -21,7 +21,6 @@
 use smol_str::{SmolStr, format_smolstr};
 use std::time::Duration;
 
-/// What an operator's path is for.
 #[derives(key)]
 pub enum Kind {
     /// `POST /operator/apply`.
@@ -46,64 +45,53 @@
 #[derives(wire)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// The changes, all or none.
+    /// The changes, applied atomically.
     pub changes: Vec<ApplyChange>,
-    /// Who asks.
     pub author: SmolStr,
 }
 
-/// One change.
 #[derives(wire)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyChange {
-    /// Path of the document.
     pub path: SmolStr,
-    /// Version it was made from; 0 where there was none.
+    /// Version that the change is based on; 0 for a new document.
     pub base: u64,
-    /// The new document; null removes it.
+    /// New content; null removes the document.
     pub value: Option<Value>,
 }
 
-/// Word whose hash proves a process to its peers.
-pub const PEER_LABEL: &str = "peer";
-/// Log time for which a change may take force after it was asked for. Longer, and an operator
-/// who was told "not known yet" would wait long for certainty; shorter, and a log that is merely
-/// slow would refuse changes.
-pub const FORCE_WINDOW: Duration = Duration::from_secs(8);
-/// Time a peer has to say which version it has.
-const PEER_SILENCE: Duration = Duration::from_secs(2);
-/// Time the log has to decide a change: the window and a little for reading it back.
+/// Label whose keyed hash authenticates a process to its peers.
+pub const PEER_TOKEN_LABEL: &str = "peer";
+/// Log time after a request within which its change may take effect; must tolerate a slow log.
+pub const EXPIRY_WINDOW: Duration = Duration::from_secs(8);
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Includes [`EXPIRY_WINDOW`] and the time to read the change back.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers an operator.
-///
-/// # Errors
-///
-/// Any [`Problem`].
 pub async fn answer(
-    door: &Door,
+    context: &HandlerContext,
     kind: Kind,
     req: &mut Request,
     res: &mut Response,
 ) -> Result<(), Problem> {
     if kind == Kind::State {
         problem::set_header(res, "content-type", "application/octet-stream");
-        drop(res.write_body(state(door)?));
+        drop(res.write_body(state(context)?));
         return Ok(());
     }
     let text = |name: &str| req.query::<String>(name).unwrap_or_default();
     let value = match kind {
-        Kind::Apply => apply(door, req).await?,
-        Kind::Get => get(door, &text("prefix")),
-        Kind::Ticket => ticket(door, &text("ticket"))?,
-        Kind::History => history(door, &text("prefix")),
-        Kind::Spread => spread(door, req).await?,
-        Kind::Version => status::version(door),
-        Kind::Status if text("own") == "true" => status::own(door),
+        Kind::Apply => apply(context, req).await?,
+        Kind::Get => get(context, &text("prefix")),
+        Kind::Ticket => ticket(context, &text("ticket"))?,
+        Kind::History => history(context, &text("prefix")),
+        Kind::Spread => rollout(context, req).await?,
+        Kind::Version => status::version(context),
+        Kind::Status if text("own") == "true" => status::local(context),
         Kind::Status | Kind::State => {
             let authorization = req.headers().get("authorization");
             let authorization = authorization.and_then(|value| value.to_str().ok());
-            status::whole(door, authorization.unwrap_or_default()).await
+            status::fleet(context, authorization.unwrap_or_default()).await
         }
     };
     problem::set_header(res, "content-type", "application/json");
@@ -111,35 +99,42 @@
     Ok(())
 }
 
-async fn apply(door: &Door, req: &mut Request) -> Result<Value, Problem> {
-    let body = door.read_body(req, door.max_body_bytes).await?;
-    let asked: ApplyRequest = serde_json::from_slice(&body)
-        .map_err(|error| Problem::Invalid(format!("the change cannot be read: {error}")))?;
-    let changes = asked.changes.into_iter().map(change).collect::<Result<Vec<_>, _>>()?;
-    let snapshot = door.control.current.load();
+async fn apply(context: &HandlerContext, req: &mut Request) -> Result<Value, Problem> {
+    let body = context.read_body(req, context.max_body_bytes).await?;
+    let request: ApplyRequest = serde_json::from_slice(&body)
+        .map_err(|error| Problem::Invalid(format!("cannot parse the change: {error}")))?;
+    let changes =
+        request.changes.into_iter().map(validate_change).collect::<Result<Vec<_>, _>>()?;
+    let snapshot = context.control.current.load();
     if !snapshot.log_up {
-        return Err(Problem::LogDown("the log does not answer"));
+        return Err(Problem::LogDown("the log does not respond"));
     }
-    let ticket = new_ticket(&snapshot, &door.clock);
-    let (author, not_after_ms) = (asked.author, not_after_ms(&ticket).unwrap_or_default());
+    let ticket = new_ticket(&snapshot, &context.clock);
+    let (author, not_after_ms) = (request.author, not_after_ms(&ticket).unwrap_or_default());
     let body = Body::Settings { changes, author, ticket: ticket.clone(), not_after_ms };
-    let decided = match door.control.appender.append(body, APPLY_TIMEOUT).await {
-        Ok(decided) => decided,
-        Err(AppendError::Full) => return Err(Problem::LogDown("too many records wait for it")),
+    let appended = match context.control.appender.append(body, APPLY_TIMEOUT).await {
+        Ok(appended) => appended,
+        Err(AppendError::Full) => {
+            return Err(Problem::LogDown("the append queue of the log is full"));
+        }
         Err(AppendError::Undecided) => return Err(Problem::Undecided(ticket)),
     };
-    match decided.outcome {
-        Outcome::Applied => Ok(json!({ "version": decided.offset, "ticket": ticket })),
-        Outcome::Void(void @ Void::Conflict { .. }) => Err(Problem::Conflict(void.to_string())),
-        Outcome::Void(Void::Late { .. }) => Err(Problem::LogDown("it took the change too late")),
+    match appended.outcome {
+        Outcome::Applied => Ok(json!({ "version": appended.offset, "ticket": ticket })),
+        Outcome::Rejected(rejection @ Rejection::Conflict { .. }) => {
+            Err(Problem::Conflict(rejection.to_string()))
+        }
+        Outcome::Rejected(Rejection::Expired { .. }) => {
+            Err(Problem::LogDown("the change reached the log too late"))
+        }
         _ => Err(Problem::Undecided(ticket)),
     }
 }
 
-/// A name for a change that also tells when it can no longer take force.
+/// Returns a unique ticket for a change, which contains its expiry time.
 fn new_ticket(snapshot: &Snapshot, clock: &SharedClock) -> SmolStr {
     let now_ms = clock::unix_ms(clock.wall()).saturating_add_signed(snapshot.log_clock_ms);
-    let not_after_ms = now_ms + FORCE_WINDOW.as_millis() as u64;
+    let not_after_ms = now_ms + EXPIRY_WINDOW.as_millis() as u64;
     format_smolstr!("{not_after_ms}-{:016x}", rand::random::<u64>())
 }
 
@@ -147,14 +142,12 @@
     ticket.split_once('-')?.0.parse().ok()
 }
 
-/// What became of a change.
-///
-/// "Refused" is said of a change that is not in the log only once the log has been read beyond
-/// the time after which the fold voids it; before that it is not known yet.
-fn ticket(door: &Door, ticket: &str) -> Result<Value, Problem> {
-    let unknown = || Problem::Invalid("`ticket` is not one that a router gave".into());
-    let not_after_ms = not_after_ms(ticket).ok_or_else(unknown)?;
-    let snapshot = door.control.current.load();
+/// Returns the outcome of a change. One that is not in the log is refused once the log has been
+/// read past its expiry time, and unknown until then.
+fn ticket(context: &HandlerContext, ticket: &str) -> Result<Value, Problem> {
+    let malformed = || Problem::Invalid("`ticket` was not issued by a router".into());
+    let not_after_ms = not_after_ms(ticket).ok_or_else(malformed)?;
+    let snapshot = context.control.current.load();
     let history = &snapshot.state.history;
     if let Some(entry) = history.find(ticket) {
         return Ok(match &entry.refused {
@@ -162,72 +155,72 @@
             Some(reason) => json!({ "outcome": "refused", "reason": reason }),
         });
     }
-    let window_ms = FORCE_WINDOW.as_millis() as u64;
-    let forgotten = history.entries.len() >= MAX_ENTRIES
+    let window_ms = EXPIRY_WINDOW.as_millis() as u64;
+    let evicted = history.entries.len() >= MAX_ENTRIES
         && history.entries.front().is_some_and(|first| first.at_ms + window_ms >= not_after_ms);
-    Ok(if forgotten {
-        json!({ "outcome": "forgotten", "reason": "it is too old: see what is in force" })
+    Ok(if evicted {
+        json!({ "outcome": "forgotten", "reason": "the change is too old: read the current settings" })
     } else if snapshot.read_to_ms > not_after_ms {
-        json!({ "outcome": "refused", "reason": "it did not reach the log in time: apply again" })
+        json!({ "outcome": "refused", "reason": "the change did not reach the log in time: apply it again" })
     } else {
-        json!({ "outcome": "unknown", "reason": "not known yet: ask again in a few seconds" })
+        json!({ "outcome": "unknown", "reason": "not known yet: query again in a few seconds" })
     })
 }
 
-fn history(door: &Door, prefix: &str) -> Value {
-    let snapshot = door.control.current.load();
+fn history(context: &HandlerContext, prefix: &str) -> Value {
+    let snapshot = context.control.current.load();
     let entries: Vec<Value> =
         snapshot.state.history.of_path(prefix).map(|entry| json!(entry)).collect();
     json!({ "entries": entries })
 }
 
-/// On how many routers a version is in force, as they say themselves.
-async fn spread(door: &Door, req: &Request) -> Result<Value, Problem> {
-    let wanted = req.query::<u64>("version").unwrap_or_default();
+/// Returns how many routers report that a version is in force.
+async fn rollout(context: &HandlerContext, req: &Request) -> Result<Value, Problem> {
+    let requested = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
-    let asked = door.peers.iter().map(|peer| version_of(peer, bearer));
-    let versions = futures::future::join_all(asked).await;
-    let own = door.control.current.load().state.documents.version;
-    let known: Vec<u64> = versions.iter().flatten().copied().chain([own]).collect();
-    let in_force = known.iter().filter(|version| **version >= wanted).count();
-    let routers = door.peers.len() + 1;
-    let silent = routers - known.len();
-    Ok(json!({ "version": wanted, "routers": routers, "in_force": in_force, "silent": silent }))
+    let queries = context.peers.iter().map(|peer| query_version(peer, bearer));
+    let versions = futures::future::join_all(queries).await;
+    let local = context.control.current.load().state.documents.version;
+    let reported: Vec<u64> = versions.iter().flatten().copied().chain([local]).collect();
+    let in_force = reported.iter().filter(|version| **version >= requested).count();
+    let routers = context.peers.len() + 1;
+    let unresponsive = routers - reported.len();
+    Ok(json!({ "version": requested, "routers": routers, "in_force": in_force,
+        "silent": unresponsive }))
 }
 
-async fn version_of(peer: &str, bearer: &str) -> Option<u64> {
-    let system = HttpSystem::new("a peer router", &format!("http://{peer}"), PEER_SILENCE);
+async fn query_version(peer: &str, bearer: &str) -> Option<u64> {
+    let system = HttpSystem::new("a peer router", &format!("http://{peer}"), PEER_TIMEOUT);
     let req = system.request(reqwest::Method::GET, "/operator/get?prefix=-").bearer_auth(bearer);
-    let answer: Value = system.json(req).await.ok()?;
-    answer["version"].as_u64()
+    let response: Value = system.json(req).await.ok()?;
+    response["version"].as_u64()
 }
 
-/// The whole state, for a process that starts while the log is down.
-fn state(door: &Door) -> Result<Vec<u8>, Problem> {
-    let snapshot = door.control.current.load();
+/// Returns a checkpoint of the state, for a process that starts while the log is down.
+fn state(context: &HandlerContext) -> Result<Vec<u8>, Problem> {
+    let snapshot = context.control.current.load();
     if !snapshot.caught_up {
         return Err(Problem::NotReady(snapshot.waiting.reason()));
     }
     Ok(checkpoint::encode(&snapshot.state))
 }
 
-/// A change is checked here too: a document that does not follow its schema must not get into
-/// the log, whatever program sent it.
-fn change(change: ApplyChange) -> Result<Change, Problem> {
+/// Rejects a document that does not match its schema.
+fn validate_change(change: ApplyChange) -> Result<Change, Problem> {
     let ApplyChange { path, base, value } = change;
     if let Some(value) = &value {
-        let faults = view::check_document(&path, value);
-        if !faults.is_empty() {
-            let faults: Vec<String> = faults.iter().map(|f| format!("{path} {f}")).collect();
-            return Err(Problem::Invalid(faults.join("; ")));
+        let errors = view::check_document(&path, value);
+        if !errors.is_empty() {
+            let errors: Vec<String> = errors.iter().map(|f| format!("{path} {f}")).collect();
+            return Err(Problem::Invalid(errors.join("; ")));
         }
     }
     let value = value.map(|value| value.to_string());
     Ok(Change { path, base, value })
 }
 
-fn get(door: &Door, prefix: &str) -> Value {
-    let snapshot = door.control.current.load();
+fn get(context: &HandlerContext, prefix: &str) -> Value {
+    let snapshot = context.control.current.load();
     let documents = snapshot.state.documents.by_path.iter();
     let documents: Vec<Value> = documents
         .filter(|(path, _)| path.starts_with(prefix))
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -1,27 +1,23 @@
-//! The body of a model request: what is supported, and a clear refusal of the rest.
+//! Parses and validates the body of a model request.
 //!
-//! Engines get the caller's body as it came. What would change the form of the answer
-//! (several choices, log probabilities, tool calls) is not passed on by this system, so it is
-//! refused rather than ignored: an ignored field gives the answer to another question. A field
-//! that is null counts as absent.
+//! Engines receive the body unchanged. Fields that would change the format of the answer are
+//! rejected. A null field counts as absent.
 
 use crate::problem::Problem;
-use corianderstand_decide::work;
+use corianderstand_decide::request;
 use serde::{Deserialize, de::IgnoredAny};
 use serde_json::Value;
 use std::ops::RangeInclusive;
 
-/// Most sequences that end an answer.
-const MAX_STOPS: usize = 16;
-/// Most tokens that a request may ask for.
+const MAX_STOP_SEQUENCES: usize = 16;
+/// Exclusive limit of `max_tokens`.
 const MAX_TOKENS: u32 = 16 * 1024 * 1024;
 
-/// A model request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "an object with `model` and `prompt` or `messages`")]
 pub struct Params {
-    /// The model as the caller names it.
+    /// The model name that the caller sent.
     pub model: String,
     prompt: Option<String>,
     messages: Option<Vec<Message>>,
@@ -80,7 +76,7 @@
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "true, false or a number")]
 enum Logprobs {
-    Asked(bool),
+    Enabled(bool),
     Count(u32),
 }
 
@@ -92,68 +88,61 @@
 }
 
 impl Params {
-    /// Reads and checks a body.
-    ///
-    /// # Errors
-    ///
-    /// [`Problem::Invalid`] names the field and what it may be.
     pub fn read(body: &[u8], chat: bool) -> Result<Self, Problem> {
         let mut json = serde_json::Deserializer::from_slice(body);
         let params: Self = serde_path_to_error::deserialize(&mut json).map_err(|error| {
             let path = error.path().to_string();
-            invalid(&path, &format!("cannot be used: {}", error.into_inner()))
+            invalid(&path, &format!("is invalid: {}", error.into_inner()))
         })?;
-        json.end().map_err(|error| invalid("the body", &format!("goes on after it: {error}")))?;
+        json.end().map_err(|error| invalid("the body", &format!("has trailing data: {error}")))?;
         params.check(chat)?;
         Ok(params)
     }
 
-    /// Whether the answer is wanted as it comes.
     pub fn is_streamed(&self) -> bool {
         self.stream.unwrap_or(false)
     }
 
-    /// Whether the stream ends with the usage.
     pub fn includes_usage(&self) -> bool {
         let options = self.stream_options.as_ref();
         options.and_then(|options| options.include_usage).unwrap_or(false)
     }
 
-    /// What decisions know of the request; a session keeps its first messages, so they tell
-    /// where its prompt may be cached.
-    pub fn shape(&self, chat: bool) -> work::Shape {
+    /// Returns the length and the prefix for routing. The first messages identify a session's
+    /// cached prompt.
+    pub fn shape(&self, chat: bool) -> request::Shape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
         let text = |index: usize| content(index).unwrap_or_default();
-        let beginning = format!("{}\n{}", text(0), text(1));
+        let prefix = format!("{}\n{}", text(0), text(1));
         let tokens = self.max_completion_tokens.or(self.max_tokens).map(u64::from);
-        work::Shape::of(tokens, chat, beginning.as_bytes())
+        request::Shape::of(tokens, chat, prefix.as_bytes())
     }
 
     fn check(&self, chat: bool) -> Result<(), Problem> {
         match (chat, &self.messages, &self.prompt) {
             (true, Some(messages), None) if !messages.is_empty() => {}
             (false, None, Some(_)) => {}
-            (true, ..) => return Err(invalid("messages", "has at least one, and no `prompt`")),
-            (false, ..) => return Err(invalid("prompt", "is one string, and no `messages`")),
+            (true, ..) => return Err(invalid("messages", "needs at least one, and no `prompt`")),
+            (false, ..) => return Err(invalid("prompt", "must be one string, without `messages`")),
         }
         if self.stream_options.is_some() && !self.is_streamed() {
-            return Err(invalid("stream_options", "goes with `stream`: true only"));
+            return Err(invalid("stream_options", "requires `stream`: true"));
         }
         self.check_ranges()?;
         self.check_unsupported()
     }
 
     fn check_ranges(&self) -> Result<(), Problem> {
-        count("max_tokens", self.max_tokens)?;
-        count("max_completion_tokens", self.max_completion_tokens)?;
-        range("temperature", self.temperature, 0.0..=2.0)?;
-        range("top_p", self.top_p, 0.0..=1.0)?;
-        range("presence_penalty", self.presence_penalty, -2.0..=2.0)?;
-        range("frequency_penalty", self.frequency_penalty, -2.0..=2.0)?;
+        check_count("max_tokens", self.max_tokens)?;
+        check_count("max_completion_tokens", self.max_completion_tokens)?;
+        check_range("temperature", self.temperature, 0.0..=2.0)?;
+        check_range("top_p", self.top_p, 0.0..=1.0)?;
+        check_range("presence_penalty", self.presence_penalty, -2.0..=2.0)?;
+        check_range("frequency_penalty", self.frequency_penalty, -2.0..=2.0)?;
         match &self.stop {
-            Some(Stop::Many(stops)) if stops.len() > MAX_STOPS => {
-                Err(invalid("stop", &format!("has at most {MAX_STOPS} sequences")))
+            Some(Stop::Many(stops)) if stops.len() > MAX_STOP_SEQUENCES => {
+                Err(invalid("stop", &format!("allows at most {MAX_STOP_SEQUENCES} sequences")))
             }
             _ => Ok(()),
         }
@@ -161,14 +150,14 @@
 
     fn check_unsupported(&self) -> Result<(), Problem> {
         if self.n.is_some_and(|n| n != 1) {
-            return Err(invalid("n", "is 1: ask several times for several answers"));
+            return Err(invalid("n", "must be 1: send one request for each answer"));
         }
         if self.best_of.is_some_and(|n| n != 1) {
-            return Err(invalid("best_of", "is 1: ask several times for several answers"));
+            return Err(invalid("best_of", "must be 1: send one request for each answer"));
         }
         let logprobs = !matches!(
             self.logprobs,
-            None | Some(Logprobs::Asked(false)) | Some(Logprobs::Count(0))
+            None | Some(Logprobs::Enabled(false)) | Some(Logprobs::Count(0))
         );
         let unsupported = [
             ("echo", self.echo == Some(true)),
@@ -184,7 +173,7 @@
             ("modalities", self.modalities.is_some()),
             ("audio", self.audio.is_some()),
         ];
-        match unsupported.iter().find(|(_, given)| *given) {
+        match unsupported.iter().find(|(_, present)| *present) {
             Some((field, _)) => Err(invalid(field, "is not supported: leave it out")),
             None => Ok(()),
         }
@@ -195,19 +184,19 @@
     Problem::Invalid(format!("`{field}` {message}"))
 }
 
-fn count(field: &str, value: Option<u32>) -> Result<(), Problem> {
+fn check_count(field: &str, value: Option<u32>) -> Result<(), Problem> {
     match value {
         Some(0) | Some(MAX_TOKENS..) => {
-            Err(invalid(field, &format!("is a whole number from 1 to {}", MAX_TOKENS - 1)))
+            Err(invalid(field, &format!("must be a whole number from 1 to {}", MAX_TOKENS - 1)))
         }
         _ => Ok(()),
     }
 }
 
-fn range(field: &str, value: Option<f64>, range: RangeInclusive<f64>) -> Result<(), Problem> {
+fn check_range(field: &str, value: Option<f64>, range: RangeInclusive<f64>) -> Result<(), Problem> {
     match value {
         Some(value) if !range.contains(&value) => {
-            Err(invalid(field, &format!("is a number from {} to {}", range.start(), range.end())))
+            Err(invalid(field, &format!("must be from {} to {}", range.start(), range.end())))
         }
         _ => Ok(()),
     }
--- a/crates/corianderstand_router/src/relay.rs
+++ b/crates/corianderstand_router/src/relay.rs
@@ -1,15 +1,12 @@
-//! `GET /internal/read?from=&max=&wait_ms=`: the log's own read, for processes that follow this
-//! router.
+//! `GET /internal/read?from=&max=&wait_ms=`: serves log reads to followers of this router.
 
 use crate::problem;
 use corianderstand_control::relay::{RelayError, Tail};
 use salvo::{Request, Response, http::StatusCode};
 use std::time::Duration;
 
-/// Most records in one page, whatever is asked for.
 const MAX_RECORDS: u32 = 1024;
 
-/// Answers with a page, or says why there is none.
 pub async fn answer(tail: &Tail, req: &mut Request, res: &mut Response) {
     let number = |name: &str| req.query::<u64>(name).unwrap_or_default();
     let max = u32::try_from(number("max")).map_or(MAX_RECORDS, |max| max.min(MAX_RECORDS));
@@ -19,11 +16,11 @@
             problem::set_header(res, "content-type", "application/json");
             drop(res.write_body(serde_json::to_vec(&page).expect("a page is plain data")));
         }
-        Err(error) => refuse(error, res),
+        Err(error) => write_error(error, res),
     }
 }
 
-fn refuse(error: RelayError, res: &mut Response) {
+fn write_error(error: RelayError, res: &mut Response) {
     let status = match error {
         RelayError::Gone => StatusCode::GONE,
         RelayError::Stale | RelayError::Busy(_) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/corianderstand_router/src/arrivals.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -1,8 +1,6 @@
-//! Callers' connections as they are taken: each notes when its socket was last seen empty.
-//!
-//! A handler knows its connection by the caller's address only, so the two are joined here.
+//! Tracks when each caller's socket was last found empty, to detect requests that predate a pause.
 
-use corianderstand_types::pause::{Connection, PauseWatch, Watched};
+use corianderstand_types::pause::{Connection, PauseDetector, WatchedStream};
 use salvo::{
     conn::{
         Accepted, Acceptor, Holding, StraightStream,
@@ -20,29 +18,30 @@
 };
 use tokio::net::TcpStream;
 
-/// Connections held now, by their callers' addresses.
+/// Open connections by caller address, by which handlers find them.
 #[derive(Debug)]
-pub struct Arrivals {
-    watch: Arc<PauseWatch>,
+pub struct WatchedConnections {
+    pause_detector: Arc<PauseDetector>,
     by_caller: Mutex<HashMap<SocketAddr, Weak<Connection>>>,
 }
 
-impl Arrivals {
-    /// None yet.
+impl WatchedConnections {
     pub fn new(now: Duration) -> Arc<Self> {
-        Arc::new(Self { watch: Arc::new(PauseWatch::new(now)), by_caller: Mutex::default() })
+        Arc::new(Self {
+            pause_detector: Arc::new(PauseDetector::new(now)),
+            by_caller: Mutex::default(),
+        })
     }
 
-    /// Turns the watch for pauses.
-    pub fn turn(&self, now: Duration) {
-        self.watch.turn(now);
+    pub fn tick(&self, now: Duration) {
+        self.pause_detector.tick(now);
         self.lock().retain(|_, connection| connection.strong_count() > 0);
     }
 
-    /// Whether a request that was read now may have been sent before a pause of this process.
-    pub fn is_doubtful(&self, now: Duration, caller: Option<SocketAddr>) -> bool {
+    /// Whether a request read at `now` may have been sent before a pause of this process.
+    pub fn may_predate_pause(&self, now: Duration, caller: Option<SocketAddr>) -> bool {
         let connection = caller.and_then(|caller| self.lock().get(&caller)?.upgrade());
-        connection.is_none_or(|connection| self.watch.is_doubtful(now, &connection))
+        connection.is_none_or(|connection| self.pause_detector.may_predate_pause(now, &connection))
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, Weak<Connection>>> {
@@ -50,22 +49,21 @@
     }
 }
 
-/// Takes callers' connections.
+/// Accepts connections and registers them in [`WatchedConnections`].
 pub struct WatchedAcceptor {
     inner: TcpAcceptor,
-    arrivals: Arc<Arrivals>,
+    watched: Arc<WatchedConnections>,
 }
 
 impl WatchedAcceptor {
-    /// Takes connections from `inner`.
-    pub const fn new(inner: TcpAcceptor, arrivals: Arc<Arrivals>) -> Self {
-        Self { inner, arrivals }
+    pub const fn new(inner: TcpAcceptor, watched: Arc<WatchedConnections>) -> Self {
+        Self { inner, watched }
     }
 }
 
 impl Acceptor for WatchedAcceptor {
     type Coupler = TcpCoupler<Self::Stream>;
-    type Stream = Watched<StraightStream<TcpStream>>;
+    type Stream = WatchedStream<StraightStream<TcpStream>>;
 
     fn holdings(&self) -> &[Holding] {
         self.inner.holdings()
@@ -75,18 +73,18 @@
         &mut self,
         fuse_policy: Option<ArcFusePolicy>,
     ) -> io::Result<Accepted<Self::Coupler, Self::Stream>> {
-        let Self { inner, arrivals } = self;
+        let Self { inner, watched } = self;
         let mut accept = pin!(inner.accept(fuse_policy));
         let poll = |cx: &mut std::task::Context<'_>| {
-            arrivals.watch.poll_accept(cx, |cx| accept.as_mut().poll(cx))
+            watched.pause_detector.poll_accept(cx, |cx| accept.as_mut().poll(cx))
         };
         let accepted = future::poll_fn(poll).await?;
         let caller = accepted.remote_addr.clone().into_std();
-        let wrap = |stream| Watched::new(stream, arrivals.watch.clone());
+        let wrap = |stream| WatchedStream::new(stream, watched.pause_detector.clone());
         let accepted = accepted.map_into(|_| TcpCoupler::new(), wrap);
         if let Some(caller) = caller {
             let connection = accepted.stream.connection();
-            arrivals.lock().insert(caller, Arc::downgrade(&connection));
+            watched.lock().insert(caller, Arc::downgrade(&connection));
         }
         Ok(accepted)
     }
--- a/crates/corianderstand_standins/src/service.rs
+++ b/crates/corianderstand_standins/src/service.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a plain service that counts what it really ran.
+//! A simulated plain service that counts the calls it executed.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use futures::FutureExt;
 use getopts::Matches;
 use salvo::Router;
@@ -13,15 +13,15 @@
 };
 use tokio::time;
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Time a call takes before it takes effect, in milliseconds.
+    /// Delay before a call takes effect.
     before_ms: u64,
-    /// Time a call takes after it took effect, in milliseconds.
+    /// Delay between a call's effect and its response.
     after_ms: u64,
-    /// Whether answers are 201 and plain text in place of 200 and JSON.
+    /// Responds with status 201 and plain text instead of 200 and JSON.
     plain: bool,
 }
 
@@ -43,10 +43,10 @@
     }
 }
 
-async fn call(service: Arc<Service>, ask: Ask) -> Reply {
+async fn call(service: Arc<Service>, req: ApiRequest) -> Reply {
     let fault = service.lock().fault;
     time::sleep(Duration::from_millis(fault.before_ms)).await;
-    let key: String = ask.header("idempotency-key");
+    let key: String = req.header("idempotency-key");
     let ran = {
         let mut inner = service.lock();
         inner.ran += 1;
@@ -58,19 +58,19 @@
         let text = format!("booked as number {ran}");
         return Reply::Whole(201, "text/plain", text.into_bytes().into());
     }
-    let body = String::from_utf8_lossy(&ask.body).into_owned();
-    let traceparent: String = ask.header("traceparent");
-    Reply::json(&json!({ "ran": ran, "key": key, "method": ask.method, "path": ask.path,
+    let body = String::from_utf8_lossy(&req.body).into_owned();
+    let traceparent: String = req.header("traceparent");
+    Reply::json(&json!({ "ran": ran, "key": key, "method": req.method, "path": req.path,
         "body": body, "traceparent": traceparent }))
 }
 
-async fn counts(service: Arc<Service>, _ask: Ask) -> Reply {
+async fn counts(service: Arc<Service>, _req: ApiRequest) -> Reply {
     let inner = service.lock();
     Reply::json(&json!({ "ran": inner.ran, "by_key": inner.by_key }))
 }
 
-async fn fault(service: Arc<Service>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(service: Arc<Service>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             service.lock().fault = fault;
             Reply::text(200, "set")
@@ -79,13 +79,12 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let service = Arc::<Service>::default();
-    let at = |operation| At(service.clone(), operation);
+    let endpoint = |operation| Endpoint(service.clone(), operation);
     let routes = Router::new()
-        .push(Router::with_path("counts").get(at(|s, a| counts(s, a).boxed())))
-        .push(Router::with_path("fault").post(at(|s, a| fault(s, a).boxed())))
-        .push(Router::with_path("{**rest}").goal(at(|s, a| call(s, a).boxed())));
+        .push(Router::with_path("counts").get(endpoint(|s, r| counts(s, r).boxed())))
+        .push(Router::with_path("fault").post(endpoint(|s, r| fault(s, r).boxed())))
+        .push(Router::with_path("{**rest}").goal(endpoint(|s, r| call(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/weights.rs
+++ b/crates/corianderstand_standins/src/weights.rs
@@ -1,6 +1,6 @@
-//! A stand-in for the weight store: limited rate and concurrency.
+//! A simulated weight store with limited rate and concurrency.
 
-use crate::serve::{self, Ask, At, Reply};
+use crate::serve::{self, ApiRequest, Endpoint, Reply};
 use corianderstand_edge::weights::StoreReport;
 use futures::FutureExt;
 use getopts::Matches;
@@ -12,13 +12,13 @@
 };
 use tokio::time::{self, Instant};
 
-/// How it misbehaves.
+/// Injected faults.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// How many times slower fetches are.
+    /// Factor on the time of a fetch.
     slow: f64,
-    /// Whether fetches are refused.
+    /// Fetches fail with status 503.
     down: bool,
 }
 
@@ -29,14 +29,14 @@
 }
 
 struct Store {
-    concurrent: u32,
+    full_speed_fetches: u32,
     interval: Duration,
     inner: Mutex<Inner>,
 }
 
 struct Inner {
     report: StoreReport,
-    next_begin: Instant,
+    next_start: Instant,
     fault: Fault,
 }
 
@@ -46,40 +46,41 @@
     }
 }
 
-/// Answers when the fetch is done: `GET /fetch?ms=`.
-async fn fetch(store: Arc<Store>, ask: Ask) -> Reply {
-    let ms: u64 = ask.param("ms");
-    let begin = {
+/// Responds when a fetch that takes `ms` at full speed is complete.
+async fn fetch(store: Arc<Store>, req: ApiRequest) -> Reply {
+    let ms: u64 = req.param("ms");
+    let start = {
         let mut inner = store.lock();
         if inner.fault.down {
             return Reply::text(503, "the store is down");
         }
-        let begin = inner.next_begin.max(Instant::now());
-        inner.next_begin = begin + store.interval;
-        begin
+        let start = inner.next_start.max(Instant::now());
+        inner.next_start = start + store.interval;
+        start
     };
-    time::sleep_until(begin).await;
+    time::sleep_until(start).await;
     let slow = {
         let mut inner = store.lock();
         inner.report.begun += 1;
         inner.report.running += 1;
-        let crowd = (f64::from(inner.report.running) / f64::from(store.concurrent)).max(1.0);
-        if crowd > 1.0 {
+        let contention =
+            (f64::from(inner.report.running) / f64::from(store.full_speed_fetches)).max(1.0);
+        if contention > 1.0 {
             inner.report.throttled += 1;
         }
-        crowd * inner.fault.slow
+        contention * inner.fault.slow
     };
     time::sleep(Duration::from_millis(ms).mul_f64(slow)).await;
     store.lock().report.running -= 1;
     Reply::text(200, "fetched")
 }
 
-async fn report(store: Arc<Store>, _ask: Ask) -> Reply {
+async fn report(store: Arc<Store>, _req: ApiRequest) -> Reply {
     Reply::json(&store.lock().report)
 }
 
-async fn fault(store: Arc<Store>, ask: Ask) -> Reply {
-    match ask.json() {
+async fn fault(store: Arc<Store>, req: ApiRequest) -> Reply {
+    match req.json() {
         Ok(fault) => {
             store.lock().fault = fault;
             Reply::text(200, "set")
@@ -88,21 +89,20 @@
     }
 }
 
-/// Runs until ended.
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let rate: f64 = serve::opt(matches, "rate", 2.0)?;
     let store = Arc::new(Store {
-        concurrent: serve::opt(matches, "concurrent", 4)?,
+        full_speed_fetches: serve::opt(matches, "concurrent", 4)?,
         interval: Duration::from_secs_f64(1.0 / rate),
         inner: Mutex::new(Inner {
             report: StoreReport::default(),
-            next_begin: Instant::now(),
+            next_start: Instant::now(),
             fault: Fault::default(),
         }),
     });
     let routes = Router::new()
-        .push(Router::with_path("fetch").get(At(store.clone(), |s, a| fetch(s, a).boxed())))
-        .push(Router::with_path("report").get(At(store.clone(), |s, a| report(s, a).boxed())))
-        .push(Router::with_path("fault").post(At(store, |s, a| fault(s, a).boxed())));
+        .push(Router::with_path("fetch").get(Endpoint(store.clone(), |s, r| fetch(s, r).boxed())))
+        .push(Router::with_path("report").get(Endpoint(store.clone(), |s, r| report(s, r).boxed())))
+        .push(Router::with_path("fault").post(Endpoint(store, |s, r| fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_state/src/checkpoint.rs
+++ b/crates/corianderstand_state/src/checkpoint.rs
@@ -1,21 +1,20 @@
-//! The whole state written into the log, for readers that find no older records.
+//! Checkpoints: the whole state, written to the log in parts.
 //!
-//! The log keeps records for a limited time. The lease holder writes the state in parts well
-//! within that time. A reader without the older records gathers the parts with a [`Collector`]
-//! and folds on from the offset that the state was taken at.
+//! The log's retention is limited, so the lease holder writes checkpoints within it. A new reader
+//! restores the state with a [`Collector`] and applies records from the checkpoint's offset.
 
-use crate::fold::{State, Void};
+use crate::fold::{Rejection, State};
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{Body, Record};
 use corianderstand_types::names::WriterId;
 
-/// Bytes in one part: small beside what one append may carry.
+/// Size of one part; well below the limit of an append.
 pub const PART_BYTES: usize = 48 * 1024;
 
-/// A checkpoint that stands whole in the log.
+/// A checkpoint that is complete in the log.
 #[derives(wire)]
 #[derive(Copy, Eq)]
-pub struct Whole {
+pub struct CompleteCheckpoint {
     /// The state's next offset when it was taken.
     pub as_of: u64,
     /// Offset of its first part.
@@ -24,68 +23,74 @@
     pub at_ms: u64,
 }
 
-/// A checkpoint of which some parts stand in the log.
+/// A checkpoint that is partly written to the log.
 #[derives(wire)]
 #[derive(Copy, Eq)]
-pub struct Underway {
+pub struct PartialCheckpoint {
     /// The state's next offset when it was taken.
     pub as_of: u64,
     /// Offset of its first part.
     pub first: u64,
-    /// Parts in all.
+    /// Number of parts.
     pub parts: u32,
-    /// The part that comes next.
+    /// Index of the next part.
     pub next_part: u32,
 }
 
-/// What is agreed about checkpoints.
+/// State of the checkpoints in the log.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Checkpoints {
-    /// The last whole one.
-    pub last: Option<Whole>,
-    /// The one being written.
-    pub underway: Option<Underway>,
+    /// The latest complete checkpoint.
+    pub last: Option<CompleteCheckpoint>,
+    /// The checkpoint being written.
+    pub underway: Option<PartialCheckpoint>,
 }
 
 impl Checkpoints {
-    /// Notes a part; parts come in order, and the first starts anew.
-    pub fn part(&mut self, at: (u64, u64), as_of: u64, part: u32, parts: u32) -> Result<(), Void> {
+    /// Records a part. Parts must be in order; part 0 starts a new checkpoint.
+    pub fn record_part(
+        &mut self,
+        at: (u64, u64),
+        as_of: u64,
+        part: u32,
+        parts: u32,
+    ) -> Result<(), Rejection> {
         let (offset, at_ms) = at;
         let expected = match self.underway {
-            _ if part == 0 => Underway { as_of, first: offset, parts, next_part: 0 },
+            _ if part == 0 => PartialCheckpoint { as_of, first: offset, parts, next_part: 0 },
             Some(underway) => underway,
-            None => return Err(Void::Checkpoint),
+            None => return Err(Rejection::CheckpointGap),
         };
         if (expected.as_of, expected.parts, expected.next_part) != (as_of, parts, part) {
-            return Err(Void::Checkpoint);
+            return Err(Rejection::CheckpointGap);
         }
         if part + 1 >= parts {
-            self.last = Some(Whole { as_of, first: expected.first, at_ms });
+            self.last = Some(CompleteCheckpoint { as_of, first: expected.first, at_ms });
             self.underway = None;
         } else {
-            self.underway = Some(Underway { next_part: part + 1, ..expected });
+            self.underway = Some(PartialCheckpoint { next_part: part + 1, ..expected });
         }
         Ok(())
     }
 }
 
-/// The state as bytes, the same on every process that folded as far.
+/// Encodes the state; deterministic, so that processes agree on the digest.
 pub fn encode(state: &State) -> Vec<u8> {
     postcard::to_stdvec(state).expect("state is plain data")
 }
 
-/// A state from its bytes; `None` if they cannot be read.
+/// Decodes a state; `None` if the bytes are invalid.
 pub fn decode(bytes: &[u8]) -> Option<State> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Digest of a state's bytes.
+/// Digest of an encoded state.
 pub fn digest(bytes: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(bytes)
 }
 
-/// The records that write `state` into the log.
+/// Splits `state` into the checkpoint records to append.
 pub fn split(state: &State) -> Vec<Body> {
     let bytes = encode(state);
     let digest = digest(&bytes);
@@ -102,7 +107,7 @@
     (0..).zip(&chunks).map(body).collect()
 }
 
-/// Which checkpoint a part belongs to.
+/// Identity of the checkpoint that a part belongs to.
 #[derives(data)]
 #[derive(Eq)]
 struct Source {
@@ -112,10 +117,7 @@
     digest: u64,
 }
 
-/// Gathers the parts of a checkpoint without a state to judge them by.
-///
-/// Whether the writer held the lease does not matter here: whoever folded the log up to an
-/// offset holds the one right state of that offset, and the digest shows that it came whole.
+/// Assembles a checkpoint from its parts before any state exists.
 #[derive(Debug, Default)]
 pub struct Collector {
     source: Option<Source>,
@@ -124,8 +126,8 @@
 }
 
 impl Collector {
-    /// Takes a record; gives the state once all parts of one checkpoint have come.
-    pub fn take(&mut self, record: &Record) -> Option<State> {
+    /// Receives a record and returns the state once a checkpoint is complete.
+    pub fn receive(&mut self, record: &Record) -> Option<State> {
         let Body::CheckpointPart { as_of, part, parts, digest, data, .. } = &record.body else {
             return None;
         };
@@ -134,7 +136,7 @@
         if *part == 0 {
             *self = Self { source, next_part: 0, bytes: Vec::new() };
         } else if self.source != source || self.next_part != *part {
-            // A repeat after a lost answer, or another writer's part.
+            // A retried append or a part of another checkpoint.
             return None;
         }
         self.bytes.extend_from_slice(data);
--- a/crates/corianderstand_state/src/documents.rs
+++ b/crates/corianderstand_state/src/documents.rs
@@ -1,22 +1,22 @@
-//! Settings documents by path, each with the version it was made at.
+//! Versioned settings documents.
 
-use crate::fold::Void;
+use crate::fold::Rejection;
 use corianderstand_derives::derives;
 use corianderstand_schema::records::Change;
 use smol_str::SmolStr;
 
-/// One document as in force.
+/// A settings document.
 #[derives(wire)]
 pub struct Document {
-    /// Offset of the record that made it; 0 never occurs.
+    /// Offset of the record that wrote it; never 0.
     pub version: u64,
     /// JSON text.
     pub text: std::sync::Arc<str>,
-    /// Who asked for it.
+    /// Operator who wrote it.
     pub author: SmolStr,
 }
 
-/// All documents, and the offset of the last change to any.
+/// All documents.
 #[derives(wire)]
 #[derive(Default)]
 pub struct Documents {
@@ -27,22 +27,23 @@
 }
 
 impl Documents {
-    /// Version of the document at `path`, or 0.
+    /// Version of the document at `path`, or 0 if there is none.
     pub fn version_of(&self, path: &str) -> u64 {
         self.by_path.get(path).map_or(0, |doc| doc.version)
     }
 
-    /// Makes all changes, or none if one was made from a version no longer in force.
-    ///
-    /// Two operators may change the same settings at the same moment. The second would undo
-    /// the first without noticing; its change names the version it was made from, so it is
-    /// voided here and the operator is told which version is in the way.
-    pub fn change(&mut self, offset: u64, changes: &[Change], author: &str) -> Result<(), Void> {
+    /// Applies all changes, or none if any is based on an outdated version.
+    pub fn change(
+        &mut self,
+        offset: u64,
+        changes: &[Change],
+        author: &str,
+    ) -> Result<(), Rejection> {
         for change in changes {
             let version = self.version_of(&change.path);
             if version != change.base {
                 let (path, base) = (change.path.clone(), change.base);
-                return Err(Void::Conflict { path, version, base });
+                return Err(Rejection::Conflict { path, version, base });
             }
         }
         for change in changes {
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -1,97 +1,95 @@
-//! The fold itself: repeats and order are settled here, each record's meaning in its module.
+//! The fold: deduplicates records and dispatches each to the module that applies it.
 
 use crate::{calls, checkpoint, documents, expiry, history, lease, slots, targets};
 use corianderstand_derives::derives;
 use corianderstand_schema::records::{Body, Change, Record};
 use corianderstand_types::names::WriterId;
 
-/// What a record did.
+/// Result of applying a record.
 #[derives(data)]
 #[derive(Eq)]
 pub enum Outcome {
-    /// It took effect.
+    /// The record took effect.
     Applied,
-    /// It had been folded before; a repeat after a lost answer.
+    /// The record had already been applied: a retried append.
     Repeated,
-    /// Its condition no longer held.
-    Void(Void),
+    /// The record's condition did not hold.
+    Rejected(Rejection),
 }
 
 /// Why a record had no effect.
 #[derives(data)]
 #[derive(Eq, displaydoc::Display)]
-pub enum Void {
+pub enum Rejection {
     /// `{path}` is at version {version}, not {base}: fetch it, merge and apply again
     Conflict {
-        /// Path of the document in the way.
+        /// Path of the conflicting document.
         path: smol_str::SmolStr,
-        /// Version in force.
+        /// Current version.
         version: u64,
-        /// Version the change was made from.
+        /// Version that the change was based on.
         base: u64,
     },
     /// the change reached the log after its time ({until}): apply it again
-    Late {
-        /// Last log time at which it would have had effect.
+    Expired {
+        /// Last log time at which the change could apply.
         until: u64,
     },
-    /// the lease is held or has moved on: the writer no longer decides
-    Lease,
-    /// the slot is taken or has moved on
-    Slot,
-    /// the target is unknown or was announced anew
-    Target,
-    /// another record for this call came first
-    Call,
-    /// a part of the checkpoint is missing: another one follows
-    Checkpoint,
-    /// as many calls are remembered as may be: come back later
+    /// the lease is held by another writer or its epoch is out of date
+    LeaseNotHeld,
+    /// the slot is occupied or was reassigned
+    SlotConflict,
+    /// the target is unknown or was announced again
+    TargetChanged,
+    /// an earlier record decided this call
+    CallConflict,
+    /// a part of the checkpoint is missing: the next checkpoint replaces it
+    CheckpointGap,
+    /// the limit on remembered calls is reached: retry later
     CallsFull,
 }
 
-/// Last record folded from one writer.
+/// Last record applied from one writer.
 #[derives(wire)]
 #[derive(Copy, Eq)]
 pub struct Progress {
-    /// Start of the writer.
+    /// Incarnation of the writer.
     pub incarnation: u64,
-    /// Last sequence folded.
+    /// Sequence number of the record.
     pub sequence: u64,
-    /// Log time of its last record.
+    /// Log time of the record.
     pub at_ms: u64,
 }
 
-/// Everything agreed, as of one offset.
+/// The replicated state at one offset.
 #[derives(wire)]
 #[derive(Default)]
 pub struct State {
-    /// Next offset to fold.
+    /// Next offset to apply.
     pub next: u64,
     /// Log time of the last record, in milliseconds since the Unix epoch.
     pub time_ms: u64,
     /// Settings documents by path.
     pub documents: documents::Documents,
-    /// What became of the last changes to them.
+    /// Results of the latest settings changes.
     pub history: history::History,
-    /// Checkpoints in the log.
+    /// Checkpoints written to the log.
     pub checkpoints: checkpoint::Checkpoints,
     /// Announced targets.
     pub targets: targets::Targets,
-    /// Slots and their owners.
+    /// Replica slots and their owners.
     pub slots: slots::Slots,
     /// The control lease.
     pub lease: lease::Lease,
-    /// Calls that may not be repeated.
+    /// Calls that must run at most once.
     pub calls: calls::Calls,
     /// Progress of each writer.
     pub writers: imbl::OrdMap<WriterId, Progress>,
 }
 
 impl State {
-    /// Folds the record at `offset`, appended at log time `at_ms`.
-    ///
-    /// Offsets are folded in order; one below [`State::next`] is a repeat, so state never
-    /// goes back.
+    /// Applies the record at `offset`, appended at log time `at_ms`. An offset below [`State::next`]
+    /// is ignored as a repeat.
     pub fn apply(&mut self, offset: u64, at_ms: u64, record: &Record) -> Outcome {
         if offset < self.next {
             return Outcome::Repeated;
@@ -102,20 +100,17 @@
         if expiry::is_due(before_ms, self.time_ms) {
             expiry::sweep(self);
         }
-        if !self.advance(record) {
+        if !self.advance_writer(record) {
             return Outcome::Repeated;
         }
         match self.apply_body(offset, record) {
             Ok(()) => Outcome::Applied,
-            Err(void) => Outcome::Void(void),
+            Err(rejection) => Outcome::Rejected(rejection),
         }
     }
 
-    /// Notes the writer's progress; false for a record folded before.
-    ///
-    /// An append whose answer was lost is sent again and so may stand in the log twice. The
-    /// writer numbers its records, so the second copy is recognised and skipped.
-    fn advance(&mut self, record: &Record) -> bool {
+    /// Returns false if the record is a duplicate from a retried append.
+    fn advance_writer(&mut self, record: &Record) -> bool {
         let (incarnation, sequence) = (record.incarnation, record.sequence);
         let now = Progress { incarnation, sequence, at_ms: self.time_ms };
         let known = self.writers.get(&record.writer);
@@ -128,15 +123,15 @@
         newer
     }
 
-    fn apply_body(&mut self, offset: u64, record: &Record) -> Result<(), Void> {
+    fn apply_body(&mut self, offset: u64, record: &Record) -> Result<(), Rejection> {
         let now = self.time_ms;
         match &record.body {
             Body::Settings { changes, author, ticket, not_after_ms } => {
-                let result = self.change(offset, changes, author, *not_after_ms);
-                self.history.note((offset, now), ticket, author, changes, &result);
+                let result = self.apply_settings(offset, changes, author, *not_after_ms);
+                self.history.record((offset, now), ticket, author, changes, &result);
                 result
             }
-            Body::LeaseTaken { epoch, ttl_ms } => self.lease.take(*epoch, *ttl_ms, now, record),
+            Body::LeaseTaken { epoch, ttl_ms } => self.lease.acquire(*epoch, *ttl_ms, now, record),
             Body::LeaseRenewed { epoch } => self.lease.renew(*epoch, now, record),
             Body::LeaseReleased { epoch } => self.lease.release(*epoch, record),
             Body::TargetUp { target } => {
@@ -168,28 +163,25 @@
             }
             Body::TargetMarked { epoch, target, target_offset, leaving } => {
                 self.lease.check(*epoch, record)?;
-                self.targets.mark(offset, target, *target_offset, *leaving)
+                self.targets.set_leaving(offset, target, *target_offset, *leaving)
             }
             Body::CheckpointPart { epoch, as_of, part, parts, .. } => {
                 self.lease.check(*epoch, record)?;
-                self.checkpoints.part((offset, now), *as_of, *part, *parts)
+                self.checkpoints.record_part((offset, now), *as_of, *part, *parts)
             }
         }
     }
 
-    /// Changes settings, unless the record came into the log too late.
-    ///
-    /// An operator may have been told "not known yet" and have asked again after the record's
-    /// time: it is then called refused, so a copy that reaches the log later must do nothing.
-    fn change(
+    /// Rejects changes appended after their deadline: they were already reported as refused.
+    fn apply_settings(
         &mut self,
         offset: u64,
         changes: &[Change],
         author: &str,
         not_after_ms: u64,
-    ) -> Result<(), Void> {
+    ) -> Result<(), Rejection> {
         if self.time_ms > not_after_ms {
-            return Err(Void::Late { until: not_after_ms });
+            return Err(Rejection::Expired { until: not_after_ms });
         }
         self.documents.change(offset, changes, author)
     }
--- a/scenarios/state-from-a-peer-while-the-log-is-down.rhai
+++ b/scenarios/state-from-a-peer-while-the-log-is-down.rhai
@@ -1,6 +1,5 @@
-// The log service is down when a router's host is replaced. The new process cannot read the
-// settings from the log; without another source it would refuse every caller until the log is
-// back, which may be long.
+// A router replaced during a log outage must get the state from a peer instead of rejecting every
+// caller until the log is available.
 
 deploy(#{});
 let version_of = |router| {
@@ -12,5 +11,5 @@
 kill("router-1");
 start("router-1");
 wait_until("the new router has the settings", || version_of.call("router-1") == version);
-check(logged("router-1", "state taken from a peer"), "it took them from the other router");
-wait_until("a whole answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
+check(logged("router-1", "state loaded from a peer"), "the settings came from the other router");
+wait_until("a complete answer", || ask("router-1", "vidrio", "quotes-7b", #{ tokens: 5 }).whole);
--- a/tests/stops_planned.rs
+++ b/tests/graceful_shutdown.rs
@@ -1,19 +1,18 @@
-//! Planned stops over real processes under load.
+//! Graceful shutdown of real processes under load.
 
 use futures::StreamExt;
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
-use testbed::{Deployment, Plan, deployment::wait_for, load::Load, plan::HINOKUNI_KEY};
+use testbed::{Deployment, Plan, deployment::wait_for, load::LoadGenerator, plan::HINOKUNI_KEY};
 
-/// Longest time that a planned stop may take here.
-const STOP_LIMIT: Duration = Duration::from_secs(40);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 const CALLERS: usize = 24;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.expect("the system gives a runtime").block_on(run)
+    runtime.expect("the runtime can be created").block_on(run)
 }
 
 async fn start() -> Deployment {
@@ -23,48 +22,54 @@
     Deployment::start(plan).await
 }
 
-fn load(deployment: &Deployment) -> Load {
+fn load(deployment: &Deployment) -> LoadGenerator {
     let routers = (0..deployment.plan.routers).map(|i| format!("router-{i}"));
-    Load::start(routers.map(|name| deployment.address(&name).to_owned()).collect(), CALLERS)
+    LoadGenerator::start(
+        routers.map(|name| deployment.address(&name).to_owned()).collect(),
+        CALLERS,
+    )
 }
 
-async fn flowing(load: &Load, more: usize) {
-    let before = load.seen();
+async fn wait_for_progress(load: &LoadGenerator, count: usize) {
+    let before = load.report();
     wait_for("answers of both kinds", async || {
-        let seen = load.seen();
-        seen.whole >= before.whole + more && seen.ran >= before.ran + more
+        let report = load.report();
+        report.completions >= before.completions + count
+            && report.bookings >= before.bookings + count
     })
     .await;
 }
 
-/// All routers and agents are restarted in turn, as in an upgrade, while callers are at work.
-/// None of them may see an error, a cut answer or a booking refused.
+/// Restarting all routers and agents in turn must not cause errors or truncated responses.
 #[rstest]
-fn a_rolling_restart_under_load_is_seen_by_nobody() {
+fn a_rolling_restart_under_load_causes_no_errors() {
     block_on(async {
         let mut deployment = start().await;
         let load = load(&deployment);
-        wait_for("all models awake", async || load.seen().whole > 100).await;
-        let cold = load.seen().errors;
+        wait_for("all models to be warm", async || load.report().completions > 100).await;
+        let cold = load.report().errors;
         assert!(cold.is_empty(), "{} errors before any stop: {:?}", cold.len(), cold.first());
-        let names = deployment.running();
-        let ours = names.iter().filter(|n| n.starts_with("router-") || n.starts_with("agent-"));
-        for name in ours {
+        let names = deployment.started_processes();
+        let restarted =
+            names.iter().filter(|n| n.starts_with("router-") || n.starts_with("agent-"));
+        for name in restarted {
             deployment.process(name).signal(Signal::SIGTERM);
-            let began = std::time::Instant::now();
-            wait_for("the end of a planned stop", async || !deployment.process(name).is_running())
-                .await;
-            println!("{name} stopped in {:?}", began.elapsed());
-            assert_eq!(deployment.process(name).wait(STOP_LIMIT), Some(0), "{name}");
-            deployment.run(name);
+            let started_at = std::time::Instant::now();
+            wait_for("the end of a graceful shutdown", async || {
+                !deployment.process(name).is_running()
+            })
+            .await;
+            println!("{name} stopped in {:?}", started_at.elapsed());
+            assert_eq!(deployment.process(name).wait(SHUTDOWN_TIMEOUT), Some(0), "{name}");
+            deployment.start_process(name);
             if name.starts_with("router-") {
                 deployment.wait_for_answer(name, "/readyz").await;
             }
-            flowing(&load, 20).await;
+            wait_for_progress(&load, 20).await;
         }
-        let seen = load.finish().await;
-        println!("{} answers whole, {} bookings ran", seen.whole, seen.ran);
-        let errors = &seen.errors;
+        let report = load.finish().await;
+        println!("{} complete answers, {} bookings executed", report.completions, report.bookings);
+        let errors = &report.errors;
         assert!(
             errors.is_empty(),
             "{} errors: {:#?}",
@@ -74,10 +79,9 @@
     });
 }
 
-/// A router is told to stop while a caller reads a long answer slowly. The caller still gets it
-/// to the end, and the router ends after that, not before.
+/// A router that shuts down must finish its open streams before it exits.
 #[rstest]
-fn a_router_ends_only_when_its_last_answer_was_read() {
+fn a_router_finishes_its_streams_before_exiting() {
     block_on(async {
         let mut deployment = start().await;
         let body = json!({ "model": "design-13b", "prompt": "stripes", "max_tokens": 400,
@@ -90,7 +94,7 @@
             answer.is_some()
         })
         .await;
-        let mut parts = answer.expect("it has begun").bytes_stream();
+        let mut parts = answer.expect("the stream was opened").bytes_stream();
         let mut text = String::new();
         deployment.process("router-0").signal(Signal::SIGTERM);
         wait_for("not ready", async || {
@@ -103,34 +107,33 @@
         }
         assert!(text.contains("[DONE]"), "cut after {} bytes", text.len());
         assert_eq!(text.matches("\nid: ").count() + 1, 400);
-        assert_eq!(deployment.process("router-0").wait(STOP_LIMIT), Some(0));
+        assert_eq!(deployment.process("router-0").wait(SHUTDOWN_TIMEOUT), Some(0));
     });
 }
 
-/// Somebody cannot wait and signals a second time. The process ends at once, and its log says
-/// how many requests that cut; their callers see an answer without its end.
+/// A second signal must end the process at once and log the number of aborted requests.
 #[rstest]
 #[case::router("router-0")]
 #[case::agent("agent-service-0")]
-fn a_second_signal_ends_at_once_and_says_what_it_cut(#[case] name: &str) {
+fn a_second_signal_exits_at_once_and_logs_aborted_requests(#[case] name: &str) {
     block_on(async {
         let plan = Plan { engines: 2, ..Plan::default() };
         let mut deployment = Deployment::start(plan).await;
-        deployment.fault("service-0", &json!({ "after_ms": 20_000 })).await;
+        deployment.inject_fault("service-0", &json!({ "after_ms": 20_000 })).await;
         let booking = testbed::booking::Booking::new("b-1", 15_000);
         let url = deployment.url("router-0", "/services/agenda/bookings");
         let http = deployment.http.clone();
-        let asked = tokio::spawn(async move { booking.send(&http, url).await });
-        wait_for("the booking runs", async || deployment.ran("b-1").await == 1).await;
+        let pending = tokio::spawn(async move { booking.send(&http, url).await });
+        wait_for("the booking runs", async || deployment.execution_count("b-1").await == 1).await;
         deployment.process(name).signal(Signal::SIGTERM);
-        wait_for("the second signal is heard", async || {
+        wait_for("the second signal to take effect", async || {
             deployment.process(name).signal(Signal::SIGTERM);
             !deployment.process(name).is_running()
         })
         .await;
-        assert_ne!(deployment.process(name).wait(STOP_LIMIT), Some(0));
+        assert_ne!(deployment.process(name).wait(SHUTDOWN_TIMEOUT), Some(0));
         assert!(deployment.log_of(name).contains("\"cut\":1"), "{}", deployment.log_of(name));
-        if let Some(answer) = asked.await.expect("the task ends") {
+        if let Some(answer) = pending.await.expect("the task ends") {
             assert_eq!(answer.outcome, "unknown", "{answer:?}");
         }
     });
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -1,4 +1,4 @@
-//! One process under measure, with the platform's stand-ins and its peers emulated.
+//! Measures one process against platform stand-ins and emulated peers.
 
 use crate::{emulate, forward, process, size};
 use corianderstand_control::source;
@@ -19,54 +19,52 @@
 };
 use testbed::{
     plan::{AUTH_KEY, OPERATOR_KEY, hash},
-    process::{PATIENCE, Process, free_addresses},
+    process::{Process, STATE_TIMEOUT, free_addresses},
 };
 use tokio::time;
 
-/// Records in one append while the state is built up.
-const PACK: usize = 256;
-/// Time over which a steady state is measured.
-pub const WINDOW: Duration = Duration::from_secs(4);
-/// How long nothing may change before a state counts as steady.
-const STEADY: Duration = Duration::from_secs(1);
-/// Longest wait of one read of the log.
-pub const POLL: Duration = Duration::from_secs(1);
+/// Records per append to the log.
+const APPEND_BATCH: usize = 256;
+pub const MEASUREMENT_WINDOW: Duration = Duration::from_secs(4);
+/// Time without a change after which a state counts as steady.
+const STEADY_TIME: Duration = Duration::from_secs(1);
+/// Maximum wait of a long-polling read of the log.
+pub const LOG_POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// What a process spends in a steady state.
+/// Resource usage of a process in a steady state.
 #[derives(wire)]
 #[derive(Copy, Default)]
 pub struct NodeCost {
-    /// Bytes a second to and from the log.
+    /// Bytes per second to and from the log.
     pub log_bytes: f64,
-    /// Bytes a second to and from the host list.
+    /// Bytes per second to and from the host list.
     pub hosts_bytes: f64,
-    /// Bytes a second to and from agents or routers.
+    /// Bytes per second to and from agents or routers.
     pub link_bytes: f64,
     /// Connections to agents or from routers.
     pub connections: f64,
-    /// Processor time, in percent of a core.
+    /// CPU time, in percent of a core.
     pub cpu_percent: f64,
-    /// Resident memory, in KiB.
     pub resident_kib: f64,
-    /// Time from its start until it was ready, in milliseconds.
+    /// Time from start to readiness, in milliseconds.
     pub start_ms: f64,
 }
 
 impl NodeCost {
-    /// All bytes a second.
-    pub fn bytes(&self) -> f64 {
+    /// Total traffic, in bytes per second.
+    pub fn bytes_per_s(&self) -> f64 {
         self.log_bytes + self.hosts_bytes + self.link_bytes
     }
 }
 
-/// The log and the host list, each behind a counting forwarder.
+/// Stand-ins for the log and the host list, each behind a counting proxy.
 pub struct Platform {
     dir: PathBuf,
     http: reqwest::Client,
     log: HttpLog,
     hosts: String,
-    log_count: Arc<forward::Count>,
-    hosts_count: Arc<forward::Count>,
+    log_counter: Arc<forward::ByteCounter>,
+    hosts_counter: Arc<forward::ByteCounter>,
     log_url: String,
     hosts_url: String,
     processes: Vec<Process>,
@@ -80,32 +78,28 @@
 }
 
 impl Platform {
-    /// Starts both and waits until they answer.
-    ///
-    /// # Panics
-    ///
-    /// Panics if they do not within the limit.
+    /// Starts both stand-ins and waits until they respond.
     pub async fn start() -> Self {
         let dir = std::env::temp_dir().join(format!("capacity-{}", std::process::id()));
-        fs::create_dir_all(&dir).expect("the temporary folder can be written");
+        fs::create_dir_all(&dir).expect("the temporary directory can be created");
         let addresses = free_addresses(2);
         let start = |kind: &str, address: &str| {
             let args = [kind, "--listen", address].map(str::to_owned);
             Process::start(kind, "corianderstand-standins", &args, &dir)
         };
         let processes = vec![start("log", &addresses[0]), start("hosts", &addresses[1])];
-        let (log_count, hosts_count) = (Arc::default(), Arc::default());
-        let log_near = forward::start(addresses[0].clone(), Arc::clone(&log_count)).await;
-        let hosts_near = forward::start(addresses[1].clone(), Arc::clone(&hosts_count)).await;
+        let (log_counter, hosts_counter) = (Arc::default(), Arc::default());
+        let log_proxy = forward::start(addresses[0].clone(), Arc::clone(&log_counter)).await;
+        let hosts_proxy = forward::start(addresses[1].clone(), Arc::clone(&hosts_counter)).await;
         let platform = Self {
             dir,
-            http: reqwest::Client::builder().no_proxy().build().expect("a plain client"),
-            log: HttpLog::new(&format!("http://{}", addresses[0]), POLL),
+            http: reqwest::Client::builder().no_proxy().build().expect("the client can be built"),
+            log: HttpLog::new(&format!("http://{}", addresses[0]), LOG_POLL_WAIT),
             hosts: format!("http://{}/hosts", addresses[1]),
-            log_count,
-            hosts_count,
-            log_url: format!("http://{log_near}"),
-            hosts_url: format!("http://{hosts_near}"),
+            log_counter,
+            hosts_counter,
+            log_url: format!("http://{log_proxy}"),
+            hosts_url: format!("http://{hosts_proxy}"),
             processes,
         };
         platform.wait_for(&format!("http://{}/counters", addresses[0])).await;
@@ -113,48 +107,41 @@
         platform
     }
 
-    /// Waits until a URL answers with success.
+    /// Polls a URL until it returns a success status.
     ///
     /// # Panics
     ///
-    /// Panics if it does not within the limit.
+    /// Panics if the wait limit passes first.
     pub async fn wait_for(&self, url: &str) {
         let began = Instant::now();
         while !self.http.get(url).send().await.is_ok_and(|a| a.status().is_success()) {
-            assert!(began.elapsed() < PATIENCE, "{url} does not answer");
+            assert!(began.elapsed() < STATE_TIMEOUT, "{url} did not respond in time");
             time::sleep(Duration::from_millis(5)).await;
         }
     }
 
     /// Appends records to the log.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the log does not take them.
     pub async fn append(&self, records: &[Record]) {
-        for pack in records.chunks(PACK) {
-            let data = pack.iter().map(|r| postcard::to_stdvec(r).expect("plain data"));
-            self.log.append(data.collect()).await.expect("the log takes records");
+        for batch in records.chunks(APPEND_BATCH) {
+            let data =
+                batch.iter().map(|r| postcard::to_stdvec(r).expect("records can be serialized"));
+            self.log.append(data.collect()).await.expect("the log accepts records");
         }
     }
 
-    /// Lists so many hosts.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the host list does not take them.
+    /// Replaces the host list by `count` live hosts.
     pub async fn list_hosts(&self, count: usize) {
         let entry = |i: usize| HostEntry {
             host: names::HostId(format_smolstr!("host-{i:03}")),
-            place: names::AvailabilityZoneId(format_smolstr!("place-{}", i % 4)),
+            availability_zone: names::AvailabilityZoneId(format_smolstr!("place-{}", i % 4)),
             state: HostState::Live,
         };
         let hosts: Vec<HostEntry> = (0..count).map(entry).collect();
-        let put = self.http.put(&self.hosts).json(&hosts).send().await;
-        put.expect("the host list answers");
+        let response = self.http.put(&self.hosts).json(&hosts).send().await;
+        response.expect("the host list responds");
     }
 
-    fn common(&self, name: &str, listen: &str) -> Value {
+    fn common_settings(&self, name: &str, listen: &str) -> Value {
         json!({
             "name": name,
             "host": "host-000",
@@ -162,41 +149,40 @@
             "listen": listen,
             "log_url": self.log_url,
             "host_list_url": self.hosts_url,
-            "timing": { "log_poll_ms": POLL.as_millis() as u64 },
+            "timing": { "log_poll_ms": LOG_POLL_WAIT.as_millis() as u64 },
         })
     }
 
-    fn run(&self, name: &str, role: &str, settings: &Value) -> Process {
+    fn start_process(&self, name: &str, role: &str, settings: &Value) -> Process {
         let path = self.dir.join(format!("{name}.json"));
-        fs::write(&path, settings.to_string()).expect("the temporary folder can be written");
+        fs::write(&path, settings.to_string()).expect("the temporary directory is writable");
         let args = [role.to_owned(), path.display().to_string()];
         Process::start(name, "corianderstand", &args, &self.dir)
     }
 
-    /// Starts a router and waits until it is ready; the process, its address, and how long it
-    /// took.
+    /// Starts a router and returns its process, its address and the time until it was ready.
     pub async fn router(&self, name: &str) -> (Process, String, Duration) {
         let listen = free_addresses(1).remove(0);
-        let mut settings = self.common(name, &listen);
+        let mut settings = self.common_settings(name, &listen);
         settings["auth_key"] = json!(AUTH_KEY);
         settings["operator_key_hash"] = json!(hash(OPERATOR_KEY));
         let began = Instant::now();
-        let process = self.run(name, "router", &settings);
+        let process = self.start_process(name, "router", &settings);
         self.wait_for(&format!("http://{listen}/readyz")).await;
         (process, listen, began.elapsed())
     }
 
-    /// Starts an agent of an engine at `engine`; the process and its address.
+    /// Starts an agent for the engine at `engine` and returns its process and its address.
     pub async fn agent(&self, name: &str, engine: &str) -> (Process, String) {
         let listen = free_addresses(1).remove(0);
-        let mut settings = self.common(name, &listen);
+        let mut settings = self.common_settings(name, &listen);
         let kind = json!({ "engine": { "memory_mib": 640_000, "checks_fencing": false } });
         settings["target"] = json!({ "url": engine, "kind": kind });
-        let process = self.run(name, "agent", &settings);
+        let process = self.start_process(name, "agent", &settings);
         (process, listen)
     }
 
-    /// Starts an engine stand-in; the process and its URL.
+    /// Starts an engine stand-in and returns its process and its URL.
     pub async fn engine(&self, options: &[&str]) -> (Process, String) {
         let listen = free_addresses(1).remove(0);
         let mut args = vec!["engine".to_owned(), "--listen".into(), listen.clone()];
@@ -206,29 +192,29 @@
         (process, format!("http://{listen}"))
     }
 
-    /// What a process spends over the window.
-    pub async fn measure(&self, process: &Process, link: &forward::Count) -> NodeCost {
+    /// Measures a process over [`MEASUREMENT_WINDOW`].
+    pub async fn measure(&self, process: &Process, link: &forward::ByteCounter) -> NodeCost {
         let pid = process.pid();
-        let before = (self.log_count.total(), self.hosts_count.total(), link.total());
-        let (cpu, began) = (process::cpu(pid), Instant::now());
-        time::sleep(WINDOW).await;
+        let before = (self.log_counter.total(), self.hosts_counter.total(), link.total());
+        let (cpu, began) = (process::cpu_time(pid), Instant::now());
+        time::sleep(MEASUREMENT_WINDOW).await;
         let seconds = began.elapsed().as_secs_f64();
         let rate = |now: u64, then: u64| (now - then) as f64 / seconds;
         NodeCost {
-            log_bytes: rate(self.log_count.total(), before.0),
-            hosts_bytes: rate(self.hosts_count.total(), before.1),
+            log_bytes: rate(self.log_counter.total(), before.0),
+            hosts_bytes: rate(self.hosts_counter.total(), before.1),
             link_bytes: rate(link.total(), before.2),
-            cpu_percent: (process::cpu(pid) - cpu).as_secs_f64() / seconds * 100.0,
+            cpu_percent: (process::cpu_time(pid) - cpu).as_secs_f64() / seconds * 100.0,
             resident_kib: process::resident_kib(pid) as f64,
             ..NodeCost::default()
         }
     }
 }
 
-/// Waits until a number has not changed for a while.
-pub async fn steady(read: impl Fn() -> usize) {
+/// Waits until a value has not changed for [`STEADY_TIME`].
+pub async fn wait_until_steady(read: impl Fn() -> usize) {
     let (mut last, mut since) = (read(), Instant::now());
-    while since.elapsed() < STEADY {
+    while since.elapsed() < STEADY_TIME {
         time::sleep(Duration::from_millis(50)).await;
         let now = read();
         if now != last {
@@ -237,22 +223,23 @@
     }
 }
 
-/// A router at a part of the size, in percent: its state, and as many emulated agents.
+/// Measures a router with the state and the emulated agents of a deployment at `percent` of the
+/// design size.
 pub async fn router(percent: usize) -> NodeCost {
     let size = size::DESIGN.percent(percent);
     let platform = Platform::start().await;
     let agents = emulate::Agents::start(size.targets).await;
     platform.append(&size::records(size, |i| agents.addresses[i].clone())).await;
     platform.list_hosts(size.writers).await;
-    let (process, _, took) = platform.router("router-0").await;
+    let (process, _, startup) = platform.router("router-0").await;
     let connected = agents.connected.clone();
-    steady(|| connected.load(Ordering::Relaxed)).await;
-    let cost = platform.measure(&process, &agents.count).await;
+    wait_until_steady(|| connected.load(Ordering::Relaxed)).await;
+    let cost = platform.measure(&process, &agents.counter).await;
     let connections = connected.load(Ordering::Relaxed) as f64;
-    NodeCost { connections, start_ms: took.as_secs_f64() * 1e3, ..cost }
+    NodeCost { connections, start_ms: startup.as_secs_f64() * 1e3, ..cost }
 }
 
-/// An agent at a part of the size, with connections from `routers` emulated routers.
+/// Measures an agent with connections from `routers` emulated routers.
 pub async fn agent(percent: usize, routers: usize, heartbeat: Duration) -> NodeCost {
     let size = size::DESIGN.percent(percent);
     let platform = Platform::start().await;
@@ -261,17 +248,18 @@
     let (_engine, url) = platform.engine(&[]).await;
     let (process, listen) = platform.agent("engine-000", &url).await;
     let began = Instant::now();
-    while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < PATIENCE {
+    while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < STATE_TIMEOUT
+    {
         time::sleep(Duration::from_millis(20)).await;
     }
-    let count = Arc::default();
-    emulate::routers(&listen, routers, heartbeat, &count);
-    steady(|| 0).await;
-    let cost = platform.measure(&process, &count).await;
+    let counter = Arc::default();
+    emulate::routers(&listen, routers, heartbeat, &counter);
+    wait_until_steady(|| 0).await;
+    let cost = platform.measure(&process, &counter).await;
     NodeCost { connections: routers as f64, ..cost }
 }
 
-/// The lease holder as a relay of the log to so many emulated followers, at full size.
+/// Measures the lease holder as relay of the log to emulated followers, at the design size.
 pub async fn relay(followers: usize) -> NodeCost {
     let size = size::DESIGN;
     let platform = Platform::start().await;
@@ -279,11 +267,11 @@
     platform.append(&records).await;
     platform.list_hosts(size.writers).await;
     let (process, listen, _) = platform.router("router-0").await;
-    let count: Arc<forward::Count> = Arc::default();
-    let near = forward::start(listen, count.clone()).await;
-    let base = format!("http://{near}/internal");
-    emulate::followers(&base, followers, records.len() as u64 + 1, source::PEER_WAIT);
-    steady(|| 0).await;
-    let cost = platform.measure(&process, &count).await;
+    let counter: Arc<forward::ByteCounter> = Arc::default();
+    let proxy = forward::start(listen, counter.clone()).await;
+    let base = format!("http://{proxy}/internal");
+    emulate::followers(&base, followers, records.len() as u64 + 1, source::RELAY_WAIT);
+    wait_until_steady(|| 0).await;
+    let cost = platform.measure(&process, &counter).await;
     NodeCost { connections: followers as f64, ..cost }
 }
--- a/tools/measure/src/main.rs
+++ b/tools/measure/src/main.rs
@@ -1,13 +1,13 @@
-//! Maintainers' measurements.
+//! Offline measurements for maintainers.
 //!
-//! `measure traces DIR` writes the committed traces; `measure compare [NAME…]` replays generated
-//! ones in all ways; `measure curve FILE.svg` draws tail against idle hours; `measure cost`
-//! times one decision as targets and adapters grow.
+//! `measure traces DIR` writes the committed traces, `measure compare [NAME…]` replays generated
+//! traces under all strategies, `measure curve FILE.svg` draws cold-start latency against idle
+//! hours, and `measure cost` times one scheduling decision.
 
 mod cost;
 mod curve;
 
-use corianderstand_replay::{generate, replay, report::Report, trace::Trace, ways::Way};
+use corianderstand_replay::{generate, replay, report::Report, strategies::Strategy, trace::Trace};
 use std::{env, fs, path::Path, process::ExitCode};
 
 fn main() -> ExitCode {
@@ -29,7 +29,7 @@
 fn traces(dir: &Path) {
     for trace in generate::committed() {
         let path = dir.join(format!("{}.jsonl", trace.header.trace));
-        fs::write(&path, trace.text()).expect("the directory can be written");
+        fs::write(&path, trace.text()).expect("the directory is writable");
         println!("{} {} lines", path.display(), trace.lines.len());
     }
 }
@@ -43,12 +43,17 @@
         generate::flood(1),
     ];
     let all: Vec<Trace> = generate::committed().into_iter().chain(others).collect();
-    let wanted = |trace: &&Trace| names.is_empty() || names.contains(&trace.header.trace.as_str());
-    for trace in all.iter().filter(wanted) {
-        let outcomes: Vec<_> = Way::all().iter().map(|way| replay::run(trace, way)).collect();
+    let selected =
+        |trace: &&Trace| names.is_empty() || names.contains(&trace.header.trace.as_str());
+    for trace in all.iter().filter(selected) {
+        let outcomes: Vec<_> =
+            Strategy::all().iter().map(|strategy| replay::run(trace, strategy)).collect();
         for outcome in &outcomes {
-            if !outcome.share_back_ms.is_empty() {
-                println!("{}: longest below share {:?}", outcome.way, outcome.share_back_ms);
+            if !outcome.longest_share_deficit_ms.is_empty() {
+                println!(
+                    "{}: longest below share {:?}",
+                    outcome.strategy, outcome.longest_share_deficit_ms
+                );
             }
         }
         println!("{}", Report::new(trace, outcomes).table());
--- /dev/null
+++ b/tools/soak/src/cluster.rs
@@ -0,0 +1,268 @@
+//! A small cluster: real routers and agents, and stand-ins for the platform.
+
+use crate::proxy;
+use corianderstand_platform_standins::{
+    ledger::Ledger,
+    settings,
+    store::Store,
+    target::{ENTRIES_TOPIC, HEALTH_PATH, Target, TargetSpec},
+};
+use serde_json::json;
+use std::{
+    net::{IpAddr, Ipv4Addr, SocketAddr},
+    path::{Path, PathBuf},
+    time::{Duration, SystemTime, UNIX_EPOCH},
+};
+use testbed::process::Process;
+
+/// `Host` header of callers.
+pub const HOST: &str = "soak.example";
+/// Names of the models; [`MODELS_PER_ENGINE`] fit on an engine.
+pub const MODELS: [&str; 5] = ["m0", "m1", "m2", "m3", "m4"];
+const MODELS_PER_ENGINE: usize = 2;
+const STORE_PORT: u16 = 8_142;
+const TARGET_PORT: u16 = 8_145;
+const PROXY_PORT: u16 = 8_245;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+
+#[derive(Clone, Copy, Debug)]
+pub struct ClusterSize {
+    pub routers: usize,
+    pub engines: usize,
+    /// Number of targets of the plain service.
+    pub service_targets: usize,
+}
+
+/// A router or agent process that can be restarted.
+#[derive(Debug)]
+pub struct ManagedProcess {
+    pub name: String,
+    /// IP address, used by this process alone.
+    pub ip: IpAddr,
+    /// Proxy between the process and the store.
+    pub store: proxy::Proxy,
+    pub process: Option<Process>,
+    role: &'static str,
+    config: PathBuf,
+    logs: PathBuf,
+}
+
+impl ManagedProcess {
+    pub fn start(&mut self) {
+        let args = [self.role, "--platform"].map(str::to_owned);
+        let config = ("CORIANDERSTAND_CONFIG", self.config.as_path());
+        let process =
+            Process::start_with(&self.name, "corianderstand", &args, &self.logs, &[config]);
+        self.process = Some(process);
+    }
+}
+
+/// A target with a proxy in front of it.
+#[derive(Debug)]
+pub struct ProxiedTarget {
+    pub target: Target,
+    /// Proxy between routers and the target.
+    pub link: proxy::Proxy,
+    pub starts: u64,
+    name: String,
+}
+
+impl ProxiedTarget {
+    pub async fn start(&mut self) {
+        self.starts += 1;
+        let name = format!("{}-{}", self.name, self.starts);
+        let started_at_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let started_at_ms = started_at_ms.as_millis() as u64;
+        self.target.start(&name, started_at_ms).await.expect("the address is free");
+    }
+}
+
+#[derive(Debug)]
+pub struct Cluster {
+    pub store: Store,
+    pub ledger: Ledger,
+    pub routers: Vec<ManagedProcess>,
+    /// Proxies between callers and routers.
+    pub fronts: Vec<proxy::Proxy>,
+    pub agents: Vec<ManagedProcess>,
+    pub engines: Vec<ProxiedTarget>,
+    pub service_targets: Vec<ProxiedTarget>,
+    version: u64,
+    _store_listener: corianderstand_platform_standins::serve::ListenerHandle,
+}
+
+/// Returns a loopback address derived from the process id, so that parallel runs do not collide.
+fn ip(role: u8, index: usize) -> IpAddr {
+    let pid = std::process::id();
+    let part = |shift: u32| (pid >> shift & 0x7f) as u8;
+    IpAddr::V4(Ipv4Addr::new(
+        127,
+        128 + part(7),
+        part(0) * 2 + role / 128,
+        role % 128 + index as u8,
+    ))
+}
+
+/// Offsets of IP addresses by role; the gaps limit the processes of a role.
+const ROUTER_IP_OFFSET: u8 = 1;
+const AGENT_IP_OFFSET: u8 = 25;
+const SERVICE_IP_OFFSET: u8 = 65;
+const STORE_IP_OFFSET: u8 = 120;
+
+impl Cluster {
+    /// Starts a cluster with logs and settings in `dir`.
+    pub async fn start(size: ClusterSize, dir: &Path) -> Self {
+        let (store, ledger) = (Store::default(), Ledger::default());
+        let store_addr = SocketAddr::new(ip(STORE_IP_OFFSET, 0), STORE_PORT);
+        let store_listener = store.listen(store_addr).await.expect("the address is free");
+        let mut engines = Vec::new();
+        for index in 0..size.engines {
+            // Each engine has three models on disk, so that every model is on some disk.
+            let disk = [0, 1, 2].map(|offset| MODELS[(index + offset) % MODELS.len()]);
+            let ip_addr = ip(AGENT_IP_OFFSET, index);
+            engines.push(
+                start_target(("models", "engine"), index, ip_addr, (&store, &ledger), &disk).await,
+            );
+        }
+        let mut service_targets = Vec::new();
+        for index in 0..size.service_targets {
+            let ip_addr = ip(SERVICE_IP_OFFSET, index);
+            service_targets
+                .push(start_target(("desk", "desk"), index, ip_addr, (&store, &ledger), &[]).await);
+        }
+        let seeds: Vec<_> =
+            (0..size.routers.min(3)).map(|index| ip(ROUTER_IP_OFFSET, index)).collect();
+        let (mut routers, mut fronts, mut agents) = (Vec::new(), Vec::new(), Vec::new());
+        for index in 0..size.routers {
+            let ip_addr = ip(ROUTER_IP_OFFSET, index);
+            let process =
+                start_process(("router", index), ip_addr, store_addr, dir, |name, store| {
+                    settings::router(name, ip_addr, &seeds, store)
+                });
+            routers.push(process.await);
+            let front = settings::front(ip_addr);
+            let proxy_addr = SocketAddr::new(ip_addr, PROXY_PORT + 1);
+            fronts.push(proxy::Proxy::open(proxy_addr, front).await.expect("the address is free"));
+        }
+        for index in 0..size.engines {
+            let ip_addr = ip(AGENT_IP_OFFSET, index);
+            let process =
+                start_process(("agent", index), ip_addr, store_addr, dir, |name, store| {
+                    settings::agent(name, ip_addr, SocketAddr::new(ip_addr, TARGET_PORT), store)
+                });
+            agents.push(process.await);
+        }
+        let mut cluster = Self {
+            store,
+            ledger,
+            routers,
+            fronts,
+            agents,
+            engines,
+            service_targets,
+            version: 0,
+            _store_listener: store_listener,
+        };
+        cluster.configure();
+        cluster.wait_ready().await;
+        cluster
+    }
+
+    /// Writes the next configuration and returns the path prefix of a route unique to it.
+    pub fn configure(&mut self) -> String {
+        self.version += 7;
+        let unique_prefix = format!("/only-{}/", self.version);
+        let route = |prefix: &str, kind: &str, service: &str, resumable: bool| {
+            json!({
+                "name": prefix.trim_matches('/'), "host": HOST, "path_prefix": prefix,
+                "kind": kind, "service": service, "timeout_ms": 8_000, "target_latency_ms": 300,
+                "priority": 1, "max_attempts": 2, "resumable": resumable, "gap_aim_ms": 150,
+            })
+        };
+        let models = MODELS.map(|name| {
+            json!({
+                "name": name, "weights_mb": 100, "load_time_s": 0.3, "disk_s": 0.3, "warm_s": 0.3,
+                "adapters": 0, "adapter_mb": 1,
+            })
+        });
+        let config = json!({
+            "version": self.version,
+            "routes": [
+                route("/look/", "idempotent", "desk", false),
+                route("/pay/", "non_idempotent", "desk", false),
+                route("/chat/", "streaming", "models", true),
+                route("/draft/", "streaming", "models", false),
+                route(&unique_prefix, "idempotent", "desk", false),
+            ],
+            "services": [
+                { "name": "desk", "health_path": HEALTH_PATH, "max_conns": 500 },
+                { "name": "models", "health_path": HEALTH_PATH, "max_conns": 500, "engine": {
+                    "slots": 16, "kv_tokens": 100_000, "models": models,
+                    "weights_mb": 100 * MODELS_PER_ENGINE + 50, "adapter_slots": 1, "loads_per_s": 100,
+                } },
+            ],
+            "limits": { "max_header_bytes": 16_384, "max_body_bytes": 1_048_576,
+                "header_timeout_ms": 3_000, "idle_timeout_ms": 15_000 },
+        });
+        self.store.put("keyed.op", "config", Some(config.to_string().into()));
+        unique_prefix
+    }
+
+    pub fn write_invalid_entry(&self) {
+        self.store.put(ENTRIES_TOPIC, "stranger", Some("{\"service\":7".into()));
+    }
+
+    pub async fn wait_ready(&mut self) {
+        let poll = async {
+            for router in &self.routers {
+                while !crate::callers::is_ready(settings::ready(router.ip)).await {
+                    tokio::time::sleep(Duration::from_millis(50)).await;
+                }
+            }
+        };
+        tokio::time::timeout(READY_TIMEOUT, poll).await.expect("all routers become ready");
+    }
+}
+
+async fn start_target(
+    (service, name): (&str, &str),
+    index: usize,
+    ip_addr: IpAddr,
+    (store, ledger): (&Store, &Ledger),
+    disk: &[&str],
+) -> ProxiedTarget {
+    let addr = SocketAddr::new(ip_addr, TARGET_PORT);
+    let link = proxy::Proxy::open(SocketAddr::new(ip_addr, PROXY_PORT), addr).await;
+    let link = link.expect("the address is free");
+    let is_engine = service == "models";
+    let spec = TargetSpec {
+        service: service.into(),
+        addr,
+        advertised_addr: link.addr,
+        slots: 16,
+        model_capacity: is_engine.then_some(MODELS_PER_ENGINE),
+    };
+    let target = Target::new(spec, store.clone(), ledger.clone(), disk);
+    let mut target = ProxiedTarget { target, link, starts: 0, name: format!("{name}-{index}") };
+    target.start().await;
+    target
+}
+
+async fn start_process(
+    (role, index): (&'static str, usize),
+    ip_addr: IpAddr,
+    store: SocketAddr,
+    dir: &Path,
+    settings: impl FnOnce(&str, SocketAddr) -> String,
+) -> ManagedProcess {
+    let name = format!("{role}-{index}");
+    let proxy_addr = SocketAddr::new(ip_addr, PROXY_PORT + 2);
+    let store = proxy::Proxy::open(proxy_addr, store).await.expect("the address is free");
+    let config = dir.join(format!("{name}.conf"));
+    std::fs::write(&config, settings(&name, store.addr)).expect("the folder can be written");
+    let logs = dir.to_owned();
+    let mut process =
+        ManagedProcess { name, ip: ip_addr, store, process: None, role, config, logs };
+    process.start();
+    process
+}
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -1,8 +1,8 @@
-//! A running deployment.
+//! A deployment of real processes on loopback.
 
 use crate::{
     plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash},
-    process::{PATIENCE, Process, free_addresses},
+    process::{Process, STATE_TIMEOUT, free_addresses},
 };
 use serde_json::{Value, json};
 use std::{
@@ -14,46 +14,40 @@
 };
 use tokio::time;
 
-/// Availability zones that hosts are spread over.
-const PLACES: [&str; 3] = ["conce", "talca-hall", "losangeles"];
+const AVAILABILITY_ZONES: [&str; 3] = ["conce", "talca-hall", "losangeles"];
 
-/// How a process is started, so that it can be started again.
 #[derive(Clone, Debug)]
-struct Recipe {
+struct LaunchSpec {
     program: &'static str,
     args: Vec<String>,
 }
 
-/// All processes of a deployment; dropping it ends them.
+/// The processes of a deployment; dropping it kills them.
 #[derive(Debug)]
 pub struct Deployment {
-    /// What was asked for.
+    /// The plan it was started from.
     pub plan: Plan,
-    /// Addresses by process name.
+    /// Listen addresses by process name.
     pub addresses: BTreeMap<String, String>,
-    /// Folder of settings and logs.
+    /// Directory of settings and logs.
     pub dir: PathBuf,
-    /// An HTTP client.
+    /// Shared HTTP client.
     pub http: reqwest::Client,
     processes: BTreeMap<String, Process>,
-    recipes: BTreeMap<String, Recipe>,
-    keep: bool,
+    launch_specs: BTreeMap<String, LaunchSpec>,
+    keep_files: bool,
 }
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_DEPLOYMENT: AtomicU32 = AtomicU32::new(0);
 
-fn temporary_folder() -> PathBuf {
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+fn temporary_dir() -> PathBuf {
+    let number = NEXT_DEPLOYMENT.fetch_add(1, Ordering::Relaxed);
     let name = format!("corianderstand-{}-{number}", std::process::id());
     std::env::temp_dir().join(name)
 }
 
 impl Deployment {
-    /// Starts everything, applies the settings and waits until routers are ready.
-    ///
-    /// # Panics
-    ///
-    /// Panics if a state is not reached within the limit.
+    /// Starts all processes, applies the settings and waits until the routers are ready.
     pub async fn start(plan: Plan) -> Self {
         let mut deployment = Self::prepare(plan);
         deployment.start_platform().await;
@@ -64,63 +58,60 @@
         deployment
     }
 
-    /// Chooses addresses and writes settings, without starting anything.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the temporary folder cannot be written.
+    /// Allocates addresses and writes process settings without starting anything.
     pub fn prepare(plan: Plan) -> Self {
-        let dir = temporary_folder();
+        let dir = temporary_dir();
         fs::create_dir_all(&dir).expect("the temporary folder can be written");
         let http = reqwest::Client::builder().no_proxy().build().expect("a plain client");
-        let names = names(&plan);
+        let names = process_names(&plan);
         let addresses = names.iter().cloned().zip(free_addresses(names.len())).collect();
-        let (processes, recipes) = Default::default();
-        let mut deployment = Self { plan, addresses, dir, http, processes, recipes, keep: false };
-        deployment.write_recipes();
+        let (processes, launch_specs) = Default::default();
+        let mut deployment =
+            Self { plan, addresses, dir, http, processes, launch_specs, keep_files: false };
+        deployment.define_processes();
         deployment
     }
 
-    /// Address of a process.
+    /// Listen address of a process.
     pub fn address(&self, name: &str) -> &str {
         &self.addresses[name]
     }
 
-    /// URL of a path at a process.
+    /// URL of a path served by a process.
     pub fn url(&self, name: &str, path: &str) -> String {
         format!("http://{}{path}", self.address(name))
     }
 
-    fn write_recipes(&mut self) {
-        self.standin("log", "log", self.plan.log_options.clone());
-        self.standin("hosts", "hosts", self.plan.hosts_options.clone());
-        self.standin("weights", "weights", vec!["--rate".into(), "50".into()]);
+    fn define_processes(&mut self) {
+        self.define_standin("log", "log", self.plan.log_options.clone());
+        self.define_standin("hosts", "hosts", self.plan.hosts_options.clone());
+        self.define_standin("weights", "weights", vec!["--rate".into(), "50".into()]);
         for i in 0..self.plan.engines {
-            self.standin(&format!("engine-{i}"), "engine", self.plan.engine_options.clone());
+            self.define_standin(&format!("engine-{i}"), "engine", self.plan.engine_options.clone());
             let kind = json!({ "engine": { "memory_mib": 80000, "checks_fencing": false } });
-            self.agent_recipe(&format!("engine-{i}"), i, &kind);
+            self.define_agent(&format!("engine-{i}"), i, &kind);
         }
         for i in 0..self.plan.services {
-            self.standin(&format!("service-{i}"), "service", vec![]);
+            self.define_standin(&format!("service-{i}"), "service", vec![]);
             let kind = json!({ "service": { "service": "agenda" } });
-            self.agent_recipe(&format!("service-{i}"), i, &kind);
+            self.define_agent(&format!("service-{i}"), i, &kind);
         }
         for i in 0..self.plan.routers {
-            self.router_recipe(i);
+            self.define_router(i);
         }
     }
 
-    fn recipe(&mut self, name: &str, program: &'static str, args: Vec<String>) {
-        self.recipes.insert(name.to_owned(), Recipe { program, args });
+    fn define_process(&mut self, name: &str, program: &'static str, args: Vec<String>) {
+        self.launch_specs.insert(name.to_owned(), LaunchSpec { program, args });
     }
 
-    fn standin(&mut self, name: &str, kind: &str, options: Vec<String>) {
+    fn define_standin(&mut self, name: &str, kind: &str, options: Vec<String>) {
         let mut args = vec![kind.to_owned(), "--listen".into(), self.address(name).to_owned()];
         args.extend(options);
-        self.recipe(name, "corianderstand-standins", args);
+        self.define_process(name, "corianderstand-standins", args);
     }
 
-    fn agent_recipe(&mut self, target: &str, index: usize, kind: &Value) {
+    fn define_agent(&mut self, target: &str, index: usize, kind: &Value) {
         let name = format!("agent-{target}");
         if self.plan.relays {
             let relay = format!("relay-{target}");
@@ -128,7 +119,7 @@
             let args = ["relay", "--listen", self.address(&relay), "--to", self.address(&name)];
             let mut args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
             args.extend(["--control".into(), self.address(&control).to_owned()]);
-            self.recipe(&relay, "corianderstand-standins", args);
+            self.define_process(&relay, "corianderstand-standins", args);
         }
         let advertised = if self.plan.relays {
             json!(self.address(&format!("relay-{target}")))
@@ -138,7 +129,7 @@
         let mut settings = json!({
             "name": target,
             "host": format!("host-{target}"),
-            "place": PLACES[index % PLACES.len()],
+            "place": AVAILABILITY_ZONES[index % AVAILABILITY_ZONES.len()],
             "listen": self.address(&name),
             "log_url": self.url("log", ""),
             "host_list_url": self.url("hosts", ""),
@@ -158,18 +149,18 @@
             settings["peers"] = json!(peers);
             settings["peer_token"] = json!(hash("peer"));
         }
-        let args = vec!["agent".into(), self.write(&name, &settings)];
-        self.recipe(&name, "corianderstand", args);
+        let args = vec!["agent".into(), self.write_config(&name, &settings)];
+        self.define_process(&name, "corianderstand", args);
     }
 
-    fn router_recipe(&mut self, index: usize) {
+    fn define_router(&mut self, index: usize) {
         let name = format!("router-{index}");
         let others = (0..self.plan.routers).filter(|other| *other != index);
         let peers: Vec<_> = others.map(|o| self.address(&format!("router-{o}"))).collect();
         let settings = json!({
             "name": name,
             "host": format!("host-{name}"),
-            "place": PLACES[index % PLACES.len()],
+            "place": AVAILABILITY_ZONES[index % AVAILABILITY_ZONES.len()],
             "listen": self.address(&name),
             "log_url": self.url("log", ""),
             "host_list_url": self.url("hosts", ""),
@@ -180,69 +171,53 @@
             "timing": self.plan.timing,
             "statsd": self.plan.statsd,
         });
-        let args = vec!["router".into(), self.write(&name, &settings)];
-        self.recipe(&name, "corianderstand", args);
+        let args = vec!["router".into(), self.write_config(&name, &settings)];
+        self.define_process(&name, "corianderstand", args);
     }
 
-    fn write(&self, name: &str, settings: &Value) -> String {
+    fn write_config(&self, name: &str, settings: &Value) -> String {
         let path = self.dir.join(format!("{name}.json"));
         fs::write(&path, settings.to_string()).expect("the temporary folder can be written");
         path.display().to_string()
     }
 
-    /// Starts a process by name, again if it has ended.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the plan has no such process.
-    pub fn run(&mut self, name: &str) {
-        let recipe = self.recipes[name].clone();
-        let process = Process::start(name, recipe.program, &recipe.args, &self.dir);
+    /// Starts or restarts a process by name.
+    pub fn start_process(&mut self, name: &str) {
+        let spec = self.launch_specs[name].clone();
+        let process = Process::start(name, spec.program, &spec.args, &self.dir);
         self.processes.insert(name.to_owned(), process);
     }
 
-    /// A running process by name.
-    ///
-    /// # Panics
-    ///
-    /// Panics if it was not started.
+    /// Returns a started process by name.
     pub fn process(&mut self, name: &str) -> &mut Process {
         self.processes.get_mut(name).expect("the process was started")
     }
 
-    /// Names of all processes that were started, in order.
-    pub fn running(&self) -> Vec<String> {
+    /// Names of all started processes, sorted.
+    pub fn started_processes(&self) -> Vec<String> {
         self.processes.keys().cloned().collect()
     }
 
-    /// Starts the platform's stand-ins and lists all hosts as live.
+    /// Starts the platform stand-ins and marks all hosts as live in the host list.
     pub async fn start_platform(&mut self) {
         for name in ["log", "hosts", "weights"] {
-            self.run(name);
+            self.start_process(name);
         }
         self.wait_for_answer("log", "/counters").await;
         self.wait_for_answer("hosts", "/hosts").await;
         self.set_hosts(&[]).await;
     }
 
-    /// Lists all hosts, those in `leaving` as leaving.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the stand-in does not answer.
+    /// Publishes a host list with all hosts; those in `leaving` are marked as leaving.
     pub async fn set_hosts(&self, leaving: &[&str]) {
         self.set_host_list(leaving, &[]).await;
     }
 
-    /// Lists all hosts but those in `missing`, those in `leaving` as leaving.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the stand-in does not answer.
+    /// Publishes a host list without `missing`; hosts in `leaving` are marked as leaving.
     pub async fn set_host_list(&self, leaving: &[&str], missing: &[&str]) {
         let target = |name: &String| name.strip_prefix("agent-").map(str::to_owned);
         let routers = (0..self.plan.routers).map(|i| format!("router-{i}"));
-        let names = self.recipes.keys().filter_map(target).chain(routers);
+        let names = self.launch_specs.keys().filter_map(target).chain(routers);
         let hosts: Vec<Value> = names
             .filter(|name| !missing.contains(&name.as_str()))
             .map(|name| {
@@ -254,34 +229,30 @@
         put.expect("the host list answers");
     }
 
-    /// Starts all targets, their relays and their agents.
+    /// Starts all targets with their relays and agents.
     pub async fn start_targets(&mut self) {
-        let all: Vec<String> = self.recipes.keys().cloned().collect();
+        let all: Vec<String> = self.launch_specs.keys().cloned().collect();
         let is_target = |n: &str| n.starts_with("engine-") || n.starts_with("service-");
         for name in all.iter().filter(|name| is_target(name)) {
-            self.run(name);
+            self.start_process(name);
         }
         for name in all.iter().filter(|name| is_target(name)) {
             let path = if name.starts_with("engine-") { "/loaded" } else { "/counts" };
             self.wait_for_answer(name, path).await;
         }
         for name in all.iter().filter(|n| n.starts_with("agent-") || n.starts_with("relay-")) {
-            self.run(name);
+            self.start_process(name);
         }
     }
 
     /// Starts all routers.
     pub fn start_routers(&mut self) {
         for i in 0..self.plan.routers {
-            self.run(&format!("router-{i}"));
+            self.start_process(&format!("router-{i}"));
         }
     }
 
-    /// Applies the plan's settings through the command line, as an operator would.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the command fails.
+    /// Applies the plan's settings with the operator's command line.
     pub async fn apply_plan(&mut self) {
         self.wait_for_answer("router-0", "/readyz").await;
         let settings = self.settings_folder();
@@ -289,11 +260,7 @@
         assert_eq!(code, Some(0), "apply: {output}");
     }
 
-    /// Writes the plan's documents as an operator keeps them; the folder.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the temporary folder cannot be written.
+    /// Writes the plan's documents as an operator's settings folder and returns its path.
     pub fn settings_folder(&self) -> PathBuf {
         let root = self.dir.join("settings");
         for (path, value) in &self.plan.documents {
@@ -305,36 +272,25 @@
         root
     }
 
-    /// Runs an operator's command against the first router; its exit code and output.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the binary has not been built.
+    /// Runs an operator command against the first router; returns exit code and output.
     pub fn command(&self, args: &[&str]) -> (Option<i32>, String) {
         self.command_at("router-0", args)
     }
 
-    /// Runs an operator's command against a router; its exit code and output.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the binary has not been built.
+    /// Runs an operator command against a router; returns exit code and output.
     pub fn command_at(&self, router: &str, args: &[&str]) -> (Option<i32>, String) {
-        let output = std::process::Command::new(crate::process::binaries().join("corianderstand"))
-            .args(args)
-            .env("CORIANDERSTAND_ROUTER", self.address(router))
-            .env("CORIANDERSTAND_OPERATOR_KEY", OPERATOR_KEY)
-            .output()
-            .expect("the binary has been built");
+        let output =
+            std::process::Command::new(crate::process::binary_dir().join("corianderstand"))
+                .args(args)
+                .env("CORIANDERSTAND_ROUTER", self.address(router))
+                .env("CORIANDERSTAND_OPERATOR_KEY", OPERATOR_KEY)
+                .output()
+                .expect("the binary has been built");
         let text = [output.stdout, output.stderr].concat();
         (output.status.code(), String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Waits until a path answers with success.
-    ///
-    /// # Panics
-    ///
-    /// Panics if it does not within the limit.
+    /// Waits until a path responds with a success status.
     pub async fn wait_for_answer(&self, name: &str, path: &str) {
         let url = self.url(name, path);
         wait_for(&format!("{name}{path}"), async || {
@@ -344,7 +300,7 @@
         .await;
     }
 
-    /// The deployment's status as a router sees it.
+    /// Status of the deployment as reported by a router, null without a response.
     pub async fn status(&self, router: &str) -> Value {
         let url = self.url(router, "/operator/status?own=true");
         let answer = self.http.get(url).bearer_auth(OPERATOR_KEY).send().await;
@@ -354,13 +310,9 @@
         }
     }
 
-    /// Waits until every router knows as many slots as the settings ask for, and is ready.
-    ///
-    /// # Panics
-    ///
-    /// Panics if they do not within the limit.
+    /// Waits until every router is ready and reports all configured replica slots.
     pub async fn wait_for_slots(&self) {
-        let wanted: u64 = self
+        let expected: u64 = self
             .plan
             .documents
             .iter()
@@ -371,55 +323,43 @@
             let name = format!("router-{i}");
             wait_for(&format!("slots at {name}"), async || {
                 let status = self.status(&name).await;
-                status["slots"].as_array().is_some_and(|slots| slots.len() as u64 >= wanted)
+                status["slots"].as_array().is_some_and(|slots| slots.len() as u64 >= expected)
             })
             .await;
             self.wait_for_answer(&name, "/readyz").await;
         }
     }
 
-    /// Tells a stand-in to misbehave.
-    ///
-    /// # Panics
-    ///
-    /// Panics if it does not take the fault.
-    pub async fn fault(&self, name: &str, fault: &Value) {
+    /// Injects a fault into a stand-in; an empty object clears it.
+    pub async fn inject_fault(&self, name: &str, fault: &Value) {
         let control = name.replacen("relay-", "relay-control-", 1);
         let post = self.http.post(self.url(&control, "/fault")).json(fault).send().await;
         let status = post.expect("the stand-in answers").status();
-        assert!(status.is_success(), "{name} does not take {fault}");
+        assert!(status.is_success(), "{name} rejects the fault {fault}");
     }
 
-    /// A stand-in's counters.
-    ///
-    /// # Panics
-    ///
-    /// Panics if it does not answer.
+    /// Counters of a stand-in.
     pub async fn counters(&self, name: &str) -> Value {
         let path = if name.starts_with("service") { "/counts" } else { "/counters" };
         let answer = self.http.get(self.url(name, path)).send().await;
         answer.expect("the stand-in answers").json().await.expect("counters are JSON")
     }
 
-    /// Keeps settings and logs when the deployment ends; their folder.
-    pub fn keep(&mut self) -> &Path {
-        self.keep = true;
+    /// Keeps settings and logs after the deployment is dropped; returns their directory.
+    pub fn keep_files(&mut self) -> &Path {
+        self.keep_files = true;
         &self.dir
     }
 
-    /// What an engine has loaded or is loading: names, in order.
-    ///
-    /// # Panics
-    ///
-    /// Panics if it does not answer.
-    pub async fn loaded(&self, engine: &str) -> Vec<String> {
+    /// Names of the models that an engine has loaded or is loading.
+    pub async fn loaded_models(&self, engine: &str) -> Vec<String> {
         let answer = self.http.get(self.url(engine, "/loaded")).send().await;
         let answer: Value = answer.expect("it answers").json().await.expect("it is JSON");
         let weights = answer.as_array().into_iter().flatten().map(|loaded| &loaded["weights"]);
         weights.map(|w| w["model"].as_str().unwrap_or_default().to_owned()).collect()
     }
 
-    /// What a process has logged.
+    /// Log output of a process.
     pub fn log_of(&self, name: &str) -> String {
         fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap_or_default()
     }
@@ -428,16 +368,15 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         self.processes.clear();
-        // What went wrong is easier to find with the logs at hand.
         if std::thread::panicking() {
             eprintln!("logs are in {}", self.dir.display());
-        } else if !self.keep {
+        } else if !self.keep_files {
             drop(fs::remove_dir_all(&self.dir));
         }
     }
 }
 
-fn names(plan: &Plan) -> Vec<String> {
+fn process_names(plan: &Plan) -> Vec<String> {
     let mut names: Vec<String> = ["log", "hosts", "weights"].map(str::to_owned).into();
     names.extend((0..plan.routers).map(|i| format!("router-{i}")));
     let engines = (0..plan.engines).map(|i| format!("engine-{i}"));
@@ -451,15 +390,11 @@
     names
 }
 
-/// Waits until a condition holds.
-///
-/// # Panics
-///
-/// Panics if it does not within the limit.
-pub async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let began = Instant::now();
+/// Polls a condition until it holds.
+pub async fn wait_for(description: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let started_at = Instant::now();
     while !condition().await {
-        assert!(began.elapsed() < PATIENCE, "not reached: {what}");
+        assert!(started_at.elapsed() < STATE_TIMEOUT, "timed out waiting for: {description}");
         time::sleep(Duration::from_millis(20)).await;
     }
 }
