--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -26,7 +26,6 @@
 /// Capacity in frames of the queue to one router.
 const OUTBOUND_QUEUE_CAPACITY: usize = 1024;
 
-/// State shared by all connections.
 #[derive(Clone)]
 pub struct ConnectionContext {
     pub target: TargetId,
@@ -34,7 +33,6 @@
     pub idle_timeout: Duration,
     pub events: SyncSender<Event>,
     pub load: watch::Receiver<Load>,
-    /// Whether new requests are refused.
     pub draining: watch::Receiver<bool>,
     pub clock: SharedClock,
 }
--- a/crates/corianderstand_agent/src/announce.rs
+++ b/crates/corianderstand_agent/src/announce.rs
@@ -10,16 +10,13 @@
 
 /// Time after which an undecided append is retried.
 pub const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that a graceful shutdown waits for its slots to be released. After it they stay with the
-/// target until its host is gone or the agent starts again.
+/// Time that a graceful shutdown waits for its slots to be released; after it they stay assigned.
 pub const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Announces the target whenever it is missing from the state.
+/// Announces the target whenever it is missing from the state, as after its host was unlisted.
 ///
-/// A host that is missing from the host list for long is removed with its target, even if the
-/// agent still runs. An announcement of a later incarnation is kept, so that two agents don't
-/// keep replacing each other's.
+/// Keeps a later incarnation's announcement, so that two agents don't keep replacing each other's.
 pub async fn keep_announced(
     control: ControlHandle,
     record: TargetRecord,
@@ -44,7 +41,6 @@
     }
 }
 
-/// Appends slot releases to the log.
 pub async fn append_releases(control: ControlHandle, mut releases: watch::Receiver<SlotReleases>) {
     loop {
         let due = releases.borrow_and_update().clone();
--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -25,8 +25,7 @@
 
 /// Time to wait for the log to decide a claim before the request is refused.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that a response waits for its record, so that a retry finds the same outcome even if
-/// this process crashes.
+/// Time that a response waits for its record, which lets a retry find the outcome after a crash.
 const RECORD_WAIT_LIMIT: Duration = Duration::from_secs(1);
 /// Time for which an append is retried while the log is down.
 const RECORD_APPEND_TIMEOUT: Duration = Duration::from_secs(6 * 3600);
@@ -37,7 +36,6 @@
 
 type CallResult = Result<ServiceResponse, Finish>;
 
-/// Runs a call and sends its response.
 pub async fn run(runner: &JobRunner, request: &Request, trace: TraceContext) -> Finish {
     let Operation::Call { service, method, path, idempotency_key, .. } = &request.open.operation
     else {
@@ -247,8 +245,7 @@
     ended(Ending::NotRun { reason: reason.into() })
 }
 
-/// Returns the result of a retry. If the outcome is unknown here, the router waits for it in its
-/// replicated records.
+/// Returns the result of a retry; the router waits in its records for an outcome unknown here.
 fn result_of(status: CallStatus) -> CallResult {
     match status {
         CallStatus::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -40,30 +40,24 @@
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const MS_PER_SECOND: u64 = 1000;
 
-/// State of the `decide` thread.
 pub struct Decider {
     pub agent: Agent,
     pub target: TargetId,
     pub current: CurrentSnapshot,
     pub clock: SharedClock,
     pub jobs: mpsc::UnboundedSender<Job>,
-    /// Load of the target, read by the `link` thread.
     pub load: watch::Sender<Load>,
     /// Whether no request is queued, running or held; a graceful shutdown waits for it.
     pub idle: watch::Sender<bool>,
-    /// Number of requests queued or running.
     pub in_flight: Arc<AtomicUsize>,
     pub requests: HashMap<RequestKey, Request>,
     pub streams: HashMap<(ConnectionId, u64), RequestKey>,
-    /// Arrival times of the queued requests.
     pub queued_at: HashMap<RequestKey, Instant>,
     pub metrics: Metrics,
     /// Whether the ledger has been rebuilt from the engine's loaded weights.
     pub rebuilt: bool,
-    /// Models that may be loaded under the current slots.
     pub loadable_models: BTreeSet<ModelId>,
     pub releaser: SlotReleaser,
-    /// Slots that may be released, read by the `link` thread.
     pub releases: watch::Sender<SlotReleases>,
     pub stopping: bool,
     pub freshness: FreshnessGuard,
@@ -117,8 +111,7 @@
     /// Applies the current slots and releases those that are unwanted and unloaded.
     ///
     /// Does nothing until the log has been read to its end and the engine queried: before that,
-    /// an empty slot table or ledger doesn't mean that the target owns no slots or holds no
-    /// models.
+    /// the slot table and the ledger are incomplete.
     fn refresh_slots(&mut self, snapshot: &Snapshot) {
         if !snapshot.caught_up || !self.rebuilt {
             return;
--- a/crates/corianderstand_agent/src/event.rs
+++ b/crates/corianderstand_agent/src/event.rs
@@ -7,10 +7,9 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, watch};
 
-/// Identifies a connection within this process.
 pub type ConnectionId = u64;
 
-/// Sends the response frames of one stream to its router.
+/// The response side of one stream.
 #[derive(Clone, Debug)]
 pub struct ResponseStream {
     pub connection: ConnectionId,
@@ -28,7 +27,6 @@
     }
 }
 
-/// A request as received from a router.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub open: OpenStream,
@@ -64,7 +62,6 @@
         ledger_version: u64,
         loaded: Option<Vec<(Weights, Mib, bool)>>,
     },
-    /// Accept no new requests.
     Drain,
 }
 
@@ -73,7 +70,6 @@
 pub enum Job {
     Run(RequestKey, Box<Request>),
     Refuse(Box<Request>, ToRouter),
-    /// Query the engine's loaded weights.
     QueryLoaded {
         ledger_version: u64,
     },
--- a/crates/corianderstand_agent/src/freshness.rs
+++ b/crates/corianderstand_agent/src/freshness.rs
@@ -1,13 +1,11 @@
 //! Detects that this process was suspended, after which its view of the slots is stale.
 //!
-//! During a long pause the host may be declared gone and its slots reassigned. A load command
-//! based on the old view could then create an extra replica on an engine that ignores fencing
-//! tokens, so the agent loads nothing until it has read the log again.
+//! The slots may have been reassigned meanwhile, and an engine may ignore fencing tokens, so the
+//! agent loads nothing until it has read the log again.
 
 use std::time::{Duration, Instant};
 
-/// Time between two iterations of the loop that counts as a pause. The loop iterates at least
-/// ten times a second, and slots move after seconds at the earliest.
+/// Time between two iterations of the loop that counts as a pause; slots move later than this.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// Log reads that must succeed after a pause; the response to the first may predate it.
 pub const READS_AFTER_PAUSE: u64 = 2;
--- a/crates/corianderstand_agent/src/held_requests.rs
+++ b/crates/corianderstand_agent/src/held_requests.rs
@@ -1,18 +1,16 @@
 //! Requests that arrive before the log records they were routed by.
 //!
-//! A router may apply a slot assignment some milliseconds before the slot's owner does. Instead
-//! of refusing the router's request as `not_loaded`, the owner holds it until it has applied the
-//! log up to the offset that the router used.
+//! A router may apply a slot assignment before the slot's owner does. The owner holds the request,
+//! instead of refusing it, until it has applied the log up to the router's offset.
 
 use crate::event::ConnectionId;
 use std::time::{Duration, Instant};
 
-/// Maximum time that a request is held. After it the request is submitted, and refused early
-/// enough to be retried elsewhere.
+/// Time after which a held request is submitted; short enough for a retry elsewhere.
 pub const MAX_HOLD_TIME: Duration = Duration::from_millis(1000);
 /// Maximum number of held requests; further requests are submitted immediately.
 pub const MAX_HELD_REQUESTS: usize = 1024;
-/// Interval at which held requests are polled.
+/// Poll interval of the snapshot while requests are held.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug)]
@@ -23,7 +21,7 @@
     request: T,
 }
 
-/// Held requests, in order of arrival.
+/// Requests in order of arrival.
 #[derive(Debug)]
 pub struct HeldRequests<T> {
     held: Vec<HeldRequest<T>>,
--- a/crates/corianderstand_agent/src/reconcile.rs
+++ b/crates/corianderstand_agent/src/reconcile.rs
@@ -1,8 +1,7 @@
 //! Schedules queries of the engine's loaded weights.
 //!
-//! Weights whose command has an unknown outcome count as loaded until the engine is queried, and
-//! an engine that restarted has lost what the ledger counts. The engine is queried with
-//! exponential backoff while an outcome is unknown, and at a fixed interval otherwise.
+//! Queries use exponential backoff while a command's outcome is unknown. Otherwise they run at a
+//! fixed interval, to detect that the engine has restarted.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +14,6 @@
 /// Time after which a query without a response is repeated.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// Decides when the next query is due.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconcileTimer {
     next_at: Instant,
@@ -24,7 +22,6 @@
 }
 
 impl ReconcileTimer {
-    /// Schedules the first query one interval from now, as the engine is queried at startup.
     pub fn new(now: Instant) -> Self {
         Self { next_at: now + RECONCILE_INTERVAL, backoff: INITIAL_BACKOFF, in_progress: false }
     }
--- a/crates/corianderstand_agent/src/release.rs
+++ b/crates/corianderstand_agent/src/release.rs
@@ -1,9 +1,8 @@
 //! Release of replica slots that this target should no longer own.
 //!
-//! A slot is unwanted when the settings lower the replicas or remove the model, when the host
-//! leaves, or when the agent shuts down. It is released in the log only after its model is
-//! unloaded, so that the next owner never creates an extra replica. A released assignment is
-//! never loaded under again, as the release may already be in the log.
+//! A slot is released in the log only after its model is unloaded, so that the next owner never
+//! creates an extra replica. A released assignment is never used again, as the release may already
+//! be in the log.
 
 use corianderstand_state::{
     fold::State,
@@ -16,7 +15,6 @@
 /// Offsets of the assignments to release, by slot.
 pub type SlotReleases = BTreeMap<SlotKey, u64>;
 
-/// Decides which models may be loaded and which slots to release.
 #[derive(Debug, Default)]
 pub struct SlotReleaser {
     pending: SlotReleases,
--- a/crates/corianderstand_agent/src/release/tests.rs
+++ b/crates/corianderstand_agent/src/release/tests.rs
@@ -16,7 +16,7 @@
 }
 
 impl Fixture {
-    /// A target that owns slots 0 and 1 of two models.
+    /// A target that owns slot 1 of `quotes` and slot 0 of `rounds`.
     fn new() -> Self {
         let mut state = State { next: 1, ..State::default() };
         let target = TargetId::from("engine-0");
--- a/crates/corianderstand_agent/src/run.rs
+++ b/crates/corianderstand_agent/src/run.rs
@@ -28,14 +28,13 @@
     time,
 };
 
-/// Client of the target.
 #[derive(Clone)]
 pub enum Target {
     Engine(Arc<dyn Engine>),
     Service(Arc<dyn PlainService>),
 }
 
-/// Runs jobs; cloned for each.
+/// Runs jobs; cloned for each job.
 #[derive(Clone)]
 pub struct JobRunner {
     pub target: Target,
@@ -252,7 +251,6 @@
 
 /// Timeout of the first chunk, which includes the prefill.
 const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
-/// Timeout of each further chunk.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How an engine's response stream ended.
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -81,10 +81,6 @@
 }
 
 /// Starts an agent and returns as soon as its port is bound.
-///
-/// # Errors
-///
-/// See [`AgentError`].
 pub fn start(settings: AgentSettings, clock: SharedClock) -> Result<AgentHandle, AgentError> {
     let listener = bind_listener(&settings.listen)?;
     let incarnation = clock::unix_ms(clock.wall());
@@ -251,7 +247,6 @@
     control.start().map_err(AgentError::Thread)
 }
 
-/// Returns the routers to fetch state from, none without a token.
 fn peers(settings: &AgentSettings) -> Arc<dyn Peers> {
     match &settings.peer_token {
         Some(token) => Arc::new(HttpPeers::new(&settings.peers, token.clone())),
--- a/crates/corianderstand_cli/src/check.rs
+++ b/crates/corianderstand_cli/src/check.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Checks all paths given on the command line.
+/// Runs the command.
 pub fn run(matches: &Matches) -> Exit {
     let faults: Vec<FileFault> =
         matches.free.iter().flat_map(|path| check_path(Path::new(path))).collect();
--- a/crates/corianderstand_cli/src/cross_document.rs
+++ b/crates/corianderstand_cli/src/cross_document.rs
@@ -6,7 +6,6 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Upper limit of the sum of all teams' shares, in thousandths.
 const TOTAL_SHARE: u64 = 1000;
 
 pub type DocumentViolation = (String, Violation);
--- a/crates/corianderstand_cli/src/explain.rs
+++ b/crates/corianderstand_cli/src/explain.rs
@@ -15,7 +15,6 @@
     fields: Map<String, Value>,
 }
 
-/// Lines about the request, and how many lines may be missing.
 #[derive(Default)]
 struct RequestLog {
     lines: Vec<Line>,
@@ -68,8 +67,7 @@
     line.fields.get(name).map(|value| value.as_str().map_or(value.to_string(), str::to_owned))
 }
 
-/// Describes a refusal. A request that matched no route may have been checked against an outdated
-/// configuration, so the age of the router's configuration is shown.
+/// Describes a refusal, with the age of the router's configuration if no route matched.
 fn describe_refusal(end: &Line) -> String {
     let why = text(end, "why").unwrap_or_default();
     let Some(version) = text(end, "config") else { return format!("refused as not run: {why}") };
--- a/crates/corianderstand_cli/src/logging.rs
+++ b/crates/corianderstand_cli/src/logging.rs
@@ -13,7 +13,7 @@
 
 /// Variable with a `tracing` filter.
 pub const LOG_VARIABLE: &str = "CORIANDERSTAND_LOG";
-/// Limit of the buffer; lines beyond it are dropped.
+/// Lines beyond this are dropped.
 const MAX_BUFFERED_BYTES: usize = 512 << 10;
 /// Batches lines to save wake-ups and system calls.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/corianderstand_cli/src/operate.rs
+++ b/crates/corianderstand_cli/src/operate.rs
@@ -23,7 +23,7 @@
     })
 }
 
-/// Versions and values of the documents in force, by path.
+/// Versions and values by path.
 fn documents_in_force(
     client: &Client,
     prefix: &str,
--- a/crates/corianderstand_cli/src/status.rs
+++ b/crates/corianderstand_cli/src/status.rs
@@ -7,7 +7,6 @@
 use std::{thread, time::Duration};
 
 const INTERVAL_MS: u64 = 2000;
-/// Clears the terminal and moves the cursor to its top left corner.
 const CLEAR: &str = "\x1b[2J\x1b[H";
 
 pub fn run(matches: &Matches) -> Exit {
--- a/crates/corianderstand_derives/src/lib.rs
+++ b/crates/corianderstand_derives/src/lib.rs
@@ -16,10 +16,6 @@
 use quote::quote;
 
 /// Adds a named set of derives: `key`, `name`, `data` or `wire`.
-///
-/// # Errors
-///
-/// An unknown set is a compile error that lists the valid ones.
 #[proc_macro_attribute]
 pub fn derives(args: TokenStream, item: TokenStream) -> TokenStream {
     let item = parse_item(item);
--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -133,8 +133,6 @@
 
 impl CacheEvents {
     /// Number of events missing from a batch that was requested from `from`.
-    ///
-    /// After a gap, a mirror of the cache may have stale blocks and lack others.
     pub fn lost(&self, from: u64) -> u64 {
         self.next.saturating_sub(from).saturating_sub(self.events.len() as u64)
     }
--- a/crates/corianderstand_edge/src/http.rs
+++ b/crates/corianderstand_edge/src/http.rs
@@ -75,10 +75,6 @@
     }
 
     /// Sends a request and requires a success status.
-    ///
-    /// # Errors
-    ///
-    /// Returns [`EdgeError::Status`] for any status but 2xx, and the errors of [`Self::send_any`].
     pub async fn send(&self, req: reqwest::RequestBuilder) -> Result<reqwest::Response, EdgeError> {
         let response = self.send_any(req).await?;
         let status = response.status();
@@ -90,10 +86,6 @@
     }
 
     /// Sends a request and accepts any status.
-    ///
-    /// # Errors
-    ///
-    /// Returns [`EdgeError::Unreachable`] if no response arrives.
     pub async fn send_any(
         &self,
         req: reqwest::RequestBuilder,
@@ -102,10 +94,6 @@
     }
 
     /// Sends a request and parses its JSON response.
-    ///
-    /// # Errors
-    ///
-    /// See [`EdgeError`].
     pub async fn json<T: serde::de::DeserializeOwned>(
         &self,
         req: reqwest::RequestBuilder,
@@ -114,8 +102,7 @@
         response.json().await.map_err(|error| self.malformed(&error))
     }
 
-    /// Builds the error for a missing response; its detail is empty if no connection could be
-    /// opened, so that nothing was sent.
+    /// Builds the error for a missing response; its detail is empty if nothing was sent.
     pub fn unreachable(&self, error: &reqwest::Error) -> EdgeError {
         let detail = if error.is_connect() { String::new() } else { error.to_string() };
         EdgeError::Unreachable { system: self.system, url: self.base.clone(), detail }
--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -38,10 +38,6 @@
 }
 
 /// Splits a connection; `idle_timeout` bounds each read and each write.
-///
-/// # Errors
-///
-/// Fails if the socket's options cannot be set.
 pub fn split(stream: TcpStream, idle_timeout: Duration) -> std::io::Result<(Reader, Writer)> {
     stream.set_nodelay(true)?;
     let (read, write) = stream.into_split();
@@ -52,16 +48,11 @@
 }
 
 impl Reader {
-    /// Returns the next message and its body.
+    /// Returns the next message and its body; the peer's heartbeats keep the idle timeout from
+    /// expiring.
     ///
-    /// Detects connections dropped silently on the network path: the peer sends heartbeats, so
-    /// receiving nothing for the idle timeout is an error. The timeout runs from the last received
-    /// bytes, so it survives cancellation of this future and slow transfer of a long frame.
-    ///
-    /// # Errors
-    ///
-    /// [`FrameError::IdleTimeout`] if nothing is received; others if the connection or decoding
-    /// fails.
+    /// The timeout runs from the last received bytes, so it survives cancellation of this future
+    /// and slow transfer of a long frame.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<(T, Bytes), FrameError> {
         loop {
             let deadline = self.last_received_at + self.idle_timeout;
@@ -81,10 +72,6 @@
 
 impl Writer {
     /// Writes frames until the sender is dropped.
-    ///
-    /// # Errors
-    ///
-    /// Fails if the connection fails or a batch is not written within the idle timeout.
     pub async fn run(mut self, mut rx: mpsc::Receiver<Bytes>) -> Result<(), FrameError> {
         let mut frames = Vec::with_capacity(MAX_BATCH_FRAMES);
         while rx.recv_many(&mut frames, MAX_BATCH_FRAMES).await > 0 {
--- a/crates/corianderstand_link/src/frame.rs
+++ b/crates/corianderstand_link/src/frame.rs
@@ -34,10 +34,6 @@
 }
 
 /// Encodes a message and its body into one frame.
-///
-/// # Errors
-///
-/// [`FrameError::Codec`] if the message cannot be serialised.
 pub fn encode<T: Serialize>(message: &T, body: &[u8]) -> Result<Bytes, FrameError> {
     let mut buf = postcard::to_extend(message, Vec::with_capacity(64 + body.len()))?;
     buf.extend_from_slice(body);
@@ -45,10 +41,6 @@
 }
 
 /// Decodes a frame into its message and body.
-///
-/// # Errors
-///
-/// [`FrameError::Codec`] if the frame does not start with a valid message.
 pub fn decode<T: DeserializeOwned>(frame: &Bytes) -> Result<(T, Bytes), FrameError> {
     let (message, rest) = postcard::take_from_bytes::<T>(frame)?;
     let body_start = frame.len() - rest.len();
--- a/crates/corianderstand_link/src/trace.rs
+++ b/crates/corianderstand_link/src/trace.rs
@@ -1,6 +1,4 @@
 //! W3C trace context: one trace across all hops, one span per hop.
-//!
-//! OpenTelemetry's propagator parses and formats the header and keeps the caller's sampling flag.
 
 use corianderstand_derives::derives;
 use opentelemetry::{
--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -7,11 +7,10 @@
 use corianderstand_types::names::ModelId;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Lower bound on the worst load wait that the weight store's rate and concurrency limits impose,
-/// if all models start cold and each is loaded once, on demand.
+/// Lower bound on the worst load wait under the weight store's limits, if all models start cold.
 ///
-/// For every interval between two first calls, the store must have finished all loads requested
-/// in it; the last of them waits at least until then.
+/// For every interval between two first calls, the last load waits until the store has finished
+/// all loads requested in it.
 pub fn store_wait(trace: &Trace) -> Duration {
     let first_calls = first_calls_by_model(trace);
     let store = trace.header.store;
@@ -49,8 +48,7 @@
 
 /// Minimum idle accelerator hours for a number of cold wakes, with all calls known ahead.
 ///
-/// Keeps one replica of each model, and unloads it over the longest gaps between calls as often as
-/// `cold` allows.
+/// Unloads the one replica of each model over the longest gaps between calls.
 pub fn clairvoyant_idle_hours(trace: &Trace, cold: usize) -> f64 {
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
     let mut last_ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
--- a/crates/corianderstand_replay/src/generate.rs
+++ b/crates/corianderstand_replay/src/generate.rs
@@ -15,10 +15,8 @@
 const DAY: u64 = 24 * HOUR;
 const ENGINE_MEMORY_MIB: u64 = 81_920;
 const GIB: u64 = 1024;
-/// Length of the multi-day traces.
 const TRACE_DAYS: u64 = 10;
 
-/// Parameters that differ between the two deployments.
 struct Deployment {
     zones: [&'static str; 3],
     engine: &'static str,
@@ -46,7 +44,6 @@
     weights: (20, 80),
 };
 
-/// Engines of each deployment.
 const ENGINES: usize = 9;
 const SLOTS_PER_MODEL: usize = 2;
 
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -171,19 +171,11 @@
 
 impl Trace {
     /// Reads a trace file.
-    ///
-    /// # Errors
-    ///
-    /// See [`TraceError`].
     pub fn read(path: &Path) -> Result<Self, TraceError> {
         Self::parse(&fs::read_to_string(path).map_err(TraceError::Io)?)
     }
 
     /// Parses a trace and checks its references and order.
-    ///
-    /// # Errors
-    ///
-    /// See [`TraceError`].
     pub fn parse(text: &str) -> Result<Self, TraceError> {
         let mut texts = text.lines();
         let first = texts.next().ok_or(TraceError::Empty)?;
--- a/crates/corianderstand_schema/tests/defaults.rs
+++ b/crates/corianderstand_schema/tests/defaults.rs
@@ -4,8 +4,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// Guards against generated defaults that are all zeros: a router with a settings file without
-/// `limits` would then accept no connections.
+/// Guards against generated defaults of zero, with which a router accepts no connections.
 #[rstest]
 fn settings_without_limits_get_the_defaults_of_the_schema() {
     let settings: RouterSettings = serde_json::from_value(json!({
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -1,8 +1,7 @@
 //! Actions after the log has applied or rejected a claim or a void.
 //!
-//! The log grants each key to at most one claim. Its agent runs the call once, or withdraws it if
-//! the request is no longer pending. No other process or incarnation runs a claimed call, as it may
-//! have run already: its outcome stays unknown.
+//! The log grants each key to at most one claim. No other process or incarnation runs a claimed
+//! call, as it may have run already.
 
 use crate::fold::{Outcome, Rejection};
 use corianderstand_derives::derives;
@@ -20,8 +19,7 @@
     Refuse,
 }
 
-/// Returns the action for a claim whose record had `outcome`; `in_time` is whether the deadline of
-/// the request has not passed.
+/// Returns the action for a claim whose record had `outcome`.
 pub const fn claim_action(outcome: &Outcome, is_pending: bool, in_time: bool) -> ClaimAction {
     match outcome {
         Outcome::Applied if is_pending && in_time => ClaimAction::Run,
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -88,8 +88,7 @@
 }
 
 impl State {
-    /// Applies the record at `offset`, appended at log time `at_ms`. An offset below [`State::next`]
-    /// is ignored as a repeat.
+    /// Applies the record at `offset`, unless already applied; `at_ms` is its log time.
     pub fn apply(&mut self, offset: u64, at_ms: u64, record: &Record) -> Outcome {
         if offset < self.next {
             return Outcome::Repeated;
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Fails unless `record` was written by the lease holder in this epoch; fences off former holders.
+    /// Fails unless `record` was written by the lease holder in this epoch.
     pub fn check(&self, epoch: u64, record: &Record) -> Result<(), Rejection> {
         let held = self.held_by(&record.writer, record.incarnation);
         if epoch == self.epoch && held { Ok(()) } else { Err(Rejection::LeaseNotHeld) }
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -58,8 +58,7 @@
         Ok(())
     }
 
-    /// Releases the assignment made at offset `assigned`, on behalf of the slot's owner or the lease
-    /// holder (`by_holder`).
+    /// Releases the assignment made at offset `assigned`, for its owner or the lease holder.
     pub fn release(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -67,8 +67,7 @@
         Ok(())
     }
 
-    /// Sets whether a target's host is leaving, unless the target was announced again. Informs
-    /// agents, which do not read the host list, and routers, which read it rarely.
+    /// Sets whether a target's host is leaving, unless the target was announced again.
     pub fn set_leaving(
         &mut self,
         offset: u64,
--- a/crates/corianderstand_types/src/names.rs
+++ b/crates/corianderstand_types/src/names.rs
@@ -9,7 +9,7 @@
 /// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 96;
 
-/// Reason why a name is invalid.
+/// Why a name is invalid.
 #[derive(Clone, PartialEq, Eq, Debug, displaydoc::Display)]
 pub enum NameError {
     /// a name is empty: give it at least one character
@@ -23,10 +23,6 @@
 impl std::error::Error for NameError {}
 
 /// Validates the length and characters of a name.
-///
-/// # Errors
-///
-/// Returns the first fault found.
 pub fn check(name: &str) -> Result<(), NameError> {
     if name.is_empty() {
         return Err(NameError::Empty);
@@ -48,10 +44,6 @@
 
         impl $name {
             /// Checks and wraps a name.
-            ///
-            /// # Errors
-            ///
-            /// See [`NameError`].
             pub fn new(name: impl AsRef<str>) -> Result<Self, NameError> {
                 check(name.as_ref())?;
                 Ok(Self(SmolStr::new(name.as_ref())))
--- a/crates/corianderstand_types/src/pause.rs
+++ b/crates/corianderstand_types/src/pause.rs
@@ -49,13 +49,13 @@
     connections: Vec<Weak<Connection>>,
 }
 
-/// Records when the socket of a connection was last found empty.
+/// The last poll that found a connection's socket empty.
 #[derive(Debug)]
 pub struct Connection(Mutex<LastEmpty>);
 
 #[derive(Debug)]
 struct LastEmpty {
-    /// Number of pauses before that poll.
+    /// Number of pauses before the last poll that found the socket empty.
     pauses: u64,
     waker: Option<Waker>,
 }
@@ -104,8 +104,7 @@
         connection
     }
 
-    /// Whether a request read from the connection may have been sent before the latest pause, which
-    /// need not have been detected by a tick.
+    /// Whether a request read from the connection may have been sent before the latest pause.
     pub fn may_predate_pause(&self, now: Duration, connection: &Connection) -> bool {
         let mut state = self.lock();
         state.observe(now);
