--- a/crates/corianderstand_agent/src/announce.rs
+++ b/crates/corianderstand_agent/src/announce.rs
@@ -46,10 +46,10 @@
         let due = releases.borrow_and_update().clone();
         let snapshot = control.current.load();
         let slots = &snapshot.state.slots.by_key;
-        let open = due
+        let unreleased = due
             .iter()
             .filter(|(key, at)| slots.get(*key).is_some_and(|slot| slot.assigned == **at));
-        let bodies = open.map(|(key, assigned)| Body::SlotReleased {
+        let bodies = unreleased.map(|(key, assigned)| Body::SlotReleased {
             model: key.model.clone(),
             index: key.index,
             assigned: *assigned,
@@ -63,8 +63,8 @@
             }
             continue;
         }
-        let decided = future::join_all(appends).await;
-        if decided.iter().any(Result::is_err) {
+        let results = future::join_all(appends).await;
+        if results.iter().any(Result::is_err) {
             tracing::warn!("cannot release slots, retrying");
             time::sleep(RELEASE_RETRY_DELAY).await;
         }
--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -41,7 +41,7 @@
     else {
         return ended(failed("the request is no call"));
     };
-    let answer = match idempotency_key {
+    let result = match idempotency_key {
         None => call(runner, request, trace).await.map_err(|error| {
             let reason: SmolStr = error.to_string().into();
             ended(Ending::Failed { reason })
@@ -55,8 +55,8 @@
             idempotent.call(runner, request, trace).await
         }
     };
-    match answer {
-        Ok(answer) => send_response(request, &answer).await,
+    match result {
+        Ok(response) => send_response(request, &response).await,
         Err(finish) => finish,
     }
 }
@@ -65,11 +65,11 @@
     Finish::Ended(ending, 0)
 }
 
-async fn send_response(request: &Request, answer: &ServiceResponse) -> Finish {
+async fn send_response(request: &Request, response: &ServiceResponse) -> Finish {
     let stream = request.response.stream;
-    let (status, content_type) = (answer.status, answer.content_type.clone());
+    let (status, content_type) = (response.status, response.content_type.clone());
     request.response.send(&ToRouter::Head { stream, status, content_type }, b"").await;
-    request.response.send(&ToRouter::Chunk { stream, position: 0 }, &answer.body).await;
+    request.response.send(&ToRouter::Chunk { stream, position: 0 }, &response.body).await;
     let finish_reason = "stop".into();
     let whole = Ending::Whole { prompt_tokens: 0, completion_tokens: 0, finish_reason };
     Finish::Ended(whole, 1)
@@ -161,8 +161,8 @@
                 idempotent.withdraw_late_claim(&task_runner, decided).await;
             }
         });
-        let left = request.deadline.saturating_duration_since(runner.clock.now());
-        if let Ok(Ok(decided)) = time::timeout(CLAIM_TIMEOUT.min(left), &mut rx).await {
+        let time_left = request.deadline.saturating_duration_since(runner.clock.now());
+        if let Ok(Ok(decided)) = time::timeout(CLAIM_TIMEOUT.min(time_left), &mut rx).await {
             return decided.ok();
         }
         // Incremented before the channel is closed, so that the task never decrements first.
@@ -193,9 +193,9 @@
         claim: u64,
     ) -> CallResult {
         match call(runner, request, trace).await {
-            Ok(answer) => {
-                self.record(runner, claim, Some(stored_answer(&answer))).await;
-                Ok(answer)
+            Ok(response) => {
+                self.record(runner, claim, Some(stored_answer(&response))).await;
+                Ok(response)
             }
             // The connection was refused, so the service cannot have received the call.
             Err(error) if error.never_sent() => {
@@ -232,12 +232,12 @@
     runner.clock.now() < request.deadline && (expires_ms == 0 || now_ms < expires_ms)
 }
 
-fn stored_answer(answer: &ServiceResponse) -> CallAnswer {
-    let kept = answer.body.len() <= calls::MAX_ANSWER_BODY_BYTES;
+fn stored_answer(response: &ServiceResponse) -> CallAnswer {
+    let stores_body = response.body.len() <= calls::MAX_ANSWER_BODY_BYTES;
     CallAnswer {
-        status: answer.status,
-        content_type: answer.content_type.clone(),
-        body: kept.then(|| answer.body.to_vec()),
+        status: response.status,
+        content_type: response.content_type.clone(),
+        body: stores_body.then(|| response.body.to_vec()),
     }
 }
 
--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -144,7 +144,7 @@
             return;
         }
         self.refresh_slots(snapshot);
-        for submitted in self.held_requests.take_ready(self.clock.now(), snapshot.state.next) {
+        for submitted in self.held_requests.remove_ready(self.clock.now(), snapshot.state.next) {
             let actions = self.submit(*submitted, snapshot);
             self.execute(actions, snapshot);
         }
@@ -182,8 +182,8 @@
             }
             Event::Disconnected(connection) => {
                 self.held_requests.remove_connection(connection);
-                let gone = self.streams.iter().filter(|((c, _), _)| *c == connection);
-                let keys: Vec<RequestKey> = gone.map(|(_, key)| *key).collect();
+                let disconnected = self.streams.iter().filter(|((c, _), _)| *c == connection);
+                let keys: Vec<RequestKey> = disconnected.map(|(_, key)| *key).collect();
                 keys.into_iter().flat_map(|key| self.cancel(key, &config)).collect()
             }
             Event::RequestFinished { key } => {
--- a/crates/corianderstand_agent/src/held_requests.rs
+++ b/crates/corianderstand_agent/src/held_requests.rs
@@ -24,12 +24,12 @@
 /// Requests in order of arrival.
 #[derive(Debug)]
 pub struct HeldRequests<T> {
-    held: Vec<HeldRequest<T>>,
+    requests: Vec<HeldRequest<T>>,
 }
 
 impl<T> Default for HeldRequests<T> {
     fn default() -> Self {
-        Self { held: Vec::new() }
+        Self { requests: Vec::new() }
     }
 }
 
@@ -44,29 +44,29 @@
         stream: (ConnectionId, u64),
         request: T,
     ) -> Option<T> {
-        if as_of < next || self.held.len() >= MAX_HELD_REQUESTS {
+        if as_of < next || self.requests.len() >= MAX_HELD_REQUESTS {
             return Some(request);
         }
-        self.held.push(HeldRequest { as_of, until: now + MAX_HOLD_TIME, stream, request });
+        self.requests.push(HeldRequest { as_of, until: now + MAX_HOLD_TIME, stream, request });
         None
     }
 
     /// Removes and returns, in order, all requests whose record is applied or whose hold expired.
-    pub fn take_ready(&mut self, now: Instant, next: u64) -> Vec<T> {
+    pub fn remove_ready(&mut self, now: Instant, next: u64) -> Vec<T> {
         let ready = |held: &mut HeldRequest<T>| held.as_of < next || held.until <= now;
-        self.held.extract_if(.., ready).map(|held| held.request).collect()
+        self.requests.extract_if(.., ready).map(|held| held.request).collect()
     }
 
     pub fn cancel(&mut self, stream: (ConnectionId, u64)) {
-        self.held.retain(|held| held.stream != stream);
+        self.requests.retain(|held| held.stream != stream);
     }
 
     pub fn remove_connection(&mut self, connection: ConnectionId) {
-        self.held.retain(|held| held.stream.0 != connection);
+        self.requests.retain(|held| held.stream.0 != connection);
     }
 
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.requests.is_empty()
     }
 }
 
--- a/crates/corianderstand_agent/src/release/tests/random.rs
+++ b/crates/corianderstand_agent/src/release/tests/random.rs
@@ -57,7 +57,7 @@
 struct TicketAnswers {
     accepted: BTreeSet<String>,
     refused: BTreeSet<String>,
-    waiting: BTreeMap<String, u64>,
+    pending: BTreeMap<String, u64>,
 }
 
 struct History {
@@ -141,7 +141,7 @@
             (*ticket, *not_after_ms) = (name.clone().into(), until);
         }
         let record = reader.record(body);
-        self.answers.waiting.insert(name, until);
+        self.answers.pending.insert(name, until);
         if self.world.chance(30) {
             let due = self.world.now_ms + self.world.rng.random_range(0..600);
             self.delayed.push((due, record));
@@ -188,9 +188,9 @@
     }
 
     fn resolve_tickets(&mut self, reader: &Reader) {
-        let waiting: Vec<(String, u64)> =
-            self.answers.waiting.iter().map(|(ticket, until)| (ticket.clone(), *until)).collect();
-        for (ticket, until) in waiting {
+        let pending: Vec<(String, u64)> =
+            self.answers.pending.iter().map(|(ticket, until)| (ticket.clone(), *until)).collect();
+        for (ticket, until) in pending {
             match reader.state.history.find(&ticket) {
                 Some(entry) if entry.refused.is_none() => {
                     self.answers.accepted.insert(ticket);
@@ -215,22 +215,22 @@
         }
         let epoch = lease.epoch;
         let mut bodies = vec![Body::LeaseRenewed { epoch }];
-        let dead = |a: &&AgentSim| {
+        let is_gone = |a: &&AgentSim| {
             a.dead_since.is_some_and(|at| at + HOST_LIST_LAG_MS <= self.world.now_ms)
         };
-        let gone: BTreeSet<HostId> = self
+        let gone_hosts: BTreeSet<HostId> = self
             .agents
             .iter()
-            .filter(dead)
+            .filter(is_gone)
             .map(|a| format!("host-{}", a.reader.name.as_str()).as_str().into())
             .collect();
         for (name, target) in &state.targets.by_name {
-            if gone.contains(&target.record.host) {
+            if gone_hosts.contains(&target.record.host) {
                 let (target, target_offset) = (name.clone(), target.offset);
                 bodies.push(Body::TargetGone { epoch, target, target_offset });
             }
         }
-        bodies.extend(plan::plan(state, &View::new(&state.documents), &gone));
+        bodies.extend(plan::plan(state, &View::new(&state.documents), &gone_hosts));
         if self.world.chance(15) {
             let mut parts = checkpoint::split(state);
             if self.world.chance(20) {
--- a/crates/corianderstand_agent/src/release/tests/world.rs
+++ b/crates/corianderstand_agent/src/release/tests/world.rs
@@ -156,8 +156,8 @@
         if self.down {
             return false;
         }
-        let copies = if self.chance(10) { 2 } else { 1 };
-        for _ in 0..copies {
+        let appends = if self.chance(10) { 2 } else { 1 };
+        for _ in 0..appends {
             let (offset, at_ms) = (self.head.next, self.now_ms);
             self.log.push(Entry { offset, at_ms, record: record.clone() });
             self.head.apply(offset, at_ms, record);
