--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -20,9 +20,13 @@
 }
 
 /// Returns the action for a claim whose record had `outcome`.
-pub const fn claim_action(outcome: &Outcome, is_pending: bool, in_time: bool) -> ClaimAction {
+pub const fn claim_action(
+    outcome: &Outcome,
+    is_pending: bool,
+    before_deadline: bool,
+) -> ClaimAction {
     match outcome {
-        Outcome::Applied if is_pending && in_time => ClaimAction::Run,
+        Outcome::Applied if is_pending && before_deadline => ClaimAction::Run,
         Outcome::Applied => ClaimAction::Withdraw,
         Outcome::Rejected(Rejection::CallsFull) => ClaimAction::Refuse,
         Outcome::Repeated | Outcome::Rejected(_) => ClaimAction::ReadStatus,
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -55,8 +55,8 @@
 
     /// Fails unless `record` was written by the lease holder in this epoch.
     pub fn check(&self, epoch: u64, record: &Record) -> Result<(), Rejection> {
-        let held = self.held_by(&record.writer, record.incarnation);
-        if epoch == self.epoch && held { Ok(()) } else { Err(Rejection::LeaseNotHeld) }
+        let is_holder = self.held_by(&record.writer, record.incarnation);
+        if epoch == self.epoch && is_holder { Ok(()) } else { Err(Rejection::LeaseNotHeld) }
     }
 
     /// Whether a writer holds the lease.
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -65,13 +65,13 @@
         model: &ModelId,
         index: u32,
         assigned: u64,
-        by_holder: bool,
+        by_lease_holder: bool,
         record: &Record,
     ) -> Result<(), Rejection> {
         let key = SlotKey { model: model.clone(), index };
         let slot = self.by_key.get(&key).ok_or(Rejection::SlotConflict)?;
         let by_owner = slot.target.as_str() == record.writer.as_str();
-        if slot.assigned != assigned || !(by_holder || by_owner) {
+        if slot.assigned != assigned || !(by_lease_holder || by_owner) {
             return Err(Rejection::SlotConflict);
         }
         let owner = slot.target.clone();
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -59,9 +59,9 @@
         &mut self,
         offset: u64,
         target: &TargetId,
-        announced: u64,
+        target_offset: u64,
     ) -> Result<(), Rejection> {
-        self.check(target, announced)?;
+        self.check(target, target_offset)?;
         self.by_name.remove(target);
         self.version = offset;
         Ok(())
@@ -72,10 +72,10 @@
         &mut self,
         offset: u64,
         target: &TargetId,
-        announced: u64,
+        target_offset: u64,
         leaving: bool,
     ) -> Result<(), Rejection> {
-        self.check(target, announced)?;
+        self.check(target, target_offset)?;
         if let Some(entry) = self.by_name.get_mut(target) {
             entry.leaving = leaving;
             self.version = offset;
--- a/crates/corianderstand_state/tests/claim_interleavings.rs
+++ b/crates/corianderstand_state/tests/claim_interleavings.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    fn below(&mut self, count: usize) -> usize {
+    fn random_below(&mut self, count: usize) -> usize {
         self.rng.random_range(0..count)
     }
 
@@ -113,21 +113,21 @@
     }
 
     fn step(&mut self) {
-        match self.below(12) {
+        match self.random_below(12) {
             0 => self.start_request(),
             1 | 2 => self.append(),
             3..=5 => self.read(),
             6..=8 => self.step_agent(),
             9 => self.time_out_claim(),
             10 => self.step_router(),
-            _ if self.below(8) == 0 => self.crash(),
+            _ if self.random_below(8) == 0 => self.crash(),
             _ => {}
         }
     }
 
     fn start_request(&mut self) {
-        let (key, agent) = (self.below(KEYS), self.below(AGENTS));
-        let router = AGENTS + self.below(PROCESSES - AGENTS);
+        let (key, agent) = (self.random_below(KEYS), self.random_below(AGENTS));
+        let router = AGENTS + self.random_below(PROCESSES - AGENTS);
         let (agent_stage, router_stage) = (Stage::Arrived, Stage::Arrived);
         let request = Request {
             key,
@@ -144,15 +144,15 @@
 
     /// Appends a process's next record; sometimes the answer is lost and the append is retried.
     fn append(&mut self) {
-        let process = self.below(PROCESSES);
-        let lost = self.below(4) == 0;
+        let process = self.random_below(PROCESSES);
+        let lost = self.random_below(4) == 0;
         let queue = &mut self.processes[process].queue;
         let record = if lost { queue.front().cloned() } else { queue.pop_front() };
         self.log.extend(record);
     }
 
     fn read(&mut self) {
-        let process = self.below(PROCESSES);
+        let process = self.random_below(PROCESSES);
         self.read_one(process);
     }
 
@@ -162,9 +162,9 @@
         let Some(record) = self.log.get(next as usize - 1) else { return false };
         process.state.next = next;
         let outcome = process.state.apply(next, next, record);
-        let ours = record.writer.0 == format!("p-{number}").as_str()
+        let is_own = record.writer.0 == format!("p-{number}").as_str()
             && record.incarnation == process.incarnation;
-        if ours && outcome != Outcome::Repeated {
+        if is_own && outcome != Outcome::Repeated {
             process.decided.insert(record.sequence, (next, outcome));
         }
         true
@@ -186,7 +186,7 @@
 
     fn pick(&mut self) -> Option<usize> {
         let count = self.requests.len();
-        (count > 0).then(|| self.below(count))
+        (count > 0).then(|| self.random_below(count))
     }
 
     fn step_agent(&mut self) {
@@ -217,7 +217,7 @@
                     ClaimAction::Refuse => self.end(number, Reported::Refused),
                 }
             }
-            Stage::Calling(offset) if self.below(5) == 0 => {
+            Stage::Calling(offset) if self.random_below(5) == 0 => {
                 self.requests[number].agent_stage = Stage::Answered(offset, None);
             }
             Stage::Calling(offset) => {
@@ -292,7 +292,7 @@
             Stage::Waiting => match self.status(router, key) {
                 CallStatus::Ran(answer) => self.report(number, Reported::Ran(answer.status)),
                 CallStatus::NotRun => self.report(number, Reported::NotRun),
-                _ if self.below(6) == 0 => self.report(number, Reported::Unknown),
+                _ if self.random_below(6) == 0 => self.report(number, Reported::Unknown),
                 _ => {}
             },
             _ => self.settle(number),
@@ -301,7 +301,7 @@
 
     /// A process crashes and restarts; its queued records are lost.
     fn crash(&mut self) {
-        let process = self.below(PROCESSES);
+        let process = self.random_below(PROCESSES);
         let old = &mut self.processes[process];
         let incarnation = old.incarnation + 1;
         *old = Process { incarnation, ..Process::default() };
--- a/crates/corianderstand_state/tests/plan.rs
+++ b/crates/corianderstand_state/tests/plan.rs
@@ -14,16 +14,16 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Bench {
+struct Fixture {
     state: State,
 }
 
-impl Bench {
+impl Fixture {
     fn new(engines: usize, models: usize, replicas: u32) -> Self {
-        let mut bench = Self { state: State { next: 1, ..State::default() } };
-        bench.append(Body::LeaseTaken { epoch: 1, ttl_ms: 1000 });
+        let mut fixture = Self { state: State { next: 1, ..State::default() } };
+        fixture.append(Body::LeaseTaken { epoch: 1, ttl_ms: 1000 });
         for engine in 0..engines {
-            bench.announce(engine);
+            fixture.announce(engine);
         }
         let change = |path: String, value: serde_json::Value| {
             let (path, value) = (path.into(), Some(value.to_string()));
@@ -38,8 +38,8 @@
             changes.push(change(format!("teams/t/models/m{model}"), team_model));
         }
         let (author, ticket) = ("ana".into(), "t".into());
-        bench.append(Body::Settings { changes, author, ticket, not_after_ms: u64::MAX });
-        bench
+        fixture.append(Body::Settings { changes, author, ticket, not_after_ms: u64::MAX });
+        fixture
     }
 
     fn append(&mut self, body: Body) {
@@ -61,7 +61,7 @@
         self.append(Body::TargetUp { target });
     }
 
-    fn settle(&mut self, excluded_hosts: &[&str]) -> usize {
+    fn assign_all(&mut self, excluded_hosts: &[&str]) -> usize {
         let excluded_hosts: BTreeSet<HostId> =
             excluded_hosts.iter().map(|host| HostId::from(*host)).collect();
         let mut moves = 0;
@@ -84,40 +84,40 @@
 /// Every moved slot costs a cold start, so only slots of a lost host may move.
 #[rstest]
 fn only_the_slots_of_a_lost_host_move() {
-    let mut bench = Bench::new(12, 30, 3);
-    assert_eq!(bench.settle(&[]), 90);
-    bench.announce(12);
-    assert_eq!(bench.settle(&[]), 0, "a new host moves nothing");
-    let lost = bench.slots_of("e4");
-    let offset = bench.state.targets.by_name[&TargetId::from("e4")].offset;
-    bench.append(Body::TargetGone { epoch: 1, target: "e4".into(), target_offset: offset });
-    assert_eq!(bench.settle(&["h4"]), lost, "the minimum");
+    let mut fixture = Fixture::new(12, 30, 3);
+    assert_eq!(fixture.assign_all(&[]), 90);
+    fixture.announce(12);
+    assert_eq!(fixture.assign_all(&[]), 0, "a new host moves nothing");
+    let lost = fixture.slots_of("e4");
+    let offset = fixture.state.targets.by_name[&TargetId::from("e4")].offset;
+    fixture.append(Body::TargetGone { epoch: 1, target: "e4".into(), target_offset: offset });
+    assert_eq!(fixture.assign_all(&["h4"]), lost, "the minimum");
 }
 
 /// Losing one availability zone must not take all replicas of a model.
 #[rstest]
 fn replicas_spread_over_zones_and_evenly_over_engines() {
-    let mut bench = Bench::new(12, 30, 3);
-    bench.settle(&[]);
+    let mut fixture = Fixture::new(12, 30, 3);
+    fixture.assign_all(&[]);
     let mut zones: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
-    for (key, slot) in &bench.state.slots.by_key {
-        let zone = &bench.state.targets.by_name[&slot.target].record.place;
+    for (key, slot) in &fixture.state.slots.by_key {
+        let zone = &fixture.state.targets.by_name[&slot.target].record.place;
         zones.entry(key.model.clone()).or_default().insert(zone.clone());
     }
     assert!(zones.values().all(|zones| zones.len() == 3));
-    let counts: Vec<usize> = (0..12).map(|e| bench.slots_of(&format!("e{e}"))).collect();
+    let counts: Vec<usize> = (0..12).map(|e| fixture.slots_of(&format!("e{e}"))).collect();
     assert!(counts.iter().max() <= counts.iter().min().map(|least| least + 1).as_ref());
 }
 
 /// A released slot returns to its former owner, which still has the model's weights cached.
 #[rstest]
 fn a_slot_returns_to_its_former_owner() {
-    let mut bench = Bench::new(6, 1, 1);
-    bench.settle(&[]);
-    let (key, slot) = bench.state.slots.by_key.iter().next().expect("it is assigned");
+    let mut fixture = Fixture::new(6, 1, 1);
+    fixture.assign_all(&[]);
+    let (key, slot) = fixture.state.slots.by_key.iter().next().expect("it is assigned");
     let (key, slot) = (key.clone(), slot.clone());
     let (model, index) = (key.model.clone(), key.index);
-    bench.append(Body::SlotReleased { model, index, assigned: slot.assigned, epoch: Some(1) });
-    bench.settle(&[]);
-    assert_eq!(bench.state.slots.by_key[&key].target, slot.target);
+    fixture.append(Body::SlotReleased { model, index, assigned: slot.assigned, epoch: Some(1) });
+    fixture.assign_all(&[]);
+    assert_eq!(fixture.state.slots.by_key[&key].target, slot.target);
 }
--- a/crates/corianderstand_state/tests/rules.rs
+++ b/crates/corianderstand_state/tests/rules.rs
@@ -85,8 +85,8 @@
     log.append("e", target("e"));
     assert_eq!(log.append("r1", assigned(1, 0, 1)), Outcome::Rejected(Rejection::TargetChanged));
     assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Applied);
-    let gone = Body::TargetGone { epoch: 1, target: "e".into(), target_offset: 3 };
-    assert_eq!(log.append("r1", gone), Outcome::Applied);
+    let target_gone = Body::TargetGone { epoch: 1, target: "e".into(), target_offset: 3 };
+    assert_eq!(log.append("r1", target_gone), Outcome::Applied);
     assert!(log.state.slots.by_key.is_empty(), "its slots are removed with it");
     assert_eq!(log.append("r1", assigned(1, 0, 3)), Outcome::Rejected(Rejection::TargetChanged));
 }
@@ -139,13 +139,13 @@
     }
     let last = log.state.checkpoints.last.expect("it is complete");
     let mut collector = Collector::default();
-    let kept = log.entries.iter().filter(|(offset, ..)| *offset >= last.as_of);
+    let retained = log.entries.iter().filter(|(offset, ..)| *offset >= last.as_of);
     let mut restored = None;
-    for (_, _, record) in kept.clone() {
+    for (_, _, record) in retained.clone() {
         restored = collector.receive(record).or(restored);
     }
     let mut restored = restored.expect("all parts are present");
-    for (offset, at_ms, record) in kept {
+    for (offset, at_ms, record) in retained {
         restored.apply(*offset, *at_ms, record);
     }
     assert_eq!(checkpoint::encode(&restored), checkpoint::encode(&log.state));
