--- a/crates/corianderstand_cli/src/client.rs
+++ b/crates/corianderstand_cli/src/client.rs
@@ -10,7 +10,7 @@
 pub const KEY_VARIABLE: &str = "CORIANDERSTAND_OPERATOR_KEY";
 /// Variable with a router's address, used without `--router`.
 pub const ROUTER_VARIABLE: &str = "CORIANDERSTAND_ROUTER";
-const TIMEOUT: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, displaydoc::Display)]
 pub enum ClientError {
@@ -52,7 +52,7 @@
         let from_file = matches.opt_str("key-file").and_then(|f| fs::read_to_string(f).ok());
         let key = from_file.or_else(|| std::env::var(KEY_VARIABLE).ok());
         let key = key.ok_or(ClientError::NoKey)?.trim().to_owned();
-        let http = reqwest::Client::builder().no_proxy().timeout(TIMEOUT).build();
+        let http = reqwest::Client::builder().no_proxy().timeout(REQUEST_TIMEOUT).build();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         Ok(Self {
             base_url: format!("http://{router}"),
--- a/crates/corianderstand_cli/src/cross_document.rs
+++ b/crates/corianderstand_cli/src/cross_document.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-const TOTAL_SHARE: u64 = 1000;
+const MAX_TOTAL_SHARE_PERMILLE: u64 = 1000;
 
 pub type DocumentViolation = (String, Violation);
 
@@ -127,7 +127,7 @@
     let shares: Vec<(&String, u64)> =
         teams.map(|(path, value)| (path, value["share"].as_u64().unwrap_or(100))).collect();
     let sum: u64 = shares.iter().map(|(_, share)| share).sum();
-    if sum <= TOTAL_SHARE {
+    if sum <= MAX_TOTAL_SHARE_PERMILLE {
         return;
     }
     for (path, share) in shares {
@@ -150,8 +150,8 @@
         }
     }
     for (path, value) in documents {
-        let none = of_model(path).is_some_and(|model| replicas[&model] == 0);
-        if none && value["replicas"] == 0 {
+        let unserved = of_model(path).is_some_and(|model| replicas[&model] == 0);
+        if unserved && value["replicas"] == 0 {
             let problem = "no team holds a replica of this model, so no call is answered".into();
             let remedy = "raise replicas here or in another team's document, or remove this one";
             faults.push(violation(path, "/replicas", problem, remedy));
--- a/crates/corianderstand_cli/src/operate.rs
+++ b/crates/corianderstand_cli/src/operate.rs
@@ -111,8 +111,8 @@
     }))
 }
 
-const WAIT_LIMIT: Duration = Duration::from_secs(15);
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const IN_FORCE_WAIT_LIMIT: Duration = Duration::from_secs(15);
+const SPREAD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Polls until all responsive routers have the version in force, or the wait limit has passed.
 fn wait_until_in_force(client: &Client, version: &Value) -> Result<Value, ClientError> {
@@ -122,10 +122,10 @@
         let spread = client.request(Method::GET, &path, None)?;
         let count = |name: &str| spread[name].as_u64().unwrap_or_default();
         let all = count("in_force") + count("silent") >= count("routers");
-        if all || started_at.elapsed() >= WAIT_LIMIT {
+        if all || started_at.elapsed() >= IN_FORCE_WAIT_LIMIT {
             return Ok(spread);
         }
-        std::thread::sleep(POLL_INTERVAL);
+        std::thread::sleep(SPREAD_POLL_INTERVAL);
     }
 }
 
--- a/crates/corianderstand_cli/src/platform.rs
+++ b/crates/corianderstand_cli/src/platform.rs
@@ -37,7 +37,7 @@
                 Err(_) => fields.store().and(fields.router()).map(|_| "a router's settings"),
             });
         match checked {
-            Ok(what) => println!("{path}: {what}, no fault"),
+            Ok(kind) => println!("{path}: {kind}, no fault"),
             Err(error) => {
                 eprintln!("{path}: {error}");
                 exit = Exit::Fault;
@@ -47,7 +47,7 @@
     exit
 }
 
-const POLL_INTERVAL: Duration = Duration::from_secs(2);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A router's settings file, reloaded on SIGHUP and periodically.
 struct SettingsFile {
@@ -92,7 +92,7 @@
                 () = wait_for_hangup(self.hangup_signal.as_mut()) => {
                     tracing::info!("SIGHUP received: reloading the settings");
                 }
-                () = tokio::time::sleep(POLL_INTERVAL) => {}
+                () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
             }
             if let Some(settings) = self.poll() {
                 return settings;
--- a/crates/corianderstand_cli/src/status.rs
+++ b/crates/corianderstand_cli/src/status.rs
@@ -6,11 +6,11 @@
 use serde_json::Value;
 use std::{thread, time::Duration};
 
-const INTERVAL_MS: u64 = 2000;
-const CLEAR: &str = "\x1b[2J\x1b[H";
+const DEFAULT_INTERVAL_MS: u64 = 2000;
+const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
 pub fn run(matches: &Matches) -> Exit {
-    let interval = match matches.opt_get_default("interval-ms", INTERVAL_MS) {
+    let interval = match matches.opt_get_default("interval-ms", DEFAULT_INTERVAL_MS) {
         Ok(ms) => Duration::from_millis(ms),
         Err(error) => {
             eprintln!("--interval-ms: {error}: give a whole number of milliseconds");
@@ -27,7 +27,7 @@
                 Err(error) => return Err(error),
                 Ok(status) if matches.opt_present("json") => println!("{status}"),
                 Ok(status) => {
-                    let clear = if watch { CLEAR } else { "" };
+                    let clear = if watch { CLEAR_SCREEN } else { "" };
                     println!("{clear}{}", table(&status));
                 }
             }
