--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -37,8 +37,8 @@
         }
     }
     let load = |model: &ModelId| {
-        let line = trace.header.models.iter().find(|line| line.name == *model);
-        line.map_or(Duration::ZERO, |line| Duration::from_millis(line.load_ms))
+        let spec = trace.header.models.iter().find(|spec| spec.name == *model);
+        spec.map_or(Duration::ZERO, |spec| Duration::from_millis(spec.load_ms))
     };
     let mut first_calls: Vec<_> =
         first_calls.into_iter().map(|(model, at)| (at, load(model))).collect();
@@ -49,7 +49,7 @@
 /// Minimum idle accelerator hours for a number of cold wakes, with all calls known ahead.
 ///
 /// Unloads the one replica of each model over the longest gaps between calls.
-pub fn clairvoyant_idle_hours(trace: &Trace, cold: usize) -> f64 {
+pub fn clairvoyant_idle_hours(trace: &Trace, cold_wakes: usize) -> f64 {
     let mut gaps: Vec<(f64, Duration)> = Vec::new();
     let mut last_ends: BTreeMap<&ModelId, Duration> = BTreeMap::new();
     for line in &trace.lines {
@@ -66,7 +66,7 @@
             ));
         }
     }
-    let allowed = cold.saturating_sub(last_ends.len());
+    let allowed = cold_wakes.saturating_sub(last_ends.len());
     gaps.sort_by(|a, b| b.0.total_cmp(&a.0));
     let (wakes, short): (Vec<_>, Vec<_>) = gaps.into_iter().partition(|(_, gap)| *gap >= IDLE_GAP);
     let kept = wakes.iter().skip(allowed).chain(&short);
@@ -74,13 +74,13 @@
 }
 
 fn token_ms(trace: &Trace, model: &ModelId) -> u64 {
-    let line = trace.header.models.iter().find(|line| line.name == *model);
-    line.map_or(0, |line| line.token_ms)
+    let spec = trace.header.models.iter().find(|spec| spec.name == *model);
+    spec.map_or(0, |spec| spec.token_ms)
 }
 
 fn accelerators_per_replica(trace: &Trace, model: &ModelId) -> f64 {
-    let line = trace.header.models.iter().find(|line| line.name == *model);
+    let spec = trace.header.models.iter().find(|spec| spec.name == *model);
     let engine = &trace.header.engines[0];
-    let memory = line.map_or(0, |line| line.memory_mib) as f64;
+    let memory = spec.map_or(0, |spec| spec.memory_mib) as f64;
     memory / engine.memory_mib as f64 * f64::from(engine.accelerators)
 }
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -60,7 +60,7 @@
     callers: Vec<Caller>,
     events: BTreeMap<(Duration, u64), Event>,
     last_sequence: u64,
-    store_at: Option<Duration>,
+    store_progress_at: Option<Duration>,
     load_grants_at: Option<Duration>,
     last_calls: HashMap<ModelId, Duration>,
     outcome: Outcome,
@@ -122,7 +122,7 @@
             callers: Vec::new(),
             events: BTreeMap::new(),
             last_sequence: 0,
-            store_at: None,
+            store_progress_at: None,
             load_grants_at: None,
             last_calls: HashMap::new(),
             outcome: Outcome { strategy: strategy.name.clone(), ..Outcome::default() },
@@ -390,19 +390,19 @@
     fn schedule_store(&mut self) {
         let next = self.store.next_event().map(|at| at.max(self.clock.elapsed()));
         if let Some(at) = next
-            && self.store_at.is_none_or(|planned| at < planned)
+            && self.store_progress_at.is_none_or(|planned| at < planned)
         {
-            self.store_at = Some(at);
+            self.store_progress_at = Some(at);
             self.schedule(at, Event::StoreProgress);
         }
     }
 
     fn advance_store(&mut self) {
-        if self.store_at != Some(self.clock.elapsed()) {
+        if self.store_progress_at != Some(self.clock.elapsed()) {
             return;
         }
-        self.store_at = None;
-        let finished = self.store.take_finished(self.clock.elapsed());
+        self.store_progress_at = None;
+        let finished = self.store.remove_finished(self.clock.elapsed());
         for (engine, weights) in finished {
             if let Some(coordinator) = &mut self.coordinator {
                 coordinator.done(&self.engines[engine].spec.name, &weights);
--- a/crates/corianderstand_replay/src/report.rs
+++ b/crates/corianderstand_replay/src/report.rs
@@ -20,11 +20,11 @@
 impl Report {
     /// Computes the bounds for the outcomes of a trace.
     pub fn new(trace: &Trace, outcomes: Vec<Outcome>) -> Self {
-        let cold = outcomes.first().map_or(0, |outcome| outcome.cold as usize);
+        let cold_wakes = outcomes.first().map_or(0, |outcome| outcome.cold as usize);
         Self {
             trace: trace.header.trace.to_string(),
             store_bound_ms: bounds::store_wait(trace).as_millis() as u64,
-            clairvoyant_idle_hours: bounds::clairvoyant_idle_hours(trace, cold),
+            clairvoyant_idle_hours: bounds::clairvoyant_idle_hours(trace, cold_wakes),
             outcomes,
         }
     }
--- a/crates/corianderstand_replay/src/store.rs
+++ b/crates/corianderstand_replay/src/store.rs
@@ -12,7 +12,7 @@
     per_second: u32,
     concurrent: u32,
     slowdown: f64,
-    remaining: BTreeMap<Load, f64>,
+    remaining_s: BTreeMap<Load, f64>,
     queued: Vec<(Load, f64)>,
     advanced_to: Duration,
     next_start: Duration,
@@ -24,7 +24,7 @@
             per_second,
             concurrent,
             slowdown: 1.0,
-            remaining: BTreeMap::new(),
+            remaining_s: BTreeMap::new(),
             queued: Vec::new(),
             advanced_to: Duration::ZERO,
             next_start: Duration::ZERO,
@@ -45,45 +45,45 @@
 
     pub fn cancel_loads(&mut self, now: Duration, engine: usize) {
         self.advance(now);
-        self.remaining.retain(|(loading_engine, _), _| *loading_engine != engine);
+        self.remaining_s.retain(|(loading_engine, _), _| *loading_engine != engine);
         self.queued.retain(|((loading_engine, _), _)| *loading_engine != engine);
     }
 
     fn admit(&mut self, now: Duration) {
         while !self.queued.is_empty() && now >= self.next_start {
             let (load, seconds) = self.queued.remove(0);
-            self.remaining.insert(load, seconds);
+            self.remaining_s.insert(load, seconds);
             self.next_start = now + Duration::from_secs(1) / self.per_second;
         }
     }
 
     fn speed(&self) -> f64 {
-        let active = self.remaining.len().max(1) as f64;
+        let active = self.remaining_s.len().max(1) as f64;
         (f64::from(self.concurrent) / active).min(1.0) / self.slowdown
     }
 
     fn advance(&mut self, now: Duration) {
-        let done = (now - self.advanced_to).as_secs_f64() * self.speed();
-        self.remaining.values_mut().for_each(|left| *left -= done);
+        let done_s = (now - self.advanced_to).as_secs_f64() * self.speed();
+        self.remaining_s.values_mut().for_each(|seconds| *seconds -= done_s);
         self.advanced_to = now;
     }
 
-    pub fn take_finished(&mut self, now: Duration) -> Vec<Load> {
+    pub fn remove_finished(&mut self, now: Duration) -> Vec<Load> {
         self.advance(now);
         self.admit(now);
-        let finished = self.remaining.iter().filter(|(_, left)| **left <= 1e-6);
+        let finished = self.remaining_s.iter().filter(|(_, seconds)| **seconds <= 1e-6);
         let finished: Vec<Load> = finished.map(|(load, _)| load.clone()).collect();
         for load in &finished {
-            self.remaining.remove(load);
+            self.remaining_s.remove(load);
         }
         finished
     }
 
     /// Time at which the next load finishes or may start.
     pub fn next_event(&self) -> Option<Duration> {
-        let left = self.remaining.values().copied().min_by(f64::total_cmp);
-        let end = left.map(|left| {
-            self.advanced_to + Duration::from_secs_f64((left / self.speed()).max(0.0) + 1e-6)
+        let least = self.remaining_s.values().copied().min_by(f64::total_cmp);
+        let end = least.map(|seconds| {
+            self.advanced_to + Duration::from_secs_f64((seconds / self.speed()).max(0.0) + 1e-6)
         });
         let start = (!self.queued.is_empty()).then_some(self.next_start);
         end.into_iter().chain(start).min()
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -252,7 +252,7 @@
 impl Trace {
     /// Time per generated token of a model.
     pub fn token_ms(&self, model: &ModelId) -> u64 {
-        let line = self.header.models.iter().find(|line| line.name == *model);
-        line.map_or(0, |line| line.token_ms)
+        let spec = self.header.models.iter().find(|spec| spec.name == *model);
+        spec.map_or(0, |spec| spec.token_ms)
     }
 }
