--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use corianderstand_decide::request::{RequestSpec, Requirement};
 use corianderstand_link::{
-    PROTOCOL,
+    PROTOCOL_VERSION,
     connection::{self, Reader},
     frame::{self, FrameError},
 };
@@ -135,7 +135,7 @@
     }
 
     async fn welcome(&self, router: &str, protocol: u32) -> Result<(), FrameError> {
-        if protocol != PROTOCOL {
+        if protocol != PROTOCOL_VERSION {
             tracing::error!(
                 router,
                 protocol,
--- a/crates/corianderstand_link/src/lib.rs
+++ b/crates/corianderstand_link/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod trace;
 
 /// Version of the messages; both ends must use the same.
-pub const PROTOCOL: u32 = 2;
+pub const PROTOCOL_VERSION: u32 = 2;
 
 /// Router incarnation in the `Hello` message of a connection that only queries what is loaded.
 pub const STATUS_QUERY_INCARNATION: u64 = 0;
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -10,7 +10,7 @@
 use corianderstand_control::budget::{Budget, TrafficClass};
 use corianderstand_decide::request::{Refusal, RequestKey};
 use corianderstand_link::{
-    PROTOCOL,
+    PROTOCOL_VERSION,
     connection::{self, Reader},
     frame::{self, FrameError},
 };
@@ -144,7 +144,8 @@
     async fn send_hello(&mut self, first: Option<Command>) -> Result<(), FrameError> {
         let router = self.context.router.clone();
         let incarnation = self.context.incarnation;
-        self.send_control(&ToAgent::Hello { router, incarnation, protocol: PROTOCOL }).await?;
+        self.send_control(&ToAgent::Hello { router, incarnation, protocol: PROTOCOL_VERSION })
+            .await?;
         match first {
             Some(command) => self.execute(command).await,
             None => Ok(()),
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -5,7 +5,7 @@
 
 use crate::http::HandlerContext;
 use corianderstand_link::{
-    PROTOCOL, STATUS_QUERY_INCARNATION, connection,
+    PROTOCOL_VERSION, STATUS_QUERY_INCARNATION, connection,
     frame::{self, FrameError},
 };
 use corianderstand_schema::{
@@ -132,7 +132,7 @@
     let hello = ToAgent::Hello {
         router: name.clone(),
         incarnation: STATUS_QUERY_INCARNATION,
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
     };
     for message in [hello, ToAgent::List] {
         let frame = frame::encode(&message, b"")?;
--- a/tools/capacity/src/emulate.rs
+++ b/tools/capacity/src/emulate.rs
@@ -3,7 +3,7 @@
 use crate::{forward::ByteCounter, size};
 use corianderstand_edge::log::{HttpLog, LogService};
 use corianderstand_link::{
-    PROTOCOL, connection,
+    PROTOCOL_VERSION, connection,
     frame::{self, FrameError},
 };
 use corianderstand_schema::messages::{Load, ToAgent, ToRouter};
@@ -120,7 +120,7 @@
     let (tx, rx) = mpsc::channel(WRITE_QUEUE);
     tokio::spawn(writer.run(rx));
     let router = WriterId(format_smolstr!("router-{index:04}"));
-    let hello = ToAgent::Hello { router, incarnation: 1, protocol: PROTOCOL };
+    let hello = ToAgent::Hello { router, incarnation: 1, protocol: PROTOCOL_VERSION };
     counter.received.fetch_add(frame_bytes(&hello), Ordering::Relaxed);
     tx.send(frame::encode(&hello, b"")?).await.map_err(|_| FrameError::Closed)?;
     // Spreads the pings of the routers over the interval.
