--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -23,7 +23,6 @@
     sync::{mpsc, watch},
 };
 
-/// Capacity in frames of the queue to one router.
 const OUTBOUND_QUEUE_CAPACITY: usize = 1024;
 
 #[derive(Clone)]
--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -111,9 +111,6 @@
 
 impl IdempotentCall {
     /// Runs the call only if this agent's claim is the first for its key in the log.
-    ///
-    /// This keeps a retry on another agent, or an agent that resumes after a pause, from running
-    /// the call a second time.
     async fn call(&self, runner: &JobRunner, request: &Request, trace: TraceContext) -> CallResult {
         let snapshot = runner.control.current.load();
         match snapshot.state.calls.status(&self.key, self.digest) {
@@ -222,10 +219,8 @@
     }
 }
 
-/// Returns whether the deadline is ahead by this process's clock and by the log's.
-///
-/// A process that was paused with a request in its socket reads it late and computes a late local
-/// deadline. The log's clock is shared with the router and detects this.
+/// Returns whether the deadline is ahead by this process's clock and by the log's, which detects
+/// requests read late after a pause.
 fn is_before_deadline(runner: &JobRunner, request: &Request) -> bool {
     let now_ms = runner.control.current.load().log_now_ms(runner.clock.wall());
     let expires_ms = request.open.expires_ms;
--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -291,10 +291,8 @@
     }
 }
 
-/// Rebuilds the ledger from the second of two queries of the engine.
-///
-/// A command from a previous agent process may still be in the engine's socket and be executed
-/// just after the first response. Relying on that response could reserve its memory twice.
+/// Rebuilds the ledger from the second of two queries of the engine, as a command from a previous
+/// agent process may be executed just after the first response.
 async fn rebuild_ledger(target: &Target, events: &std_mpsc::SyncSender<Event>) {
     let Target::Engine(engine) = target else { return };
     let mut responses = 0;
--- a/crates/corianderstand_cli/src/logging.rs
+++ b/crates/corianderstand_cli/src/logging.rs
@@ -11,7 +11,6 @@
 };
 use tracing_subscriber::{EnvFilter, fmt::MakeWriter};
 
-/// Variable with a `tracing` filter.
 pub const LOG_VARIABLE: &str = "CORIANDERSTAND_LOG";
 /// Lines beyond this are dropped.
 const MAX_BUFFERED_BYTES: usize = 512 << 10;
--- a/crates/corianderstand_edge/src/engine.rs
+++ b/crates/corianderstand_edge/src/engine.rs
@@ -257,8 +257,6 @@
 pub use fake::MemoryEngine;
 
 mod fake {
-    //! In-memory engine for tests.
-
     use super::{
         BoxStream, CacheEvent, CacheEvents, CommandAction, EdgeError, Engine, EngineCommand,
         EngineEvent, EngineReport, EngineStream, GenerateRequest, LoadedWeights, async_trait,
--- a/crates/corianderstand_edge/src/http.rs
+++ b/crates/corianderstand_edge/src/http.rs
@@ -55,8 +55,7 @@
 impl HttpSystem {
     /// Creates a client for the system at `base`; `read_timeout` limits the time without data.
     ///
-    /// The idle timeout is short because a middlebox may drop the state of an idle connection,
-    /// after which requests on it hang.
+    /// Idle connections are closed soon, as a middlebox may drop their state and requests hang.
     pub fn new(system: &'static str, base: &str, read_timeout: Duration) -> Self {
         let client = reqwest::Client::builder()
             .no_proxy()
--- a/crates/corianderstand_edge/src/log.rs
+++ b/crates/corianderstand_edge/src/log.rs
@@ -46,9 +46,7 @@
 /// The append-only log.
 #[async_trait]
 pub trait LogService: Send + Sync {
-    /// Appends records in order and returns the offset of the first.
-    ///
-    /// After an error the records may or may not have been appended.
+    /// Appends records and returns the first one's offset; an error leaves the outcome unknown.
     async fn append(&self, records: Vec<Vec<u8>>) -> Result<u64, EdgeError>;
 
     /// Reads up to `max` records from an offset, waiting up to `wait` for the first.
--- a/crates/corianderstand_link/src/connection.rs
+++ b/crates/corianderstand_link/src/connection.rs
@@ -48,11 +48,9 @@
 }
 
 impl Reader {
-    /// Returns the next message and its body; the peer's heartbeats keep the idle timeout from
-    /// expiring.
+    /// Returns the next message and its body, or an error if no bytes arrive for the idle timeout.
     ///
-    /// The timeout runs from the last received bytes, so it survives cancellation of this future
-    /// and slow transfer of a long frame.
+    /// The timeout runs from the last received bytes, also if an earlier call was cancelled.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<(T, Bytes), FrameError> {
         loop {
             let deadline = self.last_received_at + self.idle_timeout;
--- a/crates/corianderstand_state/src/plan.rs
+++ b/crates/corianderstand_state/src/plan.rs
@@ -29,11 +29,10 @@
     per_zone: BTreeMap<&'a AvailabilityZoneId, u32>,
 }
 
-/// Assigns the empty slots of all models.
+/// Assigns the empty slots of all models to engines that are not on `excluded_hosts`.
 ///
-/// Engines on `excluded_hosts` get none, and assigned slots never move. A slot goes to the
-/// availability zone with the fewest replicas of the model, then to its former owner, which may
-/// still have cached weights, then to the engine with the least planned memory.
+/// A slot goes to the availability zone with the fewest replicas of the model, then to its former
+/// owner, which may still have cached weights, then to the engine with the least planned memory.
 pub fn plan(state: &State, view: &View, excluded_hosts: &BTreeSet<HostId>) -> Vec<Body> {
     let mut engines = collect_engines(state, view, excluded_hosts);
     let mut bodies = Vec::new();
