--- a/crates/corianderstand_replay/src/bounds.rs
+++ b/crates/corianderstand_replay/src/bounds.rs
@@ -66,11 +66,11 @@
             ));
         }
     }
-    let allowed = cold_wakes.saturating_sub(last_ends.len());
+    let allowed_unloads = cold_wakes.saturating_sub(last_ends.len());
     gaps.sort_by(|a, b| b.0.total_cmp(&a.0));
     let (wakes, short): (Vec<_>, Vec<_>) = gaps.into_iter().partition(|(_, gap)| *gap >= IDLE_GAP);
-    let kept = wakes.iter().skip(allowed).chain(&short);
-    kept.map(|(hours, _)| hours).sum()
+    let loaded_gaps = wakes.iter().skip(allowed_unloads).chain(&short);
+    loaded_gaps.map(|(hours, _)| hours).sum()
 }
 
 fn token_ms(trace: &Trace, model: &ModelId) -> u64 {
--- a/crates/corianderstand_state/src/calls.rs
+++ b/crates/corianderstand_state/src/calls.rs
@@ -159,20 +159,20 @@
     pub fn claim(
         &mut self,
         offset: u64,
-        now: u64,
+        now_ms: u64,
         key: &CallKey,
         digest: u64,
         target: &TargetId,
         record: &Record,
     ) -> Result<(), Rejection> {
-        self.remove_expired(now);
+        self.remove_expired(now_ms);
         self.ensure_unclaimed(key)?;
         if self.by_key.len() >= MAX_KEYS || self.answer_bytes >= MAX_ANSWER_BYTES {
             return Err(Rejection::CallsFull);
         }
         let (target, incarnation) = (target.clone(), record.incarnation);
         let call = Call::Claimed { claim: offset, digest, target, incarnation };
-        self.insert(offset, now, key, call);
+        self.insert(offset, now_ms, key, call);
         Ok(())
     }
 
@@ -201,13 +201,13 @@
     }
 
     /// Records that an unclaimed call did not run.
-    pub fn void(&mut self, offset: u64, now: u64, key: &CallKey) -> Result<(), Rejection> {
-        self.remove_expired(now);
+    pub fn void(&mut self, offset: u64, now_ms: u64, key: &CallKey) -> Result<(), Rejection> {
+        self.remove_expired(now_ms);
         self.ensure_unclaimed(key)?;
         if self.by_key.len() >= MAX_KEYS_VOIDED {
             return Err(Rejection::CallsFull);
         }
-        self.insert(offset, now, key, Call::NotRun);
+        self.insert(offset, now_ms, key, Call::NotRun);
         Ok(())
     }
 
@@ -227,10 +227,10 @@
     }
 
     /// Removes keys older than [`KEY_RETENTION_MS`]; log time rises with the offset.
-    fn remove_expired(&mut self, now: u64) {
+    fn remove_expired(&mut self, now_ms: u64) {
         while let Some((offset, key)) = self.by_offset.get_min().cloned() {
             let at_ms = self.by_key.get(&key).map_or(0, |entry| entry.at_ms);
-            if at_ms + KEY_RETENTION_MS > now {
+            if at_ms + KEY_RETENTION_MS > now_ms {
                 return;
             }
             self.by_offset.remove(&offset);
--- a/crates/corianderstand_state/src/expiry.rs
+++ b/crates/corianderstand_state/src/expiry.rs
@@ -17,8 +17,8 @@
 
 /// Removes inactive writers, and former slot owners of models that no longer exist.
 pub fn sweep(state: &mut State) {
-    let now = state.time_ms;
-    let old = state.writers.iter().filter(|(_, known)| known.at_ms + WRITER_TTL_MS <= now);
+    let now_ms = state.time_ms;
+    let old = state.writers.iter().filter(|(_, known)| known.at_ms + WRITER_TTL_MS <= now_ms);
     for writer in old.map(|(writer, _)| writer.clone()).collect::<Vec<_>>() {
         state.writers.remove(&writer);
     }
--- a/crates/corianderstand_state/src/fold.rs
+++ b/crates/corianderstand_state/src/fold.rs
@@ -111,27 +111,29 @@
     /// Returns false if the record is a duplicate from a retried append.
     fn advance_writer(&mut self, record: &Record) -> bool {
         let (incarnation, sequence) = (record.incarnation, record.sequence);
-        let now = Progress { incarnation, sequence, at_ms: self.time_ms };
+        let progress = Progress { incarnation, sequence, at_ms: self.time_ms };
         let known = self.writers.get(&record.writer);
         let newer = known.is_none_or(|known| {
-            (now.incarnation, now.sequence) > (known.incarnation, known.sequence)
+            (progress.incarnation, progress.sequence) > (known.incarnation, known.sequence)
         });
         if newer {
-            self.writers.insert(record.writer.clone(), now);
+            self.writers.insert(record.writer.clone(), progress);
         }
         newer
     }
 
     fn apply_body(&mut self, offset: u64, record: &Record) -> Result<(), Rejection> {
-        let now = self.time_ms;
+        let now_ms = self.time_ms;
         match &record.body {
             Body::Settings { changes, author, ticket, not_after_ms } => {
                 let result = self.apply_settings(offset, changes, author, *not_after_ms);
-                self.history.record((offset, now), ticket, author, changes, &result);
+                self.history.record((offset, now_ms), ticket, author, changes, &result);
                 result
             }
-            Body::LeaseTaken { epoch, ttl_ms } => self.lease.acquire(*epoch, *ttl_ms, now, record),
-            Body::LeaseRenewed { epoch } => self.lease.renew(*epoch, now, record),
+            Body::LeaseTaken { epoch, ttl_ms } => {
+                self.lease.acquire(*epoch, *ttl_ms, now_ms, record)
+            }
+            Body::LeaseRenewed { epoch } => self.lease.renew(*epoch, now_ms, record),
             Body::LeaseReleased { epoch } => self.lease.release(*epoch, record),
             Body::TargetUp { target } => {
                 self.targets.announce(offset, target, record);
@@ -150,10 +152,10 @@
                 self.slots.release(offset, model, *index, *assigned, epoch.is_some(), record)
             }
             Body::Claimed { key, digest, target } => {
-                self.calls.claim(offset, now, key, *digest, target, record)
+                self.calls.claim(offset, now_ms, key, *digest, target, record)
             }
             Body::CallEnded { key, claim, answer } => self.calls.end(key, *claim, answer.as_ref()),
-            Body::CallVoided { key } => self.calls.void(offset, now, key),
+            Body::CallVoided { key } => self.calls.void(offset, now_ms, key),
             Body::TargetGone { epoch, target, target_offset } => {
                 self.lease.check(*epoch, record)?;
                 self.targets.remove(offset, target, *target_offset)?;
@@ -166,7 +168,7 @@
             }
             Body::CheckpointPart { epoch, as_of, part, parts, .. } => {
                 self.lease.check(*epoch, record)?;
-                self.checkpoints.record_part((offset, now), *as_of, *part, *parts)
+                self.checkpoints.record_part((offset, now_ms), *as_of, *part, *parts)
             }
         }
     }
--- a/crates/corianderstand_state/src/lease.rs
+++ b/crates/corianderstand_state/src/lease.rs
@@ -27,22 +27,22 @@
         &mut self,
         epoch: u64,
         ttl_ms: u64,
-        now: u64,
+        now_ms: u64,
         record: &Record,
     ) -> Result<(), Rejection> {
-        let free = self.holder.is_none() || now >= self.until_ms;
+        let free = self.holder.is_none() || now_ms >= self.until_ms;
         if epoch != self.epoch + 1 || !free {
             return Err(Rejection::LeaseNotHeld);
         }
         let holder = Some((record.writer.clone(), record.incarnation));
-        *self = Self { epoch, holder, ttl_ms, until_ms: now + ttl_ms };
+        *self = Self { epoch, holder, ttl_ms, until_ms: now_ms + ttl_ms };
         Ok(())
     }
 
     /// Extends the lease by its time to live.
-    pub fn renew(&mut self, epoch: u64, now: u64, record: &Record) -> Result<(), Rejection> {
+    pub fn renew(&mut self, epoch: u64, now_ms: u64, record: &Record) -> Result<(), Rejection> {
         self.check(epoch, record)?;
-        self.until_ms = now + self.ttl_ms;
+        self.until_ms = now_ms + self.ttl_ms;
         Ok(())
     }
 
