--- a/crates/corianderstand_agent/src/release/tests/random.rs
+++ b/crates/corianderstand_agent/src/release/tests/random.rs
@@ -25,7 +25,6 @@
 const HOST_LIST_LAG_MS: u64 = 400;
 /// Maximum delay of a command in the socket of a broken connection.
 const MAX_COMMAND_DELAY_MS: u64 = 480;
-/// Time from the start of an agent until its ledger is rebuilt.
 const REBUILD_MS: u64 = 500;
 
 /// Prints the seed if the history panics.
@@ -52,7 +51,6 @@
     restored: u64,
 }
 
-/// Answers sent to operators, by ticket.
 #[derive(Default)]
 struct TicketAnswers {
     accepted: BTreeSet<String>,
--- a/crates/corianderstand_agent/src/release/tests/world.rs
+++ b/crates/corianderstand_agent/src/release/tests/world.rs
@@ -201,7 +201,6 @@
         true
     }
 
-    /// Checks that all readers at the same offset hold the same state.
     fn check_digest(&mut self, reader: &Reader) {
         let digest = checkpoint::digest(&checkpoint::encode(&reader.state));
         let known = *self.digests.entry(reader.state.next).or_insert(digest);
--- a/crates/corianderstand_cli/src/check.rs
+++ b/crates/corianderstand_cli/src/check.rs
@@ -72,7 +72,6 @@
     unreadable.chain(within).chain(across).collect()
 }
 
-/// Checks a process settings file, whose kind follows from its fields.
 fn check_process(path: &Path) -> Vec<FileFault> {
     let value = match directory::read_file(path) {
         Ok(value) => value,
--- a/crates/corianderstand_cli/tests/check.rs
+++ b/crates/corianderstand_cli/tests/check.rs
@@ -12,7 +12,6 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples")
 }
 
-/// A temporary directory, removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -273,7 +273,6 @@
         }
     }
 
-    /// Runs an agent's decision and executes the resulting actions.
     fn run_agent(
         &mut self,
         engine: usize,
