--- a/crates/corianderstand_agent/src/announce.rs
+++ b/crates/corianderstand_agent/src/announce.rs
@@ -10,16 +10,13 @@
 
 /// Time after which an undecided append is retried.
 pub const APPEND_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that a graceful shutdown waits for its slots to be released. After it they stay with the
-/// target until its host is gone or the agent starts again.
+/// Time that a graceful shutdown waits for its slots to be released; after it they stay assigned.
 pub const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Announces the target whenever it is missing from the state.
+/// Announces the target whenever it is missing from the state, as after its host was unlisted.
 ///
-/// A host that is missing from the host list for long is removed with its target, even if the
-/// agent still runs. An announcement of a later incarnation is kept, so that two agents don't
-/// keep replacing each other's.
+/// Keeps a later incarnation's announcement, so that two agents don't keep replacing each other's.
 pub async fn keep_announced(
     control: ControlHandle,
     record: TargetRecord,
@@ -44,16 +41,15 @@
     }
 }
 
-/// Appends slot releases to the log.
 pub async fn append_releases(control: ControlHandle, mut releases: watch::Receiver<SlotReleases>) {
     loop {
         let due = releases.borrow_and_update().clone();
         let snapshot = control.current.load();
         let slots = &snapshot.state.slots.by_key;
-        let open = due
+        let unreleased = due
             .iter()
             .filter(|(key, at)| slots.get(*key).is_some_and(|slot| slot.assigned == **at));
-        let bodies = open.map(|(key, assigned)| Body::SlotReleased {
+        let bodies = unreleased.map(|(key, assigned)| Body::SlotReleased {
             model: key.model.clone(),
             index: key.index,
             assigned: *assigned,
@@ -67,8 +63,8 @@
             }
             continue;
         }
-        let decided = future::join_all(appends).await;
-        if decided.iter().any(Result::is_err) {
+        let results = future::join_all(appends).await;
+        if results.iter().any(Result::is_err) {
             tracing::warn!("cannot release slots, retrying");
             time::sleep(RELEASE_RETRY_DELAY).await;
         }
--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -25,8 +25,7 @@
 
 /// Time to wait for the log to decide a claim before the request is refused.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that a response waits for its record, so that a retry finds the same outcome even if
-/// this process crashes.
+/// Time that a response waits for its record, which lets a retry find the outcome after a crash.
 const RECORD_WAIT_LIMIT: Duration = Duration::from_secs(1);
 /// Time for which an append is retried while the log is down.
 const RECORD_APPEND_TIMEOUT: Duration = Duration::from_secs(6 * 3600);
@@ -37,13 +36,12 @@
 
 type CallResult = Result<ServiceResponse, Finish>;
 
-/// Runs a call and sends its response.
 pub async fn run(runner: &JobRunner, request: &Request, trace: TraceContext) -> Finish {
     let Operation::Call { service, method, path, idempotency_key, .. } = &request.open.operation
     else {
         return ended(failed("the request is no call"));
     };
-    let answer = match idempotency_key {
+    let result = match idempotency_key {
         None => call(runner, request, trace).await.map_err(|error| {
             let reason: SmolStr = error.to_string().into();
             ended(Ending::Failed { reason })
@@ -57,8 +55,8 @@
             idempotent.call(runner, request, trace).await
         }
     };
-    match answer {
-        Ok(answer) => send_response(request, &answer).await,
+    match result {
+        Ok(response) => send_response(request, &response).await,
         Err(finish) => finish,
     }
 }
@@ -67,11 +65,11 @@
     Finish::Ended(ending, 0)
 }
 
-async fn send_response(request: &Request, answer: &ServiceResponse) -> Finish {
+async fn send_response(request: &Request, response: &ServiceResponse) -> Finish {
     let stream = request.response.stream;
-    let (status, content_type) = (answer.status, answer.content_type.clone());
+    let (status, content_type) = (response.status, response.content_type.clone());
     request.response.send(&ToRouter::Head { stream, status, content_type }, b"").await;
-    request.response.send(&ToRouter::Chunk { stream, position: 0 }, &answer.body).await;
+    request.response.send(&ToRouter::Chunk { stream, position: 0 }, &response.body).await;
     let finish_reason = "stop".into();
     let whole = Ending::Whole { prompt_tokens: 0, completion_tokens: 0, finish_reason };
     Finish::Ended(whole, 1)
@@ -113,9 +111,6 @@
 
 impl IdempotentCall {
     /// Runs the call only if this agent's claim is the first for its key in the log.
-    ///
-    /// This keeps a retry on another agent, or an agent that resumes after a pause, from running
-    /// the call a second time.
     async fn call(&self, runner: &JobRunner, request: &Request, trace: TraceContext) -> CallResult {
         let snapshot = runner.control.current.load();
         match snapshot.state.calls.status(&self.key, self.digest) {
@@ -163,8 +158,8 @@
                 idempotent.withdraw_late_claim(&task_runner, decided).await;
             }
         });
-        let left = request.deadline.saturating_duration_since(runner.clock.now());
-        if let Ok(Ok(decided)) = time::timeout(CLAIM_TIMEOUT.min(left), &mut rx).await {
+        let time_left = request.deadline.saturating_duration_since(runner.clock.now());
+        if let Ok(Ok(decided)) = time::timeout(CLAIM_TIMEOUT.min(time_left), &mut rx).await {
             return decided.ok();
         }
         // Incremented before the channel is closed, so that the task never decrements first.
@@ -195,9 +190,9 @@
         claim: u64,
     ) -> CallResult {
         match call(runner, request, trace).await {
-            Ok(answer) => {
-                self.record(runner, claim, Some(stored_answer(&answer))).await;
-                Ok(answer)
+            Ok(response) => {
+                self.record(runner, claim, Some(stored_answer(&response))).await;
+                Ok(response)
             }
             // The connection was refused, so the service cannot have received the call.
             Err(error) if error.never_sent() => {
@@ -224,22 +219,20 @@
     }
 }
 
-/// Returns whether the deadline is ahead by this process's clock and by the log's.
-///
-/// A process that was paused with a request in its socket reads it late and computes a late local
-/// deadline. The log's clock is shared with the router and detects this.
+/// Returns whether the deadline is ahead by this process's clock and by the log's, which detects
+/// requests read late after a pause.
 fn is_before_deadline(runner: &JobRunner, request: &Request) -> bool {
     let now_ms = runner.control.current.load().log_now_ms(runner.clock.wall());
     let expires_ms = request.open.expires_ms;
     runner.clock.now() < request.deadline && (expires_ms == 0 || now_ms < expires_ms)
 }
 
-fn stored_answer(answer: &ServiceResponse) -> CallAnswer {
-    let kept = answer.body.len() <= calls::MAX_ANSWER_BODY_BYTES;
+fn stored_answer(response: &ServiceResponse) -> CallAnswer {
+    let stores_body = response.body.len() <= calls::MAX_ANSWER_BODY_BYTES;
     CallAnswer {
-        status: answer.status,
-        content_type: answer.content_type.clone(),
-        body: kept.then(|| answer.body.to_vec()),
+        status: response.status,
+        content_type: response.content_type.clone(),
+        body: stores_body.then(|| response.body.to_vec()),
     }
 }
 
@@ -247,8 +240,7 @@
     ended(Ending::NotRun { reason: reason.into() })
 }
 
-/// Returns the result of a retry. If the outcome is unknown here, the router waits for it in its
-/// replicated records.
+/// Returns the result of a retry; the router waits in its records for an outcome unknown here.
 fn result_of(status: CallStatus) -> CallResult {
     match status {
         CallStatus::Ran(calls::Answer { status, content_type, body: Some(body) }) => {
--- a/crates/corianderstand_agent/src/held_requests.rs
+++ b/crates/corianderstand_agent/src/held_requests.rs
@@ -1,18 +1,16 @@
 //! Requests that arrive before the log records they were routed by.
 //!
-//! A router may apply a slot assignment some milliseconds before the slot's owner does. Instead
-//! of refusing the router's request as `not_loaded`, the owner holds it until it has applied the
-//! log up to the offset that the router used.
+//! A router may apply a slot assignment before the slot's owner does. The owner holds the request,
+//! instead of refusing it, until it has applied the log up to the router's offset.
 
 use crate::event::ConnectionId;
 use std::time::{Duration, Instant};
 
-/// Maximum time that a request is held. After it the request is submitted, and refused early
-/// enough to be retried elsewhere.
+/// Time after which a held request is submitted; short enough for a retry elsewhere.
 pub const MAX_HOLD_TIME: Duration = Duration::from_millis(1000);
 /// Maximum number of held requests; further requests are submitted immediately.
 pub const MAX_HELD_REQUESTS: usize = 1024;
-/// Interval at which held requests are polled.
+/// Poll interval of the snapshot while requests are held.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug)]
@@ -23,15 +21,15 @@
     request: T,
 }
 
-/// Held requests, in order of arrival.
+/// Requests in order of arrival.
 #[derive(Debug)]
 pub struct HeldRequests<T> {
-    held: Vec<HeldRequest<T>>,
+    requests: Vec<HeldRequest<T>>,
 }
 
 impl<T> Default for HeldRequests<T> {
     fn default() -> Self {
-        Self { held: Vec::new() }
+        Self { requests: Vec::new() }
     }
 }
 
@@ -46,29 +44,29 @@
         stream: (ConnectionId, u64),
         request: T,
     ) -> Option<T> {
-        if as_of < next || self.held.len() >= MAX_HELD_REQUESTS {
+        if as_of < next || self.requests.len() >= MAX_HELD_REQUESTS {
             return Some(request);
         }
-        self.held.push(HeldRequest { as_of, until: now + MAX_HOLD_TIME, stream, request });
+        self.requests.push(HeldRequest { as_of, until: now + MAX_HOLD_TIME, stream, request });
         None
     }
 
     /// Removes and returns, in order, all requests whose record is applied or whose hold expired.
-    pub fn take_ready(&mut self, now: Instant, next: u64) -> Vec<T> {
+    pub fn remove_ready(&mut self, now: Instant, next: u64) -> Vec<T> {
         let ready = |held: &mut HeldRequest<T>| held.as_of < next || held.until <= now;
-        self.held.extract_if(.., ready).map(|held| held.request).collect()
+        self.requests.extract_if(.., ready).map(|held| held.request).collect()
     }
 
     pub fn cancel(&mut self, stream: (ConnectionId, u64)) {
-        self.held.retain(|held| held.stream != stream);
+        self.requests.retain(|held| held.stream != stream);
     }
 
     pub fn remove_connection(&mut self, connection: ConnectionId) {
-        self.held.retain(|held| held.stream.0 != connection);
+        self.requests.retain(|held| held.stream.0 != connection);
     }
 
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.requests.is_empty()
     }
 }
 
--- a/crates/corianderstand_replay/src/trace.rs
+++ b/crates/corianderstand_replay/src/trace.rs
@@ -171,19 +171,11 @@
 
 impl Trace {
     /// Reads a trace file.
-    ///
-    /// # Errors
-    ///
-    /// See [`TraceError`].
     pub fn read(path: &Path) -> Result<Self, TraceError> {
         Self::parse(&fs::read_to_string(path).map_err(TraceError::Io)?)
     }
 
     /// Parses a trace and checks its references and order.
-    ///
-    /// # Errors
-    ///
-    /// See [`TraceError`].
     pub fn parse(text: &str) -> Result<Self, TraceError> {
         let mut texts = text.lines();
         let first = texts.next().ok_or(TraceError::Empty)?;
@@ -260,7 +252,7 @@
 impl Trace {
     /// Time per generated token of a model.
     pub fn token_ms(&self, model: &ModelId) -> u64 {
-        let line = self.header.models.iter().find(|line| line.name == *model);
-        line.map_or(0, |line| line.token_ms)
+        let spec = self.header.models.iter().find(|spec| spec.name == *model);
+        spec.map_or(0, |spec| spec.token_ms)
     }
 }
--- a/crates/corianderstand_state/src/targets.rs
+++ b/crates/corianderstand_state/src/targets.rs
@@ -59,24 +59,23 @@
         &mut self,
         offset: u64,
         target: &TargetId,
-        announced: u64,
+        target_offset: u64,
     ) -> Result<(), Rejection> {
-        self.check(target, announced)?;
+        self.check(target, target_offset)?;
         self.by_name.remove(target);
         self.version = offset;
         Ok(())
     }
 
-    /// Sets whether a target's host is leaving, unless the target was announced again. Informs
-    /// agents, which do not read the host list, and routers, which read it rarely.
+    /// Sets whether a target's host is leaving, unless the target was announced again.
     pub fn set_leaving(
         &mut self,
         offset: u64,
         target: &TargetId,
-        announced: u64,
+        target_offset: u64,
         leaving: bool,
     ) -> Result<(), Rejection> {
-        self.check(target, announced)?;
+        self.check(target, target_offset)?;
         if let Some(entry) = self.by_name.get_mut(target) {
             entry.leaving = leaving;
             self.version = offset;
