--- a/crates/corianderstand_standins/src/batch.rs
+++ b/crates/corianderstand_standins/src/batch.rs
@@ -8,40 +8,39 @@
 use tokio::sync::Notify;
 
 pub struct Batch {
-    capacity: u32,
-    inner: Mutex<Inner>,
-    changed: Notify,
+    max_running: u32,
+    inner: Mutex<BatchState>,
+    slots_changed: Notify,
 }
 
 #[derive(Default)]
-struct Inner {
+struct BatchState {
     running: u32,
     last_sequence: u64,
     waiting: BTreeSet<(Reverse<u8>, u64)>,
 }
 
-/// A running request; its slot is released when dropped.
+/// Batch slot of a running request; released when dropped.
 pub struct BatchSlot(Arc<Batch>);
 
-/// A waiting request; removed from the queue when dropped.
+/// Queue entry of a waiting request; removed when dropped.
 struct QueueEntry<'a>(&'a Batch, (Reverse<u8>, u64));
 
 impl Batch {
-    pub fn new(capacity: u32) -> Arc<Self> {
-        Arc::new(Self { capacity, inner: Mutex::default(), changed: Notify::new() })
+    pub fn new(max_running: u32) -> Arc<Self> {
+        Arc::new(Self { max_running, inner: Mutex::default(), slots_changed: Notify::new() })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, BatchState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 
-    /// Returns the numbers of running and of waiting requests.
-    pub fn counts(&self) -> (u32, u32) {
+    pub fn running_and_waiting(&self) -> (u32, u32) {
         let inner = self.lock();
         (inner.running, inner.waiting.len() as u32)
     }
 
-    /// Waits for a slot; slots are granted by priority, then in order of arrival.
+    /// Waits for a batch slot, granted by priority, then in order of arrival.
     pub async fn acquire(self: &Arc<Self>, priority: u8) -> BatchSlot {
         let entry = {
             let mut inner = self.lock();
@@ -51,10 +50,10 @@
             QueueEntry(self, entry)
         };
         loop {
-            let changed = self.changed.notified();
+            let changed = self.slots_changed.notified();
             {
                 let mut inner = self.lock();
-                if inner.running < self.capacity && inner.waiting.first() == Some(&entry.1) {
+                if inner.running < self.max_running && inner.waiting.first() == Some(&entry.1) {
                     inner.running += 1;
                     break;
                 }
@@ -69,13 +68,13 @@
 impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         self.0.lock().waiting.remove(&self.1);
-        self.0.changed.notify_waiters();
+        self.0.slots_changed.notify_waiters();
     }
 }
 
 impl Drop for BatchSlot {
     fn drop(&mut self) {
         self.0.lock().running -= 1;
-        self.0.changed.notify_waiters();
+        self.0.slots_changed.notify_waiters();
     }
 }
--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -21,15 +21,15 @@
 use tokio::time::{self, Instant};
 
 const DEFAULT_MAX_TOKENS: u64 = 16;
-const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// Covers a report lag of 20 s.
-const MAX_REPORTS: usize = 1000;
+const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Samples of 20 s, the longest supported report lag.
+const MAX_LOAD_REPORTS: usize = 1000;
 
 /// Injected faults.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Factor on the time of a token.
+    /// Factor by which tokens take longer.
     slow: f64,
     /// Streams fail after this many tokens.
     break_after: Option<u64>,
@@ -37,7 +37,7 @@
     lose_order_answers: u32,
     /// Requests and streams stall.
     hang: bool,
-    /// Loses each n-th cache event; 0 for none.
+    /// Drops every n-th cache event; 0 drops none.
     lose_cache_events: u64,
 }
 
@@ -68,31 +68,31 @@
     batch: Arc<Batch>,
     report_lag: Duration,
     event_lag: Duration,
-    load_ms: u64,
+    weight_load_ms: u64,
     weights_url: Option<String>,
     check_fencing: bool,
     client: reqwest::Client,
-    inner: Mutex<Inner>,
+    inner: Mutex<EngineState>,
 }
 
-struct Inner {
+struct EngineState {
     cache: PrefixCache,
-    reports: VecDeque<(Instant, EngineReport)>,
-    loaded: Vec<LoadedWeights>,
+    load_reports: VecDeque<(Instant, EngineReport)>,
+    loaded_weights: Vec<LoadedWeights>,
     newest_fences: BTreeMap<String, u64>,
-    cancelled: BTreeSet<String>,
+    cancelled_requests: BTreeSet<String>,
     fault: Fault,
     counters: Counters,
 }
 
-impl Inner {
-    fn memory(&self) -> u64 {
-        self.loaded.iter().map(|loaded| loaded.memory_mib).sum()
+impl EngineState {
+    fn used_memory_mib(&self) -> u64 {
+        self.loaded_weights.iter().map(|loaded| loaded.memory_mib).sum()
     }
 }
 
 impl Engine {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, EngineState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 
@@ -104,55 +104,57 @@
 
     async fn fetch_weights(&self) -> Result<(), String> {
         let Some(weights_url) = &self.weights_url else {
-            time::sleep(Duration::from_millis(self.load_ms)).await;
+            time::sleep(Duration::from_millis(self.weight_load_ms)).await;
             return Ok(());
         };
-        let url = format!("{weights_url}/fetch?ms={}", self.load_ms);
+        let url = format!("{weights_url}/fetch?ms={}", self.weight_load_ms);
         let response = self.client.get(url).send().await.map_err(|error| error.to_string())?;
         response.error_for_status().map(drop).map_err(|error| error.to_string())
     }
 
-    /// Reserves memory for a load.
-    fn begin_load(&self, command: &EngineCommand) -> Result<(), Reply> {
+    fn reserve_memory(&self, command: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
-        if inner.loaded.iter().any(|loaded| loaded.weights == command.weights) {
+        if inner.loaded_weights.iter().any(|loaded| loaded.weights == command.weights) {
             return Err(Reply::text(200, "already loaded"));
         }
-        if inner.memory() + command.memory_mib > self.memory_mib {
+        if inner.used_memory_mib() + command.memory_mib > self.memory_mib {
             inner.counters.over_memory += 1;
             return Err(Reply::text(507, "not enough memory"));
         }
         let (weights, memory_mib) = (command.weights.clone(), command.memory_mib);
-        inner.loaded.push(LoadedWeights { weights, memory_mib, ready: false });
-        inner.counters.most_memory_mib = inner.counters.most_memory_mib.max(inner.memory());
+        inner.loaded_weights.push(LoadedWeights { weights, memory_mib, ready: false });
+        inner.counters.most_memory_mib =
+            inner.counters.most_memory_mib.max(inner.used_memory_mib());
         inner.counters.loads += 1;
         Ok(())
     }
 
-    async fn load(&self, command: &EngineCommand) -> Reply {
-        if let Err(reply) = self.begin_load(command) {
+    async fn load_weights(&self, command: &EngineCommand) -> Reply {
+        if let Err(reply) = self.reserve_memory(command) {
             return reply;
         }
         let fetched = self.fetch_weights().await;
         let mut inner = self.lock();
         if let Err(error) = fetched {
-            inner.loaded.retain(|loaded| loaded.weights != command.weights);
+            inner.loaded_weights.retain(|loaded| loaded.weights != command.weights);
             return Reply::text(502, &error);
         }
-        for loaded in inner.loaded.iter_mut().filter(|loaded| loaded.weights == command.weights) {
+        for loaded in
+            inner.loaded_weights.iter_mut().filter(|loaded| loaded.weights == command.weights)
+        {
             loaded.ready = true;
         }
         Reply::text(200, "loaded")
     }
 
-    fn unload(&self, command: &EngineCommand) -> Reply {
+    fn unload_weights(&self, command: &EngineCommand) -> Reply {
         let mut inner = self.lock();
-        inner.loaded.retain(|loaded| loaded.weights != command.weights);
+        inner.loaded_weights.retain(|loaded| loaded.weights != command.weights);
         inner.counters.unloads += 1;
         Reply::text(200, "unloaded")
     }
 
-    /// Rejects a command with an older fencing token than another one for the same weights.
+    /// Rejects a command whose fencing token is older than the newest one seen for its weights.
     fn check_fence(&self, command: &EngineCommand) -> Result<(), Reply> {
         let mut inner = self.lock();
         let name = command.weights.to_string();
@@ -168,7 +170,7 @@
     }
 
     fn is_ready(&self, model: &str) -> bool {
-        self.lock().loaded.iter().any(|l| l.ready && l.weights.to_string() == model)
+        self.lock().loaded_weights.iter().any(|l| l.ready && l.weights.to_string() == model)
     }
 
     fn token_interval(&self) -> Duration {
@@ -189,8 +191,8 @@
     let (executor, command) = (engine.clone(), command);
     let execution = tokio::spawn(async move {
         match command.action {
-            CommandAction::Load => executor.load(&command).await,
-            CommandAction::Unload => executor.unload(&command),
+            CommandAction::Load => executor.load_weights(&command).await,
+            CommandAction::Unload => executor.unload_weights(&command),
         }
     });
     let Ok(reply) = execution.await else { return Reply::text(500, "the command failed") };
@@ -202,34 +204,35 @@
     reply
 }
 
-async fn loaded(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
+async fn list_loaded(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
     engine.wait_while_hanging().await;
-    Reply::json(&engine.lock().loaded)
+    Reply::json(&engine.lock().loaded_weights)
 }
 
-/// Returns the newest report that is at least as old as the report lag.
+/// Returns the newest load report sampled at least `report_lag` ago.
 async fn load_report(engine: Arc<Engine>, _req: ApiRequest) -> Reply {
     let mut inner = engine.lock();
-    let is_published = |(at, _): &(Instant, EngineReport)| at.elapsed() >= engine.report_lag;
-    while inner.reports.len() > 1 && is_published(&inner.reports[1]) {
-        inner.reports.pop_front();
+    let is_published =
+        |(sampled_at, _): &(Instant, EngineReport)| sampled_at.elapsed() >= engine.report_lag;
+    while inner.load_reports.len() > 1 && is_published(&inner.load_reports[1]) {
+        inner.load_reports.pop_front();
     }
-    let report = inner.reports.front().filter(|report| is_published(report));
+    let report = inner.load_reports.front().filter(|report| is_published(report));
     Reply::json(&report.map(|(_, report)| report.clone()).unwrap_or_default())
 }
 
 async fn sample_load(engine: Arc<Engine>) {
     loop {
-        let (running, waiting) = engine.batch.counts();
+        let (running, waiting) = engine.batch.running_and_waiting();
         {
             let mut inner = engine.lock();
-            let report = EngineReport { running, waiting, memory_mib: inner.memory() };
-            inner.reports.push_back((Instant::now(), report));
-            while inner.reports.len() > MAX_REPORTS {
-                inner.reports.pop_front();
+            let report = EngineReport { running, waiting, memory_mib: inner.used_memory_mib() };
+            inner.load_reports.push_back((Instant::now(), report));
+            while inner.load_reports.len() > MAX_LOAD_REPORTS {
+                inner.load_reports.pop_front();
             }
         }
-        time::sleep(SAMPLE_INTERVAL).await;
+        time::sleep(LOAD_SAMPLE_INTERVAL).await;
     }
 }
 
@@ -241,19 +244,19 @@
     Reply::json(&engine.lock().counters)
 }
 
-async fn cancel(engine: Arc<Engine>, req: ApiRequest) -> Reply {
+async fn cancel_request(engine: Arc<Engine>, req: ApiRequest) -> Reply {
     let mut inner = engine.lock();
     inner.counters.cancelled += 1;
-    inner.cancelled.insert(req.param("request"));
+    inner.cancelled_requests.insert(req.param("request"));
     Reply::text(200, "cancelled")
 }
 
-async fn fault(engine: Arc<Engine>, req: ApiRequest) -> Reply {
+async fn set_fault(engine: Arc<Engine>, req: ApiRequest) -> Reply {
     match req.json() {
         Ok(fault) => {
             let fault: Fault = fault;
             let mut inner = engine.lock();
-            inner.cache.drop_every = fault.lose_cache_events;
+            inner.cache.drop_event_every = fault.lose_cache_events;
             inner.fault = fault;
             Reply::text(200, "set")
         }
@@ -261,33 +264,33 @@
     }
 }
 
-/// A generation in progress; cancelled when dropped.
+/// A response being generated; occupies its batch slot until dropped.
 struct Generation {
     engine: Arc<Engine>,
-    request: String,
+    request_id: String,
     model: String,
     prompt: Vec<u8>,
-    chat: bool,
-    position: u64,
-    tokens: u64,
-    cached: usize,
-    ended: bool,
-    _slot: BatchSlot,
+    is_chat: bool,
+    next_position: u64,
+    max_tokens: u64,
+    cached_prompt_tokens: usize,
+    has_ended: bool,
+    _batch_slot: BatchSlot,
 }
 
 impl Drop for Generation {
     fn drop(&mut self) {
-        self.engine.lock().cancelled.remove(&self.request);
+        self.engine.lock().cancelled_requests.remove(&self.request_id);
     }
 }
 
 impl Generation {
-    async fn step(mut self) -> Option<(Result<Bytes, std::io::Error>, Self)> {
-        if self.ended {
+    async fn next_event(mut self) -> Option<(Result<Bytes, std::io::Error>, Self)> {
+        if self.has_ended {
             return None;
         }
-        if self.position == self.tokens {
-            self.ended = true;
+        if self.next_position == self.max_tokens {
+            self.has_ended = true;
             return Some((Ok(self.final_events()), self));
         }
         let token_interval = self.engine.token_interval();
@@ -296,35 +299,35 @@
         }
         self.engine.wait_while_hanging().await;
         if self.is_interrupted() {
-            self.ended = true;
+            self.has_ended = true;
             return Some((Err(std::io::Error::other("stream interrupted")), self));
         }
-        let token = text::token(&self.model, &self.prompt, self.position);
-        self.position += 1;
+        let token = text::token(&self.model, &self.prompt, self.next_position);
+        self.next_position += 1;
         self.engine.lock().counters.tokens += 1;
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             json!({ "index": 0, "delta": { "content": token } })
         } else {
             json!({ "index": 0, "text": token })
         };
-        let value = json!({ "id": self.request, "choices": [choice] });
+        let value = json!({ "id": self.request_id, "choices": [choice] });
         Some((Ok(serve::event(&value.to_string())), self))
     }
 
     fn is_interrupted(&self) -> bool {
         let inner = self.engine.lock();
-        inner.cancelled.contains(&self.request)
-            || inner.fault.break_after.is_some_and(|after| self.position >= after)
+        inner.cancelled_requests.contains(&self.request_id)
+            || inner.fault.break_after.is_some_and(|after| self.next_position >= after)
     }
 
     fn final_events(&self) -> Bytes {
         let prompt_tokens = self.prompt.split(u8::is_ascii_whitespace).count();
         let value = json!({
-            "id": self.request,
+            "id": self.request_id,
             "choices": [{ "index": 0, "text": "", "delta": {}, "finish_reason": "length" }],
-            "usage": { "prompt_tokens": prompt_tokens, "completion_tokens": self.tokens,
-                "total_tokens": prompt_tokens as u64 + self.tokens,
-                "prompt_tokens_details": { "cached_tokens": self.cached } },
+            "usage": { "prompt_tokens": prompt_tokens, "completion_tokens": self.max_tokens,
+                "total_tokens": prompt_tokens as u64 + self.max_tokens,
+                "prompt_tokens_details": { "cached_tokens": self.cached_prompt_tokens } },
         });
         let mut end = serve::event(&value.to_string()).to_vec();
         end.extend_from_slice(&serve::event("[DONE]"));
@@ -347,31 +350,31 @@
         return Reply::text(404, "the model is not loaded");
     }
     engine.lock().counters.requests += 1;
-    let slot = engine.batch.acquire(req.header("x-priority")).await;
-    let cached = {
+    let batch_slot = engine.batch.acquire(req.header("x-priority")).await;
+    let cached_tokens = {
         let mut inner = engine.lock();
-        let cached = inner.cache.insert_prompt(&model, &prompt);
-        inner.counters.cached_prompt_tokens += cached as u64;
-        cached
+        let cached_tokens = inner.cache.insert_prompt(&model, &prompt);
+        inner.counters.cached_prompt_tokens += cached_tokens as u64;
+        cached_tokens
     };
-    let words = prompt.split(u8::is_ascii_whitespace).count();
-    let prefill = engine.prefill_per_token * words.saturating_sub(cached) as u32;
+    let prompt_tokens = prompt.split(u8::is_ascii_whitespace).count();
+    let prefill = engine.prefill_per_token * prompt_tokens.saturating_sub(cached_tokens) as u32;
     if !prefill.is_zero() {
         time::sleep(prefill).await;
     }
     let generation = Generation {
         engine,
-        request: req.header("x-request-id"),
+        request_id: req.header("x-request-id"),
         model,
         prompt,
-        chat: req.path.contains("chat"),
-        position: req.header("x-resume-from"),
-        tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS),
-        cached,
-        ended: false,
-        _slot: slot,
+        is_chat: req.path.contains("chat"),
+        next_position: req.header("x-resume-from"),
+        max_tokens: body["max_tokens"].as_u64().unwrap_or(DEFAULT_MAX_TOKENS),
+        cached_prompt_tokens: cached_tokens,
+        has_ended: false,
+        _batch_slot: batch_slot,
     };
-    Reply::Events(stream::unfold(generation, Generation::step).boxed())
+    Reply::Events(stream::unfold(generation, Generation::next_event).boxed())
 }
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
@@ -383,16 +386,16 @@
         batch: Batch::new(serve::opt(matches, "batch", 32)?),
         report_lag: Duration::from_millis(serve::opt(matches, "report-lag-ms", 0)?),
         event_lag: Duration::from_millis(serve::opt(matches, "event-lag-ms", 0)?),
-        load_ms: serve::opt(matches, "load-ms", 500)?,
+        weight_load_ms: serve::opt(matches, "load-ms", 500)?,
         weights_url: matches.opt_str("weights"),
         check_fencing: matches.opt_present("check-fencing"),
         client,
-        inner: Mutex::new(Inner {
+        inner: Mutex::new(EngineState {
             cache: PrefixCache::new(serve::opt(matches, "cache-blocks", 4096)?),
-            reports: VecDeque::new(),
-            loaded: Vec::new(),
+            load_reports: VecDeque::new(),
+            loaded_weights: Vec::new(),
             newest_fences: BTreeMap::new(),
-            cancelled: BTreeSet::new(),
+            cancelled_requests: BTreeSet::new(),
             fault: Fault::default(),
             counters: Counters::default(),
         }),
@@ -405,11 +408,14 @@
             Router::with_path("v1/chat/completions").post(endpoint(|s, r| generate(s, r).boxed())),
         )
         .push(Router::with_path("orders").post(endpoint(|s, r| execute_command(s, r).boxed())))
-        .push(Router::with_path("loaded").get(endpoint(|s, r| loaded(s, r).boxed())))
+        .push(Router::with_path("loaded").get(endpoint(|s, r| list_loaded(s, r).boxed())))
         .push(Router::with_path("load").get(endpoint(|s, r| load_report(s, r).boxed())))
         .push(Router::with_path("cache-events").get(endpoint(|s, r| cache_events(s, r).boxed())))
         .push(Router::with_path("counters").get(endpoint(|s, r| counters(s, r).boxed())))
-        .push(Router::with_path("cancel/{request}").post(endpoint(|s, r| cancel(s, r).boxed())))
-        .push(Router::with_path("fault").post(endpoint(|s, r| fault(s, r).boxed())));
+        .push(
+            Router::with_path("cancel/{request}")
+                .post(endpoint(|s, r| cancel_request(s, r).boxed())),
+        )
+        .push(Router::with_path("fault").post(endpoint(|s, r| set_fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/hosts.rs
+++ b/crates/corianderstand_standins/src/hosts.rs
@@ -22,43 +22,47 @@
 }
 
 struct HostList {
-    lag: Duration,
-    inner: Mutex<Inner>,
+    visibility_lag: Duration,
+    inner: Mutex<HostListState>,
 }
 
 #[derive(Default)]
-struct Inner {
-    versions: Vec<(Instant, Vec<HostEntry>)>,
+struct HostListState {
+    published_lists: Vec<(Instant, Vec<HostEntry>)>,
     fault: Fault,
 }
 
 impl HostList {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, HostListState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 }
 
-async fn hosts(list: Arc<HostList>, _req: ApiRequest) -> Reply {
+async fn get_hosts(list: Arc<HostList>, _req: ApiRequest) -> Reply {
     let inner = list.lock();
     if inner.fault.down {
         return Reply::text(503, "the host list is down");
     }
-    let visible = inner.versions.iter().rev().find(|(at, _)| at.elapsed() >= list.lag);
-    let visible = visible.or(inner.versions.first()).filter(|_| !inner.fault.empty);
+    let visible = inner
+        .published_lists
+        .iter()
+        .rev()
+        .find(|(published_at, _)| published_at.elapsed() >= list.visibility_lag);
+    let visible = visible.or(inner.published_lists.first()).filter(|_| !inner.fault.empty);
     Reply::json(&visible.map(|(_, hosts)| hosts.clone()).unwrap_or_default())
 }
 
-async fn put(list: Arc<HostList>, req: ApiRequest) -> Reply {
+async fn put_hosts(list: Arc<HostList>, req: ApiRequest) -> Reply {
     match req.json::<Vec<HostEntry>>() {
         Ok(hosts) => {
-            list.lock().versions.push((Instant::now(), hosts));
+            list.lock().published_lists.push((Instant::now(), hosts));
             Reply::text(200, "set")
         }
         Err(reply) => reply,
     }
 }
 
-async fn fault(list: Arc<HostList>, req: ApiRequest) -> Reply {
+async fn set_fault(list: Arc<HostList>, req: ApiRequest) -> Reply {
     match req.json() {
         Ok(fault) => {
             list.lock().fault = fault;
@@ -69,13 +73,13 @@
 }
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
-    let lag = Duration::from_millis(serve::opt(matches, "lag-ms", 0)?);
-    let list = Arc::new(HostList { lag, inner: Mutex::default() });
+    let visibility_lag = Duration::from_millis(serve::opt(matches, "lag-ms", 0)?);
+    let list = Arc::new(HostList { visibility_lag, inner: Mutex::default() });
     let hosts_route = Router::with_path("hosts")
-        .get(Endpoint(list.clone(), |s, r| hosts(s, r).boxed()))
-        .put(Endpoint(list.clone(), |s, r| put(s, r).boxed()));
+        .get(Endpoint(list.clone(), |s, r| get_hosts(s, r).boxed()))
+        .put(Endpoint(list.clone(), |s, r| put_hosts(s, r).boxed()));
     let routes = Router::new()
         .push(hosts_route)
-        .push(Router::with_path("fault").post(Endpoint(list, |s, r| fault(s, r).boxed())));
+        .push(Router::with_path("fault").post(Endpoint(list, |s, r| set_fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/relay.rs
+++ b/crates/corianderstand_standins/src/relay.rs
@@ -31,10 +31,12 @@
     fault: watch::Sender<(u64, Fault)>,
 }
 
-async fn fault(relay: Arc<Relay>, req: ApiRequest) -> Reply {
+async fn set_fault(relay: Arc<Relay>, req: ApiRequest) -> Reply {
     match req.json::<Fault>() {
         Ok(fault) => {
-            relay.fault.send_modify(|(count, current)| (*count, *current) = (*count + 1, fault));
+            relay.fault.send_modify(|(fault_count, current)| {
+                (*fault_count, *current) = (*fault_count + 1, fault)
+            });
             Reply::text(200, "set")
         }
         Err(reply) => reply,
@@ -43,38 +45,42 @@
 
 /// Forwards bytes in one direction until either end closes or a fault closes the connection.
 async fn forward_bytes(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
+    mut source: OwnedReadHalf,
+    mut destination: OwnedWriteHalf,
     mut fault: watch::Receiver<(u64, Fault)>,
 ) {
-    let initial_count = fault.borrow().0;
+    let initial_fault_count = fault.borrow().0;
     let mut buf = vec![0; 64 * 1024];
     loop {
-        let (count, current) = *fault.borrow_and_update();
-        if current.cut_open && count > initial_count {
+        let (fault_count, current) = *fault.borrow_and_update();
+        if current.cut_open && fault_count > initial_fault_count {
             return;
         }
-        if current.silence_all || (current.silence_open && count > initial_count) {
+        if current.silence_all || (current.silence_open && fault_count > initial_fault_count) {
             if fault.changed().await.is_err() {
                 return;
             }
             continue;
         }
         tokio::select! {
-            read = from.read(&mut buf) => match read {
+            read = source.read(&mut buf) => match read {
                 Ok(0) | Err(_) => return,
-                Ok(n) => if to.write_all(&buf[..n]).await.is_err() { return },
+                Ok(n) => if destination.write_all(&buf[..n]).await.is_err() { return },
             },
             _ = fault.changed() => {}
         }
     }
 }
 
-async fn accept(listener: TcpListener, to: String, fault: watch::Receiver<(u64, Fault)>) {
+async fn accept_connections(
+    listener: TcpListener,
+    upstream_address: String,
+    fault: watch::Receiver<(u64, Fault)>,
+) {
     while let Ok((downstream, _)) = listener.accept().await {
-        let (to, fault) = (to.clone(), fault.clone());
+        let (upstream_address, fault) = (upstream_address.clone(), fault.clone());
         tokio::spawn(async move {
-            let Ok(upstream) = TcpStream::connect(&to).await else { return };
+            let Ok(upstream) = TcpStream::connect(&upstream_address).await else { return };
             drop((downstream.set_nodelay(true), upstream.set_nodelay(true)));
             let (downstream_read, downstream_write) = downstream.into_split();
             let (upstream_read, upstream_write) = upstream.into_split();
@@ -88,13 +94,13 @@
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let listen = serve::listen(matches)?;
-    let to = matches.opt_str("to").ok_or("--to is missing")?;
-    let control = matches.opt_str("control").ok_or("--control is missing")?;
+    let upstream_address = matches.opt_str("to").ok_or("--to is missing")?;
+    let control_address = matches.opt_str("control").ok_or("--control is missing")?;
     let listener = TcpListener::bind(&listen).await;
     let listener = listener.map_err(|error| format!("cannot listen on {listen}: {error}"))?;
     let relay = Arc::new(Relay { fault: watch::Sender::new((0, Fault::default())) });
-    tokio::spawn(accept(listener, to, relay.fault.subscribe()));
+    tokio::spawn(accept_connections(listener, upstream_address, relay.fault.subscribe()));
     let routes = Router::new()
-        .push(Router::with_path("fault").post(Endpoint(relay, |s, r| fault(s, r).boxed())));
-    serve::serve(&control, routes).await
+        .push(Router::with_path("fault").post(Endpoint(relay, |s, r| set_fault(s, r).boxed())));
+    serve::serve(&control_address, routes).await
 }
--- a/crates/corianderstand_standins/src/service.rs
+++ b/crates/corianderstand_standins/src/service.rs
@@ -27,18 +27,18 @@
 
 #[derive(Default)]
 struct Service {
-    inner: Mutex<Inner>,
+    inner: Mutex<ServiceState>,
 }
 
 #[derive(Default)]
-struct Inner {
-    ran: u64,
-    by_key: BTreeMap<String, u64>,
+struct ServiceState {
+    execution_count: u64,
+    executions_by_key: BTreeMap<String, u64>,
     fault: Fault,
 }
 
 impl Service {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, ServiceState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 }
@@ -47,29 +47,31 @@
     let fault = service.lock().fault;
     time::sleep(Duration::from_millis(fault.before_ms)).await;
     let key: String = req.header("idempotency-key");
-    let ran = {
+    let execution_count = {
         let mut inner = service.lock();
-        inner.ran += 1;
-        *inner.by_key.entry(key.clone()).or_default() += 1;
-        inner.ran
+        inner.execution_count += 1;
+        *inner.executions_by_key.entry(key.clone()).or_default() += 1;
+        inner.execution_count
     };
     time::sleep(Duration::from_millis(fault.after_ms)).await;
     if fault.plain {
-        let text = format!("booked as number {ran}");
+        let text = format!("booked as number {execution_count}");
         return Reply::Whole(201, "text/plain", text.into_bytes().into());
     }
     let body = String::from_utf8_lossy(&req.body).into_owned();
     let traceparent: String = req.header("traceparent");
-    Reply::json(&json!({ "ran": ran, "key": key, "method": req.method, "path": req.path,
-        "body": body, "traceparent": traceparent }))
+    Reply::json(
+        &json!({ "ran": execution_count, "key": key, "method": req.method, "path": req.path,
+        "body": body, "traceparent": traceparent }),
+    )
 }
 
 async fn counts(service: Arc<Service>, _req: ApiRequest) -> Reply {
     let inner = service.lock();
-    Reply::json(&json!({ "ran": inner.ran, "by_key": inner.by_key }))
+    Reply::json(&json!({ "ran": inner.execution_count, "by_key": inner.executions_by_key }))
 }
 
-async fn fault(service: Arc<Service>, req: ApiRequest) -> Reply {
+async fn set_fault(service: Arc<Service>, req: ApiRequest) -> Reply {
     match req.json() {
         Ok(fault) => {
             service.lock().fault = fault;
@@ -84,7 +86,7 @@
     let endpoint = |operation| Endpoint(service.clone(), operation);
     let routes = Router::new()
         .push(Router::with_path("counts").get(endpoint(|s, r| counts(s, r).boxed())))
-        .push(Router::with_path("fault").post(endpoint(|s, r| fault(s, r).boxed())))
+        .push(Router::with_path("fault").post(endpoint(|s, r| set_fault(s, r).boxed())))
         .push(Router::with_path("{**rest}").goal(endpoint(|s, r| call(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/weights.rs
+++ b/crates/corianderstand_standins/src/weights.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Fault {
-    /// Factor on the time of a fetch.
+    /// Factor by which fetches take longer.
     slow: f64,
     /// Fetches fail with status 503.
     down: bool,
@@ -30,36 +30,35 @@
 
 struct Store {
     full_speed_fetches: u32,
-    interval: Duration,
-    inner: Mutex<Inner>,
+    fetch_start_interval: Duration,
+    inner: Mutex<StoreState>,
 }
 
-struct Inner {
+struct StoreState {
     report: StoreReport,
-    next_start: Instant,
+    next_fetch_start: Instant,
     fault: Fault,
 }
 
 impl Store {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, StoreState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 }
 
-/// Responds when a fetch that takes `ms` at full speed is complete.
 async fn fetch(store: Arc<Store>, req: ApiRequest) -> Reply {
-    let ms: u64 = req.param("ms");
+    let fetch_ms: u64 = req.param("ms");
     let start = {
         let mut inner = store.lock();
         if inner.fault.down {
             return Reply::text(503, "the store is down");
         }
-        let start = inner.next_start.max(Instant::now());
-        inner.next_start = start + store.interval;
+        let start = inner.next_fetch_start.max(Instant::now());
+        inner.next_fetch_start = start + store.fetch_start_interval;
         start
     };
     time::sleep_until(start).await;
-    let slow = {
+    let slowdown = {
         let mut inner = store.lock();
         inner.report.begun += 1;
         inner.report.running += 1;
@@ -70,7 +69,7 @@
         }
         contention * inner.fault.slow
     };
-    time::sleep(Duration::from_millis(ms).mul_f64(slow)).await;
+    time::sleep(Duration::from_millis(fetch_ms).mul_f64(slowdown)).await;
     store.lock().report.running -= 1;
     Reply::text(200, "fetched")
 }
@@ -79,7 +78,7 @@
     Reply::json(&store.lock().report)
 }
 
-async fn fault(store: Arc<Store>, req: ApiRequest) -> Reply {
+async fn set_fault(store: Arc<Store>, req: ApiRequest) -> Reply {
     match req.json() {
         Ok(fault) => {
             store.lock().fault = fault;
@@ -93,16 +92,16 @@
     let rate: f64 = serve::opt(matches, "rate", 2.0)?;
     let store = Arc::new(Store {
         full_speed_fetches: serve::opt(matches, "concurrent", 4)?,
-        interval: Duration::from_secs_f64(1.0 / rate),
-        inner: Mutex::new(Inner {
+        fetch_start_interval: Duration::from_secs_f64(1.0 / rate),
+        inner: Mutex::new(StoreState {
             report: StoreReport::default(),
-            next_start: Instant::now(),
+            next_fetch_start: Instant::now(),
             fault: Fault::default(),
         }),
     });
     let routes = Router::new()
         .push(Router::with_path("fetch").get(Endpoint(store.clone(), |s, r| fetch(s, r).boxed())))
         .push(Router::with_path("report").get(Endpoint(store.clone(), |s, r| report(s, r).boxed())))
-        .push(Router::with_path("fault").post(Endpoint(store, |s, r| fault(s, r).boxed())));
+        .push(Router::with_path("fault").post(Endpoint(store, |s, r| set_fault(s, r).boxed())));
     serve::serve(&serve::listen(matches)?, routes).await
 }
