--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -54,7 +54,7 @@
         deployment.start_targets().await;
         deployment.start_routers();
         deployment.apply_plan().await;
-        deployment.wait_for_slots().await;
+        deployment.wait_for_replica_slots().await;
         deployment
     }
 
@@ -311,7 +311,7 @@
     }
 
     /// Waits until every router is ready and reports all configured replica slots.
-    pub async fn wait_for_slots(&self) {
+    pub async fn wait_for_replica_slots(&self) {
         let expected: u64 = self
             .plan
             .documents
