--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -111,7 +111,7 @@
         let agent = format!("agent-{owner}");
         let process = deployment.process(&agent);
         process.signal(nix::sys::signal::Signal::SIGTERM);
-        process.wait(Duration::from_secs(30));
+        process.wait_for_exit(Duration::from_secs(30));
         deployment.start_process(&agent);
         request_until_served(&deployment, HINOKUNI_KEY, "design-13b").await;
     });
--- a/tests/disconnects.rs
+++ b/tests/disconnects.rs
@@ -47,7 +47,7 @@
         wait_for("the engines to be idle", async || running_requests(&deployment).await == 0).await;
         let router = deployment.process("router-0");
         router.signal(nix::sys::signal::Signal::SIGTERM);
-        router.wait(STATE_TIMEOUT);
+        router.wait_for_exit(STATE_TIMEOUT);
         let log = deployment.log_of("router-0");
         assert!(!log.contains("limit reached"), "the router still counted requests in flight");
     });
--- a/tests/duplicate_agents.rs
+++ b/tests/duplicate_agents.rs
@@ -23,7 +23,7 @@
         if frozen {
             deployment.process("agent-engine-0").freeze();
         }
-        let code = start_second_agent(&deployment).wait(EXIT_TIMEOUT);
+        let code = start_second_agent(&deployment).wait_for_exit(EXIT_TIMEOUT);
         assert_ne!(code, Some(0));
         let log = deployment.log_of("second-agent");
         assert!(log.contains("another agent is running for this target"), "{log}");
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -60,7 +60,7 @@
             })
             .await;
             println!("{name} stopped in {:?}", started_at.elapsed());
-            assert_eq!(deployment.process(name).wait(SHUTDOWN_TIMEOUT), Some(0), "{name}");
+            assert_eq!(deployment.process(name).wait_for_exit(SHUTDOWN_TIMEOUT), Some(0), "{name}");
             deployment.start_process(name);
             if name.starts_with("router-") {
                 deployment.wait_for_answer(name, "/readyz").await;
@@ -107,7 +107,7 @@
         }
         assert!(text.contains("[DONE]"), "cut after {} bytes", text.len());
         assert_eq!(text.matches("\nid: ").count() + 1, 400);
-        assert_eq!(deployment.process("router-0").wait(SHUTDOWN_TIMEOUT), Some(0));
+        assert_eq!(deployment.process("router-0").wait_for_exit(SHUTDOWN_TIMEOUT), Some(0));
     });
 }
 
@@ -131,7 +131,7 @@
             !deployment.process(name).is_running()
         })
         .await;
-        assert_ne!(deployment.process(name).wait(SHUTDOWN_TIMEOUT), Some(0));
+        assert_ne!(deployment.process(name).wait_for_exit(SHUTDOWN_TIMEOUT), Some(0));
         assert!(deployment.log_of(name).contains("\"cut\":1"), "{}", deployment.log_of(name));
         if let Some(answer) = pending.await.expect("the task ends") {
             assert_eq!(answer.outcome, "unknown", "{answer:?}");
--- a/tools/agreed/src/main.rs
+++ b/tools/agreed/src/main.rs
@@ -100,7 +100,7 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         times.record(began.elapsed().as_micros() as u64).expect("the time is in range");
-        deployment.process(&name).wait(Duration::from_secs(10));
+        deployment.process(&name).wait_for_exit(Duration::from_secs(10));
         deployment.start_process(&name);
         deployment.wait_for_answer(&name, "/readyz").await;
     }
--- a/tools/testbed/src/process.rs
+++ b/tools/testbed/src/process.rs
@@ -81,7 +81,7 @@
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
         let pid = Pid::from_raw(self.child.id().cast_signed());
-        // `WNOWAIT` leaves the exit status for `Process::wait`.
+        // `WNOWAIT` leaves the exit status for `Process::wait_for_exit`.
         let flags = WaitPidFlag::WSTOPPED | WaitPidFlag::WEXITED | WaitPidFlag::WNOWAIT;
         wait::waitid(wait::Id::Pid(pid), flags).expect("the child can be waited for");
     }
@@ -102,14 +102,14 @@
         drop(self.child.wait());
     }
 
-    /// Waits for the process to end and returns its exit code.
-    pub fn wait(&mut self, limit: Duration) -> Option<i32> {
+    /// Returns the exit code.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<i32> {
         let started_at = Instant::now();
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
-            assert!(started_at.elapsed() < limit, "{} does not end", self.name);
+            assert!(started_at.elapsed() < timeout, "{} does not end", self.name);
             std::thread::sleep(Duration::from_millis(10));
         }
     }
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -142,7 +142,7 @@
     on_process("start", Deployment::start_process);
     let s = context.clone();
     engine.register_fn("wait_end", move |name: &str| -> ScriptResult<i64> {
-        s.with(|d, _| i64::from(d.process(name).wait(STATE_TIMEOUT).unwrap_or(-1)))
+        s.with(|d, _| i64::from(d.process(name).wait_for_exit(STATE_TIMEOUT).unwrap_or(-1)))
     });
     let s = context.clone();
     engine.register_fn("is_running", move |name: &str| s.with(|d, _| d.process(name).is_running()));
