--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -64,7 +64,7 @@
         let other = Booking { day: 4, ..booking };
         for router in ["router-0", "router-1"] {
             let answer = book(&deployment, router, &other).await;
-            assert_eq!((answer.status, answer.code().as_str()), (409, "key_conflict"));
+            assert_eq!((answer.status, answer.error_code().as_str()), (409, "key_conflict"));
             assert_eq!(answer.outcome, "not-run");
         }
         assert_eq!(deployment.execution_count("b-1").await, 1);
@@ -79,7 +79,10 @@
         let deployment = start().await;
         let booking = Booking::new(&"k".repeat(length), DEADLINE_MS);
         let answer = book(&deployment, "router-0", &booking).await;
-        assert_eq!((answer.status, answer.code().as_str()), (400, "idempotency_key_required"));
+        assert_eq!(
+            (answer.status, answer.error_code().as_str()),
+            (400, "idempotency_key_required")
+        );
         assert_eq!(answer.outcome, "not-run");
     });
 }
@@ -140,7 +143,7 @@
             last = Some((booking.clone(), book(&deployment, "router-0", &booking).await));
         }
         let (booking, answer) = last.expect("twenty bookings were sent");
-        assert_eq!((answer.status, answer.code().as_str()), (503, "refused"), "{answer:?}");
+        assert_eq!((answer.status, answer.error_code().as_str()), (503, "refused"), "{answer:?}");
         assert_eq!(answer.outcome, "not-run");
         assert!(answer.retry_after.is_some());
         let started_at = Instant::now();
--- a/tools/testbed/src/booking.rs
+++ b/tools/testbed/src/booking.rs
@@ -24,7 +24,7 @@
 
 impl Answer {
     /// Error code of the router; empty if the service itself answered.
-    pub fn code(&self) -> String {
+    pub fn error_code(&self) -> String {
         let value: Value = serde_json::from_str(&self.body).unwrap_or_default();
         value["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
