--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -18,7 +18,7 @@
 };
 use tokio::net::TcpStream;
 
-/// Kind of a request, named after its route.
+/// Route that a request is sent to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RequestKind {
     /// Idempotent request.
@@ -71,7 +71,7 @@
     pub kind: RequestKind,
     /// Requested model; only streams send it.
     pub model: &'static str,
-    pub router: usize,
+    pub router_index: usize,
     pub started_at: Instant,
     pub ended_at: Instant,
     pub outcome: Outcome,
@@ -82,7 +82,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-const MAX_PAUSE_MS: u64 = 60;
+const MAX_REQUEST_PAUSE_MS: u64 = 60;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
@@ -95,22 +95,23 @@
 }
 
 impl Callers {
-    pub fn start(count: usize, fronts: &[SocketAddr], seed: u64) -> Self {
+    pub fn start(caller_count: usize, router_addresses: &[SocketAddr], seed: u64) -> Self {
         let (requests, stop) =
             (Arc::<Mutex<Vec<RequestRecord>>>::default(), Arc::<AtomicBool>::default());
-        let tasks = (0..count).map(|index| {
-            let (fronts, requests, stop) = (fronts.to_vec(), requests.clone(), stop.clone());
+        let tasks = (0..caller_count).map(|index| {
+            let (router_addresses, requests, stop) =
+                (router_addresses.to_vec(), requests.clone(), stop.clone());
             let rng = ChaCha8Rng::seed_from_u64(seed ^ (index as u64) << 32);
-            tokio::spawn(run_caller(index, fronts, rng, requests, stop))
+            tokio::spawn(run_caller(index, router_addresses, rng, requests, stop))
         });
         let tasks = tasks.collect();
         Self { requests, stop, tasks }
     }
 
-    /// Finished requests after the first `seen`.
-    pub fn since(&self, seen: usize) -> Vec<RequestRecord> {
+    /// Returns the finished requests after the first `skip_count`.
+    pub fn finished_requests(&self, skip_count: usize) -> Vec<RequestRecord> {
         let requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
-        requests.iter().skip(seen).cloned().collect()
+        requests.iter().skip(skip_count).cloned().collect()
     }
 
     /// Stops the callers after their current request and returns all requests.
@@ -125,39 +126,39 @@
 
 async fn run_caller(
     caller: usize,
-    fronts: Vec<SocketAddr>,
+    router_addresses: Vec<SocketAddr>,
     mut rng: ChaCha8Rng,
     requests: Arc<Mutex<Vec<RequestRecord>>>,
     stop: Arc<AtomicBool>,
 ) {
     let mut connection: Option<(usize, Sender)> = None;
-    let mut number = 0_u64;
+    let mut request_number = 0_u64;
     while !stop.load(Ordering::Relaxed) {
-        number += 1;
+        request_number += 1;
         let kind = RequestKind::ALL[rng.random_range(0..RequestKind::ALL.len())];
         let model = MODELS[rng.random_range(0..MODELS.len())];
-        let id = format!("c{caller}-{number}");
+        let id = format!("c{caller}-{request_number}");
         let router = match &connection {
             Some((router, sender)) if !sender.is_closed() => *router,
-            _ => rng.random_range(0..fronts.len()),
+            _ => rng.random_range(0..router_addresses.len()),
         };
         let sender =
             connection.take().map(|(_, sender)| sender).filter(|sender| !sender.is_closed());
         let started_at = Instant::now();
         let (outcome, headers, sender) =
-            send_request(fronts[router], sender, kind, &id, model).await;
+            send_request(router_addresses[router], sender, kind, &id, model).await;
         let closes = headers.get("connection").is_some_and(|value| value == "close");
         connection = sender.filter(|_| !closes).map(|sender| (router, sender));
         let delay = match &outcome {
             Outcome::Complete(StatusCode::SERVICE_UNAVAILABLE, _) => retry_after(&headers),
             Outcome::Closed | Outcome::NoConnection => RECONNECT_DELAY,
-            _ => Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)),
+            _ => Duration::from_millis(rng.random_range(0..MAX_REQUEST_PAUSE_MS)),
         };
         let record = RequestRecord {
             id,
             kind,
             model,
-            router,
+            router_index: router,
             started_at,
             ended_at: Instant::now(),
             outcome,
@@ -175,7 +176,7 @@
 
 /// Sends one request; returns the connection if it can be reused.
 pub async fn send_request(
-    front: SocketAddr,
+    router_address: SocketAddr,
     connection: Option<Sender>,
     kind: RequestKind,
     id: &str,
@@ -189,36 +190,42 @@
     }
     let req = req.body(Full::default()).expect("the parts are valid");
     let limit = kind.deadline() + DEADLINE_GRACE;
-    match tokio::time::timeout(limit, exchange(front, connection, req)).await {
+    match tokio::time::timeout(limit, send_and_receive(router_address, connection, req)).await {
         Ok(done) => done,
         Err(_) => (Outcome::TimedOut, HeaderMap::new(), None),
     }
 }
 
 /// Sends a GET request to a path; returns the status of a complete response.
-pub async fn status(front: SocketAddr, path: &str, id: &str) -> Option<StatusCode> {
+pub async fn request_status(
+    router_address: SocketAddr,
+    path: &str,
+    id: &str,
+) -> Option<StatusCode> {
     let req = Request::builder().uri(path).header("host", HOST).header("request-id", id);
     let req = req.header("deadline-ms", 1_000).body(Full::default());
     let req = req.expect("the parts are valid");
-    match tokio::time::timeout(DEADLINE_GRACE * 2, exchange(front, None, req)).await {
+    match tokio::time::timeout(DEADLINE_GRACE * 2, send_and_receive(router_address, None, req))
+        .await
+    {
         Ok((Outcome::Complete(status, _), ..)) => Some(status),
         _ => None,
     }
 }
 
-pub async fn is_ready(ready: SocketAddr) -> bool {
-    status(ready, "/-/readiness", "ready").await == Some(StatusCode::OK)
+pub async fn is_ready(readiness_address: SocketAddr) -> bool {
+    request_status(readiness_address, "/-/readiness", "ready").await == Some(StatusCode::OK)
 }
 
-async fn exchange(
-    front: SocketAddr,
+async fn send_and_receive(
+    router_address: SocketAddr,
     connection: Option<Sender>,
     req: Request<Full<Bytes>>,
 ) -> (Outcome, HeaderMap, Option<Sender>) {
     let no_headers = HeaderMap::new;
     let sender = match connection {
         Some(sender) => Some(sender),
-        None => connect(front).await,
+        None => connect(router_address).await,
     };
     let Some(mut sender) = sender else { return (Outcome::NoConnection, no_headers(), None) };
     let Ok(answer) = sender.send_request(req).await else {
@@ -233,9 +240,11 @@
     (outcome, head.headers, complete.then_some(sender))
 }
 
-async fn connect(front: SocketAddr) -> Option<Sender> {
-    let stream =
-        tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(front)).await.ok()?.ok()?;
+async fn connect(router_address: SocketAddr) -> Option<Sender> {
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(router_address))
+        .await
+        .ok()?
+        .ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     // Errors surface in the request that uses the connection.
     tokio::spawn(async move { connection.await.ok() });
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -16,42 +16,50 @@
 /// Disruption of a router by an injected fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Disruption {
-    pub router: usize,
-    pub from: Instant,
-    pub to: Instant,
-    /// Whether it was a graceful shutdown.
-    pub planned: bool,
+    pub router_index: usize,
+    pub started_at: Instant,
+    pub ended_at: Instant,
+    pub is_graceful_shutdown: bool,
 }
 
 #[derive(Debug, Default)]
-pub struct Report {
+pub struct CheckReport {
     pub violations: Vec<String>,
-    pub outcomes: BTreeMap<String, usize>,
+    pub outcome_counts: BTreeMap<String, usize>,
 }
 
-/// Checks the guarantees that hold even if the router was disrupted. Also called during a run, so
-/// that violations are printed next to the faults that caused them.
-pub fn violations(request: &RequestRecord, ledger: &Ledger) -> Vec<String> {
+/// Checks the guarantees that hold even if the router was disrupted.
+pub fn find_violations(request: &RequestRecord, ledger: &Ledger) -> Vec<String> {
     let violations = [
         executed_twice(request, ledger),
         executed_though_rejected(request, ledger),
         wrong_response(request, ledger),
         wrong_stream(request),
     ];
-    violations.into_iter().flatten().map(|violation| describe(&violation, request)).collect()
+    violations
+        .into_iter()
+        .flatten()
+        .map(|violation| describe_violation(&violation, request))
+        .collect()
 }
 
-fn describe(violation: &str, request: &RequestRecord) -> String {
-    format!("{violation}: {} {:?} at router {}", request.id, request.kind, request.router)
+fn describe_violation(violation: &str, request: &RequestRecord) -> String {
+    format!("{violation}: {} {:?} at router {}", request.id, request.kind, request.router_index)
 }
 
-pub fn check(requests: &[RequestRecord], ledger: &Ledger, disruptions: &[Disruption]) -> Report {
-    let mut report = Report::default();
+pub fn check_guarantees(
+    requests: &[RequestRecord],
+    ledger: &Ledger,
+    disruptions: &[Disruption],
+) -> CheckReport {
+    let mut report = CheckReport::default();
     for request in requests {
-        *report.outcomes.entry(name(&request.outcome)).or_default() += 1;
-        report.violations.extend(violations(request, ledger));
-        let unanswered = unanswered(request, ledger, disruptions);
-        report.violations.extend(unanswered.map(|violation| describe(&violation, request)));
+        *report.outcome_counts.entry(outcome_label(&request.outcome)).or_default() += 1;
+        report.violations.extend(find_violations(request, ledger));
+        let missing_response = missing_response(request, ledger, disruptions);
+        report
+            .violations
+            .extend(missing_response.map(|violation| describe_violation(&violation, request)));
     }
     let known: std::collections::BTreeSet<&str> =
         requests.iter().map(|request| request.id.as_str()).collect();
@@ -63,7 +71,7 @@
     report
 }
 
-fn name(outcome: &Outcome) -> String {
+fn outcome_label(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Complete(status, _) => status.as_u16().to_string(),
         Outcome::Truncated(..) => "truncated".into(),
@@ -126,18 +134,18 @@
 
 /// Checks that an undisrupted router responds in time and that a router shutting down responds to
 /// every request that it forwarded.
-fn unanswered(
+fn missing_response(
     request: &RequestRecord,
     ledger: &Ledger,
     disruptions: &[Disruption],
 ) -> Option<String> {
     let overlaps = |disruption: &&Disruption| {
-        disruption.router == request.router
-            && request.ended_at >= disruption.from
-            && request.started_at <= disruption.to + DISRUPTION_AFTERMATH
+        disruption.router_index == request.router_index
+            && request.ended_at >= disruption.started_at
+            && request.started_at <= disruption.ended_at + DISRUPTION_AFTERMATH
     };
     let overlapping: Vec<&Disruption> = disruptions.iter().filter(overlaps).collect();
-    if overlapping.iter().any(|disruption| !disruption.planned) {
+    if overlapping.iter().any(|disruption| !disruption.is_graceful_shutdown) {
         return None;
     }
     let executed = !ledger.runs(&request.id).is_empty();
--- a/tools/soak/src/cluster.rs
+++ b/tools/soak/src/cluster.rs
@@ -37,22 +37,21 @@
 #[derive(Debug)]
 pub struct ManagedProcess {
     pub name: String,
-    /// IP address, used by this process alone.
     pub ip: IpAddr,
     /// Proxy between the process and the store.
-    pub store: proxy::Proxy,
+    pub store_proxy: proxy::Proxy,
     pub process: Option<Process>,
     role: &'static str,
-    config: PathBuf,
-    logs: PathBuf,
+    config_path: PathBuf,
+    log_dir: PathBuf,
 }
 
 impl ManagedProcess {
     pub fn start(&mut self) {
         let args = [self.role, "--platform"].map(str::to_owned);
-        let config = ("CORIANDERSTAND_CONFIG", self.config.as_path());
+        let config = ("CORIANDERSTAND_CONFIG", self.config_path.as_path());
         let process =
-            Process::start_with(&self.name, "corianderstand", &args, &self.logs, &[config]);
+            Process::start_with(&self.name, "corianderstand", &args, &self.log_dir, &[config]);
         self.process = Some(process);
     }
 }
@@ -62,15 +61,15 @@
 pub struct ProxiedTarget {
     pub target: Target,
     /// Proxy between routers and the target.
-    pub link: proxy::Proxy,
-    pub starts: u64,
+    pub target_proxy: proxy::Proxy,
+    pub start_count: u64,
     name: String,
 }
 
 impl ProxiedTarget {
     pub async fn start(&mut self) {
-        self.starts += 1;
-        let name = format!("{}-{}", self.name, self.starts);
+        self.start_count += 1;
+        let name = format!("{}-{}", self.name, self.start_count);
         let started_at_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started_at_ms = started_at_ms.as_millis() as u64;
         self.target.start(&name, started_at_ms).await.expect("the address is free");
@@ -83,23 +82,23 @@
     pub ledger: Ledger,
     pub routers: Vec<ManagedProcess>,
     /// Proxies between callers and routers.
-    pub fronts: Vec<proxy::Proxy>,
+    pub router_proxies: Vec<proxy::Proxy>,
     pub agents: Vec<ManagedProcess>,
     pub engines: Vec<ProxiedTarget>,
     pub service_targets: Vec<ProxiedTarget>,
-    version: u64,
+    config_version: u64,
     _store_listener: corianderstand_platform_standins::serve::ListenerHandle,
 }
 
 /// Returns a loopback address derived from the process id, so that parallel runs do not collide.
-fn ip(role: u8, index: usize) -> IpAddr {
+fn loopback_ip(role_offset: u8, index: usize) -> IpAddr {
     let pid = std::process::id();
     let part = |shift: u32| (pid >> shift & 0x7f) as u8;
     IpAddr::V4(Ipv4Addr::new(
         127,
         128 + part(7),
-        part(0) * 2 + role / 128,
-        role % 128 + index as u8,
+        part(0) * 2 + role_offset / 128,
+        role_offset % 128 + index as u8,
     ))
 }
 
@@ -113,39 +112,48 @@
     /// Starts a cluster with logs and settings in `dir`.
     pub async fn start(size: ClusterSize, dir: &Path) -> Self {
         let (store, ledger) = (Store::default(), Ledger::default());
-        let store_addr = SocketAddr::new(ip(STORE_IP_OFFSET, 0), STORE_PORT);
+        let store_addr = SocketAddr::new(loopback_ip(STORE_IP_OFFSET, 0), STORE_PORT);
         let store_listener = store.listen(store_addr).await.expect("the address is free");
         let mut engines = Vec::new();
         for index in 0..size.engines {
-            // Each engine has three models on disk, so that every model is on some disk.
-            let disk = [0, 1, 2].map(|offset| MODELS[(index + offset) % MODELS.len()]);
-            let ip_addr = ip(AGENT_IP_OFFSET, index);
+            // Each engine caches three models, so that every model is cached at some engine.
+            let cached_models = [0, 1, 2].map(|offset| MODELS[(index + offset) % MODELS.len()]);
+            let ip_addr = loopback_ip(AGENT_IP_OFFSET, index);
             engines.push(
-                start_target(("models", "engine"), index, ip_addr, (&store, &ledger), &disk).await,
+                start_target(
+                    ("models", "engine"),
+                    index,
+                    ip_addr,
+                    (&store, &ledger),
+                    &cached_models,
+                )
+                .await,
             );
         }
         let mut service_targets = Vec::new();
         for index in 0..size.service_targets {
-            let ip_addr = ip(SERVICE_IP_OFFSET, index);
+            let ip_addr = loopback_ip(SERVICE_IP_OFFSET, index);
             service_targets
                 .push(start_target(("desk", "desk"), index, ip_addr, (&store, &ledger), &[]).await);
         }
         let seeds: Vec<_> =
-            (0..size.routers.min(3)).map(|index| ip(ROUTER_IP_OFFSET, index)).collect();
-        let (mut routers, mut fronts, mut agents) = (Vec::new(), Vec::new(), Vec::new());
+            (0..size.routers.min(3)).map(|index| loopback_ip(ROUTER_IP_OFFSET, index)).collect();
+        let (mut routers, mut router_proxies, mut agents) = (Vec::new(), Vec::new(), Vec::new());
         for index in 0..size.routers {
-            let ip_addr = ip(ROUTER_IP_OFFSET, index);
+            let ip_addr = loopback_ip(ROUTER_IP_OFFSET, index);
             let process =
                 start_process(("router", index), ip_addr, store_addr, dir, |name, store| {
                     settings::router(name, ip_addr, &seeds, store)
                 });
             routers.push(process.await);
-            let front = settings::front(ip_addr);
+            let router_address = settings::front(ip_addr);
             let proxy_addr = SocketAddr::new(ip_addr, PROXY_PORT + 1);
-            fronts.push(proxy::Proxy::open(proxy_addr, front).await.expect("the address is free"));
+            router_proxies.push(
+                proxy::Proxy::open(proxy_addr, router_address).await.expect("the address is free"),
+            );
         }
         for index in 0..size.engines {
-            let ip_addr = ip(AGENT_IP_OFFSET, index);
+            let ip_addr = loopback_ip(AGENT_IP_OFFSET, index);
             let process =
                 start_process(("agent", index), ip_addr, store_addr, dir, |name, store| {
                     settings::agent(name, ip_addr, SocketAddr::new(ip_addr, TARGET_PORT), store)
@@ -156,11 +164,11 @@
             store,
             ledger,
             routers,
-            fronts,
+            router_proxies,
             agents,
             engines,
             service_targets,
-            version: 0,
+            config_version: 0,
             _store_listener: store_listener,
         };
         cluster.configure();
@@ -170,8 +178,8 @@
 
     /// Writes the next configuration and returns the path prefix of a route unique to it.
     pub fn configure(&mut self) -> String {
-        self.version += 7;
-        let unique_prefix = format!("/only-{}/", self.version);
+        self.config_version += 7;
+        let unique_prefix = format!("/only-{}/", self.config_version);
         let route = |prefix: &str, kind: &str, service: &str, resumable: bool| {
             json!({
                 "name": prefix.trim_matches('/'), "host": HOST, "path_prefix": prefix,
@@ -186,7 +194,7 @@
             })
         });
         let config = json!({
-            "version": self.version,
+            "version": self.config_version,
             "routes": [
                 route("/look/", "idempotent", "desk", false),
                 route("/pay/", "non_idempotent", "desk", false),
@@ -229,21 +237,22 @@
     index: usize,
     ip_addr: IpAddr,
     (store, ledger): (&Store, &Ledger),
-    disk: &[&str],
+    cached_models: &[&str],
 ) -> ProxiedTarget {
     let addr = SocketAddr::new(ip_addr, TARGET_PORT);
-    let link = proxy::Proxy::open(SocketAddr::new(ip_addr, PROXY_PORT), addr).await;
-    let link = link.expect("the address is free");
+    let target_proxy = proxy::Proxy::open(SocketAddr::new(ip_addr, PROXY_PORT), addr).await;
+    let target_proxy = target_proxy.expect("the address is free");
     let is_engine = service == "models";
     let spec = TargetSpec {
         service: service.into(),
         addr,
-        advertised_addr: link.addr,
+        advertised_addr: target_proxy.addr,
         slots: 16,
         model_capacity: is_engine.then_some(MODELS_PER_ENGINE),
     };
-    let target = Target::new(spec, store.clone(), ledger.clone(), disk);
-    let mut target = ProxiedTarget { target, link, starts: 0, name: format!("{name}-{index}") };
+    let target = Target::new(spec, store.clone(), ledger.clone(), cached_models);
+    let mut target =
+        ProxiedTarget { target, target_proxy, start_count: 0, name: format!("{name}-{index}") };
     target.start().await;
     target
 }
@@ -251,18 +260,27 @@
 async fn start_process(
     (role, index): (&'static str, usize),
     ip_addr: IpAddr,
-    store: SocketAddr,
+    store_address: SocketAddr,
     dir: &Path,
     settings: impl FnOnce(&str, SocketAddr) -> String,
 ) -> ManagedProcess {
     let name = format!("{role}-{index}");
     let proxy_addr = SocketAddr::new(ip_addr, PROXY_PORT + 2);
-    let store = proxy::Proxy::open(proxy_addr, store).await.expect("the address is free");
-    let config = dir.join(format!("{name}.conf"));
-    std::fs::write(&config, settings(&name, store.addr)).expect("the folder can be written");
-    let logs = dir.to_owned();
-    let mut process =
-        ManagedProcess { name, ip: ip_addr, store, process: None, role, config, logs };
+    let store_proxy =
+        proxy::Proxy::open(proxy_addr, store_address).await.expect("the address is free");
+    let config_path = dir.join(format!("{name}.conf"));
+    std::fs::write(&config_path, settings(&name, store_proxy.addr))
+        .expect("the folder can be written");
+    let log_dir = dir.to_owned();
+    let mut process = ManagedProcess {
+        name,
+        ip: ip_addr,
+        store_proxy,
+        process: None,
+        role,
+        config_path,
+        log_dir,
+    };
     process.start();
     process
 }
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -10,9 +10,9 @@
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_FAULT_MS: u64 = 2_500;
 /// Time until the platform removes the entry of a target that has ended.
-const ENTRY_TTL: Duration = Duration::from_millis(1_500);
+const TARGET_ENTRY_TTL: Duration = Duration::from_millis(1_500);
 /// Time for which a draining target continues to serve.
-const DRAIN_TIME: Duration = Duration::from_millis(2_500);
+const TARGET_DRAIN_TIME: Duration = Duration::from_millis(2_500);
 
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Fault {
@@ -48,12 +48,12 @@
     KillAll,
 }
 
-pub fn draw(rng: &mut impl Rng, cluster: &Cluster) -> (Fault, Duration) {
+pub fn draw_fault(rng: &mut impl Rng, cluster: &Cluster) -> (Fault, Duration) {
     let router = rng.random_range(0..cluster.routers.len());
     let engine = rng.random_range(0..cluster.engines.len());
     let service = rng.random_range(0..cluster.service_targets.len());
-    let mode = draw_mode(rng);
-    let mood = match rng.random_range(0..3) {
+    let mode = draw_proxy_mode(rng);
+    let store_fault = match rng.random_range(0..3) {
         0 => FaultMode::Unavailable,
         1 => FaultMode::Unresponsive,
         _ => FaultMode::Slow(Duration::from_millis(rng.random_range(50..400))),
@@ -72,7 +72,7 @@
         20..23 => Fault::EngineLink(engine, mode),
         23..25 => Fault::StoreLink(router, mode),
         25 => Fault::FrontLink(router, mode),
-        26..28 => Fault::Store(mood),
+        26..28 => Fault::Store(store_fault),
         28..30 => Fault::DiscardHistory,
         30..32 => Fault::Configure,
         32..34 => Fault::InvalidEntry,
@@ -82,7 +82,7 @@
     (fault, Duration::from_millis(rng.random_range(200..MAX_FAULT_MS)))
 }
 
-fn draw_mode(rng: &mut impl Rng) -> Mode {
+fn draw_proxy_mode(rng: &mut impl Rng) -> Mode {
     match rng.random_range(0..4) {
         0 => Mode::Delay(Duration::from_millis(rng.random_range(5..120))),
         1 => Mode::Hold,
@@ -95,28 +95,28 @@
     /// Injects the fault; [`Fault::revert`] undoes it.
     pub fn inject(self, cluster: &mut Cluster) {
         match self {
-            Self::KillRouter(n) => kill(&mut cluster.routers[n].process),
-            Self::StopRouter(n) => signal(&cluster.routers[n].process, Signal::SIGTERM),
-            Self::FreezeRouter(n) => freeze(&cluster.routers[n].process),
-            Self::ReloadRouter(n) => signal(&cluster.routers[n].process, Signal::SIGHUP),
-            Self::KillAgent(n) => kill(&mut cluster.agents[n].process),
-            Self::FreezeAgent(n) => freeze(&cluster.agents[n].process),
-            Self::CrashEngine(n) => cluster.engines[n].target.crash(),
-            Self::CrashService(n) => cluster.service_targets[n].target.crash(),
-            Self::DrainEngine(n) => cluster.engines[n].target.drain(),
-            Self::FailEngine(n) => {
-                cluster.engines[n]
+            Self::KillRouter(index) => kill(&mut cluster.routers[index].process),
+            Self::StopRouter(index) => signal(&cluster.routers[index].process, Signal::SIGTERM),
+            Self::FreezeRouter(index) => freeze(&cluster.routers[index].process),
+            Self::ReloadRouter(index) => signal(&cluster.routers[index].process, Signal::SIGHUP),
+            Self::KillAgent(index) => kill(&mut cluster.agents[index].process),
+            Self::FreezeAgent(index) => freeze(&cluster.agents[index].process),
+            Self::CrashEngine(index) => cluster.engines[index].target.crash(),
+            Self::CrashService(index) => cluster.service_targets[index].target.crash(),
+            Self::DrainEngine(index) => cluster.engines[index].target.drain(),
+            Self::FailEngine(index) => {
+                cluster.engines[index]
                     .target
                     .set_faults(TargetFaults { failure_ratio: 0.3, ..TargetFaults::default() });
             }
-            Self::LoseCommands => set_all(
+            Self::LoseCommands => set_all_engine_faults(
                 cluster,
                 TargetFaults { command_loss_ratio: 0.5, ..TargetFaults::default() },
             ),
-            Self::EngineLink(n, mode) => cluster.engines[n].link.set(mode),
-            Self::StoreLink(n, mode) => cluster.routers[n].store.set(mode),
-            Self::FrontLink(n, mode) => cluster.fronts[n].set(mode),
-            Self::Store(mood) => cluster.store.set_fault_mode(mood),
+            Self::EngineLink(index, mode) => cluster.engines[index].target_proxy.set(mode),
+            Self::StoreLink(index, mode) => cluster.routers[index].store_proxy.set(mode),
+            Self::FrontLink(index, mode) => cluster.router_proxies[index].set(mode),
+            Self::Store(store_fault) => cluster.store.set_fault_mode(store_fault),
             Self::DiscardHistory => cluster.store.compact(),
             Self::Configure => drop(cluster.configure()),
             Self::InvalidEntry => cluster.write_invalid_entry(),
@@ -130,31 +130,35 @@
     /// Reverts the fault; returns a violation, if there was one.
     pub async fn revert(self, cluster: &mut Cluster) -> Option<String> {
         match self {
-            Self::KillRouter(n) => cluster.routers[n].start(),
-            Self::StopRouter(n) => return restart_after_shutdown(&mut cluster.routers[n]).await,
-            Self::FreezeRouter(n) => signal(&cluster.routers[n].process, Signal::SIGCONT),
-            Self::KillAgent(n) => cluster.agents[n].start(),
-            Self::FreezeAgent(n) => signal(&cluster.agents[n].process, Signal::SIGCONT),
-            Self::CrashEngine(n) => {
-                cluster.engines[n].target.remove_entry();
-                cluster.engines[n].start().await;
+            Self::KillRouter(index) => cluster.routers[index].start(),
+            Self::StopRouter(index) => {
+                return restart_after_shutdown(&mut cluster.routers[index]).await;
             }
-            Self::CrashService(n) => {
-                cluster.service_targets[n].target.remove_entry();
-                cluster.service_targets[n].start().await;
+            Self::FreezeRouter(index) => signal(&cluster.routers[index].process, Signal::SIGCONT),
+            Self::KillAgent(index) => cluster.agents[index].start(),
+            Self::FreezeAgent(index) => signal(&cluster.agents[index].process, Signal::SIGCONT),
+            Self::CrashEngine(index) => {
+                cluster.engines[index].target.remove_entry();
+                cluster.engines[index].start().await;
             }
-            Self::DrainEngine(n) => {
-                tokio::time::sleep(DRAIN_TIME).await;
-                cluster.engines[n].target.crash();
-                tokio::time::sleep(ENTRY_TTL).await;
-                cluster.engines[n].target.remove_entry();
-                cluster.engines[n].start().await;
+            Self::CrashService(index) => {
+                cluster.service_targets[index].target.remove_entry();
+                cluster.service_targets[index].start().await;
             }
-            Self::FailEngine(n) => cluster.engines[n].target.set_faults(TargetFaults::default()),
-            Self::LoseCommands => set_all(cluster, TargetFaults::default()),
-            Self::EngineLink(n, _) => cluster.engines[n].link.set(Mode::Pass),
-            Self::StoreLink(n, _) => cluster.routers[n].store.set(Mode::Pass),
-            Self::FrontLink(n, _) => cluster.fronts[n].set(Mode::Pass),
+            Self::DrainEngine(index) => {
+                tokio::time::sleep(TARGET_DRAIN_TIME).await;
+                cluster.engines[index].target.crash();
+                tokio::time::sleep(TARGET_ENTRY_TTL).await;
+                cluster.engines[index].target.remove_entry();
+                cluster.engines[index].start().await;
+            }
+            Self::FailEngine(index) => {
+                cluster.engines[index].target.set_faults(TargetFaults::default())
+            }
+            Self::LoseCommands => set_all_engine_faults(cluster, TargetFaults::default()),
+            Self::EngineLink(index, _) => cluster.engines[index].target_proxy.set(Mode::Pass),
+            Self::StoreLink(index, _) => cluster.routers[index].store_proxy.set(Mode::Pass),
+            Self::FrontLink(index, _) => cluster.router_proxies[index].set(Mode::Pass),
             Self::Store(_) => cluster.store.set_fault_mode(FaultMode::Healthy),
             Self::KillAll => {
                 let processes = cluster.routers.iter_mut().chain(&mut cluster.agents);
@@ -166,14 +170,29 @@
         None
     }
 
-    pub fn disruptions(self, routers: usize, from: Instant, to: Instant) -> Vec<Disruption> {
-        let one = |router, planned| vec![Disruption { router, from, to, planned }];
+    pub fn disruptions(
+        self,
+        router_count: usize,
+        started_at: Instant,
+        ended_at: Instant,
+    ) -> Vec<Disruption> {
+        let one = |router_index, is_graceful_shutdown| {
+            vec![Disruption { router_index, started_at, ended_at, is_graceful_shutdown }]
+        };
         match self {
-            Self::KillRouter(n) | Self::FreezeRouter(n) | Self::FrontLink(n, _) => one(n, false),
-            Self::StopRouter(n) => one(n, true),
+            Self::KillRouter(index) | Self::FreezeRouter(index) | Self::FrontLink(index, _) => {
+                one(index, false)
+            }
+            Self::StopRouter(index) => one(index, true),
             Self::KillAll => {
-                let all = 0..routers;
-                all.map(|router| Disruption { router, from, to, planned: false }).collect()
+                let all = 0..router_count;
+                all.map(|router_index| Disruption {
+                    router_index,
+                    started_at,
+                    ended_at,
+                    is_graceful_shutdown: false,
+                })
+                .collect()
             }
             _ => Vec::new(),
         }
@@ -199,8 +218,8 @@
     }
 }
 
-fn set_all(cluster: &Cluster, ills: TargetFaults) {
-    cluster.engines.iter().for_each(|engine| engine.target.set_faults(ills));
+fn set_all_engine_faults(cluster: &Cluster, target_faults: TargetFaults) {
+    cluster.engines.iter().for_each(|engine| engine.target.set_faults(target_faults));
 }
 
 /// Waits until a router has shut down, and restarts it.
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -28,7 +28,7 @@
 const REGRESSION_SEEDS: &str = include_str!("../kept.txt");
 const DEFAULT_FAULTS: usize = 8;
 const MAX_CONCURRENT_FAULTS: usize = 3;
-const MAX_PAUSE_MS: u64 = 900;
+const MAX_FAULT_PAUSE_MS: u64 = 900;
 const CALLERS_PER_ROUTER: usize = 8;
 /// Time limit for recovery after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
@@ -51,7 +51,7 @@
             return ExitCode::from(2);
         }
     };
-    let Some(seeds) = seeds(matches.opt_str("seeds").as_deref(), matches.opt_present("kept"))
+    let Some(seeds) = parse_seeds(matches.opt_str("seeds").as_deref(), matches.opt_present("kept"))
     else {
         eprintln!("invalid seeds: expected a number or a range, such as 7 or 1-50");
         return ExitCode::from(2);
@@ -73,8 +73,8 @@
     if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn seeds(text: Option<&str>, kept: bool) -> Option<Vec<u64>> {
-    if kept {
+fn parse_seeds(text: Option<&str>, use_regression_seeds: bool) -> Option<Vec<u64>> {
+    if use_regression_seeds {
         let lines = REGRESSION_SEEDS.lines().filter(|line| !line.starts_with('#'));
         return lines.map(|line| line.split_whitespace().next()?.parse().ok()).collect();
     }
@@ -90,19 +90,19 @@
     let dir = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
     let mut cluster = Cluster::start(size, &dir).await;
-    let fronts: Vec<_> = cluster.fronts.iter().map(|front| front.addr).collect();
-    let callers = Callers::start(CALLERS_PER_ROUTER * size.routers, &fronts, seed);
+    let router_addresses: Vec<_> = cluster.router_proxies.iter().map(|proxy| proxy.addr).collect();
+    let callers = Callers::start(CALLERS_PER_ROUTER * size.routers, &router_addresses, seed);
     let mut violations = Vec::new();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let disruptions = run_faults(&mut cluster, &mut rng, faults, &callers, &mut violations).await;
     violations.extend(check_recovery(&mut cluster, seed).await);
     let requests = callers.finish().await;
     tokio::time::sleep(SETTLE_TIME).await;
-    let report = checks::check(&requests, &cluster.ledger, &disruptions);
+    let report = checks::check_guarantees(&requests, &cluster.ledger, &disruptions);
     violations.extend(report.violations);
     let overfilled = cluster.engines.iter().filter(|engine| engine.target.exceeded_capacity());
     violations.extend(overfilled.map(|engine| format!("commanded to load too much: {engine:?}")));
-    println!("seed {seed}: {} requests {:?}", requests.len(), report.outcomes);
+    println!("seed {seed}: {} requests {:?}", requests.len(), report.outcome_counts);
     drop(cluster);
     if violations.is_empty() {
         std::fs::remove_dir_all(&dir).ok();
@@ -112,53 +112,55 @@
     violations
 }
 
-/// Injects `count` faults, some of them overlapping, and reverts them all.
+/// Injects `fault_count` faults, some of them overlapping, and reverts them all.
 async fn run_faults(
     cluster: &mut Cluster,
     rng: &mut ChaCha8Rng,
-    count: usize,
+    fault_count: usize,
     callers: &Callers,
     violations: &mut Vec<String>,
 ) -> Vec<Disruption> {
-    let mut seen = 0;
+    let mut checked_requests = 0;
     let mut active: Vec<(faults::Fault, Instant, Instant)> = Vec::new();
     let mut disruptions = Vec::new();
-    for left in (0..=count).rev() {
-        if left > 0 {
-            let (fault, duration) = faults::draw(rng, cluster);
+    for remaining_faults in (0..=fault_count).rev() {
+        if remaining_faults > 0 {
+            let (fault, duration) = faults::draw_fault(rng, cluster);
             // Two faults at one component would revert each other.
-            if active.iter().all(|(other, ..)| !overlaps(*other, fault)) {
+            if active.iter().all(|(other, ..)| !conflicts(*other, fault)) {
                 println!("  {fault:?} for {duration:?}");
                 let started_at = Instant::now();
                 fault.inject(cluster);
                 active.push((fault, started_at, started_at + duration));
             }
-            let pause = rng.random_range(0..MAX_PAUSE_MS);
+            let pause = rng.random_range(0..MAX_FAULT_PAUSE_MS);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
-        let max_active = if left > 0 { MAX_CONCURRENT_FAULTS - 1 } else { 0 };
-        while active.len() > max_active || active.iter().any(|(.., until)| Instant::now() >= *until)
+        let max_active = if remaining_faults > 0 { MAX_CONCURRENT_FAULTS - 1 } else { 0 };
+        while active.len() > max_active
+            || active.iter().any(|(.., revert_at)| Instant::now() >= *revert_at)
         {
             let first = (0..active.len()).min_by_key(|&index| active[index].2).unwrap_or(0);
-            let (fault, started_at, until) = active.remove(first);
-            tokio::time::sleep_until(until.into()).await;
+            let (fault, started_at, revert_at) = active.remove(first);
+            tokio::time::sleep_until(revert_at.into()).await;
             violations.extend(fault.revert(cluster).await);
             disruptions.extend(fault.disruptions(
                 cluster.routers.len(),
                 started_at,
                 Instant::now(),
             ));
-            let finished = callers.since(seen);
-            seen += finished.len();
-            let new_violations =
-                finished.iter().flat_map(|request| checks::violations(request, &cluster.ledger));
+            let finished = callers.finished_requests(checked_requests);
+            checked_requests += finished.len();
+            let new_violations = finished
+                .iter()
+                .flat_map(|request| checks::find_violations(request, &cluster.ledger));
             new_violations.for_each(|violation| println!("  BROKEN so far: {violation}"));
         }
     }
     disruptions
 }
 
-fn overlaps(one: faults::Fault, other: faults::Fault) -> bool {
+fn conflicts(one: faults::Fault, other: faults::Fault) -> bool {
     use faults::Fault::{
         CrashEngine, CrashService, DrainEngine, FailEngine, FreezeAgent, FreezeRouter, FrontLink,
         KillAgent, KillAll, KillRouter, LoseCommands, ReloadRouter, StopRouter, Store,
@@ -187,32 +189,34 @@
 /// Checks that all routers serve all kinds, all models and the newest configuration.
 async fn check_recovery(cluster: &mut Cluster, seed: u64) -> Option<String> {
     let unique_prefix = cluster.configure();
-    let until = Instant::now() + RECOVERY_TIMEOUT;
-    let mut number = 0;
-    for router in 0..cluster.fronts.len() {
-        let front = cluster.fronts[router].addr;
+    let deadline = Instant::now() + RECOVERY_TIMEOUT;
+    let mut probe_number = 0;
+    for router in 0..cluster.router_proxies.len() {
+        let router_address = cluster.router_proxies[router].addr;
         let kinds = MODELS.map(|model| (RequestKind::Chat, model));
         let kinds = kinds
             .into_iter()
             .chain([(RequestKind::Look, MODELS[0]), (RequestKind::Pay, MODELS[0])]);
         for (kind, model) in kinds {
             loop {
-                number += 1;
-                let id = format!("probe-{seed}-{number}");
-                let (outcome, ..) = callers::send_request(front, None, kind, &id, model).await;
+                probe_number += 1;
+                let id = format!("probe-{seed}-{probe_number}");
+                let (outcome, ..) =
+                    callers::send_request(router_address, None, kind, &id, model).await;
                 if matches!(outcome, Outcome::Complete(StatusCode::OK, _)) {
                     break;
                 }
-                if Instant::now() >= until {
-                    let what = format!("router {router} {kind:?} {model}: {outcome:?}");
-                    return Some(format!("not recovered: {what}"));
+                if Instant::now() >= deadline {
+                    let probe = format!("router {router} {kind:?} {model}: {outcome:?}");
+                    return Some(format!("not recovered: {probe}"));
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
-        number += 1;
-        let (path, id) = (format!("{unique_prefix}x"), format!("probe-{seed}-{number}"));
-        if callers::status(front, &path, &id).await == Some(StatusCode::NOT_FOUND) {
+        probe_number += 1;
+        let (path, id) = (format!("{unique_prefix}x"), format!("probe-{seed}-{probe_number}"));
+        if callers::request_status(router_address, &path, &id).await == Some(StatusCode::NOT_FOUND)
+        {
             return Some(format!("router {router} does not know the newest route {unique_prefix}"));
         }
     }
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -32,11 +32,11 @@
 }
 
 impl Proxy {
-    /// Opens a proxy at `addr` that forwards to `to`.
-    pub async fn open(addr: SocketAddr, to: SocketAddr) -> std::io::Result<Self> {
+    /// Opens a proxy at `addr` that forwards to `destination`.
+    pub async fn open(addr: SocketAddr, destination: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let (mode, modes) = watch::channel(Mode::Pass);
-        tokio::spawn(accept(listener, to, modes));
+        tokio::spawn(accept_connections(listener, destination, modes));
         Ok(Self { addr, mode })
     }
 
@@ -45,11 +45,15 @@
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddr, modes: watch::Receiver<Mode>) {
+async fn accept_connections(
+    listener: TcpListener,
+    destination: SocketAddr,
+    modes: watch::Receiver<Mode>,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(forward(stream, to, modes.clone()));
+                tokio::spawn(forward(stream, destination, modes.clone()));
             }
             Err(error) => {
                 eprintln!("proxy: accept failed: {error}");
@@ -59,11 +63,11 @@
     }
 }
 
-async fn forward(client: TcpStream, to: SocketAddr, mut modes: watch::Receiver<Mode>) {
+async fn forward(client: TcpStream, destination: SocketAddr, mut modes: watch::Receiver<Mode>) {
     if *modes.borrow() == Mode::Reset {
         return reset(&client);
     }
-    let Ok(server) = TcpStream::connect(to).await else { return reset(&client) };
+    let Ok(server) = TcpStream::connect(destination).await else { return reset(&client) };
     let sockets = [&client, &server].map(|stream| {
         stream.set_nodelay(true).ok();
         socket2::SockRef::from(stream).try_clone()
@@ -88,14 +92,14 @@
 }
 
 async fn copy(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
+    mut source: OwnedReadHalf,
+    mut sink: OwnedWriteHalf,
     mut modes: watch::Receiver<Mode>,
-    held: &[Mode],
+    hold_modes: &[Mode],
 ) {
     let mut buf = vec![0; CHUNK_BYTES];
-    while let Ok(len) = from.read(&mut buf).await {
-        if modes.wait_for(|mode| !held.contains(mode)).await.is_err() {
+    while let Ok(len) = source.read(&mut buf).await {
+        if modes.wait_for(|mode| !hold_modes.contains(mode)).await.is_err() {
             return;
         }
         let mode = *modes.borrow();
@@ -105,10 +109,10 @@
         if len == 0 {
             break;
         }
-        if to.write_all(&buf[..len]).await.is_err() {
+        if sink.write_all(&buf[..len]).await.is_err() {
             return;
         }
     }
     // The other direction may stay open.
-    to.shutdown().await.ok();
+    sink.shutdown().await.ok();
 }
