--- a/tools/capacity/src/emulate.rs
+++ b/tools/capacity/src/emulate.rs
@@ -146,7 +146,7 @@
 /// Starts `followers` emulated followers that read the log at `base` from offset `from`.
 pub fn followers(base: &str, followers: usize, from: u64, wait: Duration) {
     for _ in 0..followers {
-        let log = HttpLog::new(base, wait).with_bearer(&plan::hash("peer"));
+        let log = HttpLog::new(base, wait).with_bearer(&plan::hash_token("peer"));
         tokio::spawn(follow(log, from, wait));
     }
 }
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -18,7 +18,7 @@
     time::{Duration, Instant},
 };
 use testbed::{
-    plan::{AUTH_KEY, OPERATOR_KEY, hash},
+    plan::{AUTH_KEY, OPERATOR_KEY, hash_token},
     process::{Process, STATE_TIMEOUT, free_addresses},
 };
 use tokio::time;
@@ -165,7 +165,7 @@
         let listen = free_addresses(1).remove(0);
         let mut settings = self.common_settings(name, &listen);
         settings["auth_key"] = json!(AUTH_KEY);
-        settings["operator_key_hash"] = json!(hash(OPERATOR_KEY));
+        settings["operator_key_hash"] = json!(hash_token(OPERATOR_KEY));
         let began = Instant::now();
         let process = self.start_process(name, "router", &settings);
         self.wait_for(&format!("http://{listen}/readyz")).await;
--- a/tools/capacity/src/size.rs
+++ b/tools/capacity/src/size.rs
@@ -107,7 +107,7 @@
         writer.add("operator", settings_change(&format!("shared/models/{}", model(i).0), &doc));
     }
     for team in 0..size.teams {
-        let key_hash = plan::hash(&format!("key-{team}"));
+        let key_hash = plan::hash_token(&format!("key-{team}"));
         let doc = json!({ "key_hashes": [key_hash], "default_urgency": "normal", "share": 10 });
         writer.add("operator", settings_change(&format!("teams/team-{team:04}/team"), &doc));
         add_team_model(writer, size, team);
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -1,7 +1,7 @@
 //! A deployment of real processes on loopback.
 
 use crate::{
-    plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash},
+    plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash_token},
     process::{Process, STATE_TIMEOUT, free_addresses},
 };
 use serde_json::{Value, json};
@@ -147,7 +147,7 @@
             let routers = (0..self.plan.routers).map(|i| format!("router-{i}"));
             let peers: Vec<&str> = routers.map(|router| self.address(&router)).collect();
             settings["peers"] = json!(peers);
-            settings["peer_token"] = json!(hash("peer"));
+            settings["peer_token"] = json!(hash_token("peer"));
         }
         let args = vec!["agent".into(), self.write_config(&name, &settings)];
         self.define_process(&name, "corianderstand", args);
@@ -166,7 +166,7 @@
             "host_list_url": self.url("hosts", ""),
             "peers": peers,
             "auth_key": AUTH_KEY,
-            "operator_key_hash": hash(OPERATOR_KEY),
+            "operator_key_hash": hash_token(OPERATOR_KEY),
             "limits": self.plan.limits,
             "timing": self.plan.timing,
             "statsd": self.plan.statsd,
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -43,9 +43,9 @@
 pub const AUTH_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
 /// Hashes a bearer token with [`AUTH_KEY`].
-pub fn hash(key: &str) -> String {
+pub fn hash_token(token: &str) -> String {
     let hasher = corianderstand_router::auth::Hasher::new(AUTH_KEY).expect("a well-formed key");
-    hasher.hash(key).to_string()
+    hasher.hash(token).to_string()
 }
 
 impl Default for Plan {
@@ -76,7 +76,7 @@
         "load_ms": 500, "adapter_memory_mib": 500 })
     };
     let team = |key: &str, tail: u32, idle: u32| {
-        json!({ "key_hashes": [hash(key)], "share": 300,
+        json!({ "key_hashes": [hash_token(key)], "share": 300,
         "default_deadline_ms": 20000, "default_urgency": "normal",
         "weight_tail": tail, "weight_idle": idle })
     };
