--- a/tools/capacity/src/emulate.rs
+++ b/tools/capacity/src/emulate.rs
@@ -24,8 +24,7 @@
     time,
 };
 
-/// Capacity of a connection's write queue, in frames.
-const WRITE_QUEUE: usize = 64;
+const WRITE_QUEUE_FRAMES: usize = 64;
 const LENGTH_PREFIX_BYTES: u64 = 4;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -36,8 +35,7 @@
     pub addresses: Vec<SmolStr>,
     /// Traffic on all connections.
     pub counter: Arc<ByteCounter>,
-    /// Number of open connections.
-    pub connected: Arc<AtomicUsize>,
+    pub open_connections: Arc<AtomicUsize>,
 }
 
 fn frame_bytes(message: &impl Serialize) -> u64 {
@@ -53,36 +51,43 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a port");
             let address = listener.local_addr().expect("it is bound");
             agents.addresses.push(format_smolstr!("{address}"));
-            let (counter, connected) = (agents.counter.clone(), agents.connected.clone());
-            tokio::spawn(accept(listener, size::target(i), counter, connected));
+            let (counter, open_connections) =
+                (agents.counter.clone(), agents.open_connections.clone());
+            tokio::spawn(accept_connections(
+                listener,
+                size::target_id(i),
+                counter,
+                open_connections,
+            ));
         }
         agents
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     target: TargetId,
     counter: Arc<ByteCounter>,
-    connected: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        let (target, counter, connected) = (target.clone(), counter.clone(), connected.clone());
+        let (target, counter, open_connections) =
+            (target.clone(), counter.clone(), open_connections.clone());
         tokio::spawn(async move {
-            connected.fetch_add(1, Ordering::Relaxed);
-            drop(serve(stream, target, &counter).await);
-            connected.fetch_sub(1, Ordering::Relaxed);
+            open_connections.fetch_add(1, Ordering::Relaxed);
+            drop(serve_router(stream, target, &counter).await);
+            open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn serve(
+async fn serve_router(
     stream: TcpStream,
     target: TargetId,
     counter: &ByteCounter,
 ) -> Result<(), FrameError> {
     let (mut reader, writer) = connection::split(stream, IDLE_TIMEOUT)?;
-    let (tx, rx) = mpsc::channel(WRITE_QUEUE);
+    let (tx, rx) = mpsc::channel(WRITE_QUEUE_FRAMES);
     tokio::spawn(writer.run(rx));
     loop {
         let (message, _) = reader.next::<ToAgent>().await?;
@@ -102,29 +107,34 @@
     }
 }
 
-/// Connects `routers` emulated routers to an agent, each sending a ping every `heartbeat`.
-pub fn routers(agent: &str, routers: usize, heartbeat: Duration, counter: &Arc<ByteCounter>) {
-    for i in 0..routers {
-        tokio::spawn(emulate_router(agent.to_owned(), i, heartbeat, counter.clone()));
+/// Connects `count` emulated routers to an agent, each sending a ping every `heartbeat`.
+pub fn start_routers(
+    agent_address: &str,
+    count: usize,
+    heartbeat: Duration,
+    counter: &Arc<ByteCounter>,
+) {
+    for i in 0..count {
+        tokio::spawn(emulate_router(agent_address.to_owned(), i, heartbeat, counter.clone()));
     }
 }
 
 async fn emulate_router(
-    agent: String,
-    index: usize,
+    agent_address: String,
+    router_index: usize,
     heartbeat: Duration,
     counter: Arc<ByteCounter>,
 ) -> Result<(), FrameError> {
-    let stream = TcpStream::connect(&agent).await?;
+    let stream = TcpStream::connect(&agent_address).await?;
     let (mut reader, writer) = connection::split(stream, IDLE_TIMEOUT)?;
-    let (tx, rx) = mpsc::channel(WRITE_QUEUE);
+    let (tx, rx) = mpsc::channel(WRITE_QUEUE_FRAMES);
     tokio::spawn(writer.run(rx));
-    let router = WriterId(format_smolstr!("router-{index:04}"));
+    let router = WriterId(format_smolstr!("router-{router_index:04}"));
     let hello = ToAgent::Hello { router, incarnation: 1, protocol: PROTOCOL };
     counter.received.fetch_add(frame_bytes(&hello), Ordering::Relaxed);
     tx.send(frame::encode(&hello, b"")?).await.map_err(|_| FrameError::Closed)?;
     // Spreads the pings of the routers over the interval.
-    time::sleep(heartbeat.mul_f64(f64::from(index as u32 % 100) / 100.0)).await;
+    time::sleep(heartbeat.mul_f64(f64::from(router_index as u32 % 100) / 100.0)).await;
     let mut ticks = time::interval(heartbeat);
     let mut nonce = 0;
     loop {
@@ -143,19 +153,21 @@
     }
 }
 
-/// Starts `followers` emulated followers that read the log at `base` from offset `from`.
-pub fn followers(base: &str, followers: usize, from: u64, wait: Duration) {
-    for _ in 0..followers {
-        let log = HttpLog::new(base, wait).with_bearer(&plan::hash_token("peer"));
-        tokio::spawn(follow(log, from, wait));
+/// Starts `count` emulated followers that read the log at `base_url` from `start_offset` on.
+pub fn start_followers(base_url: &str, count: usize, start_offset: u64, wait_limit: Duration) {
+    for _ in 0..count {
+        let log = HttpLog::new(base_url, wait_limit).with_bearer(&plan::hash_token("peer"));
+        tokio::spawn(follow(log, start_offset, wait_limit));
     }
 }
 
-async fn follow(log: HttpLog, from: u64, wait: Duration) {
-    let mut next = from;
+async fn follow(log: HttpLog, start_offset: u64, wait_limit: Duration) {
+    let mut next_offset = start_offset;
     loop {
-        match log.read(next, 1024, wait).await {
-            Ok(page) => next = page.entries.last().map_or(next, |entry| entry.offset + 1),
+        match log.read(next_offset, 1024, wait_limit).await {
+            Ok(page) => {
+                next_offset = page.entries.last().map_or(next_offset, |entry| entry.offset + 1)
+            }
             Err(_) => time::sleep(Duration::from_secs(5)).await,
         }
     }
--- a/tools/capacity/src/forward.rs
+++ b/tools/capacity/src/forward.rs
@@ -28,20 +28,20 @@
     }
 }
 
-/// Starts a proxy on loopback that forwards to `to`, and returns its address.
-pub async fn start(to: String, counter: Arc<ByteCounter>) -> String {
+/// Starts a proxy on loopback that forwards to `upstream_address`, and returns its address.
+pub async fn start(upstream_address: String, counter: Arc<ByteCounter>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback has a free port");
     let address = listener.local_addr().expect("it is bound").to_string();
     tokio::spawn(async move {
         while let Ok((client, _)) = listener.accept().await {
-            tokio::spawn(forward(client, to.clone(), counter.clone()));
+            tokio::spawn(forward(client, upstream_address.clone(), counter.clone()));
         }
     });
     address
 }
 
-async fn forward(client: TcpStream, to: String, counter: Arc<ByteCounter>) {
-    let Ok(upstream) = TcpStream::connect(&to).await else { return };
+async fn forward(client: TcpStream, upstream_address: String, counter: Arc<ByteCounter>) {
+    let Ok(upstream) = TcpStream::connect(&upstream_address).await else { return };
     drop((client.set_nodelay(true), upstream.set_nodelay(true)));
     let (client_read, client_write) = client.into_split();
     let (upstream_read, upstream_write) = upstream.into_split();
@@ -51,10 +51,10 @@
     );
 }
 
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, counter: &AtomicU64) {
+async fn copy(mut source: OwnedReadHalf, mut sink: OwnedWriteHalf, counter: &AtomicU64) {
     let mut buf = vec![0; BUFFER_BYTES];
-    while let Ok(length) = from.read(&mut buf).await {
-        if length == 0 || to.write_all(&buf[..length]).await.is_err() {
+    while let Ok(length) = source.read(&mut buf).await {
+        if length == 0 || sink.write_all(&buf[..length]).await.is_err() {
             return;
         }
         counter.fetch_add(length as u64, Ordering::Relaxed);
--- a/tools/capacity/src/main.rs
+++ b/tools/capacity/src/main.rs
@@ -59,7 +59,7 @@
         }
     };
     if let Some(percent) = matches.opt_str("one-state").and_then(|text| text.parse().ok()) {
-        let cost = state::measure(size::DESIGN.percent(percent));
+        let cost = state::measure(size::DESIGN.scaled_to(percent));
         println!("{}", serde_json::to_string(&cost).expect("a cost can be serialized"));
         return ExitCode::SUCCESS;
     }
@@ -118,8 +118,7 @@
 
 /// Numbers of routers connected to one agent.
 const ROUTER_COUNTS: [usize; 3] = [0, 170, 340];
-/// Heartbeat interval of an emulated router.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const ROUTER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Numbers of followers that read from one relay.
 const FOLLOWER_COUNTS: [usize; 4] = [0, 8, 16, 32];
 
@@ -127,60 +126,60 @@
     for percent in SIZE_PERCENTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
-            costs.push(node::router(percent).await);
+            costs.push(node::measure_router(percent).await);
         }
         report.routers.push(costs);
     }
     let costs = report.routers.clone();
-    report.add_nodes("router", "percent of the size", &SIZE_PERCENTS, &costs);
+    report.add_node_series("router", "percent of the size", &SIZE_PERCENTS, &costs);
 }
 
 async fn measure_agents(report: &mut Report) {
     for routers in ROUTER_COUNTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
-            costs.push(node::agent(100, routers, HEARTBEAT).await);
+            costs.push(node::measure_agent(100, routers, ROUTER_HEARTBEAT_INTERVAL).await);
         }
         report.agents.push(costs);
     }
     let costs = report.agents.clone();
-    report.add_nodes("agent", "connections", &ROUTER_COUNTS, &costs);
+    report.add_node_series("agent", "connections", &ROUTER_COUNTS, &costs);
 }
 
 async fn measure_relays(report: &mut Report) {
     for followers in FOLLOWER_COUNTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
-            costs.push(node::relay(followers).await);
+            costs.push(node::measure_relay(followers).await);
         }
         report.relays.push(costs);
     }
     let costs = report.relays.clone();
-    report.add_nodes("relay", "followers", &FOLLOWER_COUNTS, &costs);
+    report.add_node_series("relay", "followers", &FOLLOWER_COUNTS, &costs);
 }
 
 /// Numbers of streams in flight at one router.
 const STREAM_COUNTS: [usize; 3] = [0, 100, 200];
-/// Loads as requests per second and tokens per request.
-const LOADS: [(u32, u64); 6] = [(10, 1), (40, 1), (80, 1), (20, 1), (20, 25), (20, 100)];
+/// Requests per second and tokens per request.
+const REQUEST_LOADS: [(u32, u64); 6] = [(10, 1), (40, 1), (80, 1), (20, 1), (20, 25), (20, 100)];
 
 async fn measure_streams(report: &mut Report) {
     for count in STREAM_COUNTS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
-            costs.push(requests::streams(count).await);
+            costs.push(requests::measure_streams(count).await);
         }
         report.streams.push(costs);
     }
     let costs = report.streams.clone();
-    report.add_nodes("router with streams", "streams in flight", &STREAM_COUNTS, &costs);
+    report.add_node_series("router with streams", "streams in flight", &STREAM_COUNTS, &costs);
 }
 
 async fn measure_requests(report: &mut Report) {
-    for (rate, tokens) in LOADS {
+    for (rate, tokens) in REQUEST_LOADS {
         let mut costs = Vec::new();
         for _ in 0..report.repeats {
-            costs.push(requests::load(rate, tokens).await);
+            costs.push(requests::measure_load(rate, tokens).await);
         }
         report.loads.push(costs);
     }
@@ -208,10 +207,10 @@
 }
 
 impl Report {
-    fn add_nodes(
+    fn add_node_series(
         &mut self,
         role: &str,
-        against: &str,
+        x_label: &str,
         sizes: &[usize],
         costs: &[Vec<node::NodeCost>],
     ) {
@@ -228,7 +227,7 @@
             let points = sizes.iter().zip(costs);
             let points = points.map(|(x, costs)| (*x as f64, costs.iter().map(measure).collect()));
             let name = format!("{role}: {name}");
-            self.series.push(Series::new(&name, against, points.collect()));
+            self.series.push(Series::new(&name, x_label, points.collect()));
         }
     }
 }
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -23,8 +23,7 @@
 };
 use tokio::time;
 
-/// Records per append to the log.
-const APPEND_BATCH: usize = 256;
+const APPEND_BATCH_RECORDS: usize = 256;
 pub const MEASUREMENT_WINDOW: Duration = Duration::from_secs(4);
 /// Time without a change after which a state counts as steady.
 const STEADY_TIME: Duration = Duration::from_secs(1);
@@ -62,11 +61,11 @@
     dir: PathBuf,
     http: reqwest::Client,
     log: HttpLog,
-    hosts: String,
+    host_list_url: String,
     log_counter: Arc<forward::ByteCounter>,
     hosts_counter: Arc<forward::ByteCounter>,
-    log_url: String,
-    hosts_url: String,
+    log_proxy_url: String,
+    host_list_proxy_url: String,
     processes: Vec<Process>,
 }
 
@@ -95,34 +94,30 @@
             dir,
             http: reqwest::Client::builder().no_proxy().build().expect("the client can be built"),
             log: HttpLog::new(&format!("http://{}", addresses[0]), LOG_POLL_WAIT),
-            hosts: format!("http://{}/hosts", addresses[1]),
+            host_list_url: format!("http://{}/hosts", addresses[1]),
             log_counter,
             hosts_counter,
-            log_url: format!("http://{log_proxy}"),
-            hosts_url: format!("http://{hosts_proxy}"),
+            log_proxy_url: format!("http://{log_proxy}"),
+            host_list_proxy_url: format!("http://{hosts_proxy}"),
             processes,
         };
         platform.wait_for(&format!("http://{}/counters", addresses[0])).await;
-        platform.wait_for(&platform.hosts).await;
+        platform.wait_for(&platform.host_list_url).await;
         platform
     }
 
-    /// Polls a URL until it returns a success status.
-    ///
-    /// # Panics
-    ///
-    /// Panics if the wait limit passes first.
+    /// Polls a URL until it returns a success status; panics after [`STATE_TIMEOUT`].
     pub async fn wait_for(&self, url: &str) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !self.http.get(url).send().await.is_ok_and(|a| a.status().is_success()) {
-            assert!(began.elapsed() < STATE_TIMEOUT, "{url} did not respond in time");
+            assert!(started_at.elapsed() < STATE_TIMEOUT, "{url} did not respond in time");
             time::sleep(Duration::from_millis(5)).await;
         }
     }
 
     /// Appends records to the log.
     pub async fn append(&self, records: &[Record]) {
-        for batch in records.chunks(APPEND_BATCH) {
+        for batch in records.chunks(APPEND_BATCH_RECORDS) {
             let data =
                 batch.iter().map(|r| postcard::to_stdvec(r).expect("records can be serialized"));
             self.log.append(data.collect()).await.expect("the log accepts records");
@@ -137,7 +132,7 @@
             state: HostState::Live,
         };
         let hosts: Vec<HostEntry> = (0..count).map(entry).collect();
-        let response = self.http.put(&self.hosts).json(&hosts).send().await;
+        let response = self.http.put(&self.host_list_url).json(&hosts).send().await;
         response.expect("the host list responds");
     }
 
@@ -147,8 +142,8 @@
             "host": "host-000",
             "place": "place-0",
             "listen": listen,
-            "log_url": self.log_url,
-            "host_list_url": self.hosts_url,
+            "log_url": self.log_proxy_url,
+            "host_list_url": self.host_list_proxy_url,
             "timing": { "log_poll_ms": LOG_POLL_WAIT.as_millis() as u64 },
         })
     }
@@ -161,29 +156,29 @@
     }
 
     /// Starts a router and returns its process, its address and the time until it was ready.
-    pub async fn router(&self, name: &str) -> (Process, String, Duration) {
+    pub async fn start_router(&self, name: &str) -> (Process, String, Duration) {
         let listen = free_addresses(1).remove(0);
         let mut settings = self.common_settings(name, &listen);
         settings["auth_key"] = json!(AUTH_KEY);
         settings["operator_key_hash"] = json!(hash_token(OPERATOR_KEY));
-        let began = Instant::now();
+        let started_at = Instant::now();
         let process = self.start_process(name, "router", &settings);
         self.wait_for(&format!("http://{listen}/readyz")).await;
-        (process, listen, began.elapsed())
+        (process, listen, started_at.elapsed())
     }
 
-    /// Starts an agent for the engine at `engine` and returns its process and its address.
-    pub async fn agent(&self, name: &str, engine: &str) -> (Process, String) {
+    /// Starts an agent for the engine at `engine_url` and returns its process and its address.
+    pub async fn start_agent(&self, name: &str, engine_url: &str) -> (Process, String) {
         let listen = free_addresses(1).remove(0);
         let mut settings = self.common_settings(name, &listen);
         let kind = json!({ "engine": { "memory_mib": 640_000, "checks_fencing": false } });
-        settings["target"] = json!({ "url": engine, "kind": kind });
+        settings["target"] = json!({ "url": engine_url, "kind": kind });
         let process = self.start_process(name, "agent", &settings);
         (process, listen)
     }
 
     /// Starts an engine stand-in and returns its process and its URL.
-    pub async fn engine(&self, options: &[&str]) -> (Process, String) {
+    pub async fn start_engine(&self, options: &[&str]) -> (Process, String) {
         let listen = free_addresses(1).remove(0);
         let mut args = vec!["engine".to_owned(), "--listen".into(), listen.clone()];
         args.extend(options.iter().map(|option| (*option).to_owned()));
@@ -196,15 +191,15 @@
     pub async fn measure(&self, process: &Process, link: &forward::ByteCounter) -> NodeCost {
         let pid = process.pid();
         let before = (self.log_counter.total(), self.hosts_counter.total(), link.total());
-        let (cpu, began) = (process::cpu_time(pid), Instant::now());
+        let (cpu_time_before, started_at) = (process::cpu_time(pid), Instant::now());
         time::sleep(MEASUREMENT_WINDOW).await;
-        let seconds = began.elapsed().as_secs_f64();
-        let rate = |now: u64, then: u64| (now - then) as f64 / seconds;
+        let seconds = started_at.elapsed().as_secs_f64();
+        let rate = |after: u64, before: u64| (after - before) as f64 / seconds;
         NodeCost {
             log_bytes: rate(self.log_counter.total(), before.0),
             hosts_bytes: rate(self.hosts_counter.total(), before.1),
             link_bytes: rate(link.total(), before.2),
-            cpu_percent: (process::cpu_time(pid) - cpu).as_secs_f64() / seconds * 100.0,
+            cpu_percent: (process::cpu_time(pid) - cpu_time_before).as_secs_f64() / seconds * 100.0,
             resident_kib: process::resident_kib(pid) as f64,
             ..NodeCost::default()
         }
@@ -213,64 +208,65 @@
 
 /// Waits until a value has not changed for [`STEADY_TIME`].
 pub async fn wait_until_steady(read: impl Fn() -> usize) {
-    let (mut last, mut since) = (read(), Instant::now());
-    while since.elapsed() < STEADY_TIME {
+    let (mut last_value, mut last_changed_at) = (read(), Instant::now());
+    while last_changed_at.elapsed() < STEADY_TIME {
         time::sleep(Duration::from_millis(50)).await;
-        let now = read();
-        if now != last {
-            (last, since) = (now, Instant::now());
+        let value = read();
+        if value != last_value {
+            (last_value, last_changed_at) = (value, Instant::now());
         }
     }
 }
 
 /// Measures a router with the state and the emulated agents of a deployment at `percent` of the
 /// design size.
-pub async fn router(percent: usize) -> NodeCost {
-    let size = size::DESIGN.percent(percent);
+pub async fn measure_router(percent: usize) -> NodeCost {
+    let size = size::DESIGN.scaled_to(percent);
     let platform = Platform::start().await;
     let agents = emulate::Agents::start(size.targets).await;
     platform.append(&size::records(size, |i| agents.addresses[i].clone())).await;
     platform.list_hosts(size.writers).await;
-    let (process, _, startup) = platform.router("router-0").await;
-    let connected = agents.connected.clone();
-    wait_until_steady(|| connected.load(Ordering::Relaxed)).await;
+    let (process, _, startup) = platform.start_router("router-0").await;
+    let open_connections = agents.open_connections.clone();
+    wait_until_steady(|| open_connections.load(Ordering::Relaxed)).await;
     let cost = platform.measure(&process, &agents.counter).await;
-    let connections = connected.load(Ordering::Relaxed) as f64;
+    let connections = open_connections.load(Ordering::Relaxed) as f64;
     NodeCost { connections, start_ms: startup.as_secs_f64() * 1e3, ..cost }
 }
 
 /// Measures an agent with connections from `routers` emulated routers.
-pub async fn agent(percent: usize, routers: usize, heartbeat: Duration) -> NodeCost {
-    let size = size::DESIGN.percent(percent);
+pub async fn measure_agent(percent: usize, routers: usize, heartbeat: Duration) -> NodeCost {
+    let size = size::DESIGN.scaled_to(percent);
     let platform = Platform::start().await;
     platform.append(&size::records(size, |_| "127.0.0.1:9".into())).await;
     platform.list_hosts(size.writers).await;
-    let (_engine, url) = platform.engine(&[]).await;
-    let (process, listen) = platform.agent("engine-000", &url).await;
-    let began = Instant::now();
-    while tokio::net::TcpStream::connect(&listen).await.is_err() && began.elapsed() < STATE_TIMEOUT
+    let (_engine, url) = platform.start_engine(&[]).await;
+    let (process, listen) = platform.start_agent("engine-000", &url).await;
+    let started_at = Instant::now();
+    while tokio::net::TcpStream::connect(&listen).await.is_err()
+        && started_at.elapsed() < STATE_TIMEOUT
     {
         time::sleep(Duration::from_millis(20)).await;
     }
     let counter = Arc::default();
-    emulate::routers(&listen, routers, heartbeat, &counter);
+    emulate::start_routers(&listen, routers, heartbeat, &counter);
     wait_until_steady(|| 0).await;
     let cost = platform.measure(&process, &counter).await;
     NodeCost { connections: routers as f64, ..cost }
 }
 
 /// Measures the lease holder as relay of the log to emulated followers, at the design size.
-pub async fn relay(followers: usize) -> NodeCost {
+pub async fn measure_relay(followers: usize) -> NodeCost {
     let size = size::DESIGN;
     let platform = Platform::start().await;
     let records = size::records(size, |_| "127.0.0.1:9".into());
     platform.append(&records).await;
     platform.list_hosts(size.writers).await;
-    let (process, listen, _) = platform.router("router-0").await;
+    let (process, listen, _) = platform.start_router("router-0").await;
     let counter: Arc<forward::ByteCounter> = Arc::default();
     let proxy = forward::start(listen, counter.clone()).await;
-    let base = format!("http://{proxy}/internal");
-    emulate::followers(&base, followers, records.len() as u64 + 1, source::RELAY_WAIT);
+    let base_url = format!("http://{proxy}/internal");
+    emulate::start_followers(&base_url, followers, records.len() as u64 + 1, source::RELAY_WAIT);
     wait_until_steady(|| 0).await;
     let cost = platform.measure(&process, &counter).await;
     NodeCost { connections: followers as f64, ..cost }
--- a/tools/capacity/src/plot.rs
+++ b/tools/capacity/src/plot.rs
@@ -6,18 +6,17 @@
 };
 use std::{error::Error, path::Path};
 
-/// Width and height of one chart, in pixels.
-const CHART_SIZE: (u32, u32) = (480, 300);
-/// Charts per row.
-const COLUMNS: usize = 3;
+/// Width and height.
+const CHART_SIZE_PX: (u32, u32) = (480, 300);
+const CHARTS_PER_ROW: usize = 3;
 
 /// Draws one chart per series to an SVG file.
 pub fn draw(path: &Path, series: &[Series]) -> Result<(), Box<dyn Error>> {
-    let rows = series.len().div_ceil(COLUMNS);
-    let size = (CHART_SIZE.0 * COLUMNS as u32, CHART_SIZE.1 * rows as u32);
+    let rows = series.len().div_ceil(CHARTS_PER_ROW);
+    let size = (CHART_SIZE_PX.0 * CHARTS_PER_ROW as u32, CHART_SIZE_PX.1 * rows as u32);
     let root = SVGBackend::new(path, size).into_drawing_area();
     root.fill(&WHITE)?;
-    for (area, series) in root.split_evenly((rows, COLUMNS)).iter().zip(series) {
+    for (area, series) in root.split_evenly((rows, CHARTS_PER_ROW)).iter().zip(series) {
         draw_chart(area, series)?;
     }
     root.present()?;
--- a/tools/capacity/src/requests.rs
+++ b/tools/capacity/src/requests.rs
@@ -36,7 +36,7 @@
 }
 
 /// Requests a completion as a team and returns whether it succeeded.
-async fn complete(
+async fn request_completion(
     http: &reqwest::Client,
     router: &str,
     team: usize,
@@ -54,32 +54,34 @@
         "max_tokens": tokens, "stream": true })
 }
 
-/// Measures a router and an agent with one model under `rate` requests per second of `tokens`
-/// tokens each.
-pub async fn load(rate: u32, tokens: u64) -> LoadCost {
+/// Measures a router and an agent with one model under requests of `tokens` tokens each.
+pub async fn measure_load(requests_per_s: u32, tokens: u64) -> LoadCost {
     let size = size::Size { targets: 0, slots: 0, calls: 0, writers: 0, ..size::DESIGN };
     let platform = Platform::start().await;
     platform.append(&size::records(size, |_| "".into())).await;
     platform.list_hosts(1).await;
-    let (_engine, url) =
-        platform.engine(&["--token-us", TOKEN_TIME_US, "--load-ms", "10", "--batch", "1000"]).await;
-    let (agent, _) = platform.agent("engine-000", &url).await;
-    let (router, listen, _) = platform.router("router-0").await;
+    let (_engine, url) = platform
+        .start_engine(&["--token-us", TOKEN_TIME_US, "--load-ms", "10", "--batch", "1000"])
+        .await;
+    let (agent, _) = platform.start_agent("engine-000", &url).await;
+    let (router, listen, _) = platform.start_router("router-0").await;
     let http = reqwest::Client::builder().no_proxy().build().expect("the client can be built");
-    let began = Instant::now();
-    while !complete(&http, &listen, 0, &request_body(0, 1)).await {
-        assert!(began.elapsed() < STATE_TIMEOUT, "the model was not served in time");
+    let started_at = Instant::now();
+    while !request_completion(&http, &listen, 0, &request_body(0, 1)).await {
+        assert!(started_at.elapsed() < STATE_TIMEOUT, "the model was not served in time");
         time::sleep(Duration::from_millis(50)).await;
     }
     let answered = Arc::new(AtomicUsize::new(0));
-    let sender = tokio::spawn(send_requests(http, listen, rate, tokens, answered.clone()));
+    let sender =
+        tokio::spawn(send_requests(http, listen, requests_per_s, tokens, answered.clone()));
     time::sleep(Duration::from_secs(2)).await;
     let before = (process::cpu_time(router.pid()), process::cpu_time(agent.pid()));
-    let (count, began) = (answered.load(Ordering::Relaxed), Instant::now());
+    let (answered_before, started_at) = (answered.load(Ordering::Relaxed), Instant::now());
     time::sleep(node::MEASUREMENT_WINDOW).await;
-    let seconds = began.elapsed().as_secs_f64();
-    let requests = (answered.load(Ordering::Relaxed) - count) as f64 / seconds;
-    let percent = |now: Duration, then: Duration| (now - then).as_secs_f64() / seconds * 100.0;
+    let seconds = started_at.elapsed().as_secs_f64();
+    let requests = (answered.load(Ordering::Relaxed) - answered_before) as f64 / seconds;
+    let percent =
+        |after: Duration, before: Duration| (after - before).as_secs_f64() / seconds * 100.0;
     let cost = LoadCost {
         requests,
         tokens: requests * tokens as f64,
@@ -93,39 +95,41 @@
 async fn send_requests(
     http: reqwest::Client,
     router: String,
-    rate: u32,
+    requests_per_s: u32,
     tokens: u64,
     answered: Arc<AtomicUsize>,
 ) {
-    let mut ticks = time::interval(Duration::from_secs(1) / rate);
+    let mut ticks = time::interval(Duration::from_secs(1) / requests_per_s);
     loop {
         ticks.tick().await;
         let (http, router, answered) = (http.clone(), router.clone(), answered.clone());
         tokio::spawn(async move {
-            if complete(&http, &router, 0, &request_body(0, tokens)).await {
+            if request_completion(&http, &router, 0, &request_body(0, tokens)).await {
                 answered.fetch_add(1, Ordering::Relaxed);
             }
         });
     }
 }
 
-/// Measures a router at the design size with `count` streams that wait for their first token.
+/// Measures a router at the design size with streams that wait for their first token.
 ///
 /// Each stream uses another model, which maximises the heartbeat traffic.
-pub async fn streams(count: usize) -> NodeCost {
+pub async fn measure_streams(stream_count: usize) -> NodeCost {
     let size = size::DESIGN;
     let platform = Platform::start().await;
     let agents = emulate::Agents::start(size.targets).await;
     platform.append(&size::records(size, |i| agents.addresses[i].clone())).await;
     platform.list_hosts(size.writers).await;
-    let (process, listen, _) = platform.router("router-0").await;
+    let (process, listen, _) = platform.start_router("router-0").await;
     let http = reqwest::Client::builder().no_proxy().build().expect("the client can be built");
-    for team in 0..count {
+    for team in 0..stream_count {
         let (http, listen) = (http.clone(), listen.clone());
-        tokio::spawn(async move { complete(&http, &listen, team, &request_body(team, 4)).await });
+        tokio::spawn(async move {
+            request_completion(&http, &listen, team, &request_body(team, 4)).await
+        });
     }
-    let connected = agents.connected.clone();
-    node::wait_until_steady(|| connected.load(Ordering::Relaxed)).await;
+    let open_connections = agents.open_connections.clone();
+    node::wait_until_steady(|| open_connections.load(Ordering::Relaxed)).await;
     let cost = platform.measure(&process, &agents.counter).await;
-    NodeCost { connections: connected.load(Ordering::Relaxed) as f64, ..cost }
+    NodeCost { connections: open_connections.load(Ordering::Relaxed) as f64, ..cost }
 }
--- a/tools/capacity/src/size.rs
+++ b/tools/capacity/src/size.rs
@@ -31,7 +31,7 @@
     pub writers: usize,
 }
 
-/// The size that the system is designed for, with 90 adapters per team and three slots per model.
+/// Design size, with 90 adapters per team and three replica slots per model.
 pub const DESIGN: Size = Size {
     targets: 730,
     models: 350,
@@ -44,7 +44,7 @@
 
 impl Size {
     /// Scales all numbers to a percentage.
-    pub const fn percent(self, percent: usize) -> Self {
+    pub const fn scaled_to(self, percent: usize) -> Self {
         Self {
             targets: self.targets * percent / 100,
             models: self.models * percent / 100,
@@ -58,11 +58,11 @@
 }
 
 /// Collects records in log order.
-struct Writer {
+struct RecordWriter {
     records: Vec<Record>,
 }
 
-impl Writer {
+impl RecordWriter {
     fn add(&mut self, writer: &str, body: Body) {
         let sequence = self.records.len() as u64 + 1;
         let writer = names::WriterId(writer.into());
@@ -74,11 +74,11 @@
     }
 }
 
-fn model(index: usize) -> names::ModelId {
+fn model_id(index: usize) -> names::ModelId {
     names::ModelId(format_smolstr!("model-{index:03}-7b"))
 }
 
-pub fn target(index: usize) -> names::TargetId {
+pub fn target_id(index: usize) -> names::TargetId {
     names::TargetId(format_smolstr!("engine-{index:03}"))
 }
 
@@ -91,20 +91,20 @@
 /// Builds the records of a deployment, starting at offset 1. `address` returns the address of a
 /// target's agent.
 pub fn records(size: Size, address: impl Fn(usize) -> SmolStr) -> Vec<Record> {
-    let mut writer = Writer { records: Vec::new() };
+    let mut writer = RecordWriter { records: Vec::new() };
     add_documents(&mut writer, size);
-    let announced = add_targets(&mut writer, size, address);
-    add_slots(&mut writer, size, &announced);
+    let announced_targets = add_targets(&mut writer, size, address);
+    add_slots(&mut writer, size, &announced_targets);
     add_calls(&mut writer, size);
     writer.records
 }
 
-fn add_documents(writer: &mut Writer, size: Size) {
+fn add_documents(writer: &mut RecordWriter, size: Size) {
     writer.add("operator", settings_change("system/deployment", &json!({ "lease_ttl_ms": 3000 })));
     for i in 0..size.models {
         let doc = json!({ "memory_mib": 16_000, "versions": ["1", "2"], "load_ms": 20_000,
             "adapter_memory_mib": 200 });
-        writer.add("operator", settings_change(&format!("shared/models/{}", model(i).0), &doc));
+        writer.add("operator", settings_change(&format!("shared/models/{}", model_id(i).0), &doc));
     }
     for team in 0..size.teams {
         let key_hash = plan::hash_token(&format!("key-{team}"));
@@ -115,7 +115,7 @@
 }
 
 /// Adds one model for a team, with the team's share of the adapters.
-fn add_team_model(writer: &mut Writer, size: Size, team: usize) {
+fn add_team_model(writer: &mut RecordWriter, size: Size, team: usize) {
     if size.models == 0 {
         return;
     }
@@ -123,18 +123,18 @@
     let adapters: Vec<_> =
         (0..count).map(|i| json!({ "name": format!("site-{i:03}"), "version": "1" })).collect();
     let doc = json!({ "replicas": 1, "adapters": adapters });
-    let path = format!("teams/team-{team:04}/models/{}", model(team % size.models).0);
+    let path = format!("teams/team-{team:04}/models/{}", model_id(team % size.models).0);
     writer.add("operator", settings_change(&path, &doc));
 }
 
 fn add_targets(
-    writer: &mut Writer,
+    writer: &mut RecordWriter,
     size: Size,
     address: impl Fn(usize) -> SmolStr,
 ) -> Vec<(names::TargetId, u64)> {
-    let mut announced = Vec::new();
+    let mut announced_targets = Vec::new();
     for i in 0..size.targets {
-        let name = target(i);
+        let name = target_id(i);
         let record = TargetRecord {
             target: name.clone(),
             host: names::HostId(format_smolstr!("host-{i:03}")),
@@ -144,31 +144,31 @@
             accelerators: 8,
             service: None,
         };
-        announced.push((name.clone(), writer.next_offset()));
+        announced_targets.push((name.clone(), writer.next_offset()));
         writer.add(name.0.as_str(), Body::TargetUp { target: record });
     }
     for i in size.targets..size.writers {
         let router = format!("router-{i:04}");
         writer.add(&router, Body::LeaseReleased { epoch: 0 });
     }
-    announced
+    announced_targets
 }
 
-fn add_slots(writer: &mut Writer, size: Size, announced: &[(names::TargetId, u64)]) {
-    if announced.is_empty() || size.models == 0 {
+fn add_slots(writer: &mut RecordWriter, size: Size, announced_targets: &[(names::TargetId, u64)]) {
+    if announced_targets.is_empty() || size.models == 0 {
         return;
     }
     writer.add("planner", Body::LeaseTaken { epoch: 1, ttl_ms: 3000 });
     for slot in 0..size.slots {
-        let (target, target_offset) = announced[slot * 7 % announced.len()].clone();
-        let (model, index) = (model(slot % size.models), (slot / size.models) as u32);
+        let (target, target_offset) = announced_targets[slot * 7 % announced_targets.len()].clone();
+        let (model, index) = (model_id(slot % size.models), (slot / size.models) as u32);
         let body = Body::SlotAssigned { epoch: 1, model, index, target, target_offset };
         writer.add("planner", body);
     }
     writer.add("planner", Body::LeaseReleased { epoch: 1 });
 }
 
-fn add_calls(writer: &mut Writer, size: Size) {
+fn add_calls(writer: &mut RecordWriter, size: Size) {
     for i in 0..size.calls {
         let agent = format!("service-{}", i % 20);
         let claim = writer.next_offset();
--- a/tools/capacity/src/slope.rs
+++ b/tools/capacity/src/slope.rs
@@ -2,14 +2,14 @@
 
 use corianderstand_derives::derives;
 
-/// Measurements of one quantity by size.
+/// Repeated measurements of one quantity at several sizes.
 #[derives(wire)]
 pub struct Series {
-    /// Measured quantity with its unit.
+    /// Quantity on the y axis, with its unit.
     pub measure: String,
-    /// Meaning of the size.
+    /// Quantity on the x axis, with its unit.
     pub against: String,
-    /// Size and the value of each repeat.
+    /// For each size, the value of each repeat.
     pub points: Vec<(f64, Vec<f64>)>,
     pub line: Line,
 }
@@ -38,12 +38,12 @@
 
 impl Series {
     pub fn new(measure: &str, against: &str, points: Vec<(f64, Vec<f64>)>) -> Self {
-        let line = fit(&points);
+        let line = fit_line(&points);
         Self { measure: measure.into(), against: against.into(), points, line }
     }
 }
 
-pub fn fit(points: &[(f64, Vec<f64>)]) -> Line {
+pub fn fit_line(points: &[(f64, Vec<f64>)]) -> Line {
     let medians: Vec<(f64, f64)> = points.iter().map(|(x, ys)| (*x, median(ys))).collect();
     let count = medians.len().max(1) as f64;
     let mean_x = medians.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -52,10 +52,10 @@
     let sum_xx: f64 = medians.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
     let slope = if sum_xx == 0.0 { 0.0 } else { sum_xy / sum_xx };
     let intercept = mean_y - slope * mean_x;
-    Line { intercept, slope, spread: spread(points) }
+    Line { intercept, slope, spread: max_relative_spread(points) }
 }
 
-fn spread(points: &[(f64, Vec<f64>)]) -> f64 {
+fn max_relative_spread(points: &[(f64, Vec<f64>)]) -> f64 {
     let relative_deviation = |(_, ys): &(f64, Vec<f64>)| {
         let median_value = median(ys);
         let max_deviation = ys.iter().map(|y| (y - median_value).abs()).fold(0.0, f64::max);
--- a/tools/capacity/src/state.rs
+++ b/tools/capacity/src/state.rs
@@ -39,12 +39,12 @@
 }
 
 fn timed<T>(run: impl FnOnce() -> T) -> (T, f64) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let value = run();
-    (value, began.elapsed().as_secs_f64())
+    (value, started_at.elapsed().as_secs_f64())
 }
 
-fn fold(records: &[Record]) -> State {
+fn fold_records(records: &[Record]) -> State {
     let mut state = State { next: 1, ..State::default() };
     for (offset, record) in (1..).zip(records) {
         state.apply(offset, offset, record);
@@ -52,7 +52,7 @@
     state
 }
 
-fn entries(records: &[Record]) -> Vec<Entry> {
+fn log_entries(records: &[Record]) -> Vec<Entry> {
     let entry = |(offset, record)| {
         let data = postcard::to_stdvec(record).expect("records can be serialized");
         Entry { offset, at_ms: offset, data }
@@ -76,7 +76,7 @@
 pub fn measure(size: size::Size) -> StateCost {
     let records = size::records(size, |i| format!("10.0.0.1:{}", 1000 + i).into());
     let before = process::resident_kib(std::process::id());
-    let (state, fold_s) = timed(|| fold(&records));
+    let (state, fold_s) = timed(|| fold_records(&records));
     let after_state = process::resident_kib(std::process::id());
     let (view, view_s) = timed(|| View::new(&state.documents));
     let after_view = process::resident_kib(std::process::id());
@@ -85,8 +85,8 @@
         timed(|| postcard::to_stdvec(&state).expect("the state can be serialized"));
     let (restored, restore_s) = timed(|| postcard::from_bytes::<State>(&bytes));
     drop(restored);
-    let change_s = time_changes(&state, &view);
-    let entries = entries(&records);
+    let change_s = mean_change_time_s(&state, &view);
+    let entries = log_entries(&records);
     let record_bytes = entries.iter().map(|entry| entry.data.len()).sum();
     let json = serde_json::to_vec(&entries).expect("entries can be serialized");
     let (started, start_s) = timed(|| start_from_log(&json));
@@ -108,8 +108,8 @@
     }
 }
 
-/// Average time of a settings change as a follower applies it, in seconds.
-fn time_changes(state: &State, view: &View) -> f64 {
+/// Mean time in which a follower applies a settings change.
+fn mean_change_time_s(state: &State, view: &View) -> f64 {
     let mut state = state.clone();
     let mut view = view.clone();
     let path = "teams/team-0000/team";
