--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -6,14 +6,14 @@
 use serde_json::{Value, json};
 use testbed::Deployment;
 
-/// A fault that is injected and later healed.
+/// A fault that is injected and later reverted.
 #[derives(data)]
 pub enum Fault {
-    /// Kills a router or agent; healing restarts it.
+    /// Kills a router or agent; reverting restarts it.
     Kill(String),
-    /// Suspends a process until it is healed.
+    /// Suspends a process until reverted.
     Freeze(String),
-    /// Configures a stand-in to misbehave until it is healed.
+    /// Configures a stand-in to misbehave until reverted.
     Misbehave(String, Value),
     /// Stalls or closes the open connections of a relay.
     Relay(String, Value),
@@ -27,16 +27,17 @@
     /// Draws a random fault for the running processes.
     pub fn draw(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Self {
         let all = deployment.started_processes();
-        let running_with = |prefixes: &[&str]| -> Vec<String> {
+        let processes_with_prefix = |prefixes: &[&str]| -> Vec<String> {
             all.iter().filter(|n| prefixes.iter().any(|p| n.starts_with(p))).cloned().collect()
         };
         match rng.random_range(0..10) {
-            0 | 1 => Self::Kill(choose(rng, &running_with(&["router-", "agent-"]))),
-            2 => Self::Kill(choose(rng, &running_with(&["agent-service-"]))),
-            3 => Self::Freeze(choose(rng, &running_with(&["router-", "agent-"]))),
-            4 => {
-                Self::Freeze(choose(rng, &running_with(&["agent-service-", "service-", "engine-"])))
-            }
+            0 | 1 => Self::Kill(choose(rng, &processes_with_prefix(&["router-", "agent-"]))),
+            2 => Self::Kill(choose(rng, &processes_with_prefix(&["agent-service-"]))),
+            3 => Self::Freeze(choose(rng, &processes_with_prefix(&["router-", "agent-"]))),
+            4 => Self::Freeze(choose(
+                rng,
+                &processes_with_prefix(&["agent-service-", "service-", "engine-"]),
+            )),
             5 => {
                 let faults = [
                     json!({ "down": true }),
@@ -48,17 +49,20 @@
             6 => {
                 let faults = [json!({ "before_ms": 900 }), json!({ "after_ms": 900 })];
                 let fault = faults[rng.random_range(0..2)].clone();
-                Self::Misbehave(choose(rng, &running_with(&["service-"])), fault)
+                Self::Misbehave(choose(rng, &processes_with_prefix(&["service-"])), fault)
             }
             7 => {
                 let fault = json!({ "break_after": rng.random_range(0..30) });
-                Self::Misbehave(choose(rng, &running_with(&["engine-"])), fault)
+                Self::Misbehave(choose(rng, &processes_with_prefix(&["engine-"])), fault)
             }
             8 => Self::Relay(
-                choose(rng, &running_with(&["relay-"])),
+                choose(rng, &processes_with_prefix(&["relay-"])),
                 json!({ "silence_open": true }),
             ),
-            _ => Self::Relay(choose(rng, &running_with(&["relay-"])), json!({ "cut_open": true })),
+            _ => Self::Relay(
+                choose(rng, &processes_with_prefix(&["relay-"])),
+                json!({ "cut_open": true }),
+            ),
         }
     }
 
@@ -71,7 +75,7 @@
         }
     }
 
-    pub async fn heal(&self, deployment: &mut Deployment) {
+    pub async fn revert(&self, deployment: &mut Deployment) {
         match self {
             Self::Kill(name) => {
                 if !deployment.process(name).is_running() {
@@ -86,7 +90,7 @@
     }
 }
 
-/// Sets the fault of a stand-in. A suspended process must be resumed first to receive it.
+/// Sets the fault of a stand-in; resumes the process first, so that it can receive the request.
 async fn set_fault(deployment: &mut Deployment, name: &str, fault: &Value) {
     deployment.process(name).resume();
     deployment.inject_fault(name, fault).await;
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -31,7 +31,7 @@
 /// Upper bound of the delay between two faults.
 const MAX_FAULT_DELAY_MS: u64 = 400;
 /// Deadline of the requests that query a booking's outcome after its round.
-const VERIFY_DEADLINE_MS: u64 = 2_000;
+const OUTCOME_QUERY_DEADLINE_MS: u64 = 2_000;
 
 fn main() -> ExitCode {
     let mut options = Options::new();
@@ -55,12 +55,12 @@
     let rounds = number("rounds").unwrap_or(200);
     let seed = number("seed").unwrap_or_else(|| rand::random_range(0..1_000_000));
     println!("seed {seed}, {rounds} rounds");
-    let tally = runtime.block_on(run(rounds, seed));
+    let tally = runtime.block_on(run_rounds(rounds, seed));
     println!("{tally}");
     if tally.is_clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn plan() -> Plan {
+fn deployment_plan() -> Plan {
     let options = ["--token-us", "10000", "--load-ms", "100"];
     let engine_options = options.map(str::to_owned).into();
     let mut plan = Plan { services: 2, relays: true, engine_options, ..Plan::default() };
@@ -72,15 +72,15 @@
     plan
 }
 
-async fn run(rounds: u64, seed: u64) -> Tally {
-    let mut deployment = Deployment::start(plan()).await;
+async fn run_rounds(rounds: u64, seed: u64) -> Tally {
+    let mut deployment = Deployment::start(deployment_plan()).await;
     let reference = ReferenceAnswers::record(&deployment).await;
     let mut tally = Tally::default();
     for round in 0..rounds {
         let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000_003) + round);
-        let violations_before = tally.violations();
+        let violations_before = tally.violation_count();
         let faults = run_round(&mut deployment, &reference, round, &mut rng, &mut tally).await;
-        if tally.violations() > violations_before {
+        if tally.violation_count() > violations_before {
             println!("round {round} violated a guarantee under {faults:?}: {tally}");
         }
     }
@@ -106,28 +106,33 @@
         let router = rng.random_range(0..deployment.plan.routers);
         let mut delay_before = || Duration::from_millis(rng.random_range(0..MAX_BOOKING_DELAY_MS));
         let (first, second) = (delay_before(), delay_before());
-        requests.book(deployment, &booking, router, first);
+        requests.start_booking(deployment, &booking, router, first);
         if rng.random_bool(0.5) {
-            requests.book(deployment, &booking, deployment.plan.routers - 1 - router, second);
+            requests.start_booking(
+                deployment,
+                &booking,
+                deployment.plan.routers - 1 - router,
+                second,
+            );
         }
     }
     for index in 0..STREAMS_PER_ROUND {
-        requests.stream(deployment, index, rng.random_range(0..deployment.plan.routers));
+        requests.start_stream(deployment, index, rng.random_range(0..deployment.plan.routers));
     }
-    let count = rng.random_range(1..=MAX_FAULTS_PER_ROUND);
-    let faults: Vec<Fault> = (0..count).map(|_| Fault::draw(deployment, rng)).collect();
+    let fault_count = rng.random_range(1..=MAX_FAULTS_PER_ROUND);
+    let faults: Vec<Fault> = (0..fault_count).map(|_| Fault::draw(deployment, rng)).collect();
     for fault in &faults {
         time::sleep(Duration::from_millis(rng.random_range(0..MAX_FAULT_DELAY_MS))).await;
         fault.inject(deployment).await;
     }
     time::sleep(Duration::from_millis(rng.random_range(0..MAX_FAULT_DELAY_MS * 4))).await;
     for fault in faults.iter().rev() {
-        fault.heal(deployment).await;
+        fault.revert(deployment).await;
     }
     let mut answers = requests.finish(reference, tally).await;
     wait_until_healthy(deployment, round).await;
     for (key, answers) in &mut answers {
-        let booking = Booking::new(key, VERIFY_DEADLINE_MS);
+        let booking = Booking::new(key, OUTCOME_QUERY_DEADLINE_MS);
         answers.push(booking.send_via(deployment, "router-0").await);
         answers.push(booking.send_via(deployment, "router-1").await);
         tally.record_booking(key, answers, deployment.execution_count(key).await);
@@ -142,8 +147,10 @@
         let mut attempt = 0;
         wait_for("a booking completes", async || {
             attempt += 1;
-            let probe =
-                Booking::new(&format!("probe-{round}-{router}-{attempt}"), VERIFY_DEADLINE_MS);
+            let probe = Booking::new(
+                &format!("probe-{round}-{router}-{attempt}"),
+                OUTCOME_QUERY_DEADLINE_MS,
+            );
             probe.send_via(deployment, router).await.is_some_and(|answer| answer.outcome == "ran")
         })
         .await;
--- a/tools/chaos/src/measure.rs
+++ b/tools/chaos/src/measure.rs
@@ -15,11 +15,11 @@
 use corianderstand_state::fold::State;
 use corianderstand_types::names::{ServiceId, TargetId, WorkspaceId};
 
-const CALLS: usize = 2_000;
+const CALLS_PER_RUN: usize = 2_000;
 const OUTAGE_CALLS: usize = 500;
-const MEMORY_KEYS: u64 = 50_000;
+const STORED_KEYS: u64 = 50_000;
 const STORED_ANSWER_BYTES: usize = 120;
-const DEADLINE_MS: u64 = 5_000;
+const CALL_DEADLINE_MS: u64 = 5_000;
 
 struct Latencies(Vec<Duration>);
 
@@ -45,10 +45,11 @@
         tasks.push(tokio::spawn(async move {
             let mut results = Vec::new();
             for number in 0..calls / callers {
-                let booking = Booking::new(&format!("{prefix}-{caller}-{number}"), DEADLINE_MS);
-                let began = Instant::now();
+                let booking =
+                    Booking::new(&format!("{prefix}-{caller}-{number}"), CALL_DEADLINE_MS);
+                let started_at = Instant::now();
                 let answer = booking.send(&http, url.clone()).await;
-                results.push((began.elapsed(), answer));
+                results.push((started_at.elapsed(), answer));
             }
             results
         }));
@@ -73,21 +74,21 @@
 /// Runs all measurements and prints them.
 pub async fn run() {
     let deployment = Deployment::start(Plan { services: 2, engines: 2, ..Plan::default() }).await;
-    let warm = Booking::new("warm", DEADLINE_MS);
+    let warm = Booking::new("warm", CALL_DEADLINE_MS);
     wait_for("the first booking", async || {
         warm.send_via(&deployment, "router-0").await.is_some_and(|answer| answer.outcome == "ran")
     })
     .await;
     for callers in [1, 16, 64] {
-        let calls = if callers == 1 { CALLS / 4 } else { CALLS };
+        let calls = if callers == 1 { CALLS_PER_RUN / 4 } else { CALLS_PER_RUN };
         let (unkeyed, _) =
             send_bookings(&deployment, "/services/agenda/rounds", "plain", callers, calls).await;
         let before = log_counts(&deployment).await;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let prefix = format!("once-{callers}");
         let path = "/services/agenda/bookings";
         let (keyed, answers) = send_bookings(&deployment, path, &prefix, callers, calls).await;
-        let rate = keyed.0.len() as f64 / began.elapsed().as_secs_f64();
+        let rate = keyed.0.len() as f64 / started_at.elapsed().as_secs_f64();
         let after = log_counts(&deployment).await;
         let per_call = |a: u64, b: u64| (a - b) as f64 / keyed.0.len() as f64;
         let ran = answers.iter().filter(|answer| answer.outcome == "ran").count();
@@ -139,7 +140,7 @@
 fn measure_memory() {
     let before = resident_kib();
     let mut state = State::default();
-    for number in 0..MEMORY_KEYS {
+    for number in 0..STORED_KEYS {
         let key = CallKey {
             team: WorkspaceId::new("vidrio").expect("the name is valid"),
             service: ServiceId::new("agenda").expect("the name is valid"),
@@ -158,6 +159,6 @@
     println!(
         "memory: {} keys with answers of {STORED_ANSWER_BYTES} bytes take {} bytes each",
         state.calls.len(),
-        used_bytes / MEMORY_KEYS
+        used_bytes / STORED_KEYS
     );
 }
--- a/tools/chaos/src/tally.rs
+++ b/tools/chaos/src/tally.rs
@@ -10,13 +10,13 @@
 pub struct Tally {
     pub bookings: usize,
     /// Bookings that ran at least once.
-    pub ran: usize,
+    pub bookings_ran: usize,
     /// Bookings that ran more than once.
-    pub ran_twice: usize,
+    pub bookings_ran_twice: usize,
     /// Bookings that ran although they were reported as not run.
-    pub false_not_run: usize,
+    pub bookings_falsely_not_run: usize,
     /// Bookings with differing results, or reported both as run and as not run.
-    pub contradictory: usize,
+    pub bookings_contradictory: usize,
     /// Bookings reported as unknown during the round.
     pub unknown_during_round: usize,
     /// Bookings still reported as unknown after the round.
@@ -36,17 +36,16 @@
 }
 
 impl Tally {
-    /// Number of guarantee violations.
-    pub const fn violations(&self) -> usize {
-        self.ran_twice
-            + self.false_not_run
-            + self.contradictory
+    pub const fn violation_count(&self) -> usize {
+        self.bookings_ran_twice
+            + self.bookings_falsely_not_run
+            + self.bookings_contradictory
             + self.streams_corrupted
             + self.streams_truncated
     }
 
     pub const fn is_clean(&self) -> bool {
-        self.violations() == 0
+        self.violation_count() == 0
     }
 
     /// Classifies a stream by comparison with its reference.
@@ -70,9 +69,8 @@
 
     /// Checks all answers for a key against the number of times that the services ran it.
     ///
-    /// A 410 rejects the key for good. A 503 refuses one request only, so it is wrong only if
-    /// every request was refused and the booking still ran.
-    pub fn record_booking(&mut self, key: &str, answers: &[Option<Answer>], ran: u64) {
+    /// A 410 rejects the key; a 503 refuses one request only.
+    pub fn record_booking(&mut self, key: &str, answers: &[Option<Answer>], run_count: u64) {
         let received: Vec<&Answer> = answers.iter().flatten().collect();
         let outcome = |expected: &str| received.iter().any(|answer| answer.outcome == expected);
         let reported_ran: Vec<&&Answer> = received.iter().filter(|a| a.outcome == "ran").collect();
@@ -81,33 +79,33 @@
             received.len() == answers.len() && received.iter().all(|a| a.outcome == "not-run");
         let identical = reported_ran.windows(2).all(|pair| pair[0].body == pair[1].body);
         self.bookings += 1;
-        self.ran += usize::from(ran > 0);
-        self.ran_twice += usize::from(ran > 1);
-        self.false_not_run += usize::from(ran > 0 && (rejected || all_refused));
-        let contradictory = !identical || !reported_ran.is_empty() && (rejected || ran == 0);
-        self.contradictory += usize::from(contradictory);
+        self.bookings_ran += usize::from(run_count > 0);
+        self.bookings_ran_twice += usize::from(run_count > 1);
+        self.bookings_falsely_not_run += usize::from(run_count > 0 && (rejected || all_refused));
+        let contradictory = !identical || !reported_ran.is_empty() && (rejected || run_count == 0);
+        self.bookings_contradictory += usize::from(contradictory);
         let first = received.len().saturating_sub(2);
         self.unknown_during_round +=
             usize::from(received[..first].iter().any(|a| a.outcome == "unknown"));
         self.unknown_after_round +=
             usize::from(received.last().is_some_and(|a| a.outcome == "unknown"));
         self.retryable_refusals += received.iter().filter(|a| a.status == 503).count();
-        if ran > 1
-            || ran > 0 && (rejected || all_refused)
+        if run_count > 1
+            || run_count > 0 && (rejected || all_refused)
             || contradictory
             || !outcome("") && received.is_empty()
         {
-            println!("{key}: ran {ran} times, answers {answers:#?}");
+            println!("{key}: ran {run_count} times, answers {answers:#?}");
         }
     }
 }
 
 impl fmt::Display for Tally {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "bookings {} (ran {})", self.bookings, self.ran)?;
-        writeln!(f, "  ran twice {}", self.ran_twice)?;
-        writeln!(f, "  wrongly reported as not run {}", self.false_not_run)?;
-        writeln!(f, "  contradictory outcomes {}", self.contradictory)?;
+        writeln!(f, "bookings {} (ran {})", self.bookings, self.bookings_ran)?;
+        writeln!(f, "  ran twice {}", self.bookings_ran_twice)?;
+        writeln!(f, "  wrongly reported as not run {}", self.bookings_falsely_not_run)?;
+        writeln!(f, "  contradictory outcomes {}", self.bookings_contradictory)?;
         let (first, last) = (self.unknown_during_round, self.unknown_after_round);
         writeln!(f, "  unknown: {first} during the round, {last} after it")?;
         writeln!(f, "  retryable refusals {}", self.retryable_refusals)?;
