--- a/tools/bench/src/load.rs
+++ b/tools/bench/src/load.rs
@@ -10,7 +10,6 @@
 
 /// Result of a load run, over all callers.
 pub struct LoadResult {
-    /// Time to the first chunk of a stream.
     pub first_chunk_us: Histogram<u64>,
     pub chunks: u64,
     pub completed: u64,
@@ -33,23 +32,22 @@
         self.failed += other.failed;
     }
 
-    /// Quantile of the time to the first chunk, in microseconds.
-    pub fn percentile(&self, quantile: f64) -> u64 {
+    pub fn first_chunk_quantile_us(&self, quantile: f64) -> u64 {
         self.first_chunk_us.value_at_quantile(quantile)
     }
 }
 
-/// Runs `callers` callers for `until` and waits for their last streams to end.
-pub async fn run<F>(callers: usize, until: Duration, request: F) -> LoadResult
+/// Runs `callers` callers for `duration`, then waits for their open streams to end.
+pub async fn run<F>(callers: usize, duration: Duration, request: F) -> LoadResult
 where
     F: Fn(usize) -> RequestBuilder + Clone + Send + Sync + 'static,
 {
-    let started = Instant::now();
+    let started_at = Instant::now();
     let tasks = (0..callers).map(|caller| {
         let request = request.clone();
         tokio::spawn(async move {
             let mut result = LoadResult::new();
-            while started.elapsed() < until {
+            while started_at.elapsed() < duration {
                 run_stream(request(caller), &mut result).await;
             }
             result
@@ -59,12 +57,12 @@
     for result in future::join_all(tasks).await {
         total.merge(&result.expect("callers do not panic"));
     }
-    total.elapsed = started.elapsed();
+    total.elapsed = started_at.elapsed();
     total
 }
 
 async fn run_stream(request: RequestBuilder, result: &mut LoadResult) {
-    let started = Instant::now();
+    let started_at = Instant::now();
     let answer = match request.send().await {
         Ok(answer) if answer.status().is_success() => answer,
         _ => {
@@ -76,7 +74,7 @@
     let (mut is_first, mut is_complete) = (true, false);
     while let Some(Ok(bytes)) = stream.next().await {
         if is_first {
-            result.first_chunk_us.saturating_record(started.elapsed().as_micros() as u64);
+            result.first_chunk_us.saturating_record(started_at.elapsed().as_micros() as u64);
             is_first = false;
         }
         result.chunks += bytes.windows(2).filter(|pair| *pair == b"\n\n").count() as u64;
--- a/tools/bench/src/main.rs
+++ b/tools/bench/src/main.rs
@@ -15,7 +15,7 @@
 const COMPARED_STREAMS: [usize; 3] = [1, 64, 1000];
 const COMPARED_TOKENS: u32 = 20;
 /// Time per token of the engines in the comparisons.
-const TOKEN_US: &str = "20000";
+const TOKEN_TIME_US: &str = "20000";
 const RUN_DURATION: Duration = Duration::from_secs(5);
 /// Direct and routed runs alternate, so that other load on the machine affects both.
 const ROUNDS: usize = 2;
@@ -23,7 +23,7 @@
 const THROUGHPUT_TOKENS: u32 = 2000;
 const SHORT_REQUEST_CALLERS: usize = 64;
 /// `USER_HZ`, the unit of CPU times in `/proc/PID/stat`.
-const TICKS_PER_SECOND: f64 = 100.0;
+const CPU_TICKS_PER_S: f64 = 100.0;
 
 fn main() {
     let runtime =
@@ -31,8 +31,8 @@
     runtime.expect("the runtime can be created").block_on(run());
 }
 
-fn plan() -> Plan {
-    let options = ["--token-us", TOKEN_US, "--load-ms", "10", "--batch", "4096"];
+fn deployment_plan() -> Plan {
+    let options = ["--token-us", TOKEN_TIME_US, "--load-ms", "10", "--batch", "4096"];
     let mut plan = Plan {
         routers: 1,
         engines: ENGINES,
@@ -85,23 +85,23 @@
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split(' ').collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
-    (ticks(12) + ticks(13)) / TICKS_PER_SECOND
+    (ticks(12) + ticks(13)) / CPU_TICKS_PER_S
 }
 
 async fn run_load(
     deployment: &Deployment,
     engines: &[String],
-    routed: bool,
+    via_router: bool,
     streams: usize,
-    until: Duration,
+    duration: Duration,
     tokens: u32,
 ) -> LoadResult {
     let client = reqwest::Client::builder().no_proxy().tcp_nodelay(true).build();
     let client = client.expect("the client can be built");
-    let name = |i: usize| if routed { "router-0" } else { engines[i].as_str() };
+    let name = |i: usize| if via_router { "router-0" } else { engines[i].as_str() };
     let urls: Vec<String> =
         (0..ENGINES).map(|i| deployment.url(name(i), "/v1/completions")).collect();
-    let version = if routed { "" } else { "@1" };
+    let version = if via_router { "" } else { "@1" };
     let body = |i: usize| {
         json!({ "model": format!("m{i}{version}"), "prompt": "A quote for nine floors",
             "stream": true, "max_tokens": tokens })
@@ -111,7 +111,7 @@
         let i = caller % ENGINES;
         client.post(&urls[i]).bearer_auth(VIDRIO_KEY).json(&bodies[i])
     };
-    load::run(streams, until, request).await
+    load::run(streams, duration, request).await
 }
 
 async fn compare(deployment: &Deployment, engines: &[String], streams: usize) -> Value {
@@ -125,12 +125,13 @@
         }
     }
     let [direct, routed] = results;
-    let best =
-        |results: &[LoadResult], q: f64| results.iter().map(|s| s.percentile(q)).min().unwrap_or(0);
+    let best = |results: &[LoadResult], q: f64| {
+        results.iter().map(|s| s.first_chunk_quantile_us(q)).min().unwrap_or(0)
+    };
     let added = |q: f64| best(&routed, q) as i64 - best(&direct, q) as i64;
     let failed = |results: &[LoadResult]| results.iter().map(|s| s.failed).sum::<u64>();
     let per_round = |results: &[LoadResult], q: f64| {
-        results.iter().map(|s| s.percentile(q)).collect::<Vec<u64>>()
+        results.iter().map(|s| s.first_chunk_quantile_us(q)).collect::<Vec<u64>>()
     };
     json!({
         "streams": streams,
@@ -181,7 +182,7 @@
 }
 
 async fn run() {
-    let mut deployment = Deployment::start(plan()).await;
+    let mut deployment = Deployment::start(deployment_plan()).await;
     let engines = load_models(&deployment).await;
     let mut latency = Vec::new();
     for streams in COMPARED_STREAMS {
@@ -193,12 +194,12 @@
     println!("{chunks}");
     let short = measure_short_requests(&mut deployment, &engines).await;
     println!("{short}");
-    let load = fs::read_to_string("/proc/loadavg").unwrap_or_default();
+    let load_average = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let result = json!({
         "aims": { "streams": 64, "added_p50_us": 300, "added_p99_us": 2000,
             "chunks_per_second": 100_000 },
         "cores": std::thread::available_parallelism().map_or(0, usize::from),
-        "load_average_at_end": load.trim(),
+        "load_average_at_end": load_average.trim(),
         "latency": latency,
         "chunks": chunks,
         "short_requests": short,
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -56,17 +56,16 @@
     }
 }
 
-/// Time per iteration of the fastest repeat.
-fn best_ns(mut run: impl FnMut(u32)) -> f64 {
+fn best_time_per_iteration_ns(mut run: impl FnMut(u32)) -> f64 {
     let time = |_| {
-        let began = Instant::now();
+        let started_at = Instant::now();
         (0..ITERATIONS).for_each(&mut run);
-        began.elapsed().as_nanos() as f64 / f64::from(ITERATIONS)
+        started_at.elapsed().as_nanos() as f64 / f64::from(ITERATIONS)
     };
     (0..REPEATS).map(time).fold(f64::MAX, f64::min)
 }
 
-/// Time to submit and finish a request at a router. Half of the targets own each model.
+/// Measures submitting and finishing a request; each model has replicas on half of the targets.
 fn router_cost_ns(targets: usize, models: usize, adapters: usize) -> f64 {
     let clock = ManualClock::default();
     let mut router = Router::new("conce".into(), 1);
@@ -90,7 +89,7 @@
             )
         })
         .collect();
-    best_ns(|iteration| {
+    best_time_per_iteration_ns(|iteration| {
         let spec = specs[iteration as usize % specs.len()].clone();
         let (key, decision) = router.submit(clock.now(), spec);
         if let Decision::Send(target) = black_box(decision) {
@@ -135,7 +134,7 @@
     }
     let specs: Vec<RequestSpec> =
         (0..1024).map(|n| request_spec(&clock, 0, Some(n * 53 % adapters), None)).collect();
-    best_ns(|iteration| {
+    best_time_per_iteration_ns(|iteration| {
         let spec = specs[iteration as usize % specs.len()].clone();
         let (_, actions) = agent.submit(clock.now(), spec, &FixedConfig);
         if let Some(key) = next_running(actions) {
