--- a/tools/agreed/src/main.rs
+++ b/tools/agreed/src/main.rs
@@ -14,13 +14,13 @@
 const SLOW_CHANGES: u64 = 30;
 const TAKEOVERS: u64 = 8;
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-const ROUTERS: usize = 3;
+const ROUTER_COUNT: usize = 3;
 
-fn routers() -> impl Iterator<Item = String> {
-    (0..ROUTERS).map(|i| format!("router-{i}"))
+fn router_names() -> impl Iterator<Item = String> {
+    (0..ROUTER_COUNT).map(|i| format!("router-{i}"))
 }
 
-async fn version_at(deployment: &Deployment, router: &str) -> u64 {
+async fn settings_version_at(deployment: &Deployment, router: &str) -> u64 {
     let url = deployment.url(router, "/operator/get?prefix=-");
     let answer = deployment.http.get(url).bearer_auth(OPERATOR_KEY).send().await;
     let Ok(answer) = answer else { return 0 };
@@ -29,17 +29,22 @@
 }
 
 /// Changes a document through a router and returns its new version.
-async fn apply(deployment: &Deployment, router: &str, base: u64, load_ms: u64) -> Option<u64> {
+async fn apply_change(
+    deployment: &Deployment,
+    router: &str,
+    base_version: u64,
+    load_ms: u64,
+) -> Option<u64> {
     let value = json!({ "memory_mib": 8000, "versions": ["1", "2"], "load_ms": load_ms,
         "adapter_memory_mib": 500 });
-    let change = json!({ "path": "shared/models/rounds-3b", "base": base, "value": value });
+    let change = json!({ "path": "shared/models/rounds-3b", "base": base_version, "value": value });
     let body = json!({ "changes": [change], "author": "measurement" });
     let post = deployment.http.post(deployment.url(router, "/operator/apply"));
     let answer = post.bearer_auth(OPERATOR_KEY).json(&body).send().await.ok()?;
     answer.json::<Value>().await.ok()?["version"].as_u64()
 }
 
-async fn base_version(deployment: &Deployment) -> u64 {
+async fn document_version(deployment: &Deployment) -> u64 {
     let url = deployment.url("router-0", "/operator/get?prefix=shared/models/rounds-3b");
     let answer = deployment.http.get(url).bearer_auth(OPERATOR_KEY).send().await;
     let value: Value =
@@ -47,27 +52,27 @@
     value["documents"][0]["version"].as_u64().unwrap_or_default()
 }
 
-/// Measures the time from the operator's request until every router has the change.
+/// Measures the time from the operator's request until every router has applied the change.
 async fn propagation_times(
     deployment: &Deployment,
     changes: u64,
     fault: Option<Value>,
 ) -> Histogram<u64> {
     let mut times = Histogram::new(3).expect("the precision is valid");
-    let mut base = base_version(deployment).await;
+    let mut base_version = document_version(deployment).await;
     for change in 0..changes {
         if let Some(fault) = &fault {
             deployment.inject_fault("log", fault).await;
         }
-        let began = Instant::now();
-        let version = apply(deployment, "router-1", base, 1000 + change).await;
-        base = version.expect("the change is accepted");
-        for router in routers() {
-            while version_at(deployment, &router).await < base {
+        let started_at = Instant::now();
+        let version = apply_change(deployment, "router-1", base_version, 1000 + change).await;
+        base_version = version.expect("the change is accepted");
+        for router in router_names() {
+            while settings_version_at(deployment, &router).await < base_version {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
-        times.record(began.elapsed().as_micros() as u64).expect("the time is in range");
+        times.record(started_at.elapsed().as_micros() as u64).expect("the time is in range");
     }
     deployment.inject_fault("log", &json!({})).await;
     times
@@ -85,8 +90,9 @@
     let mut times = Histogram::new(3).expect("the precision is valid");
     for _ in 0..TAKEOVERS {
         let (epoch, name) = lease_holder(deployment, "router-0").await;
-        let other = routers().find(|router| *router != name).expect("another router is running");
-        let began = Instant::now();
+        let other =
+            router_names().find(|router| *router != name).expect("another router is running");
+        let started_at = Instant::now();
         if graceful {
             deployment.process(&name).stop();
         } else {
@@ -99,7 +105,7 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        times.record(began.elapsed().as_micros() as u64).expect("the time is in range");
+        times.record(started_at.elapsed().as_micros() as u64).expect("the time is in range");
         deployment.process(&name).wait_for_exit(Duration::from_secs(10));
         deployment.start_process(&name);
         deployment.wait_for_answer(&name, "/readyz").await;
@@ -107,7 +113,7 @@
     times
 }
 
-fn print(name: &str, times: &Histogram<u64>) {
+fn print_times(name: &str, times: &Histogram<u64>) {
     let ms = |us: u64| us as f64 / 1000.0;
     let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
     let (worst, count) = (ms(times.max()), times.len());
@@ -122,20 +128,27 @@
     planner::measure();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("the runtime can be created").block_on(async {
-        let mut deployment = Deployment::start(Plan { routers: ROUTERS, ..Plan::default() }).await;
-        print("change in force, no fault", &propagation_times(&deployment, CHANGES, None).await);
+        let mut deployment =
+            Deployment::start(Plan { routers: ROUTER_COUNT, ..Plan::default() }).await;
+        print_times(
+            "change in force, no fault",
+            &propagation_times(&deployment, CHANGES, None).await,
+        );
         let lost = json!({ "lose_answers": 1 });
-        print(
+        print_times(
             "change in force, append response lost",
             &propagation_times(&deployment, CHANGES, Some(lost)).await,
         );
         let slow = json!({ "slow_ms": 300 });
-        print(
+        print_times(
             "change in force, log slowed by 300 ms",
             &propagation_times(&deployment, SLOW_CHANGES, Some(slow)).await,
         );
-        print("lease takeover after a kill", &takeover_times(&mut deployment, false).await);
-        print("lease takeover after a planned stop", &takeover_times(&mut deployment, true).await);
+        print_times("lease takeover after a kill", &takeover_times(&mut deployment, false).await);
+        print_times(
+            "lease takeover after a planned stop",
+            &takeover_times(&mut deployment, true).await,
+        );
         let appends = deployment.counters("log").await;
         println!("log: {appends}");
     });
--- a/tools/agreed/src/planner.rs
+++ b/tools/agreed/src/planner.rs
@@ -13,19 +13,19 @@
 /// Hosts that are lost one after the other.
 const HOST_LOSSES: usize = 20;
 
-fn append(state: &mut State, body: Body) {
+fn append_record(state: &mut State, body: Body) {
     let offset = state.next;
     let record = Record { writer: "router".into(), incarnation: 1, sequence: offset, body };
     state.apply(offset, 0, &record);
 }
 
-fn target(engine: usize) -> Body {
-    let text = |kind: &str, number: usize| format!("{kind}-{number}");
+fn target_up(engine: usize) -> Body {
+    let numbered_name = |kind: &str, number: usize| format!("{kind}-{number}");
     Body::TargetUp {
         target: TargetRecord {
-            target: text("engine", engine).as_str().into(),
-            host: text("host", engine).as_str().into(),
-            place: text("place", engine % AVAILABILITY_ZONES).as_str().into(),
+            target: numbered_name("engine", engine).as_str().into(),
+            host: numbered_name("host", engine).as_str().into(),
+            place: numbered_name("place", engine % AVAILABILITY_ZONES).as_str().into(),
             address: "127.0.0.1:1".into(),
             memory_mib: Mib(640_000),
             accelerators: 8,
@@ -34,10 +34,10 @@
     }
 }
 
-fn full_state() -> State {
+fn state_without_plan() -> State {
     let mut state = State { next: 1, ..State::default() };
-    append(&mut state, Body::LeaseTaken { epoch: 1, ttl_ms: 3000 });
-    (0..ENGINES).for_each(|engine| append(&mut state, target(engine)));
+    append_record(&mut state, Body::LeaseTaken { epoch: 1, ttl_ms: 3000 });
+    (0..ENGINES).for_each(|engine| append_record(&mut state, target_up(engine)));
     let change = |path: String, value: serde_json::Value| {
         let (path, value) = (path.into(), Some(value.to_string()));
         Change { path, base: 0, value }
@@ -52,51 +52,55 @@
         changes.push(change(format!("teams/t/models/m{model}"), demand));
     }
     let (author, ticket) = ("measurement".into(), "t".into());
-    append(&mut state, Body::Settings { changes, author, ticket, not_after_ms: u64::MAX });
+    append_record(&mut state, Body::Settings { changes, author, ticket, not_after_ms: u64::MAX });
     state
 }
 
 /// Runs the planner until it has nothing to do, and returns the number of records it wrote.
 fn plan_until_stable(state: &mut State, view: &View) -> usize {
-    let mut assigned = 0;
+    let mut records = 0;
     loop {
         let bodies = plan::plan(state, view, &BTreeSet::new());
         if bodies.is_empty() {
-            return assigned;
+            return records;
         }
-        assigned += bodies.len();
-        bodies.into_iter().for_each(|body| append(state, body));
+        records += bodies.len();
+        bodies.into_iter().for_each(|body| append_record(state, body));
     }
 }
 
+/// Removes a target and returns the number of its replica slots.
 fn lose_target(state: &mut State, engine: usize) -> usize {
     let name = TargetId::from(format!("engine-{engine}").as_str());
-    let slots = state.slots.by_key.values().filter(|slot| slot.target == name).count();
+    let lost_slots = state.slots.by_key.values().filter(|slot| slot.target == name).count();
     let target_offset = state.targets.by_name[&name].offset;
-    append(state, Body::TargetGone { epoch: 1, target: name, target_offset });
-    slots
+    append_record(state, Body::TargetGone { epoch: 1, target: name, target_offset });
+    lost_slots
 }
 
 /// Prints planning times and replica moves.
 pub fn measure() {
-    let mut state = full_state();
+    let mut state = state_without_plan();
     let view = View::new(&state.documents);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let assigned = plan_until_stable(&mut state, &view);
-    println!("planner: {assigned} slots assigned from an empty state in {:.1?}", began.elapsed());
-    let began = Instant::now();
+    println!(
+        "planner: {assigned} slots assigned from an empty state in {:.1?}",
+        started_at.elapsed()
+    );
+    let started_at = Instant::now();
     plan_until_stable(&mut state, &view);
-    println!("planner: one scan without changes {:.1?}", began.elapsed());
+    println!("planner: one scan without changes {:.1?}", started_at.elapsed());
     let (mut lost, mut moved) = (0, 0);
-    let began = Instant::now();
+    let started_at = Instant::now();
     for engine in 0..HOST_LOSSES {
         lost += lose_target(&mut state, engine);
         moved += plan_until_stable(&mut state, &view);
     }
-    let per_loss = began.elapsed() / HOST_LOSSES as u32;
+    let per_loss = started_at.elapsed() / HOST_LOSSES as u32;
     println!(
         "planner: {HOST_LOSSES} hosts lost: {moved} moves, minimum {lost}, {per_loss:.1?} each"
     );
-    append(&mut state, target(ENGINES));
+    append_record(&mut state, target_up(ENGINES));
     println!("planner: one host added: {} moves, minimum 0", plan_until_stable(&mut state, &view));
 }
