--- a/tools/testbed/src/load.rs
+++ b/tools/testbed/src/load.rs
@@ -17,46 +17,47 @@
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause of a caller between a response and its next request.
 const THINK_TIME: Duration = Duration::from_millis(20);
-const DEADLINE_MS: u64 = 20_000;
+const REQUEST_DEADLINE_MS: u64 = 20_000;
 
 /// Results of all callers.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Complete responses of models.
+    /// Number of complete model responses.
     pub completions: usize,
-    /// Executed bookings.
+    /// Number of executed bookings.
     pub bookings: usize,
-    /// Descriptions of all other results.
+    /// Descriptions of all failed requests.
     pub errors: Vec<String>,
 }
 
-struct Shared {
+struct LoadState {
     http: reqwest::Client,
     routers: Vec<String>,
-    ready: Mutex<Vec<String>>,
+    ready_routers: Mutex<Vec<String>>,
     report: Mutex<LoadReport>,
     stop: AtomicBool,
 }
 
-/// Running callers.
+/// Running callers and the results of their requests.
 pub struct LoadGenerator {
-    shared: Arc<Shared>,
+    shared: Arc<LoadState>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl LoadGenerator {
     /// Starts callers against the routers; half request completions, half send bookings.
     pub fn start(routers: Vec<String>, caller_count: usize) -> Self {
-        let shared = Arc::new(Shared {
+        let shared = Arc::new(LoadState {
             http: reqwest::Client::builder().no_proxy().build().expect("a plain client"),
-            ready: Mutex::new(routers.clone()),
+            ready_routers: Mutex::new(routers.clone()),
             routers,
             report: Mutex::default(),
             stop: AtomicBool::new(false),
         });
         let mut tasks = vec![tokio::spawn(poll_readiness(shared.clone()))];
         tasks.extend(
-            (0..caller_count).map(|number| tokio::spawn(run_caller(shared.clone(), number))),
+            (0..caller_count)
+                .map(|caller_index| tokio::spawn(run_caller(shared.clone(), caller_index))),
         );
         Self { shared, tasks }
     }
@@ -76,7 +77,7 @@
     }
 }
 
-async fn poll_readiness(shared: Arc<Shared>) {
+async fn poll_readiness(shared: Arc<LoadState>) {
     while !shared.stop.load(Ordering::Relaxed) {
         let mut ready = Vec::new();
         for router in &shared.routers {
@@ -88,24 +89,24 @@
                 ready.push(router.clone());
             }
         }
-        *shared.ready.lock().expect("no holder of this lock panics") = ready;
+        *shared.ready_routers.lock().expect("no holder of this lock panics") = ready;
         time::sleep(READINESS_POLL_INTERVAL).await;
     }
 }
 
-async fn run_caller(shared: Arc<Shared>, number: usize) {
-    let mut sequence = number;
+async fn run_caller(shared: Arc<LoadState>, caller_index: usize) {
+    let mut sequence = caller_index;
     while !shared.stop.load(Ordering::Relaxed) {
         let router = {
-            let ready = shared.ready.lock().expect("no holder of this lock panics");
+            let ready = shared.ready_routers.lock().expect("no holder of this lock panics");
             ready.get(sequence % ready.len().max(1)).cloned()
         };
         sequence += 1;
         if let Some(router) = router {
-            let result = if number.is_multiple_of(2) {
-                request_completion(&shared.http, &router, number).await.map(|()| true)
+            let result = if caller_index.is_multiple_of(2) {
+                request_completion(&shared.http, &router, caller_index).await.map(|()| true)
             } else {
-                request_booking(&shared.http, &router, &format!("load-{number}-{sequence}"))
+                request_booking(&shared.http, &router, &format!("load-{caller_index}-{sequence}"))
                     .await
                     .map(|()| false)
             };
@@ -123,16 +124,16 @@
 async fn request_completion(
     http: &reqwest::Client,
     router: &str,
-    number: usize,
+    caller_index: usize,
 ) -> Result<(), String> {
-    let (model, key) = match number % 3 {
+    let (model, key) = match caller_index % 3 {
         0 => ("design-13b", HINOKUNI_KEY),
         1 => ("quotes-7b", VIDRIO_KEY),
         _ => ("rounds-3b", VIDRIO_KEY),
     };
     let body = json!({ "model": model, "prompt": "stripes", "max_tokens": 40, "stream": true });
     let req = http.post(format!("http://{router}/v1/completions")).bearer_auth(key).json(&body);
-    let answer = req.header("x-deadline-ms", DEADLINE_MS).send().await;
+    let answer = req.header("x-deadline-ms", REQUEST_DEADLINE_MS).send().await;
     let answer = answer.map_err(|error| format!("{model}: {error:?}"))?;
     let text = answer.text().await.map_err(|error| format!("{model}: {error:?}"))?;
     if text.contains("[DONE]") { Ok(()) } else { Err(format!("{model}: {text}")) }
@@ -140,7 +141,7 @@
 
 async fn request_booking(http: &reqwest::Client, router: &str, key: &str) -> Result<(), String> {
     let url = format!("http://{router}/services/agenda/bookings");
-    match Booking::new(key, DEADLINE_MS).send(http, url).await {
+    match Booking::new(key, REQUEST_DEADLINE_MS).send(http, url).await {
         Some(answer) if answer.outcome == "ran" => Ok(()),
         Some(answer) => Err(format!("{key}: {answer:?}")),
         None => Err(format!("{key}: no answer")),
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -32,8 +32,8 @@
 #[derive(Default)]
 struct ScriptState {
     deployment: Option<Deployment>,
-    pending: BTreeMap<i64, JoinHandle<Answer>>,
-    last_id: i64,
+    pending_requests: BTreeMap<i64, JoinHandle<Answer>>,
+    last_request_number: i64,
 }
 
 type SharedContext = Arc<ScriptContext>;
@@ -43,7 +43,10 @@
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn with<T>(&self, operation: impl FnOnce(&mut Deployment, &Runtime) -> T) -> ScriptResult<T> {
+    fn with_deployment<T>(
+        &self,
+        operation: impl FnOnce(&mut Deployment, &Runtime) -> T,
+    ) -> ScriptResult<T> {
         let mut state = self.lock();
         let deployment = state.deployment.as_mut();
         let deployment = deployment.ok_or("call `deploy` first")?;
@@ -81,7 +84,7 @@
     }
 }
 
-fn plan(options: &Map) -> ScriptResult<Plan> {
+fn parse_plan(options: &Map) -> ScriptResult<Plan> {
     let mut plan = Plan::default();
     for (name, value) in options {
         let count = || value.as_int().map(|n| n as usize);
@@ -126,14 +129,14 @@
 fn register_processes(engine: &mut Engine, context: &SharedContext) {
     let s = context.clone();
     engine.register_fn("deploy", move |options: Map| -> ScriptResult<()> {
-        let plan = plan(&options)?;
+        let plan = parse_plan(&options)?;
         let deployment = s.runtime.block_on(Deployment::start(plan));
         s.lock().deployment = Some(deployment);
         Ok(())
     });
     let mut on_process = |name: &'static str, act: fn(&mut Deployment, &str)| {
         let s = context.clone();
-        engine.register_fn(name, move |process: &str| s.with(|d, _| act(d, process)));
+        engine.register_fn(name, move |process: &str| s.with_deployment(|d, _| act(d, process)));
     };
     on_process("kill", |d, name| d.process(name).kill());
     on_process("freeze", |d, name| d.process(name).freeze());
@@ -142,30 +145,34 @@
     on_process("start", Deployment::start_process);
     let s = context.clone();
     engine.register_fn("wait_end", move |name: &str| -> ScriptResult<i64> {
-        s.with(|d, _| i64::from(d.process(name).wait_for_exit(STATE_TIMEOUT).unwrap_or(-1)))
+        s.with_deployment(|d, _| {
+            i64::from(d.process(name).wait_for_exit(STATE_TIMEOUT).unwrap_or(-1))
+        })
     });
     let s = context.clone();
-    engine.register_fn("is_running", move |name: &str| s.with(|d, _| d.process(name).is_running()));
+    engine.register_fn("is_running", move |name: &str| {
+        s.with_deployment(|d, _| d.process(name).is_running())
+    });
     let s = context.clone();
     engine.register_fn("fault", move |name: &str, fault: Dynamic| -> ScriptResult<()> {
         let fault = to_json(&fault)?;
-        s.with(|d, runtime| runtime.block_on(d.inject_fault(name, &fault)))
+        s.with_deployment(|d, runtime| runtime.block_on(d.inject_fault(name, &fault)))
     });
     let s = context.clone();
     engine.register_fn("unlist", move |names: Array| -> ScriptResult<()> {
         let names: Vec<String> = names.into_iter().map(|name| name.to_string()).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        s.with(|d, runtime| runtime.block_on(d.set_host_list(&[], &names)))
+        s.with_deployment(|d, runtime| runtime.block_on(d.set_host_list(&[], &names)))
     });
     let s = context.clone();
     engine.register_fn("leaving", move |names: Array| -> ScriptResult<()> {
         let names: Vec<String> = names.into_iter().map(|name| name.to_string()).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        s.with(|d, runtime| runtime.block_on(d.set_hosts(&names)))
+        s.with_deployment(|d, runtime| runtime.block_on(d.set_hosts(&names)))
     });
 }
 
-fn key_of(team: &str) -> String {
+fn bearer_token_of(team: &str) -> String {
     match team {
         "vidrio" => VIDRIO_KEY.into(),
         "hinokuni" => HINOKUNI_KEY.into(),
@@ -181,7 +188,8 @@
     options: &Map,
 ) -> ScriptResult<Request> {
     let mut body = serde_json::json!({ "model": model, "prompt": "nine floors" });
-    let mut request = Request::post(deployment.url(router, "/v1/completions"), &key_of(team));
+    let mut request =
+        Request::post(deployment.url(router, "/v1/completions"), &bearer_token_of(team));
     for (name, value) in options {
         match name.as_str() {
             "tokens" => body["max_tokens"] = value.as_int()?.into(),
@@ -203,25 +211,28 @@
     body: &Dynamic,
 ) -> ScriptResult<Request> {
     let url = deployment.url(router, "/services/agenda/bookings");
-    let mut request = Request::post(url, &key_of(team));
+    let mut request = Request::post(url, &bearer_token_of(team));
     request.header("idempotency-key", key);
     request.body = to_json(body)?;
     Ok(request)
 }
 
-fn begin(context: &ScriptContext, request: Request) -> ScriptResult<i64> {
-    let client = context.with(|d, _| d.http.clone())?;
+fn begin_request(context: &ScriptContext, request: Request) -> ScriptResult<i64> {
+    let client = context.with_deployment(|d, _| d.http.clone())?;
     let task = context.runtime.spawn(async move { caller::send(&client, &request).await });
     let mut state = context.lock();
-    state.last_id += 1;
-    let number = state.last_id;
-    state.pending.insert(number, task);
+    state.last_request_number += 1;
+    let number = state.last_request_number;
+    state.pending_requests.insert(number, task);
     Ok(number)
 }
 
-fn finish(context: &ScriptContext, number: i64) -> ScriptResult<Dynamic> {
-    let task =
-        context.lock().pending.remove(&number).ok_or("no pending request with this number")?;
+fn finish_request(context: &ScriptContext, number: i64) -> ScriptResult<Dynamic> {
+    let task = context
+        .lock()
+        .pending_requests
+        .remove(&number)
+        .ok_or("no pending request with this number")?;
     let answer = context.runtime.block_on(async { time::timeout(STATE_TIMEOUT, task).await });
     match answer {
         Ok(Ok(answer)) => to_dynamic(&answer),
@@ -233,44 +244,47 @@
 fn register_calls(engine: &mut Engine, context: &SharedContext) {
     let s = context.clone();
     engine.register_fn("begin", move |router: &str, team: &str, model: &str, options: Map| {
-        let request = s.with(|d, _| model_request(d, router, team, model, &options))??;
-        begin(&s, request)
+        let request =
+            s.with_deployment(|d, _| model_request(d, router, team, model, &options))??;
+        begin_request(&s, request)
     });
     let s = context.clone();
     engine.register_fn("ask", move |router: &str, team: &str, model: &str, options: Map| {
-        let request = s.with(|d, _| model_request(d, router, team, model, &options))??;
-        finish(&s, begin(&s, request)?)
+        let request =
+            s.with_deployment(|d, _| model_request(d, router, team, model, &options))??;
+        finish_request(&s, begin_request(&s, request)?)
     });
     let s = context.clone();
     engine.register_fn(
         "begin_booking",
         move |router: &str, team: &str, key: &str, body: Dynamic| {
-            let request = s.with(|d, _| booking_request(d, router, team, key, &body))??;
-            begin(&s, request)
+            let request =
+                s.with_deployment(|d, _| booking_request(d, router, team, key, &body))??;
+            begin_request(&s, request)
         },
     );
     let s = context.clone();
     engine.register_fn("book", move |router: &str, team: &str, key: &str, body: Dynamic| {
-        let request = s.with(|d, _| booking_request(d, router, team, key, &body))??;
-        finish(&s, begin(&s, request)?)
+        let request = s.with_deployment(|d, _| booking_request(d, router, team, key, &body))??;
+        finish_request(&s, begin_request(&s, request)?)
     });
     let s = context.clone();
-    engine.register_fn("finish", move |number: i64| finish(&s, number));
+    engine.register_fn("finish", move |number: i64| finish_request(&s, number));
     let s = context.clone();
     engine.register_fn("operate", move |router: &str, args: Array| -> ScriptResult<Dynamic> {
         let args: Vec<String> = args.into_iter().map(|arg| arg.to_string()).collect();
         let args: Vec<&str> = args.iter().map(String::as_str).collect();
-        let (code, output) = s.with(|d, _| d.command_at(router, &args))?;
+        let (code, output) = s.with_deployment(|d, _| d.command_at(router, &args))?;
         to_dynamic(&serde_json::json!({ "code": code, "output": output }))
     });
     let s = context.clone();
     engine.register_fn("settings_dir", move || {
-        s.with(|d, _| d.settings_folder().display().to_string())
+        s.with_deployment(|d, _| d.settings_folder().display().to_string())
     });
     let s = context.clone();
     engine.register_fn("set_document", move |path: &str, value: Dynamic| -> ScriptResult<()> {
         let value = to_json(&value)?;
-        s.with(|d, _| {
+        s.with_deployment(|d, _| {
             d.plan.documents.retain(|(known, _)| known != path);
             d.plan.documents.push((path.to_owned(), value));
         })
@@ -280,19 +294,19 @@
 fn register_states(engine: &mut Engine, context: &SharedContext) {
     let s = context.clone();
     engine.register_fn("counters", move |name: &str| -> ScriptResult<Dynamic> {
-        to_dynamic(&s.with(|d, runtime| runtime.block_on(d.counters(name)))?)
+        to_dynamic(&s.with_deployment(|d, runtime| runtime.block_on(d.counters(name)))?)
     });
     let s = context.clone();
     engine.register_fn("loaded", move |engine: &str| -> ScriptResult<Dynamic> {
-        to_dynamic(&s.with(|d, runtime| runtime.block_on(d.loaded_models(engine)))?)
+        to_dynamic(&s.with_deployment(|d, runtime| runtime.block_on(d.loaded_models(engine)))?)
     });
     let s = context.clone();
     engine.register_fn("status", move |router: &str| -> ScriptResult<Dynamic> {
-        to_dynamic(&s.with(|d, runtime| runtime.block_on(d.status(router)))?)
+        to_dynamic(&s.with_deployment(|d, runtime| runtime.block_on(d.status(router)))?)
     });
     let s = context.clone();
     engine.register_fn("logged", move |name: &str, text: &str| {
-        s.with(|d, _| d.log_of(name).contains(text))
+        s.with_deployment(|d, _| d.log_of(name).contains(text))
     });
     engine.register_fn("pause", |ms: i64| std::thread::sleep(Duration::from_millis(ms as u64)));
     engine.register_fn("check", |holds: bool, what: &str| -> ScriptResult<()> {
