--- a/tools/bench/src/main.rs
+++ b/tools/bench/src/main.rs
@@ -37,7 +37,7 @@
         routers: 1,
         engines: ENGINES,
         services: 0,
-        concurrency: Some(2048),
+        target_concurrency: Some(2048),
         engine_options: options.map(str::to_owned).into(),
         ..Plan::default()
     };
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -137,7 +137,7 @@
             "timing": self.plan.timing,
             "statsd": self.plan.statsd,
         });
-        if let Some(concurrency) = self.plan.concurrency {
+        if let Some(concurrency) = self.plan.target_concurrency {
             settings["target"]["concurrency"] = json!(concurrency);
         }
         if !advertised.is_null() {
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -20,7 +20,7 @@
     /// `timing` settings of all processes.
     pub timing: Value,
     /// Concurrent requests of each target, if not the default.
-    pub concurrency: Option<u32>,
+    pub target_concurrency: Option<u32>,
     /// Address of the statsd sink, or null.
     pub statsd: Value,
     /// `limits` settings of the routers.
@@ -60,7 +60,7 @@
             hosts_options: Vec::new(),
             timing: json!({ "heartbeat_ms": 100, "silence_ms": 1000, "reconnect_ms": 200,
                 "log_poll_ms": 500, "host_list_poll_ms": 200, "drain_ms": 30000, "grace_ms": 500 }),
-            concurrency: None,
+            target_concurrency: None,
             statsd: Value::Null,
             limits: json!({}),
             relays: false,
