--- a/tests/stream_recovery.rs
+++ b/tests/stream_recovery.rs
@@ -16,8 +16,11 @@
 /// Starts a deployment whose engines generate a token every 20 ms.
 async fn start(replicas: u32) -> Deployment {
     let options = ["--token-us", "20000", "--load-ms", "100"];
-    let mut plan =
-        Plan { engine_options: options.map(str::to_owned).into(), relays: true, ..Plan::default() };
+    let mut plan = Plan {
+        engine_options: options.map(str::to_owned).into(),
+        use_relays: true,
+        ..Plan::default()
+    };
     for (path, value) in &mut plan.documents {
         if path.ends_with("hinokuni/models/design-13b") {
             value["replicas"] = json!(replicas);
--- a/tools/chaos/src/main.rs
+++ b/tools/chaos/src/main.rs
@@ -63,7 +63,7 @@
 fn deployment_plan() -> Plan {
     let options = ["--token-us", "10000", "--load-ms", "100"];
     let engine_options = options.map(str::to_owned).into();
-    let mut plan = Plan { services: 2, relays: true, engine_options, ..Plan::default() };
+    let mut plan = Plan { services: 2, use_relays: true, engine_options, ..Plan::default() };
     for (path, value) in &mut plan.documents {
         if path.ends_with("hinokuni/models/design-13b") {
             value["replicas"] = json!(2);
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -113,7 +113,7 @@
 
     fn define_agent(&mut self, target: &str, index: usize, kind: &Value) {
         let name = format!("agent-{target}");
-        if self.plan.relays {
+        if self.plan.use_relays {
             let relay = format!("relay-{target}");
             let control = format!("relay-control-{target}");
             let args = ["relay", "--listen", self.address(&relay), "--to", self.address(&name)];
@@ -121,7 +121,7 @@
             args.extend(["--control".into(), self.address(&control).to_owned()]);
             self.define_process(&relay, "corianderstand-standins", args);
         }
-        let advertised = if self.plan.relays {
+        let advertised = if self.plan.use_relays {
             json!(self.address(&format!("relay-{target}")))
         } else {
             Value::Null
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -26,7 +26,7 @@
     /// `limits` settings of the routers.
     pub limits: Value,
     /// Whether a relay with fault injection forwards connections to each agent.
-    pub relays: bool,
+    pub use_relays: bool,
     /// Whether agents follow the routers instead of reading the log.
     pub follow_routers: bool,
     /// Settings documents by path.
@@ -63,7 +63,7 @@
             target_concurrency: None,
             statsd: Value::Null,
             limits: json!({}),
-            relays: false,
+            use_relays: false,
             follow_routers: false,
             documents: documents(),
         }
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -92,7 +92,7 @@
             "routers" => plan.routers = count()?,
             "engines" => plan.engines = count()?,
             "services" => plan.services = count()?,
-            "relays" => plan.relays = value.as_bool()?,
+            "relays" => plan.use_relays = value.as_bool()?,
             "engine_options" => plan.engine_options = strings(value)?,
             "log_options" => plan.log_options = strings(value)?,
             "hosts_options" => plan.hosts_options = strings(value)?,
