--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -45,8 +45,8 @@
     runtime.expect("the runtime can be created").block_on(async {
         let sink = UdpSocket::bind("127.0.0.1:0").expect("loopback has a free port");
         sink.set_read_timeout(Some(Duration::from_millis(1))).expect("a timeout can be set");
-        let statsd = json!(sink.local_addr().expect("it is bound").to_string());
-        let plan = Plan { routers: 1, engines: 2, statsd, ..Plan::default() };
+        let statsd_address = json!(sink.local_addr().expect("it is bound").to_string());
+        let plan = Plan { routers: 1, engines: 2, statsd_address, ..Plan::default() };
         let mut deployment = Deployment::start(plan).await;
         let url = deployment.url("router-0", "/v1/completions");
         let mut seen = BTreeSet::new();
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -135,7 +135,7 @@
             "host_list_url": self.url("hosts", ""),
             "target": { "url": self.url(target, ""), "kind": kind },
             "timing": self.plan.timing,
-            "statsd": self.plan.statsd,
+            "statsd": self.plan.statsd_address,
         });
         if let Some(concurrency) = self.plan.target_concurrency {
             settings["target"]["concurrency"] = json!(concurrency);
@@ -169,7 +169,7 @@
             "operator_key_hash": hash_token(OPERATOR_KEY),
             "limits": self.plan.limits,
             "timing": self.plan.timing,
-            "statsd": self.plan.statsd,
+            "statsd": self.plan.statsd_address,
         });
         let args = vec!["router".into(), self.write_config(&name, &settings)];
         self.define_process(&name, "corianderstand", args);
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -22,7 +22,7 @@
     /// Concurrent requests of each target, if not the default.
     pub target_concurrency: Option<u32>,
     /// Address of the statsd sink, or null.
-    pub statsd: Value,
+    pub statsd_address: Value,
     /// `limits` settings of the routers.
     pub limits: Value,
     /// Whether a relay with fault injection forwards connections to each agent.
@@ -61,7 +61,7 @@
             timing: json!({ "heartbeat_ms": 100, "silence_ms": 1000, "reconnect_ms": 200,
                 "log_poll_ms": 500, "host_list_poll_ms": 200, "drain_ms": 30000, "grace_ms": 500 }),
             target_concurrency: None,
-            statsd: Value::Null,
+            statsd_address: Value::Null,
             limits: json!({}),
             use_relays: false,
             follow_routers: false,
