--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -84,7 +84,7 @@
 
     fn define_processes(&mut self) {
         self.define_standin("log", "log", self.plan.log_options.clone());
-        self.define_standin("hosts", "hosts", self.plan.hosts_options.clone());
+        self.define_standin("hosts", "hosts", self.plan.host_list_options.clone());
         self.define_standin("weights", "weights", vec!["--rate".into(), "50".into()]);
         for i in 0..self.plan.engines {
             self.define_standin(&format!("engine-{i}"), "engine", self.plan.engine_options.clone());
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -16,7 +16,7 @@
     /// Command-line options of the log stand-in.
     pub log_options: Vec<String>,
     /// Command-line options of the host list stand-in.
-    pub hosts_options: Vec<String>,
+    pub host_list_options: Vec<String>,
     /// `timing` settings of all processes.
     pub timing: Value,
     /// Concurrent requests of each target, if not the default.
@@ -57,7 +57,7 @@
             services: 1,
             engine_options: to_strings(&["--token-us", "2000", "--load-ms", "200"]),
             log_options: Vec::new(),
-            hosts_options: Vec::new(),
+            host_list_options: Vec::new(),
             timing: json!({ "heartbeat_ms": 100, "silence_ms": 1000, "reconnect_ms": 200,
                 "log_poll_ms": 500, "host_list_poll_ms": 200, "drain_ms": 30000, "grace_ms": 500 }),
             target_concurrency: None,
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -95,7 +95,7 @@
             "relays" => plan.use_relays = value.as_bool()?,
             "engine_options" => plan.engine_options = strings(value)?,
             "log_options" => plan.log_options = strings(value)?,
-            "hosts_options" => plan.hosts_options = strings(value)?,
+            "hosts_options" => plan.host_list_options = strings(value)?,
             "timing" => {
                 for (field, value) in to_json(value)?.as_object().into_iter().flatten() {
                     plan.timing[field] = value.clone();
