--- a/tools/testbed/src/caller.rs
+++ b/tools/testbed/src/caller.rs
@@ -7,8 +7,8 @@
 pub struct Request {
     /// Target URL.
     pub url: String,
-    /// Bearer token.
-    pub key: String,
+    /// Bearer token of the team.
+    pub bearer_token: String,
     /// Additional headers.
     pub headers: Vec<(String, String)>,
     /// JSON body.
@@ -38,8 +38,8 @@
 
 impl Request {
     /// Creates a POST request without a body.
-    pub fn post(url: String, key: &str) -> Self {
-        Self { url, key: key.to_owned(), headers: Vec::new(), body: Value::Null }
+    pub fn post(url: String, bearer_token: &str) -> Self {
+        Self { url, bearer_token: bearer_token.to_owned(), headers: Vec::new(), body: Value::Null }
     }
 
     /// Adds a header.
@@ -51,7 +51,7 @@
 /// Sends a request and reads the response to its end.
 pub async fn send(client: &reqwest::Client, request: &Request) -> Answer {
     let started_at = std::time::Instant::now();
-    let mut req = client.post(&request.url).bearer_auth(&request.key).json(&request.body);
+    let mut req = client.post(&request.url).bearer_auth(&request.bearer_token).json(&request.body);
     for (name, value) in &request.headers {
         req = req.header(name, value);
     }
