--- a/tests/callers.rs
+++ b/tests/callers.rs
@@ -57,7 +57,7 @@
     deployment
 }
 
-async fn engine_count(deployment: &Deployment, name: &str) -> u64 {
+async fn engine_counter(deployment: &Deployment, name: &str) -> u64 {
     deployment.counters("engine-0").await[name].as_u64().unwrap_or_default()
 }
 
@@ -98,10 +98,10 @@
     read_to_end(&mut stream).await
 }
 
-fn head(path: &str, length: usize, more: &str) -> String {
+fn request_head(path: &str, body_bytes: usize, extra_headers: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: r\r\nconnection: close\r\nauthorization: Bearer {VIDRIO_KEY}\r\n\
-         content-type: application/json\r\ncontent-length: {length}\r\n{more}\r\n"
+         content-type: application/json\r\ncontent-length: {body_bytes}\r\n{extra_headers}\r\n"
     )
 }
 
@@ -135,15 +135,15 @@
     block_on(async {
         let deployment = start_loaded(small_plan()).await;
         let long = format!("x-filler: {}\r\n", "x".repeat(3000));
-        let answer = send_raw(&deployment, &head(COMPLETIONS, 0, &long)).await;
+        let answer = send_raw(&deployment, &request_head(COMPLETIONS, 0, &long)).await;
         assert_eq!(answer.status(), "431", "{}", answer.head);
         assert_eq!(answer.error()["code"], "head_too_long");
 
         let endless = format!("x-filler: {}\r\n", "x".repeat(100_000));
-        let answer = send_raw(&deployment, &head(COMPLETIONS, 0, &endless)).await;
+        let answer = send_raw(&deployment, &request_head(COMPLETIONS, 0, &endless)).await;
         assert_eq!(answer.status(), "431", "a head far beyond the limit: {}", answer.head);
 
-        let answer = send_raw(&deployment, &head(COMPLETIONS, 5000, "")).await;
+        let answer = send_raw(&deployment, &request_head(COMPLETIONS, 5000, "")).await;
         assert_eq!(answer.status(), "413");
         assert_eq!(answer.error()["code"], "body_too_long");
 
@@ -158,7 +158,7 @@
 #[rstest]
 #[case::within_the_head("POST /v1/completions HTTP/1.1\r\nhost: r\r\n", None)]
 #[case::nothing_at_all("", None)]
-#[case::within_the_body(&head(COMPLETIONS, 100, ""), Some("request_timeout"))]
+#[case::within_the_body(&request_head(COMPLETIONS, 100, ""), Some("request_timeout"))]
 fn incomplete_requests_time_out(#[case] sent: &str, #[case] code: Option<&str>) {
     block_on(async {
         let deployment = start_loaded(small_plan()).await;
@@ -193,11 +193,11 @@
         socket.set_recv_buffer_size(4096).expect("a small buffer");
         let address = deployment.address("router-0").parse().expect("an address");
         let mut stream = socket.connect(address).await.expect("the router listens");
-        let request = format!("{}{body}", head(COMPLETIONS, body.len(), ""));
+        let request = format!("{}{body}", request_head(COMPLETIONS, body.len(), ""));
         stream.write_all(request.as_bytes()).await.expect("the request is sent");
         stream.readable().await.expect("the answer begins");
         wait_for("the engine to cancel the request", async || {
-            engine_count(&deployment, "cancelled").await != 0
+            engine_counter(&deployment, "cancelled").await != 0
         })
         .await;
         assert_others_are_served(&deployment).await;
@@ -214,17 +214,17 @@
         let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 100_000,
             "stream": streamed })
         .to_string();
-        let before = engine_count(&deployment, "requests").await;
+        let before = engine_counter(&deployment, "requests").await;
         let mut stream = connect(&deployment).await;
-        let request = format!("{}{body}", head(COMPLETIONS, body.len(), ""));
+        let request = format!("{}{body}", request_head(COMPLETIONS, body.len(), ""));
         stream.write_all(request.as_bytes()).await.expect("the request is sent");
         wait_for("the engine has begun", async || {
-            engine_count(&deployment, "requests").await > before
+            engine_counter(&deployment, "requests").await > before
         })
         .await;
         drop(stream);
         wait_for("the engine to cancel the request", async || {
-            engine_count(&deployment, "cancelled").await != 0
+            engine_counter(&deployment, "cancelled").await != 0
         })
         .await;
         assert_others_are_served(&deployment).await;
@@ -242,16 +242,16 @@
             let req = deployment.http.post(deployment.url("router-0", COMPLETIONS));
             req.bearer_auth(key).header("x-request-id", "same").json(&body).send()
         };
-        let before = engine_count(&deployment, "requests").await;
+        let before = engine_counter(&deployment, "requests").await;
         let victim = tokio::spawn(ask(VIDRIO_KEY, "quotes-7b", 800));
         let other = tokio::spawn(ask(HINOKUNI_KEY, "design-13b", 100_000));
         wait_for("both have begun", async || {
-            engine_count(&deployment, "requests").await == before + 2
+            engine_counter(&deployment, "requests").await == before + 2
         })
         .await;
         other.abort();
         wait_for("the engine to cancel one request", async || {
-            engine_count(&deployment, "cancelled").await != 0
+            engine_counter(&deployment, "cancelled").await != 0
         })
         .await;
         let answer = victim.await.expect("the task ends").expect("the router answers");
@@ -330,7 +330,7 @@
         }
         let nested = "[".repeat(3000);
         for body in ["", "{", "[]", "nonsense", &nested, "{\"model\":\"a\",\"model\":\"b\"}"] {
-            let request = format!("{}{body}", head(COMPLETIONS, body.len(), ""));
+            let request = format!("{}{body}", request_head(COMPLETIONS, body.len(), ""));
             let answer = send_raw(&deployment, &request).await;
             assert_eq!(answer.status(), "400", "{body:.20}");
             assert_eq!(answer.error()["code"], "invalid_request");
@@ -349,12 +349,12 @@
         let deployment = start_loaded(small_plan()).await;
         let long_id = format!("x-request-id: {}\r\n", "x".repeat(300));
         let cases = [
-            (head(COMPLETIONS, 0, &long_id), "400", "invalid_request"),
-            (head(COMPLETIONS, 0, "x-deadline-ms: soon\r\n"), "400", "invalid_request"),
-            (head(COMPLETIONS, 0, "x-urgency: very\r\n"), "400", "invalid_request"),
-            (head("/v1/no-such-path", 0, ""), "404", "no_such_path"),
-            (head("/v1/models", 0, ""), "405", "method_not_allowed"),
-            (head("/services/agenda/bookings", 0, ""), "400", "idempotency_key_required"),
+            (request_head(COMPLETIONS, 0, &long_id), "400", "invalid_request"),
+            (request_head(COMPLETIONS, 0, "x-deadline-ms: soon\r\n"), "400", "invalid_request"),
+            (request_head(COMPLETIONS, 0, "x-urgency: very\r\n"), "400", "invalid_request"),
+            (request_head("/v1/no-such-path", 0, ""), "404", "no_such_path"),
+            (request_head("/v1/models", 0, ""), "405", "method_not_allowed"),
+            (request_head("/services/agenda/bookings", 0, ""), "400", "idempotency_key_required"),
         ];
         for (request, status, code) in cases {
             // Headers are validated with the body, so both are complete here.
@@ -366,7 +366,7 @@
             assert!(answer.head.contains("x-corianderstand-outcome: not-run"), "{}", answer.head);
             assert!(answer.head.contains("x-request-id: "), "{}", answer.head);
         }
-        let answer = send_raw(&deployment, &head("/v1/models", 0, "")).await;
+        let answer = send_raw(&deployment, &request_head("/v1/models", 0, "")).await;
         assert!(answer.head.contains("allow: get"), "{}", answer.head);
         let get = "GET /v1/models HTTP/1.1\r\nhost: r\r\nconnection: close\r\n\r\n";
         let answer = send_raw(&deployment, get).await;
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -18,7 +18,7 @@
     runtime.expect("the runtime can be created").block_on(run)
 }
 
-async fn request(deployment: &Deployment, key: &str, model: &str) -> u16 {
+async fn request_status(deployment: &Deployment, key: &str, model: &str) -> u16 {
     let body = json!({ "model": model, "prompt": "nine floors", "max_tokens": 4 });
     let url = deployment.url("router-0", "/v1/completions");
     let answer = deployment.http.post(url).bearer_auth(key).json(&body).send().await;
@@ -30,15 +30,15 @@
 
 async fn request_until_served(deployment: &Deployment, key: &str, model: &str) {
     wait_for(&format!("an answer of {model}"), async || {
-        request(deployment, key, model).await == 200
+        request_status(deployment, key, model).await == 200
     })
     .await;
 }
 
-/// TCP state in `/proc/net/tcp`.
-const ESTABLISHED: &str = "01";
+/// State of open connections in `/proc/net/tcp`.
+const TCP_ESTABLISHED: &str = "01";
 
-fn open_connections(deployment: &Deployment) -> usize {
+fn open_agent_connections(deployment: &Deployment) -> usize {
     let agents =
         deployment.started_processes().into_iter().filter(|name| name.starts_with("agent-"));
     let agent_addresses: Vec<String> =
@@ -47,7 +47,7 @@
     let to_agent = |line: &&str| {
         let mut fields = line.split_whitespace().skip(2);
         let (remote, state) = (fields.next(), fields.next());
-        state == Some(ESTABLISHED)
+        state == Some(TCP_ESTABLISHED)
             && remote.is_some_and(|remote| agent_addresses.iter().any(|agent| agent == remote))
     };
     table.lines().filter(to_agent).count()
@@ -64,16 +64,23 @@
 fn an_idle_connection_is_closed_and_the_next_request_opens_it_again() {
     block_on(async {
         let deployment = Deployment::start(Plan::default()).await;
-        wait_for("no connection before a request", async || open_connections(&deployment) == 0)
-            .await;
+        wait_for("no connection before a request", async || {
+            open_agent_connections(&deployment) == 0
+        })
+        .await;
         for _ in 0..2 {
             request_until_served(&deployment, VIDRIO_KEY, "rounds-3b").await;
-            assert!(open_connections(&deployment) > 0, "a connection is opened for the request");
-            wait_for("the idle connection's end", async || open_connections(&deployment) == 0)
-                .await;
+            assert!(
+                open_agent_connections(&deployment) > 0,
+                "a connection is opened for the request"
+            );
+            wait_for("the idle connection's end", async || {
+                open_agent_connections(&deployment) == 0
+            })
+            .await;
         }
         let started_at = Instant::now();
-        assert_eq!(request(&deployment, VIDRIO_KEY, "rounds-3b").await, 200);
+        assert_eq!(request_status(&deployment, VIDRIO_KEY, "rounds-3b").await, 200);
         let took = started_at.elapsed();
         assert!(took < Duration::from_secs(1), "a warm model over a new connection: {took:?}");
     });
@@ -86,7 +93,8 @@
         let plan = Plan { engines: 3, ..Plan::default() };
         let mut deployment = Deployment::start(plan).await;
         request_until_served(&deployment, VIDRIO_KEY, "quotes-7b").await;
-        wait_for("the idle connection's end", async || open_connections(&deployment) == 0).await;
+        wait_for("the idle connection's end", async || open_agent_connections(&deployment) == 0)
+            .await;
         let status = deployment.status("router-0").await;
         let slots = status["slots"].as_array().expect("slots").clone();
         let owner = slots.iter().find(|slot| slot["model"] == "quotes-7b");
--- a/tests/graceful_shutdown.rs
+++ b/tests/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 use testbed::{Deployment, Plan, deployment::wait_for, load::LoadGenerator, plan::HINOKUNI_KEY};
 
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
-const CALLERS: usize = 24;
+const CALLER_COUNT: usize = 24;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -22,20 +22,20 @@
     Deployment::start(plan).await
 }
 
-fn load(deployment: &Deployment) -> LoadGenerator {
+fn start_load(deployment: &Deployment) -> LoadGenerator {
     let routers = (0..deployment.plan.routers).map(|i| format!("router-{i}"));
     LoadGenerator::start(
         routers.map(|name| deployment.address(&name).to_owned()).collect(),
-        CALLERS,
+        CALLER_COUNT,
     )
 }
 
-async fn wait_for_progress(load: &LoadGenerator, count: usize) {
+async fn wait_for_progress(load: &LoadGenerator, min_responses: usize) {
     let before = load.report();
     wait_for("answers of both kinds", async || {
         let report = load.report();
-        report.completions >= before.completions + count
-            && report.bookings >= before.bookings + count
+        report.completions >= before.completions + min_responses
+            && report.bookings >= before.bookings + min_responses
     })
     .await;
 }
@@ -45,7 +45,7 @@
 fn a_rolling_restart_under_load_causes_no_errors() {
     block_on(async {
         let mut deployment = start().await;
-        let load = load(&deployment);
+        let load = start_load(&deployment);
         wait_for("all models to be warm", async || load.report().completions > 100).await;
         let cold = load.report().errors;
         assert!(cold.is_empty(), "{} errors before any stop: {:?}", cold.len(), cold.first());
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -10,25 +10,28 @@
 };
 use testbed::{Deployment, Plan, deployment::wait_for, plan::VIDRIO_KEY, process::STATE_TIMEOUT};
 
-/// Upper bound on the datagrams of the statsd client.
-const MAX_DATAGRAM: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-fn receive_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+fn receive_metrics(sink: &UdpSocket, received_metrics: &mut BTreeSet<String>) {
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     while let Ok(length) = sink.recv(&mut buf) {
         let text = String::from_utf8_lossy(&buf[..length]).into_owned();
         for line in text.lines() {
             let name = line.split(':').next().unwrap_or_default();
-            seen.insert(name.trim_start_matches("corianderstand.").to_owned());
+            received_metrics.insert(name.trim_start_matches("corianderstand.").to_owned());
         }
     }
 }
 
-async fn wait_for_metrics(sink: &UdpSocket, seen: &mut BTreeSet<String>, expected: &[Metric]) {
+async fn wait_for_metrics(
+    sink: &UdpSocket,
+    received_metrics: &mut BTreeSet<String>,
+    expected: &[Metric],
+) {
     let started_at = Instant::now();
     loop {
-        receive_metrics(sink, seen);
-        let missing = expected.iter().filter(|metric| !seen.contains(metric.name()));
+        receive_metrics(sink, received_metrics);
+        let missing = expected.iter().filter(|metric| !received_metrics.contains(metric.name()));
         let missing: Vec<_> = missing.copied().map(Metric::name).collect();
         if missing.is_empty() {
             return;
@@ -49,12 +52,12 @@
         let plan = Plan { routers: 1, engines: 2, statsd_address, ..Plan::default() };
         let mut deployment = Deployment::start(plan).await;
         let url = deployment.url("router-0", "/v1/completions");
-        let mut seen = BTreeSet::new();
+        let mut received_metrics = BTreeSet::new();
         for stream in [false, true] {
             let body = json!({ "model": "quotes-7b", "prompt": "x", "max_tokens": 2,
                 "stream": stream });
             wait_for("an answer", async || {
-                receive_metrics(&sink, &mut seen);
+                receive_metrics(&sink, &mut received_metrics);
                 let req = deployment.http.post(&url).bearer_auth(VIDRIO_KEY).json(&body);
                 req.send().await.is_ok_and(|answer| answer.status() == 200)
             })
@@ -84,13 +87,14 @@
         // A killed process loses its last counts, so the others are received first.
         let before: Vec<_> =
             all.iter().copied().filter(|metric| *metric != Metric::RouterLost).collect();
-        wait_for_metrics(&sink, &mut seen, &before).await;
+        wait_for_metrics(&sink, &mut received_metrics, &before).await;
         for agent in ["agent-engine-0", "agent-engine-1"] {
             deployment.process(agent).kill();
         }
-        wait_for_metrics(&sink, &mut seen, &all).await;
+        wait_for_metrics(&sink, &mut received_metrics, &all).await;
         let known: BTreeSet<&str> = Metric::ALL.iter().map(|metric| metric.name()).collect();
-        let unknown: Vec<_> = seen.iter().filter(|name| !known.contains(name.as_str())).collect();
+        let unknown: Vec<_> =
+            received_metrics.iter().filter(|name| !known.contains(name.as_str())).collect();
         assert!(unknown.is_empty(), "sent but not documented: {unknown:?}");
     });
 }
--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -7,16 +7,15 @@
     path::{Path, PathBuf},
 };
 
-const PAGE: &str = "docs/PROMISES.md";
-const SOURCES: [&str; 5] = ["tests", "crates", "platform", "tools", "src"];
-const NAMED: [&str; 2] = ["scenarios/", "traces/"];
-const EXTENSIONS: [&str; 3] = ["rhai", "json", "jsonl"];
+const PAGE_PATH: &str = "docs/PROMISES.md";
+const SOURCE_DIRS: [&str; 5] = ["tests", "crates", "platform", "tools", "src"];
+const FILE_DIRS: [&str; 2] = ["scenarios/", "traces/"];
+const FILE_EXTENSIONS: [&str; 3] = ["rhai", "json", "jsonl"];
 
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Inline code of a page, without fenced blocks.
 fn inline_code(page: &str) -> Vec<&str> {
     let fenced = page.split("```").step_by(2);
     fenced.flat_map(|text| text.split('`').skip(1).step_by(2)).collect()
@@ -26,8 +25,8 @@
     !text.is_empty() && text.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
 }
 
-/// Function name of a nextest id, `crate::binary test` or `crate test`, without modules and case.
-fn function(text: &str) -> Option<&str> {
+/// Returns the function name of a nextest id, `crate::binary test` or `crate test`.
+fn test_function_name(text: &str) -> Option<&str> {
     let (binary, test) = text.split_once(' ')?;
     let is_binary = binary.split("::").all(is_name) && binary.contains("corianderstand");
     let parts: Vec<&str> = test.split("::").collect();
@@ -39,11 +38,11 @@
     without_case.last().copied()
 }
 
-fn collect_functions(dir: &Path, found: &mut BTreeSet<String>) {
+fn collect_function_names(dir: &Path, found: &mut BTreeSet<String>) {
     let Ok(entries) = fs::read_dir(dir) else { return };
     for path in entries.flatten().map(|entry| entry.path()) {
         if path.is_dir() {
-            collect_functions(&path, found);
+            collect_function_names(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             let text = fs::read_to_string(&path).unwrap_or_default();
             let starts = text.split("fn ").skip(1);
@@ -53,25 +52,25 @@
     }
 }
 
-fn functions() -> BTreeSet<String> {
+fn all_function_names() -> BTreeSet<String> {
     let mut found = BTreeSet::new();
-    SOURCES.iter().for_each(|dir| collect_functions(&root().join(dir), &mut found));
+    SOURCE_DIRS.iter().for_each(|dir| collect_function_names(&root().join(dir), &mut found));
     found
 }
 
-fn missing(page: &str, functions: &BTreeSet<String>) -> Vec<String> {
+fn missing_names(page: &str, function_names: &BTreeSet<String>) -> Vec<String> {
     let is_file = |text: &str| {
         let extension = Path::new(text).extension().and_then(|extension| extension.to_str());
-        let in_folder = NAMED.iter().any(|dir| text.contains(dir));
-        in_folder && extension.is_some_and(|extension| EXTENSIONS.contains(&extension))
+        let in_folder = FILE_DIRS.iter().any(|dir| text.contains(dir));
+        in_folder && extension.is_some_and(|extension| FILE_EXTENSIONS.contains(&extension))
     };
     let mut missing = Vec::new();
     for text in inline_code(page) {
-        let gone = match function(text) {
-            Some(name) => !functions.contains(name),
+        let is_missing = match test_function_name(text) {
+            Some(name) => !function_names.contains(name),
             None => is_file(text) && !root().join(text).exists(),
         };
-        if gone {
+        if is_missing {
             missing.push(text.to_owned());
         }
     }
@@ -81,10 +80,11 @@
 /// The page must not name tests that were renamed or removed.
 #[rstest]
 fn every_test_and_file_named_on_the_page_of_promises_exists() {
-    let page = fs::read_to_string(root().join(PAGE)).expect("the page can be read");
-    let gone = missing(&page, &functions());
-    assert!(gone.is_empty(), "named in {PAGE}, but not in the tree: {gone:#?}");
-    let tests = inline_code(&page).into_iter().filter(|text| function(text).is_some()).count();
+    let page = fs::read_to_string(root().join(PAGE_PATH)).expect("the page can be read");
+    let missing = missing_names(&page, &all_function_names());
+    assert!(missing.is_empty(), "named in {PAGE_PATH}, but not in the tree: {missing:#?}");
+    let tests =
+        inline_code(&page).into_iter().filter(|text| test_function_name(text).is_some()).count();
     assert!(tests > 0, "the page names tests");
 }
 
@@ -97,6 +97,9 @@
 #[case::a_setting("`peers` and `log_url`", true)]
 #[case::no_such_test("`corianderstand::end_to_end a_test_that_nobody_wrote`", false)]
 #[case::no_such_scenario("`scenarios/nobody-wrote-this.rhai`", false)]
-fn the_check_finds_what_is_missing_and_only_that(#[case] page: &str, #[case] good: bool) {
-    assert_eq!(missing(page, &functions()).is_empty(), good);
+fn the_check_finds_what_is_missing_and_only_that(
+    #[case] page: &str,
+    #[case] expects_none_missing: bool,
+) {
+    assert_eq!(missing_names(&page, &all_function_names()).is_empty(), expects_none_missing);
 }
--- a/tests/relays.rs
+++ b/tests/relays.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use testbed::{Deployment, Plan, deployment::wait_for, plan::OPERATOR_KEY, plan::VIDRIO_KEY};
 
-const ROUTERS: usize = 6;
+const ROUTER_COUNT: usize = 6;
 /// Time limit for an accepted change to take effect everywhere.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(7);
 
@@ -19,26 +19,32 @@
 
 fn plan() -> Plan {
     let engine_options = ["--token-us", "2000", "--load-ms", "100"].map(str::to_owned).into();
-    Plan { routers: ROUTERS, engines: 2, follow_routers: true, engine_options, ..Plan::default() }
+    Plan {
+        routers: ROUTER_COUNT,
+        engines: 2,
+        follow_routers: true,
+        engine_options,
+        ..Plan::default()
+    }
 }
 
-fn routers() -> Vec<String> {
-    (0..ROUTERS).map(|i| format!("router-{i}")).collect()
+fn router_names() -> Vec<String> {
+    (0..ROUTER_COUNT).map(|i| format!("router-{i}")).collect()
 }
 
 fn readers_and_followers(deployment: &Deployment) -> (Vec<String>, Vec<String>) {
-    let peers: Vec<SmolStr> = routers().iter().map(|r| deployment.address(r).into()).collect();
-    routers().into_iter().partition(|name| {
+    let peers: Vec<SmolStr> = router_names().iter().map(|r| deployment.address(r).into()).collect();
+    router_names().into_iter().partition(|name| {
         let own: SmolStr = deployment.address(name).into();
         source::choose_relays(&WriterId(format_smolstr!("{name}")), Some(&own), &peers).is_empty()
     })
 }
 
-async fn version(deployment: &Deployment, router: &str) -> Option<u64> {
+async fn settings_version(deployment: &Deployment, router: &str) -> Option<u64> {
     deployment.status(router).await["version"].as_u64()
 }
 
-async fn change(deployment: &Deployment, router: &str, lag_ms: u64) -> u64 {
+async fn change_host_list_lag(deployment: &Deployment, router: &str, lag_ms: u64) -> u64 {
     let get = deployment.http.get(deployment.url(router, "/operator/get?prefix=system/"));
     let current = get.bearer_auth(OPERATOR_KEY).send().await.expect("the router answers");
     let current: serde_json::Value = current.json().await.expect("answers are JSON");
@@ -58,7 +64,7 @@
     let started_at = Instant::now();
     for name in names {
         wait_for(&format!("version {expected} at {name}"), async || {
-            version(deployment, name).await.is_some_and(|version| version >= expected)
+            settings_version(deployment, name).await.is_some_and(|version| version >= expected)
         })
         .await;
     }
@@ -73,14 +79,14 @@
         let mut deployment = Deployment::start(plan()).await;
         let (readers, followers) = readers_and_followers(&deployment);
         assert_eq!(readers.len(), source::LOG_READERS);
-        let accepted = change(&deployment, &readers[0], 11_000).await;
-        let all = time_to_version(&deployment, &routers(), accepted).await;
+        let accepted = change_host_list_lag(&deployment, &readers[0], 11_000).await;
+        let all = time_to_version(&deployment, &router_names(), accepted).await;
         assert!(all < PROPAGATION_LIMIT, "through relays: {all:?}");
         for name in &readers {
             deployment.process(name).freeze();
         }
         let started_at = Instant::now();
-        let accepted = change(&deployment, &followers[0], 12_000).await;
+        let accepted = change_host_list_lag(&deployment, &followers[0], 12_000).await;
         time_to_version(&deployment, &followers, accepted).await;
         let took = started_at.elapsed();
         assert!(took < PROPAGATION_LIMIT, "past unresponsive relays: {took:?}");
--- a/tests/standin_engine.rs
+++ b/tests/standin_engine.rs
@@ -30,7 +30,7 @@
     Weights::model("m".into(), "1".into())
 }
 
-async fn start(options: &[&str]) -> RunningEngine {
+async fn start_engine(options: &[&str]) -> RunningEngine {
     let address = free_addresses(1).remove(0);
     let dir = std::env::temp_dir().join(format!("engine-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("the temporary folder can be written");
@@ -50,9 +50,14 @@
     RunningEngine { engine, address, dir, _process: process }
 }
 
-fn generate(prompt: &str, request: &str, priority: u8, tokens: u32) -> GenerateRequest {
-    let body = json!({ "prompt": prompt, "max_tokens": tokens }).to_string().into();
-    let (request, traceparent) = (request.into(), "".into());
+fn generate_request(
+    prompt: &str,
+    request_id: &str,
+    priority: u8,
+    max_tokens: u32,
+) -> GenerateRequest {
+    let body = json!({ "prompt": prompt, "max_tokens": max_tokens }).to_string().into();
+    let (request, traceparent) = (request_id.into(), "".into());
     GenerateRequest {
         chat: false,
         weights: weights(),
@@ -64,7 +69,7 @@
     }
 }
 
-async fn run(engine: &HttpEngine, generate: GenerateRequest) -> u64 {
+async fn generate_to_end(engine: &HttpEngine, generate: GenerateRequest) -> u64 {
     let mut stream = engine.generate(generate).await.expect("the model is loaded");
     while let Some(event) = stream.next().await {
         if let EngineEvent::Finished { completion_tokens, .. } =
@@ -86,17 +91,17 @@
 fn cache_events_lag_and_their_gaps_are_detectable() {
     block_on(async {
         let options = ["--token-us", "0", "--event-lag-ms", "300", "--cache-blocks", "4"];
-        let running = start(&options).await;
+        let running = start_engine(&options).await;
         let engine = &running.engine;
         let fault = reqwest::Client::new().post(format!("http://{}/fault", running.address));
         let set = fault.json(&json!({ "lose_cache_events": 3 })).send().await;
         assert!(set.expect("the engine answers").status().is_success());
         let prompt = |word: &str| [word; 64].join(" ");
-        assert_eq!(run(engine, generate(&prompt("a"), "r-1", 1, 2)).await, 2);
+        assert_eq!(generate_to_end(engine, generate_request(&prompt("a"), "r-1", 1, 2)).await, 2);
         let early = engine.cache_events(1).await.expect("the engine answers");
         assert!(early.events.is_empty(), "events without delay: {early:?}");
-        assert_eq!(run(engine, generate(&prompt("a"), "r-2", 1, 2)).await, 2);
-        assert_eq!(run(engine, generate(&prompt("b"), "r-3", 1, 2)).await, 2);
+        assert_eq!(generate_to_end(engine, generate_request(&prompt("a"), "r-2", 1, 2)).await, 2);
+        assert_eq!(generate_to_end(engine, generate_request(&prompt("b"), "r-3", 1, 2)).await, 2);
         // Four blocks added, then four more added and the first four evicted.
         let mut late = early;
         wait_for("late events", async || {
@@ -118,11 +123,11 @@
 fn reports_lag_and_urgent_requests_are_scheduled_first() {
     block_on(async {
         let options = ["--token-us", "20000", "--batch", "1", "--report-lag-ms", "200"];
-        let running = start(&options).await;
+        let running = start_engine(&options).await;
         let spawn_request = |request: &'static str, priority, tokens| {
             let engine = running.engine.clone();
             tokio::spawn(async move {
-                run(&engine, generate("x", request, priority, tokens)).await;
+                generate_to_end(&engine, generate_request("x", request, priority, tokens)).await;
                 tokio::time::Instant::now()
             })
         };
--- a/tests/stream_recovery.rs
+++ b/tests/stream_recovery.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use testbed::{Deployment, Plan, deployment::wait_for, plan::HINOKUNI_KEY};
 
-const TOKENS: usize = 60;
+const TOKENS_PER_STREAM: usize = 60;
 
 fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -14,7 +14,7 @@
 }
 
 /// Starts a deployment whose engines generate a token every 20 ms.
-async fn start(replicas: u32) -> Deployment {
+async fn start_deployment(replicas: u32) -> Deployment {
     let options = ["--token-us", "20000", "--load-ms", "100"];
     let mut plan = Plan {
         engine_options: options.map(str::to_owned).into(),
@@ -29,19 +29,19 @@
     Deployment::start(plan).await
 }
 
-struct Stream {
+struct TokenStream {
     events: futures::stream::BoxStream<'static, String>,
-    text: String,
+    received_text: String,
 }
 
-impl Stream {
-    async fn open(deployment: &Deployment, router: &str, after: usize) -> Option<Self> {
-        let body = json!({ "model": "design-13b", "prompt": "stripes", "max_tokens": TOKENS,
+impl TokenStream {
+    async fn open(deployment: &Deployment, router: &str, last_event_id: usize) -> Option<Self> {
+        let body = json!({ "model": "design-13b", "prompt": "stripes", "max_tokens": TOKENS_PER_STREAM,
             "stream": true });
         let url = deployment.url(router, "/v1/completions");
         let mut req = deployment.http.post(url).bearer_auth(HINOKUNI_KEY).json(&body);
-        if after > 0 {
-            req = req.header("last-event-id", after);
+        if last_event_id > 0 {
+            req = req.header("last-event-id", last_event_id);
         }
         let answer = req.send().await.ok()?;
         if !answer.status().is_success() {
@@ -49,7 +49,7 @@
         }
         let parts = answer.bytes_stream().take_while(|part| std::future::ready(part.is_ok()));
         let parts = parts.map(|part| String::from_utf8_lossy(&part.unwrap_or_default()).into());
-        Some(Self { events: parts.boxed(), text: String::new() })
+        Some(Self { events: parts.boxed(), received_text: String::new() })
     }
 
     async fn begin(deployment: &Deployment, router: &str) -> Self {
@@ -62,38 +62,38 @@
         opened.expect("the stream was opened")
     }
 
-    async fn read(&mut self, tokens: usize) {
-        while self.tokens().len() < tokens
+    async fn read_tokens(&mut self, min_count: usize) {
+        while self.tokens().len() < min_count
             && let Some(part) = self.events.next().await
         {
-            self.text.push_str(&part);
+            self.received_text.push_str(&part);
         }
     }
 
     async fn read_to_end(&mut self) {
         while let Some(part) = self.events.next().await {
-            self.text.push_str(&part);
+            self.received_text.push_str(&part);
         }
     }
 
     fn is_complete(&self) -> bool {
-        self.text.contains("[DONE]")
+        self.received_text.contains("[DONE]")
     }
 
-    /// Texts of all complete events, in order.
+    /// Tokens of all completely received events.
     fn tokens(&self) -> Vec<String> {
-        let events = self.text.split("\n\n").filter(|event| event.starts_with("id: "));
+        let events = self.received_text.split("\n\n").filter(|event| event.starts_with("id: "));
         let data = events.filter_map(|event| event.split_once("data: "));
         let value = data.filter_map(|(_, data)| serde_json::from_str::<Value>(data).ok());
         value.filter_map(|v| v["choices"][0]["text"].as_str().map(str::to_owned)).collect()
     }
 }
 
-async fn complete_tokens(deployment: &Deployment) -> Vec<String> {
-    let mut stream = Stream::begin(deployment, "router-1").await;
+async fn expected_tokens(deployment: &Deployment) -> Vec<String> {
+    let mut stream = TokenStream::begin(deployment, "router-1").await;
     stream.read_to_end().await;
-    assert!(stream.is_complete(), "{}", stream.text);
-    assert_eq!(stream.tokens().len(), TOKENS);
+    assert!(stream.is_complete(), "{}", stream.received_text);
+    assert_eq!(stream.tokens().len(), TOKENS_PER_STREAM);
     stream.tokens()
 }
 
@@ -125,10 +125,10 @@
 #[case::unresponsive_and_agent_killed("unresponsive and agent", 2)]
 fn a_stream_resumes_after_a_failure(#[case] fault: &str, #[case] replicas: u32) {
     block_on(async {
-        let mut deployment = start(replicas).await;
-        let expected = complete_tokens(&deployment).await;
-        let mut stream = Stream::begin(&deployment, "router-0").await;
-        stream.read(10).await;
+        let mut deployment = start_deployment(replicas).await;
+        let expected = expected_tokens(&deployment).await;
+        let mut stream = TokenStream::begin(&deployment, "router-0").await;
+        stream.read_tokens(10).await;
         let target = busy_engine(&deployment).await;
         if fault.contains("unresponsive") {
             let fault = json!({ "silence_open": true });
@@ -155,7 +155,7 @@
             _ => {}
         }
         stream.read_to_end().await;
-        assert!(stream.is_complete(), "{}", stream.text);
+        assert!(stream.is_complete(), "{}", stream.received_text);
         assert_eq!(stream.tokens(), expected);
     });
 }
@@ -164,15 +164,15 @@
 #[rstest]
 fn a_caller_resumes_its_stream_through_another_router() {
     block_on(async {
-        let mut deployment = start(2).await;
-        let expected = complete_tokens(&deployment).await;
-        let mut first = Stream::begin(&deployment, "router-0").await;
-        first.read(20).await;
+        let mut deployment = start_deployment(2).await;
+        let expected = expected_tokens(&deployment).await;
+        let mut first = TokenStream::begin(&deployment, "router-0").await;
+        first.read_tokens(20).await;
         deployment.process("router-0").kill();
         first.read_to_end().await;
         assert!(!first.is_complete());
         let received = first.tokens();
-        let mut rest = Stream::open(&deployment, "router-1", received.len())
+        let mut rest = TokenStream::open(&deployment, "router-1", received.len())
             .await
             .expect("the stream continues");
         rest.read_to_end().await;
@@ -185,9 +185,9 @@
 #[rstest]
 fn requests_of_disconnected_callers_are_cancelled_within_a_second() {
     block_on(async {
-        let deployment = start(1).await;
-        let mut stream = Stream::begin(&deployment, "router-0").await;
-        stream.read(5).await;
+        let deployment = start_deployment(1).await;
+        let mut stream = TokenStream::begin(&deployment, "router-0").await;
+        stream.read_tokens(5).await;
         let target = busy_engine(&deployment).await;
         drop(stream);
         let started_at = Instant::now();
@@ -205,10 +205,11 @@
 #[rstest]
 fn callers_with_the_same_request_id_get_their_own_answers() {
     block_on(async {
-        let deployment = start(1).await;
-        complete_tokens(&deployment).await;
+        let deployment = start_deployment(1).await;
+        expected_tokens(&deployment).await;
         let ask = |prompt: &'static str| {
-            let body = json!({ "model": "design-13b", "prompt": prompt, "max_tokens": TOKENS });
+            let body =
+                json!({ "model": "design-13b", "prompt": prompt, "max_tokens": TOKENS_PER_STREAM });
             let url = deployment.url("router-0", "/v1/completions");
             let req = deployment.http.post(url).bearer_auth(HINOKUNI_KEY).json(&body);
             req.header("x-request-id", "same").send()
@@ -230,10 +231,10 @@
 #[case::engine("")]
 fn a_stream_is_intact_after_a_process_is_frozen_and_resumed(#[case] kind: &str) {
     block_on(async {
-        let mut deployment = start(2).await;
-        let expected = complete_tokens(&deployment).await;
-        let mut stream = Stream::begin(&deployment, "router-0").await;
-        stream.read(10).await;
+        let mut deployment = start_deployment(2).await;
+        let expected = expected_tokens(&deployment).await;
+        let mut stream = TokenStream::begin(&deployment, "router-0").await;
+        stream.read_tokens(10).await;
         let target = busy_engine(&deployment).await;
         let name = format!("{kind}{target}");
         deployment.process(&name).freeze();
@@ -241,11 +242,11 @@
             tokio::time::sleep(Duration::from_millis(1500)).await;
             deployment.process(&name).resume();
         } else {
-            stream.read(30).await;
+            stream.read_tokens(30).await;
             deployment.process(&name).resume();
         }
         stream.read_to_end().await;
-        assert!(stream.is_complete(), "{}", stream.text);
+        assert!(stream.is_complete(), "{}", stream.received_text);
         assert_eq!(stream.tokens(), expected);
     });
 }
