--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -15,7 +15,7 @@
 }
 
 fn status(deployment: &Deployment) -> Value {
-    let (code, output) = deployment.command(&["status", "--json"]);
+    let (code, output) = deployment.run_operator_command(&["status", "--json"]);
     assert_eq!(code, Some(0), "{output}");
     serde_json::from_str(&output).expect("--json prints JSON")
 }
@@ -60,7 +60,7 @@
         })
         .await;
         wait_for("warm", async || stages(&status(&deployment), "rounds-3b") == ["warm"]).await;
-        let (_, table) = deployment.command(&["status"]);
+        let (_, table) = deployment.run_operator_command(&["status"]);
         assert!(table.contains("control lease") && table.contains("warm"), "{table}");
         deployment.process("agent-service-0").kill();
         deployment.process("router-1").kill();
@@ -79,7 +79,7 @@
         let deployment = Deployment::start(small_plan()).await;
         let folder = deployment.settings_folder();
         let folder_name = folder.display().to_string();
-        let (code, output) = deployment.command(&["diff", &folder_name]);
+        let (code, output) = deployment.run_operator_command(&["diff", &folder_name]);
         assert_eq!((code, output.trim()), (Some(0), "no difference"));
 
         let file = folder.join("teams/vidrio/models/quotes-7b.json");
@@ -88,33 +88,35 @@
         value["replicas"] = json!(1);
         value["urgency"] = json!("urgent");
         fs::write(&file, value.to_string()).expect("writable");
-        let (code, output) = deployment.command(&["diff", &folder_name]);
+        let (code, output) = deployment.run_operator_command(&["diff", &folder_name]);
         assert_eq!(code, Some(0));
         assert!(output.contains("~ teams/vidrio/models/quotes-7b"), "{output}");
         assert!(output.contains("/replicas: 2 → 1"), "{output}");
         assert!(output.contains("/urgency: \"urgent\" (new)"), "{output}");
 
-        let (code, output) = deployment.command(&["apply", &folder_name, "--author", "ana"]);
+        let (code, output) =
+            deployment.run_operator_command(&["apply", &folder_name, "--author", "ana"]);
         assert_eq!(code, Some(0), "{output}");
         let (code, output) =
-            deployment.command(&["get", "teams/vidrio/models/quotes-7b", "--json"]);
+            deployment.run_operator_command(&["get", "teams/vidrio/models/quotes-7b", "--json"]);
         assert_eq!(code, Some(0), "{output}");
         let got: Value = serde_json::from_str(&output).expect("--json prints JSON");
         assert_eq!(got["value"]["replicas"], 1);
-        assert_eq!(deployment.command(&["get", "teams/nobody"]).0, Some(1));
-        let (code, output) = deployment.command(&["history", "teams/vidrio/models/quotes-7b"]);
+        assert_eq!(deployment.run_operator_command(&["get", "teams/nobody"]).0, Some(1));
+        let (code, output) =
+            deployment.run_operator_command(&["history", "teams/vidrio/models/quotes-7b"]);
         assert_eq!(code, Some(0), "{output}");
         assert!(output.contains("ana: accepted as version"), "{output}");
 
         value["replicas"] = json!("many");
         fs::write(&file, value.to_string()).expect("writable");
-        let (code, output) = deployment.command(&["apply", &folder_name]);
+        let (code, output) = deployment.run_operator_command(&["apply", &folder_name]);
         assert_eq!(code, Some(1), "{output}");
         assert!(output.contains("/replicas"), "{output}");
-        assert_eq!(deployment.command(&["apply"]).0, Some(2));
-        assert_eq!(deployment.command(&["no-such-command"]).0, Some(2));
+        assert_eq!(deployment.run_operator_command(&["apply"]).0, Some(2));
+        assert_eq!(deployment.run_operator_command(&["no-such-command"]).0, Some(2));
         let closed = testbed::process::free_addresses(1).remove(0);
-        assert_eq!(deployment.command(&["status", "--router", &closed]).0, Some(5));
+        assert_eq!(deployment.run_operator_command(&["status", "--router", &closed]).0, Some(5));
     });
 }
 
@@ -130,7 +132,7 @@
 #[case("hash-key")]
 fn each_command_has_help(#[case] command: &str) {
     let deployment = Deployment::prepare(small_plan());
-    let (code, output) = deployment.command(&[command, "--help"]);
+    let (code, output) = deployment.run_operator_command(&[command, "--help"]);
     assert_eq!(code, Some(0));
     assert!(output.contains(&format!("corianderstand {command}")), "{output}");
     assert!(output.contains("--help"), "{output}");
--- a/tools/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -51,7 +51,7 @@
     let counts = deployment.counters("service-0").await;
     println!("\nthe service ran {} booking(s)", counts["ran"]);
     show_trace(&deployment);
-    let (_, status) = deployment.command(&["status"]);
+    let (_, status) = deployment.run_operator_command(&["status"]);
     println!("\n{status}");
 }
 
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -256,7 +256,7 @@
     pub async fn apply_plan(&mut self) {
         self.wait_for_answer("router-0", "/readyz").await;
         let settings = self.settings_folder();
-        let (code, output) = self.command(&["apply", &settings.display().to_string()]);
+        let (code, output) = self.run_operator_command(&["apply", &settings.display().to_string()]);
         assert_eq!(code, Some(0), "apply: {output}");
     }
 
@@ -273,12 +273,12 @@
     }
 
     /// Runs an operator command against the first router; returns exit code and output.
-    pub fn command(&self, args: &[&str]) -> (Option<i32>, String) {
-        self.command_at("router-0", args)
+    pub fn run_operator_command(&self, args: &[&str]) -> (Option<i32>, String) {
+        self.run_operator_command_at("router-0", args)
     }
 
     /// Runs an operator command against a router; returns exit code and output.
-    pub fn command_at(&self, router: &str, args: &[&str]) -> (Option<i32>, String) {
+    pub fn run_operator_command_at(&self, router: &str, args: &[&str]) -> (Option<i32>, String) {
         let output =
             std::process::Command::new(crate::process::binary_dir().join("corianderstand"))
                 .args(args)
--- a/tools/testbed/src/script.rs
+++ b/tools/testbed/src/script.rs
@@ -274,7 +274,7 @@
     engine.register_fn("operate", move |router: &str, args: Array| -> ScriptResult<Dynamic> {
         let args: Vec<String> = args.into_iter().map(|arg| arg.to_string()).collect();
         let args: Vec<&str> = args.iter().map(String::as_str).collect();
-        let (code, output) = s.with_deployment(|d, _| d.command_at(router, &args))?;
+        let (code, output) = s.with_deployment(|d, _| d.run_operator_command_at(router, &args))?;
         to_dynamic(&serde_json::json!({ "code": code, "output": output }))
     });
     let s = context.clone();
