--- a/crates/corianderstand_standins/src/engine.rs
+++ b/crates/corianderstand_standins/src/engine.rs
@@ -302,7 +302,7 @@
             self.has_ended = true;
             return Some((Err(std::io::Error::other("stream interrupted")), self));
         }
-        let token = text::token(&self.model, &self.prompt, self.next_position);
+        let token = text::token_at(&self.model, &self.prompt, self.next_position);
         self.next_position += 1;
         self.engine.lock().counters.tokens += 1;
         let choice = if self.is_chat {
@@ -311,7 +311,7 @@
             json!({ "index": 0, "text": token })
         };
         let value = json!({ "id": self.request_id, "choices": [choice] });
-        Some((Ok(serve::event(&value.to_string())), self))
+        Some((Ok(serve::format_event(&value.to_string())), self))
     }
 
     fn is_interrupted(&self) -> bool {
@@ -329,8 +329,8 @@
                 "total_tokens": prompt_tokens as u64 + self.max_tokens,
                 "prompt_tokens_details": { "cached_tokens": self.cached_prompt_tokens } },
         });
-        let mut end = serve::event(&value.to_string()).to_vec();
-        end.extend_from_slice(&serve::event("[DONE]"));
+        let mut end = serve::format_event(&value.to_string()).to_vec();
+        end.extend_from_slice(&serve::format_event("[DONE]"));
         end.into()
     }
 }
@@ -380,18 +380,18 @@
 pub async fn run(matches: &Matches) -> Result<(), String> {
     let client = reqwest::Client::builder().no_proxy().build().map_err(|e| e.to_string())?;
     let engine = Arc::new(Engine {
-        memory_mib: serve::opt(matches, "memory-mib", 80_000)?,
-        token_interval: Duration::from_micros(serve::opt(matches, "token-us", 5_000)?),
-        prefill_per_token: Duration::from_micros(serve::opt(matches, "prefill-us", 0)?),
-        batch: Batch::new(serve::opt(matches, "batch", 32)?),
-        report_lag: Duration::from_millis(serve::opt(matches, "report-lag-ms", 0)?),
-        event_lag: Duration::from_millis(serve::opt(matches, "event-lag-ms", 0)?),
-        weight_load_ms: serve::opt(matches, "load-ms", 500)?,
+        memory_mib: serve::parse_option(matches, "memory-mib", 80_000)?,
+        token_interval: Duration::from_micros(serve::parse_option(matches, "token-us", 5_000)?),
+        prefill_per_token: Duration::from_micros(serve::parse_option(matches, "prefill-us", 0)?),
+        batch: Batch::new(serve::parse_option(matches, "batch", 32)?),
+        report_lag: Duration::from_millis(serve::parse_option(matches, "report-lag-ms", 0)?),
+        event_lag: Duration::from_millis(serve::parse_option(matches, "event-lag-ms", 0)?),
+        weight_load_ms: serve::parse_option(matches, "load-ms", 500)?,
         weights_url: matches.opt_str("weights"),
         check_fencing: matches.opt_present("check-fencing"),
         client,
         inner: Mutex::new(EngineState {
-            cache: PrefixCache::new(serve::opt(matches, "cache-blocks", 4096)?),
+            cache: PrefixCache::new(serve::parse_option(matches, "cache-blocks", 4096)?),
             load_reports: VecDeque::new(),
             loaded_weights: Vec::new(),
             newest_fences: BTreeMap::new(),
@@ -417,5 +417,5 @@
                 .post(endpoint(|s, r| cancel_request(s, r).boxed())),
         )
         .push(Router::with_path("fault").post(endpoint(|s, r| set_fault(s, r).boxed())));
-    serve::serve(&serve::listen(matches)?, routes).await
+    serve::serve(&serve::listen_address(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/hosts.rs
+++ b/crates/corianderstand_standins/src/hosts.rs
@@ -73,7 +73,7 @@
 }
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
-    let visibility_lag = Duration::from_millis(serve::opt(matches, "lag-ms", 0)?);
+    let visibility_lag = Duration::from_millis(serve::parse_option(matches, "lag-ms", 0)?);
     let list = Arc::new(HostList { visibility_lag, inner: Mutex::default() });
     let hosts_route = Router::with_path("hosts")
         .get(Endpoint(list.clone(), |s, r| get_hosts(s, r).boxed()))
@@ -81,5 +81,5 @@
     let routes = Router::new()
         .push(hosts_route)
         .push(Router::with_path("fault").post(Endpoint(list, |s, r| set_fault(s, r).boxed())));
-    serve::serve(&serve::listen(matches)?, routes).await
+    serve::serve(&serve::listen_address(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/log.rs
+++ b/crates/corianderstand_standins/src/log.rs
@@ -143,7 +143,8 @@
 }
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
-    let retention = Duration::from_millis(serve::opt(matches, "retention-ms", 86_400_000)?);
+    let retention =
+        Duration::from_millis(serve::parse_option(matches, "retention-ms", 86_400_000)?);
     let inner = Mutex::new(LogState { next_offset: 1, ..LogState::default() });
     let log = Arc::new(Log { retention, inner, last_appended: watch::Sender::new(0) });
     let routes = Router::new()
@@ -153,5 +154,5 @@
             Router::with_path("counters").get(Endpoint(log.clone(), |s, r| counters(s, r).boxed())),
         )
         .push(Router::with_path("fault").post(Endpoint(log, |s, r| set_fault(s, r).boxed())));
-    serve::serve(&serve::listen(matches)?, routes).await
+    serve::serve(&serve::listen_address(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/relay.rs
+++ b/crates/corianderstand_standins/src/relay.rs
@@ -34,9 +34,7 @@
 async fn set_fault(relay: Arc<Relay>, req: ApiRequest) -> Reply {
     match req.json::<Fault>() {
         Ok(fault) => {
-            relay.fault.send_modify(|(fault_count, current)| {
-                (*fault_count, *current) = (*fault_count + 1, fault)
-            });
+            relay.fault.send_modify(|(count, current)| (*count, *current) = (*count + 1, fault));
             Reply::text(200, "set")
         }
         Err(reply) => reply,
@@ -93,7 +91,7 @@
 }
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
-    let listen = serve::listen(matches)?;
+    let listen = serve::listen_address(matches)?;
     let upstream_address = matches.opt_str("to").ok_or("--to is missing")?;
     let control_address = matches.opt_str("control").ok_or("--control is missing")?;
     let listener = TcpListener::bind(&listen).await;
--- a/crates/corianderstand_standins/src/serve.rs
+++ b/crates/corianderstand_standins/src/serve.rs
@@ -16,7 +16,7 @@
 pub struct ApiRequest {
     pub method: String,
     pub path: String,
-    /// Path and query parameters.
+    /// Path and query parameters by name.
     pub params: HashMap<String, String>,
     /// Headers with text values, by lower-case name.
     pub headers: HashMap<String, String>,
@@ -40,27 +40,25 @@
 }
 
 pub enum Reply {
-    Whole(u16, &'static str, Bytes),
-    /// A stream of server-sent events.
+    Complete(u16, &'static str, Bytes),
+    /// Stream of server-sent events.
     Events(BoxStream<'static, Result<Bytes, std::io::Error>>),
 }
 
 impl Reply {
     pub fn json(value: &impl Serialize) -> Self {
         let body = serde_json::to_vec(value).expect("a reply serializes to JSON");
-        Self::Whole(200, "application/json", body.into())
+        Self::Complete(200, "application/json", body.into())
     }
 
     pub fn text(status: u16, text: &str) -> Self {
-        Self::Whole(status, "text/plain", Bytes::copy_from_slice(text.as_bytes()))
+        Self::Complete(status, "text/plain", Bytes::copy_from_slice(text.as_bytes()))
     }
 }
 
-/// A request handler over shared state.
-pub type Operation<S> = fn(Arc<S>, ApiRequest) -> BoxFuture<'static, Reply>;
+pub type RequestHandler<S> = fn(Arc<S>, ApiRequest) -> BoxFuture<'static, Reply>;
 
-/// A handler with its state.
-pub struct Endpoint<S>(pub Arc<S>, pub Operation<S>);
+pub struct Endpoint<S>(pub Arc<S>, pub RequestHandler<S>);
 
 #[async_trait]
 impl<S: Send + Sync + 'static> Handler for Endpoint<S> {
@@ -73,7 +71,7 @@
     ) {
         let request = read_request(req).await;
         match (self.1)(self.0.clone(), request).await {
-            Reply::Whole(status, content_type, body) => {
+            Reply::Complete(status, content_type, body) => {
                 res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::OK));
                 set_content_type(res, content_type);
                 drop(res.write_body(body));
@@ -109,27 +107,27 @@
     ApiRequest { method, path, params, headers, body }
 }
 
-pub async fn serve(listen: &str, routes: Router) -> Result<(), String> {
-    let acceptor = TcpListener::new(listen.to_owned()).try_bind().await;
-    let acceptor = acceptor.map_err(|error| format!("cannot listen on {listen}: {error}"))?;
+pub async fn serve(address: &str, routes: Router) -> Result<(), String> {
+    let acceptor = TcpListener::new(address.to_owned()).try_bind().await;
+    let acceptor = acceptor.map_err(|error| format!("cannot listen on {address}: {error}"))?;
     let nodelay = socket2::SockRef::from(acceptor.inner()).set_tcp_nodelay(true);
-    nodelay.map_err(|error| format!("cannot set up {listen}: {error}"))?;
+    nodelay.map_err(|error| format!("cannot set up {address}: {error}"))?;
     Server::new(acceptor).serve(routes).await;
     Ok(())
 }
 
-pub fn opt<T: FromStr>(matches: &Matches, name: &str, default: T) -> Result<T, String> {
+pub fn parse_option<T: FromStr>(matches: &Matches, name: &str, default: T) -> Result<T, String> {
     match matches.opt_str(name) {
         None => Ok(default),
         Some(text) => text.parse().map_err(|_| format!("--{name}: cannot use {text:?}")),
     }
 }
 
-pub fn listen(matches: &Matches) -> Result<String, String> {
+pub fn listen_address(matches: &Matches) -> Result<String, String> {
     matches.opt_str("listen").ok_or_else(|| "--listen is missing".to_owned())
 }
 
-/// Formats a server-sent event.
-pub fn event(data: &str) -> Bytes {
+/// Server-sent event with `data`.
+pub fn format_event(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
 }
--- a/crates/corianderstand_standins/src/service.rs
+++ b/crates/corianderstand_standins/src/service.rs
@@ -56,7 +56,7 @@
     time::sleep(Duration::from_millis(fault.after_ms)).await;
     if fault.plain {
         let text = format!("booked as number {execution_count}");
-        return Reply::Whole(201, "text/plain", text.into_bytes().into());
+        return Reply::Complete(201, "text/plain", text.into_bytes().into());
     }
     let body = String::from_utf8_lossy(&req.body).into_owned();
     let traceparent: String = req.header("traceparent");
@@ -88,5 +88,5 @@
         .push(Router::with_path("counts").get(endpoint(|s, r| counts(s, r).boxed())))
         .push(Router::with_path("fault").post(endpoint(|s, r| set_fault(s, r).boxed())))
         .push(Router::with_path("{**rest}").goal(endpoint(|s, r| call(s, r).boxed())));
-    serve::serve(&serve::listen(matches)?, routes).await
+    serve::serve(&serve::listen_address(matches)?, routes).await
 }
--- a/crates/corianderstand_standins/src/text.rs
+++ b/crates/corianderstand_standins/src/text.rs
@@ -7,8 +7,7 @@
     "size ", "shirt ", "stripe ", "collar ", "order ", "parent ",
 ];
 
-/// Returns the token at a position.
-pub fn token(model: &str, prompt: &[u8], position: u64) -> String {
+pub fn token_at(model: &str, prompt: &[u8], position: u64) -> String {
     let seed = xxh3_64(prompt) ^ xxh3_64(model.as_bytes());
     let hash = xxh3_64(&(seed ^ position.wrapping_mul(0x9e37_79b9)).to_le_bytes());
     format!("{position}{}", WORDS[(hash % WORDS.len() as u64) as usize])
--- a/crates/corianderstand_standins/src/weights.rs
+++ b/crates/corianderstand_standins/src/weights.rs
@@ -89,9 +89,9 @@
 }
 
 pub async fn run(matches: &Matches) -> Result<(), String> {
-    let rate: f64 = serve::opt(matches, "rate", 2.0)?;
+    let rate: f64 = serve::parse_option(matches, "rate", 2.0)?;
     let store = Arc::new(Store {
-        full_speed_fetches: serve::opt(matches, "concurrent", 4)?,
+        full_speed_fetches: serve::parse_option(matches, "concurrent", 4)?,
         fetch_start_interval: Duration::from_secs_f64(1.0 / rate),
         inner: Mutex::new(StoreState {
             report: StoreReport::default(),
@@ -103,5 +103,5 @@
         .push(Router::with_path("fetch").get(Endpoint(store.clone(), |s, r| fetch(s, r).boxed())))
         .push(Router::with_path("report").get(Endpoint(store.clone(), |s, r| report(s, r).boxed())))
         .push(Router::with_path("fault").post(Endpoint(store, |s, r| set_fault(s, r).boxed())));
-    serve::serve(&serve::listen(matches)?, routes).await
+    serve::serve(&serve::listen_address(matches)?, routes).await
 }
