--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -101,5 +101,5 @@
     #[case] page: &str,
     #[case] expects_none_missing: bool,
 ) {
-    assert_eq!(missing_names(&page, &all_function_names()).is_empty(), expects_none_missing);
+    assert_eq!(missing_names(page, &all_function_names()).is_empty(), expects_none_missing);
 }
--- a/tools/capacity/src/emulate.rs
+++ b/tools/capacity/src/emulate.rs
@@ -166,7 +166,7 @@
     loop {
         match log.read(next_offset, 1024, wait_limit).await {
             Ok(page) => {
-                next_offset = page.entries.last().map_or(next_offset, |entry| entry.offset + 1)
+                next_offset = page.entries.last().map_or(next_offset, |entry| entry.offset + 1);
             }
             Err(_) => time::sleep(Duration::from_secs(5)).await,
         }
--- a/tools/demo/src/main.rs
+++ b/tools/demo/src/main.rs
@@ -16,12 +16,12 @@
 }
 
 async fn run() {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let deployment = Deployment::start(Plan::default()).await;
     println!(
         "started {} processes in {:.1?}",
         deployment.started_processes().len(),
-        began.elapsed()
+        started_at.elapsed()
     );
     let completion =
         json!({ "model": "quotes-7b", "prompt": "A quote for nine floors", "max_tokens": 8 });
@@ -60,14 +60,14 @@
     label: &str,
     router: &str,
     path: &str,
-    key: &str,
+    bearer_token: &str,
     body: &Value,
 ) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let answer = deployment
         .http
         .post(deployment.url(router, path))
-        .bearer_auth(key)
+        .bearer_auth(bearer_token)
         .header("idempotency-key", "booking-1")
         .header("traceparent", TRACEPARENT)
         .json(body)
@@ -76,7 +76,7 @@
         .expect("the router responds");
     let status = answer.status();
     let text = answer.text().await.expect("the response is complete");
-    println!("\n{label}: {path} at {router}: {status} after {:.0?}", began.elapsed());
+    println!("\n{label}: {path} at {router}: {status} after {:.0?}", started_at.elapsed());
     println!("{}", text.trim_end());
 }
 
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -153,7 +153,7 @@
                 cluster.engines[index].start().await;
             }
             Self::FailEngine(index) => {
-                cluster.engines[index].target.set_faults(TargetFaults::default())
+                cluster.engines[index].target.set_faults(TargetFaults::default());
             }
             Self::LoseCommands => set_all_engine_faults(cluster, TargetFaults::default()),
             Self::EngineLink(index, _) => cluster.engines[index].target_proxy.set(Mode::Pass),
