--- a/crates/corianderstand_standins/src/serve.rs
+++ b/crates/corianderstand_standins/src/serve.rs
@@ -12,7 +12,6 @@
 
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// A parsed request.
 pub struct ApiRequest {
     pub method: String,
     pub path: String,
@@ -127,7 +126,6 @@
     matches.opt_str("listen").ok_or_else(|| "--listen is missing".to_owned())
 }
 
-/// Server-sent event with `data`.
 pub fn format_event(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
 }
--- a/tools/agreed/src/planner.rs
+++ b/tools/agreed/src/planner.rs
@@ -78,7 +78,6 @@
     lost_slots
 }
 
-/// Prints planning times and replica moves.
 pub fn measure() {
     let mut state = state_without_plan();
     let view = View::new(&state.documents);
--- a/tools/bench/src/load.rs
+++ b/tools/bench/src/load.rs
@@ -5,10 +5,8 @@
 use reqwest::RequestBuilder;
 use std::time::{Duration, Instant};
 
-/// Upper bound of recorded latencies.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Result of a load run, over all callers.
 pub struct LoadResult {
     pub first_chunk_us: Histogram<u64>,
     pub chunks: u64,
--- a/tools/capacity/src/forward.rs
+++ b/tools/capacity/src/forward.rs
@@ -22,7 +22,6 @@
 }
 
 impl ByteCounter {
-    /// Bytes in both directions.
     pub fn total(&self) -> u64 {
         self.sent.load(Ordering::Relaxed) + self.received.load(Ordering::Relaxed)
     }
--- a/tools/capacity/src/main.rs
+++ b/tools/capacity/src/main.rs
@@ -35,7 +35,6 @@
     series: Vec<Series>,
 }
 
-/// Name of a measure and its accessor.
 type Measure<T> = (&'static str, fn(&T) -> f64);
 
 fn main() -> ExitCode {
--- a/tools/capacity/src/node.rs
+++ b/tools/capacity/src/node.rs
@@ -50,7 +50,6 @@
 }
 
 impl NodeCost {
-    /// Total traffic, in bytes per second.
     pub fn bytes_per_s(&self) -> f64 {
         self.log_bytes + self.hosts_bytes + self.link_bytes
     }
@@ -115,7 +114,6 @@
         }
     }
 
-    /// Appends records to the log.
     pub async fn append(&self, records: &[Record]) {
         for batch in records.chunks(APPEND_BATCH_RECORDS) {
             let data =
--- a/tools/capacity/src/requests.rs
+++ b/tools/capacity/src/requests.rs
@@ -21,7 +21,6 @@
 const TOKEN_TIME_US: &str = "500";
 const REQUEST_DEADLINE_MS: u64 = 120_000;
 
-/// CPU usage under a load of requests.
 #[derives(wire)]
 #[derive(Copy, Default)]
 pub struct LoadCost {
--- a/tools/capacity/src/size.rs
+++ b/tools/capacity/src/size.rs
@@ -43,7 +43,6 @@
 };
 
 impl Size {
-    /// Scales all numbers to a percentage.
     pub const fn scaled_to(self, percent: usize) -> Self {
         Self {
             targets: self.targets * percent / 100,
@@ -57,7 +56,6 @@
     }
 }
 
-/// Collects records in log order.
 struct RecordWriter {
     records: Vec<Record>,
 }
--- a/tools/capacity/src/slope.rs
+++ b/tools/capacity/src/slope.rs
@@ -24,7 +24,6 @@
     pub spread: f64,
 }
 
-/// Median, or 0 without values.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/tools/capacity/src/state.rs
+++ b/tools/capacity/src/state.rs
@@ -10,7 +10,6 @@
 const TIMED_CLONES: u32 = 1000;
 const TIMED_CHANGES: usize = 20;
 
-/// Time and memory used by a state.
 #[derives(wire)]
 pub struct StateCost {
     pub size: size::Size,
@@ -18,13 +17,10 @@
     /// Bytes of all records in the log.
     pub record_bytes: usize,
     pub checkpoint_bytes: usize,
-    /// Resident memory of the state, in KiB.
     pub state_kib: i64,
     /// Resident memory of the parsed settings, in KiB.
     pub view_kib: i64,
-    /// Time to fold one record, in nanoseconds.
     pub fold_ns: f64,
-    /// Time to serialize the state, in milliseconds.
     pub checkpoint_ms: f64,
     /// Time to deserialize the state, in milliseconds.
     pub restore_ms: f64,
@@ -34,7 +30,6 @@
     pub change_ms: f64,
     /// Time to build the state and the settings from a JSON page of the log, in milliseconds.
     pub start_ms: f64,
-    /// Time to clone the state, in microseconds.
     pub clone_us: f64,
 }
 
--- a/tools/chaos/src/callers.rs
+++ b/tools/chaos/src/callers.rs
@@ -75,7 +75,6 @@
 }
 
 impl InFlightRequests {
-    /// Sends a booking after a delay.
     pub fn start_booking(
         &mut self,
         deployment: &Deployment,
--- a/tools/chaos/src/faults.rs
+++ b/tools/chaos/src/faults.rs
@@ -6,7 +6,6 @@
 use serde_json::{Value, json};
 use testbed::Deployment;
 
-/// A fault that is injected and later reverted.
 #[derives(data)]
 pub enum Fault {
     /// Kills a router or agent; reverting restarts it.
@@ -24,7 +23,6 @@
 }
 
 impl Fault {
-    /// Draws a random fault for the running processes.
     pub fn draw(deployment: &Deployment, rng: &mut ChaCha8Rng) -> Self {
         let all = deployment.started_processes();
         let processes_with_prefix = |prefixes: &[&str]| -> Vec<String> {
--- a/tools/chaos/src/measure.rs
+++ b/tools/chaos/src/measure.rs
@@ -71,7 +71,6 @@
     (count("appends"), count("records"), count("bytes_in"))
 }
 
-/// Runs all measurements and prints them.
 pub async fn run() {
     let deployment = Deployment::start(Plan { services: 2, engines: 2, ..Plan::default() }).await;
     let warm = Booking::new("warm", CALL_DEADLINE_MS);
--- a/tools/chaos/src/tally.rs
+++ b/tools/chaos/src/tally.rs
@@ -4,22 +4,17 @@
 use std::fmt;
 use testbed::booking::Answer;
 
-/// Outcome counts over all rounds.
 #[derives(data)]
 #[derive(Default)]
 pub struct Tally {
     pub bookings: usize,
-    /// Bookings that ran at least once.
     pub bookings_ran: usize,
-    /// Bookings that ran more than once.
     pub bookings_ran_twice: usize,
     /// Bookings that ran although they were reported as not run.
     pub bookings_falsely_not_run: usize,
     /// Bookings with differing results, or reported both as run and as not run.
     pub bookings_contradictory: usize,
-    /// Bookings reported as unknown during the round.
     pub unknown_during_round: usize,
-    /// Bookings still reported as unknown after the round.
     pub unknown_after_round: usize,
     /// Refusals after which the caller may retry under the same key.
     pub retryable_refusals: usize,
@@ -27,7 +22,6 @@
     /// Streams that ended with an error event.
     pub streams_failed: usize,
     pub streams_refused: usize,
-    /// Streams whose connection to the router broke.
     pub streams_disconnected: usize,
     /// Streams with tokens that are out of order or of another stream.
     pub streams_corrupted: usize,
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -144,7 +144,6 @@
     })
 }
 
-/// Measures all sizes and prints the results.
 pub fn print() {
     println!("router: submit and finish one request");
     let mut baseline = None;
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -52,7 +52,6 @@
     }
 }
 
-/// Outcome of a request for its caller.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Outcome {
     Complete(StatusCode, Bytes),
@@ -86,7 +85,6 @@
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Callers that send requests until they are stopped.
 #[derive(Debug)]
 pub struct Callers {
     requests: Arc<Mutex<Vec<RequestRecord>>>,
--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -13,7 +13,6 @@
 /// Time after a disruption during which the router's connections may still fail.
 const DISRUPTION_AFTERMATH: Duration = Duration::from_secs(3);
 
-/// Disruption of a router by an injected fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Disruption {
     pub router_index: usize,
--- a/tools/soak/src/cluster.rs
+++ b/tools/soak/src/cluster.rs
@@ -29,7 +29,6 @@
 pub struct ClusterSize {
     pub routers: usize,
     pub engines: usize,
-    /// Number of targets of the plain service.
     pub service_targets: usize,
 }
 
@@ -38,7 +37,6 @@
 pub struct ManagedProcess {
     pub name: String,
     pub ip: IpAddr,
-    /// Proxy between the process and the store.
     pub store_proxy: proxy::Proxy,
     pub process: Option<Process>,
     role: &'static str,
@@ -56,7 +54,6 @@
     }
 }
 
-/// A target with a proxy in front of it.
 #[derive(Debug)]
 pub struct ProxiedTarget {
     pub target: Target,
--- a/tools/soak/src/faults.rs
+++ b/tools/soak/src/faults.rs
@@ -35,7 +35,6 @@
     LoseCommands,
     /// Impair the connections to an engine.
     EngineLink(usize, Mode),
-    /// Impair a router's connections to the store.
     StoreLink(usize, Mode),
     /// Impair callers' connections to a router.
     FrontLink(usize, Mode),
