--- a/tools/ci/src/known_red.rs
+++ b/tools/ci/src/known_red.rs
@@ -5,16 +5,15 @@
 
 use std::{fs, io};
 
-const PATH: &str = "KNOWN-RED.txt";
+const LIST_PATH: &str = "KNOWN-RED.txt";
 
 /// Reads the list and returns its text and a nextest filter for its tests, or `None` if it is empty.
 pub fn read() -> io::Result<Option<(String, String)>> {
-    let text = fs::read_to_string(PATH)?;
-    Ok(filter(&text).map(|filter| (text, filter)))
+    let text = fs::read_to_string(LIST_PATH)?;
+    Ok(nextest_filter(&text).map(|filter| (text, filter)))
 }
 
-/// Builds a nextest filter expression that matches the listed tests only.
-fn filter(text: &str) -> Option<String> {
+fn nextest_filter(text: &str) -> Option<String> {
     let heads = text.lines().filter(|line| !line.is_empty() && !line.starts_with(' '));
     let tests = heads.map(|line| {
         let (binary, test) = line.split_once(' ').unwrap_or((line, ""));
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -49,7 +49,7 @@
     ("test", &[&["build", "--workspace", "--locked", "--quiet"]]),
 ];
 
-const TESTS: [&str; 5] = ["nextest", "run", "--workspace", "--locked", "--no-fail-fast"];
+const TEST_COMMAND: [&str; 5] = ["nextest", "run", "--workspace", "--locked", "--no-fail-fast"];
 
 fn main() -> ExitCode {
     let selected: Vec<String> = std::env::args().skip(1).collect();
@@ -63,7 +63,7 @@
             continue;
         }
         println!("== {name}");
-        if !commands.iter().all(|args| cargo(args)) || (name == "test" && !tests()) {
+        if !commands.iter().all(|args| run_cargo(args)) || (name == "test" && !run_tests()) {
             eprintln!("step `{name}` failed");
             return ExitCode::FAILURE;
         }
@@ -72,7 +72,7 @@
 }
 
 /// Runs all tests. Those in `KNOWN-RED.txt` run first and do not affect the result.
-fn tests() -> bool {
+fn run_tests() -> bool {
     let known_red = match known_red::read() {
         Ok(known_red) => known_red,
         Err(error) => {
@@ -80,13 +80,13 @@
             return false;
         }
     };
-    let Some((text, filter)) = known_red else { return cargo(&TESTS) };
-    let passed = cargo(&[&TESTS[..], &["-E", &filter]].concat());
+    let Some((text, filter)) = known_red else { return run_cargo(&TEST_COMMAND) };
+    let passed = run_cargo(&[&TEST_COMMAND[..], &["-E", &filter]].concat());
     println!("== known red, {}:\n{text}", if passed { "passed now" } else { "failed now" });
-    cargo(&[&TESTS[..], &["-E", &format!("not ({filter})")]].concat())
+    run_cargo(&[&TEST_COMMAND[..], &["-E", &format!("not ({filter})")]].concat())
 }
 
-fn cargo(args: &[&str]) -> bool {
+fn run_cargo(args: &[&str]) -> bool {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     Command::new(cargo).args(args).status().is_ok_and(|status| status.success())
 }
--- a/tools/generate/src/main.rs
+++ b/tools/generate/src/main.rs
@@ -9,8 +9,8 @@
 const SCHEMAS: [&str; 5] = ["settings", "process", "records", "messages", "peers"];
 const OUTPUT_DIR: &str = "crates/corianderstand_schema/src/generated";
 
-/// Custom formats: format, definition in the schema, Rust type.
-const FORMATS: [(&str, &str, &str); 12] = [
+/// Format name, definition name and Rust type.
+const CUSTOM_FORMATS: [(&str, &str, &str); 12] = [
     ("duration-ms", "Millis", "corianderstand_types::units::Millis"),
     ("mib", "Mib", "corianderstand_types::units::Mib"),
     ("text", "Text", "smol_str::SmolStr"),
@@ -26,22 +26,22 @@
 ];
 
 fn main() -> ExitCode {
-    let check = std::env::args().any(|arg| arg == "--check");
-    let mut stale = false;
+    let check_only = std::env::args().any(|arg| arg == "--check");
+    let mut any_stale = false;
     for name in SCHEMAS {
         let text = generate(&Path::new("schema").join(format!("{name}.json")));
         let out = Path::new(OUTPUT_DIR).join(format!("{name}.rs"));
-        if check {
+        if check_only {
             let current = fs::read_to_string(&out).unwrap_or_default();
             if current != text {
                 eprintln!("{} is out of date: run `cargo run -p generate`", out.display());
-                stale = true;
+                any_stale = true;
             }
         } else {
             fs::write(&out, text).expect("the output directory is writable");
         }
     }
-    if stale { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    if any_stale { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 fn generate(path: &Path) -> String {
@@ -50,14 +50,14 @@
     fill_defaults(&mut schema);
     replace_formats(&mut schema);
     let definitions = schema["definitions"].as_object_mut().expect("the schema has definitions");
-    for (_, name, _) in FORMATS {
+    for (_, name, _) in CUSTOM_FORMATS {
         definitions.insert(name.into(), json!({ "type": "string" }));
     }
     let root: schemars::schema::RootSchema =
         serde_json::from_value(schema).expect("the file is a JSON Schema");
     let mut settings = typify::TypeSpaceSettings::default();
     settings.with_derive("PartialEq".into());
-    for (_, name, path) in FORMATS {
+    for (_, name, path) in CUSTOM_FORMATS {
         let impls = [typify::TypeSpaceImpl::Default, typify::TypeSpaceImpl::Display];
         settings.with_replacement(name, path, impls.into_iter());
     }
@@ -93,7 +93,9 @@
     match schema {
         Value::Object(map) => {
             let format = map.get("format").and_then(Value::as_str).unwrap_or_default();
-            if let Some((_, name, _)) = FORMATS.iter().find(|(custom, _, _)| *custom == format) {
+            if let Some((_, name, _)) =
+                CUSTOM_FORMATS.iter().find(|(custom, _, _)| *custom == format)
+            {
                 map.retain(|key, _| key == "description" || key == "default");
                 map.insert("allOf".into(), json!([{ "$ref": format!("#/definitions/{name}") }]));
                 return;
--- a/tools/reference/src/lib.rs
+++ b/tools/reference/src/lib.rs
@@ -43,15 +43,15 @@
 
 fn render_section(section: &str) -> String {
     match section {
-        "metrics" => metrics(),
+        "metrics" => metrics_table(),
         "commands" => corianderstand_cli::reference(),
-        "process" => settings::process(),
-        "settings" => settings::documents(),
+        "process" => settings::process_sections(),
+        "settings" => settings::document_sections(),
         _ => panic!("unknown section `{section}`"),
     }
 }
 
-fn metrics() -> String {
+fn metrics_table() -> String {
     let mut text = String::from("| name | kind | unit | meaning |\n|---|---|---|---|\n");
     for metric in Metric::ALL {
         let kind = match metric.kind() {
--- a/tools/reference/src/settings.rs
+++ b/tools/reference/src/settings.rs
@@ -12,19 +12,17 @@
     Document::TeamService,
 ];
 
-/// Sections of the settings documents.
-pub fn documents() -> String {
-    DOCUMENTS.iter().map(|kind| section(&kind.schema())).collect::<Vec<_>>().join("\n")
+pub fn document_sections() -> String {
+    DOCUMENTS.iter().map(|kind| render_section(&kind.schema())).collect::<Vec<_>>().join("\n")
 }
 
-/// Sections of the process settings.
-pub fn process() -> String {
+pub fn process_sections() -> String {
     let router = Document::Router.schema();
     let agent = Document::Agent.schema();
-    format!("{}\n{}", section(&router), section(&agent))
+    format!("{}\n{}", render_section(&router), render_section(&agent))
 }
 
-fn section(schema: &Value) -> String {
+fn render_section(schema: &Value) -> String {
     let definition = resolve(schema, schema);
     let title = definition["description"].as_str().unwrap_or_default();
     let (subject, rest) = title.split_once(": ").unwrap_or((title, ""));
@@ -33,7 +31,7 @@
         if rest.is_empty() { String::new() } else { format!("{}\n\n", capitalize(rest)) };
     let mut text = format!("### {subject}\n\n{description}");
     text.push_str("| field | value | default | meaning |\n|---|---|---|---|\n");
-    rows(schema, definition, "", &mut text);
+    append_rows(schema, definition, "", &mut text);
     text
 }
 
@@ -52,11 +50,11 @@
 }
 
 /// Adds a row per field, with nested fields under their path.
-fn rows(root: &Value, definition: &Value, prefix: &str, text: &mut String) {
+fn append_rows(root: &Value, definition: &Value, path_prefix: &str, text: &mut String) {
     let required = definition["required"].as_array().cloned().unwrap_or_default();
     for (name, property) in definition["properties"].as_object().into_iter().flatten() {
         let field = resolve(root, property);
-        let path = format!("{prefix}{name}");
+        let path = format!("{path_prefix}{name}");
         let default = match &property["default"] {
             Value::Null if required.contains(&Value::from(name.as_str())) => "required".to_owned(),
             Value::Null => "none".to_owned(),
@@ -68,10 +66,10 @@
             "| `{path}` | {} | {default} | {description} |\n",
             allowed_values(root, field)
         ));
-        rows(root, field, &format!("{path}."), text);
-        rows(root, resolve(root, &field["items"]), &format!("{path}[]."), text);
+        append_rows(root, field, &format!("{path}."), text);
+        append_rows(root, resolve(root, &field["items"]), &format!("{path}[]."), text);
         for alternative in field["oneOf"].as_array().into_iter().flatten() {
-            rows(root, resolve(root, alternative), &format!("{path}."), text);
+            append_rows(root, resolve(root, alternative), &format!("{path}."), text);
         }
     }
 }
