--- a/tests/calls_faults.rs
+++ b/tests/calls_faults.rs
@@ -249,7 +249,7 @@
             );
             assert_eq!(first.outcome, "ran", "{first:?}");
             assert_eq!((&first, &first), (&second, &third));
-            assert_eq!(deployment.execution_count(&booking.key).await, 1);
+            assert_eq!(deployment.execution_count(&booking.idempotency_key).await, 1);
         }
     });
 }
--- a/tools/chaos/src/callers.rs
+++ b/tools/chaos/src/callers.rs
@@ -84,7 +84,7 @@
     ) {
         let url = deployment.url(&format!("router-{router_index}"), "/services/agenda/bookings");
         let (http, booking) = (deployment.http.clone(), booking.clone());
-        let key = booking.key.clone();
+        let key = booking.idempotency_key.clone();
         let request = async move {
             time::sleep(delay).await;
             booking.send(&http, url).await
--- a/tools/testbed/src/booking.rs
+++ b/tools/testbed/src/booking.rs
@@ -33,8 +33,8 @@
 /// A booking request.
 #[derive(Clone, Debug)]
 pub struct Booking {
-    /// Idempotency key.
-    pub key: String,
+    /// Value of the `Idempotency-Key` header.
+    pub idempotency_key: String,
     /// Day booked; a different day makes a different body.
     pub day: u32,
     /// Deadline sent to the router, in milliseconds.
@@ -43,8 +43,8 @@
 
 impl Booking {
     /// Creates a booking with a key and a deadline.
-    pub fn new(key: &str, deadline_ms: u64) -> Self {
-        Self { key: key.to_owned(), day: 3, deadline_ms }
+    pub fn new(idempotency_key: &str, deadline_ms: u64) -> Self {
+        Self { idempotency_key: idempotency_key.to_owned(), day: 3, deadline_ms }
     }
 
     /// Sends the booking via a router; `None` without a complete response.
@@ -55,7 +55,7 @@
     /// Sends the booking to a URL; `None` without a complete response.
     pub async fn send(&self, http: &reqwest::Client, url: String) -> Option<Answer> {
         let req = http.post(url).bearer_auth(VIDRIO_KEY).timeout(REQUEST_TIMEOUT);
-        let req = req.header("idempotency-key", &self.key);
+        let req = req.header("idempotency-key", &self.idempotency_key);
         let req = req.header("x-deadline-ms", self.deadline_ms);
         let answer = req.json(&json!({ "day": self.day })).send().await.ok()?;
         let header = |name: &str| {
@@ -74,11 +74,11 @@
 
 impl Deployment {
     /// Number of times that the services executed the booking with this key.
-    pub async fn execution_count(&self, key: &str) -> u64 {
+    pub async fn execution_count(&self, idempotency_key: &str) -> u64 {
         let mut ran = 0;
         for i in 0..self.plan.services {
             let counts = self.counters(&format!("service-{i}")).await;
-            ran += counts["by_key"][key].as_u64().unwrap_or_default();
+            ran += counts["by_key"][idempotency_key].as_u64().unwrap_or_default();
         }
         ran
     }
