--- a/tools/reference/src/lib.rs
+++ b/tools/reference/src/lib.rs
@@ -24,7 +24,7 @@
 /// # Panics
 ///
 /// Panics if the page cannot be read or names an unknown section.
-pub fn page(root: &Path, name: &str) -> String {
+pub fn render_page(root: &Path, name: &str) -> String {
     let text = fs::read_to_string(root.join(name)).expect("the page can be read");
     let mut remaining = text.as_str();
     let mut output = String::new();
--- a/tools/reference/src/main.rs
+++ b/tools/reference/src/main.rs
@@ -8,7 +8,7 @@
     let root = Path::new(".");
     let mut stale = false;
     for name in reference::PAGES {
-        let page = reference::page(root, name);
+        let page = reference::render_page(root, name);
         if !check {
             fs::write(name, page).expect("the page is writable");
         } else if fs::read_to_string(name).ok() != Some(page) {
--- a/tools/reference/tests/current.rs
+++ b/tools/reference/tests/current.rs
@@ -13,7 +13,7 @@
 fn the_reference_pages_are_current() {
     for name in reference::PAGES {
         let text = fs::read_to_string(root().join(name)).expect("the page can be read");
-        let expected = reference::page(root(), name);
+        let expected = reference::render_page(root(), name);
         assert!(text == expected, "{name} is out of date: run `cargo run -p reference`");
     }
 }
