--- a/tools/testbed/src/process.rs
+++ b/tools/testbed/src/process.rs
@@ -102,7 +102,7 @@
         drop(self.child.wait());
     }
 
-    /// Returns the exit code.
+    /// Returns the exit code once the process has ended; `None` if a signal ended it.
     pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<i32> {
         let started_at = Instant::now();
         loop {
