--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -14,8 +14,8 @@
 
 #[derive(Clone, Debug)]
 pub struct AnswerFormat {
-    pub chat: bool,
-    pub request: SmolStr,
+    pub is_chat: bool,
+    pub request_id: SmolStr,
     /// The model name that the caller sent.
     pub model: String,
     /// Whether a stream ends with the usage.
@@ -30,7 +30,7 @@
 
 impl AnswerFormat {
     fn object(&self, streamed: bool) -> &'static str {
-        match (self.chat, streamed) {
+        match (self.is_chat, streamed) {
             (true, true) => "chat.completion.chunk",
             (true, false) => "chat.completion",
             (false, _) => "text_completion",
@@ -39,7 +39,7 @@
 
     fn envelope(&self, streamed: bool, choice: Value) -> Value {
         json!({
-            "id": self.request,
+            "id": self.request_id,
             "object": self.object(streamed),
             "created": self.created_s,
             "model": self.model,
@@ -48,7 +48,7 @@
     }
 
     fn delta(&self, text: &str) -> Value {
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             json!({ "index": 0, "delta": { "role": "assistant", "content": text }, "finish_reason": null })
         } else {
             json!({ "index": 0, "text": text, "finish_reason": null })
@@ -57,7 +57,7 @@
     }
 
     fn finish(&self, reason: &str) -> Value {
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             json!({ "index": 0, "delta": {}, "finish_reason": reason })
         } else {
             json!({ "index": 0, "text": "", "finish_reason": reason })
@@ -73,7 +73,7 @@
     }
 
     fn document(&self, text: &str, reason: &str, usage: Value) -> Value {
-        let choice = if self.chat {
+        let choice = if self.is_chat {
             let message = json!({ "role": "assistant", "content": text });
             json!({ "index": 0, "message": message, "finish_reason": reason })
         } else {
@@ -179,7 +179,7 @@
                 self.finished = true;
             }
             Err(problem) => {
-                write_event(buf, &problem.body(&self.format.request));
+                write_event(buf, &problem.body(&self.format.request_id));
                 self.finished = true;
             }
         }
--- a/crates/corianderstand_router/src/auth.rs
+++ b/crates/corianderstand_router/src/auth.rs
@@ -7,7 +7,7 @@
 /// Hashes bearer keys with the deployment's secret key.
 #[derive(Clone)]
 pub struct Hasher {
-    key: [u8; 32],
+    secret_key: [u8; 32],
 }
 
 /// Why a hashing key is invalid.
@@ -27,12 +27,12 @@
     /// [`AuthError::Key`] for any other text.
     pub fn new(hex: &str) -> Result<Self, AuthError> {
         let hash = blake3::Hash::from_hex(hex).map_err(|_| AuthError::Key)?;
-        Ok(Self { key: *hash.as_bytes() })
+        Ok(Self { secret_key: *hash.as_bytes() })
     }
 
     /// Hashes a bearer key to the form stored in settings.
     pub fn hash(&self, bearer: &str) -> SmolStr {
-        blake3::keyed_hash(&self.key, bearer.as_bytes()).to_hex().as_str().into()
+        blake3::keyed_hash(&self.secret_key, bearer.as_bytes()).to_hex().as_str().into()
     }
 
     /// Returns the workspace of a bearer key. Looks it up by hash, so that the timing reveals
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -192,10 +192,10 @@
             Some(Update::Refused { refusal, transient }) => {
                 Err(self.on_refused(refusal, transient))
             }
-            Some(Update::Lost { failed: false }) => {
+            Some(Update::Lost { target_failed: false }) => {
                 Err(self.on_lost("connection to the target lost", 1))
             }
-            Some(Update::Lost { failed: true }) => {
+            Some(Update::Lost { target_failed: true }) => {
                 Err(self.on_lost("the target failed", ATTEMPTS_PER_FAILURE))
             }
         }
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -133,7 +133,7 @@
         let mut test_call = TestCall::new(true);
         test_call.chunk(0);
         test_call.chunk(1);
-        test_call.send(Update::Lost { failed: false });
+        test_call.send(Update::Lost { target_failed: false });
         test_call.chunk(2);
         let events = std::mem::replace(&mut test_call.events, mpsc::sync_channel(1).1);
         let second = std::thread::spawn(move || {
@@ -159,7 +159,7 @@
 fn an_unrepeatable_call_is_not_submitted_again() {
     block_on(async {
         let mut test_call = TestCall::new(false);
-        test_call.send(Update::Lost { failed: false });
+        test_call.send(Update::Lost { target_failed: false });
         assert!(matches!(test_call.read().await, Err(Problem::Failed(_))));
         assert!(test_call.events.try_recv().is_err());
     });
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -81,8 +81,8 @@
     spec.shape = requested.shape;
     let call = CallInProgress::submit(&context.events, spec, open, requested.body)?;
     let format = AnswerFormat {
-        chat,
-        request: caller_request.id.clone(),
+        is_chat: chat,
+        request_id: caller_request.id.clone(),
         model: requested.name,
         include_usage: requested.include_usage,
         created_s: clock::unix_ms(SystemTime::now()) / 1000,
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -22,10 +22,10 @@
 /// callers do not wait in the listen backlog.
 #[derive(Debug)]
 pub struct Connections {
-    limit: usize,
+    max_connections: usize,
     fuse: FuseConfig,
     count: AtomicUsize,
-    excess: Mutex<HashSet<SocketAddr>>,
+    excess_callers: Mutex<HashSet<SocketAddr>>,
 }
 
 impl Connections {
@@ -36,7 +36,12 @@
             .with_http1_header_timeout(limits.read_timeout_ms.0)
             .with_write_stall_timeout(limits.write_timeout_ms.0);
         let limit = limits.max_connections as usize;
-        Arc::new(Self { limit, fuse, count: AtomicUsize::new(0), excess: Mutex::default() })
+        Arc::new(Self {
+            max_connections: limit,
+            fuse,
+            count: AtomicUsize::new(0),
+            excess_callers: Mutex::default(),
+        })
     }
 
     pub fn count(&self) -> usize {
@@ -48,7 +53,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashSet<SocketAddr>> {
-        self.excess.lock().expect("no holder of this lock panics")
+        self.excess_callers.lock().expect("no holder of this lock panics")
     }
 }
 
@@ -59,7 +64,9 @@
 impl FusePolicy for ConnectionPolicy {
     async fn decide(&self, _info: &FuseInfo) -> FuseAction {
         let connections = &self.0;
-        if connections.count.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS_CONNECTIONS {
+        if connections.count.load(Ordering::Relaxed)
+            >= connections.max_connections + MAX_EXCESS_CONNECTIONS
+        {
             return FuseAction::Reject;
         }
         FuseAction::Accept(connections.fuse)
@@ -69,7 +76,7 @@
         let connections = self.0.clone();
         let before = connections.count.fetch_add(1, Ordering::Relaxed);
         let remote = info.remote_addr.clone().into_std();
-        if before >= connections.limit {
+        if before >= connections.max_connections {
             connections.lock().extend(remote);
         }
         Some(Arc::new(ConnectionGuard { connections, remote }))
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -39,7 +39,7 @@
     pub calls: HashMap<RequestKey, Call>,
     pub connections: HashMap<TargetId, mpsc::Sender<Command>>,
     /// Versions of the targets, slots and settings last passed to `router`.
-    pub versions: (u64, u64, u64),
+    pub applied_versions: (u64, u64, u64),
     pub hosts: std::sync::Arc<Hosts>,
     /// Targets whose agents reported that they accept no new requests.
     pub reported_draining: BTreeSet<TargetId>,
@@ -66,10 +66,10 @@
         let snapshot = self.current.load();
         let state = &snapshot.state;
         let versions = (state.targets.version, state.slots.version, state.documents.version);
-        if versions == self.versions && self.hosts == snapshot.hosts {
+        if versions == self.applied_versions && self.hosts == snapshot.hosts {
             return;
         }
-        self.versions = versions;
+        self.applied_versions = versions;
         self.hosts = snapshot.hosts.clone();
         self.refresh_targets(&snapshot);
         let mut owners: BTreeMap<ModelId, Vec<TargetKey>> = BTreeMap::new();
@@ -170,7 +170,7 @@
             Some(decision @ Decision::Send(_)) => self.execute(key, decision),
             Some(Decision::Refuse(_)) | None => {
                 if let Some(call) = self.calls.remove(&key) {
-                    drop(call.reply.try_send(Update::Lost { failed }));
+                    drop(call.reply.try_send(Update::Lost { target_failed: failed }));
                 }
             }
         }
@@ -228,7 +228,7 @@
         let Some(mut call) = self.calls.get(&key).cloned() else { return };
         call.open.stream = link::stream_id(key);
         // A target that has not folded the slot yet waits for this version.
-        call.open.as_of = self.versions.1.max(self.versions.2);
+        call.open.as_of = self.applied_versions.1.max(self.applied_versions.2);
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
             // A closed or full connection counts as a refusal.
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -49,7 +49,7 @@
     /// The target was lost and the request was not sent to another.
     Lost {
         /// Whether the target failed, rather than the connection to it.
-        failed: bool,
+        target_failed: bool,
     },
 }
 
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -25,12 +25,12 @@
 pub struct HeartbeatMonitor {
     interval: Duration,
     response_timeout: Duration,
-    nonce: u64,
+    last_nonce: u64,
     ticks_unresponsive: u32,
     ticks_idle: u32,
-    sent: bool,
-    received: bool,
-    ever_received: bool,
+    sent_since_tick: bool,
+    received_since_tick: bool,
+    has_ever_received: bool,
 }
 
 impl HeartbeatMonitor {
@@ -38,42 +38,44 @@
         Self {
             interval: timing.heartbeat_ms.0,
             response_timeout: timing.silence_ms.0,
-            nonce: 0,
+            last_nonce: 0,
             ticks_unresponsive: 0,
             ticks_idle: 0,
-            sent: true,
-            received: true,
-            ever_received: false,
+            sent_since_tick: true,
+            received_since_tick: true,
+            has_ever_received: false,
         }
     }
 
     pub const fn on_sent(&mut self) {
-        self.sent = true;
+        self.sent_since_tick = true;
     }
 
     pub const fn on_received(&mut self) {
-        self.received = true;
-        self.ever_received = true;
+        self.received_since_tick = true;
+        self.has_ever_received = true;
     }
 
     /// Ends an interval; `busy` is whether streams are in flight. The response timeout is counted
     /// across ticks, because a read timeout would restart with every heartbeat sent.
     pub fn on_tick(&mut self, busy: bool) -> HeartbeatAction {
-        self.ticks_unresponsive = if self.received { 0 } else { self.ticks_unresponsive + 1 };
+        self.ticks_unresponsive =
+            if self.received_since_tick { 0 } else { self.ticks_unresponsive + 1 };
         self.ticks_idle = if busy { 0 } else { self.ticks_idle + 1 };
-        let active = std::mem::take(&mut self.sent) && std::mem::take(&mut self.received);
-        self.received = false;
+        let active = std::mem::take(&mut self.sent_since_tick)
+            && std::mem::take(&mut self.received_since_tick);
+        self.received_since_tick = false;
         let unresponsive_for = self.interval * self.ticks_unresponsive;
         if unresponsive_for >= self.response_timeout {
             return HeartbeatAction::Unresponsive(unresponsive_for);
         }
-        if self.ticks_idle > IDLE_HEARTBEATS && self.ever_received {
+        if self.ticks_idle > IDLE_HEARTBEATS && self.has_ever_received {
             return HeartbeatAction::CloseIdle;
         }
         if active {
             return HeartbeatAction::Skip;
         }
-        self.nonce += 1;
-        HeartbeatAction::Ping(self.nonce)
+        self.last_nonce += 1;
+        HeartbeatAction::Ping(self.last_nonce)
     }
 }
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -47,25 +47,25 @@
 const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub struct HandlerContext {
-    pub name: WriterId,
+    pub router_name: WriterId,
     pub peer_client: reqwest::Client,
     pub events: SyncSender<Event>,
     pub control: ControlHandle,
     /// Recent records, for processes that follow this router.
-    pub tail: Tail,
+    pub log_tail: Tail,
     pub hasher: Hasher,
     pub operator_key_hash: SmolStr,
     pub metrics: Metrics,
     pub connections: Arc<Connections>,
     pub max_header_bytes: usize,
-    pub peers: Vec<SmolStr>,
+    pub peer_addresses: Vec<SmolStr>,
     pub max_body_bytes: usize,
     pub read_timeout: Duration,
     pub max_in_flight: usize,
     pub in_flight: Arc<AtomicUsize>,
-    pub draining: Arc<AtomicBool>,
+    pub is_draining: Arc<AtomicBool>,
     /// Detects requests that may predate a pause of this process.
-    pub watched: Arc<WatchedConnections>,
+    pub watched_connections: Arc<WatchedConnections>,
     pub clock: SharedClock,
 }
 
@@ -142,7 +142,7 @@
         let Self(context, kind) = self;
         let request = format_smolstr!("r-{:032x}", rand::random::<u128>());
         problem::set_header(res, problem::REQUEST_ID_HEADER, &request);
-        if context.draining.load(Ordering::Relaxed) {
+        if context.is_draining.load(Ordering::Relaxed) {
             // Makes the caller reconnect to another router.
             problem::set_header(res, "connection", "close");
         }
@@ -196,7 +196,7 @@
             }
             Kind::Relay => {
                 self.check_peer(req)?;
-                relay::answer(&self.tail, req, res).await;
+                relay::answer(&self.log_tail, req, res).await;
                 Ok(())
             }
             Kind::Operator(kind) => {
@@ -279,7 +279,7 @@
 
     /// Readiness for load balancers; requests are still served during a shutdown.
     fn ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
-        if self.draining.load(Ordering::Relaxed) {
+        if self.is_draining.load(Ordering::Relaxed) {
             return Err(Problem::NotReady("it is shutting down"));
         }
         Self::check_started(snapshot)
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -43,7 +43,7 @@
     pub control: &'a ControlHandle,
     pub key: CallKey,
     /// Digest of the call, which detects a key reused for another one.
-    pub digest: u64,
+    pub request_digest: u64,
     pub deadline: Instant,
 }
 
@@ -57,7 +57,7 @@
             return Err(Problem::KeyExpired);
         }
         let snapshot = self.control.current.load();
-        match snapshot.state.calls.status(&self.key, self.digest) {
+        match snapshot.state.calls.status(&self.key, self.request_digest) {
             CallStatus::Unclaimed if !snapshot.log_up => {
                 return Err(Problem::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
             }
@@ -90,7 +90,7 @@
     }
 
     async fn append_void(&self) -> Result<Answer, Problem> {
-        let status = self.control.current.load().state.calls.status(&self.key, self.digest);
+        let status = self.control.current.load().state.calls.status(&self.key, self.request_digest);
         if status != CallStatus::Unclaimed {
             return self.wait_for_outcome().await;
         }
@@ -108,7 +108,7 @@
     async fn wait_for_outcome(&self) -> Result<Answer, Problem> {
         let mut changed = self.control.current.subscribe();
         loop {
-            match self.control.current.load().state.calls.status(&self.key, self.digest) {
+            match self.control.current.load().state.calls.status(&self.key, self.request_digest) {
                 CallStatus::Ran(answer) => return Ok(answer.into()),
                 CallStatus::NotRun => {
                     return Err(Problem::NotRun("cancelled before it began".into()));
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -178,12 +178,12 @@
 async fn rollout(context: &HandlerContext, req: &Request) -> Result<Value, Problem> {
     let requested = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
-    let queries = context.peers.iter().map(|peer| query_version(peer, bearer));
+    let queries = context.peer_addresses.iter().map(|peer| query_version(peer, bearer));
     let versions = futures::future::join_all(queries).await;
     let local = context.control.current.load().state.documents.version;
     let reported: Vec<u64> = versions.iter().flatten().copied().chain([local]).collect();
     let in_force = reported.iter().filter(|version| **version >= requested).count();
-    let routers = context.peers.len() + 1;
+    let routers = context.peer_addresses.len() + 1;
     let unresponsive = routers - reported.len();
     Ok(json!({ "version": requested, "routers": routers, "in_force": in_force,
         "silent": unresponsive }))
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -63,13 +63,18 @@
     let submit = || CallInProgress::submit(&context.events, spec, open, body);
     let answer = match idempotency_key {
         None => once::read(&mut submit()?, deadline).await?,
-        Some(_) if context.watched.may_predate_pause(context.clock.since_boot(), caller) => {
+        Some(_)
+            if context
+                .watched_connections
+                .may_predate_pause(context.clock.since_boot(), caller) =>
+        {
             // The state may be out of date, so "not run" would not be certain.
             return Err(Problem::Unknown("this router was paused".into()));
         }
         Some(key) => {
             let key = CallKey { team: caller_request.team.clone(), service, key };
-            let keyed_call = KeyedCall { control: &context.control, key, digest, deadline };
+            let keyed_call =
+                KeyedCall { control: &context.control, key, request_digest: digest, deadline };
             keyed_call.answer(submit).await?
         }
     };
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -98,7 +98,7 @@
         clock: clock.clone(),
         calls: HashMap::new(),
         connections: HashMap::new(),
-        versions: (u64::MAX, 0, 0),
+        applied_versions: (u64::MAX, 0, 0),
         hosts: Arc::default(),
         reported_draining: BTreeSet::new(),
         in_flight: in_flight.clone(),
@@ -109,13 +109,13 @@
 
     let peer_client = reqwest::Client::builder().no_proxy().build();
     let context = Arc::new(HandlerContext {
-        name: settings.name.clone(),
+        router_name: settings.name.clone(),
         peer_client: peer_client.expect("the client has no settings that can fail"),
         events,
         control: control.clone(),
-        tail,
+        log_tail: tail,
         hasher,
-        peers: settings.peers.clone(),
+        peer_addresses: settings.peers.clone(),
         operator_key_hash: settings.operator_key_hash.clone(),
         metrics,
         connections: Connections::new(&settings.limits),
@@ -124,8 +124,8 @@
         read_timeout: settings.limits.read_timeout_ms.0,
         max_in_flight: settings.limits.max_in_flight as usize,
         in_flight: in_flight.clone(),
-        draining: draining.clone(),
-        watched: WatchedConnections::new(clock.since_boot()),
+        is_draining: draining.clone(),
+        watched_connections: WatchedConnections::new(clock.since_boot()),
         clock,
     });
     let (server, http) = start_http(&settings, incarnation, &context)?;
@@ -212,8 +212,9 @@
         let listener = tokio::net::TcpListener::from_std(listener).map_err(listen_error)?;
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
-    let mut server = Server::new(WatchedAcceptor::new(acceptor, context.watched.clone()))
-        .fuse_policy(ConnectionPolicy(context.connections.clone()));
+    let mut server =
+        Server::new(WatchedAcceptor::new(acceptor, context.watched_connections.clone()))
+            .fuse_policy(ConnectionPolicy(context.connections.clone()));
     server.http1_mut().max_header_size(context.max_header_bytes * HEADER_HARD_LIMIT_RATIO);
     let handle = server.handle();
     let routes = http::routes(context);
@@ -222,7 +223,7 @@
     let report_gauges = move |metrics: &Metrics| {
         metrics.gauge(Metric::RouterHeld, metrics_context.in_flight.load(Ordering::Relaxed) as u64);
         metrics.gauge(Metric::RouterConnections, metrics_context.connections.count() as u64);
-        metrics_context.tail.budget().report(metrics);
+        metrics_context.log_tail.budget().report(metrics);
     };
     let report = measured::report(
         context.metrics.clone(),
@@ -242,7 +243,7 @@
 /// Ticks the pause detector on the thread that reads requests.
 async fn detect_pauses(context: Arc<HandlerContext>) {
     loop {
-        context.watched.tick(context.clock.since_boot());
+        context.watched_connections.tick(context.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -66,11 +66,13 @@
         .map(|target| query_target(context, &target.record))
         .collect();
     let targets: Vec<_> = stream::iter(queries).buffered(MAX_CONCURRENT_QUERIES).collect().await;
-    let queries: Vec<_> =
-        context.peers.iter().map(|peer| query_router(context, peer, authorization)).collect();
+    let queries: Vec<_> = context
+        .peer_addresses
+        .iter()
+        .map(|peer| query_router(context, peer, authorization))
+        .collect();
     let routers: Vec<_> = stream::iter(queries).buffered(MAX_CONCURRENT_QUERIES).collect().await;
-    let this =
-        json!({ "router": context.name, "reached": true, "version": state.documents.version });
+    let this = json!({ "router": context.router_name, "reached": true, "version": state.documents.version });
     let all_routers = [vec![this], routers].concat();
     let targets_json: Vec<Value> = targets
         .iter()
@@ -118,7 +120,7 @@
     context: &HandlerContext,
     record: &TargetRecord,
 ) -> impl Future<Output = (TargetRecord, Option<TargetStatus>)> + use<> {
-    let (name, record) = (context.name.clone(), record.clone());
+    let (name, record) = (context.router_name.clone(), record.clone());
     async move {
         let status = time::timeout(QUERY_TIMEOUT, query_agent(&name, &record.address)).await;
         (record, status.ok().and_then(Result::ok))
@@ -171,6 +173,6 @@
 }
 
 pub fn version(context: &HandlerContext) -> Value {
-    json!({ "router": context.name,
+    json!({ "router": context.router_name,
         "version": context.control.current.load().state.documents.version })
 }
