--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -50,7 +50,8 @@
 impl Submission {
     fn send(&self) -> Result<mpsc::Receiver<Update>, Problem> {
         let (reply, rx) = mpsc::channel(REPLY_QUEUE_CAPACITY);
-        let call = Call { open: self.open.clone(), body: self.body.clone(), reply };
+        let call =
+            Call { open_message: self.open.clone(), body: self.body.clone(), update_tx: reply };
         let event = Event::Submit(Box::new((self.spec.clone(), call)));
         let rejected = Problem::Refused(RefusalReason::QueueFull, QUEUE_FULL_RETRY_AFTER);
         self.events.try_send(event).map_err(|_| rejected)?;
@@ -69,10 +70,10 @@
     submission: Submission,
     updates: mpsc::Receiver<Update>,
     attachment: Option<Attachment>,
-    position: u64,
+    next_position: u64,
     credit_limit: u64,
-    attempts: u32,
-    retry: Option<(Problem, u32)>,
+    attempts_without_progress: u32,
+    pending_retry: Option<(Problem, u32)>,
     finished: bool,
 }
 
@@ -94,22 +95,22 @@
             submission,
             updates,
             attachment,
-            position,
+            next_position: position,
             credit_limit,
-            attempts: 0,
-            retry,
+            attempts_without_progress: 0,
+            pending_retry: retry,
             finished: false,
         })
     }
 
     pub const fn position(&self) -> u64 {
-        self.position
+        self.next_position
     }
 
     /// Waits for the next part, resuming the call if its target is lost. An error ends the call.
     pub async fn next(&mut self, deadline: time::Instant) -> Result<Part, Problem> {
         loop {
-            if let Some((problem, attempts)) = self.retry.take() {
+            if let Some((problem, attempts)) = self.pending_retry.take() {
                 self.resume(problem, attempts, deadline).await?;
             }
             let update = time::timeout_at(deadline, self.updates.recv()).await;
@@ -117,21 +118,25 @@
                 Ok(Some(part)) => return Ok(part),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retry(problem, count)) => self.retry = Some((problem, count)),
+                Err(AttemptEnd::Retry(problem, count)) => {
+                    self.pending_retry = Some((problem, count))
+                }
             }
         }
     }
 
     /// Returns the next part if it was received already. An error ends the call.
     pub fn try_next(&mut self) -> Result<Option<Part>, Problem> {
-        while self.retry.is_none()
+        while self.pending_retry.is_none()
             && let Ok(update) = self.updates.try_recv()
         {
             match self.apply(Some(update)) {
                 Ok(Some(part)) => return Ok(Some(part)),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retry(problem, count)) => self.retry = Some((problem, count)),
+                Err(AttemptEnd::Retry(problem, count)) => {
+                    self.pending_retry = Some((problem, count))
+                }
             }
         }
         Ok(None)
@@ -144,31 +149,31 @@
         attempts: u32,
         deadline: time::Instant,
     ) -> Result<(), Problem> {
-        let backoff = INITIAL_BACKOFF * 2_u32.pow(self.attempts.min(8));
-        self.attempts += attempts;
+        let backoff = INITIAL_BACKOFF * 2_u32.pow(self.attempts_without_progress.min(8));
+        self.attempts_without_progress += attempts;
         let now = time::Instant::now();
         let until = now + backoff.min(MAX_BACKOFF);
-        if self.attempts > MAX_ATTEMPTS || until >= deadline {
+        if self.attempts_without_progress > MAX_ATTEMPTS || until >= deadline {
             return Err(problem);
         }
         time::sleep_until(until).await;
         let submission = &mut self.submission;
         let now = time::Instant::now().into_std();
-        if self.position > submission.open.position {
+        if self.next_position > submission.open.position {
             submission.spec.deadline = submission.spec.deadline.max(now + MIN_RESUME_TIME);
-            submission.open.position = self.position;
+            submission.open.position = self.next_position;
         }
         let remaining = submission.spec.deadline.saturating_duration_since(now);
         submission.open.deadline_ms = remaining.as_millis() as u64;
         tracing::info!(
             request = %submission.open.request,
-            position = self.position,
+            position = self.next_position,
             cause = %problem,
             "call taken up again"
         );
         self.updates = submission.send()?;
         (self.attachment, self.finished) = (None, false);
-        self.credit_limit = self.position + CHUNK_WINDOW;
+        self.credit_limit = self.next_position + CHUNK_WINDOW;
         Ok(())
     }
 
@@ -179,8 +184,8 @@
             Some(Update::Attached(attachment)) => {
                 self.attachment = Some(attachment);
                 // Credit granted to an earlier target does not carry over.
-                if self.position > self.submission.open.position {
-                    self.send_command(|stream, upto| Command::Credit { stream, upto });
+                if self.next_position > self.submission.open.position {
+                    self.send_command(|stream, upto| Command::Credit { stream, window_end: upto });
                 }
                 Ok(None)
             }
@@ -189,7 +194,7 @@
             }
             Some(Update::Chunk { position, body }) => self.on_chunk(position, body),
             Some(Update::End { position, ending }) => self.on_end(position, ending).map(Some),
-            Some(Update::Refused { refusal, transient }) => {
+            Some(Update::Refused { refusal, is_transient: transient }) => {
                 Err(self.on_refused(refusal, transient))
             }
             Some(Update::Lost { target_failed: false }) => {
@@ -218,7 +223,9 @@
     /// request has not run, so any call may be retried.
     fn on_refused(&mut self, refusal: Refusal, transient: bool) -> AttemptEnd {
         self.finished = true;
-        if self.position > self.submission.open.position || self.attempts > 0 && self.position > 0 {
+        if self.next_position > self.submission.open.position
+            || self.attempts_without_progress > 0 && self.next_position > 0
+        {
             return self.retry_if_repeatable(Problem::Failed("no replica can resume it".into()), 1);
         }
         if transient {
@@ -230,17 +237,17 @@
 
     /// Accepts chunks in order only: duplicates are skipped, and a gap ends the attempt.
     fn on_chunk(&mut self, position: u64, body: Bytes) -> Result<Option<Part>, AttemptEnd> {
-        if position < self.position {
+        if position < self.next_position {
             return Ok(None);
         }
-        if position > self.position {
+        if position > self.next_position {
             return Err(self.on_gap());
         }
-        self.position += 1;
-        self.attempts = 0;
-        if self.position + CREDIT_STEP >= self.credit_limit {
-            self.credit_limit = self.position + CHUNK_WINDOW;
-            self.send_command(|stream, upto| Command::Credit { stream, upto });
+        self.next_position += 1;
+        self.attempts_without_progress = 0;
+        if self.next_position + CREDIT_STEP >= self.credit_limit {
+            self.credit_limit = self.next_position + CHUNK_WINDOW;
+            self.send_command(|stream, upto| Command::Credit { stream, window_end: upto });
         }
         Ok(Some(Part::Chunk(body)))
     }
@@ -259,7 +266,7 @@
     fn on_end(&mut self, position: u64, ending: Ending) -> Result<Part, AttemptEnd> {
         self.finished = true;
         match ending {
-            Ending::Whole { .. } if position != self.position => Err(self.on_gap()),
+            Ending::Whole { .. } if position != self.next_position => Err(self.on_gap()),
             Ending::Whole { prompt_tokens, completion_tokens, finish_reason } => {
                 Ok(Part::Whole { prompt_tokens, completion_tokens, finish_reason })
             }
@@ -272,7 +279,7 @@
     }
 
     fn send_command(&self, command: impl FnOnce(u64, u64) -> Command) {
-        if let Some(Attachment { stream, commands, .. }) = &self.attachment {
+        if let Some(Attachment { stream_id: stream, commands, .. }) = &self.attachment {
             // If the channel is full, credit is sent with the next chunk, and the connection
             // cancels once `updates` is closed.
             drop(commands.try_send(command(*stream, self.credit_limit)));
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -59,7 +59,7 @@
     }
 
     fn send(&self, update: Update) {
-        self.submitted_call.reply.try_send(update).expect("the channel has capacity");
+        self.submitted_call.update_tx.try_send(update).expect("the channel has capacity");
     }
 
     fn chunk(&self, position: u64) {
@@ -141,13 +141,13 @@
             let finish_reason = "stop".into();
             let ending = Ending::Whole { prompt_tokens: 1, completion_tokens: 3, finish_reason };
             let body = Bytes::from("second ");
-            call.reply
+            call.update_tx
                 .try_send(Update::Chunk { position: 2, body })
                 .expect("the channel has capacity");
-            call.reply
+            call.update_tx
                 .try_send(Update::End { position: 3, ending })
                 .expect("the channel has capacity");
-            call.open.position
+            call.open_message.position
         });
         assert_eq!(test_call.read().await, Ok("0 1 second ".into()));
         assert_eq!(second.join().expect("the thread does not panic"), 2);
@@ -172,8 +172,10 @@
         let mut test_call = TestCall::new(true);
         let reason = RefusalReason::QueueFull;
         let retry_after = Duration::from_secs(1);
-        test_call
-            .send(Update::Refused { refusal: Refusal { reason, retry_after }, transient: false });
+        test_call.send(Update::Refused {
+            refusal: Refusal { reason, retry_after },
+            is_transient: false,
+        });
         assert_eq!(test_call.read().await, Err(Problem::Refused(reason, retry_after)));
         assert!(test_call.events.try_recv().is_err());
     });
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -28,8 +28,8 @@
 struct RequestedCompletion {
     base: Weights,
     adapter: Option<Weights>,
-    name: String,
-    stream: bool,
+    model_name: String,
+    is_streamed: bool,
     shape: request::Shape,
     include_usage: bool,
     body: Bytes,
@@ -75,19 +75,19 @@
     let budget = caller_request.deadline(req, team.team.default_deadline_ms.0, limit)?;
     let deadline = Instant::now() + budget;
     let (mut spec, mut open) = open_stream(caller_request, &requested, chat, urgency, budget);
-    if requested.stream {
+    if requested.is_streamed {
         open.position = resume_position(req)?;
     }
     spec.shape = requested.shape;
     let call = CallInProgress::submit(&context.events, spec, open, requested.body)?;
     let format = AnswerFormat {
         is_chat: chat,
-        request_id: caller_request.id.clone(),
-        model: requested.name,
+        request_id: caller_request.request_id.clone(),
+        model: requested.model_name,
         include_usage: requested.include_usage,
         created_s: clock::unix_ms(SystemTime::now()) / 1000,
     };
-    if requested.stream {
+    if requested.is_streamed {
         let started_at = context.clock.now();
         let result = answer::stream(call, format, deadline, res).await;
         if result.is_ok() {
@@ -142,8 +142,8 @@
     Ok(RequestedCompletion {
         base,
         adapter,
-        name: params.model,
-        stream,
+        model_name: params.model,
+        is_streamed: stream,
         shape,
         include_usage,
         body,
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -119,7 +119,7 @@
                 self.calls.insert(key, call);
                 self.execute(key, decision);
             }
-            Event::Connected { target, draining, commands } => {
+            Event::Connected { target, is_draining: draining, commands } => {
                 self.connections.insert(target.clone(), commands);
                 if draining {
                     self.reported_draining.insert(target.clone());
@@ -161,16 +161,17 @@
     /// Resumes a repeatable request at another target, or reports the loss to the handler.
     fn on_target_lost(&mut self, key: RequestKey, position: u64, failed: bool) {
         let Some(call) = self.calls.get_mut(&key) else { return };
-        call.open.position = call.open.position.max(position);
+        call.open_message.position = call.open_message.position.max(position);
         // Updates that the handler has not read yet occupy its channel.
-        call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
+        call.open_message.window =
+            call.update_tx.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
         let reason = RefusalReason::NotLoaded;
         let refusal = Refusal { reason, retry_after: LOST_RETRY_AFTER };
         match self.router.connection_lost(self.clock.now(), key, refusal) {
             Some(decision @ Decision::Send(_)) => self.execute(key, decision),
             Some(Decision::Refuse(_)) | None => {
                 if let Some(call) = self.calls.remove(&key) {
-                    drop(call.reply.try_send(Update::Lost { target_failed: failed }));
+                    drop(call.update_tx.try_send(Update::Lost { target_failed: failed }));
                 }
             }
         }
@@ -188,8 +189,12 @@
             Decision::Send(target) => self.send(key, target),
             Decision::Refuse(refusal) => {
                 if let Some(call) = self.calls.remove(&key) {
-                    let transient = self.is_transient_refusal(&call.open.operation, refusal.reason);
-                    drop(call.reply.try_send(Update::Refused { refusal, transient }));
+                    let transient =
+                        self.is_transient_refusal(&call.open_message.operation, refusal.reason);
+                    drop(
+                        call.update_tx
+                            .try_send(Update::Refused { refusal, is_transient: transient }),
+                    );
                 }
             }
         }
@@ -226,9 +231,9 @@
         let name = self.router.target_state(target).map(|target| target.name.clone());
         let connection = name.and_then(|name| self.connections.get(&name));
         let Some(mut call) = self.calls.get(&key).cloned() else { return };
-        call.open.stream = link::stream_id(key);
+        call.open_message.stream = link::stream_id(key);
         // A target that has not folded the slot yet waits for this version.
-        call.open.as_of = self.applied_versions.1.max(self.applied_versions.2);
+        call.open_message.as_of = self.applied_versions.1.max(self.applied_versions.2);
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
             // A closed or full connection counts as a refusal.
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -96,7 +96,7 @@
     if connection.announced_offset != target.offset {
         connection.announced_offset = target.offset;
         let commands = connection.commands.clone();
-        context.send_event(Event::Connected { target: name.clone(), draining: false, commands });
+        context.send_event(Event::Connected { target: name.clone(), is_draining: false, commands });
     }
 }
 
@@ -180,6 +180,6 @@
     let refusal =
         Refusal { reason: RefusalReason::NotLoaded, retry_after: UNREACHABLE_RETRY_AFTER };
     let load = Load { running: 0, queued: 0, wait_ms: 0 };
-    let key = link::request_key(call.open.stream);
+    let key = link::request_key(call.open_message.stream);
     context.send_event(Event::Refused { key, refusal, load });
 }
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The `decide` thread sets its stream id.
-    pub open: OpenStream,
+    pub open_message: OpenStream,
     pub body: Bytes,
-    pub reply: mpsc::Sender<Update>,
+    pub update_tx: mpsc::Sender<Update>,
 }
 
 /// Message to a caller's handler.
@@ -44,7 +44,7 @@
     Refused {
         refusal: Refusal,
         /// Whether a replica is temporarily unavailable, so that a retry may succeed.
-        transient: bool,
+        is_transient: bool,
     },
     /// The target was lost and the request was not sent to another.
     Lost {
@@ -56,7 +56,7 @@
 /// The stream of a request, used to grant credit and to cancel.
 #[derive(Clone, Debug)]
 pub struct Attachment {
-    pub stream: u64,
+    pub stream_id: u64,
     pub commands: mpsc::Sender<Command>,
 }
 
@@ -68,7 +68,7 @@
     Credit {
         stream: u64,
         /// First position outside the window.
-        upto: u64,
+        window_end: u64,
     },
     Cancel {
         stream: u64,
@@ -82,7 +82,7 @@
     /// A target is available: its connection is open, or it was announced.
     Connected {
         target: TargetId,
-        draining: bool,
+        is_draining: bool,
         commands: mpsc::Sender<Command>,
     },
     /// A target is unreachable or was withdrawn.
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -71,11 +71,11 @@
 
 /// An authenticated request.
 pub struct CallerRequest {
-    pub id: SmolStr,
+    pub request_id: SmolStr,
     pub team: WorkspaceId,
     /// The snapshot at its arrival.
     pub snapshot: Arc<Snapshot>,
-    pub trace: TraceContext,
+    pub trace_context: TraceContext,
     pub clock: SharedClock,
 }
 
@@ -190,7 +190,7 @@
                 Ok(())
             }
             Kind::Ready => {
-                self.ready(&self.control.current.load())?;
+                self.check_ready(&self.control.current.load())?;
                 drop(res.write_body("ready\n"));
                 Ok(())
             }
@@ -252,10 +252,10 @@
             self.metrics.count_tagged(Metric::RouterCalls, 1, "outcome", outcome);
         }
         tracing::info!(
-            trace_id = %format_args!("{:032x}", caller_request.trace.trace),
-            span_id = %format_args!("{:016x}", caller_request.trace.span),
-            parent_id = %format_args!("{:016x}", caller_request.trace.parent),
-            request = %caller_request.id,
+            trace_id = %format_args!("{:032x}", caller_request.trace_context.trace),
+            span_id = %format_args!("{:016x}", caller_request.trace_context.span),
+            parent_id = %format_args!("{:016x}", caller_request.trace_context.parent),
+            request = %caller_request.request_id,
             caller_request = caller_id(req).ok().flatten(),
             team = %caller_request.team,
             took_us = elapsed.as_micros() as u64,
@@ -274,11 +274,17 @@
             return Err(Problem::Refused(RefusalReason::QueueFull, IN_FLIGHT_RETRY_AFTER));
         }
         let trace = TraceContext::continue_from(header(req, "traceparent"));
-        Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
+        Ok(CallerRequest {
+            request_id: request,
+            team,
+            snapshot,
+            trace_context: trace,
+            clock: self.clock.clone(),
+        })
     }
 
     /// Readiness for load balancers; requests are still served during a shutdown.
-    fn ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
+    fn check_ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
         if self.is_draining.load(Ordering::Relaxed) {
             return Err(Problem::NotReady("it is shutting down"));
         }
@@ -376,14 +382,14 @@
         };
         let open = OpenStream {
             stream: 0,
-            request: self.id.clone(),
+            request: self.request_id.clone(),
             team: self.team.clone(),
             operation,
             urgency,
             deadline_ms: budget.as_millis() as u64,
             position: 0,
             window: 0,
-            traceparent: self.trace.header(),
+            traceparent: self.trace_context.header(),
             as_of: 0,
             expires_ms: 0,
         };
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -166,7 +166,7 @@
     async fn execute(&mut self, command: Command) -> Result<(), FrameError> {
         match command {
             Command::Open(call) => self.open(*call).await,
-            Command::Credit { stream, upto } => {
+            Command::Credit { stream, window_end: upto } => {
                 self.send(&ToAgent::Credit { stream, upto }, b"").await
             }
             Command::Cancel { stream } => {
@@ -180,16 +180,16 @@
     }
 
     async fn open(&mut self, call: Call) -> Result<(), FrameError> {
-        let stream = call.open.stream;
+        let stream = call.open_message.stream;
         let commands = self.commands.clone();
-        let attached = Update::Attached(Attachment { stream, commands });
-        if call.reply.send(attached).await.is_err() {
+        let attached = Update::Attached(Attachment { stream_id: stream, commands });
+        if call.update_tx.send(attached).await.is_err() {
             self.send_event(Event::Ended { key: request_key(stream), load: None });
             return Ok(());
         }
-        let position = call.open.position;
-        self.streams.insert(stream, Stream { reply: call.reply, position });
-        self.send(&ToAgent::Open(call.open), &call.body).await
+        let position = call.open_message.position;
+        self.streams.insert(stream, Stream { reply: call.update_tx, position });
+        self.send(&ToAgent::Open(call.open_message), &call.body).await
     }
 
     fn send_event(&self, event: Event) {
@@ -208,7 +208,7 @@
                     return Err(FrameError::Closed);
                 }
                 let commands = self.commands.clone();
-                self.send_event(Event::Connected { target, draining, commands });
+                self.send_event(Event::Connected { target, is_draining: draining, commands });
             }
             ToRouter::Head { stream, status, content_type } => {
                 self.forward_update(stream, Update::Head { status, content_type });
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -68,9 +68,9 @@
     draining: Arc<AtomicBool>,
     in_flight: Arc<AtomicUsize>,
     server: ServerHandle,
-    http: thread::JoinHandle<()>,
+    http_thread: thread::JoinHandle<()>,
     control: ControlHandle,
-    grace: Duration,
+    readiness_grace: Duration,
     drain_limit: Duration,
 }
 
@@ -130,7 +130,15 @@
     });
     let (server, http) = start_http(&settings, incarnation, &context)?;
     let (grace, drain_limit) = (settings.timing.grace_ms.0, settings.timing.drain_ms.0);
-    Ok(RouterHandle { draining, in_flight, server, http, control, grace, drain_limit })
+    Ok(RouterHandle {
+        draining,
+        in_flight,
+        server,
+        http_thread: http,
+        control,
+        readiness_grace: grace,
+        drain_limit,
+    })
 }
 
 fn runtime() -> Result<runtime::Runtime, RouterError> {
@@ -267,10 +275,10 @@
         if let Ok(runtime) = runtime() {
             runtime.block_on(self.control.resign());
         }
-        thread::sleep(self.grace);
+        thread::sleep(self.readiness_grace);
         self.server.stop_graceful(None);
         let started_at = Instant::now();
-        while !self.http.is_finished() {
+        while !self.http_thread.is_finished() {
             if started_at.elapsed() >= self.drain_limit {
                 let in_flight = self.in_flight.load(Ordering::Relaxed);
                 tracing::warn!(held = in_flight, "drain limit reached with requests in flight");
