--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -13,11 +13,11 @@
 use tokio::{sync::mpsc, time};
 
 /// Positions consumed before more credit is granted.
-const CREDIT_STEP: u64 = CHUNK_WINDOW / 2;
+const CREDIT_STEP_CHUNKS: u64 = CHUNK_WINDOW / 2;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// Attempts without progress before a call fails; enough for a planned restart of its target.
-const MAX_ATTEMPTS: u32 = 12;
+const MAX_ATTEMPTS_WITHOUT_PROGRESS: u32 = 12;
 /// Attempts that an engine failure counts as; bounds the engines that one request can crash.
 const ATTEMPTS_PER_FAILURE: u32 = 4;
 /// Minimum time to resume an answer whose first part met the deadline.
@@ -43,15 +43,18 @@
 struct Submission {
     events: SyncSender<Event>,
     spec: RequestSpec,
-    open: OpenStream,
+    open_message: OpenStream,
     body: Bytes,
 }
 
 impl Submission {
     fn send(&self) -> Result<mpsc::Receiver<Update>, Problem> {
         let (reply, rx) = mpsc::channel(REPLY_QUEUE_CAPACITY);
-        let call =
-            Call { open_message: self.open.clone(), body: self.body.clone(), update_tx: reply };
+        let call = Call {
+            open_message: self.open_message.clone(),
+            body: self.body.clone(),
+            update_tx: reply,
+        };
         let event = Event::Submit(Box::new((self.spec.clone(), call)));
         let rejected = Problem::Refused(RefusalReason::QueueFull, QUEUE_FULL_RETRY_AFTER);
         self.events.try_send(event).map_err(|_| rejected)?;
@@ -87,7 +90,7 @@
     ) -> Result<Self, Problem> {
         open.window = CHUNK_WINDOW;
         let position = open.position;
-        let submission = Submission { events: events.clone(), spec, open, body };
+        let submission = Submission { events: events.clone(), spec, open_message: open, body };
         let updates = submission.send()?;
         let credit_limit = position + CHUNK_WINDOW;
         let (attachment, retry) = (None, None);
@@ -153,20 +156,20 @@
         self.attempts_without_progress += attempts;
         let now = time::Instant::now();
         let until = now + backoff.min(MAX_BACKOFF);
-        if self.attempts_without_progress > MAX_ATTEMPTS || until >= deadline {
+        if self.attempts_without_progress > MAX_ATTEMPTS_WITHOUT_PROGRESS || until >= deadline {
             return Err(problem);
         }
         time::sleep_until(until).await;
         let submission = &mut self.submission;
         let now = time::Instant::now().into_std();
-        if self.next_position > submission.open.position {
+        if self.next_position > submission.open_message.position {
             submission.spec.deadline = submission.spec.deadline.max(now + MIN_RESUME_TIME);
-            submission.open.position = self.next_position;
+            submission.open_message.position = self.next_position;
         }
         let remaining = submission.spec.deadline.saturating_duration_since(now);
-        submission.open.deadline_ms = remaining.as_millis() as u64;
+        submission.open_message.deadline_ms = remaining.as_millis() as u64;
         tracing::info!(
-            request = %submission.open.request,
+            request = %submission.open_message.request,
             position = self.next_position,
             cause = %problem,
             "call taken up again"
@@ -184,7 +187,7 @@
             Some(Update::Attached(attachment)) => {
                 self.attachment = Some(attachment);
                 // Credit granted to an earlier target does not carry over.
-                if self.next_position > self.submission.open.position {
+                if self.next_position > self.submission.open_message.position {
                     self.send_command(|stream, upto| Command::Credit { stream, window_end: upto });
                 }
                 Ok(None)
@@ -223,7 +226,7 @@
     /// request has not run, so any call may be retried.
     fn on_refused(&mut self, refusal: Refusal, transient: bool) -> AttemptEnd {
         self.finished = true;
-        if self.next_position > self.submission.open.position
+        if self.next_position > self.submission.open_message.position
             || self.attempts_without_progress > 0 && self.next_position > 0
         {
             return self.retry_if_repeatable(Problem::Failed("no replica can resume it".into()), 1);
@@ -245,7 +248,7 @@
         }
         self.next_position += 1;
         self.attempts_without_progress = 0;
-        if self.next_position + CREDIT_STEP >= self.credit_limit {
+        if self.next_position + CREDIT_STEP_CHUNKS >= self.credit_limit {
             self.credit_limit = self.next_position + CHUNK_WINDOW;
             self.send_command(|stream, upto| Command::Credit { stream, window_end: upto });
         }
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -82,7 +82,7 @@
     target: &Target,
 ) {
     let connection = connections.entry(name.clone()).or_insert_with(|| {
-        let (commands, rx) = mpsc::channel(link::QUEUE_CAPACITY);
+        let (commands, rx) = mpsc::channel(link::LINK_QUEUE_CAPACITY);
         let address = target.record.address.clone();
         let task = maintain_connection(
             context.clone(),
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -104,6 +104,6 @@
         /// First position that was not received.
         position: u64,
         /// Whether the target failed, rather than the connection to it.
-        failed: bool,
+        target_failed: bool,
     },
 }
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -27,7 +27,7 @@
 };
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-pub const QUEUE_CAPACITY: usize = 4096;
+pub const LINK_QUEUE_CAPACITY: usize = 4096;
 
 #[derive(Clone)]
 pub struct LinkContext {
@@ -52,8 +52,8 @@
 }
 
 struct Stream {
-    reply: mpsc::Sender<Update>,
-    position: u64,
+    update_tx: mpsc::Sender<Update>,
+    next_position: u64,
 }
 
 struct Connection<'a> {
@@ -73,7 +73,7 @@
     rx: &mut mpsc::Receiver<Command>,
     first: Option<Command>,
 ) -> CloseReason {
-    let (outgoing, frames) = mpsc::channel(QUEUE_CAPACITY);
+    let (outgoing, frames) = mpsc::channel(LINK_QUEUE_CAPACITY);
     let (commands, streams) = (commands.clone(), HashMap::new());
     let mut connection = Connection { context, target, outgoing, commands, streams };
     let close_reason = match connection::split(stream, context.timing.silence_ms.0) {
@@ -188,7 +188,7 @@
             return Ok(());
         }
         let position = call.open_message.position;
-        self.streams.insert(stream, Stream { reply: call.update_tx, position });
+        self.streams.insert(stream, Stream { update_tx: call.update_tx, next_position: position });
         self.send(&ToAgent::Open(call.open_message), &call.body).await
     }
 
@@ -197,7 +197,7 @@
     }
 
     fn report_lost(&self, stream: u64, position: u64, failed: bool) {
-        self.send_event(Event::Lost { key: request_key(stream), position, failed });
+        self.send_event(Event::Lost { key: request_key(stream), position, target_failed: failed });
     }
 
     fn on_message(&mut self, message: ToRouter, body: Bytes) -> Result<(), FrameError> {
@@ -215,14 +215,14 @@
             }
             ToRouter::Chunk { stream, position } => {
                 if let Some(entry) = self.streams.get_mut(&stream) {
-                    entry.position = entry.position.max(position + 1);
+                    entry.next_position = entry.next_position.max(position + 1);
                 }
                 self.forward_update(stream, Update::Chunk { position, body });
             }
             ToRouter::End { stream, ending: Ending::Failed { reason }, .. } => {
                 tracing::info!(stream, %reason, "response stream failed at its target");
                 if let Some(entry) = self.streams.remove(&stream) {
-                    self.report_lost(stream, entry.position, true);
+                    self.report_lost(stream, entry.next_position, true);
                 }
             }
             ToRouter::End { stream, position, ending, load } => {
@@ -247,7 +247,7 @@
         let Some(entry) = self.streams.get_mut(&stream) else { return };
         // The agent respects the window, so sending fails only if the caller is gone. `Cancel`
         // removes the stream and notifies the agent and the `decide` thread.
-        if entry.reply.try_send(update).is_err() {
+        if entry.update_tx.try_send(update).is_err() {
             drop(self.commands.try_send(Command::Cancel { stream }));
         }
     }
@@ -257,7 +257,7 @@
     /// Reports the remaining streams as lost, also when the task was aborted.
     fn drop(&mut self) {
         for (stream, entry) in std::mem::take(&mut self.streams) {
-            self.report_lost(stream, entry.position, false);
+            self.report_lost(stream, entry.next_position, false);
         }
     }
 }
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -76,22 +76,22 @@
 ) -> Result<(), Problem> {
     if kind == Kind::State {
         problem::set_header(res, "content-type", "application/octet-stream");
-        drop(res.write_body(state(context)?));
+        drop(res.write_body(encode_checkpoint(context)?));
         return Ok(());
     }
     let text = |name: &str| req.query::<String>(name).unwrap_or_default();
     let value = match kind {
         Kind::Apply => apply(context, req).await?,
-        Kind::Get => get(context, &text("prefix")),
-        Kind::Ticket => ticket(context, &text("ticket"))?,
-        Kind::History => history(context, &text("prefix")),
-        Kind::Spread => rollout(context, req).await?,
-        Kind::Version => status::version(context),
-        Kind::Status if text("own") == "true" => status::local(context),
+        Kind::Get => read_documents(context, &text("prefix")),
+        Kind::Ticket => ticket_outcome(context, &text("ticket"))?,
+        Kind::History => change_history(context, &text("prefix")),
+        Kind::Spread => rollout_status(context, req).await?,
+        Kind::Version => status::version_status(context),
+        Kind::Status if text("own") == "true" => status::router_status(context),
         Kind::Status | Kind::State => {
             let authorization = req.headers().get("authorization");
             let authorization = authorization.and_then(|value| value.to_str().ok());
-            status::fleet(context, authorization.unwrap_or_default()).await
+            status::fleet_status(context, authorization.unwrap_or_default()).await
         }
     };
     problem::set_header(res, "content-type", "application/json");
@@ -144,7 +144,7 @@
 
 /// Returns the outcome of a change. One that is not in the log is refused once the log has been
 /// read past its expiry time, and unknown until then.
-fn ticket(context: &HandlerContext, ticket: &str) -> Result<Value, Problem> {
+fn ticket_outcome(context: &HandlerContext, ticket: &str) -> Result<Value, Problem> {
     let malformed = || Problem::Invalid("`ticket` was not issued by a router".into());
     let not_after_ms = not_after_ms(ticket).ok_or_else(malformed)?;
     let snapshot = context.control.current.load();
@@ -167,7 +167,7 @@
     })
 }
 
-fn history(context: &HandlerContext, prefix: &str) -> Value {
+fn change_history(context: &HandlerContext, prefix: &str) -> Value {
     let snapshot = context.control.current.load();
     let entries: Vec<Value> =
         snapshot.state.history.of_path(prefix).map(|entry| json!(entry)).collect();
@@ -175,7 +175,7 @@
 }
 
 /// Returns how many routers report that a version is in force.
-async fn rollout(context: &HandlerContext, req: &Request) -> Result<Value, Problem> {
+async fn rollout_status(context: &HandlerContext, req: &Request) -> Result<Value, Problem> {
     let requested = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
     let queries = context.peer_addresses.iter().map(|peer| query_version(peer, bearer));
@@ -197,7 +197,7 @@
 }
 
 /// Returns a checkpoint of the state, for a process that starts while the log is down.
-fn state(context: &HandlerContext) -> Result<Vec<u8>, Problem> {
+fn encode_checkpoint(context: &HandlerContext) -> Result<Vec<u8>, Problem> {
     let snapshot = context.control.current.load();
     if !snapshot.caught_up {
         return Err(Problem::NotReady(snapshot.waiting.reason()));
@@ -219,7 +219,7 @@
     Ok(Change { path, base, value })
 }
 
-fn get(context: &HandlerContext, prefix: &str) -> Value {
+fn read_documents(context: &HandlerContext, prefix: &str) -> Value {
     let snapshot = context.control.current.load();
     let documents = snapshot.state.documents.by_path.iter();
     let documents: Vec<Value> = documents
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -30,7 +30,7 @@
 }
 
 /// Returns the state of this router without queries: `GET /operator/status?own=true`.
-pub fn local(context: &HandlerContext) -> Value {
+pub fn router_status(context: &HandlerContext) -> Value {
     let snapshot = context.control.current.load();
     let state = &snapshot.state;
     let targets = state.targets.by_name.values().map(|target| target_json(&target.record));
@@ -55,8 +55,8 @@
         "address": record.address, "service": record.service })
 }
 
-pub async fn fleet(context: &HandlerContext, authorization: &str) -> Value {
-    let mut fleet = local(context);
+pub async fn fleet_status(context: &HandlerContext, authorization: &str) -> Value {
+    let mut fleet = router_status(context);
     let snapshot = context.control.current.load();
     let state = &snapshot.state;
     let queries: Vec<_> = state
@@ -94,13 +94,13 @@
         .collect();
     fleet["routers"] = all_routers.into();
     fleet["targets"] = targets_json.into();
-    fleet["slots"] = slots(state, &holdings).into();
+    fleet["slots"] = replica_slots(state, &holdings).into();
     fleet["holdings"] = holdings.into();
     fleet
 }
 
 /// Returns each replica slot and whether its model is cold, loading or warm on its target.
-fn slots(state: &State, holdings: &[Value]) -> Vec<Value> {
+fn replica_slots(state: &State, holdings: &[Value]) -> Vec<Value> {
     let slots = state.slots.by_key.iter();
     slots
         .map(|(key, slot)| {
@@ -172,7 +172,7 @@
     }
 }
 
-pub fn version(context: &HandlerContext) -> Value {
+pub fn version_status(context: &HandlerContext) -> Value {
     json!({ "router": context.router_name,
         "version": context.control.current.load().state.documents.version })
 }
