--- a/crates/corianderstand_router/src/answer.rs
+++ b/crates/corianderstand_router/src/answer.rs
@@ -18,13 +18,13 @@
     pub request_id: SmolStr,
     /// The model name that the caller sent.
     pub model: String,
-    /// Whether a stream ends with the usage.
+    /// Whether a stream ends with an event that contains the token counts.
     pub include_usage: bool,
     /// When the request was received, in seconds since the Unix epoch.
     pub created_s: u64,
 }
 
-/// Timeout of a target that makes no progress; heartbeats detect lost connections.
+/// Timeout of a target that generates no tokens although its connection is alive.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 const MAX_WRITE_BYTES: usize = 16 * 1024;
 
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -1,5 +1,4 @@
-//! A call in progress. Its parts are returned in order, each once; if the target is lost, a
-//! repeatable call is submitted again from the position reached.
+//! A call in progress: returns its parts in order, each once, and resumes it if the target is lost.
 
 use crate::{
     event::{Attachment, CHUNK_WINDOW, Call, Command, Event, REPLY_QUEUE_CAPACITY, Update},
@@ -12,7 +11,7 @@
 use std::{sync::mpsc::SyncSender, time::Duration};
 use tokio::{sync::mpsc, time};
 
-/// Positions consumed before more credit is granted.
+/// Chunks that the caller must read before the target is granted more credit.
 const CREDIT_STEP_CHUNKS: u64 = CHUNK_WINDOW / 2;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
@@ -39,7 +38,6 @@
     },
 }
 
-/// Arguments of a call, kept for retries.
 struct Submission {
     events: SyncSender<Event>,
     spec: RequestSpec,
@@ -64,7 +62,7 @@
 
 enum AttemptEnd {
     Final(Problem),
-    /// Carries the number of attempts to count.
+    /// The error to return if no attempt is left, and how many attempts this one counts as.
     Retry(Problem, u32),
 }
 
@@ -145,7 +143,7 @@
         Ok(None)
     }
 
-    /// Submits the call again from the position reached, after a backoff.
+    /// Submits the call again from the first missing chunk, after a backoff.
     async fn resume(
         &mut self,
         problem: Problem,
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -15,11 +15,10 @@
     },
 };
 
-/// Connections over the limit whose requests are refused; further ones are closed at once.
+/// Connections above this excess are closed without a response.
 const MAX_EXCESS_CONNECTIONS: usize = 256;
 
-/// Counts open connections. Some over the limit are accepted and their requests refused, so that
-/// callers do not wait in the listen backlog.
+/// Open connections of callers; a few over the limit are accepted only to refuse their requests.
 #[derive(Debug)]
 pub struct Connections {
     max_connections: usize,
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -35,13 +35,12 @@
     pub router: Router,
     pub current: CurrentSnapshot,
     pub clock: SharedClock,
-    /// Requests in flight, kept for retries.
     pub calls: HashMap<RequestKey, Call>,
     pub connections: HashMap<TargetId, mpsc::Sender<Command>>,
-    /// Versions of the targets, slots and settings last passed to `router`.
+    /// Log versions of the targets, replica slots and settings last passed to `router`.
     pub applied_versions: (u64, u64, u64),
     pub hosts: std::sync::Arc<Hosts>,
-    /// Targets whose agents reported that they accept no new requests.
+    /// Targets whose agents reported that they are draining.
     pub reported_draining: BTreeSet<TargetId>,
     pub in_flight: std::sync::Arc<AtomicUsize>,
     pub metrics: Metrics,
@@ -164,7 +163,7 @@
     fn on_target_lost(&mut self, key: RequestKey, position: u64, failed: bool) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.open_message.position = call.open_message.position.max(position);
-        // Updates that the handler has not read yet occupy its channel.
+        // Reserves channel capacity for updates that the handler has not read yet.
         call.open_message.window =
             call.update_tx.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
         let reason = RefusalReason::NotLoaded;
@@ -234,11 +233,11 @@
         let connection = name.and_then(|name| self.connections.get(&name));
         let Some(mut call) = self.calls.get(&key).cloned() else { return };
         call.open_message.stream = link::stream_id(key);
-        // A target that has not folded the slot yet waits for this version.
+        // An agent whose state is older waits until it has read this log version.
         call.open_message.as_of = self.applied_versions.1.max(self.applied_versions.2);
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
-            // A closed or full connection counts as a refusal.
+            // A closed connection or a full command queue counts as a refusal.
             let refusal =
                 Refusal { reason: RefusalReason::QueueFull, retry_after: LOST_RETRY_AFTER };
             let load = Load { running: 0, queued: 0, wait_ms: 0 };
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -22,9 +22,9 @@
 use tokio::{net::TcpStream, sync::mpsc, task::JoinHandle, time};
 
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// Short, so that a request to a lost host can still reach another target in time.
+/// Leaves time to send a request to another target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Heartbeat intervals without a stream after which a connection is closed.
+/// Number of heartbeat intervals without requests after which a connection is closed.
 pub const IDLE_HEARTBEATS: u32 = 10;
 const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// Waits for a request; discards credit and cancellation of streams that have ended.
+/// Waits for a request; discards commands for streams that have ended.
 async fn first_request(rx: &mut mpsc::Receiver<Command>) -> Option<Command> {
     while let Some(command) = rx.recv().await {
         if matches!(command, Command::Open(_)) {
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -7,15 +7,15 @@
 use smol_str::SmolStr;
 use tokio::sync::mpsc;
 
-/// Flow-control window of a stream, in chunks.
+/// Flow-control window of a response stream, in chunks.
 pub const CHUNK_WINDOW: u64 = 64;
-/// Queue capacity for updates other than chunks.
+/// Queue capacity reserved for updates that are not response chunks.
 pub const REPLY_EXTRA_CAPACITY: usize = 16;
 pub const REPLY_QUEUE_CAPACITY: usize = CHUNK_WINDOW as usize + REPLY_EXTRA_CAPACITY;
 
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The `decide` thread sets its stream id.
+    /// Header of the request for the agent; the `decide` thread sets its stream id.
     pub open_message: OpenStream,
     pub body: Bytes,
     pub update_tx: mpsc::Sender<Update>,
@@ -43,7 +43,7 @@
     /// The request was not run.
     Refused {
         refusal: Refusal,
-        /// Whether a replica is temporarily unavailable, so that a retry may succeed.
+        /// Whether a replica is only temporarily unavailable.
         is_transient: bool,
     },
     /// The target was lost and the request was not sent to another.
@@ -60,14 +60,14 @@
     pub commands: mpsc::Sender<Command>,
 }
 
-/// Command to a connection.
+/// Command to the task of a connection to an agent.
 #[derive(Debug)]
 pub enum Command {
     Open(Box<Call>),
     /// Extends the flow-control window.
     Credit {
         stream: u64,
-        /// First position outside the window.
+        /// Index of the first chunk that the target may not send yet.
         window_end: u64,
     },
     Cancel {
@@ -95,13 +95,12 @@
     },
     Ended {
         key: RequestKey,
-        /// Load of the target, if reported.
         load: Option<Load>,
     },
     /// The target of a request was lost before the response was complete.
     Lost {
         key: RequestKey,
-        /// First position that was not received.
+        /// Index of the first response chunk that was not received.
         position: u64,
         /// Whether the target failed, rather than the connection to it.
         target_failed: bool,
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -1,6 +1,4 @@
 //! Decides when a connection needs a heartbeat and when it is idle or unresponsive.
-//!
-//! A heartbeat is sent only after an interval in which one side sent nothing.
 
 #[cfg(test)]
 mod tests;
@@ -11,7 +9,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// Both sides have sent something.
+    /// No heartbeat is due, as both sides have sent data since the last tick.
     Skip,
     /// Send a heartbeat with this nonce.
     Ping(u64),
@@ -56,8 +54,7 @@
         self.has_ever_received = true;
     }
 
-    /// Ends an interval; `busy` is whether streams are in flight. The response timeout is counted
-    /// across ticks, because a read timeout would restart with every heartbeat sent.
+    /// Ends a heartbeat interval; `busy` is whether response streams are in flight.
     pub fn on_tick(&mut self, busy: bool) -> HeartbeatAction {
         self.ticks_unresponsive =
             if self.received_since_tick { 0 } else { self.ticks_unresponsive + 1 };
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -51,7 +51,7 @@
     pub peer_client: reqwest::Client,
     pub events: SyncSender<Event>,
     pub control: ControlHandle,
-    /// Recent records, for processes that follow this router.
+    /// Recent log records, served to processes that read the log from this router.
     pub log_tail: Tail,
     pub hasher: Hasher,
     pub operator_key_hash: SmolStr,
@@ -64,7 +64,6 @@
     pub max_in_flight: usize,
     pub in_flight: Arc<AtomicUsize>,
     pub is_draining: Arc<AtomicBool>,
-    /// Detects requests that may predate a pause of this process.
     pub watched_connections: Arc<WatchedConnections>,
     pub clock: SharedClock,
 }
@@ -73,7 +72,6 @@
 pub struct CallerRequest {
     pub request_id: SmolStr,
     pub team: WorkspaceId,
-    /// The snapshot at its arrival.
     pub snapshot: Arc<Snapshot>,
     pub trace_context: TraceContext,
     pub clock: SharedClock,
@@ -283,7 +281,7 @@
         })
     }
 
-    /// Readiness for load balancers; requests are still served during a shutdown.
+    /// Fails if load balancers should send no requests here.
     fn check_ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
         if self.is_draining.load(Ordering::Relaxed) {
             return Err(Problem::NotReady("it is shutting down"));
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -40,13 +40,13 @@
 
 impl LinkContext {
     pub fn send_event(&self, event: Event) {
-        // Blocks briefly at most: the receiver never waits for this thread.
+        // Cannot deadlock: the receiver never waits for this thread.
         drop(self.events.send(event));
     }
 }
 
 pub enum CloseReason {
-    /// It carried no stream for a while.
+    /// No request used the connection for [`crate::dial::IDLE_HEARTBEATS`] intervals.
     Idle,
     Failed(FrameError),
 }
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Sends a message that counts as control traffic.
+    /// Sends a message and charges it to the control-traffic budget.
     async fn send_control(&self, message: &ToAgent) -> Result<(), FrameError> {
         let frame = frame::encode(message, b"")?;
         self.context.budget.spend(TrafficClass::Link, frame.len() as u64);
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -1,8 +1,7 @@
 //! Calls that run at most once, identified by an idempotency key.
 //!
-//! The outcome is "ran" with the service's answer, "not run" if the call was refused before it was
-//! claimed or the log records that it did not run, and "unknown" otherwise. A router that times out
-//! appends a `CallVoided` record: if it precedes any claim in the log, the call can never run.
+//! A router that times out appends a `CallVoided` record: if that precedes any claim in the log, the
+//! call can never run.
 
 use crate::{
     call::{CallInProgress, Part},
@@ -38,11 +37,11 @@
     pub body: Option<Bytes>,
 }
 
-/// A call under an idempotency key.
+/// A call to a service under an idempotency key.
 pub struct KeyedCall<'a> {
     pub control: &'a ControlHandle,
     pub key: CallKey,
-    /// Digest of the call, which detects a key reused for another one.
+    /// Detects an idempotency key that is reused for another request.
     pub request_digest: u64,
     pub deadline: Instant,
 }
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Voids the call or determines its outcome, while still accepting an answer from `call`.
+    /// Appends a `CallVoided` record, and accepts an answer from `call` in the meantime.
     async fn settle(&self, call: Option<CallInProgress>) -> Result<Answer, Problem> {
         let mut settled = pin!(self.append_void());
         if let Some(mut call) = call {
@@ -104,7 +103,6 @@
         }
     }
 
-    /// Waits until the log records an outcome, or the deadline.
     async fn wait_for_outcome(&self) -> Result<Answer, Problem> {
         let mut changed = self.control.current.subscribe();
         loop {
@@ -143,7 +141,6 @@
     matches!(problem, Problem::Refused(..) | Problem::NotRun(_))
 }
 
-/// Reads a call's complete answer.
 pub async fn read(call: &mut CallInProgress, deadline: Instant) -> Result<Answer, Problem> {
     let mut answer = Answer { status: 200, content_type: SmolStr::default(), body: None };
     let mut body = Vec::new();
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -54,7 +54,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ApplyChange {
     pub path: SmolStr,
-    /// Version that the change is based on; 0 for a new document.
+    /// Version of the document that the change replaces; 0 for a new document.
     pub base: u64,
     /// New content; null removes the document.
     pub value: Option<Value>,
@@ -62,10 +62,10 @@
 
 /// Label whose keyed hash authenticates a process to its peers.
 pub const PEER_TOKEN_LABEL: &str = "peer";
-/// Log time after a request within which its change may take effect; must tolerate a slow log.
+/// Time limit for a change to be appended to the log, by the log's clock.
 pub const EXPIRY_WINDOW: Duration = Duration::from_secs(8);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Includes [`EXPIRY_WINDOW`] and the time to read the change back.
+/// Longer than [`EXPIRY_WINDOW`], as the change is read back from the log.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub async fn answer(
@@ -131,7 +131,6 @@
     }
 }
 
-/// Returns a unique ticket for a change, which contains its expiry time.
 fn new_ticket(snapshot: &Snapshot, clock: &SharedClock) -> SmolStr {
     let now_ms = clock::unix_ms(clock.wall()).saturating_add_signed(snapshot.log_clock_ms);
     let not_after_ms = now_ms + EXPIRY_WINDOW.as_millis() as u64;
@@ -174,7 +173,7 @@
     json!({ "entries": entries })
 }
 
-/// Returns how many routers report that a version is in force.
+/// Returns how many routers apply at least the requested version of the settings.
 async fn rollout_status(context: &HandlerContext, req: &Request) -> Result<Value, Problem> {
     let requested = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -10,7 +10,7 @@
 use std::ops::RangeInclusive;
 
 const MAX_STOP_SEQUENCES: usize = 16;
-/// Exclusive limit of `max_tokens`.
+/// Requests must set `max_tokens` below this limit.
 const MAX_TOKENS: u32 = 16 * 1024 * 1024;
 
 #[derive(Deserialize)]
@@ -108,8 +108,7 @@
         options.and_then(|options| options.include_usage).unwrap_or(false)
     }
 
-    /// Returns the length and the prefix for routing. The first messages identify a session's
-    /// cached prompt.
+    /// Returns the output limit and the prompt's prefix, by which a session finds its cached prompt.
     pub fn shape(&self, chat: bool) -> request::Shape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -68,7 +68,7 @@
                 .watched_connections
                 .may_predate_pause(context.clock.since_boot(), caller) =>
         {
-            // The state may be out of date, so "not run" would not be certain.
+            // Another router may have recorded a claim that this router has not read yet.
             return Err(Problem::Unknown("this router was paused".into()));
         }
         Some(key) => {
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -248,7 +248,7 @@
     Ok((handle, http))
 }
 
-/// Ticks the pause detector on the thread that reads requests.
+/// Must run on the thread that reads requests, as it detects pauses of that thread.
 async fn detect_pauses(context: Arc<HandlerContext>) {
     loop {
         context.watched_connections.tick(context.clock.since_boot());
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -20,7 +20,6 @@
 use std::time::Duration;
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-/// Bounds the load of a status request on the `http` thread.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -29,7 +28,7 @@
     holdings: Vec<Holding>,
 }
 
-/// Returns the state of this router without queries: `GET /operator/status?own=true`.
+/// Returns this router's own state (`GET /operator/status?own=true`).
 pub fn router_status(context: &HandlerContext) -> Value {
     let snapshot = context.control.current.load();
     let state = &snapshot.state;
@@ -99,7 +98,7 @@
     fleet
 }
 
-/// Returns each replica slot and whether its model is cold, loading or warm on its target.
+/// Lists the replica slots with the loading stage of their model on their target.
 fn replica_slots(state: &State, holdings: &[Value]) -> Vec<Value> {
     let slots = state.slots.by_key.iter();
     slots
--- a/crates/corianderstand_router/src/watched.rs
+++ b/crates/corianderstand_router/src/watched.rs
@@ -18,7 +18,7 @@
 };
 use tokio::net::TcpStream;
 
-/// Open connections by caller address, by which handlers find them.
+/// Open connections of callers, by remote address.
 #[derive(Debug)]
 pub struct WatchedConnections {
     pause_detector: Arc<PauseDetector>,
