--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -33,7 +33,7 @@
     /// Status and headers.
     pub head: http::response::Parts,
     /// The parsed headers.
-    pub info: dialect::ResponseHead,
+    pub response_head: dialect::ResponseHead,
     /// The body.
     pub body: Incoming,
     /// The connection.
@@ -66,7 +66,7 @@
         last_event,
     };
     let req = build_request(shared, job, &forwarded);
-    let mut lease = match shared.pool.lease(now, addr).await {
+    let mut lease = match shared.connection_pool.lease(now, addr).await {
         Ok(lease) => lease,
         Err(error) => {
             shared.connection_failed(key, &error);
@@ -82,7 +82,7 @@
             HeadOutcome::Received(response) => response,
             HeadOutcome::NotSent(req) if lease.reused => {
                 // The target closed the idle connection before anything was written.
-                match shared.pool.open(addr).await {
+                match shared.connection_pool.open(addr).await {
                     Ok(new) => lease = new,
                     Err(error) => {
                         shared.connection_failed(key, &error);
@@ -139,7 +139,13 @@
         shared.target_failed(key, "answer without signature");
         return AttemptOutcome::Unknown("the answer was not the target's");
     }
-    AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, in_flight }))
+    AttemptOutcome::Answered(Box::new(Answered {
+        head,
+        response_head: info,
+        body,
+        lease,
+        in_flight,
+    }))
 }
 
 enum HeadOutcome {
--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -23,7 +23,7 @@
     /// The router's name.
     pub router: &'a str,
     /// Peers with newer records, and their offsets.
-    pub ahead: &'a [(u64, SocketAddr)],
+    pub peers_ahead: &'a [(u64, SocketAddr)],
     /// When data was last received from the store.
     pub last_received_at: Option<Instant>,
     /// Whether the last read of the store failed.
@@ -39,7 +39,7 @@
 /// A router's lag behind its peers in one subject.
 #[derive(Clone, Debug, Default)]
 pub struct Lag {
-    since: Option<Instant>,
+    behind_since: Option<Instant>,
     attempts: u64,
 }
 
@@ -50,11 +50,11 @@
         now: Instant,
         progress: &ReadProgress,
     ) -> Option<(u64, SocketAddr)> {
-        let Some(furthest) = progress.ahead.iter().map(|(next, _)| *next).max() else {
-            self.since = None;
+        let Some(furthest) = progress.peers_ahead.iter().map(|(next, _)| *next).max() else {
+            self.behind_since = None;
             return None;
         };
-        let lag_time = now.saturating_duration_since(*self.since.get_or_insert(now));
+        let lag_time = now.saturating_duration_since(*self.behind_since.get_or_insert(now));
         let stall_timeout = progress.config_within / STALLED_DIVISOR;
         let is_receiving = progress
             .last_received_at
@@ -69,7 +69,7 @@
             return None;
         }
         self.attempts += 1;
-        let candidates = progress.ahead.iter().filter(|(next, _)| *next == furthest);
+        let candidates = progress.peers_ahead.iter().filter(|(next, _)| *next == furthest);
         candidates.copied().max_by_key(|(_, addr)| self.peer_rank(progress.router, *addr))
     }
 
@@ -94,7 +94,7 @@
             if transfer.as_ref().is_some_and(|transfer| !transfer.is_finished()) {
                 continue;
             }
-            let records = shared.records.borrow();
+            let records = shared.replicated_records.borrow();
             // Targets change constantly, so some peer is always slightly ahead.
             if subject == Subject::Targets && records.is_fresh(now, subject) {
                 continue;
@@ -103,7 +103,7 @@
             let ahead: Vec<_> = shared.peers.borrow().ahead(now, subject, next_offset).collect();
             let progress = ReadProgress {
                 router: &shared.settings.name,
-                ahead: &ahead,
+                peers_ahead: &ahead,
                 last_received_at: records.last_received_at(subject),
                 last_read_failed: records.last_read_failed(subject),
                 is_starting: next_offset == 0,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -28,13 +28,13 @@
 /// Sends datagrams.
 pub struct Outbox {
     socket: Rc<UdpSocket>,
-    dropped: Cell<u64>,
+    dropped_datagrams: Cell<u64>,
 }
 
 impl Outbox {
     /// Creates an outbox that sends from `socket`.
     pub const fn new(socket: Rc<UdpSocket>) -> Self {
-        Self { socket, dropped: Cell::new(0) }
+        Self { socket, dropped_datagrams: Cell::new(0) }
     }
 
     /// Sends a message, or drops it if the socket's buffer is full.
@@ -47,8 +47,8 @@
             }
         };
         if let Err(error) = self.socket.try_send_to(&bytes, addr) {
-            self.dropped.set(self.dropped.get() + 1);
-            tracing::debug!(%addr, %error, dropped = self.dropped.get(), "dropped a peer message");
+            self.dropped_datagrams.set(self.dropped_datagrams.get() + 1);
+            tracing::debug!(%addr, %error, dropped = self.dropped_datagrams.get(), "dropped a peer message");
         }
     }
 }
@@ -141,7 +141,7 @@
 ) {
     let report = to_report(now, update);
     let mut view = shared.view.borrow_mut();
-    let table = view.table.clone();
+    let table = view.route_table.clone();
     let has_engine = |name: &names::ServiceId| {
         let service = table.as_ref().and_then(|table| table.config().service(name));
         service.is_some_and(|service| service.engine.is_some())
@@ -233,7 +233,7 @@
         if can_plan(&shared) && planner.is_none() {
             planning.publish(&shared, now);
         }
-        shared.pool.sweep(now);
+        shared.connection_pool.sweep(now);
         follow::expire(&shared, now);
         shared.peers.borrow_mut().expire(now);
         tokio::time::sleep(MIN_ROUND_INTERVAL).await;
@@ -246,7 +246,7 @@
 
 fn can_plan<P>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
-    view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
+    view.route_table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
 fn send_updates<P: router::Platform>(
@@ -282,7 +282,7 @@
 
 fn hello<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterUpdate {
     let store = shared.store_use(shared.clock.now());
-    let records = shared.records.borrow();
+    let records = shared.replicated_records.borrow();
     wire::RouterUpdate {
         router: shared.settings.name.as_str().into(),
         incarnation: shared.incarnation,
@@ -307,7 +307,7 @@
         .into_iter()
         .map(|(model, demand)| (model, (demand, 0)))
         .collect();
-    for (model, waiting) in &view.waiting {
+    for (model, waiting) in &view.waiting_requests {
         models.entry(model.clone()).or_default().1 = *waiting;
     }
     let models = models.into_iter().map(|(model, (demand, waiting))| wire::ModelDemand {
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -66,7 +66,7 @@
         }
         let Some(target) = view.targets.get(key) else { return };
         let agent_age_ms = target.agent_last_received_at.map(|at| millis_between(now, at));
-        let version = view.table.as_ref().map(|table| table.config().version);
+        let version = view.route_table.as_ref().map(|table| table.config().version);
         tracing::info!(
             id = %job.request.id,
             route = %job.route.name,
@@ -76,7 +76,7 @@
             trouble = format_args!("{:.2}", target.health.failure_score(now)),
             agent_age_ms,
             config = version,
-            waited_ms = millis_between(now, job.arrived),
+            waited_ms = millis_between(now, job.arrived_at),
             "placed"
         );
     }
@@ -84,7 +84,7 @@
     /// Logs that a request waits for a target.
     pub fn waits(&self, job: &job::Job, why: &str, expected: wait_limit::Readiness, now: Instant) {
         if self.may_log(LineKind::Placed, now) {
-            let waited_ms = millis_between(now, job.arrived);
+            let waited_ms = millis_between(now, job.arrived_at);
             let ready_in_ms = match expected {
                 wait_limit::Readiness::ReadyAt(at) => Some(millis_between(at, now)),
                 wait_limit::Readiness::LoadTime(time) => Some(time.as_millis() as u64),
@@ -99,7 +99,7 @@
     pub fn attempt_failed(&self, job: &job::Job, why: &str, status: Option<u16>, now: Instant) {
         self.metrics.attempt_failed(why);
         if self.may_log(LineKind::Attempt, now) {
-            let (at, ms) = (job.last_target.as_str(), millis_between(now, job.arrived));
+            let (at, ms) = (job.last_target.as_str(), millis_between(now, job.arrived_at));
             tracing::info!(id = %job.request.id, at, why, status, ms, "attempt failed");
         }
     }
@@ -114,7 +114,7 @@
         );
         if self.may_log(kind, now) {
             let (ms, tried, status) =
-                (millis_between(now, job.arrived), job.tried.len(), status.as_u16());
+                (millis_between(now, job.arrived_at), job.tried_targets.len(), status.as_u16());
             let failure_score = job.last_failure;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
             tracing::info!(id = %job.request.id, route = %job.route.name, status, how, trouble = failure_score, tried, ms, aim_ms = latency_objective_ms, "answered");
@@ -129,8 +129,9 @@
         self.metrics.stream_ended(job, &end.timings);
         if self.may_log(kind, now) {
             let (how, events, resumes) = (end.how, end.events, end.resumes);
-            let (total_ms, tried) = (millis_between(now, job.arrived), job.tried.len());
-            let first_ms = end.timings.first_at.map(|first| millis_between(first, job.arrived));
+            let (total_ms, tried) = (millis_between(now, job.arrived_at), job.tried_targets.len());
+            let first_ms =
+                end.timings.first_event_at.map(|first| millis_between(first, job.arrived_at));
             let longest_pause_ms = end.timings.longest_gap.as_millis() as u64;
             let latency_objective_ms = job.route.latency_objective.as_millis() as u64;
             let gap_objective_ms = job.route.gap_objective.map(|gap| gap.as_millis() as u64);
@@ -169,7 +170,7 @@
         self.metrics.request_refused(NO_ROUTE);
         if self.may_log(LineKind::Denied, now) {
             let age_ms = age.since_read.map(|age| age.as_millis() as u64);
-            let (behind, ms) = (age.behind, millis_between(now, arrived));
+            let (behind, ms) = (age.is_behind_peer, millis_between(now, arrived));
             let status = StatusCode::NOT_FOUND.as_u16();
             let why = NO_ROUTE;
             tracing::info!(%id, status, why, config = version, age_ms, behind, ms, "refused");
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -55,13 +55,13 @@
         Ok(found) => found,
         Err(Unrouted::Unavailable(why)) => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            shared.log.refused(&request.id, "", status, why, arrived, shared.clock.now());
+            shared.decision_log.refused(&request.id, "", status, why, arrived, shared.clock.now());
             return Ok(local_response(status, why, Some(STARTING_RETRY_AFTER)));
         }
         Err(Unrouted::NoRoute { version }) => {
             let now = shared.clock.now();
             let age = shared.age(now, dialect::Subject::Config);
-            shared.log.no_route(&request.id, version, age, arrived, now);
+            shared.decision_log.no_route(&request.id, version, age, arrived, now);
             return Ok(local_response(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
         }
     };
@@ -76,12 +76,12 @@
         Ok(Err(_)) | Err(_) => return Err(Aborted::ByCaller),
     };
     if route.runs_at_most_once()
-        && shared.pauses.may_predate_pause(shared.clock.since_boot(), connection)
+        && shared.pause_detector.may_predate_pause(shared.clock.since_boot(), connection)
     {
         // The request may have waited in the socket, and its caller may have retried elsewhere.
         let (now, why) = (shared.clock.now(), "this router stood still for a while");
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        shared.log.refused(&request.id, &route.name, status, why, arrived, now);
+        shared.decision_log.refused(&request.id, &route.name, status, why, arrived, now);
         return Ok(local_response(status, why, Some(REFUSED_RETRY_AFTER)));
     }
     let hash = xxh3::xxh3_64(request.id.as_bytes());
@@ -100,12 +100,12 @@
         uri,
         headers: parts.headers,
         body,
-        arrived,
+        arrived_at: arrived,
         deadline,
         idle_since: arrived,
-        hash,
-        chain,
-        tried: Vec::new(),
+        request_id_hash: hash,
+        prompt_prefixes: chain,
+        tried_targets: Vec::new(),
         unexecuted_attempts: 0,
         may_have_run: false,
         sent_at: None,
@@ -131,7 +131,7 @@
 impl<P: router::Platform> Drop for PendingRequest<P> {
     fn drop(&mut self) {
         if !self.answered {
-            self.shared.log.caller_left(&self.id, 0, self.shared.clock.now());
+            self.shared.decision_log.caller_left(&self.id, 0, self.shared.clock.now());
         }
     }
 }
@@ -166,7 +166,7 @@
     }
     let view = shared.view.borrow();
     let table =
-        view.table.as_ref().ok_or(Unrouted::Unavailable("no configuration is known yet"))?;
+        view.route_table.as_ref().ok_or(Unrouted::Unavailable("no configuration is known yet"))?;
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     let config = table.config();
@@ -184,7 +184,7 @@
             Ok(key) => key,
             Err(rejected) => return refuse(&shared, &job, rejected.reason, rejected.retry_after),
         };
-        job.tried.push(key);
+        job.tried_targets.push(key);
         match attempt::attempt(&shared, &mut job, key, None).await {
             attempt::AttemptOutcome::Answered(answered) => {
                 match forward_response(&shared, job, *answered).await {
@@ -194,17 +194,22 @@
             }
             attempt::AttemptOutcome::NotSent => {
                 // Does not count against the route's targets, as nothing was written.
-                job.tried.pop();
+                job.tried_targets.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "no connection to the target";
-                shared.log.attempt_failed(&job, job.last_failure, None, shared.clock.now());
+                shared.decision_log.attempt_failed(
+                    &job,
+                    job.last_failure,
+                    None,
+                    shared.clock.now(),
+                );
                 if job.unexecuted_attempts > MAX_UNEXECUTED_ATTEMPTS {
                     return refuse(&shared, &job, job.last_failure, REFUSED_RETRY_AFTER);
                 }
             }
             attempt::AttemptOutcome::NotRun => {
                 // Does not count against the route's targets; the target is excluded for a while anyway.
-                job.tried.pop();
+                job.tried_targets.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "the target did not run it";
                 if !may_try_another(&shared, &job) {
@@ -212,7 +217,7 @@
                 }
             }
             attempt::AttemptOutcome::Unknown(why) => {
-                shared.log.attempt_failed(&job, why, None, shared.clock.now());
+                shared.decision_log.attempt_failed(&job, why, None, shared.clock.now());
                 job.last_failure = why;
                 job.may_have_run = true;
                 if !(job.route.may_retry() && may_try_another(&shared, &job)) {
@@ -228,7 +233,7 @@
 
 /// Whether another target may be tried; spends a retry from the budget.
 fn may_try_another<P: router::Platform>(shared: &router::Shared<P>, job: &job::Job) -> bool {
-    (job.tried.len() as u32) < job.route.max_targets
+    (job.tried_targets.len() as u32) < job.route.max_targets
         && job.unexecuted_attempts < MAX_UNEXECUTED_ATTEMPTS
         && shared.spend_retry(&job.service)
 }
@@ -246,7 +251,7 @@
             Err((job, why)) => retry_or_fail(shared, *job, key, why),
         };
     }
-    let attempt::Answered { mut head, info, body, lease, in_flight } = answered;
+    let attempt::Answered { mut head, response_head: info, body, lease, in_flight } = answered;
     let read = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES).collect();
     let body = match tokio::time::timeout_at(shared.response_deadline(&job).into(), read).await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -254,7 +259,7 @@
         Err(_) => return Ok(fail(shared, &job, StatusCode::GATEWAY_TIMEOUT, "the time is over")),
     };
     let keep_alive = if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
-    shared.pool.release(shared.clock.now(), lease, keep_alive);
+    shared.connection_pool.release(shared.clock.now(), lease, keep_alive);
     drop(in_flight);
     if head.status.is_server_error() {
         shared.target_failed(key, "error of the target");
@@ -265,7 +270,7 @@
         shared.target_succeeded(key);
     }
     shared.platform.rewrite_response(&mut head.headers);
-    shared.log.answered(&job, head.status, "whole", shared.clock.now());
+    shared.decision_log.answered(&job, head.status, "whole", shared.clock.now());
     Ok(Response::from_parts(head, ResponseBody::buffered(body)))
 }
 
@@ -277,7 +282,7 @@
     why: &'static str,
 ) -> Result<Response<ResponseBody>, Box<job::Job>> {
     shared.target_failed(key, why);
-    shared.log.attempt_failed(&job, why, None, shared.clock.now());
+    shared.decision_log.attempt_failed(&job, why, None, shared.clock.now());
     job.last_failure = why;
     job.may_have_run = true;
     if job.route.may_retry() && may_try_another(shared, &job) {
@@ -297,12 +302,12 @@
         return fail(shared, job, StatusCode::BAD_GATEWAY, why);
     }
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    shared.log.refused(
+    shared.decision_log.refused(
         &job.request.id,
         &job.route.name,
         status,
         why,
-        job.arrived,
+        job.arrived_at,
         shared.clock.now(),
     );
     local_response(status, why, Some(wait_limit::retry_after(retry_after, job.jitter())))
@@ -314,7 +319,7 @@
     status: StatusCode,
     why: &'static str,
 ) -> Response<ResponseBody> {
-    shared.log.answered(job, status, why, shared.clock.now());
+    shared.decision_log.answered(job, status, why, shared.clock.now());
     local_response(status, why, None)
 }
 
@@ -345,7 +350,7 @@
         return Err("no further target is allowed");
     }
     let key = waiting::find_target(shared, job).await.map_err(|rejected| rejected.reason)?;
-    job.tried.push(key);
+    job.tried_targets.push(key);
     match attempt::attempt(shared, job, key, last_event).await {
         attempt::AttemptOutcome::Answered(answered) if answered.head.status.is_success() => {
             Ok(*answered)
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -52,7 +52,7 @@
 async fn follow<P: router::Platform>(shared: Rc<router::Shared<P>>, subject: Subject) {
     let mut from: Option<u64> = None;
     loop {
-        let known = from.is_some() || shared.records.borrow().next_offset(subject) > 0;
+        let known = from.is_some() || shared.replicated_records.borrow().next_offset(subject) > 0;
         if known && via_readers::follow(&shared, subject).await {
             continue;
         }
@@ -61,7 +61,7 @@
             None => shared.platform.newest(subject, &options).await,
             Some(at) => {
                 // Records from peers may be newer than this router's last read.
-                let at = at.max(shared.records.borrow().next_offset(subject));
+                let at = at.max(shared.replicated_records.borrow().next_offset(subject));
                 shared.platform.read(subject, at, &options).await
             }
         };
@@ -114,7 +114,7 @@
         Subject::Routers => Duration::ZERO,
         Subject::Config | Subject::Targets => long_poll_wait(shared.bounds.borrow().config_within),
     };
-    let last_received = shared.records.borrow_mut().last_received(subject);
+    let last_received = shared.replicated_records.borrow_mut().last_received(subject);
     dialect::ReadOptions { wait, idle_timeout: RESPONSE_TIMEOUT, last_received }
 }
 
@@ -133,7 +133,7 @@
 
 fn record_read<P: router::Platform>(shared: &router::Shared<P>, subject: Subject) {
     let now = shared.clock.now();
-    let mut records = shared.records.borrow_mut();
+    let mut records = shared.replicated_records.borrow_mut();
     let previous_read_age_ms = records.since_read(now, subject).map(|age| age.as_millis() as u64);
     if records.record_read(now, subject) {
         tracing::info!(?subject, away_ms = previous_read_age_ms, "store reachable again");
@@ -145,8 +145,8 @@
     subject: Subject,
     error: &dialect::StoreError,
 ) {
-    shared.log.metrics.read_failed(subject);
-    let mut records = shared.records.borrow_mut();
+    shared.decision_log.metrics.read_failed(subject);
+    let mut records = shared.replicated_records.borrow_mut();
     let age_ms = records.since_read(shared.clock.now(), subject).map(|age| age.as_millis() as u64);
     if records.record_read_failure(subject) {
         tracing::warn!(?subject, %error, age_ms,
@@ -163,16 +163,16 @@
     source: Source,
     page: dialect::Page,
 ) {
-    let removed = shared.records.borrow().removals(subject, &page);
+    let removed = shared.replicated_records.borrow().removals(subject, &page);
     let mut records: Vec<_> = page.records.into_iter().chain(removed).collect();
     // A full page is ordered by key, but the later of two targets at the same address must win.
     records.sort_by_key(|record| record.offset);
     for record in records {
-        if shared.records.borrow().is_newer(subject, &record) {
+        if shared.replicated_records.borrow().is_newer(subject, &record) {
             apply_record(shared, subject, source, record);
         }
     }
-    let advanced = shared.records.borrow_mut().advance(subject, page.next);
+    let advanced = shared.replicated_records.borrow_mut().advance(subject, page.next);
     if advanced && subject == Subject::Targets && shared.view.borrow().targets.is_empty() {
         // No targets exist: wakes the requests that wait for the first read.
         shared.view.borrow().wake_all();
@@ -192,7 +192,7 @@
     let offset = record.offset;
     let decoded = shared.platform.decode(subject, &record);
     let content_hash = content_hash(&record, decoded.as_ref().ok().and_then(Option::as_ref));
-    shared.records.borrow_mut().insert(subject, record, content_hash);
+    shared.replicated_records.borrow_mut().insert(subject, record, content_hash);
     match decoded {
         Ok(Some(update)) => apply_update(shared, subject, Origin { source, offset }, update),
         Ok(None) => {}
@@ -237,7 +237,7 @@
             }
         }
         dialect::Update::TargetRemoved(id) => {
-            let grace = shared.records.borrow().recovered_recently(now, subject);
+            let grace = shared.replicated_records.borrow().recovered_recently(now, subject);
             tracing::info!(target = %id, grace, "target's entry removed");
             shared.view.borrow_mut().targets.remove(now, &id, grace);
         }
@@ -257,18 +257,18 @@
     config: Arc<config::Config>,
 ) {
     let now = shared.clock.now();
-    let age = shared.records.borrow().previous_read_age(now, Subject::Config, source);
+    let age = shared.replicated_records.borrow().previous_read_age(now, Subject::Config, source);
     let age_ms = age.map(|age| age.as_millis() as u64);
     let version = config.version;
     let mut view = shared.view.borrow_mut();
-    let known = view.table.as_ref().map(|table| table.config().version);
+    let known = view.route_table.as_ref().map(|table| table.config().version);
     if known.is_some_and(|known| known >= version) {
         tracing::info!(version, ?known, offset, %source, "configuration ignored: not newer than the one in force");
         return;
     }
     let routes = config.routes.len();
     tracing::info!(version, ?known, routes, offset, %source, age_ms, "configuration in force");
-    view.table = Some(Rc::new(routes::Table::new(config)));
+    view.route_table = Some(Rc::new(routes::Table::new(config)));
     view.wake_all();
 }
 
--- a/crates/corianderstand_forward/src/follow/via_readers.rs
+++ b/crates/corianderstand_forward/src/follow/via_readers.rs
@@ -70,7 +70,7 @@
     if !matches!(shared.role(now), readers::Role::Follows(_)) {
         return;
     }
-    let own = shared.records.borrow().next_offset(Subject::Config);
+    let own = shared.replicated_records.borrow().next_offset(Subject::Config);
     if update.config_next > own {
         shared.control_wake.notify_one();
     } else {
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -35,17 +35,17 @@
     /// The body.
     pub body: Bytes,
     /// Time of arrival.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// The earlier deadline of caller and route.
     pub deadline: Instant,
     /// When the caller last received data: arrival, or the last event of a stream.
     pub idle_since: Instant,
     /// Hash of the request id.
-    pub hash: u64,
+    pub request_id_hash: u64,
     /// The prompt's prefixes.
-    pub chain: prefixes::Chain,
+    pub prompt_prefixes: prefixes::Chain,
     /// Targets that were tried.
-    pub tried: Vec<targets::TargetKey>,
+    pub tried_targets: Vec<targets::TargetKey>,
     /// Attempts that did not run.
     pub unexecuted_attempts: u32,
     /// Whether an attempt has an unknown outcome.
@@ -76,7 +76,8 @@
 
     /// Prompt tokens that are not known to be cached at a target.
     pub fn uncached_tokens(&self, view: &view::View, key: targets::TargetKey) -> u64 {
-        let cached = view.prefixes.find(&self.chain).filter(|(holder, _)| *holder == key);
+        let cached =
+            view.cached_prefixes.find(&self.prompt_prefixes).filter(|(holder, _)| *holder == key);
         self.request.prompt_tokens.saturating_sub(cached.map_or(0, |(_, tokens)| tokens))
     }
 
@@ -108,7 +109,7 @@
 
     /// A number in [0, 1) derived from the request id.
     pub fn jitter(&self) -> f64 {
-        (self.hash >> 11) as f64 / (1_u64 << 53) as f64
+        (self.request_id_hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     /// The requested model.
@@ -138,7 +139,7 @@
                 *target.in_flight.entry(requested.clone()).or_default() += 1;
             }
         }
-        view.prefixes.record(&job.chain, key);
+        view.cached_prefixes.record(&job.prompt_prefixes, key);
         drop(view);
         in_flight
     }
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -172,15 +172,15 @@
     pub fn request_ended(&self, job: &job::Job, outcome: &str, now: Instant) {
         let kind = route_kind(&job.route);
         self.requests.get_or_create(&RequestLabels { kind, outcome: outcome.into() }).inc();
-        let elapsed = now.saturating_duration_since(job.arrived);
+        let elapsed = now.saturating_duration_since(job.arrived_at);
         self.request_seconds.get_or_create(&KindLabel { kind }).observe(elapsed.as_secs_f64());
     }
 
     /// Records the end of a stream.
     pub fn stream_ended(&self, job: &job::Job, timings: &stream::EventTimings) {
         let kind = KindLabel { kind: route_kind(&job.route) };
-        if let Some(first) = timings.first_at {
-            let elapsed = first.saturating_duration_since(job.arrived);
+        if let Some(first) = timings.first_event_at {
+            let elapsed = first.saturating_duration_since(job.arrived_at);
             self.first_event_seconds.get_or_create(&kind).observe(elapsed.as_secs_f64());
             self.longest_pause_seconds
                 .get_or_create(&kind)
@@ -235,14 +235,15 @@
     fn update_gauges<P: router::Platform>(&self, shared: &router::Shared<P>) {
         let now = shared.clock.now();
         let view = shared.view.borrow();
-        let version = view.table.as_ref().map_or(0, |table| table.config().version);
-        let fresh = shared.records.borrow().is_fresh(now, Subject::Targets);
+        let version = view.route_table.as_ref().map_or(0, |table| table.config().version);
+        let fresh = shared.replicated_records.borrow().is_fresh(now, Subject::Targets);
         self.open_requests.set(shared.open_requests.get() as i64);
-        self.waiting_requests.set(view.waiting.values().map(|&count| i64::from(count)).sum());
+        self.waiting_requests
+            .set(view.waiting_requests.values().map(|&count| i64::from(count)).sum());
         self.targets.set(view.targets.len() as i64);
         self.config_version.set(version as i64);
         let age = shared.age(now, Subject::Config);
-        self.config_behind.set(i64::from(age.behind));
+        self.config_behind.set(i64::from(age.is_behind_peer));
         self.config_read_age.set(age.since_read.map_or(-1.0, |age| age.as_secs_f64()));
         self.store_fresh.set(i64::from(fresh));
         self.store_use.set(match shared.store_use(now) {
@@ -277,7 +278,7 @@
     listener: tokio::net::TcpListener,
 ) {
     server::serve_text(shared, listener, |shared, path| {
-        (path == PATH).then(|| shared.log.metrics.text(shared))
+        (path == PATH).then(|| shared.decision_log.metrics.text(shared))
     });
 }
 
--- a/crates/corianderstand_forward/src/peers.rs
+++ b/crates/corianderstand_forward/src/peers.rs
@@ -126,7 +126,7 @@
         let neighbours = self.live(now).filter_map(|(name, peer)| {
             let update = peer.update.as_ref().filter(|update| update.zone == *zone)?;
             let rank = Rank::new(update.strength, name);
-            Some(readers::Neighbour { rank, addr: peer.addr, store: update.store })
+            Some(readers::Neighbour { rank, addr: peer.addr, store_use: update.store })
         });
         neighbours.collect()
     }
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -17,8 +17,8 @@
 #[derive(Default)]
 pub struct PlanPublisher {
     planner: plan::Planner,
-    serial: u64,
-    sent: HashMap<targets::TargetKey, (Instant, Vec<wire::PlanPart>)>,
+    last_plan_serial: u64,
+    last_sent_plans: HashMap<targets::TargetKey, (Instant, Vec<wire::PlanPart>)>,
 }
 
 impl PlanPublisher {
@@ -30,7 +30,7 @@
     /// Sends each agent its engine's plan if it is new or due for resending.
     pub fn publish<P: router::Platform>(&mut self, shared: &router::Shared<P>, now: Instant) {
         let view = shared.view.borrow();
-        let Some(table) = view.table.clone() else { return };
+        let Some(table) = view.route_table.clone() else { return };
         drop(view);
         for service in &table.config().services {
             if let Some(engine) = &service.engine {
@@ -53,16 +53,16 @@
         for engine in &engines {
             let Some(planned) = planned.get(&engine.key) else { continue };
             let parts = plan_parts(engine, planned, &models);
-            let unchanged = self.sent.get(&engine.key).is_some_and(|(at, sent)| {
+            let unchanged = self.last_sent_plans.get(&engine.key).is_some_and(|(at, sent)| {
                 *sent == parts && now.saturating_duration_since(*at) < PLAN_RESEND_INTERVAL
             });
             if !unchanged {
-                self.serial += 1;
-                send_plan(shared, self.serial, engine, (service, spec), parts.clone());
-                self.sent.insert(engine.key, (now, parts));
+                self.last_plan_serial += 1;
+                send_plan(shared, self.last_plan_serial, engine, (service, spec), parts.clone());
+                self.last_sent_plans.insert(engine.key, (now, parts));
             }
         }
-        self.sent.retain(|key, _| engines.iter().any(|engine| engine.key == *key));
+        self.last_sent_plans.retain(|key, _| engines.iter().any(|engine| engine.key == *key));
     }
 }
 
@@ -113,7 +113,7 @@
     let peer_demand = shared.peers.borrow().demand(now);
     let models = spec.models.iter().map(|model| {
         let (demand, waiting) = peer_demand.get(&model.name).copied().unwrap_or_default();
-        let local_waiting = view.waiting.get(&model.name).copied().unwrap_or(0);
+        let local_waiting = view.waiting_requests.get(&model.name).copied().unwrap_or(0);
         let demand = demand.combine(view.demand.model_demand(now, &model.name));
         (
             model.name.clone(),
--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -21,7 +21,7 @@
     /// Its peer address.
     pub addr: SocketAddr,
     /// How it reports to use the store.
-    pub store: StoreUse,
+    pub store_use: StoreUse,
 }
 
 /// How a router obtains the store's records.
@@ -46,7 +46,7 @@
     if stronger.len() < READER_COUNT {
         return Role::ReadsForOthers;
     }
-    stronger.retain(|other| other.store != StoreUse::Lost);
+    stronger.retain(|other| other.store_use != StoreUse::Lost);
     stronger.sort_by(|a, b| b.rank.cmp(&a.rank));
     stronger.truncate(READER_COUNT);
     if stronger.len() < READER_COUNT {
--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -14,34 +14,34 @@
 /// Splits a stream into whole events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    partial: BytesMut,
+    partial_event: BytesMut,
     last_event: Option<u64>,
     resumed: bool,
-    events: u64,
+    event_count: u64,
 }
 
 impl EventSplitter {
     /// Appends bytes and returns the events that are complete, or [`EventGap`].
     pub fn push(&mut self, chunk: Bytes) -> Result<Option<Bytes>, EventGap> {
-        if self.partial.is_empty() && chunk.ends_with(EVENT_END) {
+        if self.partial_event.is_empty() && chunk.ends_with(EVENT_END) {
             self.record(&chunk)?;
             return Ok(Some(chunk));
         }
-        self.partial.extend_from_slice(&chunk);
-        let Some(end) = find_last(&self.partial, EVENT_END) else { return Ok(None) };
-        let complete = self.partial.split_to(end + EVENT_END.len()).freeze();
+        self.partial_event.extend_from_slice(&chunk);
+        let Some(end) = find_last(&self.partial_event, EVENT_END) else { return Ok(None) };
+        let complete = self.partial_event.split_to(end + EVENT_END.len()).freeze();
         self.record(&complete)?;
         Ok(Some(complete))
     }
 
     /// Whether an incomplete event is buffered.
     pub fn has_partial(&self) -> bool {
-        !self.partial.is_empty()
+        !self.partial_event.is_empty()
     }
 
     /// Discards the incomplete event, which the next target sends again.
     pub fn resume(&mut self) {
-        self.partial.clear();
+        self.partial_event.clear();
         self.resumed = true;
     }
 
@@ -52,7 +52,7 @@
 
     /// Number of whole events.
     pub const fn events(&self) -> u64 {
-        self.events
+        self.event_count
     }
 
     fn record(&mut self, complete: &[u8]) -> Result<(), EventGap> {
@@ -62,7 +62,7 @@
                 return Err(EventGap);
             }
             self.last_event = Some(event);
-            self.events += 1;
+            self.event_count += 1;
         }
         Ok(())
     }
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -34,7 +34,7 @@
     /// Time since the last successful read of the store, if there was one.
     pub since_read: Option<Duration>,
     /// Whether another router is known to have newer records.
-    pub behind: bool,
+    pub is_behind_peer: bool,
 }
 
 #[derive(Debug)]
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -101,7 +101,7 @@
     /// Clock.
     pub clock: clock::SharedClock,
     /// Detects pauses of this process, for callers' connections.
-    pub pauses: Arc<pause::PauseDetector>,
+    pub pause_detector: Arc<pause::PauseDetector>,
     /// Startup time of this process, in Unix milliseconds.
     pub incarnation: u64,
     /// This router's view of the fleet.
@@ -109,13 +109,13 @@
     /// Other routers.
     pub peers: RefCell<peers::Peers>,
     /// Replicated records of the store.
-    pub records: RefCell<replicated_records::ReplicatedRecords>,
+    pub replicated_records: RefCell<replicated_records::ReplicatedRecords>,
     /// Connections to targets.
-    pub pool: Rc<pool::Pool>,
+    pub connection_pool: Rc<pool::Pool>,
     /// Requests that wait for prefill permits.
     pub prefill_permits: prefill::PendingPermits,
     /// Log of request outcomes.
-    pub log: decisions::Log,
+    pub decision_log: decisions::Log,
     /// Wakes the control loop to send updates or to plan at once.
     pub control_wake: Notify,
     /// Triggers a read of the store after a target turned out to be replaced.
@@ -137,12 +137,12 @@
     /// Whether the first reads of the configuration or the targets are still pending.
     pub fn is_starting(&self) -> bool {
         let view = self.view.borrow();
-        let records = self.records.borrow();
+        let records = self.replicated_records.borrow();
         let failed = |subject| records.last_read_failed(subject);
         if self.stopping.get().is_some() {
             return false;
         }
-        (view.table.is_none() && !failed(dialect::Subject::Config))
+        (view.route_table.is_none() && !failed(dialect::Subject::Config))
             || (view.targets.is_empty()
                 && records.next_offset(dialect::Subject::Targets) == 0
                 && !failed(dialect::Subject::Targets))
@@ -166,7 +166,7 @@
             view.demand.record_request(now, &requested.model, profile);
         }
         let allowance = self.bounds.borrow().allowance;
-        view.budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
+        view.retry_budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
     }
 
     /// Returns this router's role in reading the store.
@@ -178,7 +178,7 @@
 
     /// Returns how this router obtains the store's records.
     pub fn store_use(&self, now: Instant) -> StoreUse {
-        let records = self.records.borrow();
+        let records = self.replicated_records.borrow();
         let failed = |subject| records.last_read_failed(subject);
         if failed(dialect::Subject::Config) || failed(dialect::Subject::Targets) {
             return StoreUse::Lost;
@@ -191,10 +191,13 @@
 
     /// Returns how current the records of a subject are.
     pub fn age(&self, now: Instant, subject: dialect::Subject) -> replicated_records::Age {
-        let records = self.records.borrow();
+        let records = self.replicated_records.borrow();
         let behind =
             self.peers.borrow().ahead(now, subject, records.next_offset(subject)).next().is_some();
-        replicated_records::Age { since_read: records.since_read(now, subject), behind }
+        replicated_records::Age {
+            since_read: records.since_read(now, subject),
+            is_behind_peer: behind,
+        }
     }
 
     /// Spends one retry from the service's budget; false if it is exhausted.
@@ -202,7 +205,7 @@
         let now = self.clock.now();
         let routers = 1 + self.peers.borrow().live(now).count();
         let mut view = self.view.borrow_mut();
-        let budget = view.budgets.entry(service.clone()).or_default();
+        let budget = view.retry_budgets.entry(service.clone()).or_default();
         budget.spend(now, &self.bounds.borrow().allowance, routers)
     }
 
@@ -217,17 +220,17 @@
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
             zone: &self.settings.zone,
-            tried: &job.tried,
-            hash: job.hash,
-            cached_prefix: view.prefixes.find(&job.chain),
+            tried: &job.tried_targets,
+            hash: job.request_id_hash,
+            cached_prefix: view.cached_prefixes.find(&job.prompt_prefixes),
         };
         choose::choose(now, &view.targets, &query)
     }
 
     /// Whether a request sent to `key` could be sent to another target now.
     pub fn has_alternative(&self, now: Instant, job: &job::Job, key: targets::TargetKey) -> bool {
-        debug_assert!(job.tried.contains(&key));
-        (job.tried.len() as u32) < job.route.max_targets
+        debug_assert!(job.tried_targets.contains(&key));
+        (job.tried_targets.len() as u32) < job.route.max_targets
             && matches!(self.choose(now, job), choose::Choice::Send(_))
     }
 
@@ -335,7 +338,12 @@
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
-        self.log.attempt_failed(job, "the target did not run it", Some(status.as_u16()), now);
+        self.decision_log.attempt_failed(
+            job,
+            "the target did not run it",
+            Some(status.as_u16()),
+            now,
+        );
         if answered_by.is_some_and(|other| *other != target.entry.id) {
             // The address was reused, but the outdated entry may remain in the store for long.
             tracing::info!(target = %target.entry.id, by = ?answered_by, "target replaced");
@@ -390,14 +398,14 @@
         let shared = Rc::new(Shared {
             platform,
             incarnation: clock::unix_ms(clock.wall()),
-            pauses: Arc::new(pause::PauseDetector::new(clock.since_boot())),
+            pause_detector: Arc::new(pause::PauseDetector::new(clock.since_boot())),
             clock,
             view: RefCell::default(),
             peers: RefCell::default(),
-            records: RefCell::default(),
-            pool: Rc::default(),
+            replicated_records: RefCell::default(),
+            connection_pool: Rc::default(),
             prefill_permits: prefill::PendingPermits::default(),
-            log: decisions::Log::default(),
+            decision_log: decisions::Log::default(),
             control_wake: Notify::new(),
             targets_outdated: Notify::new(),
             outbox: control::Outbox::new(socket),
@@ -431,7 +439,7 @@
 /// Must run on the thread that reads requests, as it detects pauses of that thread.
 async fn tick_pause_detector<P>(shared: Rc<Shared<P>>) {
     loop {
-        shared.pauses.tick(shared.clock.since_boot());
+        shared.pause_detector.tick(shared.clock.since_boot());
         tokio::time::sleep(pause::TICK_INTERVAL).await;
     }
 }
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -101,7 +101,7 @@
 /// Whether load balancers may send callers here.
 pub fn is_ready<P: router::Platform>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
-    view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
+    view.route_table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
 /// Records in the pause detector when no connection is pending.
@@ -137,7 +137,7 @@
     tokio::pin!(stop);
     loop {
         tokio::select! {
-            stream = accept_caller(&shared.pauses, &listener) => {
+            stream = accept_caller(&shared.pause_detector, &listener) => {
                 if let Some(stream) = stream {
                     spawn_connection(shared, stream, closing.subscribe());
                 }
@@ -163,7 +163,8 @@
             break;
         }
         let accepted =
-            tokio::time::timeout(POLL_INTERVAL, accept_caller(&shared.pauses, &listener)).await;
+            tokio::time::timeout(POLL_INTERVAL, accept_caller(&shared.pause_detector, &listener))
+                .await;
         if let Ok(Some(stream)) = accepted {
             spawn_connection(shared, stream, closing.subscribe());
         }
@@ -182,11 +183,12 @@
     mut closing: watch::Receiver<bool>,
 ) {
     let shared = shared.clone();
-    let limits = shared.view.borrow().table.as_ref().map(|table| table.config().limits.clone());
+    let limits =
+        shared.view.borrow().route_table.as_ref().map(|table| table.config().limits.clone());
     let limits = limits.unwrap_or_default();
     tokio::task::spawn_local(async move {
         let served = Cell::new(false);
-        let stream = pause::WatchedStream::new(stream, shared.pauses.clone());
+        let stream = pause::WatchedStream::new(stream, shared.pause_detector.clone());
         let tracked = stream.connection();
         let service = service_fn(|req| {
             served.set(true);
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -24,7 +24,7 @@
     upstream: Option<Upstream<P>>,
     splitter: relay::EventSplitter,
     resumes: u32,
-    ended: bool,
+    has_ended: bool,
     timings: EventTimings,
 }
 
@@ -32,17 +32,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventTimings {
     /// Arrival of the first event.
-    pub first_at: Option<Instant>,
+    pub first_event_at: Option<Instant>,
     /// Arrival of the last event.
-    pub last_at: Option<Instant>,
+    pub last_event_at: Option<Instant>,
     /// Longest gap between two events.
     pub longest_gap: Duration,
 }
 
 impl EventTimings {
     fn record(&mut self, now: Instant) {
-        self.first_at.get_or_insert(now);
-        if let Some(last) = self.last_at.replace(now) {
+        self.first_event_at.get_or_insert(now);
+        if let Some(last) = self.last_event_at.replace(now) {
             self.longest_gap = self.longest_gap.max(now.saturating_duration_since(last));
         }
     }
@@ -68,9 +68,13 @@
 
 impl<P: router::Platform> Drop for AbandonGuard<P> {
     fn drop(&mut self) {
-        if !self.0.ended {
+        if !self.0.has_ended {
             let now = self.0.shared.clock.now();
-            self.0.shared.log.caller_left(&self.0.job.request.id, self.0.splitter.events(), now);
+            self.0.shared.decision_log.caller_left(
+                &self.0.job.request.id,
+                self.0.splitter.events(),
+                now,
+            );
         }
     }
 }
@@ -82,14 +86,15 @@
     job: job::Job,
     answered: attempt::Answered<P>,
 ) -> Result<Response<body::ResponseBody>, (Box<job::Job>, &'static str)> {
-    let attempt::Answered { mut head, info, body: upstream, lease, in_flight } = answered;
+    let attempt::Answered { mut head, response_head: info, body: upstream, lease, in_flight } =
+        answered;
     let mut relayed = RelayedStream {
         shared: shared.clone(),
         job,
         upstream: Some(Upstream { body: upstream, lease, in_flight, info }),
         splitter: relay::EventSplitter::default(),
         resumes: 0,
-        ended: false,
+        has_ended: false,
         timings: EventTimings::default(),
     };
     shared.platform.rewrite_response(&mut head.headers);
@@ -111,7 +116,7 @@
 
 impl<P: router::Platform> RelayedStream<P> {
     async fn next(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
-        if self.ended {
+        if self.has_ended {
             return None;
         }
         loop {
@@ -167,7 +172,7 @@
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => {
                         let now = self.shared.clock.now();
-                        match self.timings.last_at {
+                        match self.timings.last_event_at {
                             Some(at) => {
                                 self.shared.record_event_interval(
                                     upstream.in_flight.key(),
@@ -209,17 +214,17 @@
             resumes: self.resumes,
             timings: self.timings,
         };
-        self.shared.log.streamed(&self.job, &stream_end, self.shared.clock.now());
+        self.shared.decision_log.streamed(&self.job, &stream_end, self.shared.clock.now());
     }
 
     fn complete(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
-        self.ended = true;
+        self.has_ended = true;
         if let Some(upstream) = self.upstream.take() {
             let Upstream { lease, in_flight, info, .. } = upstream;
             self.shared.target_succeeded(in_flight.key());
             let keep_alive =
                 if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
-            self.shared.pool.release(self.shared.clock.now(), lease, keep_alive);
+            self.shared.connection_pool.release(self.shared.clock.now(), lease, keep_alive);
         }
         self.log_end("whole");
         None
@@ -230,7 +235,7 @@
         why: &'static str,
         aborted: exchange::Aborted,
     ) -> Option<Result<Bytes, exchange::Aborted>> {
-        self.ended = true;
+        self.has_ended = true;
         if let Some(upstream) = self.upstream.take() {
             self.shared.target_failed(upstream.in_flight.key(), why);
         }
@@ -241,7 +246,7 @@
     /// Continues at another target after the last whole event.
     async fn resume(&mut self, why: &'static str) -> bool {
         let now = self.shared.clock.now();
-        self.shared.log.attempt_failed(&self.job, why, None, now);
+        self.shared.decision_log.attempt_failed(&self.job, why, None, now);
         if let Some(upstream) = self.upstream.take() {
             self.shared.target_failed(upstream.in_flight.key(), why);
             // Closing the connection cancels the request there before it continues elsewhere.
@@ -251,12 +256,13 @@
             return false;
         }
         self.splitter.resume();
-        self.job.idle_since = self.timings.last_at.unwrap_or(self.job.arrived);
+        self.job.idle_since = self.timings.last_event_at.unwrap_or(self.job.arrived_at);
         let last = self.splitter.last_event().or(self.job.request.last_event);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
             Ok(answered) => {
-                let attempt::Answered { info, body, lease, in_flight, .. } = answered;
+                let attempt::Answered { response_head: info, body, lease, in_flight, .. } =
+                    answered;
                 self.upstream = Some(Upstream { body, lease, in_flight, info });
                 self.resumes += 1;
                 true
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -121,7 +121,7 @@
     shared: &router::Shared<P>,
     request: RecordsRequest,
 ) -> RecordsResponse {
-    let replicated = shared.records.borrow();
+    let replicated = shared.replicated_records.borrow();
     let age = replicated.since_read(shared.clock.now(), request.subject);
     let page = match request.from {
         None => replicated.full_page(request.subject),
@@ -136,7 +136,7 @@
     reader: SocketAddr,
     subject: dialect::Subject,
 ) -> TransferOutcome {
-    let from = shared.records.borrow().next_offset(subject);
+    let from = shared.replicated_records.borrow().next_offset(subject);
     let response =
         request_records(reader, RecordsRequest { subject, from: Some(from) }, || false).await;
     apply(shared, reader, subject, response)
@@ -149,7 +149,7 @@
     subject: dialect::Subject,
     next: u64,
 ) -> TransferOutcome {
-    let is_superseded = || shared.records.borrow().next_offset(subject) >= next;
+    let is_superseded = || shared.replicated_records.borrow().next_offset(subject) >= next;
     let response =
         request_records(peer, RecordsRequest { subject, from: None }, is_superseded).await;
     if let Ok(response) = &response {
@@ -176,7 +176,7 @@
             ("failed", if refused { TransferOutcome::Refused } else { TransferOutcome::NoRecords })
         }
     };
-    shared.log.metrics.transferred(subject, outcome);
+    shared.decision_log.metrics.transferred(subject, outcome);
     transferred
 }
 
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -15,17 +15,17 @@
 #[derive(Default)]
 pub struct View {
     /// The configuration in force, once one is known.
-    pub table: Option<Rc<routes::Table>>,
+    pub route_table: Option<Rc<routes::Table>>,
     /// The known targets.
     pub targets: targets::Targets,
     /// Demand for models at this router.
     pub demand: demand::Demand,
     /// Number of requests that wait for each model.
-    pub waiting: BTreeMap<names::ModelId, u32>,
+    pub waiting_requests: BTreeMap<names::ModelId, u32>,
     /// Which target has which prompt prefixes cached.
-    pub prefixes: prefixes::Prefixes,
+    pub cached_prefixes: prefixes::Prefixes,
     /// Retry budgets by service.
-    pub budgets: HashMap<names::ServiceId, budget::Budget>,
+    pub retry_budgets: HashMap<names::ServiceId, budget::Budget>,
     wakers: HashMap<names::ModelId, Rc<Notify>>,
     changed: Rc<Notify>,
 }
@@ -54,7 +54,7 @@
 
     /// Returns the configuration of a service.
     pub fn service(&self, name: &names::ServiceId) -> Option<&config::Service> {
-        self.table.as_ref()?.config().service(name)
+        self.route_table.as_ref()?.config().service(name)
     }
 
     /// Estimates when an engine can load an adapter; it executes one command at a time.
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -44,7 +44,7 @@
                 {
                     prefill::PermitOutcome::Granted => {
                         let now = shared.clock.now();
-                        shared.log.placed(job, &shared.view.borrow(), key, now);
+                        shared.decision_log.placed(job, &shared.view.borrow(), key, now);
                         return Ok(key);
                     }
                     prefill::PermitOutcome::ChooseAgain => continue,
@@ -66,7 +66,7 @@
                 let expected = shared.expected_readiness(now, job, choice);
                 let until = job.abandoned_at().min(shared.response_deadline(job));
                 if waiting_guard.is_none() {
-                    shared.log.waits(job, reason(choice), expected, now);
+                    shared.decision_log.waits(job, reason(choice), expected, now);
                 }
                 match wait_limit::decide(now, until, expected, job.jitter()) {
                     wait_limit::Decision::Hold { until } => {
@@ -120,7 +120,7 @@
 impl<P: router::Platform> WaitingGuard<P> {
     fn begin(shared: &Rc<router::Shared<P>>, model: &names::ModelId) -> Self {
         let mut view = shared.view.borrow_mut();
-        *view.waiting.entry(model.clone()).or_default() += 1;
+        *view.waiting_requests.entry(model.clone()).or_default() += 1;
         drop(view);
         shared.control_wake.notify_one();
         Self { shared: shared.clone(), model: model.clone() }
@@ -130,10 +130,10 @@
 impl<P: router::Platform> Drop for WaitingGuard<P> {
     fn drop(&mut self) {
         let mut view = self.shared.view.borrow_mut();
-        if let Some(count) = view.waiting.get_mut(&self.model) {
+        if let Some(count) = view.waiting_requests.get_mut(&self.model) {
             *count -= 1;
             if *count == 0 {
-                view.waiting.remove(&self.model);
+                view.waiting_requests.remove(&self.model);
             }
         }
     }
--- a/crates/corianderstand_forward/tests/catching_up.rs
+++ b/crates/corianderstand_forward/tests/catching_up.rs
@@ -21,7 +21,7 @@
 ) -> ReadProgress<'a> {
     ReadProgress {
         router: "router-a",
-        ahead,
+        peers_ahead: ahead,
         last_received_at,
         last_read_failed,
         is_starting: false,
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -24,7 +24,7 @@
 
 fn neighbour(index: u16, store: StoreUse) -> Neighbour {
     let rank = peers::Rank::new(u32::from(index), &format!("router-{index}"));
-    Neighbour { rank, addr: SocketAddr::from(([127, 0, 0, 1], index)), store }
+    Neighbour { rank, addr: SocketAddr::from(([127, 0, 0, 1], index)), store_use: store }
 }
 
 fn zone(count: u16) -> Vec<Neighbour> {
@@ -61,8 +61,8 @@
 #[test]
 fn routers_that_have_lost_the_store_are_not_followed() {
     let mut zone = zone(12);
-    zone[11].store = StoreUse::Lost;
-    zone[10].store = StoreUse::Lost;
+    zone[11].store_use = StoreUse::Lost;
+    zone[10].store_use = StoreUse::Lost;
     let Role::Follows(readers) = role(&own(0), "own", &zone) else { panic!("two others read") };
     let mut ports: Vec<_> = readers.iter().map(SocketAddr::port).collect();
     ports.sort_unstable();
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -71,13 +71,13 @@
         self.applied_versions = versions;
         self.hosts = snapshot.hosts.clone();
         self.refresh_targets(&snapshot);
-        let mut owners: BTreeMap<ModelId, Vec<TargetKey>> = BTreeMap::new();
+        let mut serving_targets: BTreeMap<ModelId, Vec<TargetKey>> = BTreeMap::new();
         for (slot, owner) in &state.slots.by_key {
             if let Some(key) = self.router.target(&owner.target) {
-                owners.entry(slot.model.clone()).or_default().push(key);
+                serving_targets.entry(slot.model.clone()).or_default().push(key);
             }
         }
-        self.router.set_owners(owners);
+        self.router.set_owners(serving_targets);
     }
 
     fn refresh_targets(&mut self, snapshot: &Snapshot) {
@@ -208,12 +208,12 @@
             return false;
         }
         let snapshot = self.current.load();
-        let (expected, owners): (usize, Vec<&TargetId>) = match operation {
+        let (expected, serving_targets): (usize, Vec<&TargetId>) = match operation {
             Operation::Completion { model, .. } | Operation::Chat { model, .. } => {
                 let slots = snapshot.state.slots.by_key.iter();
                 let slots = slots.filter(|(slot, _)| slot.model == *model);
-                let owners = slots.map(|(_, owner)| &owner.target).collect();
-                (snapshot.view.replicas(model) as usize, owners)
+                let serving_targets = slots.map(|(_, slot)| &slot.target).collect();
+                (snapshot.view.replicas(model) as usize, serving_targets)
             }
             Operation::Call { service, .. } => {
                 let targets = snapshot.state.targets.by_name.iter();
@@ -225,7 +225,7 @@
             let target = self.router.target(name).and_then(|key| self.router.target_state(key));
             target.is_some_and(|target| target.connected && !target.draining)
         };
-        owners.iter().filter(serves).count() < expected.max(owners.len())
+        serving_targets.iter().filter(serves).count() < expected.max(serving_targets.len())
     }
 
     fn send(&mut self, key: RequestKey, target: TargetKey) {
