--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -53,8 +53,8 @@
     started_at: Instant,
     expected_duration: Duration,
     from_store: bool,
-    accepted: bool,
-    commands_before: u64,
+    is_accepted: bool,
+    commands_accepted_before: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -249,7 +249,7 @@
         }
         self.send_update(now, &plan.plan, &report);
         let Some(command) = self.next_command(now, &plan.plan, &report) else {
-            let busy = report.busy || report.adapters_loading > 0;
+            let busy = report.is_executing_command || report.adapters_loading > 0;
             let in_progress = self.state.borrow().ongoing.is_some() || busy;
             return if in_progress { BUSY_POLL_INTERVAL } else { IDLE_POLL_INTERVAL };
         };
@@ -321,13 +321,13 @@
     fn finish_ongoing(&self, now: Instant, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let Some(ongoing) = &state.ongoing else { return };
-        let observed = report.holdings.commands_accepted > ongoing.commands_before;
+        let observed = report.holdings.commands_accepted > ongoing.commands_accepted_before;
         let timed_out =
             now.saturating_duration_since(ongoing.started_at) > COMMAND_RESPONSE_TIMEOUT;
-        let finished = !report.busy && (observed || timed_out);
+        let finished = !report.is_executing_command && (observed || timed_out);
         if finished {
             let ms = now.saturating_duration_since(ongoing.started_at).as_millis() as u64;
-            tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.accepted, "command ended");
+            tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.is_accepted, "command ended");
             state.ongoing = None;
         }
     }
@@ -358,12 +358,12 @@
                 &state.requested_adapters,
             )
         };
-        let model = || match report.busy {
+        let model = || match report.is_executing_command {
             true => None,
             false => reconcile::next_model_command(capacity, &models, &report.holdings),
         };
         // Adapters first: they load within milliseconds, a model takes a second or more.
-        if report.busy { None } else { adapter().or_else(model) }
+        if report.is_executing_command { None } else { adapter().or_else(model) }
     }
 
     async fn execute(
@@ -380,8 +380,8 @@
             started_at: now,
             expected_duration,
             from_store,
-            accepted: false,
-            commands_before,
+            is_accepted: false,
+            commands_accepted_before: commands_before,
         };
         let changes_model =
             matches!(command, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
@@ -404,7 +404,7 @@
         match result {
             dialect::CommandOutcome::Accepted | dialect::CommandOutcome::Unknown => {
                 if let Some(ongoing) = &mut state.ongoing {
-                    ongoing.accepted = result == dialect::CommandOutcome::Accepted;
+                    ongoing.is_accepted = result == dialect::CommandOutcome::Accepted;
                 }
             }
             dialect::CommandOutcome::OtherEngine => {
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -8,7 +8,7 @@
 use std::{rc::Rc, time::Duration};
 
 /// Lets the target's timeout response arrive before the router's own is due.
-const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
+const TARGET_RESPONSE_MARGIN: Duration = Duration::from_millis(25);
 /// Latency objectives after which a request that may be retried is tried elsewhere.
 const RESPONSE_TIMEOUT_OBJECTIVES: u32 = 2;
 /// Longer than slow requests usually take, 0.3 s.
@@ -54,7 +54,8 @@
     job.last_target = id.clone();
     job.sent_at = Some(now);
     job.prefill_tokens = job.uncached_tokens(&shared.view.borrow(), key);
-    let time_left = job.deadline.saturating_duration_since(now).saturating_sub(RESPONSE_MARGIN);
+    let time_left =
+        job.deadline.saturating_duration_since(now).saturating_sub(TARGET_RESPONSE_MARGIN);
     if time_left.is_zero() {
         return AttemptOutcome::DeadlineExceeded;
     }
@@ -63,7 +64,7 @@
         target: &id,
         time_left,
         priority: job.request.requested_model.is_some().then_some(job.route.priority),
-        last_event,
+        last_event_id: last_event,
     };
     let req = build_request(shared, job, &forwarded);
     let mut lease = match shared.connection_pool.lease(now, addr).await {
@@ -80,7 +81,7 @@
         let sending = lease.sender.try_send_request(req);
         let response = match wait_for_head(shared, job, key, sending).await {
             HeadOutcome::Received(response) => response,
-            HeadOutcome::NotSent(req) if lease.reused => {
+            HeadOutcome::NotSent(req) if lease.is_reused => {
                 // The target closed the idle connection before anything was written.
                 match shared.connection_pool.open(addr).await {
                     Ok(new) => lease = new,
@@ -123,7 +124,7 @@
     let key = in_flight.key();
     let (head, body) = response.into_parts();
     let info = shared.platform.parse_response(head.status, &head.headers);
-    if info.request.as_ref().is_some_and(|id| *id != job.request.id) {
+    if info.request_id.as_ref().is_some_and(|id| *id != job.request.id) {
         shared.target_failed(key, "answer to another request");
         return AttemptOutcome::Unknown("the answer was to another request");
     }
@@ -135,7 +136,7 @@
         // The body isn't read; dropping the lease closes the connection.
         return AttemptOutcome::NotRun;
     }
-    if !info.signed {
+    if !info.is_signed {
         shared.target_failed(key, "answer without signature");
         return AttemptOutcome::Unknown("the answer was not the target's");
     }
--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -13,9 +13,9 @@
 use xxhash_rust::xxh3;
 
 /// Fraction of `config_within` without data from the store after which a peer is queried.
-const STALLED_DIVISOR: u32 = 8;
+const STALLED_STORE_DIVISOR: u32 = 8;
 /// The same while the store still delivers data.
-const SLOW_DIVISOR: u32 = 2;
+const SLOW_STORE_DIVISOR: u32 = 2;
 
 /// Progress of a router's reads and of its peers.
 #[derive(Clone, Debug)]
@@ -55,13 +55,13 @@
             return None;
         };
         let lag_time = now.saturating_duration_since(*self.behind_since.get_or_insert(now));
-        let stall_timeout = progress.config_within / STALLED_DIVISOR;
+        let stall_timeout = progress.config_within / STALLED_STORE_DIVISOR;
         let is_receiving = progress
             .last_received_at
             .is_some_and(|at| now.saturating_duration_since(at) < stall_timeout);
         let immediate = progress.last_read_failed || progress.is_starting || progress.is_follower;
         let due = if is_receiving {
-            lag_time >= progress.config_within / SLOW_DIVISOR
+            lag_time >= progress.config_within / SLOW_STORE_DIVISOR
         } else {
             immediate || lag_time >= stall_timeout
         };
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug)]
 pub struct ResponseTimeouts {
     /// Limit until the response head arrives.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Limit between two frames of the body.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Updated with each frame.
     pub last_received: LastReceived,
 }
@@ -103,16 +103,17 @@
         timeouts: &ResponseTimeouts,
         keep_alive: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let (lease, response) = with_timeout(timeouts.head, self.send(addr, req)).await?;
+        let (lease, response) = with_timeout(timeouts.head_timeout, self.send(addr, req)).await?;
         timeouts.last_received.record(self.clock.now());
         let (head, body) = response.into_parts();
         let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
         let convert =
             |frame: Result<_, BoxError>| frame.map_err(|e| CallError::Interrupted(e.to_string()));
-        while let Some(frame) =
-            with_timeout(timeouts.idle, async { body.frame().await.map(convert).transpose() })
-                .await?
+        while let Some(frame) = with_timeout(timeouts.idle_timeout, async {
+            body.frame().await.map(convert).transpose()
+        })
+        .await?
         {
             timeouts.last_received.record(self.clock.now());
             if let Ok(data) = frame.into_data() {
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -259,9 +259,9 @@
         shared.outbox.send(planner, &PeerMessage::RouterNews(demand_update(shared)));
     }
     let interval = if planner.is_some() { HELLO_INTERVAL } else { UPDATE_INTERVAL };
-    let due = sent.hello_at.is_none_or(|at| now.saturating_duration_since(at) >= interval);
+    let due = sent.hello_sent_at.is_none_or(|at| now.saturating_duration_since(at) >= interval);
     if due {
-        sent.hello_at = Some(now);
+        sent.hello_sent_at = Some(now);
         send_hello(shared);
     }
 }
@@ -351,12 +351,13 @@
 
 /// Keeps the adapters of requests in flight from being evicted.
 fn send_adapters_in_use<P>(shared: &router::Shared<P>, now: Instant, sent: &mut SendState) {
-    let due =
-        sent.adapters_at.is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
+    let due = sent
+        .adapters_sent_at
+        .is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
     if !due {
         return;
     }
-    sent.adapters_at = Some(now);
+    sent.adapters_sent_at = Some(now);
     let in_use: Vec<_> = {
         let view = shared.view.borrow();
         let in_use = view.targets.iter().map(|(key, target)| {
@@ -384,7 +385,7 @@
 
 #[derive(Default)]
 struct SendState {
-    hello_at: Option<Instant>,
-    adapters_at: Option<Instant>,
+    hello_sent_at: Option<Instant>,
+    adapters_sent_at: Option<Instant>,
     role: Option<readers::Role>,
 }
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -28,7 +28,7 @@
     /// The caller's request id.
     pub id: SmolStr,
     /// The caller's timeout.
-    pub deadline: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The requested model and adapter.
     pub requested_model: Option<choose::RequestedModel>,
     /// Length of the prompt.
@@ -40,7 +40,7 @@
     /// The prompt's parts, in order.
     pub prompt_parts: Vec<PromptPart>,
     /// The last event that the caller received, if it resumes a stream.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// What the router adds to a forwarded request.
@@ -53,7 +53,7 @@
     /// Priority at an engine; 0 is the highest.
     pub priority: Option<u8>,
     /// The last event that the caller received.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The parsed head of a target's response.
@@ -63,9 +63,9 @@
     /// Whether the target did not run the request and never will.
     pub not_run: bool,
     /// Whether the target signed the response.
-    pub signed: bool,
+    pub is_signed: bool,
     /// Id of the answered request.
-    pub request: Option<SmolStr>,
+    pub request_id: Option<SmolStr>,
     /// Id of the responding target.
     pub target: Option<names::TargetId>,
     /// Load of the target.
@@ -184,7 +184,7 @@
 #[derive(Clone, Debug)]
 pub struct ReadOptions {
     /// Longest time that the store waits for a new record.
-    pub wait: Duration,
+    pub long_poll_wait: Duration,
     /// Added to `wait` until the response begins, and the limit between two parts of it.
     pub idle_timeout: Duration,
     /// Updated with each part of the response.
@@ -222,7 +222,7 @@
     /// Resident models and cached weights.
     pub holdings: targets::Holdings,
     /// Whether it is executing a command for a model.
-    pub busy: bool,
+    pub is_executing_command: bool,
     /// Number of adapters that are being loaded.
     pub adapters_loading: usize,
     /// Load of the engine.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -28,7 +28,7 @@
 impl std::error::Error for Aborted {}
 
 /// Applies if the caller sets no deadline.
-const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 /// `Retry-After` of a router that is starting, which takes 0.5 s, or stopping.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(700);
@@ -48,8 +48,8 @@
     let arrived = shared.clock.now();
     let (parts, body) = req.into_parts();
     let request = shared.platform.parse_request(&parts.headers);
-    let startup_wait =
-        STARTUP_WAIT.min(request.deadline.unwrap_or(DEFAULT_TIMEOUT) / STARTUP_WAIT_DIVISOR);
+    let startup_wait = STARTUP_WAIT
+        .min(request.caller_timeout.unwrap_or(DEFAULT_REQUEST_TIMEOUT) / STARTUP_WAIT_DIVISOR);
     drop(tokio::time::timeout(startup_wait, wait_until_started(&shared)).await);
     let (route, limit) = match find_route(&shared, &parts) {
         Ok(found) => found,
@@ -65,7 +65,7 @@
             return Ok(local_response(StatusCode::NOT_FOUND, decisions::NO_ROUTE, None));
         }
     };
-    let wait_limit = request.deadline.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let wait_limit = request.caller_timeout.unwrap_or(DEFAULT_REQUEST_TIMEOUT).min(route.timeout);
     let deadline = arrived + wait_limit;
     let read = Limited::new(body, limit).collect();
     let body = match tokio::time::timeout_at(deadline.into(), read).await {
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -115,7 +115,7 @@
         Subject::Config | Subject::Targets => long_poll_wait(shared.bounds.borrow().config_within),
     };
     let last_received = shared.replicated_records.borrow_mut().last_received(subject);
-    dialect::ReadOptions { wait, idle_timeout: RESPONSE_TIMEOUT, last_received }
+    dialect::ReadOptions { long_poll_wait: wait, idle_timeout: RESPONSE_TIMEOUT, last_received }
 }
 
 /// Long-poll duration that leaves time to apply a change within `within`.
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -13,7 +13,7 @@
 
 /// Callers abandon a stream after the longest of this time and the objectives below.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
-const ABANDON_OBJECTIVES: u32 = 4;
+const ABANDON_LATENCY_OBJECTIVES: u32 = 4;
 const ABANDON_GAPS: u32 = 8;
 /// Applies if the caller sends no estimate.
 const DEFAULT_OUTPUT_TOKENS: u64 = 300;
@@ -102,8 +102,9 @@
             return self.deadline;
         }
         let gaps = self.route.gap_objective.unwrap_or_default() * ABANDON_GAPS;
-        let idle_timeout =
-            ABANDON_TIMEOUT.max(self.route.latency_objective * ABANDON_OBJECTIVES).max(gaps);
+        let idle_timeout = ABANDON_TIMEOUT
+            .max(self.route.latency_objective * ABANDON_LATENCY_OBJECTIVES)
+            .max(gaps);
         self.deadline.min(self.idle_since + idle_timeout)
     }
 
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -45,7 +45,7 @@
     /// The server's address.
     pub addr: SocketAddr,
     /// Whether it carried a request before.
-    pub reused: bool,
+    pub is_reused: bool,
 }
 
 /// Skips the shutdown of the write half, so that closing resets the connection.
@@ -101,7 +101,7 @@
     /// Returns an idle connection, or opens one.
     pub async fn lease(&self, now: Instant, addr: SocketAddr) -> Result<Lease, io::Error> {
         match self.pop_idle(now, addr) {
-            Some(sender) => Ok(Lease { sender, addr, reused: true }),
+            Some(sender) => Ok(Lease { sender, addr, is_reused: true }),
             None => self.open(addr).await,
         }
     }
@@ -121,7 +121,7 @@
                 tracing::debug!(%addr, %error, "connection ended");
             }
         });
-        Ok(Lease { sender, addr, reused: false })
+        Ok(Lease { sender, addr, is_reused: false })
     }
 
     /// Returns a connection whose response was read; `keep_alive` is the time that the server stated.
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -14,10 +14,10 @@
 use tokio::sync::Notify;
 
 /// Covers a round trip between availability zones and the scheduling delays of a busy host.
-const RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
+const PERMIT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
 /// Covers the loss of the datagram that grants a permit.
-const RESEND_INTERVAL: Duration = Duration::from_millis(150);
+const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(150);
 /// Other engines are considered if the permit takes longer than this.
 const CHOOSE_AGAIN_WAIT: Duration = Duration::from_millis(40);
 
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PermitStatus {
     granted: bool,
-    wait: Duration,
+    expected_wait: Duration,
     prefill_backlog: Duration,
 }
 
@@ -62,7 +62,7 @@
         let Some(pending) = self.pending.borrow().get(&response.id).cloned() else { return };
         pending.response.set(Some(PermitStatus {
             granted: response.given,
-            wait: Duration::from_millis(u64::from(response.wait_ms)),
+            expected_wait: Duration::from_millis(u64::from(response.wait_ms)),
             prefill_backlog: Duration::from_micros(u64::from(response.reading_us)),
         }));
         pending.changed.notify_one();
@@ -150,7 +150,7 @@
     let mut unanswered = 0;
     while unanswered < MAX_UNANSWERED_REQUESTS {
         claim.send(job);
-        let Some(response) = claim.response(RESPONSE_TIMEOUT).await else {
+        let Some(response) = claim.response(PERMIT_RESPONSE_TIMEOUT).await else {
             unanswered += 1;
             continue;
         };
@@ -159,16 +159,17 @@
         if response.granted {
             return claim.granted();
         }
-        if now + response.wait >= claim.expires_at(job) {
+        if now + response.expected_wait >= claim.expires_at(job) {
             return PermitOutcome::TooLate {
-                retry_after: wait_limit::retry_after(response.wait, job.jitter()),
+                retry_after: wait_limit::retry_after(response.expected_wait, job.jitter()),
             };
         }
-        if !shared.may_serve(key, job, now) || (!final_choice && response.wait >= CHOOSE_AGAIN_WAIT)
+        if !shared.may_serve(key, job, now)
+            || (!final_choice && response.expected_wait >= CHOOSE_AGAIN_WAIT)
         {
             return PermitOutcome::ChooseAgain;
         }
-        if claim.response(RESEND_INTERVAL).await.is_some_and(|response| response.granted) {
+        if claim.response(PERMIT_RESEND_INTERVAL).await.is_some_and(|response| response.granted) {
             return claim.granted();
         }
         unanswered = 0;
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -22,9 +22,9 @@
 /// Load balancers check readiness each second and act on the second failure.
 const READINESS_GRACE: Duration = Duration::from_millis(2_600);
 /// Subtracted from the stop timeout: requests are answered before their connections are closed.
-const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
+const STOP_RESPONSE_MARGIN: Duration = Duration::from_millis(900);
 /// Subtracted from the stop timeout: callers see a closed connection rather than a dead host.
-const CLOSE_MARGIN: Duration = Duration::from_millis(400);
+const STOP_CLOSE_MARGIN: Duration = Duration::from_millis(400);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Smallest buffer that hyper accepts.
 const MIN_HEADER_BYTES: usize = 8_192;
@@ -149,7 +149,7 @@
     let stop_timeout = shared.bounds.borrow().stop_within;
     shared.stopping.set(Some(router::StopDeadlines {
         reject_from: stopping_since + READINESS_GRACE.min(stop_timeout / 2),
-        respond_by: stopping_since + stop_timeout.saturating_sub(RESPONSE_MARGIN),
+        respond_by: stopping_since + stop_timeout.saturating_sub(STOP_RESPONSE_MARGIN),
     }));
     tracing::info!(open = shared.open_requests.get(), "stopping: readiness withdrawn");
     // Idle connections close now, active ones after their response; later requests are not read.
@@ -157,7 +157,7 @@
     loop {
         let now = shared.clock.now();
         let elapsed = now.saturating_duration_since(stopping_since);
-        let close_after = stop_timeout.saturating_sub(CLOSE_MARGIN);
+        let close_after = stop_timeout.saturating_sub(STOP_CLOSE_MARGIN);
         if elapsed >= close_after || (elapsed >= READINESS_GRACE && shared.open_requests.get() == 0)
         {
             break;
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -257,7 +257,7 @@
         }
         self.splitter.resume();
         self.job.idle_since = self.timings.last_event_at.unwrap_or(self.job.arrived_at);
-        let last = self.splitter.last_event().or(self.job.request.last_event);
+        let last = self.splitter.last_event().or(self.job.request.last_event_id);
         let shared = self.shared.clone();
         match exchange::resume(&shared, &mut self.job, last).await {
             Ok(answered) => {
--- a/crates/corianderstand_forward/tests/agents.rs
+++ b/crates/corianderstand_forward/tests/agents.rs
@@ -47,7 +47,7 @@
         Ok(dialect::EngineReport {
             started_at_ms: Some(STARTED_AT_MS),
             holdings: state.holdings.clone(),
-            busy: false,
+            is_executing_command: false,
             adapters_loading: 0,
             load: targets::Load::default(),
         })
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -147,7 +147,7 @@
         });
         dialect::RequestHead {
             id: text("x-id").unwrap_or_default().into(),
-            deadline: millis("x-deadline-ms"),
+            caller_timeout: millis("x-deadline-ms"),
             requested_model,
             prompt_tokens: text("x-prompt").and_then(|text| text.parse().ok()).unwrap_or(0),
             ..Default::default()
@@ -159,7 +159,7 @@
         headers.remove(http::header::CONTENT_LENGTH);
         headers.insert("x-target", HeaderValue::from_str(forwarded.target.as_str()).unwrap());
         headers.insert("x-left-ms", HeaderValue::from(forwarded.time_left.as_millis() as u64));
-        if let Some(last) = forwarded.last_event {
+        if let Some(last) = forwarded.last_event_id {
             headers.insert("x-last-event", HeaderValue::from(last));
         }
     }
@@ -168,8 +168,8 @@
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         dialect::ResponseHead {
             not_run: headers.contains_key("x-not-run"),
-            signed: headers.contains_key("x-signed"),
-            request: text("x-id").map(Into::into),
+            is_signed: headers.contains_key("x-signed"),
+            request_id: text("x-id").map(Into::into),
             target: text("x-target").map(Into::into),
             ..Default::default()
         }
