--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -50,7 +50,7 @@
     last_event: Option<u64>,
 ) -> AttemptOutcome<P> {
     let now = shared.clock.now();
-    let Some((addr, id)) = shared.address(key) else { return AttemptOutcome::NotSent };
+    let Some((addr, id)) = shared.target_address(key) else { return AttemptOutcome::NotSent };
     job.last_target = id.clone();
     job.sent_at = Some(now);
     job.prefill_tokens = job.uncached_tokens(&shared.view.borrow(), key);
@@ -70,7 +70,7 @@
     let mut lease = match shared.connection_pool.lease(now, addr).await {
         Ok(lease) => lease,
         Err(error) => {
-            shared.connection_failed(key, &error);
+            shared.record_connection_failure(key, &error);
             tracing::debug!(%addr, %error, "no connection to the target");
             return AttemptOutcome::NotSent;
         }
@@ -86,7 +86,7 @@
                 match shared.connection_pool.open(addr).await {
                     Ok(new) => lease = new,
                     Err(error) => {
-                        shared.connection_failed(key, &error);
+                        shared.record_connection_failure(key, &error);
                         return AttemptOutcome::NotSent;
                     }
                 }
@@ -94,19 +94,19 @@
                 continue;
             }
             HeadOutcome::NotSent(_) => {
-                shared.target_failed(key, "connection closed at once");
+                shared.record_target_failure(key, "connection closed at once");
                 return AttemptOutcome::NotSent;
             }
             HeadOutcome::ConnectionLost => {
-                shared.target_failed(key, "connection lost");
+                shared.record_target_failure(key, "connection lost");
                 return AttemptOutcome::Unknown("the target's connection was lost");
             }
             HeadOutcome::TimedOut => {
-                shared.target_failed(key, "silent");
+                shared.record_target_failure(key, "silent");
                 return AttemptOutcome::Unknown("the target was silent");
             }
             HeadOutcome::DeadlineExceeded => {
-                shared.target_failed(key, "time over");
+                shared.record_target_failure(key, "time over");
                 return AttemptOutcome::DeadlineExceeded;
             }
         };
@@ -125,19 +125,19 @@
     let (head, body) = response.into_parts();
     let info = shared.platform.parse_response(head.status, &head.headers);
     if info.request_id.as_ref().is_some_and(|id| *id != job.request.id) {
-        shared.target_failed(key, "answer to another request");
+        shared.record_target_failure(key, "answer to another request");
         return AttemptOutcome::Unknown("the answer was to another request");
     }
     if let Some(load) = info.load {
         shared.record_load(key, load);
     }
     if info.not_run {
-        shared.not_run(key, job, head.status, info.target.as_ref());
+        shared.record_unexecuted(key, job, head.status, info.target.as_ref());
         // The body isn't read; dropping the lease closes the connection.
         return AttemptOutcome::NotRun;
     }
     if !info.is_signed {
-        shared.target_failed(key, "answer without signature");
+        shared.record_target_failure(key, "answer without signature");
         return AttemptOutcome::Unknown("the answer was not the target's");
     }
     AttemptOutcome::Answered(Box::new(Answered {
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -175,7 +175,7 @@
 
 /// None if this router is the planner.
 fn planner<P>(shared: &router::Shared<P>, now: Instant) -> Option<SocketAddr> {
-    let own = peers::Rank::new(shared.settings.strength, &shared.settings.name);
+    let own = peers::Rank::new(shared.settings.cpu_millicores, &shared.settings.name);
     shared.peers.borrow().planner(now, &own)
 }
 
@@ -271,7 +271,7 @@
     let message = PeerMessage::RouterNews(hello(shared));
     let peers = shared.peers.borrow();
     let known: Vec<SocketAddr> = peers.addresses().collect();
-    let own = shared.settings.peers;
+    let own = shared.settings.peer_addr;
     let bounds = shared.bounds.borrow();
     let seeds = bounds.seeds.iter().copied();
     let seeds = seeds.filter(|seed| *seed != own && !known.contains(seed));
@@ -288,7 +288,7 @@
         incarnation: shared.incarnation,
         zone: shared.settings.zone.clone(),
         store,
-        strength: shared.settings.strength,
+        strength: shared.settings.cpu_millicores,
         fit: can_plan(shared),
         config_next: records.next_offset(dialect::Subject::Config),
         targets_next: records.next_offset(dialect::Subject::Targets),
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -203,7 +203,7 @@
     fn read(
         &self,
         subject: Subject,
-        from: u64,
+        start_offset: u64,
         options: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
     /// Announces this router to the others.
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -262,12 +262,12 @@
     shared.connection_pool.release(shared.clock.now(), lease, keep_alive);
     drop(in_flight);
     if head.status.is_server_error() {
-        shared.target_failed(key, "error of the target");
+        shared.record_target_failure(key, "error of the target");
         if job.route.may_retry() && may_try_another(shared, &job) {
             return Err(Box::new(job));
         }
     } else {
-        shared.target_succeeded(key);
+        shared.record_target_success(key);
     }
     shared.platform.rewrite_response(&mut head.headers);
     shared.decision_log.answered(&job, head.status, "whole", shared.clock.now());
@@ -281,7 +281,7 @@
     key: targets::TargetKey,
     why: &'static str,
 ) -> Result<Response<ResponseBody>, Box<job::Job>> {
-    shared.target_failed(key, why);
+    shared.record_target_failure(key, why);
     shared.decision_log.attempt_failed(&job, why, None, shared.clock.now());
     job.last_failure = why;
     job.may_have_run = true;
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -42,7 +42,7 @@
 
 async fn announce<P: router::Platform>(shared: Rc<router::Shared<P>>) {
     let settings = &shared.settings;
-    let entry = dialect::RouterEntry { router: settings.name.clone(), addr: settings.peers };
+    let entry = dialect::RouterEntry { router: settings.name.clone(), addr: settings.peer_addr };
     while let Err(error) = shared.platform.announce(&entry).await {
         tracing::debug!(%error, "announcing this router in the store failed, retrying");
         tokio::time::sleep(RETRY_DELAY * 4).await;
@@ -172,7 +172,7 @@
             apply_record(shared, subject, source, record);
         }
     }
-    let advanced = shared.replicated_records.borrow_mut().advance(subject, page.next);
+    let advanced = shared.replicated_records.borrow_mut().advance_offset(subject, page.next);
     if advanced && subject == Subject::Targets && shared.view.borrow().targets.is_empty() {
         // No targets exist: wakes the requests that wait for the first read.
         shared.view.borrow().wake_all();
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -62,7 +62,7 @@
 
 impl Job {
     /// Expected prompt and output tokens.
-    pub fn tokens(&self) -> u64 {
+    pub fn expected_tokens(&self) -> u64 {
         if self.request.requested_model.is_none() {
             return 0;
         }
@@ -131,7 +131,8 @@
     /// Adds a request to a target's counts.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
         let requested = job.request.requested_model.clone();
-        let in_flight = Self { shared: shared.clone(), key, requested, tokens: job.tokens() };
+        let in_flight =
+            Self { shared: shared.clone(), key, requested, tokens: job.expected_tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
             target.local_requests += 1;
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -158,10 +158,10 @@
     let Some(target) = view.targets.get(engine.key) else { return };
     let agent = SocketAddr::new(target.entry.addr.ip(), shared.settings.agent_port);
     let peers = shared.peers.borrow();
-    let routers = [shared.settings.peers].into_iter().chain(peers.addresses());
+    let routers = [shared.settings.peer_addr].into_iter().chain(peers.addresses());
     let plan = wire::EnginePlan {
         planner: shared.settings.name.as_str().into(),
-        strength: shared.settings.strength,
+        strength: shared.settings.cpu_millicores,
         serial,
         target: target.entry.id.clone(),
         health_path: service.health_path.clone(),
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -115,9 +115,10 @@
     }
 
     /// Records changed since an offset, without mere renewals.
-    pub fn changes(&self, subject: Subject, from: u64) -> dialect::Page {
+    pub fn changes(&self, subject: Subject, start_offset: u64) -> dialect::Page {
         let Some(entry) = self.by_subject.get(&subject) else { return dialect::Page::default() };
-        let changed = entry.records.values().filter(|stored| stored.changed_at_offset >= from);
+        let changed =
+            entry.records.values().filter(|stored| stored.changed_at_offset >= start_offset);
         let records = changed.map(|stored| stored.record.clone()).collect();
         dialect::Page { records, next: entry.next_offset.unwrap_or(0), whole: false }
     }
@@ -163,7 +164,7 @@
     }
 
     /// Marks all records before `next` as known. Returns whether this advances the offset.
-    pub fn advance(&mut self, subject: Subject, next: u64) -> bool {
+    pub fn advance_offset(&mut self, subject: Subject, next: u64) -> bool {
         let entry = self.by_subject.entry(subject).or_default();
         let advanced = entry.next_offset < Some(next);
         entry.next_offset = entry.next_offset.max(Some(next));
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -33,17 +33,17 @@
     /// Its availability zone.
     pub zone: names::AvailabilityZoneId,
     /// CPU that its host grants, in thousandths of a core; the strongest router is the planner.
-    pub strength: u32,
+    pub cpu_millicores: u32,
     /// Listener for callers.
-    pub front: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Listener for readiness checks.
-    pub ready: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Path of the readiness check.
     pub ready_path: SmolStr,
     /// Listener for metrics, if any.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_addr: Option<SocketAddr>,
     /// Address for datagrams and transfers between processes.
-    pub peers: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// UDP port of agents, at the address of their engine.
     pub agent_port: u16,
     /// Settings that can be reloaded.
@@ -57,7 +57,7 @@
     /// Addresses at which other routers may be found.
     pub seeds: Vec<SocketAddr>,
     /// Retry budget of the deployment.
-    pub allowance: budget::Allowance,
+    pub retry_allowance: budget::Allowance,
     /// Time within which a draining target must stop receiving requests.
     pub drain_within: Duration,
     /// Time within which a new configuration must be in force.
@@ -165,13 +165,13 @@
             };
             view.demand.record_request(now, &requested.model, profile);
         }
-        let allowance = self.bounds.borrow().allowance;
+        let allowance = self.bounds.borrow().retry_allowance;
         view.retry_budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
     }
 
     /// Returns this router's role in reading the store.
     pub fn role(&self, now: Instant) -> readers::Role {
-        let own = peers::Rank::new(self.settings.strength, &self.settings.name);
+        let own = peers::Rank::new(self.settings.cpu_millicores, &self.settings.name);
         let neighbours = self.peers.borrow().neighbours(now, &self.settings.zone);
         readers::role(&own, &self.settings.name, &neighbours)
     }
@@ -206,17 +206,17 @@
         let routers = 1 + self.peers.borrow().live(now).count();
         let mut view = self.view.borrow_mut();
         let budget = view.retry_budgets.entry(service.clone()).or_default();
-        budget.spend(now, &self.bounds.borrow().allowance, routers)
+        budget.spend(now, &self.bounds.borrow().retry_allowance, routers)
     }
 
     /// Chooses a target for a request.
-    pub fn choose(&self, now: Instant, job: &job::Job) -> choose::Choice {
+    pub fn choose_target(&self, now: Instant, job: &job::Job) -> choose::Choice {
         let view = self.view.borrow();
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
         let query = choose::Query {
             service: &job.service,
             requested: job.request.requested_model.as_ref(),
-            tokens: job.tokens(),
+            tokens: job.expected_tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
             zone: &self.settings.zone,
@@ -231,7 +231,7 @@
     pub fn has_alternative(&self, now: Instant, job: &job::Job, key: targets::TargetKey) -> bool {
         debug_assert!(job.tried_targets.contains(&key));
         (job.tried_targets.len() as u32) < job.route.max_targets
-            && matches!(self.choose(now, job), choose::Choice::Send(_))
+            && matches!(self.choose_target(now, job), choose::Choice::Send(_))
     }
 
     /// Estimates when the model or capacity that a request waits for is available.
@@ -254,13 +254,13 @@
     }
 
     /// Returns a target's address and id.
-    pub fn address(&self, key: targets::TargetKey) -> Option<(SocketAddr, names::TargetId)> {
+    pub fn target_address(&self, key: targets::TargetKey) -> Option<(SocketAddr, names::TargetId)> {
         let view = self.view.borrow();
         view.targets.get(key).map(|target| (target.entry.addr, target.entry.id.clone()))
     }
 
     /// Records a failed request to a target.
-    pub fn target_failed(&self, key: targets::TargetKey, why: &'static str) {
+    pub fn record_target_failure(&self, key: targets::TargetKey, why: &'static str) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
@@ -270,7 +270,7 @@
     }
 
     /// Records a failure to connect to a target.
-    pub fn connection_failed(&self, key: targets::TargetKey, error: &io::Error) {
+    pub fn record_connection_failure(&self, key: targets::TargetKey, error: &io::Error) {
         if error.kind() == io::ErrorKind::ConnectionRefused {
             let now = self.clock.now();
             let mut view = self.view.borrow_mut();
@@ -279,11 +279,11 @@
                 tracing::info!(target = %target.entry.id, "target refuses connections");
             }
         }
-        self.target_failed(key, "no connection");
+        self.record_target_failure(key, "no connection");
     }
 
     /// Records a successful response of a target.
-    pub fn target_succeeded(&self, key: targets::TargetKey) {
+    pub fn record_target_success(&self, key: targets::TargetKey) {
         let now = self.clock.now();
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.health.record_success(now);
@@ -328,7 +328,7 @@
     }
 
     /// Records that a target did not run a request: it lacks the model, was replaced, or is full.
-    pub fn not_run(
+    pub fn record_unexecuted(
         &self,
         key: targets::TargetKey,
         job: &job::Job,
@@ -394,7 +394,7 @@
     local.block_on(&runtime, async move {
         let store_pool = Rc::new(pool::Pool::default());
         let platform = platform(client::Client::new(store_pool, clock.clone()));
-        let socket = control::bind(settings.peers).await?;
+        let socket = control::bind(settings.peer_addr).await?;
         let shared = Rc::new(Shared {
             platform,
             incarnation: clock::unix_ms(clock.wall()),
@@ -414,10 +414,10 @@
             bounds: RefCell::new(settings.bounds.clone()),
             settings,
         });
-        let ready = server::listen(shared.settings.ready)?;
-        let front = server::listen(shared.settings.front)?;
-        let peers = server::listen(shared.settings.peers)?;
-        if let Some(addr) = shared.settings.metrics {
+        let ready = server::listen(shared.settings.readiness_addr)?;
+        let front = server::listen(shared.settings.caller_addr)?;
+        let peers = server::listen(shared.settings.peer_addr)?;
+        if let Some(addr) = shared.settings.metrics_addr {
             metrics::serve(&shared, server::listen(addr)?);
         }
         tokio::task::spawn_local(apply_reloads(shared.clone(), reload));
@@ -426,7 +426,7 @@
         transfer::serve(&shared, peers);
         server::serve_ready(&shared, ready);
         tokio::task::spawn_local(tick_pause_detector(shared.clone()));
-        tracing::info!(name = %shared.settings.name, front = %shared.settings.front, "router started");
+        tracing::info!(name = %shared.settings.name, front = %shared.settings.caller_addr, "router started");
         server::serve(&shared, front, stop).await;
         if let Err(error) = shared.platform.withdraw(&shared.settings.name).await {
             tracing::warn!(%error, "failed to withdraw this router from the store");
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -221,7 +221,7 @@
         self.has_ended = true;
         if let Some(upstream) = self.upstream.take() {
             let Upstream { lease, in_flight, info, .. } = upstream;
-            self.shared.target_succeeded(in_flight.key());
+            self.shared.record_target_success(in_flight.key());
             let keep_alive =
                 if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
             self.shared.connection_pool.release(self.shared.clock.now(), lease, keep_alive);
@@ -237,7 +237,7 @@
     ) -> Option<Result<Bytes, exchange::Aborted>> {
         self.has_ended = true;
         if let Some(upstream) = self.upstream.take() {
-            self.shared.target_failed(upstream.in_flight.key(), why);
+            self.shared.record_target_failure(upstream.in_flight.key(), why);
         }
         self.log_end(why);
         Some(Err(aborted))
@@ -248,7 +248,7 @@
         let now = self.shared.clock.now();
         self.shared.decision_log.attempt_failed(&self.job, why, None, now);
         if let Some(upstream) = self.upstream.take() {
-            self.shared.target_failed(upstream.in_flight.key(), why);
+            self.shared.record_target_failure(upstream.in_flight.key(), why);
             // Closing the connection cancels the request there before it continues elsewhere.
             drop(upstream);
         }
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -97,12 +97,12 @@
 struct RecordsRequest {
     subject: dialect::Subject,
     /// Offset from which changes are requested; none for all records.
-    from: Option<u64>,
+    start_offset: Option<u64>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordsResponse {
-    age: Option<Duration>,
+    read_age: Option<Duration>,
     page: dialect::Page,
 }
 
@@ -123,11 +123,11 @@
 ) -> RecordsResponse {
     let replicated = shared.replicated_records.borrow();
     let age = replicated.since_read(shared.clock.now(), request.subject);
-    let page = match request.from {
+    let page = match request.start_offset {
         None => replicated.full_page(request.subject),
         Some(from) => replicated.changes(request.subject, from),
     };
-    RecordsResponse { age, page }
+    RecordsResponse { read_age: age, page }
 }
 
 /// Fetches and applies the changes from a router that reads the store for this one.
@@ -138,7 +138,8 @@
 ) -> TransferOutcome {
     let from = shared.replicated_records.borrow().next_offset(subject);
     let response =
-        request_records(reader, RecordsRequest { subject, from: Some(from) }, || false).await;
+        request_records(reader, RecordsRequest { subject, start_offset: Some(from) }, || false)
+            .await;
     apply(shared, reader, subject, response)
 }
 
@@ -151,7 +152,7 @@
 ) -> TransferOutcome {
     let is_superseded = || shared.replicated_records.borrow().next_offset(subject) >= next;
     let response =
-        request_records(peer, RecordsRequest { subject, from: None }, is_superseded).await;
+        request_records(peer, RecordsRequest { subject, start_offset: None }, is_superseded).await;
     if let Ok(response) = &response {
         tracing::info!(%peer, ?subject, next = response.page.next, "records received from a peer");
     }
@@ -165,7 +166,7 @@
     response: Result<RecordsResponse, TransferError>,
 ) -> TransferOutcome {
     let (outcome, transferred) = match response {
-        Ok(RecordsResponse { age, page }) => {
+        Ok(RecordsResponse { read_age: age, page }) => {
             follow::apply_page(shared, subject, replicated_records::Source::Peer(peer), page);
             ("taken", TransferOutcome::Applied(age))
         }
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -35,7 +35,7 @@
         let woken = waker.notified();
         tokio::pin!(woken);
         woken.as_mut().enable();
-        let choice = shared.choose(now, job);
+        let choice = shared.choose_target(now, job);
         let (until, interval) = match choice {
             choose::Choice::Send(key) => {
                 choices += 1;
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -283,16 +283,16 @@
         router::Settings {
             name: name.into(),
             zone: "here".into(),
-            strength: 1_000,
-            front: free_port(),
-            ready: free_port(),
+            cpu_millicores: 1_000,
+            caller_addr: free_port(),
+            readiness_addr: free_port(),
             ready_path: "/ready".into(),
-            metrics: Some(free_port()),
-            peers,
+            metrics_addr: Some(free_port()),
+            peer_addr: peers,
             agent_port: peers.port(),
             bounds: router::Bounds {
                 seeds,
-                allowance: budget::Allowance::default(),
+                retry_allowance: budget::Allowance::default(),
                 drain_within: Duration::from_millis(200),
                 config_within: Duration::from_secs(2),
                 stop_within,
@@ -301,8 +301,9 @@
     }
 
     pub fn start_on(store: &MemoryStore, settings: router::Settings) -> Self {
-        let (front, ready) = (settings.front, settings.ready);
-        let (peers, metrics) = (settings.peers, settings.metrics.unwrap_or(settings.ready));
+        let (front, ready) = (settings.caller_addr, settings.readiness_addr);
+        let (peers, metrics) =
+            (settings.peer_addr, settings.metrics_addr.unwrap_or(settings.readiness_addr));
         let store = store.clone();
         let (stop, stop_requested) = oneshot::channel::<()>();
         let (reload, reloaded) = mpsc::unbounded_channel();
--- a/crates/corianderstand_forward/tests/large_configs.rs
+++ b/crates/corianderstand_forward/tests/large_configs.rs
@@ -36,7 +36,7 @@
         let far_addr = common::free_port();
         let reader = RouterThread::start_with(&store, "reader", vec![far_addr], stop_within);
         let remote_peer =
-            RemotePeer::open(far_addr, reader.peers, settings.peers, link.clone()).await;
+            RemotePeer::open(far_addr, reader.peers, settings.peer_addr, link.clone()).await;
         let router = RouterThread::start_on(&router_store(&store, &link), settings);
         reader.wait_ready().await;
         router.wait_ready().await;
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -111,7 +111,7 @@
 
 fn settings(name: &str, strength: u32, seeds: Vec<SocketAddr>) -> router::Settings {
     let mut settings = RouterThread::settings(name, seeds, Duration::from_secs(8));
-    settings.strength = strength;
+    settings.cpu_millicores = strength;
     settings.bounds.drain_within = Duration::from_secs(2);
     settings
 }
@@ -241,7 +241,7 @@
     records.insert(subject, record("other", 4), 9);
     let removed = Record { value: None, ..record("gone", 5) };
     records.insert(subject, removed.clone(), 0);
-    records.advance(subject, 6);
+    records.advance_offset(subject, 6);
     let page = records.changes(subject, 3);
     let mut keys: Vec<_> = page.records.iter().map(|record| record.key.as_str()).collect();
     keys.sort_unstable();
