--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -23,15 +23,15 @@
 use tokio::sync::Notify;
 
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Short, as requests wait until the agent sees the command complete.
+/// Interval between polls of the engine while it executes a command that requests wait for.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Interval between updates while nothing changes; grows with the number of routers.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 const UPDATE_INTERVAL_PER_ROUTER: Duration = Duration::from_millis(25);
-/// Routers consider an agent unresponsive after three of these.
+/// Routers consider an agent unresponsive after three missed updates.
 const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(900);
 /// Routers that requested an adapter within this time are updated at once when adapters change.
-const REQUESTER_RETENTION: Duration = Duration::from_millis(500);
+const ADAPTER_REQUESTER_RETENTION: Duration = Duration::from_millis(500);
 /// A planner that sends nothing for this long may be superseded by one of lower rank.
 const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_300);
 const ADAPTER_REQUEST_RETENTION: Duration = Duration::from_secs(8);
@@ -79,7 +79,7 @@
     requested_adapters: Vec<reconcile::AdapterRequest>,
     ongoing: Option<OngoingCommand>,
     last_update: Option<(Instant, peers::EngineUpdate)>,
-    /// Target that the engine denied to be; plans for it are not executed.
+    /// Target of a plan that the engine rejected as meant for another engine.
     mismatched_target: Option<names::TargetId>,
     identity: Option<EngineIdentity>,
     recent_requesters: BTreeMap<SocketAddr, Instant>,
@@ -188,7 +188,7 @@
         state.recent_requesters.insert(from, now);
         state
             .recent_requesters
-            .retain(|_, at| now.saturating_duration_since(*at) < REQUESTER_RETENTION);
+            .retain(|_, at| now.saturating_duration_since(*at) < ADAPTER_REQUESTER_RETENTION);
         for adapter in request.adapters {
             state
                 .requested_adapters
@@ -257,7 +257,6 @@
         BUSY_POLL_INTERVAL
     }
 
-    /// Repeated on each poll, as datagrams may be lost.
     fn send_engine_exited(&self) {
         let state = self.state.borrow();
         let (Some(plan), Some((_, last))) = (&state.plan, &state.last_update) else { return };
@@ -420,7 +419,8 @@
     fn send_update(&self, now: Instant, plan: &peers::EnginePlan, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let update = report::engine_update(now, plan, report, state.ongoing.as_ref());
-        let interval = UPDATE_INTERVAL.max(UPDATE_INTERVAL_PER_ROUTER * plan.routers.len() as u32);
+        let interval =
+            MIN_UPDATE_INTERVAL.max(UPDATE_INTERVAL_PER_ROUTER * plan.routers.len() as u32);
         let interval = interval.min(MAX_UPDATE_INTERVAL);
         let to_all = state.last_update.as_ref().is_none_or(|(at, last)| {
             now.saturating_duration_since(*at) >= interval
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -7,16 +7,16 @@
 use hyper::body::Incoming;
 use std::{rc::Rc, time::Duration};
 
-/// Lets the target's timeout response arrive before the router's own is due.
+/// Subtracted from the forwarded deadline, so that the target's timeout response arrives in time.
 const TARGET_RESPONSE_MARGIN: Duration = Duration::from_millis(25);
-/// Latency objectives after which a request that may be retried is tried elsewhere.
+/// Multiple of the latency objective after which a retryable request is sent to another target.
 const RESPONSE_TIMEOUT_OBJECTIVES: u32 = 2;
-/// Longer than slow requests usually take, 0.3 s.
+/// Slow but healthy targets respond within 0.3 s.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How one attempt ended.
 pub enum AttemptOutcome<P: router::Platform> {
-    /// The response head arrived.
+    /// The target sent a response head.
     Answered(Box<Answered<P>>),
     /// Nothing was written to the target.
     NotSent,
@@ -38,7 +38,7 @@
     pub body: Incoming,
     /// The connection.
     pub lease: pool::Lease,
-    /// The request's count at the target.
+    /// Counts the request as in flight at the target.
     pub in_flight: job::InFlight<P>,
 }
 
--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -14,7 +14,7 @@
 
 /// Fraction of `config_within` without data from the store after which a peer is queried.
 const STALLED_STORE_DIVISOR: u32 = 8;
-/// The same while the store still delivers data.
+/// Fraction of `config_within` after which a peer is queried although the store delivers data.
 const SLOW_STORE_DIVISOR: u32 = 2;
 
 /// Progress of a router's reads and of its peers.
@@ -28,7 +28,7 @@
     pub last_received_at: Option<Instant>,
     /// Whether the last read of the store failed.
     pub last_read_failed: bool,
-    /// Whether nothing is known yet, so that all requests are rejected.
+    /// Whether no record of the subject is known yet.
     pub is_starting: bool,
     /// Whether other routers read the store for this one.
     pub is_follower: bool,
@@ -36,7 +36,7 @@
     pub config_within: Duration,
 }
 
-/// A router's lag behind its peers in one subject.
+/// Since when a router's records of one subject are older than those of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Lag {
     behind_since: Option<Instant>,
@@ -73,13 +73,13 @@
         candidates.copied().max_by_key(|(_, addr)| self.peer_rank(progress.router, *addr))
     }
 
-    /// Differs by router and attempt, so that routers spread over the peers and avoid a dead one.
+    /// Ranks peers differently by router and attempt, which spreads load and avoids a dead peer.
     fn peer_rank(&self, router: &str, peer: SocketAddr) -> u64 {
         xxh3::xxh3_64_with_seed(format!("{router} {peer}").as_bytes(), self.attempts)
     }
 }
 
-/// Lag and pending transfer of each subject.
+/// Detects outdated records of each subject and fetches newer ones from peers.
 #[derive(Debug, Default)]
 pub struct CatchUp {
     by_subject: BTreeMap<Subject, (Lag, Option<JoinHandle<()>>)>,
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -16,7 +16,7 @@
     time::{Duration, Instant},
 };
 
-/// Fits a single record with a 4 MB configuration in base64.
+/// Large enough for a record with a 4 MB configuration in base64.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
@@ -46,7 +46,7 @@
         self.0.set(Some(now));
     }
 
-    /// The recorded time, if any.
+    /// When data was last received, if ever.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
@@ -59,7 +59,7 @@
     pub head_timeout: Duration,
     /// Limit between two frames of the body.
     pub idle_timeout: Duration,
-    /// Updated with each frame.
+    /// Set to the current time with each frame of the body.
     pub last_received: LastReceived,
 }
 
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -16,13 +16,13 @@
 use tokio::net::UdpSocket;
 
 /// Interval between updates to the planner, and between hellos of the planner itself.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+const PLANNER_UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between hellos of a router that is not the planner.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Batches a burst of first requests into one update and one plan.
-const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(20);
 /// Must be shorter than the time for which an agent keeps an adapter in use loaded.
-const ADAPTERS_INTERVAL: Duration = Duration::from_millis(250);
+const ADAPTERS_IN_USE_INTERVAL: Duration = Duration::from_millis(250);
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// Sends datagrams.
@@ -236,10 +236,10 @@
         shared.connection_pool.sweep(now);
         follow::expire(&shared, now);
         shared.peers.borrow_mut().expire(now);
-        tokio::time::sleep(MIN_ROUND_INTERVAL).await;
+        tokio::time::sleep(MIN_SEND_INTERVAL).await;
         tokio::select! {
             () = shared.control_wake.notified() => {}
-            () = tokio::time::sleep(UPDATE_INTERVAL) => {}
+            () = tokio::time::sleep(PLANNER_UPDATE_INTERVAL) => {}
         }
     }
 }
@@ -258,7 +258,7 @@
     if let Some(planner) = planner {
         shared.outbox.send(planner, &PeerMessage::RouterNews(demand_update(shared)));
     }
-    let interval = if planner.is_some() { HELLO_INTERVAL } else { UPDATE_INTERVAL };
+    let interval = if planner.is_some() { HELLO_INTERVAL } else { PLANNER_UPDATE_INTERVAL };
     let due = sent.hello_sent_at.is_none_or(|at| now.saturating_duration_since(at) >= interval);
     if due {
         sent.hello_sent_at = Some(now);
@@ -353,7 +353,7 @@
 fn send_adapters_in_use<P>(shared: &router::Shared<P>, now: Instant, sent: &mut SendState) {
     let due = sent
         .adapters_sent_at
-        .is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
+        .is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_IN_USE_INTERVAL);
     if !due {
         return;
     }
--- a/crates/corianderstand_forward/src/decisions.rs
+++ b/crates/corianderstand_forward/src/decisions.rs
@@ -19,7 +19,7 @@
 /// How a stream ended.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamEnd<'a> {
-    /// `whole`, or the reason why the stream was cut short.
+    /// `whole`, or why the stream ended early.
     pub how: &'a str,
     /// Events forwarded to the caller.
     pub events: u64,
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -15,7 +15,7 @@
 /// A part of a prompt that other requests may share.
 #[derives(key)]
 pub struct PromptPart {
-    /// Identifies the part together with those before it.
+    /// Identifier of this part and all parts before it.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u32,
@@ -46,11 +46,11 @@
 /// What the router adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedRequest<'a> {
-    /// The intended target; any other rejects the request.
+    /// Id of the intended target; a target with another id rejects the request.
     pub target: &'a names::TargetId,
     /// Time until the deadline.
     pub time_left: Duration,
-    /// Priority at an engine; 0 is the highest.
+    /// Priority in the engine's queue; 0 is the highest.
     pub priority: Option<u8>,
     /// The last event that the caller received.
     pub last_event_id: Option<u64>,
@@ -118,9 +118,9 @@
 pub struct Page {
     /// The records.
     pub records: Vec<Record>,
-    /// Offset to continue from.
+    /// Offset at which the next read starts.
     pub next: u64,
-    /// Whether all keys are present, so that missing ones were deleted.
+    /// Whether the page contains every key of the subject, so that absent keys were deleted.
     pub whole: bool,
 }
 
@@ -185,7 +185,7 @@
 pub struct ReadOptions {
     /// Longest time that the store waits for a new record.
     pub long_poll_wait: Duration,
-    /// Added to `wait` until the response begins, and the limit between two parts of it.
+    /// Longest gap between two parts of the response, the first counted after `long_poll_wait`.
     pub idle_timeout: Duration,
     /// Updated with each part of the response.
     pub last_received: client::LastReceived,
@@ -221,7 +221,7 @@
     pub started_at_ms: Option<u64>,
     /// Resident models and cached weights.
     pub holdings: targets::Holdings,
-    /// Whether it is executing a command for a model.
+    /// Whether the engine is loading or unloading a model.
     pub is_executing_command: bool,
     /// Number of adapters that are being loaded.
     pub adapters_loading: usize,
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -27,12 +27,12 @@
 
 impl std::error::Error for Aborted {}
 
-/// Applies if the caller sets no deadline.
+/// Timeout of a request whose caller sets none.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
-/// `Retry-After` of a router that is starting, which takes 0.5 s, or stopping.
+/// `Retry-After` of a router that is starting or stopping.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(700);
-/// Longest wait for the configuration and targets, at most this fraction of the caller's timeout.
+/// Longest time that a request waits for the router's first read of the store.
 const STARTUP_WAIT: Duration = Duration::from_millis(600);
 const STARTUP_WAIT_DIVISOR: u32 = 4;
 /// `Retry-After` when a target refused and no other may be tried.
@@ -121,7 +121,7 @@
     Ok(response)
 }
 
-/// Logs that the caller left if it is dropped before the response head.
+/// Logs that the caller left if the request is dropped before its response head is sent.
 struct PendingRequest<P: router::Platform> {
     shared: Rc<router::Shared<P>>,
     id: SmolStr,
@@ -193,7 +193,7 @@
                 }
             }
             attempt::AttemptOutcome::NotSent => {
-                // Does not count against the route's targets, as nothing was written.
+                // Nothing was written, so the attempt does not count towards `max_targets`.
                 job.tried_targets.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "no connection to the target";
@@ -208,7 +208,7 @@
                 }
             }
             attempt::AttemptOutcome::NotRun => {
-                // Does not count against the route's targets; the target is excluded for a while anyway.
+                // Does not count towards `max_targets`; the target is excluded for a while anyway.
                 job.tried_targets.pop();
                 job.unexecuted_attempts += 1;
                 job.last_failure = "the target did not run it";
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -16,20 +16,20 @@
 };
 use xxhash_rust::xxh3;
 
-/// Reserved after a long poll for a response timeout and the next read.
+/// Part of `config_within` reserved for a response timeout and another read.
 const CONFIG_READ_MARGIN: Duration = Duration::from_millis(1_000);
 /// Response timeout of the store and of peers that transfer records.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Share of `drain_within` between reads of the targets, which batches their renewals.
+/// Interval between reads of the targets, as a fraction of `drain_within`.
 const TARGETS_INTERVAL_RATIO: f64 = 0.4;
-/// The same for a reader, whose followers add an interval of their own.
+/// Shorter for a reader, as its followers poll it at an interval of their own.
 const READER_INTERVAL_RATIO: f64 = 0.2;
 /// Minimum interval between reads of the targets when they are known to be outdated.
 const MIN_TARGETS_INTERVAL: Duration = Duration::from_millis(250);
 /// Routers learn of each other directly; reading them finds those that could not.
 const ROUTERS_INTERVAL: Duration = Duration::from_secs(8);
 const MIN_LONG_POLL_WAIT: Duration = Duration::from_millis(300);
-/// Keeps routers from flooding a recovering store.
+/// Delay after a failed read, so that routers don't overload a recovering store.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Starts following all subjects.
@@ -100,7 +100,7 @@
     }
 }
 
-/// Returns early if a target proves to be outdated.
+/// Waits for `delay`, or until a target turns out to be outdated.
 async fn wait_before_targets_read<P>(shared: &router::Shared<P>, delay: Duration) {
     let outdated = async {
         tokio::time::sleep(MIN_TARGETS_INTERVAL).await;
@@ -118,12 +118,12 @@
     dialect::ReadOptions { long_poll_wait: wait, idle_timeout: RESPONSE_TIMEOUT, last_received }
 }
 
-/// Long-poll duration that leaves time to apply a change within `within`.
+/// Long-poll duration that leaves time to apply a change within `config_within`.
 pub fn long_poll_wait(config_within: Duration) -> Duration {
     config_within.saturating_sub(CONFIG_READ_MARGIN).max(MIN_LONG_POLL_WAIT)
 }
 
-/// No delay follows a response timeout: the dead connection may have hidden a change.
+/// Delay before a failed read is retried; none after a timeout, which may have hidden a change.
 pub const fn retry_delay(error: &dialect::StoreError) -> Duration {
     match error {
         dialect::StoreError::TimedOut(_) => Duration::ZERO,
@@ -174,10 +174,10 @@
     }
     let advanced = shared.replicated_records.borrow_mut().advance_offset(subject, page.next);
     if advanced && subject == Subject::Targets && shared.view.borrow().targets.is_empty() {
-        // No targets exist: wakes the requests that wait for the first read.
+        // There are no targets, so no record woke the requests that wait for the first read.
         shared.view.borrow().wake_all();
     }
-    // Lets routers without access to the store fetch the change at once.
+    // Tells routers without access to the store that newer records are available.
     if advanced && subject == Subject::Config {
         control::send_hello(shared);
     }
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -11,11 +11,11 @@
     time::{Duration, Instant},
 };
 
-/// Callers abandon a stream after the longest of this time and the objectives below.
+/// Callers are expected to abandon a stream after the longest of these three times.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
 const ABANDON_LATENCY_OBJECTIVES: u32 = 4;
 const ABANDON_GAPS: u32 = 8;
-/// Applies if the caller sends no estimate.
+/// Estimate of output tokens if the caller sends none.
 const DEFAULT_OUTPUT_TOKENS: u64 = 300;
 
 /// A request that was read and awaits its response.
@@ -46,7 +46,7 @@
     pub prompt_prefixes: prefixes::Chain,
     /// Targets that were tried.
     pub tried_targets: Vec<targets::TargetKey>,
-    /// Attempts that did not run.
+    /// Number of attempts that the target reported as not run.
     pub unexecuted_attempts: u32,
     /// Whether an attempt has an unknown outcome.
     pub may_have_run: bool,
--- a/crates/corianderstand_forward/src/planning.rs
+++ b/crates/corianderstand_forward/src/planning.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-/// Replaces lost datagrams and keeps agents from considering the planner unresponsive.
+/// Interval at which an unchanged plan is sent again, as a datagram may be lost.
 const PLAN_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the planner and remembers which plan each engine was last sent.
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -23,11 +23,11 @@
 /// Sends requests on one connection.
 pub type Sender = http1::SendRequest<Body>;
 
-/// Servers are at most a few ms away.
+/// Round trips to targets and the store take a few ms at most.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Applies if the server states no keep-alive time; common defaults start at 5 s.
+/// Keep-alive time of servers that state none; common defaults are 5 s or more.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// Leaves time for a slow host and a request in transit.
+/// Fraction of the keep-alive time for which an idle connection may be reused.
 const KEEP_ALIVE_DIVISOR: u32 = 2;
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
@@ -139,7 +139,7 @@
     pub fn sweep(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
-            list.retain(|idle| idle.is_usable(now));
+            list.retain(|idle| idle.is_reusable(now));
         }
         idle.retain(|_, list| !list.is_empty());
     }
@@ -154,7 +154,7 @@
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&addr)?;
         while let Some(idle) = list.pop_back() {
-            if idle.is_usable(now) && idle.sender.is_ready() {
+            if idle.is_reusable(now) && idle.sender.is_ready() {
                 return Some(idle.sender);
             }
         }
@@ -163,7 +163,7 @@
 }
 
 impl Idle {
-    fn is_usable(&self, now: Instant) -> bool {
+    fn is_reusable(&self, now: Instant) -> bool {
         !self.sender.is_closed() && now.saturating_duration_since(self.idle_since) < self.keep_alive
     }
 }
--- a/crates/corianderstand_forward/src/prefill.rs
+++ b/crates/corianderstand_forward/src/prefill.rs
@@ -13,12 +13,12 @@
 };
 use tokio::sync::Notify;
 
-/// Covers a round trip between availability zones and the scheduling delays of a busy host.
+/// Time for an agent's response, across availability zones and from a busy host.
 const PERMIT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
-/// Covers the loss of the datagram that grants a permit.
+/// The request is repeated, as the datagram that grants the permit may be lost.
 const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(150);
-/// Other engines are considered if the permit takes longer than this.
+/// A target is chosen again if the agent expects a longer wait for the permit.
 const CHOOSE_AGAIN_WAIT: Duration = Duration::from_millis(40);
 
 /// Result of a request for a permit.
--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -8,19 +8,19 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3;
 
-/// Two, so that the loss of one does not send all followers to the store.
+/// Number of routers per availability zone that read the store, so that one may fail.
 const READER_COUNT: usize = 2;
-/// In smaller zones the calls saved don't justify the added delay.
+/// In zones with fewer routers, each reads the store itself.
 const MIN_ROUTERS_WITH_READERS: usize = 9;
 
 /// Another router of the same zone with a recent update.
 #[derive(Clone, Debug)]
 pub struct Neighbour {
-    /// The highest ranks read the store.
+    /// The routers of the highest rank in a zone read the store for the others.
     pub rank: peers::Rank,
     /// Its peer address.
     pub addr: SocketAddr,
-    /// How it reports to use the store.
+    /// Whether it reports that it can read the store.
     pub store_use: StoreUse,
 }
 
--- a/crates/corianderstand_forward/src/relay.rs
+++ b/crates/corianderstand_forward/src/relay.rs
@@ -7,7 +7,7 @@
 const EVENT_END: &[u8] = b"\n\n";
 const ID_FIELD: &[u8] = b"id:";
 
-/// A resumed stream did not continue with the next event.
+/// The target skipped events when it resumed a stream.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct EventGap;
 
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-/// Covers a long poll, a pause and a slow response.
+/// The store counts as lost after this time without a read; covers a long poll and a slow response.
 const STORE_LOST_AFTER: Duration = Duration::from_millis(2_600);
 /// Time in which targets renew entries that expired during an outage of the store.
 pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_300);
@@ -74,7 +74,7 @@
         Some(now.saturating_duration_since(at))
     }
 
-    /// Age of the last read before records of this source arrived.
+    /// Time between the last two reads of the store, or since the last one if `source` is a peer.
     pub fn previous_read_age(
         &self,
         now: Instant,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Shared marker that a read updates on each part of its response.
+    /// Shared time that a read in progress updates with each part of its response.
     pub fn last_received(&mut self, subject: Subject) -> client::LastReceived {
         self.by_subject.entry(subject).or_default().last_received.clone()
     }
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -32,7 +32,7 @@
     pub name: SmolStr,
     /// Its availability zone.
     pub zone: names::AvailabilityZoneId,
-    /// CPU that its host grants, in thousandths of a core; the strongest router is the planner.
+    /// CPU available to it, in thousandths of a core; the router with the most is the planner.
     pub cpu_millicores: u32,
     /// Listener for callers.
     pub caller_addr: SocketAddr,
@@ -56,7 +56,7 @@
 pub struct Bounds {
     /// Addresses at which other routers may be found.
     pub seeds: Vec<SocketAddr>,
-    /// Retry budget of the deployment.
+    /// Limits how many retries each service's requests may cause.
     pub retry_allowance: budget::Allowance,
     /// Time within which a draining target must stop receiving requests.
     pub drain_within: Duration,
@@ -98,7 +98,7 @@
     pub settings: Settings,
     /// Current values of the settings that can be reloaded.
     pub bounds: RefCell<Bounds>,
-    /// Clock.
+    /// Clock, simulated in tests.
     pub clock: clock::SharedClock,
     /// Detects pauses of this process, for callers' connections.
     pub pause_detector: Arc<pause::PauseDetector>,
@@ -118,11 +118,11 @@
     pub decision_log: decisions::Log,
     /// Wakes the control loop to send updates or to plan at once.
     pub control_wake: Notify,
-    /// Triggers a read of the store after a target turned out to be replaced.
+    /// Triggers a read of the store after a target's address was reused by another target.
     pub targets_outdated: Notify,
     /// Sends datagrams to peers.
     pub outbox: control::Outbox,
-    /// Deadlines of the shutdown in progress, if any.
+    /// Set once a shutdown has begun.
     pub stopping: Cell<Option<StopDeadlines>>,
     /// Number of requests in progress.
     pub open_requests: Cell<usize>,
@@ -153,7 +153,7 @@
         self.stopping.get().map_or(job.deadline, |stop| job.deadline.min(stop.respond_by))
     }
 
-    /// Records the arrival of a request.
+    /// Adds a request to the demand for its model and to its service's retry budget.
     pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Returns how current the records of a subject are.
+    /// Returns the age of a subject's records, and whether a peer has newer ones.
     pub fn age(&self, now: Instant, subject: dialect::Subject) -> replicated_records::Age {
         let records = self.replicated_records.borrow();
         let behind =
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Whether a target can still serve a request that it was chosen for.
+    /// Whether a target chosen earlier can still serve the request.
     pub fn may_serve(&self, key: targets::TargetKey, job: &job::Job, now: Instant) -> bool {
         let view = self.view.borrow();
         view.targets.get(key).is_some_and(|target| {
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -11,9 +11,9 @@
     time::{Duration, Instant},
 };
 
-/// Gap objectives after which a stream is resumed elsewhere.
+/// Multiple of the gap objective after which a stream is resumed at another target.
 const IDLE_TIMEOUT_GAPS: u32 = 5;
-/// Applies if the route has no gap objective.
+/// Idle timeout of streams whose route has no gap objective.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Lets the target end the stream itself at the deadline.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -16,11 +16,11 @@
 };
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Small, so that each of many transfers makes progress within the idle timeout.
+/// Small enough that concurrent transfers all make progress within the idle timeout.
 const CHUNK_BYTES: usize = 16 << 10;
 /// A configuration has 4 MB at most, the entries of 730 engines under 1 MB.
 const MAX_TRANSFER_BYTES: usize = 8 << 20;
-/// If many routers start at once, those served first serve the others.
+/// Limits the load on this router's link; peers beyond it query another router.
 const MAX_CONCURRENT_TRANSFERS: usize = 2;
 const ACCEPT_BACKOFF: Duration = Duration::from_secs(1);
 
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -31,7 +31,7 @@
 }
 
 impl View {
-    /// Notified when a model becomes available, or any target if `model` is none.
+    /// Returns a handle notified when `model` becomes available, or any target if it is none.
     pub fn waker(&mut self, model: Option<&names::ModelId>) -> Rc<Notify> {
         match model {
             Some(model) => self.wakers.entry(model.clone()).or_default().clone(),
--- a/crates/corianderstand_forward/src/waiting.rs
+++ b/crates/corianderstand_forward/src/waiting.rs
@@ -5,12 +5,12 @@
 use corianderstand_types::names;
 use std::{rc::Rc, time::Duration};
 
-/// Covers the loss of an adapter request or its response.
+/// Interval at which an adapter is requested again, as datagrams may be lost.
 const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(60);
-/// Covers a missed notification.
+/// Interval at which a waiting request is checked without a notification.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Targets that may be given up because of a long wait for a prefill permit.
+/// Number of targets given up because of a long wait for a prefill permit.
 const MAX_ABANDONED_CHOICES: u32 = 2;
 
 /// A request for which no target is available in time.
