--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -67,14 +67,14 @@
 /// another target invalidates it too, as not all engines report their start time.
 #[derive(Clone, Debug)]
 struct EngineIdentity {
-    name: Option<names::TargetId>,
+    engine_name: Option<names::TargetId>,
     planned_target: names::TargetId,
     started_at_ms: u64,
     commands_accepted: u64,
 }
 
 #[derive(Default)]
-struct State {
+struct AgentState {
     plan: Option<ReceivedPlan>,
     requested_adapters: Vec<reconcile::AdapterRequest>,
     ongoing: Option<OngoingCommand>,
@@ -90,7 +90,7 @@
     clock: clock::SharedClock,
     engine: E,
     outbox: control::Outbox,
-    state: RefCell<State>,
+    state: RefCell<AgentState>,
     wake: Notify,
     permits: RefCell<prefill::PermitQueue<SocketAddr>>,
     permits_changed: Notify,
@@ -280,14 +280,14 @@
             && identity.planned_target == plan.target
         {
             identity.commands_accepted = commands_accepted;
-            return identity.name.clone();
+            return identity.engine_name.clone();
         }
         match self.engine.name(&plan.health_path).await {
             Ok(name) => {
                 tracing::info!(?name, born = started_at_ms, "engine identified");
                 let planned_target = plan.target.clone();
                 let identity = EngineIdentity {
-                    name: name.clone(),
+                    engine_name: name.clone(),
                     planned_target,
                     started_at_ms,
                     commands_accepted,
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -341,7 +341,7 @@
 }
 
 /// Requests the rest of a stream from another target.
-pub async fn resume<P: router::Platform>(
+pub async fn resume_stream<P: router::Platform>(
     shared: &Rc<router::Shared<P>>,
     job: &mut job::Job,
     last_event: Option<u64>,
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -124,7 +124,7 @@
     shared: Rc<router::Shared<P>>,
     key: targets::TargetKey,
     requested: Option<choose::RequestedModel>,
-    tokens: u64,
+    expected_tokens: u64,
 }
 
 impl<P: router::Platform> InFlight<P> {
@@ -132,11 +132,11 @@
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
         let requested = job.request.requested_model.clone();
         let in_flight =
-            Self { shared: shared.clone(), key, requested, tokens: job.expected_tokens() };
+            Self { shared: shared.clone(), key, requested, expected_tokens: job.expected_tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
             target.local_requests += 1;
-            target.local_tokens += in_flight.tokens;
+            target.local_tokens += in_flight.expected_tokens;
             if let Some(requested) = &in_flight.requested {
                 *target.in_flight.entry(requested.clone()).or_default() += 1;
             }
@@ -157,7 +157,7 @@
         let mut view = self.shared.view.borrow_mut();
         let Some(target) = view.targets.get_mut(self.key) else { return };
         target.local_requests = target.local_requests.saturating_sub(1);
-        target.local_tokens = target.local_tokens.saturating_sub(self.tokens);
+        target.local_tokens = target.local_tokens.saturating_sub(self.expected_tokens);
         let Some(requested) = &self.requested else { return };
         if let Some(count) = target.in_flight.get_mut(requested) {
             *count -= 1;
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -223,7 +223,7 @@
     }
 
     /// Encodes all metrics as text.
-    pub fn text<P: router::Platform>(&self, shared: &router::Shared<P>) -> String {
+    pub fn encode_text<P: router::Platform>(&self, shared: &router::Shared<P>) -> String {
         self.update_gauges(shared);
         let mut text = String::new();
         if let Err(error) = text::encode(&mut text, &self.registry.borrow()) {
@@ -278,7 +278,7 @@
     listener: tokio::net::TcpListener,
 ) {
     server::serve_text(shared, listener, |shared, path| {
-        (path == PATH).then(|| shared.decision_log.metrics.text(shared))
+        (path == PATH).then(|| shared.decision_log.metrics.encode_text(shared))
     });
 }
 
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -31,7 +31,7 @@
 const KEEP_ALIVE_DIVISOR: u32 = 2;
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     idle_since: Instant,
     keep_alive: Duration,
@@ -94,7 +94,7 @@
 /// Idle connections by address.
 #[derive(Default)]
 pub struct Pool {
-    idle: RefCell<HashMap<SocketAddr, VecDeque<Idle>>>,
+    idle_connections: RefCell<HashMap<SocketAddr, VecDeque<IdleConnection>>>,
 }
 
 impl Pool {
@@ -131,13 +131,13 @@
         if lease.sender.is_closed() || keep_alive.is_zero() {
             return;
         }
-        let idle = Idle { sender: lease.sender, idle_since: now, keep_alive };
-        self.idle.borrow_mut().entry(lease.addr).or_default().push_back(idle);
+        let idle = IdleConnection { sender: lease.sender, idle_since: now, keep_alive };
+        self.idle_connections.borrow_mut().entry(lease.addr).or_default().push_back(idle);
     }
 
     /// Closes expired connections.
     pub fn sweep(&self, now: Instant) {
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         for list in idle.values_mut() {
             list.retain(|idle| idle.is_reusable(now));
         }
@@ -146,12 +146,12 @@
 
     /// Closes the idle connections to an address.
     pub fn close_idle(&self, addr: SocketAddr) {
-        self.idle.borrow_mut().remove(&addr);
+        self.idle_connections.borrow_mut().remove(&addr);
     }
 
     /// The most recently used connection is the least likely to be closing.
     fn pop_idle(&self, now: Instant, addr: SocketAddr) -> Option<Sender> {
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         let list = idle.get_mut(&addr)?;
         while let Some(idle) = list.pop_back() {
             if idle.is_reusable(now) && idle.sender.is_ready() {
@@ -162,7 +162,7 @@
     }
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_reusable(&self, now: Instant) -> bool {
         !self.sender.is_closed() && now.saturating_duration_since(self.idle_since) < self.keep_alive
     }
--- a/crates/corianderstand_forward/src/stream.rs
+++ b/crates/corianderstand_forward/src/stream.rs
@@ -52,7 +52,7 @@
     body: Incoming,
     lease: pool::Lease,
     in_flight: job::InFlight<P>,
-    info: dialect::ResponseHead,
+    response_head: dialect::ResponseHead,
 }
 
 enum Step {
@@ -91,7 +91,7 @@
     let mut relayed = RelayedStream {
         shared: shared.clone(),
         job,
-        upstream: Some(Upstream { body: upstream, lease, in_flight, info }),
+        upstream: Some(Upstream { body: upstream, lease, in_flight, response_head: info }),
         splitter: relay::EventSplitter::default(),
         resumes: 0,
         has_ended: false,
@@ -220,7 +220,7 @@
     fn complete(&mut self) -> Option<Result<Bytes, exchange::Aborted>> {
         self.has_ended = true;
         if let Some(upstream) = self.upstream.take() {
-            let Upstream { lease, in_flight, info, .. } = upstream;
+            let Upstream { lease, in_flight, response_head: info, .. } = upstream;
             self.shared.record_target_success(in_flight.key());
             let keep_alive =
                 if info.closes_connection { Some(Duration::ZERO) } else { info.keep_alive };
@@ -259,11 +259,11 @@
         self.job.idle_since = self.timings.last_event_at.unwrap_or(self.job.arrived_at);
         let last = self.splitter.last_event().or(self.job.request.last_event_id);
         let shared = self.shared.clone();
-        match exchange::resume(&shared, &mut self.job, last).await {
+        match exchange::resume_stream(&shared, &mut self.job, last).await {
             Ok(answered) => {
                 let attempt::Answered { response_head: info, body, lease, in_flight, .. } =
                     answered;
-                self.upstream = Some(Upstream { body, lease, in_flight, info });
+                self.upstream = Some(Upstream { body, lease, in_flight, response_head: info });
                 self.resumes += 1;
                 true
             }
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -27,7 +27,7 @@
     /// Retry budgets by service.
     pub retry_budgets: HashMap<names::ServiceId, budget::Budget>,
     wakers: HashMap<names::ModelId, Rc<Notify>>,
-    changed: Rc<Notify>,
+    targets_changed: Rc<Notify>,
 }
 
 impl View {
@@ -35,7 +35,7 @@
     pub fn waker(&mut self, model: Option<&names::ModelId>) -> Rc<Notify> {
         match model {
             Some(model) => self.wakers.entry(model.clone()).or_default().clone(),
-            None => self.changed.clone(),
+            None => self.targets_changed.clone(),
         }
     }
 
@@ -48,7 +48,7 @@
 
     /// Wakes all waiting requests.
     pub fn wake_all(&self) {
-        self.changed.notify_waiters();
+        self.targets_changed.notify_waiters();
         self.wakers.values().for_each(|waker| waker.notify_waiters());
     }
 
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -66,20 +66,22 @@
         let mut call = submit()?;
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         let settle_at = self.deadline - SETTLE_RESERVE.min(remaining / 4);
-        match time::timeout_at(settle_at, read(&mut call, self.deadline)).await {
-            Ok(Err(problem)) if !is_certainly_not_run(&problem) => self.settle(None).await,
+        match time::timeout_at(settle_at, read_answer(&mut call, self.deadline)).await {
+            Ok(Err(problem)) if !is_certainly_not_run(&problem) => {
+                self.void_or_await_outcome(None).await
+            }
             Ok(result) => result,
-            Err(_) => self.settle(Some(call)).await,
+            Err(_) => self.void_or_await_outcome(Some(call)).await,
         }
     }
 
     /// Appends a `CallVoided` record, and accepts an answer from `call` in the meantime.
-    async fn settle(&self, call: Option<CallInProgress>) -> Result<Answer, Problem> {
+    async fn void_or_await_outcome(&self, call: Option<CallInProgress>) -> Result<Answer, Problem> {
         let mut settled = pin!(self.append_void());
         if let Some(mut call) = call {
             tokio::select! {
                 settled = &mut settled => return settled,
-                result = read(&mut call, self.deadline) => match result {
+                result = read_answer(&mut call, self.deadline) => match result {
                     Err(problem) if !is_certainly_not_run(&problem) => {}
                     result => return result,
                 }
@@ -99,7 +101,9 @@
         match decision.map(|decision| claim::void_decision(&decision.outcome)) {
             Ok(VoidDecision::NotRun) => Err(Problem::NotRun("timed out before it began".into())),
             Ok(VoidDecision::ReadStatus) => self.wait_for_outcome().await,
-            Ok(VoidDecision::Unknown) | Err(_) => Err(unknown("no answer before the deadline")),
+            Ok(VoidDecision::Unknown) | Err(_) => {
+                Err(unknown_outcome("no answer before the deadline"))
+            }
         }
     }
 
@@ -115,12 +119,12 @@
                     return Err(Problem::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER));
                 }
                 // The key expired during the wait.
-                CallStatus::Unclaimed => return Err(unknown("its key has expired")),
+                CallStatus::Unclaimed => return Err(unknown_outcome("its key has expired")),
                 CallStatus::Claimed => {}
             }
             match time::timeout_at(self.deadline, changed.changed()).await {
                 Ok(Ok(())) => {}
-                _ => return Err(unknown("it began, but no outcome was recorded in time")),
+                _ => return Err(unknown_outcome("it began, but no outcome was recorded in time")),
             }
         }
     }
@@ -133,7 +137,7 @@
     }
 }
 
-fn unknown(reason: &str) -> Problem {
+fn unknown_outcome(reason: &str) -> Problem {
     Problem::Unknown(reason.into())
 }
 
@@ -141,7 +145,7 @@
     matches!(problem, Problem::Refused(..) | Problem::NotRun(_))
 }
 
-pub async fn read(call: &mut CallInProgress, deadline: Instant) -> Result<Answer, Problem> {
+pub async fn read_answer(call: &mut CallInProgress, deadline: Instant) -> Result<Answer, Problem> {
     let mut answer = Answer { status: 200, content_type: SmolStr::default(), body: None };
     let mut body = Vec::new();
     loop {
--- a/crates/corianderstand_router/src/services.rs
+++ b/crates/corianderstand_router/src/services.rs
@@ -62,7 +62,7 @@
     let caller = req.remote_addr().clone().into_std();
     let submit = || CallInProgress::submit(&context.events, spec, open, body);
     let answer = match idempotency_key {
-        None => once::read(&mut submit()?, deadline).await?,
+        None => once::read_answer(&mut submit()?, deadline).await?,
         Some(_)
             if context
                 .watched_connections
