--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -74,7 +74,7 @@
     next_position: u64,
     credit_limit: u64,
     attempts_without_progress: u32,
-    pending_retry: Option<(Problem, u32)>,
+    next_retry: Option<(Problem, u32)>,
     finished: bool,
 }
 
@@ -99,7 +99,7 @@
             next_position: position,
             credit_limit,
             attempts_without_progress: 0,
-            pending_retry: retry,
+            next_retry: retry,
             finished: false,
         })
     }
@@ -111,7 +111,7 @@
     /// Waits for the next part, resuming the call if its target is lost. An error ends the call.
     pub async fn next(&mut self, deadline: time::Instant) -> Result<Part, Problem> {
         loop {
-            if let Some((problem, attempts)) = self.pending_retry.take() {
+            if let Some((problem, attempts)) = self.next_retry.take() {
                 self.resume(problem, attempts, deadline).await?;
             }
             let update = time::timeout_at(deadline, self.updates.recv()).await;
@@ -119,25 +119,21 @@
                 Ok(Some(part)) => return Ok(part),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retry(problem, count)) => {
-                    self.pending_retry = Some((problem, count))
-                }
+                Err(AttemptEnd::Retry(problem, count)) => self.next_retry = Some((problem, count)),
             }
         }
     }
 
     /// Returns the next part if it was received already. An error ends the call.
     pub fn try_next(&mut self) -> Result<Option<Part>, Problem> {
-        while self.pending_retry.is_none()
+        while self.next_retry.is_none()
             && let Ok(update) = self.updates.try_recv()
         {
             match self.apply(Some(update)) {
                 Ok(Some(part)) => return Ok(Some(part)),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retry(problem, count)) => {
-                    self.pending_retry = Some((problem, count))
-                }
+                Err(AttemptEnd::Retry(problem, count)) => self.next_retry = Some((problem, count)),
             }
         }
         Ok(None)
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -153,9 +153,7 @@
                 self.calls.remove(&key);
                 self.router.finished(now, key, load);
             }
-            Event::Lost { key, position, target_failed: failed } => {
-                self.on_target_lost(key, position, failed)
-            }
+            Event::Lost { key, position, failed } => self.on_target_lost(key, position, failed),
         }
     }
 
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -103,6 +103,6 @@
         /// Index of the first response chunk that was not received.
         position: u64,
         /// Whether the target failed, rather than the connection to it.
-        target_failed: bool,
+        failed: bool,
     },
 }
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -197,7 +197,7 @@
     }
 
     fn report_lost(&self, stream: u64, position: u64, failed: bool) {
-        self.send_event(Event::Lost { key: request_key(stream), position, target_failed: failed });
+        self.send_event(Event::Lost { key: request_key(stream), position, failed });
     }
 
     fn on_message(&mut self, message: ToRouter, body: Bytes) -> Result<(), FrameError> {
