--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -361,7 +361,7 @@
             true => None,
             false => reconcile::next_model_command(capacity, &models, &report.holdings),
         };
-        // Adapters first: they load within milliseconds, a model takes a second or more.
+        // Adapters load within milliseconds, models within seconds.
         if report.is_executing_command { None } else { adapter().or_else(model) }
     }
 
--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -1,7 +1,4 @@
 //! HTTP client that buffers whole responses, for calls to the store and to an agent's engine.
-//!
-//! Short responses have a timeout for the whole call, long ones an idle timeout only, so that a slow
-//! transfer isn't restarted from the beginning.
 
 use crate::pool;
 use bytes::{Bytes, BytesMut};
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -1,6 +1,4 @@
 //! Traits that a platform adapter implements: header names, and calls to the store and to engines.
-//!
-//! An adapter only translates; it makes no decisions.
 
 use crate::client;
 use bytes::Bytes;
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -60,7 +60,7 @@
         let read = match from {
             None => shared.platform.newest(subject, &options).await,
             Some(at) => {
-                // Records from peers may be newer than this router's last read.
+                // Skips records that were received from peers in the meantime.
                 let at = at.max(shared.replicated_records.borrow().next_offset(subject));
                 shared.platform.read(subject, at, &options).await
             }
@@ -165,7 +165,7 @@
 ) {
     let removed = shared.replicated_records.borrow().removals(subject, &page);
     let mut records: Vec<_> = page.records.into_iter().chain(removed).collect();
-    // A full page is ordered by key, but the later of two targets at the same address must win.
+    // If two targets have the same address, the later one must be applied last.
     records.sort_by_key(|record| record.offset);
     for record in records {
         if shared.replicated_records.borrow().is_newer(subject, &record) {
--- a/crates/corianderstand_forward/src/metrics.rs
+++ b/crates/corianderstand_forward/src/metrics.rs
@@ -10,7 +10,7 @@
 };
 use std::{cell::RefCell, rc::Rc, sync::atomic::AtomicU64, time::Instant};
 
-/// Covers the usual latency objectives, gap objectives and timeouts of routes.
+/// Histogram buckets; cover the usual latency objectives, gap objectives and timeouts of routes.
 const BUCKET_BOUNDS_S: [f64; 12] =
     [0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.5, 5.0, 10.0, 15.0, 25.0];
 
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -17,16 +17,16 @@
     sync::watch,
 };
 
-/// Holds a burst of reconnects: a dropped SYN is resent only after 1 s.
+/// Large enough for a burst of reconnects: a dropped SYN is resent only after 1 s.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// Load balancers check readiness each second and act on the second failure.
+/// Time in which load balancers notice a failed readiness check and send no new requests.
 const READINESS_GRACE: Duration = Duration::from_millis(2_600);
 /// Subtracted from the stop timeout: requests are answered before their connections are closed.
 const STOP_RESPONSE_MARGIN: Duration = Duration::from_millis(900);
 /// Subtracted from the stop timeout: callers see a closed connection rather than a dead host.
 const STOP_CLOSE_MARGIN: Duration = Duration::from_millis(400);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Smallest buffer that hyper accepts.
+/// Smallest header buffer that hyper accepts.
 const MIN_HEADER_BYTES: usize = 8_192;
 
 /// Opens a listening socket.
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -54,7 +54,6 @@
         loop {
             match listener.accept().await {
                 Ok((stream, peer)) => {
-                    // Dropped without a response: the peer tries another router, or retries.
                     let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
                     let shared = shared.clone();
                     tokio::task::spawn_local(async move {
--- a/crates/corianderstand_router/src/auth.rs
+++ b/crates/corianderstand_router/src/auth.rs
@@ -35,8 +35,7 @@
         blake3::keyed_hash(&self.secret_key, bearer.as_bytes()).to_hex().as_str().into()
     }
 
-    /// Returns the workspace of a bearer key. Looks it up by hash, so that the timing reveals
-    /// nothing about existing keys.
+    /// Returns the workspace of a bearer key; the lookup by hash leaks nothing through its timing.
     pub fn team(&self, view: &View, bearer: &str) -> Option<WorkspaceId> {
         view.keys.get(&self.hash(bearer)).cloned()
     }
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -29,8 +29,7 @@
 
 impl Connections {
     pub fn new(limits: &Limits) -> Arc<Self> {
-        // The header timeout also closes idle connections. The write timeout frees the resources of
-        // callers that stop reading.
+        // The header timeout also closes idle connections.
         let fuse = FuseConfig::disabled()
             .with_http1_header_timeout(limits.read_timeout_ms.0)
             .with_write_stall_timeout(limits.write_timeout_ms.0);
--- a/crates/corianderstand_router/src/event.rs
+++ b/crates/corianderstand_router/src/event.rs
@@ -48,7 +48,6 @@
     },
     /// The target was lost and the request was not sent to another.
     Lost {
-        /// Whether the target failed, rather than the connection to it.
         target_failed: bool,
     },
 }
--- a/crates/corianderstand_router/src/heartbeat.rs
+++ b/crates/corianderstand_router/src/heartbeat.rs
@@ -11,7 +11,6 @@
 pub enum HeartbeatAction {
     /// No heartbeat is due, as both sides have sent data since the last tick.
     Skip,
-    /// Send a heartbeat with this nonce.
     Ping(u64),
     CloseIdle,
     /// Close the connection: nothing was received for this time.
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -78,12 +78,12 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum EndpointKind {
     Completion,
     Chat,
     Models,
     Service,
-    Operator(operator::Kind),
+    Operator(operator::Endpoint),
     Relay,
     Healthy,
     Ready,
@@ -91,41 +91,43 @@
     NoSuchPath,
 }
 
-struct Endpoint(Arc<HandlerContext>, Kind);
+struct Endpoint(Arc<HandlerContext>, EndpointKind);
 
 const GET: &str = "GET";
 const POST: &str = "POST";
 
-const PATHS: [(&str, &str, Kind); 14] = [
-    ("v1/completions", POST, Kind::Completion),
-    ("v1/chat/completions", POST, Kind::Chat),
-    ("v1/models", GET, Kind::Models),
-    ("operator/apply", POST, Kind::Operator(operator::Kind::Apply)),
-    ("operator/get", GET, Kind::Operator(operator::Kind::Get)),
-    ("operator/status", GET, Kind::Operator(operator::Kind::Status)),
-    ("internal/read", GET, Kind::Relay),
-    ("operator/version", GET, Kind::Operator(operator::Kind::Version)),
-    ("operator/state", GET, Kind::Operator(operator::Kind::State)),
-    ("operator/ticket", GET, Kind::Operator(operator::Kind::Ticket)),
-    ("operator/spread", GET, Kind::Operator(operator::Kind::Spread)),
-    ("operator/history", GET, Kind::Operator(operator::Kind::History)),
-    ("healthz", GET, Kind::Healthy),
-    ("readyz", GET, Kind::Ready),
+const PATHS: [(&str, &str, EndpointKind); 14] = [
+    ("v1/completions", POST, EndpointKind::Completion),
+    ("v1/chat/completions", POST, EndpointKind::Chat),
+    ("v1/models", GET, EndpointKind::Models),
+    ("operator/apply", POST, EndpointKind::Operator(operator::Endpoint::Apply)),
+    ("operator/get", GET, EndpointKind::Operator(operator::Endpoint::Get)),
+    ("operator/status", GET, EndpointKind::Operator(operator::Endpoint::Status)),
+    ("internal/read", GET, EndpointKind::Relay),
+    ("operator/version", GET, EndpointKind::Operator(operator::Endpoint::Version)),
+    ("operator/state", GET, EndpointKind::Operator(operator::Endpoint::State)),
+    ("operator/ticket", GET, EndpointKind::Operator(operator::Endpoint::Ticket)),
+    ("operator/spread", GET, EndpointKind::Operator(operator::Endpoint::Spread)),
+    ("operator/history", GET, EndpointKind::Operator(operator::Endpoint::History)),
+    ("healthz", GET, EndpointKind::Healthy),
+    ("readyz", GET, EndpointKind::Ready),
 ];
 
 /// Builds the routes; unknown paths and methods are answered with a [`Problem`].
 pub fn routes(context: &Arc<HandlerContext>) -> Router {
     let endpoint = |kind| Endpoint(context.clone(), kind);
-    let services = Router::with_path("services/{service}/{**rest}").goal(endpoint(Kind::Service));
+    let services =
+        Router::with_path("services/{service}/{**rest}").goal(endpoint(EndpointKind::Service));
     let routes = PATHS.into_iter().fold(Router::new().push(services), |routes, path| {
         let (path, method, kind) = path;
         let route = Router::with_path(path);
         let route =
             if method == GET { route.get(endpoint(kind)) } else { route.post(endpoint(kind)) };
-        let other_methods = Router::with_path(path).goal(endpoint(Kind::OtherMethod(method)));
+        let other_methods =
+            Router::with_path(path).goal(endpoint(EndpointKind::OtherMethod(method)));
         routes.push(route).push(other_methods)
     });
-    routes.push(Router::with_path("{**rest}").goal(endpoint(Kind::NoSuchPath)))
+    routes.push(Router::with_path("{**rest}").goal(endpoint(EndpointKind::NoSuchPath)))
 }
 
 #[async_trait]
@@ -152,8 +154,8 @@
     }
 }
 
-/// Returns the caller's own request id, used only in the log: engines cancel by request id, so a
-/// caller that chose it could cancel another's request.
+/// Returns the caller's own request id. It is only logged: engines cancel requests by id, so a
+/// caller that chose its own could cancel another's request.
 fn caller_id(req: &Request) -> Result<Option<&str>, Problem> {
     let Some(id) = header(req, problem::REQUEST_ID_HEADER) else { return Ok(None) };
     names::check(id).map_err(|error| {
@@ -174,32 +176,32 @@
 impl HandlerContext {
     async fn answer(
         &self,
-        kind: Kind,
+        kind: EndpointKind,
         request: SmolStr,
         req: &mut Request,
         res: &mut Response,
     ) -> Result<(), Problem> {
         self.check_head(req)?;
         match kind {
-            Kind::OtherMethod(allowed) => Err(Problem::MethodNotAllowed(allowed)),
-            Kind::NoSuchPath => Err(Problem::NoSuchPath),
-            Kind::Healthy => {
+            EndpointKind::OtherMethod(allowed) => Err(Problem::MethodNotAllowed(allowed)),
+            EndpointKind::NoSuchPath => Err(Problem::NoSuchPath),
+            EndpointKind::Healthy => {
                 drop(res.write_body("ok\n"));
                 Ok(())
             }
-            Kind::Ready => {
+            EndpointKind::Ready => {
                 self.check_ready(&self.control.current.load())?;
                 drop(res.write_body("ready\n"));
                 Ok(())
             }
-            Kind::Relay => {
+            EndpointKind::Relay => {
                 self.check_peer(req)?;
                 relay::answer(&self.log_tail, req, res).await;
                 Ok(())
             }
-            Kind::Operator(kind) => {
+            EndpointKind::Operator(kind) => {
                 match kind {
-                    operator::Kind::State => self.check_peer(req)?,
+                    operator::Endpoint::State => self.check_peer(req)?,
                     _ => self.check_operator(req)?,
                 }
                 operator::answer(self, kind, req, res).await
@@ -221,7 +223,7 @@
 
     async fn answer_caller(
         &self,
-        kind: Kind,
+        kind: EndpointKind,
         request: SmolStr,
         req: &mut Request,
         res: &mut Response,
@@ -230,8 +232,10 @@
         self.metrics.count(Metric::RouterRequests, 1);
         let caller_request = self.admit(request, req)?;
         let result = match kind {
-            Kind::Chat => completions::complete(self, &caller_request, true, req, res).await,
-            Kind::Models => {
+            EndpointKind::Chat => {
+                completions::complete(self, &caller_request, true, req, res).await
+            }
+            EndpointKind::Models => {
                 completions::models(
                     &caller_request.team,
                     caller_request.team_view()?,
@@ -240,12 +244,12 @@
                 );
                 Ok(())
             }
-            Kind::Service => services::call(self, &caller_request, req, res).await,
+            EndpointKind::Service => services::call(self, &caller_request, req, res).await,
             _ => completions::complete(self, &caller_request, false, req, res).await,
         };
         let elapsed = self.clock.now() - started_at;
         self.metrics.time(Metric::RouterTime, elapsed);
-        if matches!(kind, Kind::Service) {
+        if matches!(kind, EndpointKind::Service) {
             let outcome = result.as_ref().map_or_else(Problem::outcome, |()| "ran");
             self.metrics.count_tagged(Metric::RouterCalls, 1, "outcome", outcome);
         }
@@ -330,7 +334,6 @@
         self.snapshot.view.teams.get(&self.team).ok_or(Problem::Unauthorized)
     }
 
-    /// Returns the requested urgency, or `default`.
     pub fn urgency(&self, req: &Request, default: Urgency) -> Result<u8, Problem> {
         let urgency = match header(req, URGENCY_HEADER) {
             None => default,
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 #[derives(key)]
-pub enum Kind {
+pub enum Endpoint {
     /// `POST /operator/apply`.
     Apply,
     /// `GET /operator/get?prefix=`.
@@ -70,25 +70,25 @@
 
 pub async fn answer(
     context: &HandlerContext,
-    kind: Kind,
+    kind: Endpoint,
     req: &mut Request,
     res: &mut Response,
 ) -> Result<(), Problem> {
-    if kind == Kind::State {
+    if kind == Endpoint::State {
         problem::set_header(res, "content-type", "application/octet-stream");
         drop(res.write_body(encode_checkpoint(context)?));
         return Ok(());
     }
     let text = |name: &str| req.query::<String>(name).unwrap_or_default();
     let value = match kind {
-        Kind::Apply => apply(context, req).await?,
-        Kind::Get => read_documents(context, &text("prefix")),
-        Kind::Ticket => ticket_outcome(context, &text("ticket"))?,
-        Kind::History => change_history(context, &text("prefix")),
-        Kind::Spread => rollout_status(context, req).await?,
-        Kind::Version => status::version_status(context),
-        Kind::Status if text("own") == "true" => status::router_status(context),
-        Kind::Status | Kind::State => {
+        Endpoint::Apply => apply(context, req).await?,
+        Endpoint::Get => read_documents(context, &text("prefix")),
+        Endpoint::Ticket => ticket_outcome(context, &text("ticket"))?,
+        Endpoint::History => change_history(context, &text("prefix")),
+        Endpoint::Spread => rollout_status(context, req).await?,
+        Endpoint::Version => status::version_status(context),
+        Endpoint::Status if text("own") == "true" => status::router_status(context),
+        Endpoint::Status | Endpoint::State => {
             let authorization = req.headers().get("authorization");
             let authorization = authorization.and_then(|value| value.to_str().ok());
             status::fleet_status(context, authorization.unwrap_or_default()).await
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -17,7 +17,6 @@
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "an object with `model` and `prompt` or `messages`")]
 pub struct Params {
-    /// The model name that the caller sent.
     pub model: String,
     prompt: Option<String>,
     messages: Option<Vec<Message>>,
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -43,8 +43,8 @@
 use tokio::{runtime, time};
 
 const EVENT_QUEUE_CAPACITY: usize = 16384;
-/// Ratio of the HTTP library's header limit to the configured one. Heads between the two limits
-/// are refused with a [`crate::problem::Problem`]; the library refuses longer ones without a body.
+/// Ratio of the HTTP library's header limit to the configured one, above which it refuses a request
+/// without a [`crate::problem::Problem`].
 const HEADER_HARD_LIMIT_RATIO: usize = 8;
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -211,8 +211,7 @@
     let listen_error = |error| RouterError::Listen(settings.listen.to_string(), error);
     let listener = std::net::TcpListener::bind(settings.listen.as_str()).map_err(listen_error)?;
     listener.set_nonblocking(true).map_err(listen_error)?;
-    // Accepted connections inherit this. With Nagle's algorithm and delayed acknowledgements,
-    // tokens of a stream would be held back for up to 40 ms.
+    // Accepted connections inherit this; Nagle's algorithm would delay tokens by up to 40 ms.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true).map_err(listen_error)?;
     let runtime = runtime()?;
     let acceptor = {
