--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -177,7 +177,7 @@
         // There are no targets, so no record woke the requests that wait for the first read.
         shared.view.borrow().wake_all();
     }
-    // Tells routers without access to the store that newer records are available.
+    // Reports the new offset to routers without access to the store, so that they fetch the change.
     if advanced && subject == Subject::Config {
         control::send_hello(shared);
     }
--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -20,7 +20,7 @@
     pub rank: peers::Rank,
     /// Its peer address.
     pub addr: SocketAddr,
-    /// Whether it reports that it can read the store.
+    /// How it reports to obtain the store's records.
     pub store_use: StoreUse,
 }
 
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -98,7 +98,7 @@
     pub settings: Settings,
     /// Current values of the settings that can be reloaded.
     pub bounds: RefCell<Bounds>,
-    /// Clock, simulated in tests.
+    /// Source of monotonic and wall-clock time.
     pub clock: clock::SharedClock,
     /// Detects pauses of this process, for callers' connections.
     pub pause_detector: Arc<pause::PauseDetector>,
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -161,7 +161,7 @@
     fn on_target_lost(&mut self, key: RequestKey, position: u64, failed: bool) {
         let Some(call) = self.calls.get_mut(&key) else { return };
         call.open_message.position = call.open_message.position.max(position);
-        // Reserves channel capacity for updates that the handler has not read yet.
+        // The handler's channel still holds updates that it has not read.
         call.open_message.window =
             call.update_tx.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
         let reason = RefusalReason::NotLoaded;
