--- a/crates/corianderstand_forward/src/client.rs
+++ b/crates/corianderstand_forward/src/client.rs
@@ -1,7 +1,4 @@
 //! HTTP client that buffers whole responses, for calls to the store and to an agent's engine.
-//!
-//! Short responses have a timeout for the whole call, long ones an idle timeout only, so that a slow
-//! transfer isn't restarted from the beginning.
 
 use crate::pool;
 use bytes::{Bytes, BytesMut};
@@ -16,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-/// Fits a single record with a 4 MB configuration in base64.
+/// Large enough for a record with a 4 MB configuration in base64.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
@@ -46,7 +43,7 @@
         self.0.set(Some(now));
     }
 
-    /// The recorded time, if any.
+    /// When data was last received, if ever.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
@@ -56,10 +53,10 @@
 #[derive(Clone, Debug)]
 pub struct ResponseTimeouts {
     /// Limit until the response head arrives.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Limit between two frames of the body.
-    pub idle: Duration,
-    /// Updated with each frame.
+    pub idle_timeout: Duration,
+    /// Set to the current time with each frame of the body.
     pub last_received: LastReceived,
 }
 
@@ -103,16 +100,17 @@
         timeouts: &ResponseTimeouts,
         keep_alive: Option<Duration>,
     ) -> Result<Response<Bytes>, CallError> {
-        let (lease, response) = with_timeout(timeouts.head, self.send(addr, req)).await?;
+        let (lease, response) = with_timeout(timeouts.head_timeout, self.send(addr, req)).await?;
         timeouts.last_received.record(self.clock.now());
         let (head, body) = response.into_parts();
         let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut bytes = BytesMut::new();
         let convert =
             |frame: Result<_, BoxError>| frame.map_err(|e| CallError::Interrupted(e.to_string()));
-        while let Some(frame) =
-            with_timeout(timeouts.idle, async { body.frame().await.map(convert).transpose() })
-                .await?
+        while let Some(frame) = with_timeout(timeouts.idle_timeout, async {
+            body.frame().await.map(convert).transpose()
+        })
+        .await?
         {
             timeouts.last_received.record(self.clock.now());
             if let Ok(data) = frame.into_data() {
--- a/crates/corianderstand_forward/src/pool.rs
+++ b/crates/corianderstand_forward/src/pool.rs
@@ -23,15 +23,15 @@
 /// Sends requests on one connection.
 pub type Sender = http1::SendRequest<Body>;
 
-/// Servers are at most a few ms away.
+/// Round trips to targets and the store take a few ms at most.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Applies if the server states no keep-alive time; common defaults start at 5 s.
+/// Keep-alive time of servers that state none; common defaults are 5 s or more.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// Leaves time for a slow host and a request in transit.
+/// Fraction of the keep-alive time for which an idle connection may be reused.
 const KEEP_ALIVE_DIVISOR: u32 = 2;
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     idle_since: Instant,
     keep_alive: Duration,
@@ -45,7 +45,7 @@
     /// The server's address.
     pub addr: SocketAddr,
     /// Whether it carried a request before.
-    pub reused: bool,
+    pub is_reused: bool,
 }
 
 /// Skips the shutdown of the write half, so that closing resets the connection.
@@ -94,14 +94,14 @@
 /// Idle connections by address.
 #[derive(Default)]
 pub struct Pool {
-    idle: RefCell<HashMap<SocketAddr, VecDeque<Idle>>>,
+    idle_connections: RefCell<HashMap<SocketAddr, VecDeque<IdleConnection>>>,
 }
 
 impl Pool {
     /// Returns an idle connection, or opens one.
     pub async fn lease(&self, now: Instant, addr: SocketAddr) -> Result<Lease, io::Error> {
         match self.pop_idle(now, addr) {
-            Some(sender) => Ok(Lease { sender, addr, reused: true }),
+            Some(sender) => Ok(Lease { sender, addr, is_reused: true }),
             None => self.open(addr).await,
         }
     }
@@ -121,7 +121,7 @@
                 tracing::debug!(%addr, %error, "connection ended");
             }
         });
-        Ok(Lease { sender, addr, reused: false })
+        Ok(Lease { sender, addr, is_reused: false })
     }
 
     /// Returns a connection whose response was read; `keep_alive` is the time that the server stated.
@@ -131,30 +131,30 @@
         if lease.sender.is_closed() || keep_alive.is_zero() {
             return;
         }
-        let idle = Idle { sender: lease.sender, idle_since: now, keep_alive };
-        self.idle.borrow_mut().entry(lease.addr).or_default().push_back(idle);
+        let idle = IdleConnection { sender: lease.sender, idle_since: now, keep_alive };
+        self.idle_connections.borrow_mut().entry(lease.addr).or_default().push_back(idle);
     }
 
     /// Closes expired connections.
     pub fn sweep(&self, now: Instant) {
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         for list in idle.values_mut() {
-            list.retain(|idle| idle.is_usable(now));
+            list.retain(|idle| idle.is_reusable(now));
         }
         idle.retain(|_, list| !list.is_empty());
     }
 
     /// Closes the idle connections to an address.
     pub fn close_idle(&self, addr: SocketAddr) {
-        self.idle.borrow_mut().remove(&addr);
+        self.idle_connections.borrow_mut().remove(&addr);
     }
 
     /// The most recently used connection is the least likely to be closing.
     fn pop_idle(&self, now: Instant, addr: SocketAddr) -> Option<Sender> {
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         let list = idle.get_mut(&addr)?;
         while let Some(idle) = list.pop_back() {
-            if idle.is_usable(now) && idle.sender.is_ready() {
+            if idle.is_reusable(now) && idle.sender.is_ready() {
                 return Some(idle.sender);
             }
         }
@@ -162,8 +162,8 @@
     }
 }
 
-impl Idle {
-    fn is_usable(&self, now: Instant) -> bool {
+impl IdleConnection {
+    fn is_reusable(&self, now: Instant) -> bool {
         !self.sender.is_closed() && now.saturating_duration_since(self.idle_since) < self.keep_alive
     }
 }
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -15,27 +15,27 @@
 #[derive(Default)]
 pub struct View {
     /// The configuration in force, once one is known.
-    pub table: Option<Rc<routes::Table>>,
+    pub route_table: Option<Rc<routes::Table>>,
     /// The known targets.
     pub targets: targets::Targets,
     /// Demand for models at this router.
     pub demand: demand::Demand,
     /// Number of requests that wait for each model.
-    pub waiting: BTreeMap<names::ModelId, u32>,
+    pub waiting_requests: BTreeMap<names::ModelId, u32>,
     /// Which target has which prompt prefixes cached.
-    pub prefixes: prefixes::Prefixes,
+    pub cached_prefixes: prefixes::Prefixes,
     /// Retry budgets by service.
-    pub budgets: HashMap<names::ServiceId, budget::Budget>,
+    pub retry_budgets: HashMap<names::ServiceId, budget::Budget>,
     wakers: HashMap<names::ModelId, Rc<Notify>>,
-    changed: Rc<Notify>,
+    targets_changed: Rc<Notify>,
 }
 
 impl View {
-    /// Notified when a model becomes available, or any target if `model` is none.
+    /// Returns a handle notified when `model` becomes available, or any target if it is none.
     pub fn waker(&mut self, model: Option<&names::ModelId>) -> Rc<Notify> {
         match model {
             Some(model) => self.wakers.entry(model.clone()).or_default().clone(),
-            None => self.changed.clone(),
+            None => self.targets_changed.clone(),
         }
     }
 
@@ -48,13 +48,13 @@
 
     /// Wakes all waiting requests.
     pub fn wake_all(&self) {
-        self.changed.notify_waiters();
+        self.targets_changed.notify_waiters();
         self.wakers.values().for_each(|waker| waker.notify_waiters());
     }
 
     /// Returns the configuration of a service.
     pub fn service(&self, name: &names::ServiceId) -> Option<&config::Service> {
-        self.table.as_ref()?.config().service(name)
+        self.route_table.as_ref()?.config().service(name)
     }
 
     /// Estimates when an engine can load an adapter; it executes one command at a time.
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -147,7 +147,7 @@
         });
         dialect::RequestHead {
             id: text("x-id").unwrap_or_default().into(),
-            deadline: millis("x-deadline-ms"),
+            caller_timeout: millis("x-deadline-ms"),
             requested_model,
             prompt_tokens: text("x-prompt").and_then(|text| text.parse().ok()).unwrap_or(0),
             ..Default::default()
@@ -159,7 +159,7 @@
         headers.remove(http::header::CONTENT_LENGTH);
         headers.insert("x-target", HeaderValue::from_str(forwarded.target.as_str()).unwrap());
         headers.insert("x-left-ms", HeaderValue::from(forwarded.time_left.as_millis() as u64));
-        if let Some(last) = forwarded.last_event {
+        if let Some(last) = forwarded.last_event_id {
             headers.insert("x-last-event", HeaderValue::from(last));
         }
     }
@@ -168,8 +168,8 @@
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         dialect::ResponseHead {
             not_run: headers.contains_key("x-not-run"),
-            signed: headers.contains_key("x-signed"),
-            request: text("x-id").map(Into::into),
+            is_signed: headers.contains_key("x-signed"),
+            request_id: text("x-id").map(Into::into),
             target: text("x-target").map(Into::into),
             ..Default::default()
         }
@@ -283,16 +283,16 @@
         router::Settings {
             name: name.into(),
             zone: "here".into(),
-            strength: 1_000,
-            front: free_port(),
-            ready: free_port(),
+            cpu_millicores: 1_000,
+            caller_addr: free_port(),
+            readiness_addr: free_port(),
             ready_path: "/ready".into(),
-            metrics: Some(free_port()),
-            peers,
+            metrics_addr: Some(free_port()),
+            peer_addr: peers,
             agent_port: peers.port(),
             bounds: router::Bounds {
                 seeds,
-                allowance: budget::Allowance::default(),
+                retry_allowance: budget::Allowance::default(),
                 drain_within: Duration::from_millis(200),
                 config_within: Duration::from_secs(2),
                 stop_within,
@@ -301,8 +301,9 @@
     }
 
     pub fn start_on(store: &MemoryStore, settings: router::Settings) -> Self {
-        let (front, ready) = (settings.front, settings.ready);
-        let (peers, metrics) = (settings.peers, settings.metrics.unwrap_or(settings.ready));
+        let (front, ready) = (settings.caller_addr, settings.readiness_addr);
+        let (peers, metrics) =
+            (settings.peer_addr, settings.metrics_addr.unwrap_or(settings.readiness_addr));
         let store = store.clone();
         let (stop, stop_requested) = oneshot::channel::<()>();
         let (reload, reloaded) = mpsc::unbounded_channel();
--- a/crates/corianderstand_router/src/call.rs
+++ b/crates/corianderstand_router/src/call.rs
@@ -1,5 +1,4 @@
-//! A call in progress. Its parts are returned in order, each once; if the target is lost, a
-//! repeatable call is submitted again from the position reached.
+//! A call in progress: returns its parts in order, each once, and resumes it if the target is lost.
 
 use crate::{
     event::{Attachment, CHUNK_WINDOW, Call, Command, Event, REPLY_QUEUE_CAPACITY, Update},
@@ -12,12 +11,12 @@
 use std::{sync::mpsc::SyncSender, time::Duration};
 use tokio::{sync::mpsc, time};
 
-/// Positions consumed before more credit is granted.
-const CREDIT_STEP: u64 = CHUNK_WINDOW / 2;
+/// Chunks that the caller must read before the target is granted more credit.
+const CREDIT_STEP_CHUNKS: u64 = CHUNK_WINDOW / 2;
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// Attempts without progress before a call fails; enough for a planned restart of its target.
-const MAX_ATTEMPTS: u32 = 12;
+const MAX_ATTEMPTS_WITHOUT_PROGRESS: u32 = 12;
 /// Attempts that an engine failure counts as; bounds the engines that one request can crash.
 const ATTEMPTS_PER_FAILURE: u32 = 4;
 /// Minimum time to resume an answer whose first part met the deadline.
@@ -39,18 +38,21 @@
     },
 }
 
-/// Arguments of a call, kept for retries.
 struct Submission {
     events: SyncSender<Event>,
     spec: RequestSpec,
-    open: OpenStream,
+    open_message: OpenStream,
     body: Bytes,
 }
 
 impl Submission {
     fn send(&self) -> Result<mpsc::Receiver<Update>, Problem> {
         let (reply, rx) = mpsc::channel(REPLY_QUEUE_CAPACITY);
-        let call = Call { open: self.open.clone(), body: self.body.clone(), reply };
+        let call = Call {
+            open_message: self.open_message.clone(),
+            body: self.body.clone(),
+            update_tx: reply,
+        };
         let event = Event::Submit(Box::new((self.spec.clone(), call)));
         let rejected = Problem::Refused(RefusalReason::QueueFull, QUEUE_FULL_RETRY_AFTER);
         self.events.try_send(event).map_err(|_| rejected)?;
@@ -60,7 +62,7 @@
 
 enum AttemptEnd {
     Final(Problem),
-    /// Carries the number of attempts to count.
+    /// The error to return if no attempt is left, and how many attempts this one counts as.
     Retry(Problem, u32),
 }
 
@@ -69,10 +71,10 @@
     submission: Submission,
     updates: mpsc::Receiver<Update>,
     attachment: Option<Attachment>,
-    position: u64,
+    next_position: u64,
     credit_limit: u64,
-    attempts: u32,
-    retry: Option<(Problem, u32)>,
+    attempts_without_progress: u32,
+    next_retry: Option<(Problem, u32)>,
     finished: bool,
 }
 
@@ -86,7 +88,7 @@
     ) -> Result<Self, Problem> {
         open.window = CHUNK_WINDOW;
         let position = open.position;
-        let submission = Submission { events: events.clone(), spec, open, body };
+        let submission = Submission { events: events.clone(), spec, open_message: open, body };
         let updates = submission.send()?;
         let credit_limit = position + CHUNK_WINDOW;
         let (attachment, retry) = (None, None);
@@ -94,22 +96,22 @@
             submission,
             updates,
             attachment,
-            position,
+            next_position: position,
             credit_limit,
-            attempts: 0,
-            retry,
+            attempts_without_progress: 0,
+            next_retry: retry,
             finished: false,
         })
     }
 
     pub const fn position(&self) -> u64 {
-        self.position
+        self.next_position
     }
 
     /// Waits for the next part, resuming the call if its target is lost. An error ends the call.
     pub async fn next(&mut self, deadline: time::Instant) -> Result<Part, Problem> {
         loop {
-            if let Some((problem, attempts)) = self.retry.take() {
+            if let Some((problem, attempts)) = self.next_retry.take() {
                 self.resume(problem, attempts, deadline).await?;
             }
             let update = time::timeout_at(deadline, self.updates.recv()).await;
@@ -117,58 +119,58 @@
                 Ok(Some(part)) => return Ok(part),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retry(problem, count)) => self.retry = Some((problem, count)),
+                Err(AttemptEnd::Retry(problem, count)) => self.next_retry = Some((problem, count)),
             }
         }
     }
 
     /// Returns the next part if it was received already. An error ends the call.
     pub fn try_next(&mut self) -> Result<Option<Part>, Problem> {
-        while self.retry.is_none()
+        while self.next_retry.is_none()
             && let Ok(update) = self.updates.try_recv()
         {
             match self.apply(Some(update)) {
                 Ok(Some(part)) => return Ok(Some(part)),
                 Ok(None) => {}
                 Err(AttemptEnd::Final(problem)) => return Err(problem),
-                Err(AttemptEnd::Retry(problem, count)) => self.retry = Some((problem, count)),
+                Err(AttemptEnd::Retry(problem, count)) => self.next_retry = Some((problem, count)),
             }
         }
         Ok(None)
     }
 
-    /// Submits the call again from the position reached, after a backoff.
+    /// Submits the call again from the first missing chunk, after a backoff.
     async fn resume(
         &mut self,
         problem: Problem,
         attempts: u32,
         deadline: time::Instant,
     ) -> Result<(), Problem> {
-        let backoff = INITIAL_BACKOFF * 2_u32.pow(self.attempts.min(8));
-        self.attempts += attempts;
+        let backoff = INITIAL_BACKOFF * 2_u32.pow(self.attempts_without_progress.min(8));
+        self.attempts_without_progress += attempts;
         let now = time::Instant::now();
         let until = now + backoff.min(MAX_BACKOFF);
-        if self.attempts > MAX_ATTEMPTS || until >= deadline {
+        if self.attempts_without_progress > MAX_ATTEMPTS_WITHOUT_PROGRESS || until >= deadline {
             return Err(problem);
         }
         time::sleep_until(until).await;
         let submission = &mut self.submission;
         let now = time::Instant::now().into_std();
-        if self.position > submission.open.position {
+        if self.next_position > submission.open_message.position {
             submission.spec.deadline = submission.spec.deadline.max(now + MIN_RESUME_TIME);
-            submission.open.position = self.position;
+            submission.open_message.position = self.next_position;
         }
         let remaining = submission.spec.deadline.saturating_duration_since(now);
-        submission.open.deadline_ms = remaining.as_millis() as u64;
+        submission.open_message.deadline_ms = remaining.as_millis() as u64;
         tracing::info!(
-            request = %submission.open.request,
-            position = self.position,
+            request = %submission.open_message.request,
+            position = self.next_position,
             cause = %problem,
             "call taken up again"
         );
         self.updates = submission.send()?;
         (self.attachment, self.finished) = (None, false);
-        self.credit_limit = self.position + CHUNK_WINDOW;
+        self.credit_limit = self.next_position + CHUNK_WINDOW;
         Ok(())
     }
 
@@ -179,8 +181,8 @@
             Some(Update::Attached(attachment)) => {
                 self.attachment = Some(attachment);
                 // Credit granted to an earlier target does not carry over.
-                if self.position > self.submission.open.position {
-                    self.send_command(|stream, upto| Command::Credit { stream, upto });
+                if self.next_position > self.submission.open_message.position {
+                    self.send_command(|stream, upto| Command::Credit { stream, window_end: upto });
                 }
                 Ok(None)
             }
@@ -189,13 +191,13 @@
             }
             Some(Update::Chunk { position, body }) => self.on_chunk(position, body),
             Some(Update::End { position, ending }) => self.on_end(position, ending).map(Some),
-            Some(Update::Refused { refusal, transient }) => {
+            Some(Update::Refused { refusal, is_transient: transient }) => {
                 Err(self.on_refused(refusal, transient))
             }
-            Some(Update::Lost { failed: false }) => {
+            Some(Update::Lost { target_failed: false }) => {
                 Err(self.on_lost("connection to the target lost", 1))
             }
-            Some(Update::Lost { failed: true }) => {
+            Some(Update::Lost { target_failed: true }) => {
                 Err(self.on_lost("the target failed", ATTEMPTS_PER_FAILURE))
             }
         }
@@ -218,7 +220,9 @@
     /// request has not run, so any call may be retried.
     fn on_refused(&mut self, refusal: Refusal, transient: bool) -> AttemptEnd {
         self.finished = true;
-        if self.position > self.submission.open.position || self.attempts > 0 && self.position > 0 {
+        if self.next_position > self.submission.open_message.position
+            || self.attempts_without_progress > 0 && self.next_position > 0
+        {
             return self.retry_if_repeatable(Problem::Failed("no replica can resume it".into()), 1);
         }
         if transient {
@@ -230,17 +234,17 @@
 
     /// Accepts chunks in order only: duplicates are skipped, and a gap ends the attempt.
     fn on_chunk(&mut self, position: u64, body: Bytes) -> Result<Option<Part>, AttemptEnd> {
-        if position < self.position {
+        if position < self.next_position {
             return Ok(None);
         }
-        if position > self.position {
+        if position > self.next_position {
             return Err(self.on_gap());
         }
-        self.position += 1;
-        self.attempts = 0;
-        if self.position + CREDIT_STEP >= self.credit_limit {
-            self.credit_limit = self.position + CHUNK_WINDOW;
-            self.send_command(|stream, upto| Command::Credit { stream, upto });
+        self.next_position += 1;
+        self.attempts_without_progress = 0;
+        if self.next_position + CREDIT_STEP_CHUNKS >= self.credit_limit {
+            self.credit_limit = self.next_position + CHUNK_WINDOW;
+            self.send_command(|stream, upto| Command::Credit { stream, window_end: upto });
         }
         Ok(Some(Part::Chunk(body)))
     }
@@ -259,7 +263,7 @@
     fn on_end(&mut self, position: u64, ending: Ending) -> Result<Part, AttemptEnd> {
         self.finished = true;
         match ending {
-            Ending::Whole { .. } if position != self.position => Err(self.on_gap()),
+            Ending::Whole { .. } if position != self.next_position => Err(self.on_gap()),
             Ending::Whole { prompt_tokens, completion_tokens, finish_reason } => {
                 Ok(Part::Whole { prompt_tokens, completion_tokens, finish_reason })
             }
@@ -272,7 +276,7 @@
     }
 
     fn send_command(&self, command: impl FnOnce(u64, u64) -> Command) {
-        if let Some(Attachment { stream, commands, .. }) = &self.attachment {
+        if let Some(Attachment { stream_id: stream, commands, .. }) = &self.attachment {
             // If the channel is full, credit is sent with the next chunk, and the connection
             // cancels once `updates` is closed.
             drop(commands.try_send(command(*stream, self.credit_limit)));
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -59,7 +59,7 @@
     }
 
     fn send(&self, update: Update) {
-        self.submitted_call.reply.try_send(update).expect("the channel has capacity");
+        self.submitted_call.update_tx.try_send(update).expect("the channel has capacity");
     }
 
     fn chunk(&self, position: u64) {
@@ -133,7 +133,7 @@
         let mut test_call = TestCall::new(true);
         test_call.chunk(0);
         test_call.chunk(1);
-        test_call.send(Update::Lost { failed: false });
+        test_call.send(Update::Lost { target_failed: false });
         test_call.chunk(2);
         let events = std::mem::replace(&mut test_call.events, mpsc::sync_channel(1).1);
         let second = std::thread::spawn(move || {
@@ -141,13 +141,13 @@
             let finish_reason = "stop".into();
             let ending = Ending::Whole { prompt_tokens: 1, completion_tokens: 3, finish_reason };
             let body = Bytes::from("second ");
-            call.reply
+            call.update_tx
                 .try_send(Update::Chunk { position: 2, body })
                 .expect("the channel has capacity");
-            call.reply
+            call.update_tx
                 .try_send(Update::End { position: 3, ending })
                 .expect("the channel has capacity");
-            call.open.position
+            call.open_message.position
         });
         assert_eq!(test_call.read().await, Ok("0 1 second ".into()));
         assert_eq!(second.join().expect("the thread does not panic"), 2);
@@ -159,7 +159,7 @@
 fn an_unrepeatable_call_is_not_submitted_again() {
     block_on(async {
         let mut test_call = TestCall::new(false);
-        test_call.send(Update::Lost { failed: false });
+        test_call.send(Update::Lost { target_failed: false });
         assert!(matches!(test_call.read().await, Err(Problem::Failed(_))));
         assert!(test_call.events.try_recv().is_err());
     });
@@ -172,8 +172,10 @@
         let mut test_call = TestCall::new(true);
         let reason = RefusalReason::QueueFull;
         let retry_after = Duration::from_secs(1);
-        test_call
-            .send(Update::Refused { refusal: Refusal { reason, retry_after }, transient: false });
+        test_call.send(Update::Refused {
+            refusal: Refusal { reason, retry_after },
+            is_transient: false,
+        });
         assert_eq!(test_call.read().await, Err(Problem::Refused(reason, retry_after)));
         assert!(test_call.events.try_recv().is_err());
     });
--- a/crates/corianderstand_router/src/connections.rs
+++ b/crates/corianderstand_router/src/connections.rs
@@ -15,28 +15,31 @@
     },
 };
 
-/// Connections over the limit whose requests are refused; further ones are closed at once.
+/// Connections above this excess are closed without a response.
 const MAX_EXCESS_CONNECTIONS: usize = 256;
 
-/// Counts open connections. Some over the limit are accepted and their requests refused, so that
-/// callers do not wait in the listen backlog.
+/// Open connections of callers; a few over the limit are accepted only to refuse their requests.
 #[derive(Debug)]
 pub struct Connections {
-    limit: usize,
+    max_connections: usize,
     fuse: FuseConfig,
     count: AtomicUsize,
-    excess: Mutex<HashSet<SocketAddr>>,
+    excess_callers: Mutex<HashSet<SocketAddr>>,
 }
 
 impl Connections {
     pub fn new(limits: &Limits) -> Arc<Self> {
-        // The header timeout also closes idle connections. The write timeout frees the resources of
-        // callers that stop reading.
+        // The header timeout also closes idle connections.
         let fuse = FuseConfig::disabled()
             .with_http1_header_timeout(limits.read_timeout_ms.0)
             .with_write_stall_timeout(limits.write_timeout_ms.0);
         let limit = limits.max_connections as usize;
-        Arc::new(Self { limit, fuse, count: AtomicUsize::new(0), excess: Mutex::default() })
+        Arc::new(Self {
+            max_connections: limit,
+            fuse,
+            count: AtomicUsize::new(0),
+            excess_callers: Mutex::default(),
+        })
     }
 
     pub fn count(&self) -> usize {
@@ -48,7 +51,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashSet<SocketAddr>> {
-        self.excess.lock().expect("no holder of this lock panics")
+        self.excess_callers.lock().expect("no holder of this lock panics")
     }
 }
 
@@ -59,7 +62,9 @@
 impl FusePolicy for ConnectionPolicy {
     async fn decide(&self, _info: &FuseInfo) -> FuseAction {
         let connections = &self.0;
-        if connections.count.load(Ordering::Relaxed) >= connections.limit + MAX_EXCESS_CONNECTIONS {
+        if connections.count.load(Ordering::Relaxed)
+            >= connections.max_connections + MAX_EXCESS_CONNECTIONS
+        {
             return FuseAction::Reject;
         }
         FuseAction::Accept(connections.fuse)
@@ -69,7 +74,7 @@
         let connections = self.0.clone();
         let before = connections.count.fetch_add(1, Ordering::Relaxed);
         let remote = info.remote_addr.clone().into_std();
-        if before >= connections.limit {
+        if before >= connections.max_connections {
             connections.lock().extend(remote);
         }
         Some(Arc::new(ConnectionGuard { connections, remote }))
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -35,13 +35,12 @@
     pub router: Router,
     pub current: CurrentSnapshot,
     pub clock: SharedClock,
-    /// Requests in flight, kept for retries.
     pub calls: HashMap<RequestKey, Call>,
     pub connections: HashMap<TargetId, mpsc::Sender<Command>>,
-    /// Versions of the targets, slots and settings last passed to `router`.
-    pub versions: (u64, u64, u64),
+    /// Log versions of the targets, replica slots and settings last passed to `router`.
+    pub applied_versions: (u64, u64, u64),
     pub hosts: std::sync::Arc<Hosts>,
-    /// Targets whose agents reported that they accept no new requests.
+    /// Targets whose agents reported that they are draining.
     pub reported_draining: BTreeSet<TargetId>,
     pub in_flight: std::sync::Arc<AtomicUsize>,
     pub metrics: Metrics,
@@ -66,19 +65,19 @@
         let snapshot = self.current.load();
         let state = &snapshot.state;
         let versions = (state.targets.version, state.slots.version, state.documents.version);
-        if versions == self.versions && self.hosts == snapshot.hosts {
+        if versions == self.applied_versions && self.hosts == snapshot.hosts {
             return;
         }
-        self.versions = versions;
+        self.applied_versions = versions;
         self.hosts = snapshot.hosts.clone();
         self.refresh_targets(&snapshot);
-        let mut owners: BTreeMap<ModelId, Vec<TargetKey>> = BTreeMap::new();
+        let mut serving_targets: BTreeMap<ModelId, Vec<TargetKey>> = BTreeMap::new();
         for (slot, owner) in &state.slots.by_key {
             if let Some(key) = self.router.target(&owner.target) {
-                owners.entry(slot.model.clone()).or_default().push(key);
+                serving_targets.entry(slot.model.clone()).or_default().push(key);
             }
         }
-        self.router.set_owners(owners);
+        self.router.set_owners(serving_targets);
     }
 
     fn refresh_targets(&mut self, snapshot: &Snapshot) {
@@ -119,7 +118,7 @@
                 self.calls.insert(key, call);
                 self.execute(key, decision);
             }
-            Event::Connected { target, draining, commands } => {
+            Event::Connected { target, is_draining: draining, commands } => {
                 self.connections.insert(target.clone(), commands);
                 if draining {
                     self.reported_draining.insert(target.clone());
@@ -161,16 +160,17 @@
     /// Resumes a repeatable request at another target, or reports the loss to the handler.
     fn on_target_lost(&mut self, key: RequestKey, position: u64, failed: bool) {
         let Some(call) = self.calls.get_mut(&key) else { return };
-        call.open.position = call.open.position.max(position);
-        // Updates that the handler has not read yet occupy its channel.
-        call.open.window = call.reply.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
+        call.open_message.position = call.open_message.position.max(position);
+        // The handler's channel still holds updates that it has not read.
+        call.open_message.window =
+            call.update_tx.capacity().saturating_sub(REPLY_EXTRA_CAPACITY) as u64;
         let reason = RefusalReason::NotLoaded;
         let refusal = Refusal { reason, retry_after: LOST_RETRY_AFTER };
         match self.router.connection_lost(self.clock.now(), key, refusal) {
             Some(decision @ Decision::Send(_)) => self.execute(key, decision),
             Some(Decision::Refuse(_)) | None => {
                 if let Some(call) = self.calls.remove(&key) {
-                    drop(call.reply.try_send(Update::Lost { failed }));
+                    drop(call.update_tx.try_send(Update::Lost { target_failed: failed }));
                 }
             }
         }
@@ -188,8 +188,12 @@
             Decision::Send(target) => self.send(key, target),
             Decision::Refuse(refusal) => {
                 if let Some(call) = self.calls.remove(&key) {
-                    let transient = self.is_transient_refusal(&call.open.operation, refusal.reason);
-                    drop(call.reply.try_send(Update::Refused { refusal, transient }));
+                    let transient =
+                        self.is_transient_refusal(&call.open_message.operation, refusal.reason);
+                    drop(
+                        call.update_tx
+                            .try_send(Update::Refused { refusal, is_transient: transient }),
+                    );
                 }
             }
         }
@@ -202,12 +206,12 @@
             return false;
         }
         let snapshot = self.current.load();
-        let (expected, owners): (usize, Vec<&TargetId>) = match operation {
+        let (expected, serving_targets): (usize, Vec<&TargetId>) = match operation {
             Operation::Completion { model, .. } | Operation::Chat { model, .. } => {
                 let slots = snapshot.state.slots.by_key.iter();
                 let slots = slots.filter(|(slot, _)| slot.model == *model);
-                let owners = slots.map(|(_, owner)| &owner.target).collect();
-                (snapshot.view.replicas(model) as usize, owners)
+                let serving_targets = slots.map(|(_, slot)| &slot.target).collect();
+                (snapshot.view.replicas(model) as usize, serving_targets)
             }
             Operation::Call { service, .. } => {
                 let targets = snapshot.state.targets.by_name.iter();
@@ -219,19 +223,19 @@
             let target = self.router.target(name).and_then(|key| self.router.target_state(key));
             target.is_some_and(|target| target.connected && !target.draining)
         };
-        owners.iter().filter(serves).count() < expected.max(owners.len())
+        serving_targets.iter().filter(serves).count() < expected.max(serving_targets.len())
     }
 
     fn send(&mut self, key: RequestKey, target: TargetKey) {
         let name = self.router.target_state(target).map(|target| target.name.clone());
         let connection = name.and_then(|name| self.connections.get(&name));
         let Some(mut call) = self.calls.get(&key).cloned() else { return };
-        call.open.stream = link::stream_id(key);
-        // A target that has not folded the slot yet waits for this version.
-        call.open.as_of = self.versions.1.max(self.versions.2);
+        call.open_message.stream = link::stream_id(key);
+        // An agent whose state is older waits until it has read this log version.
+        call.open_message.as_of = self.applied_versions.1.max(self.applied_versions.2);
         let open = Command::Open(Box::new(call));
         if connection.is_none_or(|connection| connection.try_send(open).is_err()) {
-            // A closed or full connection counts as a refusal.
+            // A closed connection or a full command queue counts as a refusal.
             let refusal =
                 Refusal { reason: RefusalReason::QueueFull, retry_after: LOST_RETRY_AFTER };
             let load = Load { running: 0, queued: 0, wait_ms: 0 };
--- a/crates/corianderstand_router/src/operator.rs
+++ b/crates/corianderstand_router/src/operator.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 #[derives(key)]
-pub enum Kind {
+pub enum Endpoint {
     /// `POST /operator/apply`.
     Apply,
     /// `GET /operator/get?prefix=`.
@@ -54,7 +54,7 @@
 #[serde(deny_unknown_fields)]
 pub struct ApplyChange {
     pub path: SmolStr,
-    /// Version that the change is based on; 0 for a new document.
+    /// Version of the document that the change replaces; 0 for a new document.
     pub base: u64,
     /// New content; null removes the document.
     pub value: Option<Value>,
@@ -62,36 +62,36 @@
 
 /// Label whose keyed hash authenticates a process to its peers.
 pub const PEER_TOKEN_LABEL: &str = "peer";
-/// Log time after a request within which its change may take effect; must tolerate a slow log.
+/// Time limit for a change to be appended to the log, by the log's clock.
 pub const EXPIRY_WINDOW: Duration = Duration::from_secs(8);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Includes [`EXPIRY_WINDOW`] and the time to read the change back.
+/// Longer than [`EXPIRY_WINDOW`], as the change is read back from the log.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 pub async fn answer(
     context: &HandlerContext,
-    kind: Kind,
+    kind: Endpoint,
     req: &mut Request,
     res: &mut Response,
 ) -> Result<(), Problem> {
-    if kind == Kind::State {
+    if kind == Endpoint::State {
         problem::set_header(res, "content-type", "application/octet-stream");
-        drop(res.write_body(state(context)?));
+        drop(res.write_body(encode_checkpoint(context)?));
         return Ok(());
     }
     let text = |name: &str| req.query::<String>(name).unwrap_or_default();
     let value = match kind {
-        Kind::Apply => apply(context, req).await?,
-        Kind::Get => get(context, &text("prefix")),
-        Kind::Ticket => ticket(context, &text("ticket"))?,
-        Kind::History => history(context, &text("prefix")),
-        Kind::Spread => rollout(context, req).await?,
-        Kind::Version => status::version(context),
-        Kind::Status if text("own") == "true" => status::local(context),
-        Kind::Status | Kind::State => {
+        Endpoint::Apply => apply(context, req).await?,
+        Endpoint::Get => read_documents(context, &text("prefix")),
+        Endpoint::Ticket => ticket_outcome(context, &text("ticket"))?,
+        Endpoint::History => change_history(context, &text("prefix")),
+        Endpoint::Spread => rollout_status(context, req).await?,
+        Endpoint::Version => status::version_status(context),
+        Endpoint::Status if text("own") == "true" => status::router_status(context),
+        Endpoint::Status | Endpoint::State => {
             let authorization = req.headers().get("authorization");
             let authorization = authorization.and_then(|value| value.to_str().ok());
-            status::fleet(context, authorization.unwrap_or_default()).await
+            status::fleet_status(context, authorization.unwrap_or_default()).await
         }
     };
     problem::set_header(res, "content-type", "application/json");
@@ -131,7 +131,6 @@
     }
 }
 
-/// Returns a unique ticket for a change, which contains its expiry time.
 fn new_ticket(snapshot: &Snapshot, clock: &SharedClock) -> SmolStr {
     let now_ms = clock::unix_ms(clock.wall()).saturating_add_signed(snapshot.log_clock_ms);
     let not_after_ms = now_ms + EXPIRY_WINDOW.as_millis() as u64;
@@ -144,7 +143,7 @@
 
 /// Returns the outcome of a change. One that is not in the log is refused once the log has been
 /// read past its expiry time, and unknown until then.
-fn ticket(context: &HandlerContext, ticket: &str) -> Result<Value, Problem> {
+fn ticket_outcome(context: &HandlerContext, ticket: &str) -> Result<Value, Problem> {
     let malformed = || Problem::Invalid("`ticket` was not issued by a router".into());
     let not_after_ms = not_after_ms(ticket).ok_or_else(malformed)?;
     let snapshot = context.control.current.load();
@@ -167,23 +166,23 @@
     })
 }
 
-fn history(context: &HandlerContext, prefix: &str) -> Value {
+fn change_history(context: &HandlerContext, prefix: &str) -> Value {
     let snapshot = context.control.current.load();
     let entries: Vec<Value> =
         snapshot.state.history.of_path(prefix).map(|entry| json!(entry)).collect();
     json!({ "entries": entries })
 }
 
-/// Returns how many routers report that a version is in force.
-async fn rollout(context: &HandlerContext, req: &Request) -> Result<Value, Problem> {
+/// Returns how many routers apply at least the requested version of the settings.
+async fn rollout_status(context: &HandlerContext, req: &Request) -> Result<Value, Problem> {
     let requested = req.query::<u64>("version").unwrap_or_default();
     let bearer = http::bearer(req)?;
-    let queries = context.peers.iter().map(|peer| query_version(peer, bearer));
+    let queries = context.peer_addresses.iter().map(|peer| query_version(peer, bearer));
     let versions = futures::future::join_all(queries).await;
     let local = context.control.current.load().state.documents.version;
     let reported: Vec<u64> = versions.iter().flatten().copied().chain([local]).collect();
     let in_force = reported.iter().filter(|version| **version >= requested).count();
-    let routers = context.peers.len() + 1;
+    let routers = context.peer_addresses.len() + 1;
     let unresponsive = routers - reported.len();
     Ok(json!({ "version": requested, "routers": routers, "in_force": in_force,
         "silent": unresponsive }))
@@ -197,7 +196,7 @@
 }
 
 /// Returns a checkpoint of the state, for a process that starts while the log is down.
-fn state(context: &HandlerContext) -> Result<Vec<u8>, Problem> {
+fn encode_checkpoint(context: &HandlerContext) -> Result<Vec<u8>, Problem> {
     let snapshot = context.control.current.load();
     if !snapshot.caught_up {
         return Err(Problem::NotReady(snapshot.waiting.reason()));
@@ -219,7 +218,7 @@
     Ok(Change { path, base, value })
 }
 
-fn get(context: &HandlerContext, prefix: &str) -> Value {
+fn read_documents(context: &HandlerContext, prefix: &str) -> Value {
     let snapshot = context.control.current.load();
     let documents = snapshot.state.documents.by_path.iter();
     let documents: Vec<Value> = documents
--- a/crates/corianderstand_router/src/status.rs
+++ b/crates/corianderstand_router/src/status.rs
@@ -20,7 +20,6 @@
 use std::time::Duration;
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-/// Bounds the load of a status request on the `http` thread.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -29,8 +28,8 @@
     holdings: Vec<Holding>,
 }
 
-/// Returns the state of this router without queries: `GET /operator/status?own=true`.
-pub fn local(context: &HandlerContext) -> Value {
+/// Returns this router's own state (`GET /operator/status?own=true`).
+pub fn router_status(context: &HandlerContext) -> Value {
     let snapshot = context.control.current.load();
     let state = &snapshot.state;
     let targets = state.targets.by_name.values().map(|target| target_json(&target.record));
@@ -55,8 +54,8 @@
         "address": record.address, "service": record.service })
 }
 
-pub async fn fleet(context: &HandlerContext, authorization: &str) -> Value {
-    let mut fleet = local(context);
+pub async fn fleet_status(context: &HandlerContext, authorization: &str) -> Value {
+    let mut fleet = router_status(context);
     let snapshot = context.control.current.load();
     let state = &snapshot.state;
     let queries: Vec<_> = state
@@ -66,11 +65,13 @@
         .map(|target| query_target(context, &target.record))
         .collect();
     let targets: Vec<_> = stream::iter(queries).buffered(MAX_CONCURRENT_QUERIES).collect().await;
-    let queries: Vec<_> =
-        context.peers.iter().map(|peer| query_router(context, peer, authorization)).collect();
+    let queries: Vec<_> = context
+        .peer_addresses
+        .iter()
+        .map(|peer| query_router(context, peer, authorization))
+        .collect();
     let routers: Vec<_> = stream::iter(queries).buffered(MAX_CONCURRENT_QUERIES).collect().await;
-    let this =
-        json!({ "router": context.name, "reached": true, "version": state.documents.version });
+    let this = json!({ "router": context.router_name, "reached": true, "version": state.documents.version });
     let all_routers = [vec![this], routers].concat();
     let targets_json: Vec<Value> = targets
         .iter()
@@ -92,13 +93,13 @@
         .collect();
     fleet["routers"] = all_routers.into();
     fleet["targets"] = targets_json.into();
-    fleet["slots"] = slots(state, &holdings).into();
+    fleet["slots"] = replica_slots(state, &holdings).into();
     fleet["holdings"] = holdings.into();
     fleet
 }
 
-/// Returns each replica slot and whether its model is cold, loading or warm on its target.
-fn slots(state: &State, holdings: &[Value]) -> Vec<Value> {
+/// Lists the replica slots with the loading stage of their model on their target.
+fn replica_slots(state: &State, holdings: &[Value]) -> Vec<Value> {
     let slots = state.slots.by_key.iter();
     slots
         .map(|(key, slot)| {
@@ -118,7 +119,7 @@
     context: &HandlerContext,
     record: &TargetRecord,
 ) -> impl Future<Output = (TargetRecord, Option<TargetStatus>)> + use<> {
-    let (name, record) = (context.name.clone(), record.clone());
+    let (name, record) = (context.router_name.clone(), record.clone());
     async move {
         let status = time::timeout(QUERY_TIMEOUT, query_agent(&name, &record.address)).await;
         (record, status.ok().and_then(Result::ok))
@@ -170,7 +171,7 @@
     }
 }
 
-pub fn version(context: &HandlerContext) -> Value {
-    json!({ "router": context.name,
+pub fn version_status(context: &HandlerContext) -> Value {
+    json!({ "router": context.router_name,
         "version": context.control.current.load().state.documents.version })
 }
