--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -57,7 +57,7 @@
     /// Addresses at which other routers may be found.
     pub seeds: Vec<SocketAddr>,
     /// Limits how many retries each service's requests may cause.
-    pub retry_allowance: budget::Allowance,
+    pub allowance: budget::Allowance,
     /// Time within which a draining target must stop receiving requests.
     pub drain_within: Duration,
     /// Time within which a new configuration must be in force.
@@ -165,7 +165,7 @@
             };
             view.demand.record_request(now, &requested.model, profile);
         }
-        let allowance = self.bounds.borrow().retry_allowance;
+        let allowance = self.bounds.borrow().allowance;
         view.retry_budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
     }
 
@@ -206,7 +206,7 @@
         let routers = 1 + self.peers.borrow().live(now).count();
         let mut view = self.view.borrow_mut();
         let budget = view.retry_budgets.entry(service.clone()).or_default();
-        budget.spend(now, &self.bounds.borrow().retry_allowance, routers)
+        budget.spend(now, &self.bounds.borrow().allowance, routers)
     }
 
     /// Chooses a target for a request.
--- a/crates/corianderstand_forward/tests/answers.rs
+++ b/crates/corianderstand_forward/tests/answers.rs
@@ -351,8 +351,7 @@
 async fn changed_settings_apply_without_a_restart() {
     let (router, one, two) = start_with_two_targets(retryable()).await;
     let mut settings = router.settings.clone();
-    settings.bounds.retry_allowance =
-        budget::Allowance { ratio: 0.0, fixed: 0.0, ..Default::default() };
+    settings.bounds.allowance = budget::Allowance { ratio: 0.0, fixed: 0.0, ..Default::default() };
     router.reload.send(settings).unwrap();
     let answer = loop {
         let mut caller =
--- a/crates/corianderstand_forward/tests/common/mod.rs
+++ b/crates/corianderstand_forward/tests/common/mod.rs
@@ -292,7 +292,7 @@
             agent_port: peers.port(),
             bounds: router::Bounds {
                 seeds,
-                retry_allowance: budget::Allowance::default(),
+                allowance: budget::Allowance::default(),
                 drain_within: Duration::from_millis(200),
                 config_within: Duration::from_secs(2),
                 stop_within,
