--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -19,15 +19,15 @@
 #[derives(key)]
 pub struct Rate {
     /// Bytes per second, sent and received.
-    pub bytes: u64,
+    pub bytes_per_s: u64,
     /// Messages per second.
-    pub messages: u64,
+    pub messages_per_s: u64,
 }
 
 /// Limit of all control traffic of one process.
-pub const PROCESS_RATE: Rate = Rate { bytes: 16_000, messages: 128 };
+pub const PROCESS_RATE: Rate = Rate { bytes_per_s: 16_000, messages_per_s: 128 };
 /// Share of [`PROCESS_RATE`] for serving followers.
-pub const SERVE_RATE: Rate = Rate { bytes: 11_000, messages: 64 };
+pub const SERVE_RATE: Rate = Rate { bytes_per_s: 11_000, messages_per_s: 64 };
 /// Burst size of the limits, in seconds of their rate.
 pub const BURST_SECONDS: u64 = 4;
 /// Maximum delay of a read.
@@ -35,11 +35,11 @@
 
 /// Rate limit of one process for reading the host list.
 pub const HOST_LIST_BYTES_PER_S: u64 = 3_000;
-const HOST_ENTRY_BYTES: u64 = 54;
+const BYTES_PER_HOST_ENTRY: u64 = 54;
 
 /// Pause between two reads of a host list; grows with its length, as it is transferred whole.
 pub fn host_list_pause(interval: Duration, entries: usize) -> Duration {
-    let bytes = entries as u64 * HOST_ENTRY_BYTES;
+    let bytes = entries as u64 * BYTES_PER_HOST_ENTRY;
     interval.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
 }
 
@@ -109,8 +109,8 @@
         let burst = BURST_SECONDS as f64;
         Self {
             rate,
-            bytes: rate.bytes as f64 * burst,
-            messages: rate.messages as f64 * burst,
+            bytes: rate.bytes_per_s as f64 * burst,
+            messages: rate.messages_per_s as f64 * burst,
             refilled_at: now,
         }
     }
@@ -118,7 +118,7 @@
     fn refill(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
-        let (bytes, messages) = (self.rate.bytes as f64, self.rate.messages as f64);
+        let (bytes, messages) = (self.rate.bytes_per_s as f64, self.rate.messages_per_s as f64);
         let burst = BURST_SECONDS as f64;
         self.bytes = (self.bytes + bytes * elapsed).min(bytes * burst);
         self.messages = (self.messages + messages * elapsed).min(messages * burst);
@@ -131,14 +131,14 @@
 
     /// Time until the bytes are out of debt and one message is available.
     fn time_until_available(&self) -> Duration {
-        let bytes = -self.bytes / self.rate.bytes as f64;
-        let messages = (1.0 - self.messages) / self.rate.messages as f64;
+        let bytes = -self.bytes / self.rate.bytes_per_s as f64;
+        let messages = (1.0 - self.messages) / self.rate.messages_per_s as f64;
         Duration::from_secs_f64(bytes.max(messages).max(0.0))
     }
 }
 
 #[derive(Debug)]
-struct Inner {
+struct BudgetState {
     process: TokenBucket,
     serve: TokenBucket,
     totals: UsageTotals,
@@ -149,10 +149,10 @@
 #[derive(Debug)]
 pub struct Budget {
     clock: DebugClock,
-    inner: Mutex<Inner>,
+    inner: Mutex<BudgetState>,
 }
 
-impl Inner {
+impl BudgetState {
     fn spend(&mut self, class: TrafficClass, bytes: u64) {
         self.process.spend(bytes);
         if class == TrafficClass::Serve {
@@ -178,7 +178,7 @@
         let now = clock.now();
         let (process, serve) =
             (TokenBucket::new(PROCESS_RATE, now), TokenBucket::new(SERVE_RATE, now));
-        let inner = Mutex::new(Inner {
+        let inner = Mutex::new(BudgetState {
             process,
             serve,
             totals: UsageTotals::default(),
@@ -187,7 +187,7 @@
         Self { clock: DebugClock(clock), inner }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, BudgetState> {
         let mut inner = self.inner.lock().expect("no holder of this lock panics");
         let now = self.clock.0.now();
         inner.process.refill(now);
--- a/crates/corianderstand_control/src/budget/tests.rs
+++ b/crates/corianderstand_control/src/budget/tests.rs
@@ -31,12 +31,12 @@
         clock.advance(Duration::from_millis(100));
     }
     let usage = budget.totals().serve;
-    let max_bytes = SERVE_RATE.bytes * (BURST_DURATION_S + BURST_SECONDS) + bytes;
+    let max_bytes = SERVE_RATE.bytes_per_s * (BURST_DURATION_S + BURST_SECONDS) + bytes;
     assert!(usage.bytes <= max_bytes, "{} bytes served, at most {max_bytes}", usage.bytes);
-    assert!(usage.messages <= SERVE_RATE.messages * (BURST_DURATION_S + BURST_SECONDS) + 1);
+    assert!(usage.messages <= SERVE_RATE.messages_per_s * (BURST_DURATION_S + BURST_SECONDS) + 1);
     assert!(usage.limited > 0, "refusals are counted");
     assert!(
-        usage.bytes >= SERVE_RATE.bytes * BURST_DURATION_S / 2,
+        usage.bytes >= SERVE_RATE.bytes_per_s * BURST_DURATION_S / 2,
         "at least half of the budget is used"
     );
 }
@@ -53,8 +53,12 @@
     }
     let usage = budget.totals().follow;
     let allowed = BURST_DURATION_S + BURST_SECONDS;
-    assert!(usage.messages <= PROCESS_RATE.messages * allowed + 1, "{} reads", usage.messages);
-    assert!(usage.bytes <= PROCESS_RATE.bytes * allowed + 400, "{} bytes", usage.bytes);
+    assert!(
+        usage.messages <= PROCESS_RATE.messages_per_s * allowed + 1,
+        "{} reads",
+        usage.messages
+    );
+    assert!(usage.bytes <= PROCESS_RATE.bytes_per_s * allowed + 400, "{} bytes", usage.bytes);
     assert!(usage.limited > 0, "delays are counted");
 }
 
@@ -62,7 +66,7 @@
 #[rstest]
 fn a_large_debt_delays_a_read_by_a_bounded_time() {
     let (_clock, budget) = budget();
-    budget.spend(TrafficClass::Follow, PROCESS_RATE.bytes * 1000);
+    budget.spend(TrafficClass::Follow, PROCESS_RATE.bytes_per_s * 1000);
     assert_eq!(budget.read_delay(), MAX_READ_DELAY);
     assert!(budget.admit_follower(400).is_err(), "followers are rejected while in debt");
 }
@@ -84,5 +88,5 @@
     let pause = checkpoint_pause(interval, PARTS);
     assert!(pause * PARTS as u32 <= interval / 2, "complete before the next is due");
     let rate = PART_WIRE_BYTES * 1000 / pause.as_millis() as u64;
-    assert!(rate < PROCESS_RATE.bytes / 4, "{rate} bytes a second");
+    assert!(rate < PROCESS_RATE.bytes_per_s / 4, "{rate} bytes a second");
 }
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -39,7 +39,7 @@
 impl LeaseTask {
     /// Acquires the lease when it is vacant; renews it, plans and writes checkpoints while held.
     pub async fn run(self) {
-        let mut renewed_ms = 0;
+        let mut last_renewed_log_ms = 0;
         let mut checkpoint: Option<JoinHandle<()>> = None;
         loop {
             let snapshot = self.current.load();
@@ -49,7 +49,7 @@
                 let held =
                     snapshot.state.lease.held_by(&self.identity.writer, self.identity.incarnation);
                 if held {
-                    self.renew(&snapshot, &mut renewed_ms).await;
+                    self.renew(&snapshot, &mut last_renewed_log_ms).await;
                     self.plan(&snapshot).await;
                     self.start_checkpoint(&snapshot, &mut checkpoint);
                 } else {
@@ -85,12 +85,12 @@
         self.append_all(vec![body], ttl).await;
     }
 
-    async fn renew(&self, snapshot: &Snapshot, renewed_ms: &mut u64) {
+    async fn renew(&self, snapshot: &Snapshot, last_renewed_log_ms: &mut u64) {
         let (lease, now_ms) = (&snapshot.state.lease, self.log_now_ms(snapshot));
-        if now_ms < *renewed_ms + lease.ttl_ms / 3 {
+        if now_ms < *last_renewed_log_ms + lease.ttl_ms / 3 {
             return;
         }
-        *renewed_ms = now_ms;
+        *last_renewed_log_ms = now_ms;
         let ttl = Duration::from_millis(lease.ttl_ms);
         self.append_all(vec![Body::LeaseRenewed { epoch: lease.epoch }], ttl).await;
     }
--- a/crates/corianderstand_control/src/measured.rs
+++ b/crates/corianderstand_control/src/measured.rs
@@ -36,8 +36,8 @@
         appended
     }
 
-    async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
-        let read = self.log.read(from, max, wait).await;
+    async fn read(&self, start_offset: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
+        let read = self.log.read(start_offset, max, wait).await;
         match &read {
             Err(_) => self.metrics.count(Metric::ControlReadFailures, 1),
             Ok(page) => {
--- a/crates/corianderstand_control/src/peers.rs
+++ b/crates/corianderstand_control/src/peers.rs
@@ -10,7 +10,7 @@
 /// Path at which a router serves its state.
 pub const STATE_PATH: &str = "/operator/state";
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-const MAX_QUERIED: usize = 4;
+const MAX_QUERIED_PEERS: usize = 4;
 
 /// A source of state besides the log.
 #[async_trait]
@@ -62,7 +62,7 @@
     async fn state(&self) -> Option<State> {
         let mut order: Vec<&HttpSystem> = self.peers.iter().collect();
         order.shuffle(&mut rand::rng());
-        let queries = order.into_iter().take(MAX_QUERIED).map(|peer| self.query(peer));
+        let queries = order.into_iter().take(MAX_QUERIED_PEERS).map(|peer| self.query(peer));
         let states = futures::future::join_all(queries).await;
         states.into_iter().flatten().max_by_key(|state| state.next)
     }
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -46,7 +46,7 @@
 impl std::error::Error for RelayError {}
 
 #[derive(Debug, Default)]
-struct Inner {
+struct TailState {
     entries: VecDeque<Entry>,
     bytes: usize,
     next: u64,
@@ -56,15 +56,15 @@
 /// The last response of the log, received directly or from another relay.
 #[derive(Clone, Copy, Debug)]
 struct LastResponse {
-    at: Instant,
-    log_ms: u64,
+    received_at: Instant,
+    log_now_ms: u64,
     hops: u8,
 }
 
 /// The newest records of the log, served to followers.
 #[derive(Clone)]
 pub struct Tail {
-    inner: Arc<Mutex<Inner>>,
+    inner: Arc<Mutex<TailState>>,
     next_offset: watch::Sender<u64>,
     clock: SharedClock,
     budget: Arc<Budget>,
@@ -100,7 +100,7 @@
         &self.budget
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, TailState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 
@@ -113,8 +113,9 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         let age = Duration::from_millis(page.age_ms);
-        let at = now.checked_sub(age).unwrap_or(now);
-        inner.last_response = Some(LastResponse { at, log_ms: page.now_ms, hops: page.hops });
+        let received_at = now.checked_sub(age).unwrap_or(now);
+        inner.last_response =
+            Some(LastResponse { received_at, log_now_ms: page.now_ms, hops: page.hops });
         for entry in &page.entries {
             inner.push(entry, self.max_bytes);
         }
@@ -131,41 +132,47 @@
     /// # Errors
     ///
     /// See [`RelayError`].
-    pub async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, RelayError> {
+    pub async fn read(
+        &self,
+        start_offset: u64,
+        max: u32,
+        wait: Duration,
+    ) -> Result<Page, RelayError> {
         // Charged before the wait: one record wakes all waiting readers at the same time.
         self.budget.admit_follower(HTTP_OVERHEAD_BYTES).map_err(RelayError::Busy)?;
         let mut next_offset = self.next_offset.subscribe();
         let waited = time::timeout(wait.min(MAX_WAIT), async {
-            while self.next() <= from && next_offset.changed().await.is_ok() {}
+            while self.next() <= start_offset && next_offset.changed().await.is_ok() {}
         });
         let _in_time = waited.await;
-        let page = self.page(from, max)?;
+        let page = self.page(start_offset, max)?;
         self.budget.add_bytes(TrafficClass::Serve, wire_bytes(&page) - HTTP_OVERHEAD_BYTES);
         Ok(page)
     }
 
-    fn page(&self, from: u64, max: u32) -> Result<Page, RelayError> {
+    fn page(&self, start_offset: u64, max: u32) -> Result<Page, RelayError> {
         let now = self.clock.now();
         let inner = self.lock();
         let last_response = inner.last_response.ok_or(RelayError::Stale)?;
         let oldest = inner.entries.front().map_or(inner.next, |entry| entry.offset);
-        if from < oldest {
+        if start_offset < oldest {
             return Err(RelayError::Gone);
         }
-        let entries = inner.entries.iter().skip((from - oldest) as usize).take(max as usize);
+        let entries =
+            inner.entries.iter().skip((start_offset - oldest) as usize).take(max as usize);
         let entries: Vec<Entry> = entries.cloned().collect();
-        let age = now.saturating_duration_since(last_response.at);
+        let age = now.saturating_duration_since(last_response.received_at);
         // Known records are served even if the log is down, so that they reach every process.
         if entries.is_empty() && age > MAX_PAGE_AGE {
             return Err(RelayError::Stale);
         }
         let (age_ms, hops) = (age.as_millis() as u64, last_response.hops + 1);
-        let now_ms = last_response.log_ms + age_ms;
+        let now_ms = last_response.log_now_ms + age_ms;
         Ok(Page { oldest, next: inner.next, now_ms, entries, age_ms, hops })
     }
 }
 
-impl Inner {
+impl TailState {
     fn push(&mut self, entry: &Entry, max_bytes: usize) {
         if !self.entries.is_empty() && entry.offset < self.next {
             return;
--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -29,8 +29,8 @@
     Page { oldest: 1, next, now_ms: 5000, entries, ..Page::default() }
 }
 
-async fn offsets(tail: &Tail, from: u64) -> Result<Vec<u64>, RelayError> {
-    let page = tail.read(from, MAX_RECORDS, Duration::ZERO).await?;
+async fn offsets(tail: &Tail, start_offset: u64) -> Result<Vec<u64>, RelayError> {
+    let page = tail.read(start_offset, MAX_RECORDS, Duration::ZERO).await?;
     Ok(page.entries.iter().map(|entry| entry.offset).collect())
 }
 
@@ -117,7 +117,7 @@
                 Err(error) => assert!(matches!(error, RelayError::Busy(_)), "{error}"),
             }
         }
-        let max_served = (SERVE_RATE.bytes * BURST_SECONDS / HTTP_OVERHEAD_BYTES) as usize;
+        let max_served = (SERVE_RATE.bytes_per_s * BURST_SECONDS / HTTP_OVERHEAD_BYTES) as usize;
         assert!((10..=max_served + 1).contains(&served), "{served} reads served at once");
     });
 }
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -59,7 +59,7 @@
     }
 }
 
-struct Candidate {
+struct RelayCandidate {
     client: RelayClient,
     backoff_until: Option<Instant>,
     requested_at: Option<Instant>,
@@ -69,13 +69,13 @@
 pub struct Source {
     log: Arc<dyn LogService>,
     tail: Tail,
-    candidates: Mutex<Vec<Candidate>>,
+    candidates: Mutex<Vec<RelayCandidate>>,
     log_backoff_until: Mutex<Option<Instant>>,
     clock: SharedClock,
     budget: Arc<Budget>,
 }
 
-impl Candidate {
+impl RelayCandidate {
     fn back_off(&mut self, now: Instant) {
         let jitter = rand::rng().random_range(0.5..1.5);
         self.backoff_until = Some(now + RELAY_BACKOFF.mul_f64(jitter));
@@ -114,7 +114,7 @@
     /// Reads from `clients` in order, then from `log`.
     pub fn new(log: Arc<dyn LogService>, clients: Vec<RelayClient>, tail: Tail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
-        let candidates = clients.into_iter().map(|client| Candidate {
+        let candidates = clients.into_iter().map(|client| RelayCandidate {
             client,
             backoff_until: None,
             requested_at: None,
@@ -138,7 +138,7 @@
         Self::new(log, clients, tail)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Candidate>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<RelayCandidate>> {
         self.candidates.lock().expect("no holder of this lock panics")
     }
 
@@ -161,21 +161,24 @@
         None
     }
 
-    fn record_result(&self, index: usize, usable: bool) {
+    fn record_result(&self, candidate_index: usize, succeeded: bool) {
         let mut candidates = self.lock();
-        candidates[index].requested_at = None;
-        if !usable {
-            candidates[index].back_off(self.clock.now());
+        candidates[candidate_index].requested_at = None;
+        if !succeeded {
+            candidates[candidate_index].back_off(self.clock.now());
         }
     }
 
-    async fn read_relay(&self, from: u64, max: u32, wait: Duration) -> Option<Page> {
+    async fn read_relay(&self, start_offset: u64, max: u32, wait: Duration) -> Option<Page> {
         while let Some((index, relay)) = self.next_candidate() {
-            let read = relay.read(from, max, wait.min(RELAY_WAIT));
+            let read = relay.read(start_offset, max, wait.min(RELAY_WAIT));
             let response = time::timeout(RELAY_WAIT + RELAY_GRACE, read).await;
             let timed_out = response.is_err();
             let gone = matches!(response, Ok(Err(EdgeError::Status { status: STATUS_GONE, .. })));
-            let page = response.ok().and_then(Result::ok).filter(|page| is_usable(page, from));
+            let page = response
+                .ok()
+                .and_then(Result::ok)
+                .filter(|page| is_usable_page(page, start_offset));
             self.record_result(index, gone || page.is_some());
             if gone || page.is_some() {
                 return page;
@@ -188,9 +191,14 @@
         None
     }
 
-    async fn read_log(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
+    async fn read_log(
+        &self,
+        start_offset: u64,
+        max: u32,
+        wait: Duration,
+    ) -> Result<Page, EdgeError> {
         self.wait_for_log_backoff().await;
-        let page = self.log.read(from, max, wait).await;
+        let page = self.log.read(start_offset, max, wait).await;
         let follows_relays = !self.lock().is_empty();
         if page.is_err() && follows_relays {
             let jitter = rand::rng().random_range(0.5..1.5);
@@ -214,10 +222,13 @@
 /// HTTP status of a relay that no longer keeps the requested records.
 pub const STATUS_GONE: u16 = 410;
 
-fn is_usable(page: &Page, from: u64) -> bool {
+fn is_usable_page(page: &Page, start_offset: u64) -> bool {
     let fresh =
         !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_PAGE_AGE;
-    page.oldest <= from && page.next >= from && page.hops <= relay::MAX_HOPS && fresh
+    page.oldest <= start_offset
+        && page.next >= start_offset
+        && page.hops <= relay::MAX_HOPS
+        && fresh
 }
 
 #[async_trait]
@@ -226,11 +237,11 @@
         self.log.append(records).await
     }
 
-    async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
+    async fn read(&self, start_offset: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
         time::sleep(self.budget.read_delay()).await;
-        let page = match self.read_relay(from, max, wait).await {
+        let page = match self.read_relay(start_offset, max, wait).await {
             Some(page) => page,
-            None => self.read_log(from, max, wait).await?,
+            None => self.read_log(start_offset, max, wait).await?,
         };
         self.tail.extend(&page);
         // Full pages are not charged, so that the budget does not delay catching up at startup.
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -35,8 +35,8 @@
 }
 
 /// Whether every route from an address reaches the log over at most `hops` further relays.
-fn all_routes_reach_log(from: &SmolStr, all: &[SmolStr], hops: u8) -> bool {
-    let relays = choose_as_router(from, all);
+fn all_routes_reach_log(follower: &SmolStr, all: &[SmolStr], hops: u8) -> bool {
+    let relays = choose_as_router(follower, all);
     relays.is_empty()
         || (hops > 0 && relays.iter().all(|next| all_routes_reach_log(next, all, hops - 1)))
 }
@@ -92,15 +92,15 @@
         unreachable!("appends go to the log")
     }
 
-    async fn read(&self, from: u64, _max: u32, _wait: Duration) -> Result<Page, EdgeError> {
+    async fn read(&self, start_offset: u64, _max: u32, _wait: Duration) -> Result<Page, EdgeError> {
         self.requests.fetch_add(1, Ordering::Relaxed);
-        let page = Page { oldest: 1, next: from, now_ms: 77, hops: 1, ..Page::default() };
+        let page = Page { oldest: 1, next: start_offset, now_ms: 77, hops: 1, ..Page::default() };
         let error = |status| EdgeError::Status { system: "a relay", status, detail: String::new() };
         match self.behavior {
             RelayBehavior::Healthy => Ok(page),
             RelayBehavior::Failing => Err(error(503)),
             RelayBehavior::Unresponsive => std::future::pending().await,
-            RelayBehavior::Behind => Ok(Page { next: from - 1, ..page }),
+            RelayBehavior::Behind => Ok(Page { next: start_offset - 1, ..page }),
             RelayBehavior::TooManyHops => Ok(Page { hops: MAX_HOPS + 1, ..page }),
             RelayBehavior::Stale => Ok(Page { age_ms: 60_000, ..page }),
             RelayBehavior::Gone => Err(error(STATUS_GONE)),
--- a/crates/corianderstand_control/tests/recovery.rs
+++ b/crates/corianderstand_control/tests/recovery.rs
@@ -27,9 +27,9 @@
         self.0.append(records).await
     }
 
-    async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
+    async fn read(&self, start_offset: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
         time::sleep(Duration::from_millis(2)).await;
-        self.0.read(from, max, wait).await
+        self.0.read(start_offset, max, wait).await
     }
 }
 
