--- a/crates/corianderstand_agent/src/start.rs
+++ b/crates/corianderstand_agent/src/start.rs
@@ -18,7 +18,7 @@
     metrics::{Metric, Metrics},
     paced::UnusedHostList,
     peers::{HttpPeers, NoPeers, Peers},
-    relay::Tail,
+    relay::RecordTail,
     snapshot::CurrentSnapshot,
     source::Source,
     start::{ControlHandle, ControlThread},
@@ -220,7 +220,7 @@
 /// Returns the source of the log, which includes routers if peers and a token are configured.
 fn source(settings: &AgentSettings, clock: &SharedClock, budget: Arc<Budget>) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
-    let tail = Tail::new(clock.clone(), budget, TAIL_CAPACITY_BYTES);
+    let tail = RecordTail::new(clock.clone(), budget, TAIL_CAPACITY_BYTES);
     let token = settings.peer_token.clone().unwrap_or_default();
     let peers = if token.is_empty() { &[] } else { settings.peers.as_slice() };
     Source::for_process(log, &settings.name, None, peers, &token, tail)
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -63,7 +63,7 @@
 
 /// The newest records of the log, served to followers.
 #[derive(Clone)]
-pub struct Tail {
+pub struct RecordTail {
     inner: Arc<Mutex<TailState>>,
     next_offset: watch::Sender<u64>,
     clock: SharedClock,
@@ -71,7 +71,7 @@
     max_bytes: usize,
 }
 
-impl std::fmt::Debug for Tail {
+impl std::fmt::Debug for RecordTail {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.inner.fmt(f)
     }
@@ -84,7 +84,7 @@
     HTTP_OVERHEAD_BYTES + records.sum::<u64>()
 }
 
-impl Tail {
+impl RecordTail {
     /// An empty tail that keeps up to `max_bytes` of records.
     pub fn new(clock: SharedClock, budget: Arc<Budget>, max_bytes: usize) -> Self {
         Self { inner: Arc::default(), next_offset: watch::Sender::new(0), clock, budget, max_bytes }
--- a/crates/corianderstand_control/src/relay/tests.rs
+++ b/crates/corianderstand_control/src/relay/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the pages and errors that a relay returns.
 
-use super::{HTTP_OVERHEAD_BYTES, MAX_PAGE_AGE, RelayError, Tail};
+use super::{HTTP_OVERHEAD_BYTES, MAX_PAGE_AGE, RecordTail, RelayError};
 use crate::budget::{BURST_SECONDS, Budget, SERVE_RATE};
 use corianderstand_edge::log::{Entry, Page};
 use corianderstand_types::clock::ManualClock;
@@ -14,12 +14,12 @@
     runtime.expect("the system gives a runtime").block_on(run)
 }
 
-fn tail(max_bytes: usize) -> (ManualClock, Tail) {
+fn tail(max_bytes: usize) -> (ManualClock, RecordTail) {
     let clock = ManualClock::default();
     clock.advance(Duration::from_secs(100));
     let shared = Arc::new(clock.clone());
     let budget = Arc::new(Budget::new(shared.clone()));
-    (clock, Tail::new(shared, budget, max_bytes))
+    (clock, RecordTail::new(shared, budget, max_bytes))
 }
 
 fn page(offsets: std::ops::Range<u64>) -> Page {
@@ -29,7 +29,7 @@
     Page { oldest: 1, next, now_ms: 5000, entries, ..Page::default() }
 }
 
-async fn offsets(tail: &Tail, start_offset: u64) -> Result<Vec<u64>, RelayError> {
+async fn offsets(tail: &RecordTail, start_offset: u64) -> Result<Vec<u64>, RelayError> {
     let page = tail.read(start_offset, MAX_RECORDS, Duration::ZERO).await?;
     Ok(page.entries.iter().map(|entry| entry.offset).collect())
 }
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     budget::{Budget, TrafficClass},
-    relay::{self, Tail},
+    relay::{self, RecordTail},
 };
 use async_trait::async_trait;
 use corianderstand_edge::{
@@ -65,10 +65,10 @@
     requested_at: Option<Instant>,
 }
 
-/// Reads from relays or the log into the [`Tail`] of this process; appends to the log.
+/// Reads from relays or the log into the [`RecordTail`] of this process; appends to the log.
 pub struct Source {
     log: Arc<dyn LogService>,
-    tail: Tail,
+    tail: RecordTail,
     candidates: Mutex<Vec<RelayCandidate>>,
     log_backoff_until: Mutex<Option<Instant>>,
     clock: SharedClock,
@@ -112,7 +112,7 @@
 
 impl Source {
     /// Reads from `clients` in order, then from `log`.
-    pub fn new(log: Arc<dyn LogService>, clients: Vec<RelayClient>, tail: Tail) -> Self {
+    pub fn new(log: Arc<dyn LogService>, clients: Vec<RelayClient>, tail: RecordTail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
         let candidates = clients.into_iter().map(|client| RelayCandidate {
             client,
@@ -130,7 +130,7 @@
         own: Option<&SmolStr>,
         peers: &[SmolStr],
         token: &str,
-        tail: Tail,
+        tail: RecordTail,
     ) -> Self {
         let relays = choose_relays(name, own, peers);
         tracing::info!(follows = ?relays, "relays selected; the log is read if there are none");
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -3,7 +3,7 @@
 use super::{LOG_READERS, MAX_RELAYS_TRIED, RelayClient, STATUS_GONE, Source, choose_relays};
 use crate::{
     budget::Budget,
-    relay::{MAX_HOPS, Tail},
+    relay::{MAX_HOPS, RecordTail},
 };
 use async_trait::async_trait;
 use corianderstand_edge::{
@@ -119,7 +119,7 @@
         log: Arc::new(FakeRelay { behavior: *behavior, requests: requests.clone() }),
     };
     let peers = behaviors.iter().zip(&requests).map(peer).collect();
-    let tail = Tail::new(clock, budget, 1 << 20);
+    let tail = RecordTail::new(clock, budget, 1 << 20);
     (Source::new(log.clone(), peers, tail), log, requests)
 }
 
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    relay::Tail,
+    relay::RecordTail,
     snapshot::Snapshot,
     start::ControlHandle,
 };
@@ -52,7 +52,7 @@
     pub events: SyncSender<Event>,
     pub control: ControlHandle,
     /// Recent records, for processes that follow this router.
-    pub tail: Tail,
+    pub tail: RecordTail,
     pub hasher: Hasher,
     pub operator_key_hash: SmolStr,
     pub metrics: Metrics,
--- a/crates/corianderstand_router/src/relay.rs
+++ b/crates/corianderstand_router/src/relay.rs
@@ -1,13 +1,13 @@
 //! `GET /internal/read?from=&max=&wait_ms=`: serves log reads to followers of this router.
 
 use crate::problem;
-use corianderstand_control::relay::{RelayError, Tail};
+use corianderstand_control::relay::{RecordTail, RelayError};
 use salvo::{Request, Response, http::StatusCode};
 use std::time::Duration;
 
 const MAX_RECORDS: u32 = 1024;
 
-pub async fn answer(tail: &Tail, req: &mut Request, res: &mut Response) {
+pub async fn answer(tail: &RecordTail, req: &mut Request, res: &mut Response) {
     let number = |name: &str| req.query::<u64>(name).unwrap_or_default();
     let max = u32::try_from(number("max")).map_or(MAX_RECORDS, |max| max.min(MAX_RECORDS));
     let wait = Duration::from_millis(number("wait_ms"));
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -18,7 +18,7 @@
     metrics::{Metric, Metrics},
     paced::Paced,
     peers::HttpPeers,
-    relay::{self, Tail},
+    relay::{self, RecordTail},
     source::Source,
     start::{ControlHandle, ControlThread},
 };
@@ -83,7 +83,7 @@
     let incarnation = clock::unix_ms(clock.wall());
     let hasher = Hasher::new(&settings.auth_key).map_err(RouterError::Auth)?;
     let budget = Arc::new(Budget::new(clock.clone()));
-    let tail = Tail::new(clock.clone(), budget.clone(), relay::MAX_TAIL_BYTES);
+    let tail = RecordTail::new(clock.clone(), budget.clone(), relay::MAX_TAIL_BYTES);
     let source = source(&settings, &hasher, tail.clone());
     let metrics = Metrics::new(settings.statsd.as_deref(), settings.name.as_str());
     let metrics = metrics.map_err(RouterError::Statsd)?;
@@ -146,7 +146,7 @@
 }
 
 /// Selects whether this router reads the log directly or from another router.
-fn source(settings: &RouterSettings, hasher: &Hasher, tail: Tail) -> Source {
+fn source(settings: &RouterSettings, hasher: &Hasher, tail: RecordTail) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
     let token = hasher.hash(operator::PEER_TOKEN_LABEL);
     let own = Some(&settings.listen);
