--- a/crates/corianderstand_agent/src/calls.rs
+++ b/crates/corianderstand_agent/src/calls.rs
@@ -4,7 +4,7 @@
     event::Request,
     run::{Finish, JobRunner, Target, failed},
 };
-use corianderstand_control::appender::{AppendError, Decided};
+use corianderstand_control::appender::{AppendError, FoldedAppend};
 use corianderstand_edge::{
     EdgeError,
     service::{Call, ServiceResponse},
@@ -130,7 +130,7 @@
         if log_stalled || !snapshot.log_up {
             return Err(Finish::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
         }
-        let Some(Decided { offset, outcome }) = self.claim(runner, request).await else {
+        let Some(FoldedAppend { offset, outcome }) = self.claim(runner, request).await else {
             return Err(Finish::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
         };
         let before_deadline = is_before_deadline(runner, request);
@@ -151,7 +151,7 @@
 
     /// Claims the key; `None` if the log has not decided in time. If such a claim is applied
     /// later, the spawned task withdraws it, so that it never runs after its caller was refused.
-    async fn claim(&self, runner: &JobRunner, request: &Request) -> Option<Decided> {
+    async fn claim(&self, runner: &JobRunner, request: &Request) -> Option<FoldedAppend> {
         let (key, target) = (self.key.clone(), runner.name.clone());
         let body = Body::Claimed { key, digest: self.digest, target };
         let (tx, mut rx) = oneshot::channel();
@@ -179,8 +179,12 @@
         }
     }
 
-    async fn withdraw_late_claim(&self, runner: &JobRunner, decided: Result<Decided, AppendError>) {
-        let Ok(Decided { offset, outcome }) = decided else { return };
+    async fn withdraw_late_claim(
+        &self,
+        runner: &JobRunner,
+        decided: Result<FoldedAppend, AppendError>,
+    ) {
+        let Ok(FoldedAppend { offset, outcome }) = decided else { return };
         if claim::claim_action(&outcome, false, false) == ClaimAction::Withdraw {
             tracing::warn!(key = %self.key.key, "late claim withdrawn: the call does not run");
             self.record(runner, offset, None).await;
@@ -214,7 +218,7 @@
         let appender = runner.control.appender.clone();
         let record = tokio::spawn(async move {
             match appender.append(body, RECORD_APPEND_TIMEOUT).await {
-                Ok(Decided { outcome: Outcome::Applied, .. }) => {}
+                Ok(FoldedAppend { outcome: Outcome::Applied, .. }) => {}
                 other => tracing::error!(?other, "outcome of a call not recorded"),
             }
         });
--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -35,7 +35,7 @@
 
 /// The offset and outcome of a folded record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Decided {
+pub struct FoldedAppend {
     /// The offset of the record.
     pub offset: u64,
     /// The effect of the record on the state.
@@ -44,10 +44,10 @@
 
 struct QueuedAppend {
     body: Body,
-    decided: oneshot::Sender<Decided>,
+    decided: oneshot::Sender<FoldedAppend>,
 }
 
-type Pending = Arc<Mutex<BTreeMap<u64, oneshot::Sender<Decided>>>>;
+type Pending = Arc<Mutex<BTreeMap<u64, oneshot::Sender<FoldedAppend>>>>;
 
 /// Queues records for the control thread to append.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
     ///
     /// [`AppendError::Full`] if the queue is full; [`AppendError::Undecided`] after `timeout`, in
     /// which case the record may still take effect.
-    pub async fn append(&self, body: Body, timeout: Duration) -> Result<Decided, AppendError> {
+    pub async fn append(&self, body: Body, timeout: Duration) -> Result<FoldedAppend, AppendError> {
         let (decided, rx) = oneshot::channel();
         self.tx.try_send(QueuedAppend { body, decided }).map_err(|_| AppendError::Full)?;
         match time::timeout(timeout, rx).await {
@@ -109,7 +109,7 @@
     (Appender { tx }, AppendQueue { rx, pending, identity }, notifier)
 }
 
-fn lock(pending: &Pending) -> MutexGuard<'_, BTreeMap<u64, oneshot::Sender<Decided>>> {
+fn lock(pending: &Pending) -> MutexGuard<'_, BTreeMap<u64, oneshot::Sender<FoldedAppend>>> {
     pending.lock().expect("no holder of this lock panics")
 }
 
@@ -122,7 +122,7 @@
             return;
         }
         if let Some(tx) = lock(&self.pending).remove(&record.sequence) {
-            drop(tx.send(Decided { offset, outcome: outcome.clone() }));
+            drop(tx.send(FoldedAppend { offset, outcome: outcome.clone() }));
         }
     }
 }
