--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Agent, KeepAlive, loads::LoadDemand};
 use crate::{
-    history::{self, Histories, PrewarmWindow},
+    history::{self, CallHistories, PrewarmWindow},
     ledger::{Ledger, Stage},
     request::SchedulingConfig,
 };
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct KeepAliveState {
-    histories: Histories,
+    histories: CallHistories,
     unix_time_origin: Option<(Instant, u64)>,
     expiries: BTreeSet<(Instant, Weights)>,
     expiry_by_weights: BTreeMap<Weights, Instant>,
@@ -47,11 +47,11 @@
         self.rescan = true;
     }
 
-    pub const fn histories(&self) -> &Histories {
+    pub const fn histories(&self) -> &CallHistories {
         &self.histories
     }
 
-    pub fn merge(&mut self, histories: Histories) {
+    pub fn merge(&mut self, histories: CallHistories) {
         self.histories.merge(histories);
     }
 
@@ -145,7 +145,7 @@
             KeepAlive::Fixed(time) => time,
             KeepAlive::Adaptive => {
                 let cost = self.cold_start_cost(weights, config);
-                let unknown = history::History::default();
+                let unknown = history::CallHistory::default();
                 self.keep_alive.histories.find(weights).unwrap_or(&unknown).keep_alive_time(cost)
             }
         }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -12,7 +12,7 @@
 mod tests;
 
 use crate::{
-    history::Histories,
+    history::CallHistories,
     ledger::Ledger,
     pacing::LoadRequest,
     queue::{Length, Queue, QueueDiscipline, QueuedRequest},
@@ -187,12 +187,12 @@
     }
 
     /// Call histories by model, for replication to a peer.
-    pub const fn histories(&self) -> &Histories {
+    pub const fn histories(&self) -> &CallHistories {
         self.keep_alive.histories()
     }
 
     /// Merges the call histories that a peer kept.
-    pub fn merge_histories(&mut self, histories: Histories) {
+    pub fn merge_histories(&mut self, histories: CallHistories) {
         self.keep_alive.merge(histories);
     }
 
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -1,7 +1,7 @@
 //! Call histories of models, and predictions of their next call.
 //!
 //! Each history keeps an exponentially decayed histogram of the gaps between calls and the times of
-//! day of calls after a long idle period. Histories are bounded in size and serialisable, so that a
+//! day of calls after a long idle period. CallHistories are bounded in size and serialisable, so that a
 //! peer can keep them across a restart.
 
 #[cfg(test)]
@@ -33,14 +33,14 @@
 
 /// Call statistics of one model.
 #[derives(wire)]
-pub struct History {
+pub struct CallHistory {
     gaps: Vec<f32>,
     last_call: Option<u64>,
     day: u64,
     wakes: Wakes,
 }
 
-impl Default for History {
+impl Default for CallHistory {
     fn default() -> Self {
         Self { gaps: vec![0.0; GAP_BUCKETS], last_call: None, day: 0, wakes: Wakes::default() }
     }
@@ -58,7 +58,7 @@
     ((bucket as f64 + 1.0) / 2.0).exp2()
 }
 
-impl History {
+impl CallHistory {
     /// Records a call at `unix_s`, in seconds since the Unix epoch.
     pub fn record_call(&mut self, unix_s: u64) {
         self.decay(unix_s);
@@ -127,11 +127,11 @@
 /// Call histories by weights, of all models that an agent has served.
 #[derives(wire)]
 #[derive(Default)]
-pub struct Histories {
-    by_weights: BTreeMap<Weights, History>,
+pub struct CallHistories {
+    by_weights: BTreeMap<Weights, CallHistory>,
 }
 
-impl Histories {
+impl CallHistories {
     /// Records a call at `unix_s`, in seconds since the Unix epoch.
     pub fn record_call(&mut self, weights: &Weights, unix_s: u64) {
         if !self.by_weights.contains_key(weights) && self.by_weights.len() >= MAX_HISTORIES {
@@ -148,12 +148,12 @@
     }
 
     /// The history of these weights, if any.
-    pub fn find(&self, weights: &Weights) -> Option<&History> {
+    pub fn find(&self, weights: &Weights) -> Option<&CallHistory> {
         self.by_weights.get(weights)
     }
 
     /// Iterates over all histories.
-    pub fn iter(&self) -> impl Iterator<Item = (&Weights, &History)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Weights, &CallHistory)> {
         self.by_weights.iter()
     }
 
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -1,6 +1,6 @@
 //! Predictions from synthetic call histories.
 
-use super::{Histories, History, MAX_HISTORIES, cold_start_cost, wakes::DAY_S};
+use super::{CallHistories, CallHistory, MAX_HISTORIES, cold_start_cost, wakes::DAY_S};
 use corianderstand_types::weights::Weights;
 use rstest::rstest;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 /// Calls a minute apart for an hour a day: the keep-alive covers the gaps but not the night.
 #[rstest]
 fn keep_alive_covers_gaps_in_a_session_but_not_nights() {
-    let mut history = History::default();
+    let mut history = CallHistory::default();
     for day in 0..7 {
         for minute in 0..60 {
             history.record_call(day * DAY_S + 7 * 3600 + minute * 60);
@@ -22,7 +22,7 @@
 
 #[rstest]
 fn a_costlier_cold_start_extends_the_keep_alive() {
-    let mut history = History::default();
+    let mut history = CallHistory::default();
     let mut at = 0;
     for step in 0..200 {
         at += 30 + step * 37 % 3000;
@@ -36,7 +36,7 @@
 /// Guards against prewarming on a weekly day without calls.
 #[rstest]
 fn a_weekly_day_off_is_not_prewarmed() {
-    let mut history = History::default();
+    let mut history = CallHistory::default();
     for day in (0..13).filter(|day| day % 7 != 6) {
         history.record_call(day * DAY_S + 7 * 3600 + day * 60);
     }
@@ -49,7 +49,7 @@
 
 #[rstest]
 fn irregular_calls_are_not_prewarmed() {
-    let mut history = History::default();
+    let mut history = CallHistory::default();
     for (day, hour) in [(0, 3), (1, 11), (3, 18), (6, 7), (8, 22), (11, 14)] {
         history.record_call(day * DAY_S + hour * 3600);
     }
@@ -59,7 +59,7 @@
 /// Guards against unbounded growth, and against losing histories kept by a peer.
 #[rstest]
 fn histories_are_bounded_and_merge() {
-    let mut histories = Histories::default();
+    let mut histories = CallHistories::default();
     let weights = |number: usize| Weights::model(format!("m{number}").as_str().into(), "1".into());
     for number in 0..MAX_HISTORIES + 10 {
         histories.record_call(&weights(number), number as u64);
@@ -67,7 +67,7 @@
     }
     assert_eq!(histories.iter().count(), MAX_HISTORIES);
     assert!(histories.find(&weights(0)).is_none());
-    let mut fresh = Histories::default();
+    let mut fresh = CallHistories::default();
     fresh.record_call(&weights(500), 1);
     fresh.merge(histories.clone());
     assert_eq!(fresh.find(&weights(500)), histories.find(&weights(500)));
