--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -77,13 +77,13 @@
     }
 
     /// Reserved memory, including entries of unknown outcome.
-    pub fn committed(&self) -> Mib {
+    pub fn reserved_memory(&self) -> Mib {
         Mib(self.entries.values().map(|entry| entry.memory.0).sum())
     }
 
-    /// Memory that is not reserved.
-    pub fn free(&self) -> Mib {
-        Mib(self.capacity.0.saturating_sub(self.committed().0))
+    /// Unreserved memory.
+    pub fn free_memory(&self) -> Mib {
+        Mib(self.capacity.0.saturating_sub(self.reserved_memory().0))
     }
 
     /// Total memory of the engine.
@@ -116,8 +116,10 @@
         if self.entries.contains_key(weights) {
             return Err(LedgerError::AlreadyReserved);
         }
-        if memory > self.free() {
-            return Err(LedgerError::InsufficientMemory { missing: Mib(memory.0 - self.free().0) });
+        if memory > self.free_memory() {
+            return Err(LedgerError::InsufficientMemory {
+                missing: Mib(memory.0 - self.free_memory().0),
+            });
         }
         self.insert(weights.clone(), memory, Stage::Loading);
         Ok(())
--- a/crates/corianderstand_decide/src/ledger/tests.rs
+++ b/crates/corianderstand_decide/src/ledger/tests.rs
@@ -53,7 +53,7 @@
     let (mut ledger, clock) = ledger_with_unknown();
     ledger.set_stage(&model("a"), Stage::Ready);
     ledger.reconcile(clock.now(), ledger.version(), &[]);
-    assert_eq!(ledger.free(), Mib(100));
+    assert_eq!(ledger.free_memory(), Mib(100));
 }
 
 /// Weights loaded by another process, such as a previous agent, count as used memory.
@@ -62,5 +62,5 @@
     let (mut ledger, clock) = ledger_with_unknown();
     let loaded = [(model("a"), Mib(60), true), (model("z"), Mib(30), true)];
     ledger.reconcile(clock.now(), ledger.version(), &loaded);
-    assert_eq!(ledger.free(), Mib(10));
+    assert_eq!(ledger.free_memory(), Mib(10));
 }
