--- a/crates/corianderstand_agent/src/decide.rs
+++ b/crates/corianderstand_agent/src/decide.rs
@@ -130,7 +130,7 @@
             self.releaser.loadable_models(state, &snapshot.view, &self.target, leaving, &in_use);
         if loadable_models != self.loadable_models {
             self.loadable_models.clone_from(&loadable_models);
-            self.agent.set_slots(loadable_models.clone());
+            self.agent.set_replica_slots(loadable_models.clone());
         }
         let ledger = self.agent.ledger();
         let releases =
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -171,7 +171,7 @@
     }
 
     /// Sets the models for which this target owns a replica slot.
-    pub fn set_slots(&mut self, slots: BTreeSet<ModelId>) {
+    pub fn set_replica_slots(&mut self, slots: BTreeSet<ModelId>) {
         self.slots = slots;
         self.keep_alive.request_rescan();
     }
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -67,7 +67,7 @@
         let limits = Limits { concurrency, queue: 64 };
         let mut agent = Agent::with_policy(limits, Mib(models * MODEL_MIB), policy);
         let slots = ["a", "b", "c", "d"].into_iter().map(ModelId::from);
-        agent.set_slots(slots.collect::<BTreeSet<_>>());
+        agent.set_replica_slots(slots.collect::<BTreeSet<_>>());
         let mut harness =
             Self { agent, config: TestConfig::default(), clock: ManualClock::default() };
         let now = harness.now();
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -170,7 +170,7 @@
     }
 
     /// Sets the targets that own replica slots of each model.
-    pub fn set_owners(&mut self, owners: BTreeMap<ModelId, Vec<TargetKey>>) {
+    pub fn set_replica_slot_owners(&mut self, owners: BTreeMap<ModelId, Vec<TargetKey>>) {
         let known = std::mem::take(&mut self.by_model);
         self.by_model = self.build_rings(known, owners);
     }
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -31,7 +31,7 @@
         let keys: Vec<TargetKey> =
             (0..targets).map(|number| router.add_target(&name(number), &"conce".into())).collect();
         keys.iter().for_each(|key| router.set_connected(*key, true));
-        router.set_owners(BTreeMap::from([("a".into(), keys.clone())]));
+        router.set_replica_slot_owners(BTreeMap::from([("a".into(), keys.clone())]));
         router.set_services(BTreeMap::from([("agenda".into(), keys.clone())]));
         Self { router, clock: ManualClock::default(), keys }
     }
--- a/crates/corianderstand_replay/src/engines.rs
+++ b/crates/corianderstand_replay/src/engines.rs
@@ -106,7 +106,7 @@
     pub fn new(spec: &EngineSpec, strategy: &Strategy, slots: BTreeSet<ModelId>) -> Self {
         let limits = Limits { concurrency: spec.concurrency, queue: QUEUE_LIMIT };
         let mut agent = Agent::with_policy(limits, Mib(spec.memory_mib), strategy.policy);
-        agent.set_slots(slots);
+        agent.set_replica_slots(slots);
         agent.set_coordinated(strategy.coordinated);
         Self {
             spec: spec.clone(),
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -166,7 +166,7 @@
                 (model.clone(), engines.iter().map(|e| self.target_keys[*e]).collect())
             })
             .collect();
-        self.routers.iter_mut().for_each(|router| router.set_owners(owners.clone()));
+        self.routers.iter_mut().for_each(|router| router.set_replica_slot_owners(owners.clone()));
     }
 
     fn handle(&mut self, event: Event) {
--- a/crates/corianderstand_replay/src/replay/faults.rs
+++ b/crates/corianderstand_replay/src/replay/faults.rs
@@ -63,7 +63,7 @@
         }
         for engine in 0..self.engines.len() {
             let slots = owned_models(&self.slots, engine);
-            self.engines[engine].agent.set_slots(slots);
+            self.engines[engine].agent.set_replica_slots(slots);
         }
         self.publish_owners();
     }
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -78,7 +78,7 @@
                 owners.entry(slot.model.clone()).or_default().push(key);
             }
         }
-        self.router.set_owners(owners);
+        self.router.set_replica_slot_owners(owners);
     }
 
     fn refresh_targets(&mut self, snapshot: &Snapshot) {
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -79,7 +79,7 @@
         let owners = keys.iter().skip(model % 2).step_by(2).copied().collect();
         (ModelId::from(format!("model-{model}").as_str()), owners)
     };
-    router.set_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
+    router.set_replica_slot_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
     let specs: Vec<RequestSpec> = (0..1024)
         .map(|number| {
             request_spec(
@@ -105,7 +105,7 @@
     let clock = ManualClock::default();
     let limits = Limits { concurrency: 16, queue: queued as u32 + 64 };
     let mut agent = Agent::new(limits, Mib(1_000_000));
-    agent.set_slots(BTreeSet::from(["model-0".into()]));
+    agent.set_replica_slots(BTreeSet::from(["model-0".into()]));
     let base = Weights::model("model-0".into(), "1".into());
     let adapter = |number: usize| Weights {
         adapter: Some(format!("adapter-{number}").as_str().into()),
