--- a/crates/corianderstand_agent/src/shape.rs
+++ b/crates/corianderstand_agent/src/shape.rs
@@ -1,6 +1,6 @@
 //! Estimates the length of a request from its body.
 
-use corianderstand_decide::request::Shape;
+use corianderstand_decide::request::RequestShape;
 use corianderstand_schema::messages::Operation;
 use serde::Deserialize;
 
@@ -11,13 +11,13 @@
 }
 
 /// Returns the shape of a request, without the session prefix, which only routers use.
-pub fn request_shape(operation: &Operation, body: &[u8]) -> Shape {
+pub fn request_shape(operation: &Operation, body: &[u8]) -> RequestShape {
     let chat = match operation {
         Operation::Chat { .. } => true,
         Operation::Completion { .. } => false,
-        Operation::Call { .. } => return Shape::default(),
+        Operation::Call { .. } => return RequestShape::default(),
     };
     let limits: Option<TokenLimits> = serde_json::from_slice(body).ok();
     let tokens = limits.and_then(|limits| limits.max_completion_tokens.or(limits.max_tokens));
-    Shape { prefix: None, ..Shape::of(tokens, chat, b"") }
+    RequestShape { prefix: None, ..RequestShape::of(tokens, chat, b"") }
 }
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -4,7 +4,7 @@
 use crate::{
     queue::Length,
     request::{
-        CostFactors, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig, Shape,
+        CostFactors, Refusal, RequestKey, RequestShape, RequestSpec, Requirement, SchedulingConfig,
         StoreLimits,
     },
 };
@@ -93,7 +93,7 @@
             urgency: 1,
             deadline: self.now() + Duration::from_secs(seconds),
             repeatable: true,
-            shape: Shape { length, prefix: None },
+            shape: RequestShape { length, prefix: None },
         }
     }
 
--- a/crates/corianderstand_decide/src/request.rs
+++ b/crates/corianderstand_decide/src/request.rs
@@ -46,19 +46,19 @@
     /// Whether it may be retried on another target after one may have started it.
     pub repeatable: bool,
     /// Expected length and prompt prefix.
-    pub shape: Shape,
+    pub shape: RequestShape,
 }
 
 /// Properties of a request that are derived from its body.
 #[derives(key)]
-pub struct Shape {
+pub struct RequestShape {
     /// Expected run-time class.
     pub length: Length,
     /// Hash of the start of the prompt; requests with the same hash can share a cached prefix.
     pub prefix: Option<u64>,
 }
 
-impl Default for Shape {
+impl Default for RequestShape {
     fn default() -> Self {
         Self { length: Length::Short, prefix: None }
     }
@@ -69,7 +69,7 @@
 /// Length of the prompt prefix that is hashed to identify a session.
 pub const PREFIX_BYTES: usize = 1024;
 
-impl Shape {
+impl RequestShape {
     /// Classifies a request; a chat without a token limit is long.
     pub fn of(max_tokens: Option<u64>, chat: bool, prompt: &[u8]) -> Self {
         let long = max_tokens.map_or(chat, |tokens| tokens > LONG_ANSWER_TOKENS);
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -1,7 +1,7 @@
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
     queue::Length,
-    request::{Refusal, RequestKey, RequestSpec, Requirement, Shape},
+    request::{Refusal, RequestKey, RequestShape, RequestSpec, Requirement},
 };
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::{
@@ -46,7 +46,7 @@
             urgency: 1,
             deadline: self.clock.now() + Duration::from_secs(600),
             repeatable: true,
-            shape: Shape { length: Length::Short, prefix },
+            shape: RequestShape { length: Length::Short, prefix },
         }
     }
 
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -15,8 +15,8 @@
     pacing::Coordinator,
     queue::Length,
     request::{
-        self, LONG_ANSWER_TOKENS, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig,
-        Shape,
+        self, LONG_ANSWER_TOKENS, Refusal, RequestKey, RequestShape, RequestSpec, Requirement,
+        SchedulingConfig,
     },
     router::{Decision, Router, TargetKey},
 };
@@ -244,7 +244,7 @@
             urgency: call.urgency,
             deadline: self.start + caller.deadline,
             repeatable: true,
-            shape: Shape { length, prefix: call.session },
+            shape: RequestShape { length, prefix: call.session },
         }
     }
 
--- a/crates/corianderstand_router/src/call/tests.rs
+++ b/crates/corianderstand_router/src/call/tests.rs
@@ -4,7 +4,7 @@
     problem::Problem,
 };
 use bytes::Bytes;
-use corianderstand_decide::request::{Refusal, RequestSpec, Requirement, Shape};
+use corianderstand_decide::request::{Refusal, RequestShape, RequestSpec, Requirement};
 use corianderstand_schema::messages::{Ending, OpenStream, Operation, RefusalReason};
 use corianderstand_types::names::{ServiceId, WorkspaceId};
 use rstest::rstest;
@@ -29,7 +29,7 @@
             urgency: 1,
             deadline,
             repeatable,
-            shape: Shape::default(),
+            shape: RequestShape::default(),
         };
         let operation = Operation::Call {
             service,
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -30,7 +30,7 @@
     adapter: Option<Weights>,
     name: String,
     stream: bool,
-    shape: request::Shape,
+    shape: request::RequestShape,
     include_usage: bool,
     body: Bytes,
 }
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -17,7 +17,7 @@
     snapshot::Snapshot,
     start::ControlHandle,
 };
-use corianderstand_decide::request::{RequestSpec, Requirement, Shape};
+use corianderstand_decide::request::{RequestShape, RequestSpec, Requirement};
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
     messages::{OpenStream, Operation, RefusalReason},
@@ -365,7 +365,7 @@
         repeatable: bool,
     ) -> (RequestSpec, OpenStream) {
         let deadline = self.clock.now() + budget;
-        let shape = Shape::default();
+        let shape = RequestShape::default();
         let spec = RequestSpec {
             team: self.team.clone(),
             requirement,
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -110,13 +110,13 @@
 
     /// Returns the length and the prefix for routing. The first messages identify a session's
     /// cached prompt.
-    pub fn shape(&self, chat: bool) -> request::Shape {
+    pub fn shape(&self, chat: bool) -> request::RequestShape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
         let text = |index: usize| content(index).unwrap_or_default();
         let prefix = format!("{}\n{}", text(0), text(1));
         let tokens = self.max_completion_tokens.or(self.max_tokens).map(u64::from);
-        request::Shape::of(tokens, chat, prefix.as_bytes())
+        request::RequestShape::of(tokens, chat, prefix.as_bytes())
     }
 
     fn check(&self, chat: bool) -> Result<(), Problem> {
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -2,7 +2,7 @@
 
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
-    request::{RequestSpec, Requirement, SchedulingConfig, Shape},
+    request::{RequestShape, RequestSpec, Requirement, SchedulingConfig},
     router::{Decision, Router, TargetKey},
 };
 use corianderstand_schema::messages::Load;
@@ -52,7 +52,7 @@
         urgency: 1,
         deadline: clock.now() + Duration::from_secs(600),
         repeatable: true,
-        shape: Shape { prefix, ..Shape::default() },
+        shape: RequestShape { prefix, ..RequestShape::default() },
     }
 }
 
