--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -94,7 +94,7 @@
             return Some(Refusal { reason: RefusalReason::Draining, retry_after: MIN_RETRY_AFTER });
         }
         if let Requirement::Weights { base, .. } = &spec.requirement
-            && !self.slots.contains(&base.model)
+            && !self.replica_slots.contains(&base.model)
         {
             return Some(Refusal {
                 reason: RefusalReason::NotLoaded,
@@ -143,7 +143,7 @@
         config: &dyn SchedulingConfig,
     ) -> Duration {
         let remaining = |weights| {
-            if self.is_usable(weights) {
+            if self.is_ready(weights) {
                 return Duration::ZERO;
             }
             self.loads.remaining(now, weights, config.load_time(weights))
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -24,15 +24,15 @@
     expiry_by_weights: BTreeMap<Weights, Instant>,
     pending_unloads: BTreeSet<Weights>,
     next_prewarm_scan: Option<Instant>,
-    rescan: bool,
-    windows: BTreeMap<Weights, CachedWindow>,
+    is_rescan_requested: bool,
+    windows: BTreeMap<Weights, CachedPrewarmWindow>,
 }
 
-/// A prewarm window, valid until `until` (in Unix seconds) or the model's next call.
+/// A prewarm window, cached until `valid_until_unix_s` or the model's next call.
 #[derive(Clone, Copy, Debug)]
-struct CachedWindow {
+struct CachedPrewarmWindow {
     window: Option<PrewarmWindow>,
-    until: u64,
+    valid_until_unix_s: u64,
 }
 
 const NO_WINDOW_TTL_S: u64 = 3600;
@@ -44,7 +44,7 @@
     }
 
     pub const fn request_rescan(&mut self) {
-        self.rescan = true;
+        self.is_rescan_requested = true;
     }
 
     pub const fn histories(&self) -> &CallHistories {
@@ -126,7 +126,7 @@
         {
             return;
         }
-        if !self.slots.contains(&base.model) {
+        if !self.replica_slots.contains(&base.model) {
             // Without a slot it would be an unplanned replica.
             self.keep_alive.set_expiry(&base, now);
             return;
@@ -163,10 +163,11 @@
         config: &dyn SchedulingConfig,
     ) -> Option<(Instant, Instant)> {
         let unix_s = self.keep_alive.unix_s(now);
-        let PrewarmWindow { from, until } = self.prewarm_window(unix_s, weights, config)?;
+        let PrewarmWindow { start_unix_s, end_unix_s } =
+            self.prewarm_window(unix_s, weights, config)?;
         let lead = config.load_time(weights) * PREWARM_LEAD_LOADS;
-        let begin = Duration::from_secs(from.saturating_sub(unix_s)).saturating_sub(lead);
-        let end = Duration::from_secs(until.saturating_sub(unix_s));
+        let begin = Duration::from_secs(start_unix_s.saturating_sub(unix_s)).saturating_sub(lead);
+        let end = Duration::from_secs(end_unix_s.saturating_sub(unix_s));
         begin.is_zero().then_some((now + begin, now + end))
     }
 
@@ -177,14 +178,17 @@
         config: &dyn SchedulingConfig,
     ) -> Option<PrewarmWindow> {
         if let Some(cached) = self.keep_alive.windows.get(weights)
-            && unix_s < cached.until
+            && unix_s < cached.valid_until_unix_s
         {
             return cached.window;
         }
         let history = self.keep_alive.histories.find(weights)?;
         let window = history.prewarm_window(unix_s, self.cold_start_cost(weights, config));
-        let until = window.map_or(unix_s + NO_WINDOW_TTL_S, |window| window.until);
-        self.keep_alive.windows.insert(weights.clone(), CachedWindow { window, until });
+        let valid_until_unix_s =
+            window.map_or(unix_s + NO_WINDOW_TTL_S, |window| window.end_unix_s);
+        self.keep_alive
+            .windows
+            .insert(weights.clone(), CachedPrewarmWindow { window, valid_until_unix_s });
         window
     }
 
@@ -195,7 +199,7 @@
         config: &dyn SchedulingConfig,
         actions: &mut Vec<Action>,
     ) {
-        if std::mem::take(&mut self.keep_alive.rescan) {
+        if std::mem::take(&mut self.keep_alive.is_rescan_requested) {
             self.rescan_idle(now, config);
         }
         while let Some((at, weights)) = self.keep_alive.expiries.first().cloned() {
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Schedules expiries for all loaded models, as after a restart or a change of slots.
+    /// Schedules expiries for all loaded models, as after a restart or a change of replica slots.
     fn rescan_idle(&mut self, now: Instant, config: &dyn SchedulingConfig) {
         let ready =
             self.ledger.entries().filter(|(w, e)| e.stage == Stage::Ready && w.adapter.is_none());
@@ -230,7 +234,7 @@
     fn prewarm(&mut self, now: Instant, config: &dyn SchedulingConfig) {
         let known = self.keep_alive.histories.iter().map(|(weights, _)| weights);
         let cold = known.filter(|weights| {
-            self.slots.contains(&weights.model) && self.ledger.find(weights).is_none()
+            self.replica_slots.contains(&weights.model) && self.ledger.find(weights).is_none()
         });
         let cold: Vec<Weights> = cold.cloned().collect();
         for weights in cold {
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -44,15 +44,15 @@
 
 #[derives(data)]
 struct StartedLoad {
-    at: Instant,
-    expected: Duration,
+    started_at: Instant,
+    expected_load_time: Duration,
     by_limiter: bool,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
     limiter: LoadLimiter,
-    coordinated: bool,
+    has_coordinator: bool,
     unreserved: BTreeSet<Weights>,
     demands: BTreeMap<Weights, LoadDemand>,
     pending: BTreeMap<Weights, PendingLoad>,
@@ -60,7 +60,7 @@
     retries: BTreeMap<Weights, (Instant, bool)>,
     without_capacity: BTreeMap<Weights, Instant>,
     waiting: BTreeMap<Weights, u32>,
-    slowdown: f64,
+    slowdown_ratio: f64,
 }
 
 const SLOWDOWN_SMOOTHING_RATIO: f64 = 0.5;
@@ -69,7 +69,7 @@
     fn default() -> Self {
         Self {
             limiter: LoadLimiter::new(StoreLimits::default()),
-            coordinated: false,
+            has_coordinator: false,
             unreserved: BTreeSet::new(),
             demands: BTreeMap::new(),
             pending: BTreeMap::new(),
@@ -77,7 +77,7 @@
             retries: BTreeMap::new(),
             without_capacity: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            slowdown: 1.0,
+            slowdown_ratio: 1.0,
         }
     }
 }
@@ -88,7 +88,7 @@
     }
 
     pub const fn set_coordinated(&mut self, coordinated: bool) {
-        self.coordinated = coordinated;
+        self.has_coordinator = coordinated;
     }
 
     pub fn begin_waiting(&mut self, weights: &Weights) {
@@ -111,11 +111,11 @@
         match self.started.get(weights) {
             // An overdue load is expected to take as long again.
             Some(started) => {
-                let took = now.saturating_duration_since(started.at);
-                let expected = started.expected.mul_f64(self.slowdown);
+                let took = now.saturating_duration_since(started.started_at);
+                let expected = started.expected_load_time.mul_f64(self.slowdown_ratio);
                 expected.checked_sub(took).unwrap_or(took)
             }
-            None => load_time.mul_f64(self.slowdown),
+            None => load_time.mul_f64(self.slowdown_ratio),
         }
     }
 
@@ -130,7 +130,7 @@
 
     fn next_start_of(&self, pending: &PendingLoad) -> Option<Instant> {
         let limiter_start = self.limiter.next_start();
-        if !self.coordinated {
+        if !self.has_coordinator {
             return limiter_start;
         }
         let grant_deadline = pending.requested_at + GRANT_TIMEOUT;
@@ -143,7 +143,7 @@
 
     fn observe(&mut self, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
-        self.slowdown += (ratio.max(1.0) - self.slowdown) * SLOWDOWN_SMOOTHING_RATIO;
+        self.slowdown_ratio += (ratio.max(1.0) - self.slowdown_ratio) * SLOWDOWN_SMOOTHING_RATIO;
     }
 
     pub fn record_demand(&mut self, weights: &Weights, demand: LoadDemand) {
@@ -175,7 +175,7 @@
         spec: &RequestSpec,
         config: &dyn SchedulingConfig,
     ) {
-        let Some(weights) = self.missing(spec) else { return };
+        let Some(weights) = self.missing_weights(spec) else { return };
         if self.ledger.find(&weights).is_some() {
             return;
         }
@@ -250,7 +250,7 @@
             Ok(()) => {
                 self.loads.unreserved.remove(weights);
                 self.loads.without_capacity.remove(weights);
-                if self.loads.coordinated {
+                if self.loads.has_coordinator {
                     actions.push(Action::RequestLoadGrant(self.grant_request(weights, &pending)));
                 }
                 self.loads.pending.insert(weights.clone(), pending);
@@ -317,15 +317,16 @@
         for (.., weights) in ranked {
             let pending = &self.loads.pending[&weights];
             let awaiting_grant =
-                self.loads.coordinated && now < pending.requested_at + GRANT_TIMEOUT;
+                self.loads.has_coordinator && now < pending.requested_at + GRANT_TIMEOUT;
             let by_limiter =
                 !pending.granted && !awaiting_grant && self.loads.limiter.try_start(now);
             if pending.granted || by_limiter {
-                let (memory, expected) = (pending.memory, pending.load_time);
+                let (memory, expected_load_time) = (pending.memory, pending.load_time);
                 self.loads.pending.remove(&weights);
-                self.loads
-                    .started
-                    .insert(weights.clone(), StartedLoad { at: now, expected, by_limiter });
+                self.loads.started.insert(
+                    weights.clone(),
+                    StartedLoad { started_at: now, expected_load_time, by_limiter },
+                );
                 actions.push(Action::Load(weights, memory));
             }
         }
@@ -361,8 +362,9 @@
             let stage = if load { Stage::Loading } else { Stage::Unloading };
             self.ledger.set_stage(&weights, stage);
             if load {
-                let expected = config.load_time(&weights);
-                let started = StartedLoad { at: now, expected, by_limiter: false };
+                let expected_load_time = config.load_time(&weights);
+                let started =
+                    StartedLoad { started_at: now, expected_load_time, by_limiter: false };
                 self.loads.started.insert(weights.clone(), started);
                 actions.push(Action::Load(weights, memory));
             } else {
@@ -380,10 +382,10 @@
         config: &dyn SchedulingConfig,
     ) -> Vec<Action> {
         if let Some(started) = self.loads.started.remove(weights) {
-            let took = now.saturating_duration_since(started.at);
-            self.loads.observe(took, started.expected);
+            let took = now.saturating_duration_since(started.started_at);
+            self.loads.observe(took, started.expected_load_time);
             if started.by_limiter {
-                self.loads.limiter.ended(took, started.expected, outcome == Some(true));
+                self.loads.limiter.ended(took, started.expected_load_time, outcome == Some(true));
             }
         }
         let mut actions = Vec::new();
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -111,13 +111,13 @@
     queue: Queue,
     requests: SlotMap<RequestKey, HeldRequest>,
     model_users: BTreeMap<ModelId, u32>,
-    slots: BTreeSet<ModelId>,
+    replica_slots: BTreeSet<ModelId>,
     draining: bool,
     run_times: [admit::RunTimeEstimate; 2],
     retry_schedule: admit::RetrySchedule,
     loads: loads::Loads,
     keep_alive: keep_alive::KeepAliveState,
-    next_shed: Option<Instant>,
+    next_shed_scan_at: Option<Instant>,
 }
 
 impl Agent {
@@ -135,13 +135,13 @@
             queue: Queue::new(limits.concurrency, policy.discipline),
             requests: SlotMap::with_key(),
             model_users: BTreeMap::new(),
-            slots: BTreeSet::new(),
+            replica_slots: BTreeSet::new(),
             draining: false,
             run_times: admit::RunTimeEstimate::initial(),
             retry_schedule: admit::RetrySchedule::default(),
             loads: loads::Loads::default(),
             keep_alive: keep_alive::KeepAliveState::default(),
-            next_shed: None,
+            next_shed_scan_at: None,
         }
     }
 
@@ -171,8 +171,8 @@
     }
 
     /// Sets the models for which this target owns a replica slot.
-    pub fn set_replica_slots(&mut self, slots: BTreeSet<ModelId>) {
-        self.slots = slots;
+    pub fn set_replica_slots(&mut self, replica_slots: BTreeSet<ModelId>) {
+        self.replica_slots = replica_slots;
         self.keep_alive.request_rescan();
     }
 
@@ -250,10 +250,10 @@
     ) -> (RequestKey, Vec<Action>) {
         self.queue.set_total_shares(config.total_shares());
         self.loads.set_store(config.store());
-        let waiting = self.waiting(&spec);
+        let waiting = self.queued_request(&spec);
         let refusal = self.refusal(now, &spec, &waiting, config);
         if let Requirement::Weights { base, .. } = &spec.requirement
-            && self.slots.contains(&base.model)
+            && self.replica_slots.contains(&base.model)
         {
             self.keep_alive.record_call(now, base);
         }
@@ -279,26 +279,26 @@
         }
         let key = self.requests.insert(HeldRequest { spec, started_at: None });
         self.queue.push(key, share, waiting);
-        self.next_shed.get_or_insert(now + SHED_SCAN_INTERVAL);
+        self.next_shed_scan_at.get_or_insert(now + SHED_SCAN_INTERVAL);
         (key, self.step(now, config))
     }
 
-    fn waiting(&self, spec: &RequestSpec) -> QueuedRequest {
+    fn queued_request(&self, spec: &RequestSpec) -> QueuedRequest {
         QueuedRequest {
             team: spec.team.clone(),
             length: spec.shape.length,
             urgency: spec.urgency,
             deadline: spec.deadline,
-            missing: self.missing(spec),
+            missing: self.missing_weights(spec),
         }
     }
 
     /// The first weights of a request that are not loaded; the base model precedes its adapter.
-    fn missing(&self, spec: &RequestSpec) -> Option<Weights> {
-        spec.weights().find(|weights| !self.is_usable(weights)).cloned()
+    fn missing_weights(&self, spec: &RequestSpec) -> Option<Weights> {
+        spec.weights().find(|weights| !self.is_ready(weights)).cloned()
     }
 
-    fn is_usable(&self, weights: &Weights) -> bool {
+    fn is_ready(&self, weights: &Weights) -> bool {
         self.ledger.is_ready(weights)
     }
 
@@ -307,7 +307,7 @@
         if held.started_at.is_some() {
             return;
         }
-        let missing = self.missing(&held.spec);
+        let missing = self.missing_weights(&held.spec);
         if let Some(weights) = &missing {
             self.record_missing(weights);
         }
@@ -367,7 +367,7 @@
 
     /// When [`Agent::step`] must be called next, if no event arrives before.
     pub fn next_wake(&self) -> Option<Instant> {
-        let shed = self.next_shed.filter(|_| !self.queue.is_empty());
+        let shed = self.next_shed_scan_at.filter(|_| !self.queue.is_empty());
         let wake_times =
             [self.queue.next_deadline(), shed, self.keep_alive.next_wake(), self.loads.next_wake()];
         wake_times.into_iter().flatten().min()
@@ -430,11 +430,11 @@
         actions: &mut Vec<Action>,
     ) {
         let mut late = self.queue.expired(now);
-        if self.next_shed.is_some_and(|at| now >= at) {
+        if self.next_shed_scan_at.is_some_and(|at| now >= at) {
             late.extend(
                 self.queue.infeasible(now, self.run_times.map(admit::RunTimeEstimate::mean)),
             );
-            self.next_shed = Some(now + SHED_SCAN_INTERVAL);
+            self.next_shed_scan_at = Some(now + SHED_SCAN_INTERVAL);
         }
         for key in late {
             if !self.requests.contains_key(key) {
@@ -445,7 +445,7 @@
             actions.push(self.refuse(now, key, refusal, config));
         }
         if self.queue.is_empty() {
-            self.next_shed = None;
+            self.next_shed_scan_at = None;
         }
     }
 
--- a/crates/corianderstand_decide/src/history/tests.rs
+++ b/crates/corianderstand_decide/src/history/tests.rs
@@ -42,9 +42,9 @@
     }
     let cost = cold_start_cost(LOAD_TIME, 80, 20);
     let workday = history.prewarm_window(14 * DAY_S, cost);
-    assert!(workday.is_some_and(|window| window.from / DAY_S == 14));
+    assert!(workday.is_some_and(|window| window.start_unix_s / DAY_S == 14));
     let day_off = history.prewarm_window(13 * DAY_S, cost);
-    assert!(day_off.is_none_or(|window| window.from / DAY_S != 13), "{day_off:?}");
+    assert!(day_off.is_none_or(|window| window.start_unix_s / DAY_S != 13), "{day_off:?}");
 }
 
 #[rstest]
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -19,9 +19,9 @@
 #[derives(key)]
 pub struct PrewarmWindow {
     /// Time at which the model should be ready, in seconds since the Unix epoch.
-    pub from: u64,
+    pub start_unix_s: u64,
     /// Time until which it should stay loaded, in seconds since the Unix epoch.
-    pub until: u64,
+    pub end_unix_s: u64,
 }
 
 #[derives(wire)]
@@ -63,15 +63,15 @@
         cluster_by_time_of_day(&recent)
             .into_iter()
             .filter_map(|cluster| best_window(&cluster, days_seen, cold_start_cost))
-            .map(|(from, until)| next_occurrence(unix_s, from, until))
+            .map(|(start_s, end_s)| next_occurrence(unix_s, start_s, end_s))
             .filter(|window| !self.idle_last_week(first, *window))
             .min()
     }
 
     fn idle_last_week(&self, first: u64, window: PrewarmWindow) -> bool {
-        let week_ago = window.from.saturating_sub(7 * DAY_S);
+        let week_ago = window.start_unix_s.saturating_sub(7 * DAY_S);
         let span = week_ago.saturating_sub(CLUSTER_GAP_S)
-            ..week_ago + CLUSTER_GAP_S + (window.until - window.from);
+            ..week_ago + CLUSTER_GAP_S + (window.end_unix_s - window.start_unix_s);
         week_ago > first && !self.times.iter().any(|time| span.contains(time))
     }
 }
@@ -100,23 +100,23 @@
         return None;
     }
     let misses = days_seen.saturating_sub(days.len()) as f64;
-    let until = cluster.last()? % DAY_S + WINDOW_SLACK_S;
-    let cost_from = |from: u64| -> f64 {
+    let end_s = cluster.last()? % DAY_S + WINDOW_SLACK_S;
+    let cost_starting_at = |start_s: u64| -> f64 {
         let of_wake = |wake: &u64| {
             let time = wake % DAY_S;
-            if time < from { cold_start_cost } else { (time - from) as f64 }
+            if time < start_s { cold_start_cost } else { (time - start_s) as f64 }
         };
-        cluster.iter().map(of_wake).sum::<f64>() + misses * (until - from) as f64
+        cluster.iter().map(of_wake).sum::<f64>() + misses * (end_s - start_s) as f64
     };
     let starts = cluster.iter().map(|wake| wake % DAY_S);
-    let best = starts.min_by(|a, b| cost_from(*a).total_cmp(&cost_from(*b)))?;
+    let best = starts.min_by(|a, b| cost_starting_at(*a).total_cmp(&cost_starting_at(*b)))?;
     let without_prewarm = cluster.len() as f64 * cold_start_cost;
-    (cost_from(best) < without_prewarm).then_some((best, until))
+    (cost_starting_at(best) < without_prewarm).then_some((best, end_s))
 }
 
 /// The occurrence of a daily window that ends first after `unix_s`.
-fn next_occurrence(unix_s: u64, from: u64, until: u64) -> PrewarmWindow {
+fn next_occurrence(unix_s: u64, start_s: u64, end_s: u64) -> PrewarmWindow {
     let today = unix_s - unix_s % DAY_S;
-    let day = if today + until > unix_s { today } else { today + DAY_S };
-    PrewarmWindow { from: day + from, until: day + until }
+    let day = if today + end_s > unix_s { today } else { today + DAY_S };
+    PrewarmWindow { start_unix_s: day + start_s, end_unix_s: day + end_s }
 }
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -27,7 +27,7 @@
     Long,
 }
 
-const LENGTHS: [Length; 2] = [Length::Short, Length::Long];
+const ALL_LENGTHS: [Length; 2] = [Length::Short, Length::Long];
 
 /// The order in which ready requests are dequeued.
 #[derives(key)]
@@ -300,7 +300,7 @@
         &'a self,
         team: &'a TeamQueue,
     ) -> impl Iterator<Item = DequeueCandidate> + 'a {
-        LENGTHS.into_iter().filter_map(move |length| {
+        ALL_LENGTHS.into_iter().filter_map(move |length| {
             let position = *team.ready[length as usize].first()?;
             let allowed = self.discipline == QueueDiscipline::Fifo || self.has_slot(length);
             allowed.then(|| self.dequeue_candidate(team, length, position))
@@ -396,12 +396,12 @@
 
     /// Returns the ready requests that would miss their deadline at the current mean run times, as
     /// when the target has slowed down since their admission. Linear in the ready requests.
-    pub fn infeasible(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
+    pub fn infeasible(&self, now: Instant, mean_run_times: [Duration; 2]) -> Vec<RequestKey> {
         if self.discipline == QueueDiscipline::Fifo {
             return Vec::new();
         }
-        let of = |length| self.infeasible_of_length(now, length, mean_runs[length as usize]);
-        LENGTHS.into_iter().flat_map(of).collect()
+        let of = |length| self.infeasible_of_length(now, length, mean_run_times[length as usize]);
+        ALL_LENGTHS.into_iter().flat_map(of).collect()
     }
 
     fn infeasible_of_length(
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -2,7 +2,7 @@
 
 use super::{
     BalancingPolicy, Decision, MAX_ATTEMPTS, NO_TARGET_RETRY_AFTER, Router, Target, TargetKey,
-    owners::Owners,
+    target_ring::TargetRing,
 };
 use crate::request::{Refusal, RequestKey, RequestSpec, Requirement};
 use corianderstand_schema::messages::RefusalReason;
@@ -17,7 +17,7 @@
 
 /// Wait added by each request sent since a target's last load report, as reports lag.
 const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
-const TYPICAL_RUN: Duration = Duration::from_millis(300);
+const TYPICAL_RUN_TIME: Duration = Duration::from_millis(300);
 const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
 const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
 const COLD_START_COST: Duration = Duration::from_secs(5);
@@ -84,14 +84,14 @@
     ) -> bool {
         let request = &self.requests[key];
         let too_late = last.is_some_and(|refusal| refusal.reason == RefusalReason::Deadline);
-        let Some(owners) = self.owners(&request.spec) else { return false };
+        let Some(ring) = self.request_ring(&request.spec) else { return false };
         let loading = || {
             let refused_by = request.attempted.last();
-            refused_by.is_none_or(|target| !owners.is_serving(now, *target))
+            refused_by.is_none_or(|target| !ring.is_serving(now, *target))
         };
         too_late
             && matches!(request.spec.requirement, Requirement::Weights { .. })
-            && !owners.is_warm(now, chosen)
+            && !ring.is_warm(now, chosen)
             && loading()
     }
 
@@ -100,8 +100,8 @@
         target.outstanding += 1;
         target.sent_since_report += 1;
         target.health.record_sent(now);
-        if let Some(owners) = self.owners_of(key) {
-            owners.mark_warm(now, chosen);
+        if let Some(ring) = self.request_ring_mut(key) {
+            ring.mark_warm(now, chosen);
         }
         let request = &mut self.requests[key];
         request.target = Some(chosen);
@@ -114,8 +114,8 @@
     fn select_target(&mut self, now: Instant, key: RequestKey) -> Option<TargetKey> {
         let seed = self.rng.random();
         let request = &self.requests[key];
-        let owners = self.owners(&request.spec)?;
-        if owners.len() == 0 {
+        let ring = self.request_ring(&request.spec)?;
+        if ring.len() == 0 {
             return None;
         }
         let usable = |key: TargetKey| {
@@ -124,34 +124,34 @@
             open && !request.attempted.contains(&key)
         };
         if self.policy == BalancingPolicy::Random {
-            let open: Vec<TargetKey> = owners.iter().filter(|key| usable(*key)).collect();
+            let open: Vec<TargetKey> = ring.iter().filter(|key| usable(*key)).collect();
             return (!open.is_empty()).then(|| open[seed as usize % open.len()]);
         }
-        if let Some(probed) = self.probe_targets(owners, &request.spec).find(|key| usable(*key)) {
+        if let Some(probed) = self.probe_targets(ring, &request.spec).find(|key| usable(*key)) {
             return Some(probed);
         }
-        let candidates = self.candidates(now, owners, &request.spec, seed, &usable);
+        let candidates = self.candidates(now, ring, &request.spec, seed, &usable);
         let keys = candidates.keys[..candidates.count].iter().enumerate();
         let cost = |(rank, key): &(usize, &TargetKey)| {
-            self.cost(now, **key, owners, &request.spec, *rank as u32)
+            self.cost(now, **key, ring, &request.spec, *rank as u32)
         };
         let best = keys.min_by_key(cost).map(|(_, key)| *key);
         // No candidate is usable, as after the loss of a zone: fall back to any usable target.
-        best.or_else(|| owners.iter().find(|key| usable(*key)))
+        best.or_else(|| ring.iter().find(|key| usable(*key)))
     }
 
     /// Returns ejected targets that this request may probe: none if it is urgent or not repeatable.
     fn probe_targets(
         &self,
-        owners: &Owners,
+        ring: &TargetRing,
         spec: &RequestSpec,
     ) -> impl Iterator<Item = TargetKey> {
         let may_probe = spec.repeatable && spec.urgency < MIN_UNPROBED_URGENCY;
         let ejected = self.ejected.iter().take(if may_probe { MAX_PROBE_CANDIDATES } else { 0 });
-        ejected.copied().filter(|key| owners.contains(*key))
+        ejected.copied().filter(|key| ring.contains(*key))
     }
 
-    fn owners(&self, spec: &RequestSpec) -> Option<&Owners> {
+    fn request_ring(&self, spec: &RequestSpec) -> Option<&TargetRing> {
         match &spec.requirement {
             Requirement::Weights { base, .. } => self.by_model.get(&base.model),
             Requirement::Service(service) => self.by_service.get(service),
@@ -161,7 +161,7 @@
     fn candidates(
         &self,
         now: Instant,
-        owners: &Owners,
+        ring: &TargetRing,
         spec: &RequestSpec,
         seed: u64,
         usable: &impl Fn(TargetKey) -> bool,
@@ -173,14 +173,14 @@
                 found.push(key);
             }
         };
-        cached.into_iter().filter(|key| owners.contains(*key)).for_each(&mut add);
-        owners.last_warm(now).into_iter().for_each(&mut add);
-        let start = owners.index_of(ring_hash(spec, seed, owners.last_warm(now).is_some()));
-        let steps = MAX_RING_STEPS.min(owners.len());
-        let ring = (start..start + steps).map(|index| owners.target_at(index));
-        ring.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut add);
+        cached.into_iter().filter(|key| ring.contains(*key)).for_each(&mut add);
+        ring.last_warm(now).into_iter().for_each(&mut add);
+        let start = ring.index_of(ring_hash(spec, seed, ring.last_warm(now).is_some()));
+        let steps = MAX_RING_STEPS.min(ring.len());
+        let ring_targets = (start..start + steps).map(|index| ring.target_at(index));
+        ring_targets.filter(|key| usable(*key)).take(RING_CANDIDATES).for_each(&mut add);
         let random = (0..RANDOM_CANDIDATES).map(|step| seed.rotate_left(step as u32 * 31) as usize);
-        random.map(|index| owners.target_at(index % owners.len())).for_each(&mut add);
+        random.map(|index| ring.target_at(index % ring.len())).for_each(&mut add);
         found
     }
 
@@ -188,16 +188,16 @@
         &self,
         now: Instant,
         key: TargetKey,
-        owners: &Owners,
+        ring: &TargetRing,
         spec: &RequestSpec,
         rank: u32,
     ) -> Duration {
         let target = &self.targets[key];
-        let run = (TYPICAL_RUN + wait(now, target)).mul_f64(target.health.slowness(now));
+        let run = (TYPICAL_RUN_TIME + wait(now, target)).mul_f64(target.health.slowness(now));
         let mut cost = run + RING_STEP_COST * rank;
         // The zone of a cold target is ignored, so that routers of all zones load a model at one
         // target.
-        if matches!(spec.requirement, Requirement::Weights { .. }) && !owners.is_warm(now, key) {
+        if matches!(spec.requirement, Requirement::Weights { .. }) && !ring.is_warm(now, key) {
             return cost + COLD_START_COST + COLD_RING_STEP_COST * rank;
         }
         if target.zone != self.zone {
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -6,8 +6,8 @@
 mod budget;
 mod choose;
 mod health;
-mod owners;
 mod prefixes;
+mod target_ring;
 #[cfg(test)]
 mod tests;
 
@@ -17,7 +17,6 @@
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::names::{AvailabilityZoneId, ModelId, ServiceId, TargetId};
 use health::Health;
-use owners::Owners;
 pub use prefixes::CacheEvent;
 use prefixes::PrefixIndex;
 use rand::SeedableRng;
@@ -28,6 +27,7 @@
     hash::Hash,
     time::{Duration, Instant},
 };
+use target_ring::TargetRing;
 
 new_key_type! {
     /// A target known to this router.
@@ -107,8 +107,8 @@
     targets: SlotMap<TargetKey, Target>,
     by_name: BTreeMap<TargetId, TargetKey>,
     policy: BalancingPolicy,
-    by_model: HashMap<ModelId, Owners>,
-    by_service: HashMap<ServiceId, Owners>,
+    by_model: HashMap<ModelId, TargetRing>,
+    by_service: HashMap<ServiceId, TargetRing>,
     prefixes: PrefixIndex,
     retry_budget: RetryBudget,
     ejected: BTreeSet<TargetKey>,
@@ -183,17 +183,17 @@
 
     fn build_rings<K: Ord + Hash>(
         &self,
-        mut known: HashMap<K, Owners>,
+        mut known: HashMap<K, TargetRing>,
         targets_by_key: BTreeMap<K, Vec<TargetKey>>,
-    ) -> HashMap<K, Owners> {
+    ) -> HashMap<K, TargetRing> {
         let hash = |key: TargetKey| {
             let name = self.targets.get(key).map_or("", |target| target.name.as_str());
             (xxhash_rust::xxh3::xxh3_64(name.as_bytes()), key)
         };
         let ring = |(name, keys): (K, Vec<TargetKey>)| {
-            let mut owners = known.remove(&name).unwrap_or_default();
-            owners.set_targets(keys.into_iter().map(hash).collect());
-            (name, owners)
+            let mut ring = known.remove(&name).unwrap_or_default();
+            ring.set_targets(keys.into_iter().map(hash).collect());
+            (name, ring)
         };
         targets_by_key.into_iter().map(ring).collect()
     }
@@ -260,9 +260,9 @@
         );
         if refusal.reason == RefusalReason::NotLoaded
             && let Some(target) = target
-            && let Some(owners) = self.owners_of(key)
+            && let Some(ring) = self.request_ring_mut(key)
         {
-            owners.mark_cold(target);
+            ring.mark_cold(target);
         }
         if is_final || !self.retry_budget.try_withdraw() {
             self.requests.remove(key);
@@ -297,7 +297,8 @@
     /// Records for the target's health that `parts` of a response took `took`.
     pub fn progressed(&mut self, now: Instant, key: RequestKey, parts: u64, took: Duration) {
         let time_per_part = took / u32::try_from(parts).unwrap_or(u32::MAX).max(1);
-        let Some(ratio) = self.owners_of(key).map(|owners| owners.baseline.observe(time_per_part))
+        let Some(ratio) =
+            self.request_ring_mut(key).map(|ring| ring.baseline.observe(time_per_part))
         else {
             return;
         };
@@ -332,7 +333,7 @@
         }
     }
 
-    fn owners_of(&mut self, key: RequestKey) -> Option<&mut Owners> {
+    fn request_ring_mut(&mut self, key: RequestKey) -> Option<&mut TargetRing> {
         match &self.requests.get(key)?.spec.requirement {
             Requirement::Weights { base, .. } => self.by_model.get_mut(&base.model),
             Requirement::Service(service) => self.by_service.get_mut(service),
@@ -344,9 +345,9 @@
         let answered = load.is_some();
         let target = self.release_target(now, key, load);
         if let Some(target) = target.filter(|_| answered)
-            && let Some(owners) = self.owners_of(key)
+            && let Some(ring) = self.request_ring_mut(key)
         {
-            owners.mark_served(now, target);
+            ring.mark_served(now, target);
         }
         self.requests.remove(key);
     }
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/target_ring.rs
@@ -13,7 +13,7 @@
 
 /// A hash ring of targets, ordered by the hash of their names so that all routers agree.
 #[derive(Clone, Debug, Default)]
-pub struct Owners {
+pub struct TargetRing {
     ring: Vec<(u64, TargetKey)>,
     members: HashSet<TargetKey>,
     last_sent_at: HashMap<TargetKey, Instant>,
@@ -22,7 +22,7 @@
     pub baseline: BaselinePartTime,
 }
 
-impl Owners {
+impl TargetRing {
     pub fn set_targets(&mut self, mut ring: Vec<(u64, TargetKey)>) {
         ring.sort_unstable();
         ring.dedup();
