--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -161,7 +161,7 @@
 }
 
 impl Agent {
-    pub(super) fn record_missing(&mut self, weights: &Weights) {
+    pub(super) fn record_missing_weights(&mut self, weights: &Weights) {
         if self.ledger.find(weights).is_none_or(|entry| entry.stage == Stage::Unloading) {
             self.loads.unreserved.insert(weights.clone());
         }
@@ -205,7 +205,7 @@
     ) {
         let first_waiting: BTreeMap<&Weights, (u8, Instant)> = self
             .queue
-            .missing()
+            .missing_weights()
             .map(|(weights, entry)| (weights, (entry.urgency_rank(), entry.deadline())))
             .collect();
         let mut ranked: Vec<(u8, Instant, Duration, Weights)> = Vec::new();
@@ -393,7 +393,7 @@
             Some(true) => {
                 self.ledger.set_stage(weights, Stage::Ready);
                 for key in self.queue.waiting_for(weights) {
-                    self.refresh_missing(key);
+                    self.refresh_missing_weights(key);
                 }
                 self.schedule_expiry(now, weights, config);
             }
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -166,7 +166,7 @@
         self.keep_alive.request_rescan();
         let keys: Vec<RequestKey> = self.requests.keys().collect();
         for key in keys {
-            self.refresh_missing(key);
+            self.refresh_missing_weights(key);
         }
     }
 
@@ -209,7 +209,7 @@
             self.keep_alive.request_rescan();
             let keys: Vec<RequestKey> = self.requests.keys().collect();
             for key in keys {
-                self.refresh_missing(key);
+                self.refresh_missing_weights(key);
             }
         }
         self.step(now, config)
@@ -274,8 +274,8 @@
         if let Some(base) = spec.weights().next() {
             *self.model_users.entry(base.model.clone()).or_default() += 1;
         }
-        if let Some(missing) = &waiting.missing {
-            self.record_missing(missing);
+        if let Some(missing) = &waiting.missing_weights {
+            self.record_missing_weights(missing);
         }
         let key = self.requests.insert(HeldRequest { spec, started_at: None });
         self.queue.push(key, share, waiting);
@@ -289,7 +289,7 @@
             length: spec.shape.length,
             urgency: spec.urgency,
             deadline: spec.deadline,
-            missing: self.missing_weights(spec),
+            missing_weights: self.missing_weights(spec),
         }
     }
 
@@ -302,16 +302,16 @@
         self.ledger.is_ready(weights)
     }
 
-    fn refresh_missing(&mut self, key: RequestKey) {
+    fn refresh_missing_weights(&mut self, key: RequestKey) {
         let Some(held) = self.requests.get(key) else { return };
         if held.started_at.is_some() {
             return;
         }
         let missing = self.missing_weights(&held.spec);
         if let Some(weights) = &missing {
-            self.record_missing(weights);
+            self.record_missing_weights(weights);
         }
-        self.queue.set_missing(key, missing);
+        self.queue.set_missing_weights(key, missing);
     }
 
     /// Handles the end or the cancellation of a request.
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -74,7 +74,7 @@
     /// When its response is due.
     pub deadline: Instant,
     /// Weights that must be loaded before it can run.
-    pub missing: Option<Weights>,
+    pub missing_weights: Option<Weights>,
 }
 
 #[derives(data)]
@@ -114,7 +114,7 @@
     discipline: QueueDiscipline,
     total_shares: u32,
     teams: BTreeMap<WorkspaceId, TeamQueue>,
-    missing: BTreeMap<Weights, BTreeSet<QueuePosition>>,
+    positions_by_missing_weights: BTreeMap<Weights, BTreeSet<QueuePosition>>,
     entries: SecondaryMap<RequestKey, Entry>,
     deadlines: BTreeSet<(Instant, RequestKey)>,
     backlog: [Backlog; 2],
@@ -130,7 +130,7 @@
             discipline,
             total_shares: FULL_SHARE_PERMILLE,
             teams: BTreeMap::new(),
-            missing: BTreeMap::new(),
+            positions_by_missing_weights: BTreeMap::new(),
             entries: SecondaryMap::new(),
             deadlines: BTreeSet::new(),
             backlog: Default::default(),
@@ -162,9 +162,13 @@
         team.backlog[index].add(position.urgency_rank, position.deadline);
         self.backlog[index].add(position.urgency_rank, position.deadline);
         self.deadlines.insert((request.deadline, key));
-        match &request.missing {
+        match &request.missing_weights {
             None => team.ready[index].insert(position),
-            Some(weights) => self.missing.entry(weights.clone()).or_default().insert(position),
+            Some(weights) => self
+                .positions_by_missing_weights
+                .entry(weights.clone())
+                .or_default()
+                .insert(position),
         };
         self.entries.insert(key, Entry { request, position });
     }
@@ -175,8 +179,8 @@
         let index = request.length as usize;
         self.deadlines.remove(&(request.deadline, key));
         self.backlog[index].remove(position.urgency_rank, position.deadline);
-        if let Some(weights) = &request.missing {
-            self.remove_missing(weights, position);
+        if let Some(weights) = &request.missing_weights {
+            self.remove_missing_weights(weights, position);
         }
         if let Some(team) = self.teams.get_mut(&request.team) {
             team.ready[index].remove(&position);
@@ -187,11 +191,11 @@
         Some(request)
     }
 
-    fn remove_missing(&mut self, weights: &Weights, position: QueuePosition) {
-        if let Some(positions) = self.missing.get_mut(weights) {
+    fn remove_missing_weights(&mut self, weights: &Weights, position: QueuePosition) {
+        if let Some(positions) = self.positions_by_missing_weights.get_mut(weights) {
             positions.remove(&position);
             if positions.is_empty() {
-                self.missing.remove(weights);
+                self.positions_by_missing_weights.remove(weights);
             }
         }
     }
@@ -203,23 +207,23 @@
     }
 
     /// Sets the weights that a request waits for; `None` makes it ready.
-    pub fn set_missing(&mut self, key: RequestKey, missing: Option<Weights>) {
+    pub fn set_missing_weights(&mut self, key: RequestKey, missing: Option<Weights>) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        if entry.request.missing == missing {
+        if entry.request.missing_weights == missing {
             return;
         }
         let (position, index) = (entry.position, entry.request.length as usize);
-        let before = std::mem::replace(&mut entry.request.missing, missing.clone());
+        let before = std::mem::replace(&mut entry.request.missing_weights, missing.clone());
         let team = entry.request.team.clone();
         match before {
-            Some(weights) => self.remove_missing(&weights, position),
+            Some(weights) => self.remove_missing_weights(&weights, position),
             None => {
                 self.teams.get_mut(&team).map(|team| team.ready[index].remove(&position));
             }
         }
         match missing {
             Some(weights) => {
-                self.missing.entry(weights).or_default().insert(position);
+                self.positions_by_missing_weights.entry(weights).or_default().insert(position);
             }
             None => {
                 self.teams.get_mut(&team).map(|team| team.ready[index].insert(position));
@@ -229,12 +233,19 @@
 
     /// Returns the requests that wait for these weights, in dequeue order.
     pub fn waiting_for(&self, weights: &Weights) -> Vec<RequestKey> {
-        self.missing.get(weights).into_iter().flatten().map(|position| position.key).collect()
+        self.positions_by_missing_weights
+            .get(weights)
+            .into_iter()
+            .flatten()
+            .map(|position| position.key)
+            .collect()
     }
 
     /// Iterates over missing weights, each with the position of the first request that needs them.
-    pub fn missing(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
-        self.missing.iter().filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
+    pub fn missing_weights(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
+        self.positions_by_missing_weights
+            .iter()
+            .filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
     }
 
     /// Returns the number of waiting requests.
--- a/crates/corianderstand_decide/src/queue/tests.rs
+++ b/crates/corianderstand_decide/src/queue/tests.rs
@@ -17,7 +17,8 @@
     ) -> RequestKey {
         let key = self.0.insert(());
         let length = Length::Short;
-        let waiting = QueuedRequest { team: team.into(), length, urgency, deadline, missing: None };
+        let waiting =
+            QueuedRequest { team: team.into(), length, urgency, deadline, missing_weights: None };
         queue.push(key, 100, waiting);
         key
     }
@@ -58,7 +59,7 @@
     let wait = |urgency, seconds| {
         let deadline = now + Duration::from_secs(seconds);
         let (team, length) = ("coach".into(), Length::Short);
-        let request = QueuedRequest { team, length, urgency, deadline, missing: None };
+        let request = QueuedRequest { team, length, urgency, deadline, missing_weights: None };
         queue.expected_wait(&request, 100, Duration::from_secs(1))
     };
     assert!(wait(2, 600) <= Duration::from_secs(1));
