--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -128,7 +128,7 @@
             let desired = self.desired.entry(engine.key).or_default();
             desired.retain(|name| models.contains_key(name));
             let loading = match &engine.ongoing {
-                Some(targets::Ongoing::Loading { model, .. }) => Some(model),
+                Some(targets::OngoingCommand::Loading { model, .. }) => Some(model),
                 _ => None,
             };
             let resident = engine.holdings.resident.iter().map(|resident| &resident.model);
@@ -221,10 +221,10 @@
         let missing = missing.filter_map(|name| models.get(name));
         let loads: Duration = missing.map(|view| snapshot::load_source(engine, &view.spec).0).sum();
         match &engine.ongoing {
-            Some(targets::Ongoing::Loading { ready_at, .. }) => {
+            Some(targets::OngoingCommand::Loading { ready_at, .. }) => {
                 ready_at.saturating_duration_since(now).max(utility::DECISION_LATENCY)
             }
-            Some(targets::Ongoing::Unloading { .. }) => loads + EXPECTED_RUN / 2,
+            Some(targets::OngoingCommand::Unloading { .. }) => loads + EXPECTED_RUN / 2,
             None => loads,
         }
     }
--- a/crates/corianderstand_fleet/src/snapshot.rs
+++ b/crates/corianderstand_fleet/src/snapshot.rs
@@ -21,7 +21,7 @@
     /// Resident models and adapters, and cached weights.
     pub holdings: targets::Holdings,
     /// Command being executed.
-    pub ongoing: Option<targets::Ongoing>,
+    pub ongoing: Option<targets::OngoingCommand>,
     /// Running requests per model, from all routers.
     pub running: BTreeMap<names::ModelId, u32>,
 }
--- a/crates/corianderstand_fleet/src/store_concurrency.rs
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -76,7 +76,7 @@
 
 fn store_load(engine: &EngineView) -> Option<(targets::TargetKey, &names::ModelId)> {
     match &engine.ongoing {
-        Some(targets::Ongoing::Loading { model, from_store: true, .. }) => {
+        Some(targets::OngoingCommand::Loading { model, from_store: true, .. }) => {
             Some((engine.key, model))
         }
         _ => None,
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -7,7 +7,7 @@
 
 mod entry;
 
-pub use entry::{Entry, Holdings, Load, Ongoing, Replacement, Report, Resident};
+pub use entry::{Entry, Holdings, Load, OngoingCommand, Replacement, Report, Resident};
 
 use crate::{choose, health};
 use corianderstand_derives::derives;
@@ -42,7 +42,7 @@
     /// Registered entry, updated by agent reports.
     pub entry: Entry,
     /// Command that its engine is executing, as reported by its agent.
-    pub ongoing: Option<Ongoing>,
+    pub ongoing: Option<OngoingCommand>,
     /// When its agent's last report was received.
     pub agent_last_received_at: Option<Instant>,
     /// Failure score of recent requests.
@@ -116,7 +116,7 @@
     /// Whether requests for the model may be sent to it.
     pub fn serves(&self, now: Instant, model: &names::ModelId) -> bool {
         let unloading =
-            matches!(&self.ongoing, Some(Ongoing::Unloading { model: own }) if own == model);
+            matches!(&self.ongoing, Some(OngoingCommand::Unloading { model: own }) if own == model);
         let absent = self.absent_until.get(model).is_some_and(|until| now < *until);
         !unloading && !absent && self.entry.holdings.resident(model).is_some()
     }
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -68,7 +68,7 @@
 
 /// A command that an engine is executing.
 #[derives(data)]
-pub enum Ongoing {
+pub enum OngoingCommand {
     /// Loading a model.
     Loading {
         /// The model.
@@ -97,7 +97,7 @@
     /// Whether the report includes cached weights; if not, the previous ones stay valid.
     pub cached_weights_reported: bool,
     /// Command that it is executing.
-    pub ongoing: Option<Ongoing>,
+    pub ongoing: Option<OngoingCommand>,
     /// Current load.
     pub load: Load,
 }
--- a/crates/corianderstand_fleet/tests/common/mod.rs
+++ b/crates/corianderstand_fleet/tests/common/mod.rs
@@ -292,7 +292,7 @@
                 *running.entry(model.clone()).or_default() += 1;
             }
             let ongoing = engine.command.as_ref().map(|(command, left)| match command {
-                reconcile::Command::Load(model) => targets::Ongoing::Loading {
+                reconcile::Command::Load(model) => targets::OngoingCommand::Loading {
                     model: model.clone(),
                     ready_at: self.now + Duration::from_secs_f64(left.max(0.0)),
                     from_store: load_time_s(&engine.holdings, model) > 1.0,
@@ -300,7 +300,7 @@
                 reconcile::Command::Unload(model)
                 | reconcile::Command::LoadAdapter(model, _)
                 | reconcile::Command::UnloadAdapter(model, _) => {
-                    targets::Ongoing::Unloading { model: model.clone() }
+                    targets::OngoingCommand::Unloading { model: model.clone() }
                 }
             });
             snapshot::EngineView {
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -13,7 +13,7 @@
     sync::Arc,
     time::{Duration, Instant},
 };
-use targets::{Change, Entry, Holdings, Load, Ongoing, Report, Resident, Targets};
+use targets::{Change, Entry, Holdings, Load, OngoingCommand, Report, Resident, Targets};
 
 fn table(prefixes: &[&str]) -> routes::Table {
     let routes = prefixes.iter().map(|prefix| {
@@ -374,7 +374,7 @@
     };
     let usual = preferred(&targets);
     let ready_at = now + Duration::from_secs(1);
-    let loading = Ongoing::Loading { model: "n".into(), ready_at, from_store: false };
+    let loading = OngoingCommand::Loading { model: "n".into(), ready_at, from_store: false };
     targets.get_mut(usual).unwrap().ongoing = Some(loading.clone());
     assert_ne!(preferred(&targets), usual);
     for name in names {
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -183,13 +183,13 @@
     let ongoing = update.ongoing.into_iter().next().map(|command| {
         if command.loads {
             let ready_at = now + Duration::from_millis(u64::from(command.remaining_ms));
-            targets::Ongoing::Loading {
+            targets::OngoingCommand::Loading {
                 model: command.model,
                 ready_at,
                 from_store: command.from_store,
             }
         } else {
-            targets::Ongoing::Unloading { model: command.model }
+            targets::OngoingCommand::Unloading { model: command.model }
         }
     });
     let resident = update.resident.into_iter();
--- a/crates/corianderstand_forward/src/view.rs
+++ b/crates/corianderstand_forward/src/view.rs
@@ -60,10 +60,12 @@
     /// Estimates when an engine can load an adapter; it executes one command at a time.
     pub fn adapter_readiness(&self, key: targets::TargetKey) -> wait_limit::Readiness {
         match self.targets.get(key).and_then(|target| target.ongoing.as_ref()) {
-            Some(targets::Ongoing::Loading { ready_at, .. }) => {
+            Some(targets::OngoingCommand::Loading { ready_at, .. }) => {
                 wait_limit::Readiness::ReadyAt(*ready_at)
             }
-            Some(targets::Ongoing::Unloading { .. }) | None => wait_limit::Readiness::AtCapacity,
+            Some(targets::OngoingCommand::Unloading { .. }) | None => {
+                wait_limit::Readiness::AtCapacity
+            }
         }
     }
 
@@ -87,7 +89,7 @@
             if target.serves(now, &requested.model) {
                 return wait_limit::Readiness::AtCapacity;
             }
-            if let Some(targets::Ongoing::Loading { model, ready_at, .. }) = &target.ongoing
+            if let Some(targets::OngoingCommand::Loading { model, ready_at, .. }) = &target.ongoing
                 && *model == requested.model
             {
                 return wait_limit::Readiness::ReadyAt(*ready_at);
