--- a/crates/corianderstand_fleet/src/prefixes.rs
+++ b/crates/corianderstand_fleet/src/prefixes.rs
@@ -11,11 +11,11 @@
 
 /// Cumulative hashes and token counts of a prompt's parts.
 #[derive(Clone, Debug, Default)]
-pub struct Chain {
+pub struct PrefixChain {
     parts: Vec<(u64, u64)>,
 }
 
-impl Chain {
+impl PrefixChain {
     /// Builds the chain of a prompt for `model` from part ids and their lengths in tokens.
     pub fn new(model: &str, parts: impl IntoIterator<Item = (u64, u32)>) -> Self {
         let mut hash = xxh3::xxh3_64(model.as_bytes());
@@ -38,13 +38,13 @@
 
 impl Prefixes {
     /// The target with the longest cached prefix of the prompt, and the prefix's length in tokens.
-    pub fn find(&self, chain: &Chain) -> Option<(targets::TargetKey, u64)> {
+    pub fn find(&self, chain: &PrefixChain) -> Option<(targets::TargetKey, u64)> {
         let find = |hash| self.recent.get(hash).or_else(|| self.previous.get(hash)).copied();
         chain.parts.iter().rev().find_map(|(hash, tokens)| Some((find(hash)?, *tokens)))
     }
 
     /// Records that a prompt was sent to a target.
-    pub fn record(&mut self, chain: &Chain, target: targets::TargetKey) {
+    pub fn record(&mut self, chain: &PrefixChain, target: targets::TargetKey) {
         for (hash, _) in &chain.parts {
             self.recent.insert(*hash, target);
         }
--- a/crates/corianderstand_forward/src/exchange.rs
+++ b/crates/corianderstand_forward/src/exchange.rs
@@ -89,8 +89,10 @@
         return Ok(local_response(StatusCode::SERVICE_UNAVAILABLE, "route without service", None));
     };
     let model = request.requested_model.as_ref().map_or("", |requested| requested.model.as_str());
-    let chain =
-        prefixes::Chain::new(model, request.prompt_parts.iter().map(|part| (part.id, part.tokens)));
+    let chain = prefixes::PrefixChain::new(
+        model,
+        request.prompt_parts.iter().map(|part| (part.id, part.tokens)),
+    );
     let uri = parts.uri.path_and_query().cloned().map_or_else(|| parts.uri.clone(), Uri::from);
     let job = job::Job {
         request,
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -43,7 +43,7 @@
     /// Hash of the request id.
     pub hash: u64,
     /// The prompt's prefixes.
-    pub chain: prefixes::Chain,
+    pub chain: prefixes::PrefixChain,
     /// Targets that were tried.
     pub tried: Vec<targets::TargetKey>,
     /// Attempts that did not run.
