--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-const BUCKETS: u32 = 10;
+const BUCKETS_PER_WINDOW: u32 = 10;
 /// Usable part of the allowance. The rest covers attempts that this process cannot count.
 const USABLE_RATIO: f64 = 0.9;
 
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    since: Instant,
+    started_at: Instant,
     requests: u32,
     retries: u32,
 }
@@ -65,12 +65,13 @@
     }
 
     fn bucket(&mut self, now: Instant, allowance: &Allowance) -> &mut Bucket {
-        let bucket_length = allowance.window / BUCKETS;
-        while self.buckets.front().is_some_and(|bucket| now >= bucket.since + allowance.window) {
+        let bucket_length = allowance.window / BUCKETS_PER_WINDOW;
+        while self.buckets.front().is_some_and(|bucket| now >= bucket.started_at + allowance.window)
+        {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|bucket| now >= bucket.since + bucket_length) {
-            self.buckets.push_back(Bucket { since: now, requests: 0, retries: 0 });
+        if self.buckets.back().is_none_or(|bucket| now >= bucket.started_at + bucket_length) {
+            self.buckets.push_back(Bucket { started_at: now, requests: 0, retries: 0 });
         }
         self.buckets.back_mut().expect("a bucket was just pushed if there was none")
     }
--- a/crates/corianderstand_fleet/src/demand.rs
+++ b/crates/corianderstand_fleet/src/demand.rs
@@ -27,8 +27,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ModelRates {
-    fast: DecayingRate,
-    slow: DecayingRate,
+    fast_requests: DecayingRate,
+    slow_requests: DecayingRate,
     adapter_requests: DecayingRate,
     prompt_tokens: DecayingRate,
     prefill_s_per_token: f64,
@@ -101,8 +101,8 @@
         let RequestProfile { prompt_tokens, uses_adapter, latency_objective } = profile;
         let none = DecayingRate::new(now);
         let initial = ModelRates {
-            fast: none,
-            slow: none,
+            fast_requests: none,
+            slow_requests: none,
             adapter_requests: none,
             prompt_tokens: none,
             prefill_s_per_token: 0.0,
@@ -112,8 +112,8 @@
             Some(rates) => rates,
             None => self.rates.entry(model.clone()).or_insert(initial),
         };
-        rates.fast.add(now, FAST_WINDOW, 1.0);
-        rates.slow.add(now, SLOW_WINDOW, 1.0);
+        rates.fast_requests.add(now, FAST_WINDOW, 1.0);
+        rates.slow_requests.add(now, SLOW_WINDOW, 1.0);
         rates.prompt_tokens.add(now, FAST_WINDOW, prompt_tokens as f64);
         if uses_adapter {
             rates.adapter_requests.add(now, FAST_WINDOW, 1.0);
@@ -162,9 +162,9 @@
     fn demand(&self, now: Instant) -> ModelDemand {
         ModelDemand {
             requests_per_s: self
-                .fast
+                .fast_requests
                 .value(now, FAST_WINDOW)
-                .max(self.slow.value(now, SLOW_WINDOW)),
+                .max(self.slow_requests.value(now, SLOW_WINDOW)),
             adapter_requests_per_s: self.adapter_requests.value(now, FAST_WINDOW),
             prompt_tokens_per_s: self.prompt_tokens.value(now, FAST_WINDOW),
             prefill_s_per_token: self.prefill_s_per_token,
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -26,26 +26,26 @@
 const UTILITY_MARGIN: f64 = 0.3;
 const MIN_RESIDENCY: Duration = Duration::from_millis(1_200);
 /// Expected duration of a running request that an unload waits for.
-const EXPECTED_RUN: Duration = Duration::from_millis(1_400);
+const EXPECTED_RUN_TIME: Duration = Duration::from_millis(1_400);
 /// Time constant by which a replica's utility decays with the time until it is ready. An
 /// exponential never reaches zero, so a slow weight store can't starve overloaded models.
 const REPLICA_UTILITY_DECAY: Duration = Duration::from_millis(6_500);
 /// Period after start without evictions, until demand rates are reliable.
-const WARM_UP: Duration = Duration::from_millis(1_500);
+const WARM_UP_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// Computes plans from demand, and tracks the last plan and the weight store's concurrency.
 #[derive(Debug, Default)]
 pub struct Planner {
     desired: HashMap<targets::TargetKey, Vec<names::ModelId>>,
     placed_at: HashMap<(targets::TargetKey, names::ModelId), Instant>,
-    store: store_concurrency::StoreConcurrency,
+    store_concurrency: store_concurrency::StoreConcurrency,
     warm_up_until: Option<Instant>,
     /// Utility of placing absent models, in requests per second.
     swap_utility: Option<decaying_rate::DecayingRate>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Cause {
+enum DemandCause {
     Absent,
     Load,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Candidate<'a> {
     model: &'a snapshot::ModelView,
-    cause: Cause,
+    cause: DemandCause,
     /// Utility within [`utility::HORIZON_S`], in requests.
     utility: f64,
 }
@@ -64,7 +64,7 @@
     engine_index: usize,
     victims: Vec<names::ModelId>,
     /// The engine must finish other commands first.
-    deferred: bool,
+    is_deferred: bool,
     ready_in: Duration,
     from_store: bool,
     cost: f64,
@@ -73,7 +73,7 @@
 impl Planner {
     /// Creates a planner that evicts nothing during its warm-up period.
     pub fn with_warm_up(now: Instant) -> Self {
-        Self { warm_up_until: Some(now + WARM_UP), ..Self::default() }
+        Self { warm_up_until: Some(now + WARM_UP_PERIOD), ..Self::default() }
     }
 
     /// Computes the models that each engine should hold.
@@ -83,7 +83,7 @@
         engines: &[snapshot::EngineView],
         models: &snapshot::Models,
     ) -> &HashMap<targets::TargetKey, Vec<names::ModelId>> {
-        self.store.observe(now, engines, models);
+        self.store_concurrency.observe(now, engines, models);
         self.adopt_holdings(now, engines, models);
         let mut counts = counts::FleetCounts::new(engines, models, &self.desired);
         // Engines execute one command at a time, so candidates are ordered by utility per second of
@@ -104,7 +104,7 @@
                 let model = &candidate.model.spec.name;
                 counts.record_placement(model, &placement.victims, placement.from_store);
                 self.apply(now, engines, &placement, model);
-                if candidate.cause == Cause::Absent {
+                if candidate.cause == DemandCause::Absent {
                     let swaps = self
                         .swap_utility
                         .get_or_insert_with(|| decaying_rate::DecayingRate::new(now));
@@ -155,10 +155,11 @@
         candidate: &Candidate,
     ) -> Option<Placement> {
         let name = &candidate.model.spec.name;
-        let placement_at = |index: usize| {
-            let engine = &engines[index];
+        let placement_at = |engine_index: usize| {
+            let engine = &engines[engine_index];
             let free = engine.accepts_commands && !self.desired[&engine.key].contains(name);
-            free.then(|| self.placement_on(now, engine, index, models, counts, candidate)).flatten()
+            free.then(|| self.placement_on(now, engine, engine_index, models, counts, candidate))
+                .flatten()
         };
         // Cached weights load much faster than from the weight store, even after another command.
         let mut placements: Vec<Placement> = counts
@@ -168,12 +169,12 @@
             .filter_map(placement_at)
             .collect();
         if placements.is_empty() {
-            if counts.store_loads >= self.store.limit {
+            if counts.store_loads >= self.store_concurrency.limit {
                 return None;
             }
             placements = (0..engines.len()).filter_map(placement_at).collect();
         }
-        if candidate.cause == Cause::Load {
+        if candidate.cause == DemandCause::Load {
             // A load blocks the engine's other commands, so an additional replica is charged the
             // utility of the absent models that could be placed instead.
             let utility_per_s = self.command_utility_per_s(now, counts);
@@ -185,13 +186,13 @@
             placements.retain(|placement| placement.victims.is_empty());
         }
         let decay = |placement: &Placement| match candidate.cause {
-            Cause::Load => {
+            DemandCause::Load => {
                 (-placement.ready_in.as_secs_f64() / REPLICA_UTILITY_DECAY.as_secs_f64()).exp()
             }
-            Cause::Absent => 1.0,
+            DemandCause::Absent => 1.0,
         };
         placements.retain(|placement| {
-            let free = placement.victims.is_empty() && candidate.cause == Cause::Absent;
+            let free = placement.victims.is_empty() && candidate.cause == DemandCause::Absent;
             free || candidate.utility * decay(placement) > placement.cost + UTILITY_MARGIN
         });
         // The model's requests wait or are refused until the placement is ready.
@@ -200,7 +201,7 @@
         let total_cost =
             |placement: &Placement| rate * placement.ready_in.as_secs_f64() + placement.cost;
         let best = placements.into_iter().min_by(|a, b| total_cost(a).total_cmp(&total_cost(b)))?;
-        (!best.deferred).then_some(best)
+        (!best.is_deferred).then_some(best)
     }
 
     /// Returns the utility, in requests per second, of one engine's commands for absent models.
@@ -224,7 +225,7 @@
             Some(targets::OngoingCommand::Loading { ready_at, .. }) => {
                 ready_at.saturating_duration_since(now).max(utility::DECISION_LATENCY)
             }
-            Some(targets::OngoingCommand::Unloading { .. }) => loads + EXPECTED_RUN / 2,
+            Some(targets::OngoingCommand::Unloading { .. }) => loads + EXPECTED_RUN_TIME / 2,
             None => loads,
         }
     }
@@ -233,7 +234,7 @@
         &self,
         now: Instant,
         engine: &snapshot::EngineView,
-        index: usize,
+        engine_index: usize,
         models: &snapshot::Models,
         counts: &counts::FleetCounts,
         candidate: &Candidate,
@@ -241,12 +242,12 @@
         let model = candidate.model;
         let desired = &self.desired[&engine.key];
         let time_until_settled = self.time_until_settled(now, engine, models);
-        let (load, from_store) = snapshot::load_source(engine, &model.spec);
+        let (load_time, from_store) = snapshot::load_source(engine, &model.spec);
         let mut placement = Placement {
-            engine_index: index,
+            engine_index,
             victims: Vec::new(),
-            deferred: !time_until_settled.is_zero(),
-            ready_in: time_until_settled + load,
+            is_deferred: !time_until_settled.is_zero(),
+            ready_in: time_until_settled + load_time,
             from_store,
             cost: self.interference_cost(engine, models, counts, model),
         };
@@ -268,7 +269,7 @@
             placement.cost += cost;
             placement.victims.push(name.clone());
             if engine.running.get(name).is_some_and(|&running| running > 0) {
-                placement.ready_in += EXPECTED_RUN;
+                placement.ready_in += EXPECTED_RUN_TIME;
             }
         }
         (used + model.spec.weights_mb <= engine.weights_mb).then_some(placement)
@@ -325,12 +326,16 @@
     let replicas = counts.replicas(&model.spec.name);
     if replicas == 0 {
         let utility = f64::from(model.waiting) + utility::absence_cost(model);
-        return Some(Candidate { model, cause: Cause::Absent, utility });
+        return Some(Candidate { model, cause: DemandCause::Absent, utility });
     }
     let load = utility::utilization(counts, model);
     let share = |replicas: usize| utility::overload_cost(load / replicas as f64);
     let utility = utility::expected_requests(model) * (share(replicas) - share(replicas + 1));
-    (utility > MIN_REPLICA_UTILITY).then_some(Candidate { model, cause: Cause::Load, utility })
+    (utility > MIN_REPLICA_UTILITY).then_some(Candidate {
+        model,
+        cause: DemandCause::Load,
+        utility,
+    })
 }
 
 /// Returns the cost within [`utility::HORIZON_S`], in requests, of evicting the model.
@@ -338,15 +343,15 @@
     counts: &counts::FleetCounts,
     engine: &snapshot::EngineView,
     model: &snapshot::ModelView,
-    cause: Cause,
+    cause: DemandCause,
 ) -> f64 {
     let others = counts.replicas(&model.spec.name).saturating_sub(1);
     let running = engine.running.get(&model.spec.name).copied().unwrap_or(0);
     let running = f64::from(running.min(2)) * RUNNING_REQUEST_COST;
     if others == 0 {
         let absence = match cause {
-            Cause::Absent => utility::absence_cost(model),
-            Cause::Load => utility::expected_requests(model) * utility::miss_cost(model),
+            DemandCause::Absent => utility::absence_cost(model),
+            DemandCause::Load => utility::expected_requests(model) * utility::miss_cost(model),
         };
         return f64::from(model.waiting) + absence + running;
     }
--- a/crates/corianderstand_fleet/src/prefill.rs
+++ b/crates/corianderstand_fleet/src/prefill.rs
@@ -64,7 +64,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Grant {
-    at: Instant,
+    granted_at: Instant,
     id: u64,
     prefill_time: Duration,
 }
@@ -84,8 +84,8 @@
 impl<T: Copy> PermitQueue<T> {
     /// Adds or replaces a permit request and grants it if it is due.
     pub fn request(&mut self, now: Instant, request: PermitRequest<T>) -> PermitResponse {
-        self.granted.retain(|granted| now.saturating_duration_since(granted.at) < GRANT_TTL);
-        if self.granted.iter().any(|granted| granted.id == request.id) {
+        self.granted.retain(|grant| now.saturating_duration_since(grant.granted_at) < GRANT_TTL);
+        if self.granted.iter().any(|grant| grant.id == request.id) {
             return PermitResponse::Granted;
         }
         self.record_max_pause(now, request.max_pause);
@@ -93,7 +93,7 @@
         self.waiting.push(request);
         if self
             .next_request(now)
-            .is_some_and(|next| next.id == request.id && self.fits(now, next.prefill_time))
+            .is_some_and(|next| next.id == request.id && self.fits_window(now, next.prefill_time))
         {
             self.grant(now, &request);
             return PermitResponse::Granted;
@@ -111,7 +111,7 @@
         self.waiting.retain(|request| now < request.expires_at);
         let mut granted = Vec::new();
         while let Some(next) =
-            self.next_request(now).filter(|next| self.fits(now, next.prefill_time))
+            self.next_request(now).filter(|next| self.fits_window(now, next.prefill_time))
         {
             self.grant(now, &next);
             granted.push((next.requester, next.id));
@@ -126,7 +126,7 @@
 
     /// Time until the next permit is due; none if no request waits.
     pub fn next_grant_in(&self, now: Instant) -> Option<Duration> {
-        self.next_request(now).map(|next| self.capacity_in(now, next.prefill_time))
+        self.next_request(now).map(|next| self.time_until_capacity(now, next.prefill_time))
     }
 
     fn record_max_pause(&mut self, now: Instant, max_pause: Option<Duration>) {
@@ -142,18 +142,18 @@
         self.max_pause.map_or(DEFAULT_MAX_PAUSE, |(_, max_pause)| max_pause)
     }
 
-    fn fits(&self, now: Instant, prefill_time: Duration) -> bool {
-        self.capacity_in(now, prefill_time).is_zero()
+    fn fits_window(&self, now: Instant, prefill_time: Duration) -> bool {
+        self.time_until_capacity(now, prefill_time).is_zero()
     }
 
     /// Time until the prompt fits into the limit of the window. One that exceeds the limit by
     /// itself fits once no other permit lies within the window.
-    fn capacity_in(&self, now: Instant, prefill_time: Duration) -> Duration {
+    fn time_until_capacity(&self, now: Instant, prefill_time: Duration) -> Duration {
         let (window, limit) = (self.window(), self.window().mul_f64(PREFILL_TIME_RATIO));
         let mut used = prefill_time;
-        for granted in self.granted.iter().rev() {
-            let since = now.saturating_duration_since(granted.at);
-            used += granted.prefill_time;
+        for grant in self.granted.iter().rev() {
+            let since = now.saturating_duration_since(grant.granted_at);
+            used += grant.prefill_time;
             if used > limit {
                 return window.saturating_sub(since);
             }
@@ -167,7 +167,7 @@
             if self.is_late(now, request) { 0 } else { self.permits_since_late + 1 };
         self.cancel(request.id);
         self.granted.push_back(Grant {
-            at: now,
+            granted_at: now,
             id: request.id,
             prefill_time: request.prefill_time,
         });
@@ -195,6 +195,6 @@
             |request: &PermitRequest<T>| (self.is_late(now, request), request.latency_objective_at);
         let ahead = self.waiting.iter().filter(|other| priority(other) < priority(request));
         let ahead: Duration = ahead.map(|request| request.prefill_time).sum();
-        self.capacity_in(now, request.prefill_time) + ahead.div_f64(PREFILL_TIME_RATIO)
+        self.time_until_capacity(now, request.prefill_time) + ahead.div_f64(PREFILL_TIME_RATIO)
     }
 }
