--- a/crates/corianderstand_control/src/appender.rs
+++ b/crates/corianderstand_control/src/appender.rs
@@ -16,9 +16,9 @@
 
 /// Capacity of the append queue.
 pub const MAX_QUEUED_RECORDS: usize = 4096;
-/// Most records in one append.
+/// Maximum number of records in one append.
 pub const MAX_APPEND_RECORDS: usize = 256;
-/// Pause between two appends, so that records are batched.
+/// Minimum pause between two appends, during which records are batched.
 pub const MIN_APPEND_INTERVAL: Duration = Duration::from_millis(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -85,7 +85,7 @@
     identity: Identity,
 }
 
-/// A writer: the process and its incarnation.
+/// Identifies an incarnation of a process as a writer of the log.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The name of the process.
--- a/crates/corianderstand_control/src/budget.rs
+++ b/crates/corianderstand_control/src/budget.rs
@@ -1,8 +1,7 @@
 //! Rate limit of the control traffic of one process, in bytes and messages per second.
 //!
-//! Beyond the limit a follower delays its reads, so that a burst of records is batched into few
-//! pages, and a relay rejects reads, so that the followers of a failed relay spread over others.
-//! Requests of callers are not counted, and records are never dropped.
+//! Beyond the limit a follower delays its reads and a relay rejects reads. Callers' requests are not
+//! counted.
 
 #[cfg(test)]
 mod tests;
@@ -26,9 +25,9 @@
 
 /// Limit of all control traffic of one process.
 pub const PROCESS_RATE: Rate = Rate { bytes_per_s: 16_000, messages_per_s: 128 };
-/// Share of [`PROCESS_RATE`] for serving followers.
+/// Part of [`PROCESS_RATE`] that a relay may spend on serving followers.
 pub const SERVE_RATE: Rate = Rate { bytes_per_s: 11_000, messages_per_s: 64 };
-/// Burst size of the limits, in seconds of their rate.
+/// Capacity of each token bucket, in seconds of its rate.
 pub const BURST_SECONDS: u64 = 4;
 /// Maximum delay of a read.
 pub const MAX_READ_DELAY: Duration = Duration::from_millis(500);
@@ -37,19 +36,18 @@
 pub const HOST_LIST_BYTES_PER_S: u64 = 3_000;
 const BYTES_PER_HOST_ENTRY: u64 = 54;
 
-/// Pause between two reads of a host list; grows with its length, as it is transferred whole.
+/// Pause between two reads of a host list with this many entries.
 pub fn host_list_pause(interval: Duration, entries: usize) -> Duration {
     let bytes = entries as u64 * BYTES_PER_HOST_ENTRY;
     interval.max(Duration::from_millis(bytes * 1000 / HOST_LIST_BYTES_PER_S))
 }
 
-/// Pause between two parts of a checkpoint that is written at each `interval`: every process reads
-/// the parts, so they are spread over half of it.
+/// Pause between two parts of a checkpoint, which spreads them over half of the checkpoint interval.
 pub fn checkpoint_pause(interval: Duration, parts: usize) -> Duration {
     interval / 2 / u32::try_from(parts.max(1)).unwrap_or(u32::MAX)
 }
 
-/// The purpose of control traffic.
+/// Classes of control traffic that are counted separately.
 #[derives(key)]
 pub enum TrafficClass {
     /// Reading the log or a relay.
@@ -129,7 +127,6 @@
         self.messages -= 1.0;
     }
 
-    /// Time until the bytes are out of debt and one message is available.
     fn time_until_available(&self) -> Duration {
         let bytes = -self.bytes / self.rate.bytes_per_s as f64;
         let messages = (1.0 - self.messages) / self.rate.messages_per_s as f64;
@@ -220,11 +217,11 @@
         inner.totals.usage_mut(class).bytes += bytes;
     }
 
-    /// Admits one read of a follower and charges its minimum of `bytes`.
+    /// Admits one read of a follower and charges `bytes` for it.
     ///
     /// # Errors
     ///
-    /// The time after which the follower may retry, if the budget is spent.
+    /// The delay before a retry, if the budget is spent.
     pub fn admit_follower(&self, bytes: u64) -> Result<(), Duration> {
         let mut inner = self.lock();
         let retry_after =
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -1,4 +1,4 @@
-//! Acquires and renews the control lease; its holder plans slots and writes checkpoints.
+//! Acquires and renews the control lease, whose holder plans replica slots and writes checkpoints.
 
 use crate::{
     appender::{Appender, Identity},
@@ -32,7 +32,7 @@
     pub current: CurrentSnapshot,
     /// Appends records to the log.
     pub appender: Appender,
-    /// Whether this process has released the lease for good.
+    /// Whether this process has permanently released the lease.
     pub resigned: Arc<AtomicBool>,
 }
 
@@ -138,7 +138,7 @@
     }
 }
 
-/// Records that update the `leaving` mark of targets to match their hosts, if listed.
+/// Records that mark targets as leaving, or unmark them, to match the state of their hosts.
 pub fn leaving_marks(snapshot: &Snapshot) -> Vec<Body> {
     let (state, hosts) = (&snapshot.state, &snapshot.hosts);
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
@@ -163,7 +163,7 @@
     last.is_none_or(|last| snapshot.oldest > last.as_of.min(last.first))
 }
 
-/// Whether a checkpoint is due: at each interval, and at once if the log cannot restore the state.
+/// Whether a checkpoint is due, at the log time `log_now_ms`.
 pub fn is_checkpoint_due(snapshot: &Snapshot, log_now_ms: u64) -> bool {
     let Some(last) = snapshot.state.checkpoints.last else { return true };
     let interval = snapshot.view.deployment.checkpoint_interval_ms.as_millis();
--- a/crates/corianderstand_control/src/lib.rs
+++ b/crates/corianderstand_control/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads the log and the host list for one process and appends to the log on its behalf.
 //!
 //! A thread named `control` folds the log into a [`snapshot::Snapshot`] that other threads read
-//! without locking, and batches their appends. The holder of the control lease also runs the slot
-//! planner on this thread.
+//! without locking, and batches their appends. The holder of the control lease also runs the
+//! replica slot planner on this thread.
 //!
 //! ```
 //! use corianderstand_control::snapshot::Snapshot;
--- a/crates/corianderstand_control/src/membership.rs
+++ b/crates/corianderstand_control/src/membership.rs
@@ -1,12 +1,11 @@
-//! Classifies hosts as live, leaving or gone from a host list that lags, fails and flaps.
+//! Classifies hosts as live, leaving or gone from readings of an unreliable host list.
 //!
-//! - A host listed as *leaving* is leaving at once; it is live again after it has been listed as
-//!   live for the lag of the list.
-//! - A host is *gone* once it is missing from an accepted reading and was last seen at least the
-//!   lag ago. No host becomes gone while the list is unavailable.
-//! - An empty reading is rejected. A reading with fewer than half of the known hosts is accepted
-//!   only after all readings have been like that for [`SHRINK_LAG_FACTOR`] times the lag.
-//! - A host that an agent has announced is known from then on, listed or not.
+//! The *list lag* is the configured time by which the host list may be out of date.
+//!
+//! - A host listed as leaving is *leaving* at once, and *live* after it was listed so for the list lag.
+//! - A host is *gone* once it is missing from an accepted reading and was last seen the list lag ago.
+//! - An empty reading is rejected; one with fewer than half of the known hosts is accepted only if all
+//!   readings have been like that for [`SHRINK_LAG_FACTOR`] times the list lag.
 
 use crate::snapshot::Hosts;
 use corianderstand_edge::hosts::{HostEntry, HostState};
@@ -16,7 +15,7 @@
     time::{Duration, Instant},
 };
 
-/// Multiple of the lag after which a greatly shrunken list, which is likely faulty, is accepted.
+/// Multiple of the list lag after which a host list that lost most of its hosts is accepted.
 pub const SHRINK_LAG_FACTOR: u32 = 6;
 
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +27,7 @@
     missing: bool,
 }
 
-/// The known hosts, derived from all readings so far.
+/// The known hosts, derived from all readings of the host list.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     known: BTreeMap<HostId, KnownHost>,
@@ -36,7 +35,7 @@
 }
 
 impl Membership {
-    /// Applies a reading; returns whether it was accepted as complete.
+    /// Applies a reading of the host list; returns whether it was accepted as complete.
     pub fn apply_reading(&mut self, now: Instant, lag: Duration, entries: &[HostEntry]) -> bool {
         for entry in entries {
             self.apply_entry(now, lag, entry);
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Whether a reading of `listed` hosts is accepted; guards against a faulty or truncated list.
+    /// Rejects readings of a faulty or truncated list.
     fn accepts(&mut self, now: Instant, lag: Duration, listed: usize) -> bool {
         let present = self.known.values().filter(|known| !known.missing).count();
         if listed > 0 && listed * 2 >= present {
--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -19,15 +19,14 @@
 
 /// Base path under which a router serves reads.
 pub const RELAY_PATH: &str = "/internal";
-/// Bytes of records that a tail keeps.
+/// Maximum size of a router's [`RecordTail`].
 pub const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
-/// Time since the last response of the log after which an empty page is stale. Exceeds the sum of
-/// the waits of idle reads from the log and from a relay.
+/// Time since the last response of the log after which an empty page is stale.
 pub const MAX_PAGE_AGE: Duration = Duration::from_secs(4);
 /// Maximum number of relays between the log and a process.
 pub const MAX_HOPS: u8 = 2;
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Bytes of an HTTP request and response head.
+/// Estimated size of the heads of an HTTP request and its response.
 pub const HTTP_OVERHEAD_BYTES: u64 = 330;
 /// Bytes that JSON adds to each record.
 const ENTRY_OVERHEAD_BYTES: u64 = 48;
@@ -53,7 +52,6 @@
     last_response: Option<LastResponse>,
 }
 
-/// The last response of the log, received directly or from another relay.
 #[derive(Clone, Copy, Debug)]
 struct LastResponse {
     received_at: Instant,
@@ -85,7 +83,7 @@
 }
 
 impl RecordTail {
-    /// An empty tail that keeps up to `max_bytes` of records.
+    /// An empty tail that keeps at most `max_bytes` of records.
     pub fn new(clock: SharedClock, budget: Arc<Budget>, max_bytes: usize) -> Self {
         Self { inner: Arc::default(), next_offset: watch::Sender::new(0), clock, budget, max_bytes }
     }
@@ -108,7 +106,7 @@
         self.lock().next
     }
 
-    /// Adds a page that this process has read; drops the kept records if there is a gap.
+    /// Appends the records of a page; drops the earlier records if there is a gap.
     pub fn extend(&self, page: &Page) {
         let now = self.clock.now();
         let mut inner = self.lock();
--- a/crates/corianderstand_control/src/restore.rs
+++ b/crates/corianderstand_control/src/restore.rs
@@ -42,11 +42,9 @@
 /// Minimum delay before a router writes a recovery checkpoint.
 pub const RECOVERY_DELAY: Duration = Duration::from_secs(20);
 
-/// The records of a recovery checkpoint, which gives up records that were dropped unread.
+/// The records of a recovery checkpoint, for a log whose dropped records no checkpoint covers.
 ///
-/// If no checkpoint covers the gap, a router with settings writes its state as of the oldest
-/// retained record, and all routers load the first such checkpoint. The lost records were never
-/// read, so none was reported as accepted.
+/// It contains this router's state as of the oldest retained record; the dropped records are lost.
 pub fn recovery_records(state: &State, page: &Page) -> Vec<Body> {
     let mut state = state.clone();
     state.next = page.oldest;
--- a/crates/corianderstand_control/src/snapshot.rs
+++ b/crates/corianderstand_control/src/snapshot.rs
@@ -15,7 +15,7 @@
     pub live: BTreeSet<HostId>,
     /// Hosts that are about to be reclaimed.
     pub leaving: BTreeSet<HostId>,
-    /// Hosts that have been missing from the list for longer than its lag.
+    /// Hosts that are no longer listed; see [`crate::membership`].
     pub gone: BTreeSet<HostId>,
 }
 
@@ -58,7 +58,7 @@
     pub caught_up: bool,
     /// What the process waits for until `caught_up` is set.
     pub waiting: Waiting,
-    /// Number of successful reads of the log.
+    /// Number of successful reads of the log since startup.
     pub reads: u64,
     /// Oldest offset that the log retains.
     pub oldest: u64,
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -1,11 +1,8 @@
 //! Selects where records are read from: the log, or a router that relays it.
 //!
-//! The routers that read the log are derived from the router addresses of an availability zone,
-//! without coordination. Each page carries its age and its number of hops; stale pages and relay
-//! cycles (possible while settings differ) are rejected, and the process falls back to the log.
-//!
-//! A relay that returns an error is replaced by the next one, and after [`MAX_RELAYS_TRIED`] by
-//! the log. After an unresponsive relay the log is read at once, so that timeouts do not add up.
+//! A relay that returns an error or a stale page is replaced by the next one, and after
+//! [`MAX_RELAYS_TRIED`] by the log. After an unresponsive relay the log is read at once, so that
+//! timeouts do not add up.
 
 #[cfg(test)]
 mod tests;
@@ -29,17 +26,16 @@
 use tokio::time;
 use xxhash_rust::xxh3;
 
-/// Routers of an availability zone that read the log; leaves two spare for failures and restarts.
+/// Number of routers in an availability zone that read the log; the others read from them.
 pub const LOG_READERS: usize = 4;
 /// Relays that are tried before the log is read.
 pub const MAX_RELAYS_TRIED: usize = 2;
-/// Longest wait of one read from a relay; exceeds the renewal interval of the control lease, so
-/// that few reads return empty.
+/// Longest time that a relay holds a read open until a record arrives.
 pub const RELAY_WAIT: Duration = Duration::from_secs(2);
-/// Time that a relay's response may take beyond [`RELAY_WAIT`].
+/// Time beyond [`RELAY_WAIT`] after which a relay counts as unresponsive.
 pub const RELAY_GRACE: Duration = Duration::from_millis(500);
 const RELAY_BACKOFF: Duration = Duration::from_secs(5);
-/// Backoff of followers after a failed read of the log, which spreads reads when it recovers.
+/// Mean backoff after a failed read of the log; random, to spread the reads when the log recovers.
 const LOG_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Reads from a router that relays the log.
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -1,8 +1,7 @@
 //! Call histories of models, and predictions of their next call.
 //!
-//! Each history keeps an exponentially decayed histogram of the gaps between calls and the times of
-//! day of calls after a long idle period. CallHistories are bounded in size and serialisable, so that a
-//! peer can keep them across a restart.
+//! Each history keeps an exponentially decayed histogram of the gaps between calls, and the times of
+//! day of calls after a long idle period.
 
 #[cfg(test)]
 mod tests;
@@ -83,11 +82,8 @@
         self.gaps.iter().map(|count| f64::from(*count) + PRIOR_WEIGHT / GAP_BUCKETS as f64)
     }
 
-    /// The keep-alive time after a call that minimises the expected cost, where a cold start costs
-    /// `cold_start_cost` idle seconds.
-    ///
-    /// A candidate's cost is the expected idle time until the next call or the unload, plus a cold
-    /// start if the call comes later.
+    /// The keep-alive time after a call that minimises the expected idle time and cold-start cost,
+    /// where a cold start costs `cold_start_cost` idle seconds.
     pub fn keep_alive_time(&self, cold_start_cost: f64) -> Duration {
         let total: f64 = self.smoothed_counts().sum();
         let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_start_cost, 0.0));
@@ -104,7 +100,7 @@
         Duration::from_secs_f64(best.1.min(MAX_KEEP_ALIVE_S))
     }
 
-    /// Probability of a call within `horizon`, given the idle time since the last one.
+    /// Probability of a call within `horizon` of `unix_s`, given the time since the last call.
     pub fn probability(&self, unix_s: u64, horizon: Duration) -> f64 {
         let idle = self.last_call.map_or(0, |last| unix_s.saturating_sub(last)) as f64;
         let until = idle + horizon.as_secs_f64();
@@ -157,7 +153,7 @@
         self.by_weights.iter()
     }
 
-    /// Merges a peer's histories; for each model the one with the larger decayed call count wins.
+    /// Merges a peer's histories; of two for the same weights, the one of more calls is kept.
     pub fn merge(&mut self, other: Self) {
         for (weights, history) in other.by_weights {
             let known = self.by_weights.get(&weights).map_or(0.0, |h| h.gaps.iter().sum());
--- a/crates/corianderstand_decide/src/ledger.rs
+++ b/crates/corianderstand_decide/src/ledger.rs
@@ -1,8 +1,7 @@
 //! Accounting of one engine's memory by its agent.
 //!
-//! Memory is reserved before a load command is sent and released only after the engine confirms
-//! the unload. Weights whose command has an unknown outcome count as loaded: the engine's own
-//! reports lag, so relying on them could commit the same memory twice.
+//! Memory is reserved before a load command is sent and released only after the engine confirms the
+//! unload. Weights whose command has an unknown outcome keep their reservation.
 
 use corianderstand_derives::derives;
 use corianderstand_types::{names::ModelId, units::Mib, weights::Weights};
@@ -14,11 +13,11 @@
 /// Lifecycle stage of an entry.
 #[derives(key)]
 pub enum Stage {
-    /// The load command was sent or is about to be; the engine has not confirmed it.
+    /// Memory is reserved; the engine has not confirmed the load.
     Loading,
     /// The engine confirmed the load.
     Ready,
-    /// The unload command was issued; the memory is not free yet.
+    /// The engine has not confirmed the unload; the memory stays reserved.
     Unloading,
     /// The outcome of a command is unknown until the engine is queried.
     Unknown,
@@ -35,7 +34,7 @@
     pub users: u32,
     /// Start or end of its most recent use.
     pub last_used: Option<Instant>,
-    /// Ledger version at which `stage` was set.
+    /// Change counter of the ledger when `stage` was set.
     pub stage_version: u64,
     /// When the engine first reported it absent, while its stage is [`Stage::Unknown`].
     pub absent_since: Option<Instant>,
@@ -101,7 +100,7 @@
         self.entries.get(weights)
     }
 
-    /// Whether the weights are loaded and usable.
+    /// Whether the engine has confirmed that the weights are loaded.
     pub fn is_ready(&self, weights: &Weights) -> bool {
         self.find(weights).is_some_and(|entry| entry.stage == Stage::Ready)
     }
@@ -140,7 +139,7 @@
         }
     }
 
-    /// Change counter; see [`Ledger::reconcile`].
+    /// Number of changes, to detect query responses that predate one.
     pub const fn version(&self) -> u64 {
         self.version
     }
@@ -177,7 +176,7 @@
         }
     }
 
-    /// Replaces all entries with those that the engine reports, even beyond its capacity.
+    /// Replaces all entries with `(weights, memory, ready)` as the engine reports them.
     pub fn rebuild(&mut self, loaded: impl IntoIterator<Item = (Weights, Mib, bool)>) {
         self.entries.clear();
         for (weights, memory, ready) in loaded {
@@ -188,8 +187,6 @@
     /// Reconciles the ledger with the engine's response to a query sent at `version`.
     ///
     /// Entries that changed after the query are skipped, as the response may predate the change.
-    /// Weights missing from the ledger are added if it has not changed; ready entries that the
-    /// engine no longer reports, as after its own restart, are removed.
     pub fn reconcile(&mut self, now: Instant, version: u64, loaded: &[(Weights, Mib, bool)]) {
         let unchanged = version == self.version;
         for (weights, memory, ready) in loaded {
@@ -228,8 +225,7 @@
     }
 }
 
-/// Stage of weights that the engine reports. Weights that are not ready may belong to a command of
-/// a previous agent process, whose outcome is unknown.
+/// Weights that are not ready may belong to a command of a previous agent process.
 const fn reported_stage(ready: bool) -> Stage {
     if ready { Stage::Ready } else { Stage::Unknown }
 }
--- a/crates/corianderstand_decide/src/pacing.rs
+++ b/crates/corianderstand_decide/src/pacing.rs
@@ -16,15 +16,14 @@
 
 /// A load slower than this percentage of its expected time indicates a congested store.
 const CONGESTED_PERCENT: u32 = 150;
-/// Among deadlines in the same bucket the shortest load is granted first.
+/// Loads whose deadlines fall into the same bucket are granted shortest first.
 const DEADLINE_BUCKET: Duration = Duration::from_secs(10);
 /// A grant expires after this many times the expected load time, as its agent may have died.
 const GRANT_EXPIRY_FACTOR: u32 = 6;
 
-/// Limits the loads of one agent while there is no coordinator.
+/// Limits one agent's loads from the weight store while there is no coordinator.
 ///
-/// Adapts its limit by additive increase and multiplicative decrease, starting at half of the
-/// store's concurrency.
+/// Adapts its limit by additive increase and multiplicative decrease.
 #[derives(data)]
 pub struct LoadLimiter {
     store: StoreLimits,
@@ -90,7 +89,7 @@
     pub target: TargetId,
     /// The weights to load.
     pub weights: Weights,
-    /// 0 low, 1 normal, 2 urgent.
+    /// Urgency: 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
     /// Earliest deadline of the requests that wait for the weights.
     pub deadline: Instant,
@@ -108,10 +107,8 @@
     sequence: u64,
 }
 
-/// The queue of loads of the whole deployment.
-///
-/// Grants no more loads at once than the store serves at full speed: urgent loads first, then
-/// those with the earliest deadlines, then the shortest.
+/// Grants the deployment's loads within the weight store's limits: urgent ones first, then those with
+/// the earliest deadlines, then the shortest.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     store: StoreLimits,
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -1,8 +1,7 @@
 //! A weighted fair queue of the requests waiting for one target.
 //!
-//! A request whose weights are loaded is *ready* and waits for a free slot only; the others wait
-//! for a load. Ready requests are dequeued by their team's use of its share, then by urgency and
-//! deadline.
+//! A request whose weights are loaded is *ready* and waits only for a free batch slot. Ready requests
+//! are dequeued by their team's use of its guaranteed share, then by urgency and deadline.
 
 mod backlog;
 #[cfg(test)]
@@ -33,7 +32,7 @@
 #[derives(key)]
 #[derive(Default)]
 pub enum QueueDiscipline {
-    /// By share, urgency and deadline.
+    /// By use of the team's guaranteed share, then urgency and deadline.
     #[default]
     Fair,
     /// By arrival: the baseline of the benchmarks.
@@ -71,7 +70,7 @@
     pub length: Length,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When its response is due.
+    /// Time by which its response is due.
     pub deadline: Instant,
     /// Weights that must be loaded before it can run.
     pub missing_weights: Option<Weights>,
@@ -99,12 +98,9 @@
     }
 }
 
-/// One slot in this many is reserved for each [`Length`].
-///
-/// Keeps neither length from starving the other. Short requests may borrow slots reserved for long
-/// ones.
+/// One batch slot in this many is reserved for each [`Length`], so that neither starves the other.
 pub const RESERVED_SLOTS_DIVISOR: u32 = 4;
-/// Capacity of a target, in thousandths, that guaranteed shares divide.
+/// Sum of the teams' guaranteed shares, in thousandths, that equals a target's whole capacity.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
 /// A queue of requests, with counts of those running.
@@ -139,7 +135,7 @@
         }
     }
 
-    /// Sets the sum of all teams' shares; above [`FULL_SHARE_PERMILLE`] shares are scaled down.
+    /// Sets the sum of all teams' guaranteed shares, which are scaled down to [`FULL_SHARE_PERMILLE`].
     pub fn set_total_shares(&mut self, total: u32) {
         self.total_shares = total.max(FULL_SHARE_PERMILLE);
     }
@@ -288,11 +284,10 @@
         self.deadlines.iter().take_while(|(at, _)| *at <= now).map(|(_, key)| *key).collect()
     }
 
-    /// Dequeues the next request if a slot is free, and counts it as running.
+    /// Dequeues the next ready request if a batch slot is free, and counts it as running.
     ///
-    /// A team below its guaranteed share precedes any team above, regardless of urgency. Ties go to
-    /// a length below its reserved slots, then to the more urgent request, then to the team that
-    /// uses least of its share. Running requests are not preempted.
+    /// Teams below their guaranteed share come first, then lengths below their reserved batch slots,
+    /// then more urgent requests, then the teams that use least of their share.
     pub fn pop(&mut self) -> Option<RequestKey> {
         if self.running() >= self.concurrency {
             return None;
@@ -363,7 +358,7 @@
         (self.concurrency - self.reserved_slots()).max(1)
     }
 
-    /// Releases the slot of a request that has ended.
+    /// Releases the batch slot of a request that has ended.
     pub fn ended(&mut self, team: &WorkspaceId, length: Length) {
         let running = &mut self.running[length as usize];
         *running = running.saturating_sub(1);
@@ -373,10 +368,7 @@
         self.drop_unused(team);
     }
 
-    /// Estimates how long a request would wait for a slot, if its weights were loaded.
-    ///
-    /// Counts the requests of its length that are at least as urgent and due no later. The
-    /// guaranteed share of its team bounds the wait behind other teams' requests.
+    /// Estimates how long a request whose weights are loaded would wait for a batch slot.
     pub fn expected_wait(
         &self,
         request: &QueuedRequest,
@@ -405,8 +397,7 @@
         global_wait.min(slot_wait + share_wait + mean_run * own_ahead / guaranteed)
     }
 
-    /// Returns the ready requests that would miss their deadline at the current mean run times, as
-    /// when the target has slowed down since their admission. Linear in the ready requests.
+    /// Returns the ready requests that would miss their deadline at these mean run times.
     pub fn infeasible(&self, now: Instant, mean_run_times: [Duration; 2]) -> Vec<RequestKey> {
         if self.discipline == QueueDiscipline::Fifo {
             return Vec::new();
--- a/crates/corianderstand_decide/src/request.rs
+++ b/crates/corianderstand_decide/src/request.rs
@@ -39,11 +39,11 @@
     pub team: WorkspaceId,
     /// What a target needs to serve it.
     pub requirement: Requirement,
-    /// 0 low, 1 normal, 2 urgent.
+    /// Urgency: 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When its response is due.
+    /// Time by which its response is due.
     pub deadline: Instant,
-    /// Whether it may be retried on another target after one may have started it.
+    /// Whether another target may run it after one may have started it.
     pub repeatable: bool,
     /// Expected length and prompt prefix.
     pub shape: RequestShape,
@@ -80,7 +80,7 @@
     }
 }
 
-/// The refusal of a request.
+/// Why a request is refused, and when to retry it.
 #[derives(data)]
 #[derive(Copy, Eq)]
 pub struct Refusal {
@@ -96,11 +96,11 @@
     fn memory(&self, weights: &Weights) -> Option<Mib>;
     /// Expected load time of the weights.
     fn load_time(&self, weights: &Weights) -> Duration;
-    /// Guaranteed share of a team, in thousandths of the capacity.
+    /// Guaranteed share of a team, in thousandths of each target's capacity.
     fn share(&self, _team: &WorkspaceId) -> u32 {
         DEFAULT_SHARE
     }
-    /// Sum of all teams' shares.
+    /// Sum of all teams' guaranteed shares, in thousandths.
     fn total_shares(&self) -> u32 {
         FULL_SHARE_PERMILLE
     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Share, in thousandths, of a team that the settings don't define.
+/// Guaranteed share, in thousandths, of a team that the settings don't define.
 pub const DEFAULT_SHARE: u32 = 100;
 
 /// Relative weights, 0 to 100, of the two costs of a keep-alive decision.
@@ -139,7 +139,7 @@
     pub per_second: u32,
     /// Loads that can run concurrently at full speed.
     pub concurrent: u32,
-    /// Number of engines that load from it.
+    /// Number of engines that load from the weight store.
     pub engines: u32,
 }
 
--- a/crates/corianderstand_decide/src/router/choose.rs
+++ b/crates/corianderstand_decide/src/router/choose.rs
@@ -15,18 +15,17 @@
 /// Includes the target with the cached prefix and the last warm target.
 const MAX_CANDIDATES: usize = RING_CANDIDATES + RANDOM_CANDIDATES + 2;
 
-/// Wait added by each request sent since a target's last load report, as reports lag.
+/// Wait added by each request sent since a target's last load report.
 const UNREPORTED_REQUEST_COST: Duration = Duration::from_millis(20);
 const TYPICAL_RUN_TIME: Duration = Duration::from_millis(300);
 const CROSS_ZONE_COST: Duration = Duration::from_millis(3);
 const PREFIX_MISS_COST: Duration = Duration::from_millis(500);
 const COLD_START_COST: Duration = Duration::from_secs(5);
-/// Requests of this urgency or higher don't probe ejected targets.
 const MIN_UNPROBED_URGENCY: u8 = 2;
 const MAX_PROBE_CANDIDATES: usize = 4;
-/// Cost of each step along the ring for a target that has to load the model.
+/// Cost of each step along the hash ring to a target that has to load the model.
 const COLD_RING_STEP_COST: Duration = Duration::from_secs(1);
-/// Cost of each step along the ring, which breaks ties alike on all routers.
+/// Cost of each step along the hash ring, which breaks ties alike on all routers.
 const RING_STEP_COST: Duration = Duration::from_micros(100);
 
 struct Candidates {
@@ -46,9 +45,8 @@
 impl Router {
     /// Sends a request to the candidate with the lowest estimated cost, or refuses it.
     ///
-    /// All routers take the same candidates from the ring, so that requests for a cold model load
-    /// one replica. Comparing all targets would send every request to the same one until its next
-    /// load report.
+    /// All routers take the same candidates from the hash ring, so that they load a cold model at one
+    /// target.
     pub(super) fn choose(
         &mut self,
         now: Instant,
@@ -70,11 +68,8 @@
         Decision::Send(chosen)
     }
 
-    /// Returns whether a request would start a load at `chosen` that can't finish in time.
-    ///
-    /// A request refused for its deadline by a loading replica is too late for a load at another.
-    /// If the refusing replica is serving the model, it is overloaded, which its reported wait
-    /// doesn't show, and another replica is started for later requests.
+    /// Returns whether a request refused for its deadline would start a load at `chosen` that can't
+    /// finish in time. If the refusing target serves the model, the load is for later requests.
     fn is_futile_cold_start(
         &self,
         now: Instant,
@@ -219,7 +214,7 @@
     reported.saturating_sub(since) + UNREPORTED_REQUEST_COST * target.sent_since_report
 }
 
-/// Start on the ring: by prefix for a warm model, by model for a cold one, random for a service.
+/// Start on the hash ring: by prefix for a warm model, by model for a cold one, random for a service.
 fn ring_hash(spec: &RequestSpec, seed: u64, warm: bool) -> u64 {
     match (&spec.requirement, spec.shape.prefix) {
         (Requirement::Service(_), _) => seed,
--- a/crates/corianderstand_decide/src/router/health.rs
+++ b/crates/corianderstand_decide/src/router/health.rs
@@ -8,7 +8,6 @@
 const RATIO_SMOOTHING: f64 = 0.3;
 /// Small, so that one slow target hardly shifts a model's baseline.
 const BASELINE_SMOOTHING: f64 = 0.05;
-/// Samples are clipped to this multiple of the baseline, for the same reason.
 const MAX_BASELINE_SAMPLE_RATIO: f64 = 2.0;
 /// A target slower than the baseline by this ratio is ejected.
 const EJECT_RATIO: f64 = 3.0;
--- a/crates/corianderstand_decide/src/router/mod.rs
+++ b/crates/corianderstand_decide/src/router/mod.rs
@@ -43,7 +43,7 @@
     pub zone: AvailabilityZoneId,
     /// Whether the connection to its agent is up.
     pub connected: bool,
-    /// Whether it accepts no new requests.
+    /// Whether the target is shutting down and accepts no new requests.
     pub draining: bool,
     /// Requests that this router has sent and that haven't ended.
     pub outstanding: u32,
--- a/crates/corianderstand_decide/src/router/target_ring.rs
+++ b/crates/corianderstand_decide/src/router/target_ring.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-/// Time after the last request sent for which a target is assumed to have the model loaded.
+/// Time after a request was sent for which a target is assumed to have the model loaded.
 const WARM_TIMEOUT: Duration = Duration::from_secs(300);
 /// Time after a response for which a target certainly has the model loaded.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(5);
@@ -82,7 +82,6 @@
             .is_some_and(|at| now.saturating_duration_since(*at) < WARM_TIMEOUT)
     }
 
-    /// Returns the target that was marked warm last, if it still is.
     pub fn last_warm(&self, now: Instant) -> Option<TargetKey> {
         self.last_warm.filter(|target| self.is_warm(now, *target))
     }
--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -1,7 +1,6 @@
 //! Limits the retries of all routers together.
 //!
-//! The allowance is a ratio of recent requests plus a fixed part. Each router uses the ratio of its
-//! own requests and an equal share of the fixed part, which needs no coordination.
+//! Each router may retry a ratio of its own recent requests, plus an equal part of a fixed number.
 
 use std::{
     collections::VecDeque,
@@ -49,8 +48,7 @@
         self.bucket(now, allowance).requests += 1;
     }
 
-    /// Spends one retry; false if the budget is exhausted. `routers` is the number of routers that
-    /// share the fixed part.
+    /// Spends one retry; false if the budget is exhausted. `routers` is the number of running routers.
     pub fn spend(&mut self, now: Instant, allowance: &Allowance, routers: usize) -> bool {
         self.bucket(now, allowance);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
--- a/crates/corianderstand_fleet/src/choose.rs
+++ b/crates/corianderstand_fleet/src/choose.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use xxhash_rust::xxh3;
 
-/// Cost of a target in another availability zone; a larger difference in load outweighs it.
+/// Cost of sending a request to another availability zone.
 const CROSS_ZONE_COST: f64 = 0.05;
 /// Cost saved per thousand prompt tokens that the target has in its prefix cache.
 const CACHED_PREFIX_CREDIT_PER_1000_TOKENS: f64 = 0.12;
@@ -17,7 +17,6 @@
 const FAILURE_SCORE_WEIGHT: f64 = 3.0;
 /// Weight of a target's mean event interval relative to the shortest among the candidates.
 const SLOWDOWN_WEIGHT: f64 = 0.4;
-/// Upper bound of the relative slowdown, so that one slow target does not dominate the cost.
 const MAX_SLOWDOWN_RATIO: f64 = 4.0;
 /// Largest pseudo-random cost; spreads requests over targets of similar cost.
 const JITTER_WEIGHT: f64 = 0.03;
@@ -43,7 +42,7 @@
     pub requested: Option<&'a RequestedModel>,
     /// Expected tokens of the prompt and the answer.
     pub tokens: u64,
-    /// Cache capacity of one engine in tokens; 0 if it is not limited.
+    /// KV cache capacity of one engine in tokens; 0 if unlimited.
     pub cache_tokens: u64,
     /// Number of adapters that can be resident on one engine.
     pub adapter_slots: usize,
--- a/crates/corianderstand_fleet/src/config.rs
+++ b/crates/corianderstand_fleet/src/config.rs
@@ -114,7 +114,7 @@
 pub struct Engine {
     /// Number of requests in one batch.
     pub slots: u32,
-    /// Cache capacity, in tokens.
+    /// KV cache capacity, in tokens.
     pub cache_tokens: u64,
     /// Memory for weights, in MB.
     pub weights_mb: u64,
--- a/crates/corianderstand_fleet/src/health.rs
+++ b/crates/corianderstand_fleet/src/health.rs
@@ -1,8 +1,7 @@
 //! Passive health of a target.
 //!
-//! Scores come from requests only, because a target may pass its health check and still fail
-//! requests. They decay over time: an avoided target gets too few requests to show that it has
-//! recovered.
+//! Failure scores come from requests only, because a target may pass its health check and still fail
+//! requests. They decay, so that an ejected target is probed again.
 
 use std::time::{Duration, Instant};
 
@@ -43,11 +42,8 @@
     }
 }
 
-/// Weight of one event in the moving average.
 const EVENT_INTERVAL_WEIGHT: f64 = 0.04;
-/// Time after the last event at which the average expires.
 const EVENT_INTERVAL_TTL: Duration = Duration::from_secs(3);
-/// Upper bound of one interval, so that a single stalled stream does not dominate the average.
 const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Moving average of the time between events of a target's streams.
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -16,9 +16,9 @@
     time::{Duration, Instant},
 };
 
-/// Utility, relative to the model's requests, of a replica that is redundant until a crash.
+/// Utility, relative to the model's requests, of a replica that is only needed after a crash.
 const SPARE_REPLICA_UTILITY: f64 = 0.02;
-/// Cost of each of up to two running requests of an evicted model, which delay other commands.
+/// Eviction cost per running request of the model, for up to two requests.
 const RUNNING_REQUEST_COST: f64 = 0.9;
 const SWAP_WINDOW: Duration = Duration::from_secs(4);
 const MIN_REPLICA_UTILITY: f64 = 0.5;
@@ -63,7 +63,6 @@
 struct Placement {
     engine_index: usize,
     victims: Vec<names::ModelId>,
-    /// The engine must finish other commands first.
     is_deferred: bool,
     ready_in: Duration,
     from_store: bool,
--- a/crates/corianderstand_fleet/src/store_concurrency.rs
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -13,7 +13,6 @@
     time::{Duration, Instant},
 };
 
-/// Low, because excess loads delay each other, and the limit rises within a few loads.
 const INITIAL_LIMIT: u32 = 2;
 /// Factor by which the limit rises after a load that wasn't slowed down at the limit.
 const PROBE_FACTOR: u32 = 2;
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -121,6 +121,6 @@
     pub running: u32,
     /// Queued requests.
     pub waiting: u32,
-    /// Cache tokens that cannot be evicted; none if unknown.
+    /// Tokens in the KV cache that cannot be evicted; none if unknown.
     pub cache_used: Option<u64>,
 }
