--- a/crates/corianderstand_decide/src/agent/admit.rs
+++ b/crates/corianderstand_decide/src/agent/admit.rs
@@ -14,7 +14,7 @@
 const INITIAL_LONG_RUN_TIME: Duration = Duration::from_secs(2);
 const RUN_TIME_SMOOTHING_DIVISOR: u32 = 8;
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Retries after a cold start are spread over the load time divided by this.
+/// Fraction of the load time over which retries after a cold start are spread, as a divisor.
 const COLD_START_JITTER_DIVISOR: u32 = 8;
 /// Increment of the low-discrepancy jitter sequence: 2^64 divided by the golden ratio.
 const JITTER_INCREMENT: u64 = 0x9E37_79B9_7F4A_7C15;
@@ -61,7 +61,7 @@
 }
 
 impl RetrySchedule {
-    /// Returns a retry delay of at least `base`, which ends `spacing` or more after the previous.
+    /// Returns a retry delay of at least `base`, for a retry at least `spacing` after the previous one.
     pub fn schedule(&mut self, now: Instant, base: Duration, spacing: Duration) -> Duration {
         let base = base.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
         let at = self.next.map_or(now + base, |next| next.max(now + base));
@@ -126,8 +126,7 @@
         Some(Refusal { reason: RefusalReason::Deadline, retry_after })
     }
 
-    /// Whether the queue is full for a team. A team below its share is still admitted, so the queue
-    /// holds at most twice its limit.
+    /// Whether the queue is full for a team; teams below their guaranteed share may exceed its limit.
     fn is_queue_full_for(&self, team: &WorkspaceId, share: u32, total_shares: u32) -> bool {
         if self.queue.len() < self.limits.queue as usize {
             return false;
--- a/crates/corianderstand_decide/src/agent/evict.rs
+++ b/crates/corianderstand_decide/src/agent/evict.rs
@@ -11,7 +11,7 @@
 const UTILITY_HORIZON: Duration = Duration::from_secs(30 * 60);
 
 impl Agent {
-    /// Unloads idle weights until `missing` will be free, if possible; returns whether it will be.
+    /// Unloads idle weights to free `missing` memory, if possible; returns whether it will be free.
     pub(super) fn evict(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/keep_alive.rs
+++ b/crates/corianderstand_decide/src/agent/keep_alive.rs
@@ -13,7 +13,7 @@
 };
 
 const PREWARM_SCAN_INTERVAL: Duration = Duration::from_secs(15);
-/// Lead of a prewarm, in load times; leaves time for other loads that start with it.
+/// Time before a prewarm window at which the load starts, as a multiple of the load time.
 const PREWARM_LEAD_LOADS: u32 = 3;
 
 #[derive(Clone, Debug, Default)]
@@ -127,7 +127,7 @@
             return;
         }
         if !self.replica_slots.contains(&base.model) {
-            // Without a slot it would be an unplanned replica.
+            // Without a replica slot it would be an unplanned replica.
             self.keep_alive.set_expiry(&base, now);
             return;
         }
@@ -192,7 +192,7 @@
         window
     }
 
-    /// Unloads models whose keep-alive expired, and prewarms those that are due.
+    /// Unloads models whose keep-alive time has expired, and prewarms those that are due.
     pub(super) fn unload_expired(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -14,12 +14,11 @@
     time::{Duration, Instant},
 };
 
-/// Time to wait for a coordinator's grant before the agent's own limiter applies; long enough for
-/// the lease to move to another coordinator.
+/// Time to wait for a coordinator's grant of a load before the agent's own limiter applies.
 pub const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that requests wait for memory before they are refused, early enough for a retry elsewhere.
+/// Time that requests wait for engine memory before they are refused.
 const CAPACITY_WAIT_LIMIT: Duration = Duration::from_secs(2);
-/// Validity of a [`LoadDemand`] of refused callers, beyond the expected load time.
+/// Time beyond the expected load time for which a refused request keeps its [`LoadDemand`].
 const DEMAND_TTL: Duration = Duration::from_secs(60);
 /// Delay before a command of unknown outcome is retried; engines treat retries as idempotent.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_secs(2);
@@ -119,8 +118,7 @@
         }
     }
 
-    /// When the next command may be due. Must not return a time at which nothing is due, or the
-    /// event loop spins.
+    /// When the next command is due; a time at which none is would make the event loop spin.
     pub fn next_wake(&self) -> Option<Instant> {
         let pending = self.pending.values().filter_map(|pending| self.next_start_of(pending));
         let retries = self.retries.values().map(|(at, _)| *at);
@@ -167,8 +165,8 @@
         }
     }
 
-    /// Requests a load for a refused request, so that its retry succeeds; otherwise a model whose
-    /// callers have deadlines shorter than its load time would never be loaded.
+    /// Requests a load for a refused request; otherwise a model whose callers' deadlines are shorter
+    /// than its load time would never be loaded.
     pub(super) fn record_demand(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_decide/src/agent/mod.rs
+++ b/crates/corianderstand_decide/src/agent/mod.rs
@@ -1,8 +1,6 @@
 //! Admission, queueing, loading and eviction for one target.
 //!
-//! [`Agent`] is a state machine that takes events and the current time and returns [`Action`]s. It
-//! is split into `admit` (admission control), `loads` (load scheduling), `evict` (eviction) and
-//! `keep_alive` (keep-alive times and prewarming).
+//! [`Agent`] is a state machine that takes events and the current time and returns [`Action`]s.
 
 mod admit;
 mod evict;
@@ -48,7 +46,7 @@
     /// Derived from the model's call history and cold-start cost.
     #[default]
     Adaptive,
-    /// A fixed time after the last call; the baseline of comparisons.
+    /// A fixed time after the last call; a baseline for benchmarks.
     Fixed(Duration),
 }
 
@@ -59,7 +57,7 @@
     /// Those with the lowest utility.
     #[default]
     LowestUtility,
-    /// The least recently used; the baseline of comparisons.
+    /// The least recently used; a baseline for benchmarks.
     LeastRecentlyUsed,
 }
 
@@ -91,7 +89,7 @@
     RequestLoadGrant(LoadRequest),
 }
 
-/// Minimum `retry_after` of a refusal.
+/// Minimum retry delay that a refusal recommends.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// Interval between scans for queued requests that can't meet their deadline any more.
 const SHED_SCAN_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/corianderstand_decide/src/history/wakes.rs
+++ b/crates/corianderstand_decide/src/history/wakes.rs
@@ -5,7 +5,7 @@
 
 pub const DAY_S: u64 = 86_400;
 const MIN_IDLE_S: u64 = 30 * 60;
-/// Maximum number of wakes kept per model: two weeks with two wakes a day.
+/// Maximum number of wakes kept per model.
 const MAX_WAKES: usize = 28;
 const LOOKBACK_DAYS: u64 = 14;
 /// Wakes closer together than this in time of day belong to one cluster.
@@ -44,12 +44,9 @@
         self.times.push_back(unix_s);
     }
 
-    /// The next window in which prewarming costs less than a cold start.
+    /// The next window in which prewarming costs less than cold starts.
     ///
-    /// Each cluster's window starts where the expected cost is lowest: idle time on days with a
-    /// wake, the whole window on days without, and a cold start for each wake before the start.
-    /// A cluster without a wake on the same weekday of the previous week is skipped, which
-    /// excludes weekly days off.
+    /// Skips clusters without a wake on the same weekday of the previous week.
     pub fn prewarm_window(&self, unix_s: u64, cold_start_cost: f64) -> Option<PrewarmWindow> {
         let recent: Vec<u64> = self
             .times
@@ -93,7 +90,8 @@
     clusters
 }
 
-/// The start with the lowest cost and the end of a cluster's window, in seconds of the day.
+/// The start with the lowest expected cost and the end of a cluster's window, in seconds of the day;
+/// none if cold starts cost less.
 fn best_window(cluster: &[u64], days_seen: usize, cold_start_cost: f64) -> Option<(u64, u64)> {
     let days: BTreeSet<u64> = cluster.iter().map(|wake| wake / DAY_S).collect();
     if days.len() < MIN_CLUSTER_DAYS {
@@ -114,7 +112,7 @@
     (cost_starting_at(best) < without_prewarm).then_some((best, end_s))
 }
 
-/// The occurrence of a daily window that ends first after `unix_s`.
+/// The next daily occurrence of a window that ends after `unix_s`.
 fn next_occurrence(unix_s: u64, start_s: u64, end_s: u64) -> PrewarmWindow {
     let today = unix_s - unix_s % DAY_S;
     let day = if today + end_s > unix_s { today } else { today + DAY_S };
--- a/crates/corianderstand_decide/src/router/prefixes.rs
+++ b/crates/corianderstand_decide/src/router/prefixes.rs
@@ -7,8 +7,7 @@
 };
 
 const MAX_PREFIXES: usize = 65_536;
-/// Longest delay of a cache event. A removal this soon after a prefix was recorded is ignored, as
-/// it may precede the record.
+/// Time after a prefix was recorded for which its removal is ignored, as the cache event may be older.
 const MAX_EVENT_LAG: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
@@ -29,9 +28,9 @@
 pub struct CacheEvent {
     /// Sequence number; a gap means that events were lost.
     pub sequence: u64,
-    /// Prefixes stored.
+    /// Hashes of the stored prefixes.
     pub stored: Vec<u64>,
-    /// Prefixes removed.
+    /// Hashes of the removed prefixes.
     pub removed: Vec<u64>,
 }
 
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -26,8 +26,7 @@
 
 /// Time for which a model counts as absent after its engine refused a request for it.
 const ABSENT_MODEL_TTL: Duration = Duration::from_millis(400);
-/// Time without reports after which an agent counts as unresponsive. Tolerates a lost datagram at
-/// the longest report interval of 0.9 s.
+/// Time without reports after which an agent counts as unresponsive.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time for which a target that refused a connection is ejected, before it is probed again.
@@ -121,8 +120,7 @@
         !unloading && !absent && self.entry.holdings.resident(model).is_some()
     }
 
-    /// Estimated requests of all routers: the last reported load, adjusted by what this process has
-    /// sent and completed since.
+    /// Estimated requests in progress: the reported load, adjusted by this process's later requests.
     pub fn estimated_requests(&self) -> u32 {
         let reported = self.load.running + self.load.waiting;
         (reported + self.local_requests)
@@ -130,7 +128,7 @@
             .max(self.local_requests)
     }
 
-    /// Estimated tokens in its cache, as for [`Self::estimated_requests`].
+    /// Estimated tokens in its KV cache, as for [`Self::estimated_requests`].
     pub fn estimated_tokens(&self) -> u64 {
         let reported = self.load.cache_used.unwrap_or(0);
         (reported + self.local_tokens)
@@ -169,7 +167,7 @@
     }
 }
 
-/// Effect of a registration.
+/// Effect of applying a target's registered entry.
 #[derives(key)]
 pub enum Change {
     /// A new target or incarnation.
@@ -225,9 +223,8 @@
         self.arena.is_empty()
     }
 
-    /// Applies an agent's report that its engine restarted under another name. Until the new target
-    /// registers, it inherits the previous entry, of whose holdings only the weights on disk
-    /// persist. Returns false if the report changes nothing.
+    /// Applies an agent's report that its engine restarted under another name, which inherits the
+    /// previous entry until it registers. Returns false if the report changes nothing.
     pub fn replace(&mut self, now: Instant, replacement: &Replacement) -> bool {
         let Replacement { id, started_at_ms, previous_id } = replacement;
         if self.key(id).is_some() || self.drained.contains_key(id) {
@@ -248,11 +245,10 @@
         true
     }
 
-    /// Infers that an unknown engine replaced the only known one on its host; returns false if not.
+    /// Infers that an unknown engine replaced the only known one on its host, as seen by a router that
+    /// starts after the engine restarted; returns false if not.
     ///
-    /// Needed by a router that starts after all engines restarted: the stored entries are outdated
-    /// and it missed the agents' reports. Only services for which `runs_on_engines` holds are
-    /// considered. If the previous engine is alive, its next entry removes the inferred one.
+    /// If the previous engine is alive, its next entry removes the inferred one.
     pub fn infer_successor(
         &mut self,
         now: Instant,
--- a/crates/corianderstand_fleet/src/utility.rs
+++ b/crates/corianderstand_fleet/src/utility.rs
@@ -10,14 +10,14 @@
 const RELAXED_MISS_COST: f64 = 0.7;
 /// Cost of a request whose model can't be loaded within its latency objective.
 const URGENT_MISS_COST: f64 = 1.0;
-/// Maximum number of misses after a model leaves its last engine, until it is loaded again.
+/// Maximum number of late requests from a model's last eviction until it is loaded again.
 const MISSES_PER_ABSENCE: f64 = 2.0;
 /// Time from a request for an absent model until its load starts.
 pub const DECISION_LATENCY: Duration = Duration::from_millis(250);
 const PAUSE_COST: f64 = 0.7;
 /// Probability that a stream pauses too long, relative to the squared prefill utilization.
 const PAUSE_FACTOR: f64 = 1.4;
-/// Target batch occupancy of a replica; the rest absorbs bursts.
+/// Ratio of an engine's batch slots that the planner aims to use.
 const TARGET_BATCH_RATIO: f64 = 0.5;
 /// Weight of batch and adapter slot occupancy relative to prefill utilization.
 const SLOT_UTILIZATION_WEIGHT: f64 = 0.5;
@@ -25,8 +25,7 @@
 const ADAPTER_RESIDENCY_S: f64 = 1.3;
 const TARGET_ADAPTER_RATIO: f64 = 0.8;
 
-/// Returns the cost within [`HORIZON_S`], in requests, of having the model on no engine. Placement
-/// and eviction use the same value, so that evicted models don't displace others at once.
+/// Returns the cost within [`HORIZON_S`], in requests, of having the model on no engine.
 pub fn absence_cost(model: &ModelView) -> f64 {
     MISSES_PER_ABSENCE
         * (1.0 - (-expected_requests(model) / MISSES_PER_ABSENCE).exp())
--- a/crates/corianderstand_fleet/src/wait_limit.rs
+++ b/crates/corianderstand_fleet/src/wait_limit.rs
@@ -10,12 +10,12 @@
 const FIRST_EVENT_TIME: Duration = Duration::from_millis(150);
 /// Time for the planner to decide on a load, and for the engine to unload another model first.
 const LOAD_DECISION_TIME: Duration = Duration::from_millis(500);
-/// Random addition to a retry time, so that refused callers do not all retry at once.
+/// Maximum random part of a retry delay, so that refused callers do not all retry at once.
 const RETRY_SPREAD_RATIO: f64 = 0.3;
-/// Lower bound of a retry time; a new connection costs more than a shorter one.
+/// Lower bound of a recommended retry delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Retry time while a service has no target; covers the restart of a crashed target.
+/// Recommended retry delay while a service has no target.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// When the model that a request waits for is expected to be ready.
@@ -34,7 +34,7 @@
 /// What to do with a request that cannot be sent now.
 #[derives(key)]
 pub enum Decision {
-    /// Hold it until this time at the latest; decide again on each change.
+    /// Hold it, and decide again on each change.
     Hold {
         /// End of the wait.
         until: Instant,
@@ -46,8 +46,8 @@
     },
 }
 
-/// Decides whether a request that cannot be sent now is held or refused. `deadline` is when its
-/// caller or its route gives up; `spread` is between 0 and 1, derived from the request's hash.
+/// Decides whether a request that cannot be sent now is held until `deadline` at the latest, or
+/// refused with a retry delay randomized by `spread`, from 0 to 1.
 pub fn decide(now: Instant, deadline: Instant, readiness: Readiness, spread: f64) -> Decision {
     let ready_at = match readiness {
         Readiness::ReadyAt(at) => at.max(now),
