--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -7,7 +7,7 @@
 
 mod entry;
 
-pub use entry::{Entry, Holdings, Load, OngoingCommand, Replacement, Report, Resident};
+pub use entry::{AgentReport, Entry, Holdings, Load, OngoingCommand, Replacement, Resident};
 
 use crate::{choose, health};
 use corianderstand_derives::derives;
@@ -346,7 +346,7 @@
     }
 
     /// Applies an agent's report; returns false if the engine is unknown or the report is outdated.
-    pub fn report(&mut self, now: Instant, report: Report) -> bool {
+    pub fn report(&mut self, now: Instant, report: AgentReport) -> bool {
         let Some(key) = self.key(&report.id) else { return false };
         let target = &mut self.arena[key];
         let starts_known = report.started_at_ms > 0 && target.entry.started_at_ms > 0;
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -87,7 +87,7 @@
 
 /// Report of an agent on its engine.
 #[derives(data)]
-pub struct Report {
+pub struct AgentReport {
     /// Name of the engine.
     pub id: names::TargetId,
     /// Start time as in [`Entry::started_at_ms`].
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -13,7 +13,7 @@
     sync::Arc,
     time::{Duration, Instant},
 };
-use targets::{Change, Entry, Holdings, Load, OngoingCommand, Report, Resident, Targets};
+use targets::{AgentReport, Change, Entry, Holdings, Load, OngoingCommand, Resident, Targets};
 
 fn table(prefixes: &[&str]) -> routes::Table {
     let routes = prefixes.iter().map(|prefix| {
@@ -159,7 +159,7 @@
     let now = Instant::now();
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
-    let report = Report {
+    let report = AgentReport {
         id: id("e"),
         started_at_ms: 10,
         holdings: Holdings { commands_accepted: 2, ..holdings(&["n"]) },
@@ -172,7 +172,7 @@
     let key = targets.key(&id("e")).unwrap();
     assert!(targets.get(key).unwrap().serves(now, &"n".into()));
     let older =
-        Report { holdings: Holdings { commands_accepted: 1, ..holdings(&["m"]) }, ..report };
+        AgentReport { holdings: Holdings { commands_accepted: 1, ..holdings(&["m"]) }, ..report };
     assert!(!targets.report(now, older), "reordered datagram");
 }
 
@@ -277,7 +277,7 @@
         now,
         &targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") }
     ));
-    let report = Report {
+    let report = AgentReport {
         id: id("f"),
         started_at_ms: 20,
         holdings: Holdings::default(),
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -179,7 +179,7 @@
     shared.peers.borrow().planner(now, &own)
 }
 
-fn to_report(now: Instant, update: wire::EngineUpdate) -> targets::Report {
+fn to_report(now: Instant, update: wire::EngineUpdate) -> targets::AgentReport {
     let ongoing = update.ongoing.into_iter().next().map(|command| {
         if command.loads {
             let ready_at = now + Duration::from_millis(u64::from(command.remaining_ms));
@@ -200,7 +200,7 @@
     let cached_weights_reported = cached_weights.is_some();
     let (in_memory, on_disk) =
         cached_weights.map(|cached| (cached.in_memory, cached.on_disk)).unwrap_or_default();
-    targets::Report {
+    targets::AgentReport {
         id: update.target,
         started_at_ms: update.born,
         holdings: targets::Holdings {
