--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -7,7 +7,7 @@
 
 mod entry;
 
-pub use entry::{AgentReport, Entry, Holdings, Load, OngoingCommand, Replacement, Resident};
+pub use entry::{AgentReport, EngineReplacement, Entry, Holdings, Load, OngoingCommand, Resident};
 
 use crate::{choose, health};
 use corianderstand_derives::derives;
@@ -225,8 +225,8 @@
 
     /// Applies an agent's report that its engine restarted under another name, which inherits the
     /// previous entry until it registers. Returns false if the report changes nothing.
-    pub fn replace(&mut self, now: Instant, replacement: &Replacement) -> bool {
-        let Replacement { id, started_at_ms, previous_id } = replacement;
+    pub fn replace(&mut self, now: Instant, replacement: &EngineReplacement) -> bool {
+        let EngineReplacement { id, started_at_ms, previous_id } = replacement;
         if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -104,7 +104,7 @@
 
 /// A target that restarted under another name.
 #[derives(data)]
-pub struct Replacement {
+pub struct EngineReplacement {
     /// Its new name.
     pub id: names::TargetId,
     /// Start time as in [`Entry::started_at_ms`].
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -248,7 +248,8 @@
     let on_disk = Holdings { on_disk: vec!["m".into()], ..holdings(&["m"]) };
     targets.register(now, Entry { holdings: on_disk, ..entry("e") });
     targets.remove(now, &id("e"), false);
-    let replaced = targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") };
+    let replaced =
+        targets::EngineReplacement { id: id("f"), started_at_ms: 20, previous_id: id("e") };
     assert!(targets.replace(now, &replaced));
     let found = |targets: &Targets| targets.get(targets.key(&id("f")).unwrap()).unwrap().clone();
     assert_eq!(found(&targets).entry.addr, entry("e").addr);
@@ -275,7 +276,7 @@
     targets.register(now, entry("e"));
     assert!(targets.replace(
         now,
-        &targets::Replacement { id: id("f"), started_at_ms: 20, previous_id: id("e") }
+        &targets::EngineReplacement { id: id("f"), started_at_ms: 20, previous_id: id("e") }
     ));
     let report = AgentReport {
         id: id("f"),
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -116,7 +116,7 @@
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
             let replaced =
-                targets::Replacement { id: target, started_at_ms: born, previous_id: before };
+                targets::EngineReplacement { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "target restarted under another name, as its agent reports");
