--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -169,7 +169,7 @@
 
 /// Effect of applying a target's registered entry.
 #[derives(key)]
-pub enum Change {
+pub enum RegistrationChange {
     /// A new target or incarnation.
     New,
     /// The target started draining.
@@ -297,30 +297,30 @@
 
     /// Applies a registered entry. Entries must arrive in the order in which they were written, as a
     /// new one removes other targets with its address.
-    pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
+    pub fn register(&mut self, now: Instant, entry: Entry) -> RegistrationChange {
         if self
             .drained
             .get(&entry.id)
             .is_some_and(|&started_at_ms| entry.started_at_ms <= started_at_ms)
         {
-            return Change::Stale;
+            return RegistrationChange::Stale;
         }
         let Some(key) = self.key(&entry.id) else {
             self.remove_at_addr(now, entry.addr);
             self.insert(now, entry);
-            return Change::New;
+            return RegistrationChange::New;
         };
         let target = &mut self.arena[key];
         if entry.started_at_ms < target.entry.started_at_ms
             || (entry.started_at_ms == target.entry.started_at_ms
                 && entry.renewals < target.entry.renewals)
         {
-            return Change::Stale;
+            return RegistrationChange::Stale;
         }
         if entry.started_at_ms > target.entry.started_at_ms {
             self.remove_target(now, key);
             self.insert(now, entry);
-            return Change::New;
+            return RegistrationChange::New;
         }
         target.missing_since = None;
         let changed = target.entry.holdings != entry.holdings;
@@ -339,9 +339,9 @@
             target.entry.holdings.on_disk = entry.holdings.on_disk;
         }
         match (drains, changed) {
-            (true, _) => Change::Draining,
-            (false, true) => Change::Holdings,
-            (false, false) => Change::Nothing,
+            (true, _) => RegistrationChange::Draining,
+            (false, true) => RegistrationChange::Holdings,
+            (false, false) => RegistrationChange::Nothing,
         }
     }
 
--- a/crates/corianderstand_fleet/tests/decisions.rs
+++ b/crates/corianderstand_fleet/tests/decisions.rs
@@ -13,7 +13,9 @@
     sync::Arc,
     time::{Duration, Instant},
 };
-use targets::{AgentReport, Change, Entry, Holdings, Load, OngoingCommand, Resident, Targets};
+use targets::{
+    AgentReport, Entry, Holdings, Load, OngoingCommand, RegistrationChange, Resident, Targets,
+};
 
 fn table(prefixes: &[&str]) -> routes::Table {
     let routes = prefixes.iter().map(|prefix| {
@@ -85,7 +87,7 @@
     targets.register(now, entry("before"));
     targets.register(now, entry("other"));
     let after = Entry { addr: address("before"), ..entry("after") };
-    assert_eq!(targets.register(now, after), Change::New);
+    assert_eq!(targets.register(now, after), RegistrationChange::New);
     assert!(targets.key(&id("before")).is_none(), "the previous engine has ended");
     assert!(targets.key(&id("after")).is_some() && targets.key(&id("other")).is_some());
 }
@@ -105,7 +107,11 @@
     let known = targets.get(targets.key(&id("after")).unwrap()).unwrap();
     assert_eq!(known.entry.addr, address("before"));
     assert!(!targets.infer_successor(now, &id("before"), 0, host, |_| true), "outdated report");
-    assert_eq!(targets.register(now, entry("before")), Change::New, "the previous engine is alive");
+    assert_eq!(
+        targets.register(now, entry("before")),
+        RegistrationChange::New,
+        "the previous engine is alive"
+    );
     assert!(targets.key(&id("after")).is_none(), "one target per address");
     assert!(!targets.infer_successor(now, &id("stranger"), 0, address("nobody").ip(), |_| true));
 }
@@ -117,12 +123,16 @@
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
     let draining = Entry { renewals: 6, draining: true, ..entry("e") };
-    assert_eq!(targets.register(now, draining), Change::Draining);
-    assert_eq!(targets.register(now, entry("e")), Change::Stale);
+    assert_eq!(targets.register(now, draining), RegistrationChange::Draining);
+    assert_eq!(targets.register(now, entry("e")), RegistrationChange::Stale);
     let key = targets.key(&id("e")).unwrap();
     assert!(!targets.get(key).unwrap().accepts_requests(now));
     targets.remove(now, &id("e"), false);
-    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the incarnation has ended");
+    assert_eq!(
+        targets.register(now, entry("e")),
+        RegistrationChange::Stale,
+        "the incarnation has ended"
+    );
 }
 
 /// Guards against requests for models that an engine lost in a restart.
@@ -132,7 +142,7 @@
     let mut targets = Targets::default();
     targets.register(now, entry("e"));
     let again = Entry { started_at_ms: 20, renewals: 1, holdings: holdings(&[]), ..entry("e") };
-    assert_eq!(targets.register(now, again), Change::New);
+    assert_eq!(targets.register(now, again), RegistrationChange::New);
     let key = targets.key(&id("e")).unwrap();
     assert!(!targets.get(key).unwrap().serves(now, &"m".into()));
 }
@@ -260,7 +270,11 @@
     );
     assert!(!found(&targets).serves(now, &"m".into()), "no model is loaded after a restart");
     assert!(!targets.replace(now, &replaced), "repeated report");
-    assert_eq!(targets.register(now, entry("e")), Change::Stale, "the previous name has ended");
+    assert_eq!(
+        targets.register(now, entry("e")),
+        RegistrationChange::Stale,
+        "the previous name has ended"
+    );
     targets.register(now, Entry { started_at_ms: 20, renewals: 1, ..entry("f") });
     assert!(targets.expire(now + grace, grace).is_empty(), "it has registered");
     targets.remove(now, &id("f"), false);
--- a/crates/corianderstand_forward/src/follow.rs
+++ b/crates/corianderstand_forward/src/follow.rs
@@ -231,7 +231,10 @@
             let id = entry.id.clone();
             let mut view = shared.view.borrow_mut();
             let change = view.targets.register(now, entry);
-            if !matches!(change, targets::Change::Nothing | targets::Change::Stale) {
+            if !matches!(
+                change,
+                targets::RegistrationChange::Nothing | targets::RegistrationChange::Stale
+            ) {
                 tracing::debug!(target = %id, ?change, "target changed");
                 view.wake_all();
             }
