--- a/tools/soak/src/checks.rs
+++ b/tools/soak/src/checks.rs
@@ -100,7 +100,7 @@
         return Some("answered but never executed".into());
     }
     let body = String::from_utf8_lossy(body);
-    let expected = |run: &corianderstand_platform_standins::ledger::Run| {
+    let expected = |run: &corianderstand_platform_standins::ledger::RequestRun| {
         run.finished && body == format!("{} done by {}", request.id, run.target)
     };
     let wrong = !request.kind.streams() && !runs.iter().any(expected);
