--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -308,7 +308,7 @@
     ) -> impl Iterator<Item = DequeueCandidate> + 'a {
         ALL_LENGTHS.into_iter().filter_map(move |length| {
             let position = *team.ready[length as usize].first()?;
-            let allowed = self.discipline == QueueDiscipline::Fifo || self.has_slot(length);
+            let allowed = self.discipline == QueueDiscipline::Fifo || self.has_batch_slot(length);
             allowed.then(|| self.dequeue_candidate(team, length, position))
         })
     }
@@ -350,11 +350,11 @@
         self.concurrency / RESERVED_SLOTS_DIVISOR
     }
 
-    fn has_slot(&self, length: Length) -> bool {
-        length == Length::Short || self.running[Length::Long as usize] < self.long_limit()
+    fn has_batch_slot(&self, length: Length) -> bool {
+        length == Length::Short || self.running[Length::Long as usize] < self.max_running_long()
     }
 
-    fn long_limit(&self) -> u32 {
+    fn max_running_long(&self) -> u32 {
         (self.concurrency - self.reserved_slots()).max(1)
     }
 
@@ -376,8 +376,8 @@
         mean_run: Duration,
     ) -> Duration {
         let index = request.length as usize;
-        let slots = self.slots(request.length);
-        let full = self.running() >= self.concurrency || !self.has_slot(request.length);
+        let slots = self.available_batch_slots(request.length);
+        let full = self.running() >= self.concurrency || !self.has_batch_slot(request.length);
         let urgency_rank = u8::MAX - request.urgency;
         let ahead = self.backlog[index].ahead(urgency_rank, request.deadline);
         if !full && ahead == 0 {
@@ -412,7 +412,7 @@
         length: Length,
         mean_run: Duration,
     ) -> Vec<RequestKey> {
-        let slots = self.slots(length);
+        let slots = self.available_batch_slots(length);
         let ready = |team: &TeamQueue| team.ready[length as usize].clone();
         let mut positions: Vec<QueuePosition> = self.teams.values().flat_map(ready).collect();
         positions.sort_unstable();
@@ -436,11 +436,11 @@
         infeasible
     }
 
-    fn slots(&self, length: Length) -> u32 {
+    fn available_batch_slots(&self, length: Length) -> u32 {
         let long = self.running[Length::Long as usize];
         match length {
             Length::Short => self.concurrency.saturating_sub(long).max(1),
-            Length::Long => self.long_limit(),
+            Length::Long => self.max_running_long(),
         }
     }
 
