--- a/crates/corianderstand_fleet/src/counts.rs
+++ b/crates/corianderstand_fleet/src/counts.rs
@@ -22,10 +22,10 @@
     pub commandable_engines: usize,
     /// Number of engines that load from the weight store or are planned to.
     pub store_loads: u32,
-    running: HashMap<&'a names::ModelId, u32>,
+    running_requests: HashMap<&'a names::ModelId, u32>,
     /// Indices of the engines that accept commands and cache a model's weights, in ascending order.
-    cached_weights: HashMap<&'a names::ModelId, Vec<usize>>,
-    replicas: HashMap<names::ModelId, usize>,
+    engines_by_cached_model: HashMap<&'a names::ModelId, Vec<usize>>,
+    planned_replicas: HashMap<names::ModelId, usize>,
 }
 
 impl<'a> FleetCounts<'a> {
@@ -58,25 +58,25 @@
             min_adapter_slots: engines.iter().map(|e| e.adapter_slots).min().unwrap_or(1).max(1),
             commandable_engines: engines.iter().filter(|engine| engine.accepts_commands).count(),
             store_loads: store_loads(engines, models, desired),
-            running,
-            cached_weights,
-            replicas,
+            running_requests: running,
+            engines_by_cached_model: cached_weights,
+            planned_replicas: replicas,
         }
     }
 
     /// Returns the number of running requests for a model.
     pub fn running(&self, model: &names::ModelId) -> u32 {
-        self.running.get(model).copied().unwrap_or(0)
+        self.running_requests.get(model).copied().unwrap_or(0)
     }
 
     /// Returns the number of planned replicas of a model.
     pub fn replicas(&self, model: &names::ModelId) -> usize {
-        self.replicas.get(model).copied().unwrap_or(0)
+        self.planned_replicas.get(model).copied().unwrap_or(0)
     }
 
     /// Returns the indices of engines that can load a model from cached weights.
     pub fn engines_with_cached_weights(&self, model: &names::ModelId) -> &[usize] {
-        self.cached_weights.get(model).map_or(&[], Vec::as_slice)
+        self.engines_by_cached_model.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the shortest time to load a model on any engine that accepts commands.
@@ -93,9 +93,9 @@
         victims: &[names::ModelId],
         from_store: bool,
     ) {
-        *self.replicas.entry(model.clone()).or_default() += 1;
+        *self.planned_replicas.entry(model.clone()).or_default() += 1;
         for victim in victims {
-            if let Some(count) = self.replicas.get_mut(victim) {
+            if let Some(count) = self.planned_replicas.get_mut(victim) {
                 *count = count.saturating_sub(1);
             }
         }
--- a/crates/corianderstand_fleet/src/plan.rs
+++ b/crates/corianderstand_fleet/src/plan.rs
@@ -168,7 +168,7 @@
             .filter_map(placement_at)
             .collect();
         if placements.is_empty() {
-            if counts.store_loads >= self.store_concurrency.limit {
+            if counts.store_loads >= self.store_concurrency.max_concurrent_loads {
                 return None;
             }
             placements = (0..engines.len()).filter_map(placement_at).collect();
--- a/crates/corianderstand_fleet/src/store_concurrency.rs
+++ b/crates/corianderstand_fleet/src/store_concurrency.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-const INITIAL_LIMIT: u32 = 2;
+const INITIAL_CONCURRENT_LOADS: u32 = 2;
 /// Factor by which the limit rises after a load that wasn't slowed down at the limit.
 const PROBE_FACTOR: u32 = 2;
 const CONGESTION_RATIO: f64 = 1.25;
@@ -21,7 +21,7 @@
 /// Limit on concurrent loads from the weight store, adapted to observed load times.
 #[derive(Debug)]
 pub struct StoreConcurrency {
-    pub limit: u32,
+    pub max_concurrent_loads: u32,
     loads: HashMap<targets::TargetKey, StoreLoad>,
 }
 
@@ -34,7 +34,7 @@
 
 impl Default for StoreConcurrency {
     fn default() -> Self {
-        Self { limit: INITIAL_LIMIT, loads: HashMap::new() }
+        Self { max_concurrent_loads: INITIAL_CONCURRENT_LOADS, loads: HashMap::new() }
     }
 }
 
@@ -66,9 +66,9 @@
         let slowdown = elapsed / expected.as_secs_f64().max(0.001);
         if slowdown > CONGESTION_RATIO {
             let sustained = (f64::from(load.max_concurrent) / slowdown).round() as u32;
-            self.limit = sustained.clamp(1, self.limit);
-        } else if load.max_concurrent >= self.limit {
-            self.limit = load.max_concurrent * PROBE_FACTOR;
+            self.max_concurrent_loads = sustained.clamp(1, self.max_concurrent_loads);
+        } else if load.max_concurrent >= self.max_concurrent_loads {
+            self.max_concurrent_loads = load.max_concurrent * PROBE_FACTOR;
         }
     }
 }
