--- a/crates/corianderstand_control/src/relay.rs
+++ b/crates/corianderstand_control/src/relay.rs
@@ -19,15 +19,14 @@
 
 /// Base path under which a router serves reads.
 pub const RELAY_PATH: &str = "/internal";
-/// Bytes of records that a tail keeps.
+/// Maximum size of a router's [`RecordTail`].
 pub const MAX_TAIL_BYTES: usize = 4 * 1024 * 1024;
-/// Time since the last response of the log after which an empty page is stale. Exceeds the sum of
-/// the waits of idle reads from the log and from a relay.
+/// Time since the last response of the log after which an empty page is stale.
 pub const MAX_PAGE_AGE: Duration = Duration::from_secs(4);
 /// Maximum number of relays between the log and a process.
 pub const MAX_HOPS: u8 = 2;
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Bytes of an HTTP request and response head.
+/// Estimated size of the heads of an HTTP request and its response.
 pub const HTTP_OVERHEAD_BYTES: u64 = 330;
 /// Bytes that JSON adds to each record.
 const ENTRY_OVERHEAD_BYTES: u64 = 48;
@@ -46,32 +45,31 @@
 impl std::error::Error for RelayError {}
 
 #[derive(Debug, Default)]
-struct Inner {
+struct TailState {
     entries: VecDeque<Entry>,
     bytes: usize,
     next: u64,
     last_response: Option<LastResponse>,
 }
 
-/// The last response of the log, received directly or from another relay.
 #[derive(Clone, Copy, Debug)]
 struct LastResponse {
-    at: Instant,
-    log_ms: u64,
+    received_at: Instant,
+    log_now_ms: u64,
     hops: u8,
 }
 
 /// The newest records of the log, served to followers.
 #[derive(Clone)]
-pub struct Tail {
-    inner: Arc<Mutex<Inner>>,
+pub struct RecordTail {
+    inner: Arc<Mutex<TailState>>,
     next_offset: watch::Sender<u64>,
     clock: SharedClock,
     budget: Arc<Budget>,
     max_bytes: usize,
 }
 
-impl std::fmt::Debug for Tail {
+impl std::fmt::Debug for RecordTail {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.inner.fmt(f)
     }
@@ -84,8 +82,8 @@
     HTTP_OVERHEAD_BYTES + records.sum::<u64>()
 }
 
-impl Tail {
-    /// An empty tail that keeps up to `max_bytes` of records.
+impl RecordTail {
+    /// An empty tail that keeps at most `max_bytes` of records.
     pub fn new(clock: SharedClock, budget: Arc<Budget>, max_bytes: usize) -> Self {
         Self { inner: Arc::default(), next_offset: watch::Sender::new(0), clock, budget, max_bytes }
     }
@@ -100,7 +98,7 @@
         &self.budget
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, TailState> {
         self.inner.lock().expect("no holder of this lock panics")
     }
 
@@ -108,13 +106,14 @@
         self.lock().next
     }
 
-    /// Adds a page that this process has read; drops the kept records if there is a gap.
+    /// Appends the records of a page; drops the earlier records if there is a gap.
     pub fn extend(&self, page: &Page) {
         let now = self.clock.now();
         let mut inner = self.lock();
         let age = Duration::from_millis(page.age_ms);
-        let at = now.checked_sub(age).unwrap_or(now);
-        inner.last_response = Some(LastResponse { at, log_ms: page.now_ms, hops: page.hops });
+        let received_at = now.checked_sub(age).unwrap_or(now);
+        inner.last_response =
+            Some(LastResponse { received_at, log_now_ms: page.now_ms, hops: page.hops });
         for entry in &page.entries {
             inner.push(entry, self.max_bytes);
         }
@@ -131,41 +130,47 @@
     /// # Errors
     ///
     /// See [`RelayError`].
-    pub async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, RelayError> {
+    pub async fn read(
+        &self,
+        start_offset: u64,
+        max: u32,
+        wait: Duration,
+    ) -> Result<Page, RelayError> {
         // Charged before the wait: one record wakes all waiting readers at the same time.
         self.budget.admit_follower(HTTP_OVERHEAD_BYTES).map_err(RelayError::Busy)?;
         let mut next_offset = self.next_offset.subscribe();
         let waited = time::timeout(wait.min(MAX_WAIT), async {
-            while self.next() <= from && next_offset.changed().await.is_ok() {}
+            while self.next() <= start_offset && next_offset.changed().await.is_ok() {}
         });
         let _in_time = waited.await;
-        let page = self.page(from, max)?;
+        let page = self.page(start_offset, max)?;
         self.budget.add_bytes(TrafficClass::Serve, wire_bytes(&page) - HTTP_OVERHEAD_BYTES);
         Ok(page)
     }
 
-    fn page(&self, from: u64, max: u32) -> Result<Page, RelayError> {
+    fn page(&self, start_offset: u64, max: u32) -> Result<Page, RelayError> {
         let now = self.clock.now();
         let inner = self.lock();
         let last_response = inner.last_response.ok_or(RelayError::Stale)?;
         let oldest = inner.entries.front().map_or(inner.next, |entry| entry.offset);
-        if from < oldest {
+        if start_offset < oldest {
             return Err(RelayError::Gone);
         }
-        let entries = inner.entries.iter().skip((from - oldest) as usize).take(max as usize);
+        let entries =
+            inner.entries.iter().skip((start_offset - oldest) as usize).take(max as usize);
         let entries: Vec<Entry> = entries.cloned().collect();
-        let age = now.saturating_duration_since(last_response.at);
+        let age = now.saturating_duration_since(last_response.received_at);
         // Known records are served even if the log is down, so that they reach every process.
         if entries.is_empty() && age > MAX_PAGE_AGE {
             return Err(RelayError::Stale);
         }
         let (age_ms, hops) = (age.as_millis() as u64, last_response.hops + 1);
-        let now_ms = last_response.log_ms + age_ms;
+        let now_ms = last_response.log_now_ms + age_ms;
         Ok(Page { oldest, next: inner.next, now_ms, entries, age_ms, hops })
     }
 }
 
-impl Inner {
+impl TailState {
     fn push(&mut self, entry: &Entry, max_bytes: usize) {
         if !self.entries.is_empty() && entry.offset < self.next {
             return;
--- a/crates/corianderstand_control/src/source/tests.rs
+++ b/crates/corianderstand_control/src/source/tests.rs
@@ -3,7 +3,7 @@
 use super::{LOG_READERS, MAX_RELAYS_TRIED, RelayClient, STATUS_GONE, Source, choose_relays};
 use crate::{
     budget::Budget,
-    relay::{MAX_HOPS, Tail},
+    relay::{MAX_HOPS, RecordTail},
 };
 use async_trait::async_trait;
 use corianderstand_edge::{
@@ -35,8 +35,8 @@
 }
 
 /// Whether every route from an address reaches the log over at most `hops` further relays.
-fn all_routes_reach_log(from: &SmolStr, all: &[SmolStr], hops: u8) -> bool {
-    let relays = choose_as_router(from, all);
+fn all_routes_reach_log(follower: &SmolStr, all: &[SmolStr], hops: u8) -> bool {
+    let relays = choose_as_router(follower, all);
     relays.is_empty()
         || (hops > 0 && relays.iter().all(|next| all_routes_reach_log(next, all, hops - 1)))
 }
@@ -92,15 +92,15 @@
         unreachable!("appends go to the log")
     }
 
-    async fn read(&self, from: u64, _max: u32, _wait: Duration) -> Result<Page, EdgeError> {
+    async fn read(&self, start_offset: u64, _max: u32, _wait: Duration) -> Result<Page, EdgeError> {
         self.requests.fetch_add(1, Ordering::Relaxed);
-        let page = Page { oldest: 1, next: from, now_ms: 77, hops: 1, ..Page::default() };
+        let page = Page { oldest: 1, next: start_offset, now_ms: 77, hops: 1, ..Page::default() };
         let error = |status| EdgeError::Status { system: "a relay", status, detail: String::new() };
         match self.behavior {
             RelayBehavior::Healthy => Ok(page),
             RelayBehavior::Failing => Err(error(503)),
             RelayBehavior::Unresponsive => std::future::pending().await,
-            RelayBehavior::Behind => Ok(Page { next: from - 1, ..page }),
+            RelayBehavior::Behind => Ok(Page { next: start_offset - 1, ..page }),
             RelayBehavior::TooManyHops => Ok(Page { hops: MAX_HOPS + 1, ..page }),
             RelayBehavior::Stale => Ok(Page { age_ms: 60_000, ..page }),
             RelayBehavior::Gone => Err(error(STATUS_GONE)),
@@ -119,7 +119,7 @@
         log: Arc::new(FakeRelay { behavior: *behavior, requests: requests.clone() }),
     };
     let peers = behaviors.iter().zip(&requests).map(peer).collect();
-    let tail = Tail::new(clock, budget, 1 << 20);
+    let tail = RecordTail::new(clock, budget, 1 << 20);
     (Source::new(log.clone(), peers, tail), log, requests)
 }
 
--- a/crates/corianderstand_decide/src/agent/loads.rs
+++ b/crates/corianderstand_decide/src/agent/loads.rs
@@ -14,12 +14,11 @@
     time::{Duration, Instant},
 };
 
-/// Time to wait for a coordinator's grant before the agent's own limiter applies; long enough for
-/// the lease to move to another coordinator.
+/// Time to wait for a coordinator's grant of a load before the agent's own limiter applies.
 pub const GRANT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that requests wait for memory before they are refused, early enough for a retry elsewhere.
+/// Time that requests wait for engine memory before they are refused.
 const CAPACITY_WAIT_LIMIT: Duration = Duration::from_secs(2);
-/// Validity of a [`LoadDemand`] of refused callers, beyond the expected load time.
+/// Time beyond the expected load time for which a refused request keeps its [`LoadDemand`].
 const DEMAND_TTL: Duration = Duration::from_secs(60);
 /// Delay before a command of unknown outcome is retried; engines treat retries as idempotent.
 const COMMAND_RETRY_DELAY: Duration = Duration::from_secs(2);
@@ -44,15 +43,15 @@
 
 #[derives(data)]
 struct StartedLoad {
-    at: Instant,
-    expected: Duration,
+    started_at: Instant,
+    expected_load_time: Duration,
     by_limiter: bool,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Loads {
     limiter: LoadLimiter,
-    coordinated: bool,
+    has_coordinator: bool,
     unreserved: BTreeSet<Weights>,
     demands: BTreeMap<Weights, LoadDemand>,
     pending: BTreeMap<Weights, PendingLoad>,
@@ -60,7 +59,7 @@
     retries: BTreeMap<Weights, (Instant, bool)>,
     without_capacity: BTreeMap<Weights, Instant>,
     waiting: BTreeMap<Weights, u32>,
-    slowdown: f64,
+    slowdown_ratio: f64,
 }
 
 const SLOWDOWN_SMOOTHING_RATIO: f64 = 0.5;
@@ -69,7 +68,7 @@
     fn default() -> Self {
         Self {
             limiter: LoadLimiter::new(StoreLimits::default()),
-            coordinated: false,
+            has_coordinator: false,
             unreserved: BTreeSet::new(),
             demands: BTreeMap::new(),
             pending: BTreeMap::new(),
@@ -77,7 +76,7 @@
             retries: BTreeMap::new(),
             without_capacity: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            slowdown: 1.0,
+            slowdown_ratio: 1.0,
         }
     }
 }
@@ -88,7 +87,7 @@
     }
 
     pub const fn set_coordinated(&mut self, coordinated: bool) {
-        self.coordinated = coordinated;
+        self.has_coordinator = coordinated;
     }
 
     pub fn begin_waiting(&mut self, weights: &Weights) {
@@ -111,16 +110,15 @@
         match self.started.get(weights) {
             // An overdue load is expected to take as long again.
             Some(started) => {
-                let took = now.saturating_duration_since(started.at);
-                let expected = started.expected.mul_f64(self.slowdown);
+                let took = now.saturating_duration_since(started.started_at);
+                let expected = started.expected_load_time.mul_f64(self.slowdown_ratio);
                 expected.checked_sub(took).unwrap_or(took)
             }
-            None => load_time.mul_f64(self.slowdown),
+            None => load_time.mul_f64(self.slowdown_ratio),
         }
     }
 
-    /// When the next command may be due. Must not return a time at which nothing is due, or the
-    /// event loop spins.
+    /// When the next command is due; a time at which none is would make the event loop spin.
     pub fn next_wake(&self) -> Option<Instant> {
         let pending = self.pending.values().filter_map(|pending| self.next_start_of(pending));
         let retries = self.retries.values().map(|(at, _)| *at);
@@ -130,7 +128,7 @@
 
     fn next_start_of(&self, pending: &PendingLoad) -> Option<Instant> {
         let limiter_start = self.limiter.next_start();
-        if !self.coordinated {
+        if !self.has_coordinator {
             return limiter_start;
         }
         let grant_deadline = pending.requested_at + GRANT_TIMEOUT;
@@ -143,7 +141,7 @@
 
     fn observe(&mut self, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(1e-3);
-        self.slowdown += (ratio.max(1.0) - self.slowdown) * SLOWDOWN_SMOOTHING_RATIO;
+        self.slowdown_ratio += (ratio.max(1.0) - self.slowdown_ratio) * SLOWDOWN_SMOOTHING_RATIO;
     }
 
     pub fn record_demand(&mut self, weights: &Weights, demand: LoadDemand) {
@@ -161,21 +159,21 @@
 }
 
 impl Agent {
-    pub(super) fn record_missing(&mut self, weights: &Weights) {
+    pub(super) fn record_missing_weights(&mut self, weights: &Weights) {
         if self.ledger.find(weights).is_none_or(|entry| entry.stage == Stage::Unloading) {
             self.loads.unreserved.insert(weights.clone());
         }
     }
 
-    /// Requests a load for a refused request, so that its retry succeeds; otherwise a model whose
-    /// callers have deadlines shorter than its load time would never be loaded.
+    /// Requests a load for a refused request; otherwise a model whose callers' deadlines are shorter
+    /// than its load time would never be loaded.
     pub(super) fn record_demand(
         &mut self,
         now: Instant,
         spec: &RequestSpec,
         config: &dyn SchedulingConfig,
     ) {
-        let Some(weights) = self.missing(spec) else { return };
+        let Some(weights) = self.missing_weights(spec) else { return };
         if self.ledger.find(&weights).is_some() {
             return;
         }
@@ -205,7 +203,7 @@
     ) {
         let first_waiting: BTreeMap<&Weights, (u8, Instant)> = self
             .queue
-            .missing()
+            .missing_weights()
             .map(|(weights, entry)| (weights, (entry.urgency_rank(), entry.deadline())))
             .collect();
         let mut ranked: Vec<(u8, Instant, Duration, Weights)> = Vec::new();
@@ -250,7 +248,7 @@
             Ok(()) => {
                 self.loads.unreserved.remove(weights);
                 self.loads.without_capacity.remove(weights);
-                if self.loads.coordinated {
+                if self.loads.has_coordinator {
                     actions.push(Action::RequestLoadGrant(self.grant_request(weights, &pending)));
                 }
                 self.loads.pending.insert(weights.clone(), pending);
@@ -317,15 +315,16 @@
         for (.., weights) in ranked {
             let pending = &self.loads.pending[&weights];
             let awaiting_grant =
-                self.loads.coordinated && now < pending.requested_at + GRANT_TIMEOUT;
+                self.loads.has_coordinator && now < pending.requested_at + GRANT_TIMEOUT;
             let by_limiter =
                 !pending.granted && !awaiting_grant && self.loads.limiter.try_start(now);
             if pending.granted || by_limiter {
-                let (memory, expected) = (pending.memory, pending.load_time);
+                let (memory, expected_load_time) = (pending.memory, pending.load_time);
                 self.loads.pending.remove(&weights);
-                self.loads
-                    .started
-                    .insert(weights.clone(), StartedLoad { at: now, expected, by_limiter });
+                self.loads.started.insert(
+                    weights.clone(),
+                    StartedLoad { started_at: now, expected_load_time, by_limiter },
+                );
                 actions.push(Action::Load(weights, memory));
             }
         }
@@ -361,8 +360,9 @@
             let stage = if load { Stage::Loading } else { Stage::Unloading };
             self.ledger.set_stage(&weights, stage);
             if load {
-                let expected = config.load_time(&weights);
-                let started = StartedLoad { at: now, expected, by_limiter: false };
+                let expected_load_time = config.load_time(&weights);
+                let started =
+                    StartedLoad { started_at: now, expected_load_time, by_limiter: false };
                 self.loads.started.insert(weights.clone(), started);
                 actions.push(Action::Load(weights, memory));
             } else {
@@ -380,10 +380,10 @@
         config: &dyn SchedulingConfig,
     ) -> Vec<Action> {
         if let Some(started) = self.loads.started.remove(weights) {
-            let took = now.saturating_duration_since(started.at);
-            self.loads.observe(took, started.expected);
+            let took = now.saturating_duration_since(started.started_at);
+            self.loads.observe(took, started.expected_load_time);
             if started.by_limiter {
-                self.loads.limiter.ended(took, started.expected, outcome == Some(true));
+                self.loads.limiter.ended(took, started.expected_load_time, outcome == Some(true));
             }
         }
         let mut actions = Vec::new();
@@ -391,7 +391,7 @@
             Some(true) => {
                 self.ledger.set_stage(weights, Stage::Ready);
                 for key in self.queue.waiting_for(weights) {
-                    self.refresh_missing(key);
+                    self.refresh_missing_weights(key);
                 }
                 self.schedule_expiry(now, weights, config);
             }
--- a/crates/corianderstand_decide/src/history.rs
+++ b/crates/corianderstand_decide/src/history.rs
@@ -1,8 +1,7 @@
 //! Call histories of models, and predictions of their next call.
 //!
-//! Each history keeps an exponentially decayed histogram of the gaps between calls and the times of
-//! day of calls after a long idle period. Histories are bounded in size and serialisable, so that a
-//! peer can keep them across a restart.
+//! Each history keeps an exponentially decayed histogram of the gaps between calls, and the times of
+//! day of calls after a long idle period.
 
 #[cfg(test)]
 mod tests;
@@ -33,14 +32,14 @@
 
 /// Call statistics of one model.
 #[derives(wire)]
-pub struct History {
+pub struct CallHistory {
     gaps: Vec<f32>,
     last_call: Option<u64>,
     day: u64,
     wakes: Wakes,
 }
 
-impl Default for History {
+impl Default for CallHistory {
     fn default() -> Self {
         Self { gaps: vec![0.0; GAP_BUCKETS], last_call: None, day: 0, wakes: Wakes::default() }
     }
@@ -58,7 +57,7 @@
     ((bucket as f64 + 1.0) / 2.0).exp2()
 }
 
-impl History {
+impl CallHistory {
     /// Records a call at `unix_s`, in seconds since the Unix epoch.
     pub fn record_call(&mut self, unix_s: u64) {
         self.decay(unix_s);
@@ -83,11 +82,8 @@
         self.gaps.iter().map(|count| f64::from(*count) + PRIOR_WEIGHT / GAP_BUCKETS as f64)
     }
 
-    /// The keep-alive time after a call that minimises the expected cost, where a cold start costs
-    /// `cold_start_cost` idle seconds.
-    ///
-    /// A candidate's cost is the expected idle time until the next call or the unload, plus a cold
-    /// start if the call comes later.
+    /// The keep-alive time after a call that minimises the expected idle time and cold-start cost,
+    /// where a cold start costs `cold_start_cost` idle seconds.
     pub fn keep_alive_time(&self, cold_start_cost: f64) -> Duration {
         let total: f64 = self.smoothed_counts().sum();
         let (mut idle, mut within, mut best) = (0.0, 0.0, (cold_start_cost, 0.0));
@@ -104,7 +100,7 @@
         Duration::from_secs_f64(best.1.min(MAX_KEEP_ALIVE_S))
     }
 
-    /// Probability of a call within `horizon`, given the idle time since the last one.
+    /// Probability of a call within `horizon` of `unix_s`, given the time since the last call.
     pub fn probability(&self, unix_s: u64, horizon: Duration) -> f64 {
         let idle = self.last_call.map_or(0, |last| unix_s.saturating_sub(last)) as f64;
         let until = idle + horizon.as_secs_f64();
@@ -127,11 +123,11 @@
 /// Call histories by weights, of all models that an agent has served.
 #[derives(wire)]
 #[derive(Default)]
-pub struct Histories {
-    by_weights: BTreeMap<Weights, History>,
+pub struct CallHistories {
+    by_weights: BTreeMap<Weights, CallHistory>,
 }
 
-impl Histories {
+impl CallHistories {
     /// Records a call at `unix_s`, in seconds since the Unix epoch.
     pub fn record_call(&mut self, weights: &Weights, unix_s: u64) {
         if !self.by_weights.contains_key(weights) && self.by_weights.len() >= MAX_HISTORIES {
@@ -148,16 +144,16 @@
     }
 
     /// The history of these weights, if any.
-    pub fn find(&self, weights: &Weights) -> Option<&History> {
+    pub fn find(&self, weights: &Weights) -> Option<&CallHistory> {
         self.by_weights.get(weights)
     }
 
     /// Iterates over all histories.
-    pub fn iter(&self) -> impl Iterator<Item = (&Weights, &History)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Weights, &CallHistory)> {
         self.by_weights.iter()
     }
 
-    /// Merges a peer's histories; for each model the one with the larger decayed call count wins.
+    /// Merges a peer's histories; of two for the same weights, the one of more calls is kept.
     pub fn merge(&mut self, other: Self) {
         for (weights, history) in other.by_weights {
             let known = self.by_weights.get(&weights).map_or(0.0, |h| h.gaps.iter().sum());
--- a/crates/corianderstand_decide/src/queue.rs
+++ b/crates/corianderstand_decide/src/queue.rs
@@ -1,8 +1,7 @@
 //! A weighted fair queue of the requests waiting for one target.
 //!
-//! A request whose weights are loaded is *ready* and waits for a free slot only; the others wait
-//! for a load. Ready requests are dequeued by their team's use of its share, then by urgency and
-//! deadline.
+//! A request whose weights are loaded is *ready* and waits only for a free batch slot. Ready requests
+//! are dequeued by their team's use of its guaranteed share, then by urgency and deadline.
 
 mod backlog;
 #[cfg(test)]
@@ -27,13 +26,13 @@
     Long,
 }
 
-const LENGTHS: [Length; 2] = [Length::Short, Length::Long];
+const ALL_LENGTHS: [Length; 2] = [Length::Short, Length::Long];
 
 /// The order in which ready requests are dequeued.
 #[derives(key)]
 #[derive(Default)]
 pub enum QueueDiscipline {
-    /// By share, urgency and deadline.
+    /// By use of the team's guaranteed share, then urgency and deadline.
     #[default]
     Fair,
     /// By arrival: the baseline of the benchmarks.
@@ -71,10 +70,10 @@
     pub length: Length,
     /// 0 low, 1 normal, 2 urgent.
     pub urgency: u8,
-    /// When its response is due.
+    /// Time by which its response is due.
     pub deadline: Instant,
     /// Weights that must be loaded before it can run.
-    pub missing: Option<Weights>,
+    pub missing_weights: Option<Weights>,
 }
 
 #[derives(data)]
@@ -99,12 +98,9 @@
     }
 }
 
-/// One slot in this many is reserved for each [`Length`].
-///
-/// Keeps neither length from starving the other. Short requests may borrow slots reserved for long
-/// ones.
+/// One batch slot in this many is reserved for each [`Length`], so that neither starves the other.
 pub const RESERVED_SLOTS_DIVISOR: u32 = 4;
-/// Capacity of a target, in thousandths, that guaranteed shares divide.
+/// Sum of the teams' guaranteed shares, in thousandths, that equals a target's whole capacity.
 pub const FULL_SHARE_PERMILLE: u32 = 1000;
 
 /// A queue of requests, with counts of those running.
@@ -114,7 +110,7 @@
     discipline: QueueDiscipline,
     total_shares: u32,
     teams: BTreeMap<WorkspaceId, TeamQueue>,
-    missing: BTreeMap<Weights, BTreeSet<QueuePosition>>,
+    positions_by_missing_weights: BTreeMap<Weights, BTreeSet<QueuePosition>>,
     entries: SecondaryMap<RequestKey, Entry>,
     deadlines: BTreeSet<(Instant, RequestKey)>,
     backlog: [Backlog; 2],
@@ -130,7 +126,7 @@
             discipline,
             total_shares: FULL_SHARE_PERMILLE,
             teams: BTreeMap::new(),
-            missing: BTreeMap::new(),
+            positions_by_missing_weights: BTreeMap::new(),
             entries: SecondaryMap::new(),
             deadlines: BTreeSet::new(),
             backlog: Default::default(),
@@ -139,7 +135,7 @@
         }
     }
 
-    /// Sets the sum of all teams' shares; above [`FULL_SHARE_PERMILLE`] shares are scaled down.
+    /// Sets the sum of all teams' guaranteed shares, which are scaled down to [`FULL_SHARE_PERMILLE`].
     pub fn set_total_shares(&mut self, total: u32) {
         self.total_shares = total.max(FULL_SHARE_PERMILLE);
     }
@@ -162,9 +158,13 @@
         team.backlog[index].add(position.urgency_rank, position.deadline);
         self.backlog[index].add(position.urgency_rank, position.deadline);
         self.deadlines.insert((request.deadline, key));
-        match &request.missing {
+        match &request.missing_weights {
             None => team.ready[index].insert(position),
-            Some(weights) => self.missing.entry(weights.clone()).or_default().insert(position),
+            Some(weights) => self
+                .positions_by_missing_weights
+                .entry(weights.clone())
+                .or_default()
+                .insert(position),
         };
         self.entries.insert(key, Entry { request, position });
     }
@@ -175,8 +175,8 @@
         let index = request.length as usize;
         self.deadlines.remove(&(request.deadline, key));
         self.backlog[index].remove(position.urgency_rank, position.deadline);
-        if let Some(weights) = &request.missing {
-            self.remove_missing(weights, position);
+        if let Some(weights) = &request.missing_weights {
+            self.remove_missing_weights(weights, position);
         }
         if let Some(team) = self.teams.get_mut(&request.team) {
             team.ready[index].remove(&position);
@@ -187,11 +187,11 @@
         Some(request)
     }
 
-    fn remove_missing(&mut self, weights: &Weights, position: QueuePosition) {
-        if let Some(positions) = self.missing.get_mut(weights) {
+    fn remove_missing_weights(&mut self, weights: &Weights, position: QueuePosition) {
+        if let Some(positions) = self.positions_by_missing_weights.get_mut(weights) {
             positions.remove(&position);
             if positions.is_empty() {
-                self.missing.remove(weights);
+                self.positions_by_missing_weights.remove(weights);
             }
         }
     }
@@ -203,23 +203,23 @@
     }
 
     /// Sets the weights that a request waits for; `None` makes it ready.
-    pub fn set_missing(&mut self, key: RequestKey, missing: Option<Weights>) {
+    pub fn set_missing_weights(&mut self, key: RequestKey, missing: Option<Weights>) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        if entry.request.missing == missing {
+        if entry.request.missing_weights == missing {
             return;
         }
         let (position, index) = (entry.position, entry.request.length as usize);
-        let before = std::mem::replace(&mut entry.request.missing, missing.clone());
+        let before = std::mem::replace(&mut entry.request.missing_weights, missing.clone());
         let team = entry.request.team.clone();
         match before {
-            Some(weights) => self.remove_missing(&weights, position),
+            Some(weights) => self.remove_missing_weights(&weights, position),
             None => {
                 self.teams.get_mut(&team).map(|team| team.ready[index].remove(&position));
             }
         }
         match missing {
             Some(weights) => {
-                self.missing.entry(weights).or_default().insert(position);
+                self.positions_by_missing_weights.entry(weights).or_default().insert(position);
             }
             None => {
                 self.teams.get_mut(&team).map(|team| team.ready[index].insert(position));
@@ -229,12 +229,19 @@
 
     /// Returns the requests that wait for these weights, in dequeue order.
     pub fn waiting_for(&self, weights: &Weights) -> Vec<RequestKey> {
-        self.missing.get(weights).into_iter().flatten().map(|position| position.key).collect()
+        self.positions_by_missing_weights
+            .get(weights)
+            .into_iter()
+            .flatten()
+            .map(|position| position.key)
+            .collect()
     }
 
     /// Iterates over missing weights, each with the position of the first request that needs them.
-    pub fn missing(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
-        self.missing.iter().filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
+    pub fn missing_weights(&self) -> impl Iterator<Item = (&Weights, QueuePosition)> {
+        self.positions_by_missing_weights
+            .iter()
+            .filter_map(|(weights, positions)| Some((weights, *positions.first()?)))
     }
 
     /// Returns the number of waiting requests.
@@ -277,11 +284,10 @@
         self.deadlines.iter().take_while(|(at, _)| *at <= now).map(|(_, key)| *key).collect()
     }
 
-    /// Dequeues the next request if a slot is free, and counts it as running.
+    /// Dequeues the next ready request if a batch slot is free, and counts it as running.
     ///
-    /// A team below its guaranteed share precedes any team above, regardless of urgency. Ties go to
-    /// a length below its reserved slots, then to the more urgent request, then to the team that
-    /// uses least of its share. Running requests are not preempted.
+    /// Teams below their guaranteed share come first, then lengths below their reserved batch slots,
+    /// then more urgent requests, then the teams that use least of their share.
     pub fn pop(&mut self) -> Option<RequestKey> {
         if self.running() >= self.concurrency {
             return None;
@@ -300,9 +306,9 @@
         &'a self,
         team: &'a TeamQueue,
     ) -> impl Iterator<Item = DequeueCandidate> + 'a {
-        LENGTHS.into_iter().filter_map(move |length| {
+        ALL_LENGTHS.into_iter().filter_map(move |length| {
             let position = *team.ready[length as usize].first()?;
-            let allowed = self.discipline == QueueDiscipline::Fifo || self.has_slot(length);
+            let allowed = self.discipline == QueueDiscipline::Fifo || self.has_batch_slot(length);
             allowed.then(|| self.dequeue_candidate(team, length, position))
         })
     }
@@ -344,15 +350,15 @@
         self.concurrency / RESERVED_SLOTS_DIVISOR
     }
 
-    fn has_slot(&self, length: Length) -> bool {
-        length == Length::Short || self.running[Length::Long as usize] < self.long_limit()
+    fn has_batch_slot(&self, length: Length) -> bool {
+        length == Length::Short || self.running[Length::Long as usize] < self.max_running_long()
     }
 
-    fn long_limit(&self) -> u32 {
+    fn max_running_long(&self) -> u32 {
         (self.concurrency - self.reserved_slots()).max(1)
     }
 
-    /// Releases the slot of a request that has ended.
+    /// Releases the batch slot of a request that has ended.
     pub fn ended(&mut self, team: &WorkspaceId, length: Length) {
         let running = &mut self.running[length as usize];
         *running = running.saturating_sub(1);
@@ -362,10 +368,7 @@
         self.drop_unused(team);
     }
 
-    /// Estimates how long a request would wait for a slot, if its weights were loaded.
-    ///
-    /// Counts the requests of its length that are at least as urgent and due no later. The
-    /// guaranteed share of its team bounds the wait behind other teams' requests.
+    /// Estimates how long a request whose weights are loaded would wait for a batch slot.
     pub fn expected_wait(
         &self,
         request: &QueuedRequest,
@@ -373,8 +376,8 @@
         mean_run: Duration,
     ) -> Duration {
         let index = request.length as usize;
-        let slots = self.slots(request.length);
-        let full = self.running() >= self.concurrency || !self.has_slot(request.length);
+        let slots = self.available_batch_slots(request.length);
+        let full = self.running() >= self.concurrency || !self.has_batch_slot(request.length);
         let urgency_rank = u8::MAX - request.urgency;
         let ahead = self.backlog[index].ahead(urgency_rank, request.deadline);
         if !full && ahead == 0 {
@@ -394,14 +397,13 @@
         global_wait.min(slot_wait + share_wait + mean_run * own_ahead / guaranteed)
     }
 
-    /// Returns the ready requests that would miss their deadline at the current mean run times, as
-    /// when the target has slowed down since their admission. Linear in the ready requests.
-    pub fn infeasible(&self, now: Instant, mean_runs: [Duration; 2]) -> Vec<RequestKey> {
+    /// Returns the ready requests that would miss their deadline at these mean run times.
+    pub fn infeasible(&self, now: Instant, mean_run_times: [Duration; 2]) -> Vec<RequestKey> {
         if self.discipline == QueueDiscipline::Fifo {
             return Vec::new();
         }
-        let of = |length| self.infeasible_of_length(now, length, mean_runs[length as usize]);
-        LENGTHS.into_iter().flat_map(of).collect()
+        let of = |length| self.infeasible_of_length(now, length, mean_run_times[length as usize]);
+        ALL_LENGTHS.into_iter().flat_map(of).collect()
     }
 
     fn infeasible_of_length(
@@ -410,7 +412,7 @@
         length: Length,
         mean_run: Duration,
     ) -> Vec<RequestKey> {
-        let slots = self.slots(length);
+        let slots = self.available_batch_slots(length);
         let ready = |team: &TeamQueue| team.ready[length as usize].clone();
         let mut positions: Vec<QueuePosition> = self.teams.values().flat_map(ready).collect();
         positions.sort_unstable();
@@ -434,11 +436,11 @@
         infeasible
     }
 
-    fn slots(&self, length: Length) -> u32 {
+    fn available_batch_slots(&self, length: Length) -> u32 {
         let long = self.running[Length::Long as usize];
         match length {
             Length::Short => self.concurrency.saturating_sub(long).max(1),
-            Length::Long => self.long_limit(),
+            Length::Long => self.max_running_long(),
         }
     }
 
--- a/crates/corianderstand_decide/src/router/owners.rs
+++ b/crates/corianderstand_decide/src/router/target_ring.rs
@@ -6,14 +6,14 @@
     time::{Duration, Instant},
 };
 
-/// Time after the last request sent for which a target is assumed to have the model loaded.
+/// Time after a request was sent for which a target is assumed to have the model loaded.
 const WARM_TIMEOUT: Duration = Duration::from_secs(300);
 /// Time after a response for which a target certainly has the model loaded.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A hash ring of targets, ordered by the hash of their names so that all routers agree.
 #[derive(Clone, Debug, Default)]
-pub struct Owners {
+pub struct TargetRing {
     ring: Vec<(u64, TargetKey)>,
     members: HashSet<TargetKey>,
     last_sent_at: HashMap<TargetKey, Instant>,
@@ -22,7 +22,7 @@
     pub baseline: BaselinePartTime,
 }
 
-impl Owners {
+impl TargetRing {
     pub fn set_targets(&mut self, mut ring: Vec<(u64, TargetKey)>) {
         ring.sort_unstable();
         ring.dedup();
@@ -82,7 +82,6 @@
             .is_some_and(|at| now.saturating_duration_since(*at) < WARM_TIMEOUT)
     }
 
-    /// Returns the target that was marked warm last, if it still is.
     pub fn last_warm(&self, now: Instant) -> Option<TargetKey> {
         self.last_warm.filter(|target| self.is_warm(now, *target))
     }
--- a/crates/corianderstand_decide/src/router/tests.rs
+++ b/crates/corianderstand_decide/src/router/tests.rs
@@ -1,7 +1,7 @@
 use super::{CacheEvent, Decision, Router, TargetKey};
 use crate::{
     queue::Length,
-    request::{Refusal, RequestKey, RequestSpec, Requirement, Shape},
+    request::{Refusal, RequestKey, RequestShape, RequestSpec, Requirement},
 };
 use corianderstand_schema::messages::{Load, RefusalReason};
 use corianderstand_types::{
@@ -31,7 +31,7 @@
         let keys: Vec<TargetKey> =
             (0..targets).map(|number| router.add_target(&name(number), &"conce".into())).collect();
         keys.iter().for_each(|key| router.set_connected(*key, true));
-        router.set_owners(BTreeMap::from([("a".into(), keys.clone())]));
+        router.set_replica_slot_owners(BTreeMap::from([("a".into(), keys.clone())]));
         router.set_services(BTreeMap::from([("agenda".into(), keys.clone())]));
         Self { router, clock: ManualClock::default(), keys }
     }
@@ -46,7 +46,7 @@
             urgency: 1,
             deadline: self.clock.now() + Duration::from_secs(600),
             repeatable: true,
-            shape: Shape { length: Length::Short, prefix },
+            shape: RequestShape { length: Length::Short, prefix },
         }
     }
 
--- a/crates/corianderstand_fleet/src/budget.rs
+++ b/crates/corianderstand_fleet/src/budget.rs
@@ -1,14 +1,13 @@
 //! Limits the retries of all routers together.
 //!
-//! The allowance is a ratio of recent requests plus a fixed part. Each router uses the ratio of its
-//! own requests and an equal share of the fixed part, which needs no coordination.
+//! Each router may retry a ratio of its own recent requests, plus an equal part of a fixed number.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-const BUCKETS: u32 = 10;
+const BUCKETS_PER_WINDOW: u32 = 10;
 /// Usable part of the allowance. The rest covers attempts that this process cannot count.
 const USABLE_RATIO: f64 = 0.9;
 
@@ -32,7 +31,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    since: Instant,
+    started_at: Instant,
     requests: u32,
     retries: u32,
 }
@@ -49,8 +48,7 @@
         self.bucket(now, allowance).requests += 1;
     }
 
-    /// Spends one retry; false if the budget is exhausted. `routers` is the number of routers that
-    /// share the fixed part.
+    /// Spends one retry; false if the budget is exhausted. `routers` is the number of running routers.
     pub fn spend(&mut self, now: Instant, allowance: &Allowance, routers: usize) -> bool {
         self.bucket(now, allowance);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
@@ -65,12 +63,13 @@
     }
 
     fn bucket(&mut self, now: Instant, allowance: &Allowance) -> &mut Bucket {
-        let bucket_length = allowance.window / BUCKETS;
-        while self.buckets.front().is_some_and(|bucket| now >= bucket.since + allowance.window) {
+        let bucket_length = allowance.window / BUCKETS_PER_WINDOW;
+        while self.buckets.front().is_some_and(|bucket| now >= bucket.started_at + allowance.window)
+        {
             self.buckets.pop_front();
         }
-        if self.buckets.back().is_none_or(|bucket| now >= bucket.since + bucket_length) {
-            self.buckets.push_back(Bucket { since: now, requests: 0, retries: 0 });
+        if self.buckets.back().is_none_or(|bucket| now >= bucket.started_at + bucket_length) {
+            self.buckets.push_back(Bucket { started_at: now, requests: 0, retries: 0 });
         }
         self.buckets.back_mut().expect("a bucket was just pushed if there was none")
     }
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -116,7 +116,7 @@
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
             let replaced =
-                targets::Replacement { id: target, started_at_ms: born, previous_id: before };
+                targets::EngineReplacement { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "target restarted under another name, as its agent reports");
@@ -179,17 +179,17 @@
     shared.peers.borrow().planner(now, &own)
 }
 
-fn to_report(now: Instant, update: wire::EngineUpdate) -> targets::Report {
+fn to_report(now: Instant, update: wire::EngineUpdate) -> targets::AgentReport {
     let ongoing = update.ongoing.into_iter().next().map(|command| {
         if command.loads {
             let ready_at = now + Duration::from_millis(u64::from(command.remaining_ms));
-            targets::Ongoing::Loading {
+            targets::OngoingCommand::Loading {
                 model: command.model,
                 ready_at,
                 from_store: command.from_store,
             }
         } else {
-            targets::Ongoing::Unloading { model: command.model }
+            targets::OngoingCommand::Unloading { model: command.model }
         }
     });
     let resident = update.resident.into_iter();
@@ -200,7 +200,7 @@
     let cached_weights_reported = cached_weights.is_some();
     let (in_memory, on_disk) =
         cached_weights.map(|cached| (cached.in_memory, cached.on_disk)).unwrap_or_default();
-    targets::Report {
+    targets::AgentReport {
         id: update.target,
         started_at_ms: update.born,
         holdings: targets::Holdings {
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -43,7 +43,7 @@
     /// Hash of the request id.
     pub request_id_hash: u64,
     /// The prompt's prefixes.
-    pub prompt_prefixes: prefixes::Chain,
+    pub prompt_prefixes: prefixes::PrefixChain,
     /// Targets that were tried.
     pub tried_targets: Vec<targets::TargetKey>,
     /// Number of attempts that the target reported as not run.
--- a/crates/corianderstand_replay/src/replay.rs
+++ b/crates/corianderstand_replay/src/replay.rs
@@ -15,8 +15,8 @@
     pacing::Coordinator,
     queue::Length,
     request::{
-        self, LONG_ANSWER_TOKENS, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig,
-        Shape,
+        self, LONG_ANSWER_TOKENS, Refusal, RequestKey, RequestShape, RequestSpec, Requirement,
+        SchedulingConfig,
     },
     router::{Decision, Router, TargetKey},
 };
@@ -166,7 +166,7 @@
                 (model.clone(), engines.iter().map(|e| self.target_keys[*e]).collect())
             })
             .collect();
-        self.routers.iter_mut().for_each(|router| router.set_owners(owners.clone()));
+        self.routers.iter_mut().for_each(|router| router.set_replica_slot_owners(owners.clone()));
     }
 
     fn handle(&mut self, event: Event) {
@@ -244,7 +244,7 @@
             urgency: call.urgency,
             deadline: self.start + caller.deadline,
             repeatable: true,
-            shape: Shape { length, prefix: call.session },
+            shape: RequestShape { length, prefix: call.session },
         }
     }
 
--- a/crates/corianderstand_router/src/completions.rs
+++ b/crates/corianderstand_router/src/completions.rs
@@ -30,7 +30,7 @@
     adapter: Option<Weights>,
     model_name: String,
     is_streamed: bool,
-    shape: request::Shape,
+    shape: request::RequestShape,
     include_usage: bool,
     body: Bytes,
 }
--- a/crates/corianderstand_router/src/decide.rs
+++ b/crates/corianderstand_router/src/decide.rs
@@ -77,7 +77,7 @@
                 serving_targets.entry(slot.model.clone()).or_default().push(key);
             }
         }
-        self.router.set_owners(serving_targets);
+        self.router.set_replica_slot_owners(serving_targets);
     }
 
     fn refresh_targets(&mut self, snapshot: &Snapshot) {
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -13,11 +13,11 @@
 use bytes::Bytes;
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    relay::Tail,
+    relay::RecordTail,
     snapshot::Snapshot,
     start::ControlHandle,
 };
-use corianderstand_decide::request::{RequestSpec, Requirement, Shape};
+use corianderstand_decide::request::{RequestShape, RequestSpec, Requirement};
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
     messages::{OpenStream, Operation, RefusalReason},
@@ -52,7 +52,7 @@
     pub events: SyncSender<Event>,
     pub control: ControlHandle,
     /// Recent log records, served to processes that read the log from this router.
-    pub log_tail: Tail,
+    pub log_tail: RecordTail,
     pub hasher: Hasher,
     pub operator_key_hash: SmolStr,
     pub metrics: Metrics,
@@ -372,7 +372,7 @@
         repeatable: bool,
     ) -> (RequestSpec, OpenStream) {
         let deadline = self.clock.now() + budget;
-        let shape = Shape::default();
+        let shape = RequestShape::default();
         let spec = RequestSpec {
             team: self.team.clone(),
             requirement,
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -2,7 +2,7 @@
 
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
-    request::{RequestSpec, Requirement, SchedulingConfig, Shape},
+    request::{RequestShape, RequestSpec, Requirement, SchedulingConfig},
     router::{Decision, Router, TargetKey},
 };
 use corianderstand_schema::messages::Load;
@@ -52,7 +52,7 @@
         urgency: 1,
         deadline: clock.now() + Duration::from_secs(600),
         repeatable: true,
-        shape: Shape { prefix, ..Shape::default() },
+        shape: RequestShape { prefix, ..RequestShape::default() },
     }
 }
 
@@ -78,7 +78,7 @@
         let owners = keys.iter().skip(model % 2).step_by(2).copied().collect();
         (ModelId::from(format!("model-{model}").as_str()), owners)
     };
-    router.set_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
+    router.set_replica_slot_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
     let specs: Vec<RequestSpec> = (0..1024)
         .map(|number| {
             request_spec(
@@ -104,7 +104,7 @@
     let clock = ManualClock::default();
     let limits = Limits { concurrency: 16, queue: queued as u32 + 64 };
     let mut agent = Agent::new(limits, Mib(1_000_000));
-    agent.set_slots(BTreeSet::from(["model-0".into()]));
+    agent.set_replica_slots(BTreeSet::from(["model-0".into()]));
     let base = Weights::model("model-0".into(), "1".into());
     let adapter = |number: usize| Weights {
         adapter: Some(format!("adapter-{number}").as_str().into()),
