--- a/crates/corianderstand_agent/src/accept.rs
+++ b/crates/corianderstand_agent/src/accept.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use corianderstand_decide::request::{RequestSpec, Requirement};
 use corianderstand_link::{
-    PROTOCOL,
+    PROTOCOL_VERSION,
     connection::{self, Reader},
     frame::{self, FrameError},
 };
@@ -23,10 +23,8 @@
     sync::{mpsc, watch},
 };
 
-/// Capacity in frames of the queue to one router.
 const OUTBOUND_QUEUE_CAPACITY: usize = 1024;
 
-/// State shared by all connections.
 #[derive(Clone)]
 pub struct ConnectionContext {
     pub target: TargetId,
@@ -34,7 +32,6 @@
     pub idle_timeout: Duration,
     pub events: SyncSender<Event>,
     pub load: watch::Receiver<Load>,
-    /// Whether new requests are refused.
     pub draining: watch::Receiver<bool>,
     pub clock: SharedClock,
 }
@@ -137,7 +134,7 @@
     }
 
     async fn welcome(&self, router: &str, protocol: u32) -> Result<(), FrameError> {
-        if protocol != PROTOCOL {
+        if protocol != PROTOCOL_VERSION {
             tracing::error!(
                 router,
                 protocol,
--- a/crates/corianderstand_cli/src/check.rs
+++ b/crates/corianderstand_cli/src/check.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Checks all paths given on the command line.
+/// Runs the command.
 pub fn run(matches: &Matches) -> Exit {
     let faults: Vec<FileFault> =
         matches.free.iter().flat_map(|path| check_path(Path::new(path))).collect();
@@ -72,7 +72,6 @@
     unreadable.chain(within).chain(across).collect()
 }
 
-/// Checks a process settings file, whose kind follows from its fields.
 fn check_process(path: &Path) -> Vec<FileFault> {
     let value = match directory::read_file(path) {
         Ok(value) => value,
--- a/crates/corianderstand_control/src/lease.rs
+++ b/crates/corianderstand_control/src/lease.rs
@@ -1,4 +1,4 @@
-//! Acquires and renews the control lease; its holder plans slots and writes checkpoints.
+//! Acquires and renews the control lease, whose holder plans replica slots and writes checkpoints.
 
 use crate::{
     appender::{Appender, Identity},
@@ -32,14 +32,14 @@
     pub current: CurrentSnapshot,
     /// Appends records to the log.
     pub appender: Appender,
-    /// Whether this process has released the lease for good.
+    /// Whether this process has permanently released the lease.
     pub resigned: Arc<AtomicBool>,
 }
 
 impl LeaseTask {
     /// Acquires the lease when it is vacant; renews it, plans and writes checkpoints while held.
     pub async fn run(self) {
-        let mut renewed_ms = 0;
+        let mut last_renewed_log_ms = 0;
         let mut checkpoint: Option<JoinHandle<()>> = None;
         loop {
             let snapshot = self.current.load();
@@ -49,7 +49,7 @@
                 let held =
                     snapshot.state.lease.held_by(&self.identity.writer, self.identity.incarnation);
                 if held {
-                    self.renew(&snapshot, &mut renewed_ms).await;
+                    self.renew(&snapshot, &mut last_renewed_log_ms).await;
                     self.plan(&snapshot).await;
                     self.start_checkpoint(&snapshot, &mut checkpoint);
                 } else {
@@ -85,12 +85,12 @@
         self.append_all(vec![body], ttl).await;
     }
 
-    async fn renew(&self, snapshot: &Snapshot, renewed_ms: &mut u64) {
+    async fn renew(&self, snapshot: &Snapshot, last_renewed_log_ms: &mut u64) {
         let (lease, now_ms) = (&snapshot.state.lease, self.log_now_ms(snapshot));
-        if now_ms < *renewed_ms + lease.ttl_ms / 3 {
+        if now_ms < *last_renewed_log_ms + lease.ttl_ms / 3 {
             return;
         }
-        *renewed_ms = now_ms;
+        *last_renewed_log_ms = now_ms;
         let ttl = Duration::from_millis(lease.ttl_ms);
         self.append_all(vec![Body::LeaseRenewed { epoch: lease.epoch }], ttl).await;
     }
@@ -138,7 +138,7 @@
     }
 }
 
-/// Records that update the `leaving` mark of targets to match their hosts, if listed.
+/// Records that mark targets as leaving, or unmark them, to match the state of their hosts.
 pub fn leaving_marks(snapshot: &Snapshot) -> Vec<Body> {
     let (state, hosts) = (&snapshot.state, &snapshot.hosts);
     let marked = state.targets.by_name.iter().filter_map(|(name, target)| {
@@ -163,7 +163,7 @@
     last.is_none_or(|last| snapshot.oldest > last.as_of.min(last.first))
 }
 
-/// Whether a checkpoint is due: at each interval, and at once if the log cannot restore the state.
+/// Whether a checkpoint is due, at the log time `log_now_ms`.
 pub fn is_checkpoint_due(snapshot: &Snapshot, log_now_ms: u64) -> bool {
     let Some(last) = snapshot.state.checkpoints.last else { return true };
     let interval = snapshot.view.deployment.checkpoint_interval_ms.as_millis();
--- a/crates/corianderstand_control/src/source.rs
+++ b/crates/corianderstand_control/src/source.rs
@@ -1,18 +1,15 @@
 //! Selects where records are read from: the log, or a router that relays it.
 //!
-//! The routers that read the log are derived from the router addresses of an availability zone,
-//! without coordination. Each page carries its age and its number of hops; stale pages and relay
-//! cycles (possible while settings differ) are rejected, and the process falls back to the log.
-//!
-//! A relay that returns an error is replaced by the next one, and after [`MAX_RELAYS_TRIED`] by
-//! the log. After an unresponsive relay the log is read at once, so that timeouts do not add up.
+//! A relay that returns an error or a stale page is replaced by the next one, and after
+//! [`MAX_RELAYS_TRIED`] by the log. After an unresponsive relay the log is read at once, so that
+//! timeouts do not add up.
 
 #[cfg(test)]
 mod tests;
 
 use crate::{
     budget::{Budget, TrafficClass},
-    relay::{self, Tail},
+    relay::{self, RecordTail},
 };
 use async_trait::async_trait;
 use corianderstand_edge::{
@@ -29,17 +26,16 @@
 use tokio::time;
 use xxhash_rust::xxh3;
 
-/// Routers of an availability zone that read the log; leaves two spare for failures and restarts.
+/// Number of routers in an availability zone that read the log; the others read from them.
 pub const LOG_READERS: usize = 4;
 /// Relays that are tried before the log is read.
 pub const MAX_RELAYS_TRIED: usize = 2;
-/// Longest wait of one read from a relay; exceeds the renewal interval of the control lease, so
-/// that few reads return empty.
+/// Longest time that a relay holds a read open until a record arrives.
 pub const RELAY_WAIT: Duration = Duration::from_secs(2);
-/// Time that a relay's response may take beyond [`RELAY_WAIT`].
+/// Time beyond [`RELAY_WAIT`] after which a relay counts as unresponsive.
 pub const RELAY_GRACE: Duration = Duration::from_millis(500);
 const RELAY_BACKOFF: Duration = Duration::from_secs(5);
-/// Backoff of followers after a failed read of the log, which spreads reads when it recovers.
+/// Mean backoff after a failed read of the log; random, to spread the reads when the log recovers.
 const LOG_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Reads from a router that relays the log.
@@ -59,23 +55,23 @@
     }
 }
 
-struct Candidate {
+struct RelayCandidate {
     client: RelayClient,
     backoff_until: Option<Instant>,
     requested_at: Option<Instant>,
 }
 
-/// Reads from relays or the log into the [`Tail`] of this process; appends to the log.
+/// Reads from relays or the log into the [`RecordTail`] of this process; appends to the log.
 pub struct Source {
     log: Arc<dyn LogService>,
-    tail: Tail,
-    candidates: Mutex<Vec<Candidate>>,
+    tail: RecordTail,
+    candidates: Mutex<Vec<RelayCandidate>>,
     log_backoff_until: Mutex<Option<Instant>>,
     clock: SharedClock,
     budget: Arc<Budget>,
 }
 
-impl Candidate {
+impl RelayCandidate {
     fn back_off(&mut self, now: Instant) {
         let jitter = rand::rng().random_range(0.5..1.5);
         self.backoff_until = Some(now + RELAY_BACKOFF.mul_f64(jitter));
@@ -112,9 +108,9 @@
 
 impl Source {
     /// Reads from `clients` in order, then from `log`.
-    pub fn new(log: Arc<dyn LogService>, clients: Vec<RelayClient>, tail: Tail) -> Self {
+    pub fn new(log: Arc<dyn LogService>, clients: Vec<RelayClient>, tail: RecordTail) -> Self {
         let (clock, budget) = (tail.clock().clone(), tail.budget().clone());
-        let candidates = clients.into_iter().map(|client| Candidate {
+        let candidates = clients.into_iter().map(|client| RelayCandidate {
             client,
             backoff_until: None,
             requested_at: None,
@@ -130,7 +126,7 @@
         own: Option<&SmolStr>,
         peers: &[SmolStr],
         token: &str,
-        tail: Tail,
+        tail: RecordTail,
     ) -> Self {
         let relays = choose_relays(name, own, peers);
         tracing::info!(follows = ?relays, "relays selected; the log is read if there are none");
@@ -138,7 +134,7 @@
         Self::new(log, clients, tail)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Candidate>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<RelayCandidate>> {
         self.candidates.lock().expect("no holder of this lock panics")
     }
 
@@ -161,21 +157,24 @@
         None
     }
 
-    fn record_result(&self, index: usize, usable: bool) {
+    fn record_result(&self, candidate_index: usize, succeeded: bool) {
         let mut candidates = self.lock();
-        candidates[index].requested_at = None;
-        if !usable {
-            candidates[index].back_off(self.clock.now());
+        candidates[candidate_index].requested_at = None;
+        if !succeeded {
+            candidates[candidate_index].back_off(self.clock.now());
         }
     }
 
-    async fn read_relay(&self, from: u64, max: u32, wait: Duration) -> Option<Page> {
+    async fn read_relay(&self, start_offset: u64, max: u32, wait: Duration) -> Option<Page> {
         while let Some((index, relay)) = self.next_candidate() {
-            let read = relay.read(from, max, wait.min(RELAY_WAIT));
+            let read = relay.read(start_offset, max, wait.min(RELAY_WAIT));
             let response = time::timeout(RELAY_WAIT + RELAY_GRACE, read).await;
             let timed_out = response.is_err();
             let gone = matches!(response, Ok(Err(EdgeError::Status { status: STATUS_GONE, .. })));
-            let page = response.ok().and_then(Result::ok).filter(|page| is_usable(page, from));
+            let page = response
+                .ok()
+                .and_then(Result::ok)
+                .filter(|page| is_usable_page(page, start_offset));
             self.record_result(index, gone || page.is_some());
             if gone || page.is_some() {
                 return page;
@@ -188,9 +187,14 @@
         None
     }
 
-    async fn read_log(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
+    async fn read_log(
+        &self,
+        start_offset: u64,
+        max: u32,
+        wait: Duration,
+    ) -> Result<Page, EdgeError> {
         self.wait_for_log_backoff().await;
-        let page = self.log.read(from, max, wait).await;
+        let page = self.log.read(start_offset, max, wait).await;
         let follows_relays = !self.lock().is_empty();
         if page.is_err() && follows_relays {
             let jitter = rand::rng().random_range(0.5..1.5);
@@ -214,10 +218,13 @@
 /// HTTP status of a relay that no longer keeps the requested records.
 pub const STATUS_GONE: u16 = 410;
 
-fn is_usable(page: &Page, from: u64) -> bool {
+fn is_usable_page(page: &Page, start_offset: u64) -> bool {
     let fresh =
         !page.entries.is_empty() || Duration::from_millis(page.age_ms) <= relay::MAX_PAGE_AGE;
-    page.oldest <= from && page.next >= from && page.hops <= relay::MAX_HOPS && fresh
+    page.oldest <= start_offset
+        && page.next >= start_offset
+        && page.hops <= relay::MAX_HOPS
+        && fresh
 }
 
 #[async_trait]
@@ -226,11 +233,11 @@
         self.log.append(records).await
     }
 
-    async fn read(&self, from: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
+    async fn read(&self, start_offset: u64, max: u32, wait: Duration) -> Result<Page, EdgeError> {
         time::sleep(self.budget.read_delay()).await;
-        let page = match self.read_relay(from, max, wait).await {
+        let page = match self.read_relay(start_offset, max, wait).await {
             Some(page) => page,
-            None => self.read_log(from, max, wait).await?,
+            None => self.read_log(start_offset, max, wait).await?,
         };
         self.tail.extend(&page);
         // Full pages are not charged, so that the budget does not delay catching up at startup.
--- a/crates/corianderstand_decide/src/agent/tests.rs
+++ b/crates/corianderstand_decide/src/agent/tests.rs
@@ -4,7 +4,7 @@
 use crate::{
     queue::Length,
     request::{
-        CostFactors, Refusal, RequestKey, RequestSpec, Requirement, SchedulingConfig, Shape,
+        CostFactors, Refusal, RequestKey, RequestShape, RequestSpec, Requirement, SchedulingConfig,
         StoreLimits,
     },
 };
@@ -67,7 +67,7 @@
         let limits = Limits { concurrency, queue: 64 };
         let mut agent = Agent::with_policy(limits, Mib(models * MODEL_MIB), policy);
         let slots = ["a", "b", "c", "d"].into_iter().map(ModelId::from);
-        agent.set_slots(slots.collect::<BTreeSet<_>>());
+        agent.set_replica_slots(slots.collect::<BTreeSet<_>>());
         let mut harness =
             Self { agent, config: TestConfig::default(), clock: ManualClock::default() };
         let now = harness.now();
@@ -93,7 +93,7 @@
             urgency: 1,
             deadline: self.now() + Duration::from_secs(seconds),
             repeatable: true,
-            shape: Shape { length, prefix: None },
+            shape: RequestShape { length, prefix: None },
         }
     }
 
--- a/crates/corianderstand_fleet/src/targets.rs
+++ b/crates/corianderstand_fleet/src/targets.rs
@@ -7,7 +7,7 @@
 
 mod entry;
 
-pub use entry::{Entry, Holdings, Load, Ongoing, Replacement, Report, Resident};
+pub use entry::{AgentReport, EngineReplacement, Entry, Holdings, Load, OngoingCommand, Resident};
 
 use crate::{choose, health};
 use corianderstand_derives::derives;
@@ -26,8 +26,7 @@
 
 /// Time for which a model counts as absent after its engine refused a request for it.
 const ABSENT_MODEL_TTL: Duration = Duration::from_millis(400);
-/// Time without reports after which an agent counts as unresponsive. Tolerates a lost datagram at
-/// the longest report interval of 0.9 s.
+/// Time without reports after which an agent counts as unresponsive.
 pub const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time for which a target that refused a connection is ejected, before it is probed again.
@@ -42,7 +41,7 @@
     /// Registered entry, updated by agent reports.
     pub entry: Entry,
     /// Command that its engine is executing, as reported by its agent.
-    pub ongoing: Option<Ongoing>,
+    pub ongoing: Option<OngoingCommand>,
     /// When its agent's last report was received.
     pub agent_last_received_at: Option<Instant>,
     /// Failure score of recent requests.
@@ -116,13 +115,12 @@
     /// Whether requests for the model may be sent to it.
     pub fn serves(&self, now: Instant, model: &names::ModelId) -> bool {
         let unloading =
-            matches!(&self.ongoing, Some(Ongoing::Unloading { model: own }) if own == model);
+            matches!(&self.ongoing, Some(OngoingCommand::Unloading { model: own }) if own == model);
         let absent = self.absent_until.get(model).is_some_and(|until| now < *until);
         !unloading && !absent && self.entry.holdings.resident(model).is_some()
     }
 
-    /// Estimated requests of all routers: the last reported load, adjusted by what this process has
-    /// sent and completed since.
+    /// Estimated requests in progress: the reported load, adjusted by this process's later requests.
     pub fn estimated_requests(&self) -> u32 {
         let reported = self.load.running + self.load.waiting;
         (reported + self.local_requests)
@@ -130,7 +128,7 @@
             .max(self.local_requests)
     }
 
-    /// Estimated tokens in its cache, as for [`Self::estimated_requests`].
+    /// Estimated tokens in its KV cache, as for [`Self::estimated_requests`].
     pub fn estimated_tokens(&self) -> u64 {
         let reported = self.load.cache_used.unwrap_or(0);
         (reported + self.local_tokens)
@@ -169,9 +167,9 @@
     }
 }
 
-/// Effect of a registration.
+/// Effect of applying a target's registered entry.
 #[derives(key)]
-pub enum Change {
+pub enum RegistrationChange {
     /// A new target or incarnation.
     New,
     /// The target started draining.
@@ -225,11 +223,10 @@
         self.arena.is_empty()
     }
 
-    /// Applies an agent's report that its engine restarted under another name. Until the new target
-    /// registers, it inherits the previous entry, of whose holdings only the weights on disk
-    /// persist. Returns false if the report changes nothing.
-    pub fn replace(&mut self, now: Instant, replacement: &Replacement) -> bool {
-        let Replacement { id, started_at_ms, previous_id } = replacement;
+    /// Applies an agent's report that its engine restarted under another name, which inherits the
+    /// previous entry until it registers. Returns false if the report changes nothing.
+    pub fn replace(&mut self, now: Instant, replacement: &EngineReplacement) -> bool {
+        let EngineReplacement { id, started_at_ms, previous_id } = replacement;
         if self.key(id).is_some() || self.drained.contains_key(id) {
             return false;
         }
@@ -248,11 +245,10 @@
         true
     }
 
-    /// Infers that an unknown engine replaced the only known one on its host; returns false if not.
+    /// Infers that an unknown engine replaced the only known one on its host, as seen by a router that
+    /// starts after the engine restarted; returns false if not.
     ///
-    /// Needed by a router that starts after all engines restarted: the stored entries are outdated
-    /// and it missed the agents' reports. Only services for which `runs_on_engines` holds are
-    /// considered. If the previous engine is alive, its next entry removes the inferred one.
+    /// If the previous engine is alive, its next entry removes the inferred one.
     pub fn infer_successor(
         &mut self,
         now: Instant,
@@ -301,30 +297,30 @@
 
     /// Applies a registered entry. Entries must arrive in the order in which they were written, as a
     /// new one removes other targets with its address.
-    pub fn register(&mut self, now: Instant, entry: Entry) -> Change {
+    pub fn register(&mut self, now: Instant, entry: Entry) -> RegistrationChange {
         if self
             .drained
             .get(&entry.id)
             .is_some_and(|&started_at_ms| entry.started_at_ms <= started_at_ms)
         {
-            return Change::Stale;
+            return RegistrationChange::Stale;
         }
         let Some(key) = self.key(&entry.id) else {
             self.remove_at_addr(now, entry.addr);
             self.insert(now, entry);
-            return Change::New;
+            return RegistrationChange::New;
         };
         let target = &mut self.arena[key];
         if entry.started_at_ms < target.entry.started_at_ms
             || (entry.started_at_ms == target.entry.started_at_ms
                 && entry.renewals < target.entry.renewals)
         {
-            return Change::Stale;
+            return RegistrationChange::Stale;
         }
         if entry.started_at_ms > target.entry.started_at_ms {
             self.remove_target(now, key);
             self.insert(now, entry);
-            return Change::New;
+            return RegistrationChange::New;
         }
         target.missing_since = None;
         let changed = target.entry.holdings != entry.holdings;
@@ -343,14 +339,14 @@
             target.entry.holdings.on_disk = entry.holdings.on_disk;
         }
         match (drains, changed) {
-            (true, _) => Change::Draining,
-            (false, true) => Change::Holdings,
-            (false, false) => Change::Nothing,
+            (true, _) => RegistrationChange::Draining,
+            (false, true) => RegistrationChange::Holdings,
+            (false, false) => RegistrationChange::Nothing,
         }
     }
 
     /// Applies an agent's report; returns false if the engine is unknown or the report is outdated.
-    pub fn report(&mut self, now: Instant, report: Report) -> bool {
+    pub fn report(&mut self, now: Instant, report: AgentReport) -> bool {
         let Some(key) = self.key(&report.id) else { return false };
         let target = &mut self.arena[key];
         let starts_known = report.started_at_ms > 0 && target.entry.started_at_ms > 0;
--- a/crates/corianderstand_fleet/src/targets/entry.rs
+++ b/crates/corianderstand_fleet/src/targets/entry.rs
@@ -68,7 +68,7 @@
 
 /// A command that an engine is executing.
 #[derives(data)]
-pub enum Ongoing {
+pub enum OngoingCommand {
     /// Loading a model.
     Loading {
         /// The model.
@@ -87,7 +87,7 @@
 
 /// Report of an agent on its engine.
 #[derives(data)]
-pub struct Report {
+pub struct AgentReport {
     /// Name of the engine.
     pub id: names::TargetId,
     /// Start time as in [`Entry::started_at_ms`].
@@ -97,14 +97,14 @@
     /// Whether the report includes cached weights; if not, the previous ones stay valid.
     pub cached_weights_reported: bool,
     /// Command that it is executing.
-    pub ongoing: Option<Ongoing>,
+    pub ongoing: Option<OngoingCommand>,
     /// Current load.
     pub load: Load,
 }
 
 /// A target that restarted under another name.
 #[derives(data)]
-pub struct Replacement {
+pub struct EngineReplacement {
     /// Its new name.
     pub id: names::TargetId,
     /// Start time as in [`Entry::started_at_ms`].
@@ -121,6 +121,6 @@
     pub running: u32,
     /// Queued requests.
     pub waiting: u32,
-    /// Cache tokens that cannot be evicted; none if unknown.
+    /// Tokens in the KV cache that cannot be evicted; none if unknown.
     pub cache_used: Option<u64>,
 }
--- a/crates/corianderstand_forward/src/agent.rs
+++ b/crates/corianderstand_forward/src/agent.rs
@@ -23,15 +23,15 @@
 use tokio::sync::Notify;
 
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Short, as requests wait until the agent sees the command complete.
+/// Interval between polls of the engine while it executes a command that requests wait for.
 const BUSY_POLL_INTERVAL: Duration = Duration::from_millis(30);
 /// Interval between updates while nothing changes; grows with the number of routers.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 const UPDATE_INTERVAL_PER_ROUTER: Duration = Duration::from_millis(25);
-/// Routers consider an agent unresponsive after three of these.
+/// Routers consider an agent unresponsive after three missed updates.
 const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(900);
 /// Routers that requested an adapter within this time are updated at once when adapters change.
-const REQUESTER_RETENTION: Duration = Duration::from_millis(500);
+const ADAPTER_REQUESTER_RETENTION: Duration = Duration::from_millis(500);
 /// A planner that sends nothing for this long may be superseded by one of lower rank.
 const PLANNER_TIMEOUT: Duration = Duration::from_millis(1_300);
 const ADAPTER_REQUEST_RETENTION: Duration = Duration::from_secs(8);
@@ -53,8 +53,8 @@
     started_at: Instant,
     expected_duration: Duration,
     from_store: bool,
-    accepted: bool,
-    commands_before: u64,
+    is_accepted: bool,
+    commands_accepted_before: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -67,19 +67,19 @@
 /// another target invalidates it too, as not all engines report their start time.
 #[derive(Clone, Debug)]
 struct EngineIdentity {
-    name: Option<names::TargetId>,
+    engine_name: Option<names::TargetId>,
     planned_target: names::TargetId,
     started_at_ms: u64,
     commands_accepted: u64,
 }
 
 #[derive(Default)]
-struct State {
+struct AgentState {
     plan: Option<ReceivedPlan>,
     requested_adapters: Vec<reconcile::AdapterRequest>,
     ongoing: Option<OngoingCommand>,
     last_update: Option<(Instant, peers::EngineUpdate)>,
-    /// Target that the engine denied to be; plans for it are not executed.
+    /// Target of a plan that the engine rejected as meant for another engine.
     mismatched_target: Option<names::TargetId>,
     identity: Option<EngineIdentity>,
     recent_requesters: BTreeMap<SocketAddr, Instant>,
@@ -90,7 +90,7 @@
     clock: clock::SharedClock,
     engine: E,
     outbox: control::Outbox,
-    state: RefCell<State>,
+    state: RefCell<AgentState>,
     wake: Notify,
     permits: RefCell<prefill::PermitQueue<SocketAddr>>,
     permits_changed: Notify,
@@ -188,7 +188,7 @@
         state.recent_requesters.insert(from, now);
         state
             .recent_requesters
-            .retain(|_, at| now.saturating_duration_since(*at) < REQUESTER_RETENTION);
+            .retain(|_, at| now.saturating_duration_since(*at) < ADAPTER_REQUESTER_RETENTION);
         for adapter in request.adapters {
             state
                 .requested_adapters
@@ -249,7 +249,7 @@
         }
         self.send_update(now, &plan.plan, &report);
         let Some(command) = self.next_command(now, &plan.plan, &report) else {
-            let busy = report.busy || report.adapters_loading > 0;
+            let busy = report.is_executing_command || report.adapters_loading > 0;
             let in_progress = self.state.borrow().ongoing.is_some() || busy;
             return if in_progress { BUSY_POLL_INTERVAL } else { IDLE_POLL_INTERVAL };
         };
@@ -257,7 +257,6 @@
         BUSY_POLL_INTERVAL
     }
 
-    /// Repeated on each poll, as datagrams may be lost.
     fn send_engine_exited(&self) {
         let state = self.state.borrow();
         let (Some(plan), Some((_, last))) = (&state.plan, &state.last_update) else { return };
@@ -281,14 +280,14 @@
             && identity.planned_target == plan.target
         {
             identity.commands_accepted = commands_accepted;
-            return identity.name.clone();
+            return identity.engine_name.clone();
         }
         match self.engine.name(&plan.health_path).await {
             Ok(name) => {
                 tracing::info!(?name, born = started_at_ms, "engine identified");
                 let planned_target = plan.target.clone();
                 let identity = EngineIdentity {
-                    name: name.clone(),
+                    engine_name: name.clone(),
                     planned_target,
                     started_at_ms,
                     commands_accepted,
@@ -321,13 +320,13 @@
     fn finish_ongoing(&self, now: Instant, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let Some(ongoing) = &state.ongoing else { return };
-        let observed = report.holdings.commands_accepted > ongoing.commands_before;
+        let observed = report.holdings.commands_accepted > ongoing.commands_accepted_before;
         let timed_out =
             now.saturating_duration_since(ongoing.started_at) > COMMAND_RESPONSE_TIMEOUT;
-        let finished = !report.busy && (observed || timed_out);
+        let finished = !report.is_executing_command && (observed || timed_out);
         if finished {
             let ms = now.saturating_duration_since(ongoing.started_at).as_millis() as u64;
-            tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.accepted, "command ended");
+            tracing::info!(order = ?ongoing.command, ms, shows = observed, answered = ongoing.is_accepted, "command ended");
             state.ongoing = None;
         }
     }
@@ -358,12 +357,12 @@
                 &state.requested_adapters,
             )
         };
-        let model = || match report.busy {
+        let model = || match report.is_executing_command {
             true => None,
             false => reconcile::next_model_command(capacity, &models, &report.holdings),
         };
-        // Adapters first: they load within milliseconds, a model takes a second or more.
-        if report.busy { None } else { adapter().or_else(model) }
+        // Adapters load within milliseconds, models within seconds.
+        if report.is_executing_command { None } else { adapter().or_else(model) }
     }
 
     async fn execute(
@@ -380,8 +379,8 @@
             started_at: now,
             expected_duration,
             from_store,
-            accepted: false,
-            commands_before,
+            is_accepted: false,
+            commands_accepted_before: commands_before,
         };
         let changes_model =
             matches!(command, reconcile::Command::Load(_) | reconcile::Command::Unload(_));
@@ -404,7 +403,7 @@
         match result {
             dialect::CommandOutcome::Accepted | dialect::CommandOutcome::Unknown => {
                 if let Some(ongoing) = &mut state.ongoing {
-                    ongoing.accepted = result == dialect::CommandOutcome::Accepted;
+                    ongoing.is_accepted = result == dialect::CommandOutcome::Accepted;
                 }
             }
             dialect::CommandOutcome::OtherEngine => {
@@ -420,7 +419,8 @@
     fn send_update(&self, now: Instant, plan: &peers::EnginePlan, report: &dialect::EngineReport) {
         let mut state = self.state.borrow_mut();
         let update = report::engine_update(now, plan, report, state.ongoing.as_ref());
-        let interval = UPDATE_INTERVAL.max(UPDATE_INTERVAL_PER_ROUTER * plan.routers.len() as u32);
+        let interval =
+            MIN_UPDATE_INTERVAL.max(UPDATE_INTERVAL_PER_ROUTER * plan.routers.len() as u32);
         let interval = interval.min(MAX_UPDATE_INTERVAL);
         let to_all = state.last_update.as_ref().is_none_or(|(at, last)| {
             now.saturating_duration_since(*at) >= interval
--- a/crates/corianderstand_forward/src/attempt.rs
+++ b/crates/corianderstand_forward/src/attempt.rs
@@ -7,16 +7,16 @@
 use hyper::body::Incoming;
 use std::{rc::Rc, time::Duration};
 
-/// Lets the target's timeout response arrive before the router's own is due.
-const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
-/// Latency objectives after which a request that may be retried is tried elsewhere.
+/// Subtracted from the forwarded deadline, so that the target's timeout response arrives in time.
+const TARGET_RESPONSE_MARGIN: Duration = Duration::from_millis(25);
+/// Multiple of the latency objective after which a retryable request is sent to another target.
 const RESPONSE_TIMEOUT_OBJECTIVES: u32 = 2;
-/// Longer than slow requests usually take, 0.3 s.
+/// Slow but healthy targets respond within 0.3 s.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How one attempt ended.
 pub enum AttemptOutcome<P: router::Platform> {
-    /// The response head arrived.
+    /// The target sent a response head.
     Answered(Box<Answered<P>>),
     /// Nothing was written to the target.
     NotSent,
@@ -33,12 +33,12 @@
     /// Status and headers.
     pub head: http::response::Parts,
     /// The parsed headers.
-    pub info: dialect::ResponseHead,
+    pub response_head: dialect::ResponseHead,
     /// The body.
     pub body: Incoming,
     /// The connection.
     pub lease: pool::Lease,
-    /// The request's count at the target.
+    /// Counts the request as in flight at the target.
     pub in_flight: job::InFlight<P>,
 }
 
@@ -50,11 +50,12 @@
     last_event: Option<u64>,
 ) -> AttemptOutcome<P> {
     let now = shared.clock.now();
-    let Some((addr, id)) = shared.address(key) else { return AttemptOutcome::NotSent };
+    let Some((addr, id)) = shared.target_address(key) else { return AttemptOutcome::NotSent };
     job.last_target = id.clone();
     job.sent_at = Some(now);
     job.prefill_tokens = job.uncached_tokens(&shared.view.borrow(), key);
-    let time_left = job.deadline.saturating_duration_since(now).saturating_sub(RESPONSE_MARGIN);
+    let time_left =
+        job.deadline.saturating_duration_since(now).saturating_sub(TARGET_RESPONSE_MARGIN);
     if time_left.is_zero() {
         return AttemptOutcome::DeadlineExceeded;
     }
@@ -63,13 +64,13 @@
         target: &id,
         time_left,
         priority: job.request.requested_model.is_some().then_some(job.route.priority),
-        last_event,
+        last_event_id: last_event,
     };
     let req = build_request(shared, job, &forwarded);
-    let mut lease = match shared.pool.lease(now, addr).await {
+    let mut lease = match shared.connection_pool.lease(now, addr).await {
         Ok(lease) => lease,
         Err(error) => {
-            shared.connection_failed(key, &error);
+            shared.record_connection_failure(key, &error);
             tracing::debug!(%addr, %error, "no connection to the target");
             return AttemptOutcome::NotSent;
         }
@@ -80,12 +81,12 @@
         let sending = lease.sender.try_send_request(req);
         let response = match wait_for_head(shared, job, key, sending).await {
             HeadOutcome::Received(response) => response,
-            HeadOutcome::NotSent(req) if lease.reused => {
+            HeadOutcome::NotSent(req) if lease.is_reused => {
                 // The target closed the idle connection before anything was written.
-                match shared.pool.open(addr).await {
+                match shared.connection_pool.open(addr).await {
                     Ok(new) => lease = new,
                     Err(error) => {
-                        shared.connection_failed(key, &error);
+                        shared.record_connection_failure(key, &error);
                         return AttemptOutcome::NotSent;
                     }
                 }
@@ -93,19 +94,19 @@
                 continue;
             }
             HeadOutcome::NotSent(_) => {
-                shared.target_failed(key, "connection closed at once");
+                shared.record_target_failure(key, "connection closed at once");
                 return AttemptOutcome::NotSent;
             }
             HeadOutcome::ConnectionLost => {
-                shared.target_failed(key, "connection lost");
+                shared.record_target_failure(key, "connection lost");
                 return AttemptOutcome::Unknown("the target's connection was lost");
             }
             HeadOutcome::TimedOut => {
-                shared.target_failed(key, "silent");
+                shared.record_target_failure(key, "silent");
                 return AttemptOutcome::Unknown("the target was silent");
             }
             HeadOutcome::DeadlineExceeded => {
-                shared.target_failed(key, "time over");
+                shared.record_target_failure(key, "time over");
                 return AttemptOutcome::DeadlineExceeded;
             }
         };
@@ -123,23 +124,29 @@
     let key = in_flight.key();
     let (head, body) = response.into_parts();
     let info = shared.platform.parse_response(head.status, &head.headers);
-    if info.request.as_ref().is_some_and(|id| *id != job.request.id) {
-        shared.target_failed(key, "answer to another request");
+    if info.request_id.as_ref().is_some_and(|id| *id != job.request.id) {
+        shared.record_target_failure(key, "answer to another request");
         return AttemptOutcome::Unknown("the answer was to another request");
     }
     if let Some(load) = info.load {
         shared.record_load(key, load);
     }
     if info.not_run {
-        shared.not_run(key, job, head.status, info.target.as_ref());
+        shared.record_unexecuted(key, job, head.status, info.target.as_ref());
         // The body isn't read; dropping the lease closes the connection.
         return AttemptOutcome::NotRun;
     }
-    if !info.signed {
-        shared.target_failed(key, "answer without signature");
+    if !info.is_signed {
+        shared.record_target_failure(key, "answer without signature");
         return AttemptOutcome::Unknown("the answer was not the target's");
     }
-    AttemptOutcome::Answered(Box::new(Answered { head, info, body, lease, in_flight }))
+    AttemptOutcome::Answered(Box::new(Answered {
+        head,
+        response_head: info,
+        body,
+        lease,
+        in_flight,
+    }))
 }
 
 enum HeadOutcome {
--- a/crates/corianderstand_forward/src/catch_up.rs
+++ b/crates/corianderstand_forward/src/catch_up.rs
@@ -13,9 +13,9 @@
 use xxhash_rust::xxh3;
 
 /// Fraction of `config_within` without data from the store after which a peer is queried.
-const STALLED_DIVISOR: u32 = 8;
-/// The same while the store still delivers data.
-const SLOW_DIVISOR: u32 = 2;
+const STALLED_STORE_DIVISOR: u32 = 8;
+/// Fraction of `config_within` after which a peer is queried although the store delivers data.
+const SLOW_STORE_DIVISOR: u32 = 2;
 
 /// Progress of a router's reads and of its peers.
 #[derive(Clone, Debug)]
@@ -23,12 +23,12 @@
     /// The router's name.
     pub router: &'a str,
     /// Peers with newer records, and their offsets.
-    pub ahead: &'a [(u64, SocketAddr)],
+    pub peers_ahead: &'a [(u64, SocketAddr)],
     /// When data was last received from the store.
     pub last_received_at: Option<Instant>,
     /// Whether the last read of the store failed.
     pub last_read_failed: bool,
-    /// Whether nothing is known yet, so that all requests are rejected.
+    /// Whether no record of the subject is known yet.
     pub is_starting: bool,
     /// Whether other routers read the store for this one.
     pub is_follower: bool,
@@ -36,10 +36,10 @@
     pub config_within: Duration,
 }
 
-/// A router's lag behind its peers in one subject.
+/// Since when a router's records of one subject are older than those of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Lag {
-    since: Option<Instant>,
+    behind_since: Option<Instant>,
     attempts: u64,
 }
 
@@ -50,18 +50,18 @@
         now: Instant,
         progress: &ReadProgress,
     ) -> Option<(u64, SocketAddr)> {
-        let Some(furthest) = progress.ahead.iter().map(|(next, _)| *next).max() else {
-            self.since = None;
+        let Some(furthest) = progress.peers_ahead.iter().map(|(next, _)| *next).max() else {
+            self.behind_since = None;
             return None;
         };
-        let lag_time = now.saturating_duration_since(*self.since.get_or_insert(now));
-        let stall_timeout = progress.config_within / STALLED_DIVISOR;
+        let lag_time = now.saturating_duration_since(*self.behind_since.get_or_insert(now));
+        let stall_timeout = progress.config_within / STALLED_STORE_DIVISOR;
         let is_receiving = progress
             .last_received_at
             .is_some_and(|at| now.saturating_duration_since(at) < stall_timeout);
         let immediate = progress.last_read_failed || progress.is_starting || progress.is_follower;
         let due = if is_receiving {
-            lag_time >= progress.config_within / SLOW_DIVISOR
+            lag_time >= progress.config_within / SLOW_STORE_DIVISOR
         } else {
             immediate || lag_time >= stall_timeout
         };
@@ -69,17 +69,17 @@
             return None;
         }
         self.attempts += 1;
-        let candidates = progress.ahead.iter().filter(|(next, _)| *next == furthest);
+        let candidates = progress.peers_ahead.iter().filter(|(next, _)| *next == furthest);
         candidates.copied().max_by_key(|(_, addr)| self.peer_rank(progress.router, *addr))
     }
 
-    /// Differs by router and attempt, so that routers spread over the peers and avoid a dead one.
+    /// Ranks peers differently by router and attempt, which spreads load and avoids a dead peer.
     fn peer_rank(&self, router: &str, peer: SocketAddr) -> u64 {
         xxh3::xxh3_64_with_seed(format!("{router} {peer}").as_bytes(), self.attempts)
     }
 }
 
-/// Lag and pending transfer of each subject.
+/// Detects outdated records of each subject and fetches newer ones from peers.
 #[derive(Debug, Default)]
 pub struct CatchUp {
     by_subject: BTreeMap<Subject, (Lag, Option<JoinHandle<()>>)>,
@@ -94,7 +94,7 @@
             if transfer.as_ref().is_some_and(|transfer| !transfer.is_finished()) {
                 continue;
             }
-            let records = shared.records.borrow();
+            let records = shared.replicated_records.borrow();
             // Targets change constantly, so some peer is always slightly ahead.
             if subject == Subject::Targets && records.is_fresh(now, subject) {
                 continue;
@@ -103,7 +103,7 @@
             let ahead: Vec<_> = shared.peers.borrow().ahead(now, subject, next_offset).collect();
             let progress = ReadProgress {
                 router: &shared.settings.name,
-                ahead: &ahead,
+                peers_ahead: &ahead,
                 last_received_at: records.last_received_at(subject),
                 last_read_failed: records.last_read_failed(subject),
                 is_starting: next_offset == 0,
--- a/crates/corianderstand_forward/src/control.rs
+++ b/crates/corianderstand_forward/src/control.rs
@@ -16,25 +16,25 @@
 use tokio::net::UdpSocket;
 
 /// Interval between updates to the planner, and between hellos of the planner itself.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+const PLANNER_UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between hellos of a router that is not the planner.
 const HELLO_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Batches a burst of first requests into one update and one plan.
-const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(20);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(20);
 /// Must be shorter than the time for which an agent keeps an adapter in use loaded.
-const ADAPTERS_INTERVAL: Duration = Duration::from_millis(250);
+const ADAPTERS_IN_USE_INTERVAL: Duration = Duration::from_millis(250);
 const MAX_DATAGRAM_BYTES: usize = 60_000;
 
 /// Sends datagrams.
 pub struct Outbox {
     socket: Rc<UdpSocket>,
-    dropped: Cell<u64>,
+    dropped_datagrams: Cell<u64>,
 }
 
 impl Outbox {
     /// Creates an outbox that sends from `socket`.
     pub const fn new(socket: Rc<UdpSocket>) -> Self {
-        Self { socket, dropped: Cell::new(0) }
+        Self { socket, dropped_datagrams: Cell::new(0) }
     }
 
     /// Sends a message, or drops it if the socket's buffer is full.
@@ -47,8 +47,8 @@
             }
         };
         if let Err(error) = self.socket.try_send_to(&bytes, addr) {
-            self.dropped.set(self.dropped.get() + 1);
-            tracing::debug!(%addr, %error, dropped = self.dropped.get(), "dropped a peer message");
+            self.dropped_datagrams.set(self.dropped_datagrams.get() + 1);
+            tracing::debug!(%addr, %error, dropped = self.dropped_datagrams.get(), "dropped a peer message");
         }
     }
 }
@@ -116,7 +116,7 @@
         }
         PeerMessage::EngineReplaced(wire::EngineReplaced { target, born, before }) => {
             let replaced =
-                targets::Replacement { id: target, started_at_ms: born, previous_id: before };
+                targets::EngineReplacement { id: target, started_at_ms: born, previous_id: before };
             if shared.view.borrow_mut().targets.replace(now, &replaced) {
                 tracing::info!(target = %replaced.id, before = %replaced.previous_id,
                     "target restarted under another name, as its agent reports");
@@ -141,7 +141,7 @@
 ) {
     let report = to_report(now, update);
     let mut view = shared.view.borrow_mut();
-    let table = view.table.clone();
+    let table = view.route_table.clone();
     let has_engine = |name: &names::ServiceId| {
         let service = table.as_ref().and_then(|table| table.config().service(name));
         service.is_some_and(|service| service.engine.is_some())
@@ -175,21 +175,21 @@
 
 /// None if this router is the planner.
 fn planner<P>(shared: &router::Shared<P>, now: Instant) -> Option<SocketAddr> {
-    let own = peers::Rank::new(shared.settings.strength, &shared.settings.name);
+    let own = peers::Rank::new(shared.settings.cpu_millicores, &shared.settings.name);
     shared.peers.borrow().planner(now, &own)
 }
 
-fn to_report(now: Instant, update: wire::EngineUpdate) -> targets::Report {
+fn to_report(now: Instant, update: wire::EngineUpdate) -> targets::AgentReport {
     let ongoing = update.ongoing.into_iter().next().map(|command| {
         if command.loads {
             let ready_at = now + Duration::from_millis(u64::from(command.remaining_ms));
-            targets::Ongoing::Loading {
+            targets::OngoingCommand::Loading {
                 model: command.model,
                 ready_at,
                 from_store: command.from_store,
             }
         } else {
-            targets::Ongoing::Unloading { model: command.model }
+            targets::OngoingCommand::Unloading { model: command.model }
         }
     });
     let resident = update.resident.into_iter();
@@ -200,7 +200,7 @@
     let cached_weights_reported = cached_weights.is_some();
     let (in_memory, on_disk) =
         cached_weights.map(|cached| (cached.in_memory, cached.on_disk)).unwrap_or_default();
-    targets::Report {
+    targets::AgentReport {
         id: update.target,
         started_at_ms: update.born,
         holdings: targets::Holdings {
@@ -233,20 +233,20 @@
         if can_plan(&shared) && planner.is_none() {
             planning.publish(&shared, now);
         }
-        shared.pool.sweep(now);
+        shared.connection_pool.sweep(now);
         follow::expire(&shared, now);
         shared.peers.borrow_mut().expire(now);
-        tokio::time::sleep(MIN_ROUND_INTERVAL).await;
+        tokio::time::sleep(MIN_SEND_INTERVAL).await;
         tokio::select! {
             () = shared.control_wake.notified() => {}
-            () = tokio::time::sleep(UPDATE_INTERVAL) => {}
+            () = tokio::time::sleep(PLANNER_UPDATE_INTERVAL) => {}
         }
     }
 }
 
 fn can_plan<P>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
-    view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
+    view.route_table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
 fn send_updates<P: router::Platform>(
@@ -258,10 +258,10 @@
     if let Some(planner) = planner {
         shared.outbox.send(planner, &PeerMessage::RouterNews(demand_update(shared)));
     }
-    let interval = if planner.is_some() { HELLO_INTERVAL } else { UPDATE_INTERVAL };
-    let due = sent.hello_at.is_none_or(|at| now.saturating_duration_since(at) >= interval);
+    let interval = if planner.is_some() { HELLO_INTERVAL } else { PLANNER_UPDATE_INTERVAL };
+    let due = sent.hello_sent_at.is_none_or(|at| now.saturating_duration_since(at) >= interval);
     if due {
-        sent.hello_at = Some(now);
+        sent.hello_sent_at = Some(now);
         send_hello(shared);
     }
 }
@@ -271,7 +271,7 @@
     let message = PeerMessage::RouterNews(hello(shared));
     let peers = shared.peers.borrow();
     let known: Vec<SocketAddr> = peers.addresses().collect();
-    let own = shared.settings.peers;
+    let own = shared.settings.peer_addr;
     let bounds = shared.bounds.borrow();
     let seeds = bounds.seeds.iter().copied();
     let seeds = seeds.filter(|seed| *seed != own && !known.contains(seed));
@@ -282,13 +282,13 @@
 
 fn hello<P: router::Platform>(shared: &router::Shared<P>) -> wire::RouterUpdate {
     let store = shared.store_use(shared.clock.now());
-    let records = shared.records.borrow();
+    let records = shared.replicated_records.borrow();
     wire::RouterUpdate {
         router: shared.settings.name.as_str().into(),
         incarnation: shared.incarnation,
         zone: shared.settings.zone.clone(),
         store,
-        strength: shared.settings.strength,
+        strength: shared.settings.cpu_millicores,
         fit: can_plan(shared),
         config_next: records.next_offset(dialect::Subject::Config),
         targets_next: records.next_offset(dialect::Subject::Targets),
@@ -307,7 +307,7 @@
         .into_iter()
         .map(|(model, demand)| (model, (demand, 0)))
         .collect();
-    for (model, waiting) in &view.waiting {
+    for (model, waiting) in &view.waiting_requests {
         models.entry(model.clone()).or_default().1 = *waiting;
     }
     let models = models.into_iter().map(|(model, (demand, waiting))| wire::ModelDemand {
@@ -351,12 +351,13 @@
 
 /// Keeps the adapters of requests in flight from being evicted.
 fn send_adapters_in_use<P>(shared: &router::Shared<P>, now: Instant, sent: &mut SendState) {
-    let due =
-        sent.adapters_at.is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_INTERVAL);
+    let due = sent
+        .adapters_sent_at
+        .is_none_or(|at| now.saturating_duration_since(at) >= ADAPTERS_IN_USE_INTERVAL);
     if !due {
         return;
     }
-    sent.adapters_at = Some(now);
+    sent.adapters_sent_at = Some(now);
     let in_use: Vec<_> = {
         let view = shared.view.borrow();
         let in_use = view.targets.iter().map(|(key, target)| {
@@ -384,7 +385,7 @@
 
 #[derive(Default)]
 struct SendState {
-    hello_at: Option<Instant>,
-    adapters_at: Option<Instant>,
+    hello_sent_at: Option<Instant>,
+    adapters_sent_at: Option<Instant>,
     role: Option<readers::Role>,
 }
--- a/crates/corianderstand_forward/src/dialect.rs
+++ b/crates/corianderstand_forward/src/dialect.rs
@@ -1,6 +1,4 @@
 //! Traits that a platform adapter implements: header names, and calls to the store and to engines.
-//!
-//! An adapter only translates; it makes no decisions.
 
 use crate::client;
 use bytes::Bytes;
@@ -15,7 +13,7 @@
 /// A part of a prompt that other requests may share.
 #[derives(key)]
 pub struct PromptPart {
-    /// Identifies the part together with those before it.
+    /// Identifier of this part and all parts before it.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u32,
@@ -28,7 +26,7 @@
     /// The caller's request id.
     pub id: SmolStr,
     /// The caller's timeout.
-    pub deadline: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The requested model and adapter.
     pub requested_model: Option<choose::RequestedModel>,
     /// Length of the prompt.
@@ -40,20 +38,20 @@
     /// The prompt's parts, in order.
     pub prompt_parts: Vec<PromptPart>,
     /// The last event that the caller received, if it resumes a stream.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// What the router adds to a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedRequest<'a> {
-    /// The intended target; any other rejects the request.
+    /// Id of the intended target; a target with another id rejects the request.
     pub target: &'a names::TargetId,
     /// Time until the deadline.
     pub time_left: Duration,
-    /// Priority at an engine; 0 is the highest.
+    /// Priority in the engine's queue; 0 is the highest.
     pub priority: Option<u8>,
     /// The last event that the caller received.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The parsed head of a target's response.
@@ -63,9 +61,9 @@
     /// Whether the target did not run the request and never will.
     pub not_run: bool,
     /// Whether the target signed the response.
-    pub signed: bool,
+    pub is_signed: bool,
     /// Id of the answered request.
-    pub request: Option<SmolStr>,
+    pub request_id: Option<SmolStr>,
     /// Id of the responding target.
     pub target: Option<names::TargetId>,
     /// Load of the target.
@@ -118,9 +116,9 @@
 pub struct Page {
     /// The records.
     pub records: Vec<Record>,
-    /// Offset to continue from.
+    /// Offset at which the next read starts.
     pub next: u64,
-    /// Whether all keys are present, so that missing ones were deleted.
+    /// Whether the page contains every key of the subject, so that absent keys were deleted.
     pub whole: bool,
 }
 
@@ -184,8 +182,8 @@
 #[derive(Clone, Debug)]
 pub struct ReadOptions {
     /// Longest time that the store waits for a new record.
-    pub wait: Duration,
-    /// Added to `wait` until the response begins, and the limit between two parts of it.
+    pub long_poll_wait: Duration,
+    /// Longest gap between two parts of the response, the first counted after `long_poll_wait`.
     pub idle_timeout: Duration,
     /// Updated with each part of the response.
     pub last_received: client::LastReceived,
@@ -203,7 +201,7 @@
     fn read(
         &self,
         subject: Subject,
-        from: u64,
+        start_offset: u64,
         options: &ReadOptions,
     ) -> impl Future<Output = Result<Page, StoreError>>;
     /// Announces this router to the others.
@@ -221,8 +219,8 @@
     pub started_at_ms: Option<u64>,
     /// Resident models and cached weights.
     pub holdings: targets::Holdings,
-    /// Whether it is executing a command for a model.
-    pub busy: bool,
+    /// Whether the engine is loading or unloading a model.
+    pub is_executing_command: bool,
     /// Number of adapters that are being loaded.
     pub adapters_loading: usize,
     /// Load of the engine.
--- a/crates/corianderstand_forward/src/job.rs
+++ b/crates/corianderstand_forward/src/job.rs
@@ -11,11 +11,11 @@
     time::{Duration, Instant},
 };
 
-/// Callers abandon a stream after the longest of this time and the objectives below.
+/// Callers are expected to abandon a stream after the longest of these three times.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(2);
-const ABANDON_OBJECTIVES: u32 = 4;
+const ABANDON_LATENCY_OBJECTIVES: u32 = 4;
 const ABANDON_GAPS: u32 = 8;
-/// Applies if the caller sends no estimate.
+/// Estimate of output tokens if the caller sends none.
 const DEFAULT_OUTPUT_TOKENS: u64 = 300;
 
 /// A request that was read and awaits its response.
@@ -35,18 +35,18 @@
     /// The body.
     pub body: Bytes,
     /// Time of arrival.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// The earlier deadline of caller and route.
     pub deadline: Instant,
     /// When the caller last received data: arrival, or the last event of a stream.
     pub idle_since: Instant,
     /// Hash of the request id.
-    pub hash: u64,
+    pub request_id_hash: u64,
     /// The prompt's prefixes.
-    pub chain: prefixes::Chain,
+    pub prompt_prefixes: prefixes::PrefixChain,
     /// Targets that were tried.
-    pub tried: Vec<targets::TargetKey>,
-    /// Attempts that did not run.
+    pub tried_targets: Vec<targets::TargetKey>,
+    /// Number of attempts that the target reported as not run.
     pub unexecuted_attempts: u32,
     /// Whether an attempt has an unknown outcome.
     pub may_have_run: bool,
@@ -62,7 +62,7 @@
 
 impl Job {
     /// Expected prompt and output tokens.
-    pub fn tokens(&self) -> u64 {
+    pub fn expected_tokens(&self) -> u64 {
         if self.request.requested_model.is_none() {
             return 0;
         }
@@ -76,7 +76,8 @@
 
     /// Prompt tokens that are not known to be cached at a target.
     pub fn uncached_tokens(&self, view: &view::View, key: targets::TargetKey) -> u64 {
-        let cached = view.prefixes.find(&self.chain).filter(|(holder, _)| *holder == key);
+        let cached =
+            view.cached_prefixes.find(&self.prompt_prefixes).filter(|(holder, _)| *holder == key);
         self.request.prompt_tokens.saturating_sub(cached.map_or(0, |(_, tokens)| tokens))
     }
 
@@ -101,14 +102,15 @@
             return self.deadline;
         }
         let gaps = self.route.gap_objective.unwrap_or_default() * ABANDON_GAPS;
-        let idle_timeout =
-            ABANDON_TIMEOUT.max(self.route.latency_objective * ABANDON_OBJECTIVES).max(gaps);
+        let idle_timeout = ABANDON_TIMEOUT
+            .max(self.route.latency_objective * ABANDON_LATENCY_OBJECTIVES)
+            .max(gaps);
         self.deadline.min(self.idle_since + idle_timeout)
     }
 
     /// A number in [0, 1) derived from the request id.
     pub fn jitter(&self) -> f64 {
-        (self.hash >> 11) as f64 / (1_u64 << 53) as f64
+        (self.request_id_hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     /// The requested model.
@@ -122,23 +124,24 @@
     shared: Rc<router::Shared<P>>,
     key: targets::TargetKey,
     requested: Option<choose::RequestedModel>,
-    tokens: u64,
+    expected_tokens: u64,
 }
 
 impl<P: router::Platform> InFlight<P> {
     /// Adds a request to a target's counts.
     pub fn begin(shared: &Rc<router::Shared<P>>, key: targets::TargetKey, job: &Job) -> Self {
         let requested = job.request.requested_model.clone();
-        let in_flight = Self { shared: shared.clone(), key, requested, tokens: job.tokens() };
+        let in_flight =
+            Self { shared: shared.clone(), key, requested, expected_tokens: job.expected_tokens() };
         let mut view = shared.view.borrow_mut();
         if let Some(target) = view.targets.get_mut(key) {
             target.local_requests += 1;
-            target.local_tokens += in_flight.tokens;
+            target.local_tokens += in_flight.expected_tokens;
             if let Some(requested) = &in_flight.requested {
                 *target.in_flight.entry(requested.clone()).or_default() += 1;
             }
         }
-        view.prefixes.record(&job.chain, key);
+        view.cached_prefixes.record(&job.prompt_prefixes, key);
         drop(view);
         in_flight
     }
@@ -154,7 +157,7 @@
         let mut view = self.shared.view.borrow_mut();
         let Some(target) = view.targets.get_mut(self.key) else { return };
         target.local_requests = target.local_requests.saturating_sub(1);
-        target.local_tokens = target.local_tokens.saturating_sub(self.tokens);
+        target.local_tokens = target.local_tokens.saturating_sub(self.expected_tokens);
         let Some(requested) = &self.requested else { return };
         if let Some(count) = target.in_flight.get_mut(requested) {
             *count -= 1;
--- a/crates/corianderstand_forward/src/readers.rs
+++ b/crates/corianderstand_forward/src/readers.rs
@@ -8,20 +8,20 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3;
 
-/// Two, so that the loss of one does not send all followers to the store.
+/// Number of routers per availability zone that read the store, so that one may fail.
 const READER_COUNT: usize = 2;
-/// In smaller zones the calls saved don't justify the added delay.
+/// In zones with fewer routers, each reads the store itself.
 const MIN_ROUTERS_WITH_READERS: usize = 9;
 
 /// Another router of the same zone with a recent update.
 #[derive(Clone, Debug)]
 pub struct Neighbour {
-    /// The highest ranks read the store.
+    /// The routers of the highest rank in a zone read the store for the others.
     pub rank: peers::Rank,
     /// Its peer address.
     pub addr: SocketAddr,
-    /// How it reports to use the store.
-    pub store: StoreUse,
+    /// How it reports to obtain the store's records.
+    pub store_use: StoreUse,
 }
 
 /// How a router obtains the store's records.
@@ -46,7 +46,7 @@
     if stronger.len() < READER_COUNT {
         return Role::ReadsForOthers;
     }
-    stronger.retain(|other| other.store != StoreUse::Lost);
+    stronger.retain(|other| other.store_use != StoreUse::Lost);
     stronger.sort_by(|a, b| b.rank.cmp(&a.rank));
     stronger.truncate(READER_COUNT);
     if stronger.len() < READER_COUNT {
--- a/crates/corianderstand_forward/src/replicated_records.rs
+++ b/crates/corianderstand_forward/src/replicated_records.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-/// Covers a long poll, a pause and a slow response.
+/// The store counts as lost after this time without a read; covers a long poll and a slow response.
 const STORE_LOST_AFTER: Duration = Duration::from_millis(2_600);
 /// Time in which targets renew entries that expired during an outage of the store.
 pub const RECOVERY_GRACE: Duration = Duration::from_millis(2_300);
@@ -34,7 +34,7 @@
     /// Time since the last successful read of the store, if there was one.
     pub since_read: Option<Duration>,
     /// Whether another router is known to have newer records.
-    pub behind: bool,
+    pub is_behind_peer: bool,
 }
 
 #[derive(Debug)]
@@ -74,7 +74,7 @@
         Some(now.saturating_duration_since(at))
     }
 
-    /// Age of the last read before records of this source arrived.
+    /// Time between the last two reads of the store, or since the last one if `source` is a peer.
     pub fn previous_read_age(
         &self,
         now: Instant,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Shared marker that a read updates on each part of its response.
+    /// Shared time that a read in progress updates with each part of its response.
     pub fn last_received(&mut self, subject: Subject) -> client::LastReceived {
         self.by_subject.entry(subject).or_default().last_received.clone()
     }
@@ -115,9 +115,10 @@
     }
 
     /// Records changed since an offset, without mere renewals.
-    pub fn changes(&self, subject: Subject, from: u64) -> dialect::Page {
+    pub fn changes(&self, subject: Subject, start_offset: u64) -> dialect::Page {
         let Some(entry) = self.by_subject.get(&subject) else { return dialect::Page::default() };
-        let changed = entry.records.values().filter(|stored| stored.changed_at_offset >= from);
+        let changed =
+            entry.records.values().filter(|stored| stored.changed_at_offset >= start_offset);
         let records = changed.map(|stored| stored.record.clone()).collect();
         dialect::Page { records, next: entry.next_offset.unwrap_or(0), whole: false }
     }
@@ -163,7 +164,7 @@
     }
 
     /// Marks all records before `next` as known. Returns whether this advances the offset.
-    pub fn advance(&mut self, subject: Subject, next: u64) -> bool {
+    pub fn advance_offset(&mut self, subject: Subject, next: u64) -> bool {
         let entry = self.by_subject.entry(subject).or_default();
         let advanced = entry.next_offset < Some(next);
         entry.next_offset = entry.next_offset.max(Some(next));
--- a/crates/corianderstand_forward/src/router.rs
+++ b/crates/corianderstand_forward/src/router.rs
@@ -32,18 +32,18 @@
     pub name: SmolStr,
     /// Its availability zone.
     pub zone: names::AvailabilityZoneId,
-    /// CPU that its host grants, in thousandths of a core; the strongest router is the planner.
-    pub strength: u32,
+    /// CPU available to it, in thousandths of a core; the router with the most is the planner.
+    pub cpu_millicores: u32,
     /// Listener for callers.
-    pub front: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Listener for readiness checks.
-    pub ready: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Path of the readiness check.
     pub ready_path: SmolStr,
     /// Listener for metrics, if any.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_addr: Option<SocketAddr>,
     /// Address for datagrams and transfers between processes.
-    pub peers: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// UDP port of agents, at the address of their engine.
     pub agent_port: u16,
     /// Settings that can be reloaded.
@@ -56,7 +56,7 @@
 pub struct Bounds {
     /// Addresses at which other routers may be found.
     pub seeds: Vec<SocketAddr>,
-    /// Retry budget of the deployment.
+    /// Limits how many retries each service's requests may cause.
     pub allowance: budget::Allowance,
     /// Time within which a draining target must stop receiving requests.
     pub drain_within: Duration,
@@ -98,10 +98,10 @@
     pub settings: Settings,
     /// Current values of the settings that can be reloaded.
     pub bounds: RefCell<Bounds>,
-    /// Clock.
+    /// Source of monotonic and wall-clock time.
     pub clock: clock::SharedClock,
     /// Detects pauses of this process, for callers' connections.
-    pub pauses: Arc<pause::PauseDetector>,
+    pub pause_detector: Arc<pause::PauseDetector>,
     /// Startup time of this process, in Unix milliseconds.
     pub incarnation: u64,
     /// This router's view of the fleet.
@@ -109,20 +109,20 @@
     /// Other routers.
     pub peers: RefCell<peers::Peers>,
     /// Replicated records of the store.
-    pub records: RefCell<replicated_records::ReplicatedRecords>,
+    pub replicated_records: RefCell<replicated_records::ReplicatedRecords>,
     /// Connections to targets.
-    pub pool: Rc<pool::Pool>,
+    pub connection_pool: Rc<pool::Pool>,
     /// Requests that wait for prefill permits.
     pub prefill_permits: prefill::PendingPermits,
     /// Log of request outcomes.
-    pub log: decisions::Log,
+    pub decision_log: decisions::Log,
     /// Wakes the control loop to send updates or to plan at once.
     pub control_wake: Notify,
-    /// Triggers a read of the store after a target turned out to be replaced.
+    /// Triggers a read of the store after a target's address was reused by another target.
     pub targets_outdated: Notify,
     /// Sends datagrams to peers.
     pub outbox: control::Outbox,
-    /// Deadlines of the shutdown in progress, if any.
+    /// Set once a shutdown has begun.
     pub stopping: Cell<Option<StopDeadlines>>,
     /// Number of requests in progress.
     pub open_requests: Cell<usize>,
@@ -137,12 +137,12 @@
     /// Whether the first reads of the configuration or the targets are still pending.
     pub fn is_starting(&self) -> bool {
         let view = self.view.borrow();
-        let records = self.records.borrow();
+        let records = self.replicated_records.borrow();
         let failed = |subject| records.last_read_failed(subject);
         if self.stopping.get().is_some() {
             return false;
         }
-        (view.table.is_none() && !failed(dialect::Subject::Config))
+        (view.route_table.is_none() && !failed(dialect::Subject::Config))
             || (view.targets.is_empty()
                 && records.next_offset(dialect::Subject::Targets) == 0
                 && !failed(dialect::Subject::Targets))
@@ -153,7 +153,7 @@
         self.stopping.get().map_or(job.deadline, |stop| job.deadline.min(stop.respond_by))
     }
 
-    /// Records the arrival of a request.
+    /// Adds a request to the demand for its model and to its service's retry budget.
     pub fn record_arrival(&self, job: &job::Job) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
@@ -166,19 +166,19 @@
             view.demand.record_request(now, &requested.model, profile);
         }
         let allowance = self.bounds.borrow().allowance;
-        view.budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
+        view.retry_budgets.entry(job.service.clone()).or_default().earn(now, &allowance);
     }
 
     /// Returns this router's role in reading the store.
     pub fn role(&self, now: Instant) -> readers::Role {
-        let own = peers::Rank::new(self.settings.strength, &self.settings.name);
+        let own = peers::Rank::new(self.settings.cpu_millicores, &self.settings.name);
         let neighbours = self.peers.borrow().neighbours(now, &self.settings.zone);
         readers::role(&own, &self.settings.name, &neighbours)
     }
 
     /// Returns how this router obtains the store's records.
     pub fn store_use(&self, now: Instant) -> StoreUse {
-        let records = self.records.borrow();
+        let records = self.replicated_records.borrow();
         let failed = |subject| records.last_read_failed(subject);
         if failed(dialect::Subject::Config) || failed(dialect::Subject::Targets) {
             return StoreUse::Lost;
@@ -189,12 +189,15 @@
         }
     }
 
-    /// Returns how current the records of a subject are.
+    /// Returns the age of a subject's records, and whether a peer has newer ones.
     pub fn age(&self, now: Instant, subject: dialect::Subject) -> replicated_records::Age {
-        let records = self.records.borrow();
+        let records = self.replicated_records.borrow();
         let behind =
             self.peers.borrow().ahead(now, subject, records.next_offset(subject)).next().is_some();
-        replicated_records::Age { since_read: records.since_read(now, subject), behind }
+        replicated_records::Age {
+            since_read: records.since_read(now, subject),
+            is_behind_peer: behind,
+        }
     }
 
     /// Spends one retry from the service's budget; false if it is exhausted.
@@ -202,33 +205,33 @@
         let now = self.clock.now();
         let routers = 1 + self.peers.borrow().live(now).count();
         let mut view = self.view.borrow_mut();
-        let budget = view.budgets.entry(service.clone()).or_default();
+        let budget = view.retry_budgets.entry(service.clone()).or_default();
         budget.spend(now, &self.bounds.borrow().allowance, routers)
     }
 
     /// Chooses a target for a request.
-    pub fn choose(&self, now: Instant, job: &job::Job) -> choose::Choice {
+    pub fn choose_target(&self, now: Instant, job: &job::Job) -> choose::Choice {
         let view = self.view.borrow();
         let engine = view.service(&job.service).and_then(|service| service.engine.as_ref());
         let query = choose::Query {
             service: &job.service,
             requested: job.request.requested_model.as_ref(),
-            tokens: job.tokens(),
+            tokens: job.expected_tokens(),
             cache_tokens: engine.map_or(0, |engine| engine.cache_tokens),
             adapter_slots: engine.map_or(0, |engine| engine.adapter_slots),
             zone: &self.settings.zone,
-            tried: &job.tried,
-            hash: job.hash,
-            cached_prefix: view.prefixes.find(&job.chain),
+            tried: &job.tried_targets,
+            hash: job.request_id_hash,
+            cached_prefix: view.cached_prefixes.find(&job.prompt_prefixes),
         };
         choose::choose(now, &view.targets, &query)
     }
 
     /// Whether a request sent to `key` could be sent to another target now.
     pub fn has_alternative(&self, now: Instant, job: &job::Job, key: targets::TargetKey) -> bool {
-        debug_assert!(job.tried.contains(&key));
-        (job.tried.len() as u32) < job.route.max_targets
-            && matches!(self.choose(now, job), choose::Choice::Send(_))
+        debug_assert!(job.tried_targets.contains(&key));
+        (job.tried_targets.len() as u32) < job.route.max_targets
+            && matches!(self.choose_target(now, job), choose::Choice::Send(_))
     }
 
     /// Estimates when the model or capacity that a request waits for is available.
@@ -251,13 +254,13 @@
     }
 
     /// Returns a target's address and id.
-    pub fn address(&self, key: targets::TargetKey) -> Option<(SocketAddr, names::TargetId)> {
+    pub fn target_address(&self, key: targets::TargetKey) -> Option<(SocketAddr, names::TargetId)> {
         let view = self.view.borrow();
         view.targets.get(key).map(|target| (target.entry.addr, target.entry.id.clone()))
     }
 
     /// Records a failed request to a target.
-    pub fn target_failed(&self, key: targets::TargetKey, why: &'static str) {
+    pub fn record_target_failure(&self, key: targets::TargetKey, why: &'static str) {
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
@@ -267,7 +270,7 @@
     }
 
     /// Records a failure to connect to a target.
-    pub fn connection_failed(&self, key: targets::TargetKey, error: &io::Error) {
+    pub fn record_connection_failure(&self, key: targets::TargetKey, error: &io::Error) {
         if error.kind() == io::ErrorKind::ConnectionRefused {
             let now = self.clock.now();
             let mut view = self.view.borrow_mut();
@@ -276,11 +279,11 @@
                 tracing::info!(target = %target.entry.id, "target refuses connections");
             }
         }
-        self.target_failed(key, "no connection");
+        self.record_target_failure(key, "no connection");
     }
 
     /// Records a successful response of a target.
-    pub fn target_succeeded(&self, key: targets::TargetKey) {
+    pub fn record_target_success(&self, key: targets::TargetKey) {
         let now = self.clock.now();
         if let Some(target) = self.view.borrow_mut().targets.get_mut(key) {
             target.health.record_success(now);
@@ -301,7 +304,7 @@
         }
     }
 
-    /// Whether a target can still serve a request that it was chosen for.
+    /// Whether a target chosen earlier can still serve the request.
     pub fn may_serve(&self, key: targets::TargetKey, job: &job::Job, now: Instant) -> bool {
         let view = self.view.borrow();
         view.targets.get(key).is_some_and(|target| {
@@ -325,7 +328,7 @@
     }
 
     /// Records that a target did not run a request: it lacks the model, was replaced, or is full.
-    pub fn not_run(
+    pub fn record_unexecuted(
         &self,
         key: targets::TargetKey,
         job: &job::Job,
@@ -335,7 +338,12 @@
         let now = self.clock.now();
         let mut view = self.view.borrow_mut();
         let Some(target) = view.targets.get_mut(key) else { return };
-        self.log.attempt_failed(job, "the target did not run it", Some(status.as_u16()), now);
+        self.decision_log.attempt_failed(
+            job,
+            "the target did not run it",
+            Some(status.as_u16()),
+            now,
+        );
         if answered_by.is_some_and(|other| *other != target.entry.id) {
             // The address was reused, but the outdated entry may remain in the store for long.
             tracing::info!(target = %target.entry.id, by = ?answered_by, "target replaced");
@@ -386,18 +394,18 @@
     local.block_on(&runtime, async move {
         let store_pool = Rc::new(pool::Pool::default());
         let platform = platform(client::Client::new(store_pool, clock.clone()));
-        let socket = control::bind(settings.peers).await?;
+        let socket = control::bind(settings.peer_addr).await?;
         let shared = Rc::new(Shared {
             platform,
             incarnation: clock::unix_ms(clock.wall()),
-            pauses: Arc::new(pause::PauseDetector::new(clock.since_boot())),
+            pause_detector: Arc::new(pause::PauseDetector::new(clock.since_boot())),
             clock,
             view: RefCell::default(),
             peers: RefCell::default(),
-            records: RefCell::default(),
-            pool: Rc::default(),
+            replicated_records: RefCell::default(),
+            connection_pool: Rc::default(),
             prefill_permits: prefill::PendingPermits::default(),
-            log: decisions::Log::default(),
+            decision_log: decisions::Log::default(),
             control_wake: Notify::new(),
             targets_outdated: Notify::new(),
             outbox: control::Outbox::new(socket),
@@ -406,10 +414,10 @@
             bounds: RefCell::new(settings.bounds.clone()),
             settings,
         });
-        let ready = server::listen(shared.settings.ready)?;
-        let front = server::listen(shared.settings.front)?;
-        let peers = server::listen(shared.settings.peers)?;
-        if let Some(addr) = shared.settings.metrics {
+        let ready = server::listen(shared.settings.readiness_addr)?;
+        let front = server::listen(shared.settings.caller_addr)?;
+        let peers = server::listen(shared.settings.peer_addr)?;
+        if let Some(addr) = shared.settings.metrics_addr {
             metrics::serve(&shared, server::listen(addr)?);
         }
         tokio::task::spawn_local(apply_reloads(shared.clone(), reload));
@@ -418,7 +426,7 @@
         transfer::serve(&shared, peers);
         server::serve_ready(&shared, ready);
         tokio::task::spawn_local(tick_pause_detector(shared.clone()));
-        tracing::info!(name = %shared.settings.name, front = %shared.settings.front, "router started");
+        tracing::info!(name = %shared.settings.name, front = %shared.settings.caller_addr, "router started");
         server::serve(&shared, front, stop).await;
         if let Err(error) = shared.platform.withdraw(&shared.settings.name).await {
             tracing::warn!(%error, "failed to withdraw this router from the store");
@@ -431,7 +439,7 @@
 /// Must run on the thread that reads requests, as it detects pauses of that thread.
 async fn tick_pause_detector<P>(shared: Rc<Shared<P>>) {
     loop {
-        shared.pauses.tick(shared.clock.since_boot());
+        shared.pause_detector.tick(shared.clock.since_boot());
         tokio::time::sleep(pause::TICK_INTERVAL).await;
     }
 }
--- a/crates/corianderstand_forward/src/server.rs
+++ b/crates/corianderstand_forward/src/server.rs
@@ -17,16 +17,16 @@
     sync::watch,
 };
 
-/// Holds a burst of reconnects: a dropped SYN is resent only after 1 s.
+/// Large enough for a burst of reconnects: a dropped SYN is resent only after 1 s.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// Load balancers check readiness each second and act on the second failure.
+/// Time in which load balancers notice a failed readiness check and send no new requests.
 const READINESS_GRACE: Duration = Duration::from_millis(2_600);
 /// Subtracted from the stop timeout: requests are answered before their connections are closed.
-const RESPONSE_MARGIN: Duration = Duration::from_millis(900);
+const STOP_RESPONSE_MARGIN: Duration = Duration::from_millis(900);
 /// Subtracted from the stop timeout: callers see a closed connection rather than a dead host.
-const CLOSE_MARGIN: Duration = Duration::from_millis(400);
+const STOP_CLOSE_MARGIN: Duration = Duration::from_millis(400);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Smallest buffer that hyper accepts.
+/// Smallest header buffer that hyper accepts.
 const MIN_HEADER_BYTES: usize = 8_192;
 
 /// Opens a listening socket.
@@ -101,7 +101,7 @@
 /// Whether load balancers may send callers here.
 pub fn is_ready<P: router::Platform>(shared: &router::Shared<P>) -> bool {
     let view = shared.view.borrow();
-    view.table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
+    view.route_table.is_some() && !view.targets.is_empty() && shared.stopping.get().is_none()
 }
 
 /// Records in the pause detector when no connection is pending.
@@ -137,7 +137,7 @@
     tokio::pin!(stop);
     loop {
         tokio::select! {
-            stream = accept_caller(&shared.pauses, &listener) => {
+            stream = accept_caller(&shared.pause_detector, &listener) => {
                 if let Some(stream) = stream {
                     spawn_connection(shared, stream, closing.subscribe());
                 }
@@ -149,7 +149,7 @@
     let stop_timeout = shared.bounds.borrow().stop_within;
     shared.stopping.set(Some(router::StopDeadlines {
         reject_from: stopping_since + READINESS_GRACE.min(stop_timeout / 2),
-        respond_by: stopping_since + stop_timeout.saturating_sub(RESPONSE_MARGIN),
+        respond_by: stopping_since + stop_timeout.saturating_sub(STOP_RESPONSE_MARGIN),
     }));
     tracing::info!(open = shared.open_requests.get(), "stopping: readiness withdrawn");
     // Idle connections close now, active ones after their response; later requests are not read.
@@ -157,13 +157,14 @@
     loop {
         let now = shared.clock.now();
         let elapsed = now.saturating_duration_since(stopping_since);
-        let close_after = stop_timeout.saturating_sub(CLOSE_MARGIN);
+        let close_after = stop_timeout.saturating_sub(STOP_CLOSE_MARGIN);
         if elapsed >= close_after || (elapsed >= READINESS_GRACE && shared.open_requests.get() == 0)
         {
             break;
         }
         let accepted =
-            tokio::time::timeout(POLL_INTERVAL, accept_caller(&shared.pauses, &listener)).await;
+            tokio::time::timeout(POLL_INTERVAL, accept_caller(&shared.pause_detector, &listener))
+                .await;
         if let Ok(Some(stream)) = accepted {
             spawn_connection(shared, stream, closing.subscribe());
         }
@@ -182,11 +183,12 @@
     mut closing: watch::Receiver<bool>,
 ) {
     let shared = shared.clone();
-    let limits = shared.view.borrow().table.as_ref().map(|table| table.config().limits.clone());
+    let limits =
+        shared.view.borrow().route_table.as_ref().map(|table| table.config().limits.clone());
     let limits = limits.unwrap_or_default();
     tokio::task::spawn_local(async move {
         let served = Cell::new(false);
-        let stream = pause::WatchedStream::new(stream, shared.pauses.clone());
+        let stream = pause::WatchedStream::new(stream, shared.pause_detector.clone());
         let tracked = stream.connection();
         let service = service_fn(|req| {
             served.set(true);
--- a/crates/corianderstand_forward/src/transfer.rs
+++ b/crates/corianderstand_forward/src/transfer.rs
@@ -16,11 +16,11 @@
 };
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Small, so that each of many transfers makes progress within the idle timeout.
+/// Small enough that concurrent transfers all make progress within the idle timeout.
 const CHUNK_BYTES: usize = 16 << 10;
 /// A configuration has 4 MB at most, the entries of 730 engines under 1 MB.
 const MAX_TRANSFER_BYTES: usize = 8 << 20;
-/// If many routers start at once, those served first serve the others.
+/// Limits the load on this router's link; peers beyond it query another router.
 const MAX_CONCURRENT_TRANSFERS: usize = 2;
 const ACCEPT_BACKOFF: Duration = Duration::from_secs(1);
 
@@ -54,7 +54,6 @@
         loop {
             match listener.accept().await {
                 Ok((stream, peer)) => {
-                    // Dropped without a response: the peer tries another router, or retries.
                     let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
                     let shared = shared.clone();
                     tokio::task::spawn_local(async move {
@@ -97,12 +96,12 @@
 struct RecordsRequest {
     subject: dialect::Subject,
     /// Offset from which changes are requested; none for all records.
-    from: Option<u64>,
+    start_offset: Option<u64>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordsResponse {
-    age: Option<Duration>,
+    read_age: Option<Duration>,
     page: dialect::Page,
 }
 
@@ -121,13 +120,13 @@
     shared: &router::Shared<P>,
     request: RecordsRequest,
 ) -> RecordsResponse {
-    let replicated = shared.records.borrow();
+    let replicated = shared.replicated_records.borrow();
     let age = replicated.since_read(shared.clock.now(), request.subject);
-    let page = match request.from {
+    let page = match request.start_offset {
         None => replicated.full_page(request.subject),
         Some(from) => replicated.changes(request.subject, from),
     };
-    RecordsResponse { age, page }
+    RecordsResponse { read_age: age, page }
 }
 
 /// Fetches and applies the changes from a router that reads the store for this one.
@@ -136,9 +135,10 @@
     reader: SocketAddr,
     subject: dialect::Subject,
 ) -> TransferOutcome {
-    let from = shared.records.borrow().next_offset(subject);
+    let from = shared.replicated_records.borrow().next_offset(subject);
     let response =
-        request_records(reader, RecordsRequest { subject, from: Some(from) }, || false).await;
+        request_records(reader, RecordsRequest { subject, start_offset: Some(from) }, || false)
+            .await;
     apply(shared, reader, subject, response)
 }
 
@@ -149,9 +149,9 @@
     subject: dialect::Subject,
     next: u64,
 ) -> TransferOutcome {
-    let is_superseded = || shared.records.borrow().next_offset(subject) >= next;
+    let is_superseded = || shared.replicated_records.borrow().next_offset(subject) >= next;
     let response =
-        request_records(peer, RecordsRequest { subject, from: None }, is_superseded).await;
+        request_records(peer, RecordsRequest { subject, start_offset: None }, is_superseded).await;
     if let Ok(response) = &response {
         tracing::info!(%peer, ?subject, next = response.page.next, "records received from a peer");
     }
@@ -165,7 +165,7 @@
     response: Result<RecordsResponse, TransferError>,
 ) -> TransferOutcome {
     let (outcome, transferred) = match response {
-        Ok(RecordsResponse { age, page }) => {
+        Ok(RecordsResponse { read_age: age, page }) => {
             follow::apply_page(shared, subject, replicated_records::Source::Peer(peer), page);
             ("taken", TransferOutcome::Applied(age))
         }
@@ -176,7 +176,7 @@
             ("failed", if refused { TransferOutcome::Refused } else { TransferOutcome::NoRecords })
         }
     };
-    shared.log.metrics.transferred(subject, outcome);
+    shared.decision_log.metrics.transferred(subject, outcome);
     transferred
 }
 
--- a/crates/corianderstand_forward/tests/readers.rs
+++ b/crates/corianderstand_forward/tests/readers.rs
@@ -24,7 +24,7 @@
 
 fn neighbour(index: u16, store: StoreUse) -> Neighbour {
     let rank = peers::Rank::new(u32::from(index), &format!("router-{index}"));
-    Neighbour { rank, addr: SocketAddr::from(([127, 0, 0, 1], index)), store }
+    Neighbour { rank, addr: SocketAddr::from(([127, 0, 0, 1], index)), store_use: store }
 }
 
 fn zone(count: u16) -> Vec<Neighbour> {
@@ -61,8 +61,8 @@
 #[test]
 fn routers_that_have_lost_the_store_are_not_followed() {
     let mut zone = zone(12);
-    zone[11].store = StoreUse::Lost;
-    zone[10].store = StoreUse::Lost;
+    zone[11].store_use = StoreUse::Lost;
+    zone[10].store_use = StoreUse::Lost;
     let Role::Follows(readers) = role(&own(0), "own", &zone) else { panic!("two others read") };
     let mut ports: Vec<_> = readers.iter().map(SocketAddr::port).collect();
     ports.sort_unstable();
@@ -111,7 +111,7 @@
 
 fn settings(name: &str, strength: u32, seeds: Vec<SocketAddr>) -> router::Settings {
     let mut settings = RouterThread::settings(name, seeds, Duration::from_secs(8));
-    settings.strength = strength;
+    settings.cpu_millicores = strength;
     settings.bounds.drain_within = Duration::from_secs(2);
     settings
 }
@@ -241,7 +241,7 @@
     records.insert(subject, record("other", 4), 9);
     let removed = Record { value: None, ..record("gone", 5) };
     records.insert(subject, removed.clone(), 0);
-    records.advance(subject, 6);
+    records.advance_offset(subject, 6);
     let page = records.changes(subject, 3);
     let mut keys: Vec<_> = page.records.iter().map(|record| record.key.as_str()).collect();
     keys.sort_unstable();
--- a/crates/corianderstand_router/src/dial.rs
+++ b/crates/corianderstand_router/src/dial.rs
@@ -22,9 +22,9 @@
 use tokio::{net::TcpStream, sync::mpsc, task::JoinHandle, time};
 
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// Short, so that a request to a lost host can still reach another target in time.
+/// Leaves time to send a request to another target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Heartbeat intervals without a stream after which a connection is closed.
+/// Number of heartbeat intervals without requests after which a connection is closed.
 pub const IDLE_HEARTBEATS: u32 = 10;
 const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
@@ -82,7 +82,7 @@
     target: &Target,
 ) {
     let connection = connections.entry(name.clone()).or_insert_with(|| {
-        let (commands, rx) = mpsc::channel(link::QUEUE_CAPACITY);
+        let (commands, rx) = mpsc::channel(link::LINK_QUEUE_CAPACITY);
         let address = target.record.address.clone();
         let task = maintain_connection(
             context.clone(),
@@ -96,7 +96,7 @@
     if connection.announced_offset != target.offset {
         connection.announced_offset = target.offset;
         let commands = connection.commands.clone();
-        context.send_event(Event::Connected { target: name.clone(), draining: false, commands });
+        context.send_event(Event::Connected { target: name.clone(), is_draining: false, commands });
     }
 }
 
@@ -164,7 +164,7 @@
     }
 }
 
-/// Waits for a request; discards credit and cancellation of streams that have ended.
+/// Waits for a request; discards commands for streams that have ended.
 async fn first_request(rx: &mut mpsc::Receiver<Command>) -> Option<Command> {
     while let Some(command) = rx.recv().await {
         if matches!(command, Command::Open(_)) {
@@ -180,6 +180,6 @@
     let refusal =
         Refusal { reason: RefusalReason::NotLoaded, retry_after: UNREACHABLE_RETRY_AFTER };
     let load = Load { running: 0, queued: 0, wait_ms: 0 };
-    let key = link::request_key(call.open.stream);
+    let key = link::request_key(call.open_message.stream);
     context.send_event(Event::Refused { key, refusal, load });
 }
--- a/crates/corianderstand_router/src/http.rs
+++ b/crates/corianderstand_router/src/http.rs
@@ -13,11 +13,11 @@
 use bytes::Bytes;
 use corianderstand_control::{
     metrics::{Metric, Metrics},
-    relay::Tail,
+    relay::RecordTail,
     snapshot::Snapshot,
     start::ControlHandle,
 };
-use corianderstand_decide::request::{RequestSpec, Requirement, Shape};
+use corianderstand_decide::request::{RequestShape, RequestSpec, Requirement};
 use corianderstand_link::trace::TraceContext;
 use corianderstand_schema::{
     messages::{OpenStream, Operation, RefusalReason},
@@ -47,45 +47,43 @@
 const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub struct HandlerContext {
-    pub name: WriterId,
+    pub router_name: WriterId,
     pub peer_client: reqwest::Client,
     pub events: SyncSender<Event>,
     pub control: ControlHandle,
-    /// Recent records, for processes that follow this router.
-    pub tail: Tail,
+    /// Recent log records, served to processes that read the log from this router.
+    pub log_tail: RecordTail,
     pub hasher: Hasher,
     pub operator_key_hash: SmolStr,
     pub metrics: Metrics,
     pub connections: Arc<Connections>,
     pub max_header_bytes: usize,
-    pub peers: Vec<SmolStr>,
+    pub peer_addresses: Vec<SmolStr>,
     pub max_body_bytes: usize,
     pub read_timeout: Duration,
     pub max_in_flight: usize,
     pub in_flight: Arc<AtomicUsize>,
-    pub draining: Arc<AtomicBool>,
-    /// Detects requests that may predate a pause of this process.
-    pub watched: Arc<WatchedConnections>,
+    pub is_draining: Arc<AtomicBool>,
+    pub watched_connections: Arc<WatchedConnections>,
     pub clock: SharedClock,
 }
 
 /// An authenticated request.
 pub struct CallerRequest {
-    pub id: SmolStr,
+    pub request_id: SmolStr,
     pub team: WorkspaceId,
-    /// The snapshot at its arrival.
     pub snapshot: Arc<Snapshot>,
-    pub trace: TraceContext,
+    pub trace_context: TraceContext,
     pub clock: SharedClock,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum EndpointKind {
     Completion,
     Chat,
     Models,
     Service,
-    Operator(operator::Kind),
+    Operator(operator::Endpoint),
     Relay,
     Healthy,
     Ready,
@@ -93,41 +91,43 @@
     NoSuchPath,
 }
 
-struct Endpoint(Arc<HandlerContext>, Kind);
+struct Endpoint(Arc<HandlerContext>, EndpointKind);
 
 const GET: &str = "GET";
 const POST: &str = "POST";
 
-const PATHS: [(&str, &str, Kind); 14] = [
-    ("v1/completions", POST, Kind::Completion),
-    ("v1/chat/completions", POST, Kind::Chat),
-    ("v1/models", GET, Kind::Models),
-    ("operator/apply", POST, Kind::Operator(operator::Kind::Apply)),
-    ("operator/get", GET, Kind::Operator(operator::Kind::Get)),
-    ("operator/status", GET, Kind::Operator(operator::Kind::Status)),
-    ("internal/read", GET, Kind::Relay),
-    ("operator/version", GET, Kind::Operator(operator::Kind::Version)),
-    ("operator/state", GET, Kind::Operator(operator::Kind::State)),
-    ("operator/ticket", GET, Kind::Operator(operator::Kind::Ticket)),
-    ("operator/spread", GET, Kind::Operator(operator::Kind::Spread)),
-    ("operator/history", GET, Kind::Operator(operator::Kind::History)),
-    ("healthz", GET, Kind::Healthy),
-    ("readyz", GET, Kind::Ready),
+const PATHS: [(&str, &str, EndpointKind); 14] = [
+    ("v1/completions", POST, EndpointKind::Completion),
+    ("v1/chat/completions", POST, EndpointKind::Chat),
+    ("v1/models", GET, EndpointKind::Models),
+    ("operator/apply", POST, EndpointKind::Operator(operator::Endpoint::Apply)),
+    ("operator/get", GET, EndpointKind::Operator(operator::Endpoint::Get)),
+    ("operator/status", GET, EndpointKind::Operator(operator::Endpoint::Status)),
+    ("internal/read", GET, EndpointKind::Relay),
+    ("operator/version", GET, EndpointKind::Operator(operator::Endpoint::Version)),
+    ("operator/state", GET, EndpointKind::Operator(operator::Endpoint::State)),
+    ("operator/ticket", GET, EndpointKind::Operator(operator::Endpoint::Ticket)),
+    ("operator/spread", GET, EndpointKind::Operator(operator::Endpoint::Spread)),
+    ("operator/history", GET, EndpointKind::Operator(operator::Endpoint::History)),
+    ("healthz", GET, EndpointKind::Healthy),
+    ("readyz", GET, EndpointKind::Ready),
 ];
 
 /// Builds the routes; unknown paths and methods are answered with a [`Problem`].
 pub fn routes(context: &Arc<HandlerContext>) -> Router {
     let endpoint = |kind| Endpoint(context.clone(), kind);
-    let services = Router::with_path("services/{service}/{**rest}").goal(endpoint(Kind::Service));
+    let services =
+        Router::with_path("services/{service}/{**rest}").goal(endpoint(EndpointKind::Service));
     let routes = PATHS.into_iter().fold(Router::new().push(services), |routes, path| {
         let (path, method, kind) = path;
         let route = Router::with_path(path);
         let route =
             if method == GET { route.get(endpoint(kind)) } else { route.post(endpoint(kind)) };
-        let other_methods = Router::with_path(path).goal(endpoint(Kind::OtherMethod(method)));
+        let other_methods =
+            Router::with_path(path).goal(endpoint(EndpointKind::OtherMethod(method)));
         routes.push(route).push(other_methods)
     });
-    routes.push(Router::with_path("{**rest}").goal(endpoint(Kind::NoSuchPath)))
+    routes.push(Router::with_path("{**rest}").goal(endpoint(EndpointKind::NoSuchPath)))
 }
 
 #[async_trait]
@@ -142,7 +142,7 @@
         let Self(context, kind) = self;
         let request = format_smolstr!("r-{:032x}", rand::random::<u128>());
         problem::set_header(res, problem::REQUEST_ID_HEADER, &request);
-        if context.draining.load(Ordering::Relaxed) {
+        if context.is_draining.load(Ordering::Relaxed) {
             // Makes the caller reconnect to another router.
             problem::set_header(res, "connection", "close");
         }
@@ -154,8 +154,8 @@
     }
 }
 
-/// Returns the caller's own request id, used only in the log: engines cancel by request id, so a
-/// caller that chose it could cancel another's request.
+/// Returns the caller's own request id. It is only logged: engines cancel requests by id, so a
+/// caller that chose its own could cancel another's request.
 fn caller_id(req: &Request) -> Result<Option<&str>, Problem> {
     let Some(id) = header(req, problem::REQUEST_ID_HEADER) else { return Ok(None) };
     names::check(id).map_err(|error| {
@@ -176,32 +176,32 @@
 impl HandlerContext {
     async fn answer(
         &self,
-        kind: Kind,
+        kind: EndpointKind,
         request: SmolStr,
         req: &mut Request,
         res: &mut Response,
     ) -> Result<(), Problem> {
         self.check_head(req)?;
         match kind {
-            Kind::OtherMethod(allowed) => Err(Problem::MethodNotAllowed(allowed)),
-            Kind::NoSuchPath => Err(Problem::NoSuchPath),
-            Kind::Healthy => {
+            EndpointKind::OtherMethod(allowed) => Err(Problem::MethodNotAllowed(allowed)),
+            EndpointKind::NoSuchPath => Err(Problem::NoSuchPath),
+            EndpointKind::Healthy => {
                 drop(res.write_body("ok\n"));
                 Ok(())
             }
-            Kind::Ready => {
-                self.ready(&self.control.current.load())?;
+            EndpointKind::Ready => {
+                self.check_ready(&self.control.current.load())?;
                 drop(res.write_body("ready\n"));
                 Ok(())
             }
-            Kind::Relay => {
+            EndpointKind::Relay => {
                 self.check_peer(req)?;
-                relay::answer(&self.tail, req, res).await;
+                relay::answer(&self.log_tail, req, res).await;
                 Ok(())
             }
-            Kind::Operator(kind) => {
+            EndpointKind::Operator(kind) => {
                 match kind {
-                    operator::Kind::State => self.check_peer(req)?,
+                    operator::Endpoint::State => self.check_peer(req)?,
                     _ => self.check_operator(req)?,
                 }
                 operator::answer(self, kind, req, res).await
@@ -223,7 +223,7 @@
 
     async fn answer_caller(
         &self,
-        kind: Kind,
+        kind: EndpointKind,
         request: SmolStr,
         req: &mut Request,
         res: &mut Response,
@@ -232,8 +232,10 @@
         self.metrics.count(Metric::RouterRequests, 1);
         let caller_request = self.admit(request, req)?;
         let result = match kind {
-            Kind::Chat => completions::complete(self, &caller_request, true, req, res).await,
-            Kind::Models => {
+            EndpointKind::Chat => {
+                completions::complete(self, &caller_request, true, req, res).await
+            }
+            EndpointKind::Models => {
                 completions::models(
                     &caller_request.team,
                     caller_request.team_view()?,
@@ -242,20 +244,20 @@
                 );
                 Ok(())
             }
-            Kind::Service => services::call(self, &caller_request, req, res).await,
+            EndpointKind::Service => services::call(self, &caller_request, req, res).await,
             _ => completions::complete(self, &caller_request, false, req, res).await,
         };
         let elapsed = self.clock.now() - started_at;
         self.metrics.time(Metric::RouterTime, elapsed);
-        if matches!(kind, Kind::Service) {
+        if matches!(kind, EndpointKind::Service) {
             let outcome = result.as_ref().map_or_else(Problem::outcome, |()| "ran");
             self.metrics.count_tagged(Metric::RouterCalls, 1, "outcome", outcome);
         }
         tracing::info!(
-            trace_id = %format_args!("{:032x}", caller_request.trace.trace),
-            span_id = %format_args!("{:016x}", caller_request.trace.span),
-            parent_id = %format_args!("{:016x}", caller_request.trace.parent),
-            request = %caller_request.id,
+            trace_id = %format_args!("{:032x}", caller_request.trace_context.trace),
+            span_id = %format_args!("{:016x}", caller_request.trace_context.span),
+            parent_id = %format_args!("{:016x}", caller_request.trace_context.parent),
+            request = %caller_request.request_id,
             caller_request = caller_id(req).ok().flatten(),
             team = %caller_request.team,
             took_us = elapsed.as_micros() as u64,
@@ -274,12 +276,18 @@
             return Err(Problem::Refused(RefusalReason::QueueFull, IN_FLIGHT_RETRY_AFTER));
         }
         let trace = TraceContext::continue_from(header(req, "traceparent"));
-        Ok(CallerRequest { id: request, team, snapshot, trace, clock: self.clock.clone() })
+        Ok(CallerRequest {
+            request_id: request,
+            team,
+            snapshot,
+            trace_context: trace,
+            clock: self.clock.clone(),
+        })
     }
 
-    /// Readiness for load balancers; requests are still served during a shutdown.
-    fn ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
-        if self.draining.load(Ordering::Relaxed) {
+    /// Fails if load balancers should send no requests here.
+    fn check_ready(&self, snapshot: &Snapshot) -> Result<(), Problem> {
+        if self.is_draining.load(Ordering::Relaxed) {
             return Err(Problem::NotReady("it is shutting down"));
         }
         Self::check_started(snapshot)
@@ -326,7 +334,6 @@
         self.snapshot.view.teams.get(&self.team).ok_or(Problem::Unauthorized)
     }
 
-    /// Returns the requested urgency, or `default`.
     pub fn urgency(&self, req: &Request, default: Urgency) -> Result<u8, Problem> {
         let urgency = match header(req, URGENCY_HEADER) {
             None => default,
@@ -365,7 +372,7 @@
         repeatable: bool,
     ) -> (RequestSpec, OpenStream) {
         let deadline = self.clock.now() + budget;
-        let shape = Shape::default();
+        let shape = RequestShape::default();
         let spec = RequestSpec {
             team: self.team.clone(),
             requirement,
@@ -376,14 +383,14 @@
         };
         let open = OpenStream {
             stream: 0,
-            request: self.id.clone(),
+            request: self.request_id.clone(),
             team: self.team.clone(),
             operation,
             urgency,
             deadline_ms: budget.as_millis() as u64,
             position: 0,
             window: 0,
-            traceparent: self.trace.header(),
+            traceparent: self.trace_context.header(),
             as_of: 0,
             expires_ms: 0,
         };
--- a/crates/corianderstand_router/src/link.rs
+++ b/crates/corianderstand_router/src/link.rs
@@ -10,7 +10,7 @@
 use corianderstand_control::budget::{Budget, TrafficClass};
 use corianderstand_decide::request::{Refusal, RequestKey};
 use corianderstand_link::{
-    PROTOCOL,
+    PROTOCOL_VERSION,
     connection::{self, Reader},
     frame::{self, FrameError},
 };
@@ -27,7 +27,7 @@
 };
 use tokio::{net::TcpStream, sync::mpsc, time};
 
-pub const QUEUE_CAPACITY: usize = 4096;
+pub const LINK_QUEUE_CAPACITY: usize = 4096;
 
 #[derive(Clone)]
 pub struct LinkContext {
@@ -40,20 +40,20 @@
 
 impl LinkContext {
     pub fn send_event(&self, event: Event) {
-        // Blocks briefly at most: the receiver never waits for this thread.
+        // Cannot deadlock: the receiver never waits for this thread.
         drop(self.events.send(event));
     }
 }
 
 pub enum CloseReason {
-    /// It carried no stream for a while.
+    /// No request used the connection for [`crate::dial::IDLE_HEARTBEATS`] intervals.
     Idle,
     Failed(FrameError),
 }
 
 struct Stream {
-    reply: mpsc::Sender<Update>,
-    position: u64,
+    update_tx: mpsc::Sender<Update>,
+    next_position: u64,
 }
 
 struct Connection<'a> {
@@ -73,7 +73,7 @@
     rx: &mut mpsc::Receiver<Command>,
     first: Option<Command>,
 ) -> CloseReason {
-    let (outgoing, frames) = mpsc::channel(QUEUE_CAPACITY);
+    let (outgoing, frames) = mpsc::channel(LINK_QUEUE_CAPACITY);
     let (commands, streams) = (commands.clone(), HashMap::new());
     let mut connection = Connection { context, target, outgoing, commands, streams };
     let close_reason = match connection::split(stream, context.timing.silence_ms.0) {
@@ -144,14 +144,15 @@
     async fn send_hello(&mut self, first: Option<Command>) -> Result<(), FrameError> {
         let router = self.context.router.clone();
         let incarnation = self.context.incarnation;
-        self.send_control(&ToAgent::Hello { router, incarnation, protocol: PROTOCOL }).await?;
+        self.send_control(&ToAgent::Hello { router, incarnation, protocol: PROTOCOL_VERSION })
+            .await?;
         match first {
             Some(command) => self.execute(command).await,
             None => Ok(()),
         }
     }
 
-    /// Sends a message that counts as control traffic.
+    /// Sends a message and charges it to the control-traffic budget.
     async fn send_control(&self, message: &ToAgent) -> Result<(), FrameError> {
         let frame = frame::encode(message, b"")?;
         self.context.budget.spend(TrafficClass::Link, frame.len() as u64);
@@ -166,7 +167,7 @@
     async fn execute(&mut self, command: Command) -> Result<(), FrameError> {
         match command {
             Command::Open(call) => self.open(*call).await,
-            Command::Credit { stream, upto } => {
+            Command::Credit { stream, window_end: upto } => {
                 self.send(&ToAgent::Credit { stream, upto }, b"").await
             }
             Command::Cancel { stream } => {
@@ -180,16 +181,16 @@
     }
 
     async fn open(&mut self, call: Call) -> Result<(), FrameError> {
-        let stream = call.open.stream;
+        let stream = call.open_message.stream;
         let commands = self.commands.clone();
-        let attached = Update::Attached(Attachment { stream, commands });
-        if call.reply.send(attached).await.is_err() {
+        let attached = Update::Attached(Attachment { stream_id: stream, commands });
+        if call.update_tx.send(attached).await.is_err() {
             self.send_event(Event::Ended { key: request_key(stream), load: None });
             return Ok(());
         }
-        let position = call.open.position;
-        self.streams.insert(stream, Stream { reply: call.reply, position });
-        self.send(&ToAgent::Open(call.open), &call.body).await
+        let position = call.open_message.position;
+        self.streams.insert(stream, Stream { update_tx: call.update_tx, next_position: position });
+        self.send(&ToAgent::Open(call.open_message), &call.body).await
     }
 
     fn send_event(&self, event: Event) {
@@ -208,21 +209,21 @@
                     return Err(FrameError::Closed);
                 }
                 let commands = self.commands.clone();
-                self.send_event(Event::Connected { target, draining, commands });
+                self.send_event(Event::Connected { target, is_draining: draining, commands });
             }
             ToRouter::Head { stream, status, content_type } => {
                 self.forward_update(stream, Update::Head { status, content_type });
             }
             ToRouter::Chunk { stream, position } => {
                 if let Some(entry) = self.streams.get_mut(&stream) {
-                    entry.position = entry.position.max(position + 1);
+                    entry.next_position = entry.next_position.max(position + 1);
                 }
                 self.forward_update(stream, Update::Chunk { position, body });
             }
             ToRouter::End { stream, ending: Ending::Failed { reason }, .. } => {
                 tracing::info!(stream, %reason, "response stream failed at its target");
                 if let Some(entry) = self.streams.remove(&stream) {
-                    self.report_lost(stream, entry.position, true);
+                    self.report_lost(stream, entry.next_position, true);
                 }
             }
             ToRouter::End { stream, position, ending, load } => {
@@ -247,7 +248,7 @@
         let Some(entry) = self.streams.get_mut(&stream) else { return };
         // The agent respects the window, so sending fails only if the caller is gone. `Cancel`
         // removes the stream and notifies the agent and the `decide` thread.
-        if entry.reply.try_send(update).is_err() {
+        if entry.update_tx.try_send(update).is_err() {
             drop(self.commands.try_send(Command::Cancel { stream }));
         }
     }
@@ -257,7 +258,7 @@
     /// Reports the remaining streams as lost, also when the task was aborted.
     fn drop(&mut self) {
         for (stream, entry) in std::mem::take(&mut self.streams) {
-            self.report_lost(stream, entry.position, false);
+            self.report_lost(stream, entry.next_position, false);
         }
     }
 }
--- a/crates/corianderstand_router/src/once.rs
+++ b/crates/corianderstand_router/src/once.rs
@@ -1,8 +1,7 @@
 //! Calls that run at most once, identified by an idempotency key.
 //!
-//! The outcome is "ran" with the service's answer, "not run" if the call was refused before it was
-//! claimed or the log records that it did not run, and "unknown" otherwise. A router that times out
-//! appends a `CallVoided` record: if it precedes any claim in the log, the call can never run.
+//! A router that times out appends a `CallVoided` record: if that precedes any claim in the log, the
+//! call can never run.
 
 use crate::{
     call::{CallInProgress, Part},
@@ -38,12 +37,12 @@
     pub body: Option<Bytes>,
 }
 
-/// A call under an idempotency key.
+/// A call to a service under an idempotency key.
 pub struct KeyedCall<'a> {
     pub control: &'a ControlHandle,
     pub key: CallKey,
-    /// Digest of the call, which detects a key reused for another one.
-    pub digest: u64,
+    /// Detects an idempotency key that is reused for another request.
+    pub request_digest: u64,
     pub deadline: Instant,
 }
 
@@ -57,7 +56,7 @@
             return Err(Problem::KeyExpired);
         }
         let snapshot = self.control.current.load();
-        match snapshot.state.calls.status(&self.key, self.digest) {
+        match snapshot.state.calls.status(&self.key, self.request_digest) {
             CallStatus::Unclaimed if !snapshot.log_up => {
                 return Err(Problem::Refused(RefusalReason::LogDown, LOG_RETRY_AFTER));
             }
@@ -67,20 +66,22 @@
         let mut call = submit()?;
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         let settle_at = self.deadline - SETTLE_RESERVE.min(remaining / 4);
-        match time::timeout_at(settle_at, read(&mut call, self.deadline)).await {
-            Ok(Err(problem)) if !is_certainly_not_run(&problem) => self.settle(None).await,
+        match time::timeout_at(settle_at, read_answer(&mut call, self.deadline)).await {
+            Ok(Err(problem)) if !is_certainly_not_run(&problem) => {
+                self.void_or_await_outcome(None).await
+            }
             Ok(result) => result,
-            Err(_) => self.settle(Some(call)).await,
+            Err(_) => self.void_or_await_outcome(Some(call)).await,
         }
     }
 
-    /// Voids the call or determines its outcome, while still accepting an answer from `call`.
-    async fn settle(&self, call: Option<CallInProgress>) -> Result<Answer, Problem> {
+    /// Appends a `CallVoided` record, and accepts an answer from `call` in the meantime.
+    async fn void_or_await_outcome(&self, call: Option<CallInProgress>) -> Result<Answer, Problem> {
         let mut settled = pin!(self.append_void());
         if let Some(mut call) = call {
             tokio::select! {
                 settled = &mut settled => return settled,
-                result = read(&mut call, self.deadline) => match result {
+                result = read_answer(&mut call, self.deadline) => match result {
                     Err(problem) if !is_certainly_not_run(&problem) => {}
                     result => return result,
                 }
@@ -90,7 +91,7 @@
     }
 
     async fn append_void(&self) -> Result<Answer, Problem> {
-        let status = self.control.current.load().state.calls.status(&self.key, self.digest);
+        let status = self.control.current.load().state.calls.status(&self.key, self.request_digest);
         if status != CallStatus::Unclaimed {
             return self.wait_for_outcome().await;
         }
@@ -100,15 +101,16 @@
         match decision.map(|decision| claim::void_decision(&decision.outcome)) {
             Ok(VoidDecision::NotRun) => Err(Problem::NotRun("timed out before it began".into())),
             Ok(VoidDecision::ReadStatus) => self.wait_for_outcome().await,
-            Ok(VoidDecision::Unknown) | Err(_) => Err(unknown("no answer before the deadline")),
+            Ok(VoidDecision::Unknown) | Err(_) => {
+                Err(unknown_outcome("no answer before the deadline"))
+            }
         }
     }
 
-    /// Waits until the log records an outcome, or the deadline.
     async fn wait_for_outcome(&self) -> Result<Answer, Problem> {
         let mut changed = self.control.current.subscribe();
         loop {
-            match self.control.current.load().state.calls.status(&self.key, self.digest) {
+            match self.control.current.load().state.calls.status(&self.key, self.request_digest) {
                 CallStatus::Ran(answer) => return Ok(answer.into()),
                 CallStatus::NotRun => {
                     return Err(Problem::NotRun("cancelled before it began".into()));
@@ -117,12 +119,12 @@
                     return Err(Problem::Refused(RefusalReason::KeyConflict, LOG_RETRY_AFTER));
                 }
                 // The key expired during the wait.
-                CallStatus::Unclaimed => return Err(unknown("its key has expired")),
+                CallStatus::Unclaimed => return Err(unknown_outcome("its key has expired")),
                 CallStatus::Claimed => {}
             }
             match time::timeout_at(self.deadline, changed.changed()).await {
                 Ok(Ok(())) => {}
-                _ => return Err(unknown("it began, but no outcome was recorded in time")),
+                _ => return Err(unknown_outcome("it began, but no outcome was recorded in time")),
             }
         }
     }
@@ -135,7 +137,7 @@
     }
 }
 
-fn unknown(reason: &str) -> Problem {
+fn unknown_outcome(reason: &str) -> Problem {
     Problem::Unknown(reason.into())
 }
 
@@ -143,8 +145,7 @@
     matches!(problem, Problem::Refused(..) | Problem::NotRun(_))
 }
 
-/// Reads a call's complete answer.
-pub async fn read(call: &mut CallInProgress, deadline: Instant) -> Result<Answer, Problem> {
+pub async fn read_answer(call: &mut CallInProgress, deadline: Instant) -> Result<Answer, Problem> {
     let mut answer = Answer { status: 200, content_type: SmolStr::default(), body: None };
     let mut body = Vec::new();
     loop {
--- a/crates/corianderstand_router/src/params.rs
+++ b/crates/corianderstand_router/src/params.rs
@@ -10,14 +10,13 @@
 use std::ops::RangeInclusive;
 
 const MAX_STOP_SEQUENCES: usize = 16;
-/// Exclusive limit of `max_tokens`.
+/// Requests must set `max_tokens` below this limit.
 const MAX_TOKENS: u32 = 16 * 1024 * 1024;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 #[serde(expecting = "an object with `model` and `prompt` or `messages`")]
 pub struct Params {
-    /// The model name that the caller sent.
     pub model: String,
     prompt: Option<String>,
     messages: Option<Vec<Message>>,
@@ -108,15 +107,14 @@
         options.and_then(|options| options.include_usage).unwrap_or(false)
     }
 
-    /// Returns the length and the prefix for routing. The first messages identify a session's
-    /// cached prompt.
-    pub fn shape(&self, chat: bool) -> request::Shape {
+    /// Returns the output limit and the prompt's prefix, by which a session finds its cached prompt.
+    pub fn shape(&self, chat: bool) -> request::RequestShape {
         let message = |index: usize| self.messages.as_ref().and_then(|all| all.get(index));
         let content = |index: usize| message(index)?.content.as_ref()?.as_str();
         let text = |index: usize| content(index).unwrap_or_default();
         let prefix = format!("{}\n{}", text(0), text(1));
         let tokens = self.max_completion_tokens.or(self.max_tokens).map(u64::from);
-        request::Shape::of(tokens, chat, prefix.as_bytes())
+        request::RequestShape::of(tokens, chat, prefix.as_bytes())
     }
 
     fn check(&self, chat: bool) -> Result<(), Problem> {
--- a/crates/corianderstand_router/src/start.rs
+++ b/crates/corianderstand_router/src/start.rs
@@ -18,7 +18,7 @@
     metrics::{Metric, Metrics},
     paced::Paced,
     peers::HttpPeers,
-    relay::{self, Tail},
+    relay::{self, RecordTail},
     source::Source,
     start::{ControlHandle, ControlThread},
 };
@@ -43,8 +43,8 @@
 use tokio::{runtime, time};
 
 const EVENT_QUEUE_CAPACITY: usize = 16384;
-/// Ratio of the HTTP library's header limit to the configured one. Heads between the two limits
-/// are refused with a [`crate::problem::Problem`]; the library refuses longer ones without a body.
+/// Ratio of the HTTP library's header limit to the configured one, above which it refuses a request
+/// without a [`crate::problem::Problem`].
 const HEADER_HARD_LIMIT_RATIO: usize = 8;
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -68,9 +68,9 @@
     draining: Arc<AtomicBool>,
     in_flight: Arc<AtomicUsize>,
     server: ServerHandle,
-    http: thread::JoinHandle<()>,
+    http_thread: thread::JoinHandle<()>,
     control: ControlHandle,
-    grace: Duration,
+    readiness_grace: Duration,
     drain_limit: Duration,
 }
 
@@ -83,7 +83,7 @@
     let incarnation = clock::unix_ms(clock.wall());
     let hasher = Hasher::new(&settings.auth_key).map_err(RouterError::Auth)?;
     let budget = Arc::new(Budget::new(clock.clone()));
-    let tail = Tail::new(clock.clone(), budget.clone(), relay::MAX_TAIL_BYTES);
+    let tail = RecordTail::new(clock.clone(), budget.clone(), relay::MAX_TAIL_BYTES);
     let source = source(&settings, &hasher, tail.clone());
     let metrics = Metrics::new(settings.statsd.as_deref(), settings.name.as_str());
     let metrics = metrics.map_err(RouterError::Statsd)?;
@@ -98,7 +98,7 @@
         clock: clock.clone(),
         calls: HashMap::new(),
         connections: HashMap::new(),
-        versions: (u64::MAX, 0, 0),
+        applied_versions: (u64::MAX, 0, 0),
         hosts: Arc::default(),
         reported_draining: BTreeSet::new(),
         in_flight: in_flight.clone(),
@@ -109,13 +109,13 @@
 
     let peer_client = reqwest::Client::builder().no_proxy().build();
     let context = Arc::new(HandlerContext {
-        name: settings.name.clone(),
+        router_name: settings.name.clone(),
         peer_client: peer_client.expect("the client has no settings that can fail"),
         events,
         control: control.clone(),
-        tail,
+        log_tail: tail,
         hasher,
-        peers: settings.peers.clone(),
+        peer_addresses: settings.peers.clone(),
         operator_key_hash: settings.operator_key_hash.clone(),
         metrics,
         connections: Connections::new(&settings.limits),
@@ -124,13 +124,21 @@
         read_timeout: settings.limits.read_timeout_ms.0,
         max_in_flight: settings.limits.max_in_flight as usize,
         in_flight: in_flight.clone(),
-        draining: draining.clone(),
-        watched: WatchedConnections::new(clock.since_boot()),
+        is_draining: draining.clone(),
+        watched_connections: WatchedConnections::new(clock.since_boot()),
         clock,
     });
     let (server, http) = start_http(&settings, incarnation, &context)?;
     let (grace, drain_limit) = (settings.timing.grace_ms.0, settings.timing.drain_ms.0);
-    Ok(RouterHandle { draining, in_flight, server, http, control, grace, drain_limit })
+    Ok(RouterHandle {
+        draining,
+        in_flight,
+        server,
+        http_thread: http,
+        control,
+        readiness_grace: grace,
+        drain_limit,
+    })
 }
 
 fn runtime() -> Result<runtime::Runtime, RouterError> {
@@ -146,7 +154,7 @@
 }
 
 /// Selects whether this router reads the log directly or from another router.
-fn source(settings: &RouterSettings, hasher: &Hasher, tail: Tail) -> Source {
+fn source(settings: &RouterSettings, hasher: &Hasher, tail: RecordTail) -> Source {
     let log = Arc::new(HttpLog::new(&settings.log_url, settings.timing.log_poll_ms.0));
     let token = hasher.hash(operator::PEER_TOKEN_LABEL);
     let own = Some(&settings.listen);
@@ -203,8 +211,7 @@
     let listen_error = |error| RouterError::Listen(settings.listen.to_string(), error);
     let listener = std::net::TcpListener::bind(settings.listen.as_str()).map_err(listen_error)?;
     listener.set_nonblocking(true).map_err(listen_error)?;
-    // Accepted connections inherit this. With Nagle's algorithm and delayed acknowledgements,
-    // tokens of a stream would be held back for up to 40 ms.
+    // Accepted connections inherit this; Nagle's algorithm would delay tokens by up to 40 ms.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true).map_err(listen_error)?;
     let runtime = runtime()?;
     let acceptor = {
@@ -212,8 +219,9 @@
         let listener = tokio::net::TcpListener::from_std(listener).map_err(listen_error)?;
         TcpAcceptor::try_from(listener).map_err(listen_error)?
     };
-    let mut server = Server::new(WatchedAcceptor::new(acceptor, context.watched.clone()))
-        .fuse_policy(ConnectionPolicy(context.connections.clone()));
+    let mut server =
+        Server::new(WatchedAcceptor::new(acceptor, context.watched_connections.clone()))
+            .fuse_policy(ConnectionPolicy(context.connections.clone()));
     server.http1_mut().max_header_size(context.max_header_bytes * HEADER_HARD_LIMIT_RATIO);
     let handle = server.handle();
     let routes = http::routes(context);
@@ -222,7 +230,7 @@
     let report_gauges = move |metrics: &Metrics| {
         metrics.gauge(Metric::RouterHeld, metrics_context.in_flight.load(Ordering::Relaxed) as u64);
         metrics.gauge(Metric::RouterConnections, metrics_context.connections.count() as u64);
-        metrics_context.tail.budget().report(metrics);
+        metrics_context.log_tail.budget().report(metrics);
     };
     let report = measured::report(
         context.metrics.clone(),
@@ -239,10 +247,10 @@
     Ok((handle, http))
 }
 
-/// Ticks the pause detector on the thread that reads requests.
+/// Must run on the thread that reads requests, as it detects pauses of that thread.
 async fn detect_pauses(context: Arc<HandlerContext>) {
     loop {
-        context.watched.tick(context.clock.since_boot());
+        context.watched_connections.tick(context.clock.since_boot());
         time::sleep(pause::TICK_INTERVAL).await;
     }
 }
@@ -266,10 +274,10 @@
         if let Ok(runtime) = runtime() {
             runtime.block_on(self.control.resign());
         }
-        thread::sleep(self.grace);
+        thread::sleep(self.readiness_grace);
         self.server.stop_graceful(None);
         let started_at = Instant::now();
-        while !self.http.is_finished() {
+        while !self.http_thread.is_finished() {
             if started_at.elapsed() >= self.drain_limit {
                 let in_flight = self.in_flight.load(Ordering::Relaxed);
                 tracing::warn!(held = in_flight, "drain limit reached with requests in flight");
--- a/crates/corianderstand_state/src/claim.rs
+++ b/crates/corianderstand_state/src/claim.rs
@@ -1,8 +1,7 @@
 //! Actions after the log has applied or rejected a claim or a void.
 //!
-//! The log grants each key to at most one claim. Its agent runs the call once, or withdraws it if
-//! the request is no longer pending. No other process or incarnation runs a claimed call, as it may
-//! have run already: its outcome stays unknown.
+//! The log grants each key to at most one claim. No other process or incarnation runs a claimed
+//! call, as it may have run already.
 
 use crate::fold::{Outcome, Rejection};
 use corianderstand_derives::derives;
@@ -20,11 +19,14 @@
     Refuse,
 }
 
-/// Returns the action for a claim whose record had `outcome`; `in_time` is whether the deadline of
-/// the request has not passed.
-pub const fn claim_action(outcome: &Outcome, is_pending: bool, in_time: bool) -> ClaimAction {
+/// Returns the action for a claim whose record had `outcome`.
+pub const fn claim_action(
+    outcome: &Outcome,
+    is_pending: bool,
+    before_deadline: bool,
+) -> ClaimAction {
     match outcome {
-        Outcome::Applied if is_pending && in_time => ClaimAction::Run,
+        Outcome::Applied if is_pending && before_deadline => ClaimAction::Run,
         Outcome::Applied => ClaimAction::Withdraw,
         Outcome::Rejected(Rejection::CallsFull) => ClaimAction::Refuse,
         Outcome::Repeated | Outcome::Rejected(_) => ClaimAction::ReadStatus,
--- a/crates/corianderstand_state/src/slots.rs
+++ b/crates/corianderstand_state/src/slots.rs
@@ -58,21 +58,20 @@
         Ok(())
     }
 
-    /// Releases the assignment made at offset `assigned`, on behalf of the slot's owner or the lease
-    /// holder (`by_holder`).
+    /// Releases the assignment made at offset `assigned`, for its owner or the lease holder.
     pub fn release(
         &mut self,
         offset: u64,
         model: &ModelId,
         index: u32,
         assigned: u64,
-        by_holder: bool,
+        by_lease_holder: bool,
         record: &Record,
     ) -> Result<(), Rejection> {
         let key = SlotKey { model: model.clone(), index };
         let slot = self.by_key.get(&key).ok_or(Rejection::SlotConflict)?;
         let by_owner = slot.target.as_str() == record.writer.as_str();
-        if slot.assigned != assigned || !(by_holder || by_owner) {
+        if slot.assigned != assigned || !(by_lease_holder || by_owner) {
             return Err(Rejection::SlotConflict);
         }
         let owner = slot.target.clone();
--- a/tools/measure/src/cost.rs
+++ b/tools/measure/src/cost.rs
@@ -2,7 +2,7 @@
 
 use corianderstand_decide::{
     agent::{Action, Agent, Limits},
-    request::{RequestSpec, Requirement, SchedulingConfig, Shape},
+    request::{RequestShape, RequestSpec, Requirement, SchedulingConfig},
     router::{Decision, Router, TargetKey},
 };
 use corianderstand_schema::messages::Load;
@@ -52,21 +52,20 @@
         urgency: 1,
         deadline: clock.now() + Duration::from_secs(600),
         repeatable: true,
-        shape: Shape { prefix, ..Shape::default() },
+        shape: RequestShape { prefix, ..RequestShape::default() },
     }
 }
 
-/// Time per iteration of the fastest repeat.
-fn best_ns(mut run: impl FnMut(u32)) -> f64 {
+fn best_time_per_iteration_ns(mut run: impl FnMut(u32)) -> f64 {
     let time = |_| {
-        let began = Instant::now();
+        let started_at = Instant::now();
         (0..ITERATIONS).for_each(&mut run);
-        began.elapsed().as_nanos() as f64 / f64::from(ITERATIONS)
+        started_at.elapsed().as_nanos() as f64 / f64::from(ITERATIONS)
     };
     (0..REPEATS).map(time).fold(f64::MAX, f64::min)
 }
 
-/// Time to submit and finish a request at a router. Half of the targets own each model.
+/// Measures submitting and finishing a request; each model has replicas on half of the targets.
 fn router_cost_ns(targets: usize, models: usize, adapters: usize) -> f64 {
     let clock = ManualClock::default();
     let mut router = Router::new("conce".into(), 1);
@@ -79,7 +78,7 @@
         let owners = keys.iter().skip(model % 2).step_by(2).copied().collect();
         (ModelId::from(format!("model-{model}").as_str()), owners)
     };
-    router.set_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
+    router.set_replica_slot_owners((0..models).map(owners).collect::<BTreeMap<_, _>>());
     let specs: Vec<RequestSpec> = (0..1024)
         .map(|number| {
             request_spec(
@@ -90,7 +89,7 @@
             )
         })
         .collect();
-    best_ns(|iteration| {
+    best_time_per_iteration_ns(|iteration| {
         let spec = specs[iteration as usize % specs.len()].clone();
         let (key, decision) = router.submit(clock.now(), spec);
         if let Decision::Send(target) = black_box(decision) {
@@ -105,7 +104,7 @@
     let clock = ManualClock::default();
     let limits = Limits { concurrency: 16, queue: queued as u32 + 64 };
     let mut agent = Agent::new(limits, Mib(1_000_000));
-    agent.set_slots(BTreeSet::from(["model-0".into()]));
+    agent.set_replica_slots(BTreeSet::from(["model-0".into()]));
     let base = Weights::model("model-0".into(), "1".into());
     let adapter = |number: usize| Weights {
         adapter: Some(format!("adapter-{number}").as_str().into()),
@@ -135,7 +134,7 @@
     }
     let specs: Vec<RequestSpec> =
         (0..1024).map(|n| request_spec(&clock, 0, Some(n * 53 % adapters), None)).collect();
-    best_ns(|iteration| {
+    best_time_per_iteration_ns(|iteration| {
         let spec = specs[iteration as usize % specs.len()].clone();
         let (_, actions) = agent.submit(clock.now(), spec, &FixedConfig);
         if let Some(key) = next_running(actions) {
@@ -145,7 +144,6 @@
     })
 }
 
-/// Measures all sizes and prints the results.
 pub fn print() {
     println!("router: submit and finish one request");
     let mut baseline = None;
--- a/tools/reference/src/lib.rs
+++ b/tools/reference/src/lib.rs
@@ -24,7 +24,7 @@
 /// # Panics
 ///
 /// Panics if the page cannot be read or names an unknown section.
-pub fn page(root: &Path, name: &str) -> String {
+pub fn render_page(root: &Path, name: &str) -> String {
     let text = fs::read_to_string(root.join(name)).expect("the page can be read");
     let mut remaining = text.as_str();
     let mut output = String::new();
@@ -43,15 +43,15 @@
 
 fn render_section(section: &str) -> String {
     match section {
-        "metrics" => metrics(),
+        "metrics" => metrics_table(),
         "commands" => corianderstand_cli::reference(),
-        "process" => settings::process(),
-        "settings" => settings::documents(),
+        "process" => settings::process_sections(),
+        "settings" => settings::document_sections(),
         _ => panic!("unknown section `{section}`"),
     }
 }
 
-fn metrics() -> String {
+fn metrics_table() -> String {
     let mut text = String::from("| name | kind | unit | meaning |\n|---|---|---|---|\n");
     for metric in Metric::ALL {
         let kind = match metric.kind() {
--- a/tools/testbed/src/deployment.rs
+++ b/tools/testbed/src/deployment.rs
@@ -1,7 +1,7 @@
 //! A deployment of real processes on loopback.
 
 use crate::{
-    plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash},
+    plan::{AUTH_KEY, OPERATOR_KEY, Plan, hash_token},
     process::{Process, STATE_TIMEOUT, free_addresses},
 };
 use serde_json::{Value, json};
@@ -54,7 +54,7 @@
         deployment.start_targets().await;
         deployment.start_routers();
         deployment.apply_plan().await;
-        deployment.wait_for_slots().await;
+        deployment.wait_for_replica_slots().await;
         deployment
     }
 
@@ -84,7 +84,7 @@
 
     fn define_processes(&mut self) {
         self.define_standin("log", "log", self.plan.log_options.clone());
-        self.define_standin("hosts", "hosts", self.plan.hosts_options.clone());
+        self.define_standin("hosts", "hosts", self.plan.host_list_options.clone());
         self.define_standin("weights", "weights", vec!["--rate".into(), "50".into()]);
         for i in 0..self.plan.engines {
             self.define_standin(&format!("engine-{i}"), "engine", self.plan.engine_options.clone());
@@ -113,7 +113,7 @@
 
     fn define_agent(&mut self, target: &str, index: usize, kind: &Value) {
         let name = format!("agent-{target}");
-        if self.plan.relays {
+        if self.plan.use_relays {
             let relay = format!("relay-{target}");
             let control = format!("relay-control-{target}");
             let args = ["relay", "--listen", self.address(&relay), "--to", self.address(&name)];
@@ -121,7 +121,7 @@
             args.extend(["--control".into(), self.address(&control).to_owned()]);
             self.define_process(&relay, "corianderstand-standins", args);
         }
-        let advertised = if self.plan.relays {
+        let advertised = if self.plan.use_relays {
             json!(self.address(&format!("relay-{target}")))
         } else {
             Value::Null
@@ -135,9 +135,9 @@
             "host_list_url": self.url("hosts", ""),
             "target": { "url": self.url(target, ""), "kind": kind },
             "timing": self.plan.timing,
-            "statsd": self.plan.statsd,
+            "statsd": self.plan.statsd_address,
         });
-        if let Some(concurrency) = self.plan.concurrency {
+        if let Some(concurrency) = self.plan.target_concurrency {
             settings["target"]["concurrency"] = json!(concurrency);
         }
         if !advertised.is_null() {
@@ -147,7 +147,7 @@
             let routers = (0..self.plan.routers).map(|i| format!("router-{i}"));
             let peers: Vec<&str> = routers.map(|router| self.address(&router)).collect();
             settings["peers"] = json!(peers);
-            settings["peer_token"] = json!(hash("peer"));
+            settings["peer_token"] = json!(hash_token("peer"));
         }
         let args = vec!["agent".into(), self.write_config(&name, &settings)];
         self.define_process(&name, "corianderstand", args);
@@ -166,10 +166,10 @@
             "host_list_url": self.url("hosts", ""),
             "peers": peers,
             "auth_key": AUTH_KEY,
-            "operator_key_hash": hash(OPERATOR_KEY),
+            "operator_key_hash": hash_token(OPERATOR_KEY),
             "limits": self.plan.limits,
             "timing": self.plan.timing,
-            "statsd": self.plan.statsd,
+            "statsd": self.plan.statsd_address,
         });
         let args = vec!["router".into(), self.write_config(&name, &settings)];
         self.define_process(&name, "corianderstand", args);
@@ -256,7 +256,7 @@
     pub async fn apply_plan(&mut self) {
         self.wait_for_answer("router-0", "/readyz").await;
         let settings = self.settings_folder();
-        let (code, output) = self.command(&["apply", &settings.display().to_string()]);
+        let (code, output) = self.run_operator_command(&["apply", &settings.display().to_string()]);
         assert_eq!(code, Some(0), "apply: {output}");
     }
 
@@ -273,12 +273,12 @@
     }
 
     /// Runs an operator command against the first router; returns exit code and output.
-    pub fn command(&self, args: &[&str]) -> (Option<i32>, String) {
-        self.command_at("router-0", args)
+    pub fn run_operator_command(&self, args: &[&str]) -> (Option<i32>, String) {
+        self.run_operator_command_at("router-0", args)
     }
 
     /// Runs an operator command against a router; returns exit code and output.
-    pub fn command_at(&self, router: &str, args: &[&str]) -> (Option<i32>, String) {
+    pub fn run_operator_command_at(&self, router: &str, args: &[&str]) -> (Option<i32>, String) {
         let output =
             std::process::Command::new(crate::process::binary_dir().join("corianderstand"))
                 .args(args)
@@ -311,7 +311,7 @@
     }
 
     /// Waits until every router is ready and reports all configured replica slots.
-    pub async fn wait_for_slots(&self) {
+    pub async fn wait_for_replica_slots(&self) {
         let expected: u64 = self
             .plan
             .documents
--- a/tools/testbed/src/plan.rs
+++ b/tools/testbed/src/plan.rs
@@ -16,17 +16,17 @@
     /// Command-line options of the log stand-in.
     pub log_options: Vec<String>,
     /// Command-line options of the host list stand-in.
-    pub hosts_options: Vec<String>,
+    pub host_list_options: Vec<String>,
     /// `timing` settings of all processes.
     pub timing: Value,
     /// Concurrent requests of each target, if not the default.
-    pub concurrency: Option<u32>,
+    pub target_concurrency: Option<u32>,
     /// Address of the statsd sink, or null.
-    pub statsd: Value,
+    pub statsd_address: Value,
     /// `limits` settings of the routers.
     pub limits: Value,
     /// Whether a relay with fault injection forwards connections to each agent.
-    pub relays: bool,
+    pub use_relays: bool,
     /// Whether agents follow the routers instead of reading the log.
     pub follow_routers: bool,
     /// Settings documents by path.
@@ -43,9 +43,9 @@
 pub const AUTH_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
 /// Hashes a bearer token with [`AUTH_KEY`].
-pub fn hash(key: &str) -> String {
+pub fn hash_token(token: &str) -> String {
     let hasher = corianderstand_router::auth::Hasher::new(AUTH_KEY).expect("a well-formed key");
-    hasher.hash(key).to_string()
+    hasher.hash(token).to_string()
 }
 
 impl Default for Plan {
@@ -57,13 +57,13 @@
             services: 1,
             engine_options: to_strings(&["--token-us", "2000", "--load-ms", "200"]),
             log_options: Vec::new(),
-            hosts_options: Vec::new(),
+            host_list_options: Vec::new(),
             timing: json!({ "heartbeat_ms": 100, "silence_ms": 1000, "reconnect_ms": 200,
                 "log_poll_ms": 500, "host_list_poll_ms": 200, "drain_ms": 30000, "grace_ms": 500 }),
-            concurrency: None,
-            statsd: Value::Null,
+            target_concurrency: None,
+            statsd_address: Value::Null,
             limits: json!({}),
-            relays: false,
+            use_relays: false,
             follow_routers: false,
             documents: documents(),
         }
@@ -76,7 +76,7 @@
         "load_ms": 500, "adapter_memory_mib": 500 })
     };
     let team = |key: &str, tail: u32, idle: u32| {
-        json!({ "key_hashes": [hash(key)], "share": 300,
+        json!({ "key_hashes": [hash_token(key)], "share": 300,
         "default_deadline_ms": 20000, "default_urgency": "normal",
         "weight_tail": tail, "weight_idle": idle })
     };
